--- a/cluster/src/main/java/frostreel/cluster/ClusterSettings.java
+++ b/cluster/src/main/java/frostreel/cluster/ClusterSettings.java
@@ -16,8 +16,8 @@
  * @param members each member's address, by which the others reach it; may differ from what it binds to
  * @param silentAfterMs a member that nobody hears for so long is suspected, 500 to 60,000
  */
-public record ClusterSettings(String group, String self, InetSocketAddress bind,
-        Map<String, InetSocketAddress> members, long silentAfterMs) {
+public record ClusterSettings(
+        String group, String self, InetSocketAddress bind, Map<String, InetSocketAddress> members, long silentAfterMs) {
     private static final long LEAST_SILENT_MS = 500;
     private static final long MOST_SILENT_MS = 60_000;
 
@@ -28,14 +28,13 @@
         require(members.containsKey(self), "the members do not name this pooler, " + self);
         require(!bind.isUnresolved(), "unknown address " + bind);
         require(!bind.getAddress().isAnyLocalAddress(), "bind to one address, not to all: " + bind);
-        require(silentAfterMs >= LEAST_SILENT_MS && silentAfterMs <= MOST_SILENT_MS,
+        require(
+                silentAfterMs >= LEAST_SILENT_MS && silentAfterMs <= MOST_SILENT_MS,
                 "silentAfterMs is " + silentAfterMs + ", " + LEAST_SILENT_MS + " to " + MOST_SILENT_MS);
         Set<InetSocketAddress> taken = new HashSet<>();
         members.forEach((name, address) -> {
-            require(!address.isUnresolved() && address.getPort() > 0, "unknown address " + address + " of "
-                    + name);
-            require(!address.getAddress().isAnyLocalAddress(), name + " has no address of its own: "
-                    + address);
+            require(!address.isUnresolved() && address.getPort() > 0, "unknown address " + address + " of " + name);
+            require(!address.getAddress().isAnyLocalAddress(), name + " has no address of its own: " + address);
             require(taken.add(address), name + " has another member's address, " + address);
         });
     }
@@ -45,7 +44,6 @@
         return members.get(self);
     }
 
-
     private static void require(boolean holds, String otherwise) {
         if (!holds) {
             throw new IllegalArgumentException(otherwise);
--- a/cluster/src/main/java/frostreel/cluster/Peer.java
+++ b/cluster/src/main/java/frostreel/cluster/Peer.java
@@ -5,12 +5,14 @@
  * is higher at each start, so that what an ended life still says is told from what the present one does.
  */
 public record Peer(String name, long life) implements Comparable<Peer> {
-    @Override public int compareTo(Peer other) {
+    @Override
+    public int compareTo(Peer other) {
         int byName = name.compareTo(other.name);
         return byName != 0 ? byName : Long.compare(life, other.life);
     }
 
-    @Override public String toString() {
+    @Override
+    public String toString() {
         return name + "/" + life;
     }
 }
--- a/cluster/src/main/java/frostreel/cluster/jgroups/ChosenEntries.java
+++ b/cluster/src/main/java/frostreel/cluster/jgroups/ChosenEntries.java
@@ -54,14 +54,13 @@
         return ByteBuffer.wrap(answer).getLong();
     }
 
-    @Override public byte[] apply(byte[] data, int offset, int length, boolean wantsAnswer)
-            throws IOException {
+    @Override
+    public byte[] apply(byte[] data, int offset, int length, boolean wantsAnswer) throws IOException {
         DataInputStream in = new DataInputStream(new ByteArrayInputStream(data, offset, length));
         String name = in.readUTF();
         Last mine = new Last(in.readLong(), in.readLong(), number + 1);
         Last before = last.get(name);
-        if (before != null && (mine.life < before.life || mine.life == before.life
-                && mine.place <= before.place)) {
+        if (before != null && (mine.life < before.life || mine.life == before.life && mine.place <= before.place)) {
             boolean again = mine.life == before.life && mine.place == before.place;
             return answer(again ? before.number : 0);
         }
@@ -84,7 +83,8 @@
         told = Math.max(told, number);
     }
 
-    @Override public void writeContentTo(DataOutput out) throws IOException {
+    @Override
+    public void writeContentTo(DataOutput out) throws IOException {
         out.writeLong(number);
         out.writeInt(last.size());
         for (Map.Entry<String, Last> e : last.entrySet()) {
@@ -101,7 +101,8 @@
         }
     }
 
-    @Override public void readContentFrom(DataInput in) throws IOException {
+    @Override
+    public void readContentFrom(DataInput in) throws IOException {
         number = in.readLong();
         last.clear();
         for (int left = in.readInt(); left > 0; left--) {
--- a/cluster/src/main/java/frostreel/cluster/jgroups/GroupMembership.java
+++ b/cluster/src/main/java/frostreel/cluster/jgroups/GroupMembership.java
@@ -52,6 +52,7 @@
     private static final int MOST_WAITING = 1024;
     /** The largest frame on the wire; more is no message of ours. */
     private static final int MOST_FRAME = 2 * MOST_BYTES;
+
     private static final int MOST_THREADS = 8;
     private static final int CONNECT_MS = 1000;
     private static final long JOIN_MS = 1000;
@@ -61,6 +62,7 @@
     private static final long MERGE_MOST_MS = 2000;
     /** Beats in the time after which silence counts. */
     private static final int BEATS = 4;
+
     private static final String NAME = "name";
     private static final String LIFE = "life";
     private static final Logger LOG = Logger.getLogger(GroupMembership.class.getName());
@@ -70,9 +72,11 @@
     private final Listener listener;
     /** The speaker's alone; a new one for each try to join, as one that was turned away is of no use. */
     private JChannel channel;
+
     private final ThreadPoolExecutor speaker;
     /** Null where there is none. */
     private final RaftLog log;
+
     private final AtomicInteger waiting = new AtomicInteger();
     private final LongAdder sent = new LongAdder();
     private final LongAdder received = new LongAdder();
@@ -93,20 +97,25 @@
      * The same with a log of the majority's. {@code folder} keeps it, null keeps it in memory alone;
      * {@code chosen} is told of its entries, null for no log.
      */
-    public GroupMembership(ClusterSettings settings, long life, Executor owner, Listener listener,
-            Path folder, MajorityLog.Listener chosen) {
+    public GroupMembership(
+            ClusterSettings settings,
+            long life,
+            Executor owner,
+            Listener listener,
+            Path folder,
+            MajorityLog.Listener chosen) {
         this.settings = settings;
         this.owner = owner;
         this.listener = listener;
         self = new Peer(settings.self(), life);
-        speaker = new ThreadPoolExecutor(1, 1, 0, TimeUnit.SECONDS, new ArrayBlockingQueue<>(MOST_WAITING),
-                r -> {
-                    Thread t = new Thread(r, "cluster");
-                    t.setDaemon(true);
-                    return t;
-                });
-        log = chosen == null ? null : new RaftLog(self, settings.members().keySet(), folder, speaker,
-                this::tell, chosen);
+        speaker = new ThreadPoolExecutor(1, 1, 0, TimeUnit.SECONDS, new ArrayBlockingQueue<>(MOST_WAITING), r -> {
+            Thread t = new Thread(r, "cluster");
+            t.setDaemon(true);
+            return t;
+        });
+        log = chosen == null
+                ? null
+                : new RaftLog(self, settings.members().keySet(), folder, speaker, this::tell, chosen);
         speaker.execute(this::join);
     }
 
@@ -120,7 +129,8 @@
     private static Peer peer(Address address) {
         if (address instanceof ExtendedUUID id && id.keyExists(NAME) && id.keyExists(LIFE)) {
             try {
-                return new Peer(new String(id.get(NAME), StandardCharsets.UTF_8),
+                return new Peer(
+                        new String(id.get(NAME), StandardCharsets.UTF_8),
                         Long.parseLong(new String(id.get(LIFE), StandardCharsets.US_ASCII)));
             } catch (NumberFormatException e) {
                 return null; // Nobody of ours.
@@ -131,27 +141,35 @@
 
     private List<Protocol> stack() throws Exception {
         TCP tcp = new TCP();
-        tcp.setBindAddress(settings.bind().getAddress()).setBindPort(settings.bind().getPort())
-                .setPortRange(0).setExternalAddr(settings.announced().getAddress())
+        tcp.setBindAddress(settings.bind().getAddress())
+                .setBindPort(settings.bind().getPort())
+                .setPortRange(0)
+                .setExternalAddr(settings.announced().getAddress())
                 .setExternalPort(settings.announced().getPort());
-        tcp.setClientBindAddr(settings.bind().getAddress()).setSockConnTimeout(CONNECT_MS)
+        tcp.setClientBindAddr(settings.bind().getAddress())
+                .setSockConnTimeout(CONNECT_MS)
                 .setMaxLength(MOST_FRAME);
         tcp.getThreadPool().setMaxThreads(MOST_THREADS).setIncreaseMaxSizeDynamically(false);
         TCPPING named = new TCPPING();
         named.setInitialHosts(settings.members().values()).setPortRange(0);
         long silentMs = settings.silentAfterMs();
-        List<Protocol> stack = new ArrayList<>(List.of(tcp, named,
+        List<Protocol> stack = new ArrayList<>(List.of(
+                tcp,
+                named,
                 new MERGE3().setMinInterval(MERGE_LEAST_MS).setMaxInterval(MERGE_MOST_MS),
                 new FD_ALL3().setTimeout(silentMs).setInterval(silentMs / BEATS),
-                new VERIFY_SUSPECT2().setTimeout(silentMs / 2), new NAKACK2().useMcastXmit(false)
-                        .logDiscardMessages(false), // In a split there are many.
-                new UNICAST3(), new STABLE()));
+                new VERIFY_SUSPECT2().setTimeout(silentMs / 2),
+                new NAKACK2().useMcastXmit(false).logDiscardMessages(false), // In a split there are many.
+                new UNICAST3(),
+                new STABLE()));
         if (log != null) {
             stack.add(new NO_DUPES()); // Two lives of one name would have two votes.
         }
         stack.addAll(List.of(
                 new GMS().setJoinTimeout(JOIN_MS).setLeaveTimeout(LEAVE_MS).printLocalAddress(false),
-                new UFC(), new MFC(), new FRAG4().setFragSize(MOST_BYTES / 2)));
+                new UFC(),
+                new MFC(),
+                new FRAG4().setFragSize(MOST_BYTES / 2)));
         if (log != null) {
             stack.addAll(log.protocols());
         }
@@ -173,8 +191,7 @@
             CompletableFuture.delayedExecutor(AGAIN_MS, TimeUnit.MILLISECONDS, this::speak)
                     .execute(this::join);
         } catch (Exception e) { // Whatever it is, there is no group for this pooler.
-            LOG.log(Level.SEVERE, "GW_CLUSTER: cannot take part in " + settings.group() + " at "
-                    + settings.bind(), e);
+            LOG.log(Level.SEVERE, "GW_CLUSTER: cannot take part in " + settings.group() + " at " + settings.bind(), e);
             tell(() -> listener.failed(String.valueOf(e.getMessage())));
         }
     }
@@ -184,15 +201,18 @@
         return log;
     }
 
-    @Override public Peer self() {
+    @Override
+    public Peer self() {
         return self;
     }
 
-    @Override public View view() {
+    @Override
+    public View view() {
         return view;
     }
 
-    @Override public void send(Peer to, byte[] message) {
+    @Override
+    public void send(Peer to, byte[] message) {
         Membership.check(message);
         speak(() -> {
             org.jgroups.View now = channel.getView();
@@ -206,7 +226,8 @@
         });
     }
 
-    @Override public void cast(byte[] message) {
+    @Override
+    public void cast(byte[] message) {
         Membership.check(message);
         speak(() -> write(null, message));
     }
@@ -228,7 +249,8 @@
         }
     }
 
-    @Override public void leave() {
+    @Override
+    public void leave() {
         if (left) {
             return;
         }
@@ -281,7 +303,8 @@
 
     /** What comes from the channel, on its threads. */
     private final class Ears implements Receiver {
-        @Override public void viewAccepted(org.jgroups.View v) {
+        @Override
+        public void viewAccepted(org.jgroups.View v) {
             List<Peer> peers = new ArrayList<>();
             for (Address a : v.getMembers()) {
                 Peer p = known(a);
@@ -297,7 +320,8 @@
             });
         }
 
-        @Override public void receive(Message m) {
+        @Override
+        public void receive(Message m) {
             Peer from = known(m.src());
             if (from == null || m.getLength() > MOST_BYTES) {
                 return;
--- a/cluster/src/main/java/frostreel/cluster/jgroups/RaftLog.java
+++ b/cluster/src/main/java/frostreel/cluster/jgroups/RaftLog.java
@@ -30,6 +30,7 @@
      * proposals that come again sooner than that would keep a member that started again out for ever.
      */
     private static final long IDLE_MS = 100;
+
     private static final long AGAIN_MS = 1000;
     private static final long MOST_MS = 10_000;
     private static final int MOST_WAITING = 64;
@@ -44,14 +45,14 @@
     private final Path folder;
     /** One over all tries to join: what it has been told once, it is not told again. */
     private final ChosenEntries entries;
+
     private volatile REDIRECT redirect;
     private final Queue<Proposal> waiting = new ArrayDeque<>();
     private long places;
     private boolean busy;
 
     /** {@code folder} keeps the log; null keeps it in memory, and a restart then forgets what it promised. */
-    RaftLog(Peer self, Collection<String> members, Path folder, Executor speaker, Executor owner,
-            Listener listener) {
+    RaftLog(Peer self, Collection<String> members, Path folder, Executor speaker, Executor owner, Listener listener) {
         this.self = self;
         this.speaker = speaker;
         this.owner = owner;
@@ -62,19 +63,26 @@
 
     /** What goes into a channel's stack, above all that carries messages; new for each channel. */
     List<Protocol> protocols() {
-        RAFT raft = new RAFT().members(members).raftId(self.name()).maxLogSize(SNAPSHOT_BYTES)
-                .resendInterval(IDLE_MS).stateMachine(entries);
+        RAFT raft = new RAFT()
+                .members(members)
+                .raftId(self.name())
+                .maxLogSize(SNAPSHOT_BYTES)
+                .resendInterval(IDLE_MS)
+                .stateMachine(entries);
         if (folder == null) {
             raft.logClass(InMemoryLog.class.getName()).logPrefix(self.toString());
         } else {
-            raft.logClass(FileBasedLog.class.getName()).logDir(folder.toString()).logPrefix(self.name())
+            raft.logClass(FileBasedLog.class.getName())
+                    .logDir(folder.toString())
+                    .logPrefix(self.name())
                     .logUseFsync(true);
         }
         redirect = new REDIRECT();
         return List.of(new ELECTION(), raft, redirect);
     }
 
-    @Override public void propose(byte[] entry, Outcome outcome) {
+    @Override
+    public void propose(byte[] entry, Outcome outcome) {
         MajorityLog.check(entry);
         if (waiting.size() >= MOST_WAITING) {
             outcome.unknown("too many proposals wait");
--- a/cluster/src/main/java/frostreel/cluster/jgroups/Suspicions.java
+++ b/cluster/src/main/java/frostreel/cluster/jgroups/Suspicions.java
@@ -14,7 +14,8 @@
         this.listener = listener;
     }
 
-    @Override public Object up(Event event) {
+    @Override
+    public Object up(Event event) {
         if (event.getType() == Event.SUSPECT) {
             Collection<Address> whom = event.arg();
             listener.accept(whom);
--- a/cluster/src/test/java/frostreel/cluster/ClusterSettingsTest.java
+++ b/cluster/src/test/java/frostreel/cluster/ClusterSettingsTest.java
@@ -12,28 +12,38 @@
     private static final InetSocketAddress A = new InetSocketAddress("127.0.0.1", 7800);
     private static final InetSocketAddress B = new InetSocketAddress("127.0.0.2", 7800);
 
-    @Test void faultsAreNamed() {
+    @Test
+    void faultsAreNamed() {
         refused("the members do not name this pooler, c", "g", "c", A, Map.of("a", A, "b", B), 1000);
         refused("b has another member's address", "g", "a", A, Map.of("a", A, "b", A), 1000);
-        refused("bind to one address, not to all", "g", "a", new InetSocketAddress("0.0.0.0", 7800),
-                Map.of("a", A), 1000);
-        refused("a has no address of its own", "g", "a", A,
-                Map.of("a", new InetSocketAddress("0.0.0.0", 7800)), 1000);
-        refused("unknown address", "g", "a", A,
-                Map.of("a", InetSocketAddress.createUnresolved("x", 1)), 1000);
+        refused(
+                "bind to one address, not to all",
+                "g",
+                "a",
+                new InetSocketAddress("0.0.0.0", 7800),
+                Map.of("a", A),
+                1000);
+        refused("a has no address of its own", "g", "a", A, Map.of("a", new InetSocketAddress("0.0.0.0", 7800)), 1000);
+        refused("unknown address", "g", "a", A, Map.of("a", InetSocketAddress.createUnresolved("x", 1)), 1000);
         refused("unknown address", "g", "a", A, Map.of("a", new InetSocketAddress("127.0.0.1", 0)), 1000);
         refused("the group has no name", " ", "a", A, Map.of("a", A), 1000);
         refused("silentAfterMs is 499", "g", "a", A, Map.of("a", A), 499);
         refused("silentAfterMs is 60001", "g", "a", A, Map.of("a", A), 60_001);
     }
 
-    private static void refused(String why, String group, String self, InetSocketAddress bind,
-            Map<String, InetSocketAddress> members, long silentMs) {
+    private static void refused(
+            String why,
+            String group,
+            String self,
+            InetSocketAddress bind,
+            Map<String, InetSocketAddress> members,
+            long silentMs) {
         assertThatThrownBy(() -> new ClusterSettings(group, self, bind, members, silentMs))
                 .hasMessageContaining(why);
     }
 
-    @Test void whoCameAndWhoWentIsSeenFromTwoViews() {
+    @Test
+    void whoCameAndWhoWentIsSeenFromTwoViews() {
         Peer a = new Peer("a", 1);
         Peer b = new Peer("b", 1);
         Peer again = new Peer("b", 2);
--- a/decisions/src/main/java/frostreel/operation/ClassTable.java
+++ b/decisions/src/main/java/frostreel/operation/ClassTable.java
@@ -15,6 +15,7 @@
 public final class ClassTable {
     /** For so long after a change clients may still speak by the old settings. */
     public static final long CHANGE_US = 1_200_000;
+
     private final List<RequestClass> all = new ArrayList<>();
     private Map<String, Integer> current;
     private Map<String, Integer> before = Map.of();
@@ -61,8 +62,8 @@
         }
         RequestClass a = all.get(now);
         RequestClass b = all.get(then);
-        boolean looser = a.repeat().ordinal() < b.repeat().ordinal() || a.windowUs() > b.windowUs()
-                || a.boundUs() > b.boundUs();
+        boolean looser =
+                a.repeat().ordinal() < b.repeat().ordinal() || a.windowUs() > b.windowUs() || a.boundUs() > b.boundUs();
         return looser ? then : now;
     }
 
@@ -71,8 +72,7 @@
             return null;
         }
         RequestClass c = all.get(number);
-        boolean fits = write == (c.access() == Router.Access.WRITE)
-                && (keyed || c.repeat() != Router.Repeat.KEYED);
+        boolean fits = write == (c.access() == Router.Access.WRITE) && (keyed || c.repeat() != Router.Repeat.KEYED);
         return fits ? number : null;
     }
 }
--- a/decisions/src/main/java/frostreel/operation/CommitBoard.java
+++ b/decisions/src/main/java/frostreel/operation/CommitBoard.java
@@ -22,6 +22,7 @@
     public static final Router.Elsewhere BLIND = (nowUs, session) -> nowUs - Router.KNOWN_AFTER_US;
     /** Commits are told in milliseconds. */
     private static final long ROUNDING_US = 1_000;
+
     static final int PLACES = 4;
     private static final int SLOT_BITS = 9;
     private static final int SLOTS = 1 << SLOT_BITS;
@@ -29,10 +30,12 @@
     private static final long SPREAD = 0x9E3779B97F4A7C15L;
     /** A place begins with these; its slots follow. */
     private static final int LIFE = 0;
+
     private static final int BEAT = 1;
     private static final int HEAD = 2;
     /** What a slot holds. */
     private static final int ANSWERED = 0;
+
     private static final int DOUBT_UNTIL = 1;
     private static final int OUT_SINCE = 2;
     private static final int OUT_UNTIL = 3;
@@ -40,16 +43,19 @@
     private static final int PLACE = HEAD + SLOTS * SLOT;
     /** So many longs it needs. */
     public static final int LONGS = PLACES * PLACE;
+
     private final SharedLongs longs;
     private final long life;
     /** Where this life's place begins. */
     private int own;
     /** How many writes of each slot are out here, since when there is one, and their latest deadline. */
     private final int[] out = new int[SLOTS];
+
     private final long[] outSince = new long[SLOTS];
     private final long[] outUntil = new long[SLOTS];
     /** What others had written into this life's place before; they are in no other. */
     private final long[] answeredBefore = new long[SLOTS];
+
     private final long[] doubtBefore = new long[SLOTS];
 
     /** {@code life}: a number other than 0 that no other life has or had. */
@@ -97,7 +103,8 @@
         }
     }
 
-    @Override public void sent(long nowUs, long session, long deadlineUs) {
+    @Override
+    public void sent(long nowUs, long session, long deadlineUs) {
         hold(nowUs);
         int slot = slot(session);
         int at = own + HEAD + slot * SLOT;
@@ -110,8 +117,8 @@
     }
 
     /** What a write leaves is written before it stops being out, and read after. */
-    @Override public void ended(long nowUs, long session, long deadlineUs, Router.Outcome outcome,
-            long positionUs) {
+    @Override
+    public void ended(long nowUs, long session, long deadlineUs, Router.Outcome outcome, long positionUs) {
         hold(nowUs);
         int slot = slot(session);
         int at = own + HEAD + slot * SLOT;
@@ -126,12 +133,14 @@
         }
     }
 
-    @Override public void beat(long nowUs) {
+    @Override
+    public void beat(long nowUs) {
         hold(nowUs);
         longs.set(own + BEAT, nowUs);
     }
 
-    @Override public long boundUs(long nowUs, long session) {
+    @Override
+    public long boundUs(long nowUs, long session) {
         int slot = slot(session);
         long bound = bound(nowUs, answeredBefore[slot], doubtBefore[slot], 0, 0);
         for (int place = 0; place < LONGS; place += PLACE) {
@@ -139,8 +148,14 @@
             if (writer != 0 && writer != life) {
                 int at = place + HEAD + slot * SLOT;
                 long since = longs.get(at + OUT_SINCE);
-                bound = Math.max(bound, bound(nowUs, longs.get(at + ANSWERED), longs.get(at + DOUBT_UNTIL),
-                        since, since > 0 ? longs.get(at + OUT_UNTIL) : 0));
+                bound = Math.max(
+                        bound,
+                        bound(
+                                nowUs,
+                                longs.get(at + ANSWERED),
+                                longs.get(at + DOUBT_UNTIL),
+                                since,
+                                since > 0 ? longs.get(at + OUT_UNTIL) : 0));
             }
         }
         return bound;
--- a/decisions/src/main/java/frostreel/operation/CommitLog.java
+++ b/decisions/src/main/java/frostreel/operation/CommitLog.java
@@ -9,12 +9,14 @@
 public interface CommitLog {
     /** Where no other process ever serves beside this one. */
     CommitLog NONE = new CommitLog() {
-        @Override public void sent(long nowUs, long session, long deadlineUs) {}
+        @Override
+        public void sent(long nowUs, long session, long deadlineUs) {}
 
-        @Override public void ended(long nowUs, long session, long deadlineUs, Router.Outcome outcome,
-                long positionUs) {}
+        @Override
+        public void ended(long nowUs, long session, long deadlineUs, Router.Outcome outcome, long positionUs) {}
 
-        @Override public void beat(long nowUs) {}
+        @Override
+        public void beat(long nowUs) {}
     };
 
     /** An attempt of a write goes out, before its first byte, of that session. */
--- a/decisions/src/main/java/frostreel/operation/Door.java
+++ b/decisions/src/main/java/frostreel/operation/Door.java
@@ -10,7 +10,12 @@
  */
 public final class Door {
     /** What a front is told by the empty query, and operators by a call on the status. */
-    public enum Word { YES, STARTING, EMPTIED, STOPPING }
+    public enum Word {
+        YES,
+        STARTING,
+        EMPTIED,
+        STOPPING
+    }
 
     /** A front asks every 0.1 s, and deals out new connections for 0.2 s after the first no. */
     static final long DEALT_US = 400_000;
@@ -30,6 +35,7 @@
      * might be lost. Less than the margin before SIGKILL, so that a sweep ends in order.
      */
     public static final long LINGER_US = 300_000;
+
     private static final long NEVER = Long.MAX_VALUE;
     private final boolean shared;
     private final long lingerUs;
@@ -92,8 +98,9 @@
 
     /** What the status is: whether this process takes clients. */
     public Word word() {
-        return endedUs != NEVER && shared ? Word.STOPPING : !ready ? Word.STARTING
-                : emptiedUs != NEVER ? Word.EMPTIED : Word.YES;
+        return endedUs != NEVER && shared
+                ? Word.STOPPING
+                : !ready ? Word.STARTING : emptiedUs != NEVER ? Word.EMPTIED : Word.YES;
     }
 
     public boolean emptied() {
@@ -107,15 +114,13 @@
 
     /** Whether a connection is closed with its answer. */
     public boolean closesAnswered(long nowUs) {
-        return emptiedUs != NEVER && nowUs - emptiedUs >= DEALT_US || shared && endedUs != NEVER
-                || nowUs >= lastUs();
+        return emptiedUs != NEVER && nowUs - emptiedUs >= DEALT_US || shared && endedUs != NEVER || nowUs >= lastUs();
     }
 
     /** From when on those that rest are closed, {@code Long.MAX_VALUE} for never. */
     public long sweepUs() {
         long emptying = emptiedUs == NEVER ? NEVER : emptiedUs + EMPTY_SWEEP_US;
-        long ending = endedUs == NEVER ? NEVER : shared ? Math.min(endedUs + HAND_SWEEP_US, lastUs())
-                : lastUs();
+        long ending = endedUs == NEVER ? NEVER : shared ? Math.min(endedUs + HAND_SWEEP_US, lastUs()) : lastUs();
         return Math.min(emptying, ending);
     }
 
@@ -126,8 +131,7 @@
 
     /** No request that comes after the stay may be in hand any more at this time. */
     public long lastUs() {
-        return endedUs == NEVER ? NEVER
-                : endedUs + Math.min(longestUs, KILL_MOST_US) + STAY_US - KILL_MARGIN_US;
+        return endedUs == NEVER ? NEVER : endedUs + Math.min(longestUs, KILL_MOST_US) + STAY_US - KILL_MARGIN_US;
     }
 
     /** By when a request that comes now has to be answered; {@code Long.MAX_VALUE} for no such bound. */
--- a/decisions/src/main/java/frostreel/operation/OutOfService.java
+++ b/decisions/src/main/java/frostreel/operation/OutOfService.java
@@ -19,6 +19,7 @@
     private static final int GONE_KEPT = 256;
     /** Orders on servers have names of their own, beside those on other things. */
     private static final String SERVER = "server ";
+
     private final Orders orders;
     private final Map<String, Router.Member> told = new HashMap<>();
     private final Set<String> gone = new LinkedHashSet<>();
@@ -32,7 +33,8 @@
         if (whole) {
             Set<String> unlisted = new HashSet<>(told.keySet());
             members.forEach(m -> unlisted.remove(m.id()));
-            unlisted.forEach(id -> keep(with(told.get(id), Router.State.GONE, told.get(id).startedUs())));
+            unlisted.forEach(id ->
+                    keep(with(told.get(id), Router.State.GONE, told.get(id).startedUs())));
         }
         List<Router.Member> shown = new ArrayList<>(members.size());
         for (Router.Member m : members) {
@@ -73,8 +75,10 @@
 
     /** The ids of the servers taken out. */
     public List<String> out() {
-        return orders.all().keySet().stream().filter(t -> t.startsWith(SERVER) && orders.inForce(t))
-                .map(OutOfService::id).toList();
+        return orders.all().keySet().stream()
+                .filter(t -> t.startsWith(SERVER) && orders.inForce(t))
+                .map(OutOfService::id)
+                .toList();
     }
 
     /** The id of the server that an order is on, null where it is on none. */
@@ -98,7 +102,6 @@
     }
 
     private static Router.Member with(Router.Member m, Router.State state, long startedUs) {
-        return new Router.Member(m.id(), m.zone(), m.kind(), m.group(), m.primary(), state, m.weight(),
-                startedUs);
+        return new Router.Member(m.id(), m.zone(), m.kind(), m.group(), m.primary(), state, m.weight(), startedUs);
     }
 }
--- a/decisions/src/main/java/frostreel/zones/Area.java
+++ b/decisions/src/main/java/frostreel/zones/Area.java
@@ -6,17 +6,24 @@
 /** The members of one group in one zone: what this pooler saw of them, and whether reads may go there. */
 final class Area {
     /** HELD: it answers probes again, and has been lost too often of late to be believed at once. */
-    enum Health { UP, LOST, HELD, RETURNING }
+    enum Health {
+        UP,
+        LOST,
+        HELD,
+        RETURNING
+    }
 
     /** So many failures on end, with no sign of life between, and it is lost. */
     private static final int FAILURES = 3;
     /** After a sign of life failures do not count at once: they may be older than it. */
     private static final long ALIVE_US = 200_000;
+
     private static final long PROBE_US = 500_000;
     /** A loss weighs so long in the damping of the next return. */
     private static final double FLAP_FADE_US = 60e6;
     /** The second loss within the fading time holds a return for so long, each further one twice as long. */
     private static final double HOLD_US = 2e6;
+
     private static final double MOST_HOLD_US = 60e6;
     private static final double SERVED_SPAN_US = 10e6;
 
@@ -33,6 +40,7 @@
          * So many failures on end in two areas or more, with no sign of life anywhere, and all of it is lost.
          */
         private static final int FAILURES = 4;
+
         final int number;
         final List<Area> areas = new ArrayList<>();
         private int failures;
@@ -73,6 +81,7 @@
     private final Rate served = new Rate(SERVED_SPAN_US);
     /** What it served this pooler before it was lost. */
     private double usual;
+
     private int failures;
     private boolean suspected;
     private long aliveAt = Long.MIN_VALUE / 2;
@@ -106,8 +115,7 @@
     boolean failed(long nowUs) {
         failures++;
         zone.failed(nowUs, this);
-        return health != Health.LOST && nowUs - aliveAt > ALIVE_US
-                && failures >= (health != Health.UP ? 1 : FAILURES);
+        return health != Health.LOST && nowUs - aliveAt > ALIVE_US && failures >= (health != Health.UP ? 1 : FAILURES);
     }
 
     /**
--- a/decisions/src/main/java/frostreel/zones/ZoneAdviser.java
+++ b/decisions/src/main/java/frostreel/zones/ZoneAdviser.java
@@ -30,6 +30,7 @@
     private static final double RESERVE = 0.7;
     /** A returning member is sent so many times its present share of what it served: it has room for that. */
     private static final double HASTE = 1.5;
+
     private static final double SPAN_US = 10e6;
     private static final double MEAN = 0.05;
     /** Classes are put in order again after so many reads. */
@@ -48,12 +49,14 @@
     private double[] prices;
     /** For the overview: reads sent and turned down by tier, and what became of areas. */
     private long[] sent;
+
     private long[] denied;
     private long losses;
     private long returns;
     private final Rate home = new Rate(SPAN_US);
     /** What the lost and returning areas of nearest tiers served. */
     private double missing;
+
     private boolean everServed;
     private double[] work = {};
     private double[] reserve = {};
@@ -68,7 +71,8 @@
     }
 
     /** What is known of the classes that were there before stays. */
-    @Override public void settings(Router.Settings settings) {
+    @Override
+    public void settings(Router.Settings settings) {
         set = settings;
         int known = work.length;
         work = Arrays.copyOf(work, settings.classes().size());
@@ -104,10 +108,13 @@
 
     // ---- Seats. ----
 
-    @Override public int seat(int group, int zone) {
+    @Override
+    public int seat(int group, int zone) {
         Area area = areas.computeIfAbsent((long) group << 32 | zone, k -> {
-            Area made = new Area(groups.computeIfAbsent(group, g -> new Area.Group()),
-                    byZone.computeIfAbsent(zone, Area.Zone::new), zones.tierOf(zone));
+            Area made = new Area(
+                    groups.computeIfAbsent(group, g -> new Area.Group()),
+                    byZone.computeIfAbsent(zone, Area.Zone::new),
+                    zones.tierOf(zone));
             made.zone.areas.add(made);
             return made;
         });
@@ -125,14 +132,16 @@
         return seat;
     }
 
-    @Override public void left(int seat) {
+    @Override
+    public void left(int seat) {
         bySeat.get(seat).seats--;
         free.add(seat);
     }
 
     // ---- Events. ----
 
-    @Override public void ended(long nowUs, int seat, Router.Outcome outcome, double workUs) {
+    @Override
+    public void ended(long nowUs, int seat, Router.Outcome outcome, double workUs) {
         Area a = bySeat.get(seat);
         switch (outcome) {
             case OK -> {
@@ -145,11 +154,12 @@
             }
             case MISS, FULL, ERROR -> a.alive(nowUs);
             case TIMEOUT, RESET, CONNECT_FAILED -> failed(nowUs, a);
-            default -> { }
+            default -> {}
         }
     }
 
-    @Override public void probed(long nowUs, int seat, boolean ok) {
+    @Override
+    public void probed(long nowUs, int seat, boolean ok) {
         Area a = bySeat.get(seat);
         if (!ok) {
             failed(nowUs, a);
@@ -198,7 +208,8 @@
         }
     }
 
-    @Override public void sent(long nowUs, int seat, int cls, double workUs) {
+    @Override
+    public void sent(long nowUs, int seat, int cls, double workUs) {
         Area a = bySeat.get(seat);
         sent[a.tier]++;
         work[cls] += MEAN * (workUs - work[cls]);
@@ -232,12 +243,14 @@
 
     // ---- Answers. ----
 
-    @Override public double price(long nowUs, int seat) {
+    @Override
+    public double price(long nowUs, int seat) {
         Area a = bySeat.get(seat);
         return a.open() ? prices[a.tier] : Double.POSITIVE_INFINITY;
     }
 
-    @Override public boolean permits(long nowUs, int seat, int cls) {
+    @Override
+    public boolean permits(long nowUs, int seat, int cls) {
         Area a = bySeat.get(seat);
         if (!a.open() || a.health == Area.Health.RETURNING && !admits(nowUs, seat, a)) {
             return false;
@@ -266,12 +279,14 @@
         return ramps.get(seat).level(nowUs, perUs, Math.max(perUs * set.rules().fallUs() / 2, anyWork)) > 0;
     }
 
-    @Override public boolean wantsProbe(long nowUs, int seat) {
+    @Override
+    public boolean wantsProbe(long nowUs, int seat) {
         return bySeat.get(seat).probeDue(nowUs);
     }
 
     /** The overview: areas by zone and health, reads sent and turned down by tier, losses and returns. */
-    @Override public String toString() {
+    @Override
+    public String toString() {
         Map<Integer, Map<Area.Health, Integer>> healths = new TreeMap<>();
         for (Area a : areas.values()) {
             if (a.seats > 0) {
--- a/decisions/src/main/java/willowfield/Brain.java
+++ b/decisions/src/main/java/willowfield/Brain.java
@@ -26,9 +26,11 @@
 
     /** The design's half second: the walk visits a member this often; a full round while on hold. */
     private static final long WALK_US = 500_000;
+
     private static final double SILENCE = 4; // Expected times without an answer: it hangs.
     /** Further attempts after doubt for each request, so that they never multiply an overload. */
     private static final double RETRY_SHARE = 0.2, RETRY_BURST = 10;
+
     private static final double FIRST_WINDOW = 4; // Attempts out to a member newly met or newly primary.
     private static final double CUT = 0.7; // Of a window, after a time-out, turn-away or late answer.
     private static final double TARGET = 0.5; // Of an aim: a mean time beyond it only makes a queue.
@@ -47,6 +49,7 @@
     private static final long LONG_AGO = Long.MIN_VALUE / 2;
     /** Of clients' places: beyond it who waits longest makes room; two processes of an upgrade share them. */
     private static final double OPEN = 0.375;
+
     private static final double LENGTHY = 4; // Times the mean work, that of a long query.
     private static final double PATIENT = 0.25; // Of its aim, a long query waits for its one replica.
     private static final double LEAVE = 0.8; // Of a replica's window, to short reads of any age.
@@ -62,6 +65,7 @@
         boolean drained;
         /** Listed from the start, or heard from: else it may be none of ours, whatever the list says. */
         boolean known;
+
         long goneAt;
         double weight = 1;
         long position; // A time up to which it has applied every commit: a lower bound that stays true.
@@ -69,6 +73,7 @@
         long primaryAt = -1, replicaAt = -1;
         /** How far its last report stood behind, and when it last turned a read away. */
         long lag, reportAt = LONG_AGO, missAt = LONG_AGO;
+
         boolean probing;
         long askedAt = LONG_AGO;
         int out, links; // Attempts out, and connections held open as far as this router can tell.
@@ -77,6 +82,7 @@
         final SlowStart.Member start;
         /** How many attempts may be out to it at once, grown by answers in time and cut by trouble. */
         double window = FIRST_WINDOW;
+
         boolean opening = true;
         long pausedUntil; // Turned away as full: left alone until then, longer each time.
         int turnedAway;
@@ -130,6 +136,7 @@
     private Settings set;
     /** Over about twice the span of the rule on cold members. */
     private final LongSupplier spanUs = () -> 2 * set.rules().fallUs();
+
     private final SlowStart slow;
     private final Actions act;
     private final Adviser advice;
@@ -141,6 +148,7 @@
     private final Map<Integer, Group> groups = new TreeMap<>();
     /** The groups in which a request waits unsent; the sweep runs while there is one, over these alone. */
     private final Map<Integer, Group> waiting = new TreeMap<>();
+
     private boolean sweeping, started;
     private final Map<String, Call> calls = new HashMap<>();
     private final SessionCommits commits = new SessionCommits();
@@ -148,9 +156,11 @@
     private double baseLag = WALK_US / 2.0;
     /** Where rotation begins: from the seed, so that routers do not all start at the same member. */
     private final int turnSeed;
+
     private final SplittableRandom draw;
     /** The mean work of a request in microseconds. */
     private double work = Double.MAX_VALUE;
+
     private final Goodput goodput = new Goodput(spanUs);
 
     public Brain(Settings settings, Actions actions) {
@@ -173,7 +183,8 @@
         turnSeed = (int) (draw.nextLong() >>> 40);
     }
 
-    @Override public void onSettings(Settings settings) {
+    @Override
+    public void onSettings(Settings settings) {
         set = settings;
         int known = expect.length;
         expect = Arrays.copyOf(expect, settings.classes().size());
@@ -188,7 +199,8 @@
 
     // ---- The chain: who heads a group, and by what evidence. ----
 
-    @Override public void onMembers(long now, ListKind kind, List<Member> members) {
+    @Override
+    public void onMembers(long now, ListKind kind, List<Member> members) {
         boolean first = !started;
         started = true;
         if (first && set.limits().subscribe()) {
@@ -357,7 +369,8 @@
         }
     }
 
-    @Override public void onProbe(long now, String memberId, boolean ok, long tookUs, Report report) {
+    @Override
+    public void onProbe(long now, String memberId, boolean ok, long tookUs, Report report) {
         Node n = nodes.get(memberId);
         if (n == null) {
             return;
@@ -386,7 +399,8 @@
 
     // ---- Writes, and reads that must be current. ----
 
-    @Override public void onRequest(long now, Request q) {
+    @Override
+    public void onRequest(long now, Request q) {
         retryTokens = Math.min(RETRY_BURST, retryTokens + RETRY_SHARE);
         Group g = groups.computeIfAbsent(q.group(), Group::new);
         Call c = new Call(q, g, now);
@@ -398,8 +412,10 @@
             route(now, c);
         }
         if (set.limits().places() > 0 && calls.size() > OPEN * set.limits().places()) {
-            waiting.values().stream().flatMap(w -> Stream.concat(w.held.stream(), w.parked.stream()))
-                    .min(Comparator.comparingLong(w -> w.arrivedUs)).ifPresent(oldest -> {
+            waiting.values().stream()
+                    .flatMap(w -> Stream.concat(w.held.stream(), w.parked.stream()))
+                    .min(Comparator.comparingLong(w -> w.arrivedUs))
+                    .ifPresent(oldest -> {
                         oldest.g.held.remove(oldest);
                         oldest.g.parked.remove(oldest);
                         giveUp(now, oldest);
@@ -409,7 +425,8 @@
 
     /** Whether a member where it may go lets out one attempt at a time: a slow replica jams no write. */
     private boolean jammed(Call c) {
-        return c.toHead ? c.g.head != null && !c.g.doubted && c.g.head.window <= 1
+        return c.toHead
+                ? c.g.head != null && !c.g.doubted && c.g.head.window <= 1
                 : c.g.chain.stream().anyMatch(n -> n.window <= 1);
     }
 
@@ -444,9 +461,11 @@
 
     /** Whether nothing more may be tried: time, attempts or the key's window have run out. */
     private boolean spent(long now, Call c) {
-        return now + 2 * sweepUs >= c.q.deadlineUs() || c.attempts >= c.mostAttempts
-                || c.mayHaveRun && (c.k.repeat() == Repeat.UNSAFE
-                        || c.k.repeat() == Repeat.KEYED && now + sweepUs > c.firstMaybe + c.k.windowUs());
+        return now + 2 * sweepUs >= c.q.deadlineUs()
+                || c.attempts >= c.mostAttempts
+                || c.mayHaveRun
+                        && (c.k.repeat() == Repeat.UNSAFE
+                                || c.k.repeat() == Repeat.KEYED && now + sweepUs > c.firstMaybe + c.k.windowUs());
     }
 
     /** Lets out what waits: held writes as the head's window allows, then parked reads. Newest first: oldest
@@ -492,7 +511,8 @@
             return left;
         }
         long t = (long) Math.max(c.k.aimUs(), SILENCE * expected(c, n, now));
-        boolean again = c.attempts + 1 < c.mostAttempts && (c.k.repeat() == Repeat.SAFE
+        boolean again = c.attempts + 1 < c.mostAttempts
+                && (c.k.repeat() == Repeat.SAFE
                         || now + t + sweepUs < (c.mayHaveRun ? c.firstMaybe : now) + c.k.windowUs());
         return again ? Math.min(left, t) : left;
     }
@@ -520,7 +540,8 @@
 
     /** Whether a member checks and nothing says that it is too far behind; the baseline is report age. */
     private boolean likely(long now, Node n, long need) {
-        return set.checks() != Checks.SILENT && now - n.missAt > WALK_US
+        return set.checks() != Checks.SILENT
+                && now - n.missAt > WALK_US
                 && now - need + set.limits().holdsForUs() >= n.lag - Math.min(baseLag, n.lag);
     }
 
@@ -529,8 +550,10 @@
      * stood far behind each router would know without asking that it cannot have caught up yet. */
     private boolean provable(long now, Node n, long need) {
         long behind = n.lag - (now - need); // When it last told its position.
-        return set.limits().probes() == Probes.REPORT && now - need > baseLag
-                && now - n.askedAt > WALK_US / 2 && now - n.reportAt > CATCH_UP * behind;
+        return set.limits().probes() == Probes.REPORT
+                && now - need > baseLag
+                && now - n.askedAt > WALK_US / 2
+                && now - n.reportAt > CATCH_UP * behind;
     }
 
     /** A member listed later gets reads once it answered a probe: a list may name what is none of ours. */
@@ -588,8 +611,7 @@
         int size = g.chain.size();
         for (int i = 0; i < size; i++) {
             Node n = g.chain.get((turnSeed + g.turn + i) % size);
-            if (n == g.head || !usable(n) || c.missed.contains(n) || stranger(now, n)
-                    || only != null && n != only) {
+            if (n == g.head || !usable(n) || c.missed.contains(n) || stranger(now, n) || only != null && n != only) {
                 continue;
             }
             double price = advice.price(now, n.seat);
@@ -600,7 +622,8 @@
                 continue;
             }
             boolean proven = n.position >= need || likely(now, n, need);
-            if (proven ? !room(now, n, part) || !slow.admits(now, n.start, c.q.cls())
+            if (proven
+                    ? !room(now, n, part) || !slow.admits(now, n.start, c.q.cls())
                     : n.probing || !provable(now, n, need)) {
                 waits = true;
                 continue;
@@ -609,8 +632,8 @@
                 denied = true;
                 continue;
             }
-            double cost = cost(now, n) * price / leisure(c, n)
-                    * (linked(now, n) || g.sinceLink >= LINK_EVERY ? 1 : NEW_LINK);
+            double cost =
+                    cost(now, n) * price / leisure(c, n) * (linked(now, n) || g.sinceLink >= LINK_EVERY ? 1 : NEW_LINK);
             if (proven && cost * EQUAL < bestCost) {
                 bestCost = cost;
                 best = n;
@@ -631,11 +654,14 @@
             park(c);
             return;
         }
-        if (only == null && g.head != null && !g.doubted && !c.missed.contains(g.head)
+        if (only == null
+                && g.head != null
+                && !g.doubted
+                && !c.missed.contains(g.head)
                 && room(now, g.head, SPARED)
                 && advice.price(now, g.head.seat) < Double.POSITIVE_INFINITY
-                && advice.permits(now, g.head.seat, c.q.cls()) && send(now, c, g.head, readTimeout(now, c,
-                        g.head))) {
+                && advice.permits(now, g.head.seat, c.q.cls())
+                && send(now, c, g.head, readTimeout(now, c, g.head))) {
             return;
         }
         if (denied && !waits && unproven == null) { // More than may be sent elsewhere, and no use in waiting.
@@ -652,7 +678,8 @@
     /** Whether an open connection is free: a new one costs the member work and the request time, and hundreds
      * of routers that each rotate over all members would fill their tables. */
     private boolean linked(long now, Node n) {
-        return n.out < n.links * set.limits().perLink() && now - n.linkedAt < set.limits().idleCloseUs();
+        return n.out < n.links * set.limits().perLink()
+                && now - n.linkedAt < set.limits().idleCloseUs();
     }
 
     /** A long query that any member may answer: its own work, not a queue, makes its time. */
@@ -668,8 +695,13 @@
         double furthest = -1;
         for (Node n : c.g.chain) {
             double price = advice.price(now, n.seat);
-            if (n != c.g.head && usable(n) && n.known && !c.missed.contains(n) && now >= n.pausedUntil
-                    && !silent(now, n) && price < Double.POSITIVE_INFINITY) {
+            if (n != c.g.head
+                    && usable(n)
+                    && n.known
+                    && !c.missed.contains(n)
+                    && now >= n.pausedUntil
+                    && !silent(now, n)
+                    && price < Double.POSITIVE_INFINITY) {
                 long behind = n.position == 0 ? 0 : now - n.position + (n == c.g.keeper ? 2 * WALK_US : 0);
                 best = behind / price > furthest ? n : best;
                 furthest = Math.max(furthest, behind / price);
@@ -682,8 +714,12 @@
     /** A read that any member may answer leans to a replica that is behind and can serve little else, so that
      * long queries, which may stop a replica from applying, keep to few of them; the others stay fresh. */
     private double leisure(Call c, Node n) {
-        return c.k.access() != Access.ANY ? 1 : 1 + Math.min(1, expect[c.q.cls()] / WALK_US)
-                        * Math.min(n.lag - Math.min(baseLag, n.lag), 4 * WALK_US) / WALK_US;
+        return c.k.access() != Access.ANY
+                ? 1
+                : 1
+                        + Math.min(1, expect[c.q.cls()] / WALK_US)
+                                * Math.min(n.lag - Math.min(baseLag, n.lag), 4 * WALK_US)
+                                / WALK_US;
     }
 
     /** Waits for room. A marked repeat waits behind first tries: part of its aim has gone, and under overload
@@ -720,8 +756,7 @@
 
     private double cost(long now, Node n) {
         double f = fade(now, n);
-        double c = (1 + (n.ratio - 1) * f) * (1 + 0.5 * n.out / Math.max(0.1, n.weight)) * (1
-                + FAIL_COST * n.fail * f);
+        double c = (1 + (n.ratio - 1) * f) * (1 + 0.5 * n.out / Math.max(0.1, n.weight)) * (1 + FAIL_COST * n.fail * f);
         return silent(now, n) ? c * FAIL_COST : c;
     }
 
@@ -764,8 +799,18 @@
         n.markedAt = now;
     }
 
-    @Override public void onOutcome(long now, String requestId, int attempt, String memberId, Outcome outcome,
-            boolean closed, long tookUs, Role role, long positionUs, Report report) {
+    @Override
+    public void onOutcome(
+            long now,
+            String requestId,
+            int attempt,
+            String memberId,
+            Outcome outcome,
+            boolean closed,
+            long tookUs,
+            Role role,
+            long positionUs,
+            Report report) {
         Call c = calls.get(requestId);
         Node n = nodes.get(memberId);
         if (n == null || c == null || c.on == null) {
@@ -792,8 +837,8 @@
         pump(now, n.group);
     }
 
-    private void learnOutcome(long now, Call c, Node n, Outcome o, long tookUs, Role role, long positionUs,
-            Report report) {
+    private void learnOutcome(
+            long now, Call c, Node n, Outcome o, long tookUs, Role role, long positionUs, Report report) {
         Group g = n.group;
         boolean write = c.k.access() == Access.WRITE;
         if (o == Outcome.OK || o == Outcome.ERROR || o == Outcome.FULL || o == Outcome.MISS) {
@@ -882,7 +927,8 @@
         enqueue(c, c.g.held, c.g.held.size());
     }
 
-    @Override public void onTimer(long now, String name) {
+    @Override
+    public void onTimer(long now, String name) {
         if (!name.equals(SWEEP)) {
             act.subscribe();
             return;
@@ -913,7 +959,8 @@
         }
     }
 
-    @Override public void onClientGone(long now, String requestId) {
+    @Override
+    public void onClientGone(long now, String requestId) {
         Call c = calls.get(requestId);
         if (c == null || c.ended) {
             return;
@@ -933,12 +980,15 @@
     /** Whether it is new enough for a read, by its own word; the head is excused until it is heard as a
      * replica, or another as primary. */
     private boolean fresh(long now, Call c, Node n) {
-        return set.checks() != Checks.SILENT || c.k.access() == Access.WRITE || n.position >= need(now, c)
+        return set.checks() != Checks.SILENT
+                || c.k.access() == Access.WRITE
+                || n.position >= need(now, c)
                 || n == n.group.head && n.primaryAt > n.replicaAt;
     }
 
     /** Also whether its member was told to have started meanwhile: then it goes as one that is sent now. */
-    @Override public boolean stands(long now, String requestId) {
+    @Override
+    public boolean stands(long now, String requestId) {
         Call c = calls.get(requestId);
         if (c == null || c.on == null || c.startedUs == c.on.start.startedUs()) {
             return c == null || c.on == null || fresh(now, c, c.on);
@@ -957,7 +1007,11 @@
 
     /** The send gate: draining, group, attempts, deadline, repeats, freshness, cold members are held here. */
     private boolean send(long now, Call c, Node n, long timeoutUs) {
-        if (c.ended || c.on != null || !usable(n) || n.group != c.g || spent(now, c)
+        if (c.ended
+                || c.on != null
+                || !usable(n)
+                || n.group != c.g
+                || spent(now, c)
                 || !slow.admits(now, n.start, c.q.cls())) {
             return false;
         }
@@ -992,11 +1046,13 @@
     private void giveUp(long now, Call c) {
         conclude(now, c, 0);
         calls.remove(c.q.id());
-        boolean harmless = !c.mayHaveRun || c.k.repeat() == Repeat.SAFE
+        boolean harmless = !c.mayHaveRun
+                || c.k.repeat() == Repeat.SAFE
                 || c.k.repeat() == Repeat.KEYED && c.k.scope() == Scope.ALL;
         if (harmless) {
-            act.refuse(c.q.id(), set.limits().retryAdvice() ? Math.min(WALK_US, set.limits().maxAdviceUs())
-                    : 0);
+            act.refuse(
+                    c.q.id(),
+                    set.limits().retryAdvice() ? Math.min(WALK_US, set.limits().maxAdviceUs()) : 0);
         } else {
             act.fail(c.q.id());
         }
--- a/decisions/src/main/java/willowfield/Fields.java
+++ b/decisions/src/main/java/willowfield/Fields.java
@@ -91,7 +91,6 @@
     }
 
     private Malformed bad(String key, String wanted) {
-        return new Malformed(has(key) ? "field '" + key + "' is not " + wanted : "field '" + key
-                + "' is missing");
+        return new Malformed(has(key) ? "field '" + key + "' is not " + wanted : "field '" + key + "' is missing");
     }
 }
--- a/decisions/src/main/java/willowfield/Goodput.java
+++ b/decisions/src/main/java/willowfield/Goodput.java
@@ -6,6 +6,7 @@
 final class Goodput {
     /** So many requests are let in for each that ends in time, and at most so many are refused for it. */
     private static final double OVERRUN = 2;
+
     private static final double MOST_SHED = 0.9;
     private final LongSupplier spanUs;
     private final Flow asked;
--- a/decisions/src/main/java/willowfield/Router.java
+++ b/decisions/src/main/java/willowfield/Router.java
@@ -16,36 +16,85 @@
     long KNOWN_AFTER_US = 100_000;
 
     /** What a request's class needs of the data that answers it. */
-    enum Access { WRITE, FRESH, SESSION, BOUNDED, ANY }
+    enum Access {
+        WRITE,
+        FRESH,
+        SESSION,
+        BOUNDED,
+        ANY
+    }
 
     /** Whether a request may be repeated after an attempt that may have run. */
-    enum Repeat { SAFE, KEYED, UNSAFE }
+    enum Repeat {
+        SAFE,
+        KEYED,
+        UNSAFE
+    }
 
     /** Which members drop a keyed request's repeats. */
-    enum Scope { ALL, ZONE, GROUP }
+    enum Scope {
+        ALL,
+        ZONE,
+        GROUP
+    }
 
     /** What a member does with a read it is too far behind for. */
-    enum Checks { SILENT, REFUSE, WAIT }
+    enum Checks {
+        SILENT,
+        REFUSE,
+        WAIT
+    }
 
     /** How the member list tracks roles. */
-    enum ListRole { LATE, START, SILENT }
+    enum ListRole {
+        LATE,
+        START,
+        SILENT
+    }
 
     /** Where a session read's last write is known from. */
-    enum Marks { CARRIED, REMEMBERED }
+    enum Marks {
+        CARRIED,
+        REMEMBERED
+    }
 
-    enum Role { UNKNOWN, PRIMARY, REPLICA }
+    enum Role {
+        UNKNOWN,
+        PRIMARY,
+        REPLICA
+    }
 
     /** Whether probes are allowed, and whether their answers tell role and position, or only that it runs. */
-    enum Probes { NONE, LIVENESS, REPORT }
+    enum Probes {
+        NONE,
+        LIVENESS,
+        REPORT
+    }
 
-    enum State { UP, DRAINING, GONE }
+    enum State {
+        UP,
+        DRAINING,
+        GONE
+    }
 
-    enum ListKind { FULL, CHANGES, CACHED, FAILED }
+    enum ListKind {
+        FULL,
+        CHANGES,
+        CACHED,
+        FAILED
+    }
 
     /** How an attempt ended, and whether that proves it never ran. */
     enum Outcome {
-        OK(false), ERROR(false), FULL(true), TIMEOUT(false), CONNECT_FAILED(true), RESET(false),
-        CANCELLED(false), MOOT(true), MISS(true);
+        OK(false),
+        ERROR(false),
+        FULL(true),
+        TIMEOUT(false),
+        CONNECT_FAILED(true),
+        RESET(false),
+        CANCELLED(false),
+        MOOT(true),
+        MISS(true);
 
         public final boolean provesNotRun;
 
@@ -55,33 +104,89 @@
     }
 
     /** A class of requests; {@code boundUs} is read for BOUNDED, scope and window for KEYED. */
-    record RequestClass(String name, Access access, Repeat repeat, Scope scope, long windowUs, long boundUs,
-            long aimUs, long deadlineUs, double worth, double lateWorth) {}
+    record RequestClass(
+            String name,
+            Access access,
+            Repeat repeat,
+            Scope scope,
+            long windowUs,
+            long boundUs,
+            long aimUs,
+            long deadlineUs,
+            double worth,
+            double lateWorth) {}
 
     /**
      * What the deployment permits; an idle connection closes by itself, and carries so many at once;
      * {@code places}: how many requests clients may have open here at once, 0 where nothing bounds them.
      */
-    record Limits(int maxAttempts, Probes probes, boolean cancel, boolean retryAdvice, long maxAdviceUs,
-            boolean subscribe, long askWithinUs, long connectTimeoutUs, long holdsForUs,
-            long idleCloseUs, int perLink, int places) {
-        public Limits(int maxAttempts, Probes probes, boolean cancel, boolean retryAdvice, long maxAdviceUs,
-                boolean subscribe, long askWithinUs, long connectTimeoutUs, long holdsForUs,
-                long idleCloseUs, int perLink) {
-            this(maxAttempts, probes, cancel, retryAdvice, maxAdviceUs, subscribe, askWithinUs,
-                    connectTimeoutUs, holdsForUs, idleCloseUs, perLink, 0);
+    record Limits(
+            int maxAttempts,
+            Probes probes,
+            boolean cancel,
+            boolean retryAdvice,
+            long maxAdviceUs,
+            boolean subscribe,
+            long askWithinUs,
+            long connectTimeoutUs,
+            long holdsForUs,
+            long idleCloseUs,
+            int perLink,
+            int places) {
+        public Limits(
+                int maxAttempts,
+                Probes probes,
+                boolean cancel,
+                boolean retryAdvice,
+                long maxAdviceUs,
+                boolean subscribe,
+                long askWithinUs,
+                long connectTimeoutUs,
+                long holdsForUs,
+                long idleCloseUs,
+                int perLink) {
+            this(
+                    maxAttempts,
+                    probes,
+                    cancel,
+                    retryAdvice,
+                    maxAdviceUs,
+                    subscribe,
+                    askWithinUs,
+                    connectTimeoutUs,
+                    holdsForUs,
+                    idleCloseUs,
+                    perLink,
+                    0);
         }
 
         /** As it is on sockets: a connection carries one attempt at a time. */
         Limits onSockets(int usual) {
-            return new Limits(maxAttempts, probes, cancel, retryAdvice, maxAdviceUs, subscribe, askWithinUs,
-                    connectTimeoutUs, holdsForUs, idleCloseUs, 1, usual);
+            return new Limits(
+                    maxAttempts,
+                    probes,
+                    cancel,
+                    retryAdvice,
+                    maxAdviceUs,
+                    subscribe,
+                    askWithinUs,
+                    connectTimeoutUs,
+                    holdsForUs,
+                    idleCloseUs,
+                    1,
+                    usual);
         }
     }
 
     /** The figures of the rules. */
-    record Rules(long answerSlackUs, long stopSendingUs, boolean onlyDrainingBinds, double coldFrom,
-            long warmAfterUs, double fallMultiple, long fallUs) {
+    record Rules(
+            long answerSlackUs,
+            long stopSendingUs,
+            boolean onlyDrainingBinds,
+            double coldFrom,
+            long warmAfterUs,
+            double fallMultiple,
+            long fallUs) {
         /**
          * The part of its capacity that a member has at the least: cold when it starts, warm after a time;
          * {@code startedUs} is 0 for the distant past.
@@ -93,34 +198,62 @@
     }
 
     /** All that a router is told at its start; {@code instances}: how many there are, 0 where not told. */
-    record Settings(long seed, int instances, int zone, long tickUs, List<RequestClass> classes,
-            Checks checks, ListRole listRole, Marks marks, boolean positions, Limits limits, Rules rules) {
+    record Settings(
+            long seed,
+            int instances,
+            int zone,
+            long tickUs,
+            List<RequestClass> classes,
+            Checks checks,
+            ListRole listRole,
+            Marks marks,
+            boolean positions,
+            Limits limits,
+            Rules rules) {
         /** The same but for the classes and the number of attempts. */
         public Settings with(List<RequestClass> other, int maxAttempts) {
-            Limits l = new Limits(maxAttempts, limits.probes, limits.cancel, limits.retryAdvice,
-                    limits.maxAdviceUs, limits.subscribe, limits.askWithinUs, limits.connectTimeoutUs,
-                    limits.holdsForUs, limits.idleCloseUs, limits.perLink, limits.places);
-            return new Settings(seed, instances, zone, tickUs, other, checks, listRole, marks, positions, l,
-                    rules);
+            Limits l = new Limits(
+                    maxAttempts,
+                    limits.probes,
+                    limits.cancel,
+                    limits.retryAdvice,
+                    limits.maxAdviceUs,
+                    limits.subscribe,
+                    limits.askWithinUs,
+                    limits.connectTimeoutUs,
+                    limits.holdsForUs,
+                    limits.idleCloseUs,
+                    limits.perLink,
+                    limits.places);
+            return new Settings(seed, instances, zone, tickUs, other, checks, listRole, marks, positions, l, rules);
         }
 
         /** The same but for the places of clients. */
         public Settings onSockets(int places) {
-            return new Settings(seed, instances, zone, tickUs, classes, checks, listRole, marks, positions,
-                    limits.onSockets(places), rules);
+            return new Settings(
+                    seed,
+                    instances,
+                    zone,
+                    tickUs,
+                    classes,
+                    checks,
+                    listRole,
+                    marks,
+                    positions,
+                    limits.onSockets(places),
+                    rules);
         }
     }
 
     /** A list entry; {@code startedUs} is 0 for the distant past. */
-    record Member(String id, int zone, int kind, int group, boolean primary, State state, double weight,
-            long startedUs) {}
+    record Member(
+            String id, int zone, int kind, int group, boolean primary, State state, double weight, long startedUs) {}
 
     /**
      * A client's request; {@code sinceWriteUs} is the age of its session's last write, 0 for none, and
      * {@code repeated} says that the client marked it as a further try.
      */
-    record Request(String id, int cls, long session, int group, long deadlineUs, long sinceWriteUs,
-            boolean repeated) {}
+    record Request(String id, int cls, long session, int group, long deadlineUs, long sinceWriteUs, boolean repeated) {}
 
     /** A member's word on itself, somewhat old; a value it does not hold is NaN, its position 0. */
     record Report(long positionUs, Role role, double util, double queued, double inHand) {}
@@ -178,9 +311,17 @@
     void onRequest(long nowUs, Request request);
 
     /** {@code closed}: the request is finished. Role and position are UNKNOWN and 0 where not told. */
-    void onOutcome(long nowUs, String requestId, int attempt, String memberId, Outcome outcome,
+    void onOutcome(
+            long nowUs,
+            String requestId,
+            int attempt,
+            String memberId,
+            Outcome outcome,
             boolean closed,
-            long tookUs, Role role, long positionUs, Report report);
+            long tookUs,
+            Role role,
+            long positionUs,
+            Report report);
 
     /**
      * Asked right before the first byte of an attempt that had to wait for its connection: whether its member
--- a/decisions/src/main/java/willowfield/SessionCommits.java
+++ b/decisions/src/main/java/willowfield/SessionCommits.java
@@ -24,6 +24,7 @@
         int out;
         /** Since when a write is out, and until when those that ended in doubt may be answered. */
         long outSinceUs;
+
         long doubtUntilUs;
 
         /** The latest commit that its writes may have, now that none is out. */
@@ -57,10 +58,11 @@
             boolean told = outcome == Router.Outcome.OK && commitUs > 0;
             boolean runsOn = outcome == Router.Outcome.TIMEOUT || outcome == Router.Outcome.CANCELLED;
             m.commitUs = told ? Math.max(m.commitUs, commitUs) : m.commitUs;
-            m.doubtUntilUs = told || outcome.provesNotRun ? m.doubtUntilUs
+            m.doubtUntilUs = told || outcome.provesNotRun
+                    ? m.doubtUntilUs
                     : Math.max(m.doubtUntilUs, runsOn ? Math.max(now, deadlineUs) : now);
         }
-        for (Iterator<Mark> oldest = marks.values().iterator(); oldest.hasNext();) {
+        for (Iterator<Mark> oldest = marks.values().iterator(); oldest.hasNext(); ) {
             Mark o = oldest.next();
             boolean aged = o.out == 0 && o.latestUs() < now - keepUs;
             if (!aged && marks.size() <= MOST) {
--- a/decisions/src/main/java/willowfield/SettingsReader.java
+++ b/decisions/src/main/java/willowfield/SettingsReader.java
@@ -28,40 +28,60 @@
             if (deadline <= 0) {
                 throw new Malformed("field 'deadlineS' of class " + n + " is not above 0");
             }
-            classes.add(new Router.RequestClass(c.has("name") ? c.text("name") : "class " + n,
-                    Router.Access.values()[one.oneOf("freshness", "write", "fresh", "session", "bounded",
-                            "any")],
+            classes.add(new Router.RequestClass(
+                    c.has("name") ? c.text("name") : "class " + n,
+                    Router.Access.values()[one.oneOf("freshness", "write", "fresh", "session", "bounded", "any")],
                     Router.Repeat.values()[c.oneOf("repeat", "retryable", "dedup", "fragile")],
-                    !c.has("group") ? Router.Scope.GROUP
+                    !c.has("group")
+                            ? Router.Scope.GROUP
                             : Router.Scope.values()[c.oneOf("group", "all", "zone", "cell")],
-                    c.micros("repeatWindowS", 0), Math.round(bound * 1e6), c.micros("onTimeS", deadline),
-                            deadline,
-                    c.number("worth", 1), c.number("lateWorth", 0)));
+                    c.micros("repeatWindowS", 0),
+                    Math.round(bound * 1e6),
+                    c.micros("onTimeS", deadline),
+                    deadline,
+                    c.number("worth", 1),
+                    c.number("lateWorth", 0)));
         }
         Fields caps = o.object("caps");
         Fields rules = o.object("rules");
-        Router.Limits limits = new Router.Limits((int) caps.whole("maxAttempts", 1, 1 << 20, 1),
-                probes(caps, o), caps.flag("cancel"), caps.flag("retryAfter"),
-                        caps.micros("maxRetryAfterS", 0),
+        Router.Limits limits = new Router.Limits(
+                (int) caps.whole("maxAttempts", 1, 1 << 20, 1),
+                probes(caps, o),
+                caps.flag("cancel"),
+                caps.flag("retryAfter"),
+                caps.micros("maxRetryAfterS", 0),
                 o.has("membershipMode") && o.oneOf("membershipMode", "automatic", "subscribe") == 1,
-                rules.micros("askWithinS", 0), caps.micros("connectTimeoutS", 0), info.micros("holdsForS",
-                        0), caps.micros("idleCloseS", 0), (int) caps.whole("streamsPerConn", 1, 1 << 20, 1));
-        Router.Rules r = new Router.Rules(rules.micros("answerSlackS", 0),
+                rules.micros("askWithinS", 0),
+                caps.micros("connectTimeoutS", 0),
+                info.micros("holdsForS", 0),
+                caps.micros("idleCloseS", 0),
+                (int) caps.whole("streamsPerConn", 1, 1 << 20, 1));
+        Router.Rules r = new Router.Rules(
+                rules.micros("answerSlackS", 0),
                 rules.micros("stopSendingWithinS", 0),
-                rules.flag("onlyDrainingBinds"), rules.number("coldFrom", 1), rules.micros("warmAfterS", 0),
-                rules.number("fallMultiple", 1), rules.micros("fallS", 0));
-        return new Router.Settings(seed, (int) o.whole("instances", 1, 1 << 20, 0),
-                (int) o.whole("zone", 0, 1 << 20, 0), o.micros("roundS", 1000), List.copyOf(classes),
-                info.has("serverChecks") ? Router.Checks.values()[info.oneOf("serverChecks", "silent",
-                        "refuse", "wait")]
+                rules.flag("onlyDrainingBinds"),
+                rules.number("coldFrom", 1),
+                rules.micros("warmAfterS", 0),
+                rules.number("fallMultiple", 1),
+                rules.micros("fallS", 0));
+        return new Router.Settings(
+                seed,
+                (int) o.whole("instances", 1, 1 << 20, 0),
+                (int) o.whole("zone", 0, 1 << 20, 0),
+                o.micros("roundS", 1000),
+                List.copyOf(classes),
+                info.has("serverChecks")
+                        ? Router.Checks.values()[info.oneOf("serverChecks", "silent", "refuse", "wait")]
                         : Router.Checks.SILENT,
-                info.has("listRole") ? Router.ListRole.values()[info.oneOf("listRole", "late", "start",
-                        "silent")]
+                info.has("listRole")
+                        ? Router.ListRole.values()[info.oneOf("listRole", "late", "start", "silent")]
                         : Router.ListRole.SILENT,
-                info.has("writeMarks") ? Router.Marks.values()[info.oneOf("writeMarks", "carried",
-                        "remembered")]
+                info.has("writeMarks")
+                        ? Router.Marks.values()[info.oneOf("writeMarks", "carried", "remembered")]
                         : Router.Marks.REMEMBERED,
-                info.flag("positions"), limits, r);
+                info.flag("positions"),
+                limits,
+                r);
     }
 
     /** What a probe tells of a member: where there are reports, what they hold. */
@@ -70,7 +90,8 @@
             return Router.Probes.NONE;
         }
         Fields stats = o.has("stats") ? o.object("stats") : null;
-        boolean told = stats != null && stats.has("names")
+        boolean told = stats != null
+                && stats.has("names")
                 && stats.list("names").containsAll(POSITION_AND_ROLE)
                 && stats.oneOf("how", "silent", "piggyback", "pull") > 0;
         return told ? Router.Probes.REPORT : Router.Probes.LIVENESS;
--- a/decisions/src/main/java/willowfield/SlowStart.java
+++ b/decisions/src/main/java/willowfield/SlowStart.java
@@ -47,6 +47,7 @@
     private static final double LEAST_USE = 0.05;
     /** How much of a difference the least time takes over, from an answer that was quicker, and slower. */
     private static final double QUICKER = 0.2;
+
     private static final double SLOWER = 0.001;
     private final SplittableRandom draw;
     private final List<Member> members = new ArrayList<>();
@@ -157,7 +158,8 @@
         double room = m.util > 0 ? Math.max(1, Math.min(FULL / m.util, most)) : most;
         double first = set.instances() > 0 ? warmth / set.instances() : 0; // One core.
         double perUs = Math.max(share(nowUs, m.kind) * warmth * m.weight * room, first);
-        m.budget = Math.min(Math.max(perUs * set.rules().fallUs() * BURST, leastUs[cls]),
+        m.budget = Math.min(
+                Math.max(perUs * set.rules().fallUs() * BURST, leastUs[cls]),
                 m.budget + perUs * (nowUs - m.budgetAtUs));
         m.budgetAtUs = nowUs;
         return m.budget > m.part * leastUs[cls];
--- a/decisions/src/main/java/willowfield/WireAdapter.java
+++ b/decisions/src/main/java/willowfield/WireAdapter.java
@@ -51,7 +51,10 @@
         }
 
         private Instance seconds(String key, long us) {
-            out.append(",\"").append(key).append("\":").append(BigDecimal.valueOf(us, 6).toPlainString());
+            out.append(",\"")
+                    .append(key)
+                    .append("\":")
+                    .append(BigDecimal.valueOf(us, 6).toPlainString());
             return this;
         }
 
@@ -59,38 +62,52 @@
             out.append("}\n");
         }
 
-        @Override public void send(String requestId, String memberId, long timeoutUs) {
-            begin("PassOn").text("xid", requestId).text("member", memberId).seconds("tryForS",
-                    timeoutUs).end();
+        @Override
+        public void send(String requestId, String memberId, long timeoutUs) {
+            begin("PassOn")
+                    .text("xid", requestId)
+                    .text("member", memberId)
+                    .seconds("tryForS", timeoutUs)
+                    .end();
         }
 
-        @Override public void refuse(String requestId, long adviceUs) {
-            begin("OverloadReply").text("xid", requestId).seconds("coolDownS", adviceUs).end();
+        @Override
+        public void refuse(String requestId, long adviceUs) {
+            begin("OverloadReply")
+                    .text("xid", requestId)
+                    .seconds("coolDownS", adviceUs)
+                    .end();
         }
 
-        @Override public void fail(String requestId) {
+        @Override
+        public void fail(String requestId) {
             begin("Surrender").text("xid", requestId).end();
         }
 
-        @Override public void cancel(String requestId, int attempt) {
+        @Override
+        public void cancel(String requestId, int attempt) {
             begin("StopAttempt").text("xid", requestId);
             out.append(",\"leg\":").append(attempt);
             end();
         }
 
-        @Override public void probe(String memberId) {
+        @Override
+        public void probe(String memberId) {
             begin("HealthCheck").text("member", memberId).end();
         }
 
-        @Override public void setTimer(long inUs, String timer) {
+        @Override
+        public void setTimer(long inUs, String timer) {
             begin("SetTimer").seconds("inS", inUs).text("ctx", timer).end();
         }
 
-        @Override public void log(String line) {
+        @Override
+        public void log(String line) {
             begin("JournalLine").text("bodyText", line).end();
         }
 
-        @Override public void subscribe() {
+        @Override
+        public void subscribe() {
             begin("StreamChanges");
             out.append(",\"active\":true");
             end();
@@ -114,8 +131,9 @@
         return run(in, out, err, Brain::new);
     }
 
-    static int run(InputStream in, PrintStream out, PrintStream err,
-            BiFunction<Router.Settings, Router.Actions, Router> maker) throws IOException {
+    static int run(
+            InputStream in, PrintStream out, PrintStream err, BiFunction<Router.Settings, Router.Actions, Router> maker)
+            throws IOException {
         return new WireAdapter(maker).play(new BufferedInputStream(in, 1 << 16), out, err);
     }
 
@@ -153,8 +171,7 @@
                     event(type, now, f);
                 }
             } catch (Malformed | JSONException e) {
-                String what = e instanceof JSONException ? "not JSON: " + e.getMessage()
-                        : e.getMessage();
+                String what = e instanceof JSONException ? "not JSON: " + e.getMessage() : e.getMessage();
                 err.println("frostreel: line " + lineNumber + ": " + what);
                 return 1;
             }
@@ -220,9 +237,13 @@
         switch (type) {
             case "Create" -> create(f, to);
             case "Endpoints" -> {
-                Router.ListKind kind = new Router.ListKind[] {Router.ListKind.CHANGES, Router.ListKind.FULL,
-                    Router.ListKind.CACHED, Router.ListKind.FAILED}[
-                            f.oneOf("scope", "incr", "total", "warm_copy", "lost")];
+                Router.ListKind kind = new Router.ListKind[] {
+                            Router.ListKind.CHANGES,
+                            Router.ListKind.FULL,
+                            Router.ListKind.CACHED,
+                            Router.ListKind.FAILED
+                        }
+                        [f.oneOf("scope", "incr", "total", "warm_copy", "lost")];
                 List<Router.Member> list = List.of();
                 if (kind != Router.ListKind.FAILED) {
                     list = lists.get(f.whole("buffer", 0, 15, 0));
@@ -232,23 +253,38 @@
                 }
                 to.router.onMembers(now, kind, list);
             }
-            case "Ingress" -> to.router.onRequest(now, new Router.Request(f.text("xid"),
-                    (int) f.whole("category", 0, to.classes - 1, 0), f.whole("sess", 0, FAR, -1),
-                    (int) f.whole("clusterNo", 0, Integer.MAX_VALUE, 0), f.micros("expiresS"),
-                    Math.round(f.number("tokenAgeMs", 0) * 1000),
-                    (f.whole("attrs", 0, FAR, 0) & 2) != 0));
+            case "Ingress" ->
+                to.router.onRequest(
+                        now,
+                        new Router.Request(
+                                f.text("xid"),
+                                (int) f.whole("category", 0, to.classes - 1, 0),
+                                f.whole("sess", 0, FAR, -1),
+                                (int) f.whole("clusterNo", 0, Integer.MAX_VALUE, 0),
+                                f.micros("expiresS"),
+                                Math.round(f.number("tokenAgeMs", 0) * 1000),
+                                (f.whole("attrs", 0, FAR, 0) & 2) != 0));
             case "Answer" -> {
                 long mark = f.whole("mark", 0, FAR, 0);
-                to.router.onOutcome(now, f.text("xid"), (int) f.whole("leg", 0, 1 << 20, 0), f.text("member"),
-                        outcome(f), f.flag("finished"), f.micros("waitTimeS", 0), role(mark & 3),
-                        mark >> 2 == 0 ? 0 : to.baseUs + (mark >> 2) * 1000, report(f, to));
+                to.router.onOutcome(
+                        now,
+                        f.text("xid"),
+                        (int) f.whole("leg", 0, 1 << 20, 0),
+                        f.text("member"),
+                        outcome(f),
+                        f.flag("finished"),
+                        f.micros("waitTimeS", 0),
+                        role(mark & 3),
+                        mark >> 2 == 0 ? 0 : to.baseUs + (mark >> 2) * 1000,
+                        report(f, to));
             }
-            case "StatusBack" -> to.router.onProbe(now, f.text("member"), outcome(f) == Outcome.OK,
-                    f.micros("waitTimeS", 0), report(f, to));
+            case "StatusBack" ->
+                to.router.onProbe(
+                        now, f.text("member"), outcome(f) == Outcome.OK, f.micros("waitTimeS", 0), report(f, to));
             case "Fired" -> to.router.onTimer(now, f.text("ctx"));
             case "ClientGone" -> to.router.onClientGone(now, f.text("xid"));
             case "Down" -> instances.remove(to.name);
-            case "Accepted", "Datagram" -> { }
+            case "Accepted", "Datagram" -> {}
             default -> throw new Malformed("field 't': unknown message " + type);
         }
     }
@@ -281,10 +317,15 @@
             return null;
         }
         long position = r.has("x0") ? to.baseUs + (long) Math.floor(r.number("x0") * 1e6) : 0;
-        Router.Role role = !to.reportsRole ? Router.Role.UNKNOWN
+        Router.Role role = !to.reportsRole
+                ? Router.Role.UNKNOWN
                 : r.number("x1", 0) == 1 ? Router.Role.PRIMARY : Router.Role.REPLICA;
-        return new Router.Report(position, role, r.number("load_share", Double.NaN),
-                r.number("depth", Double.NaN), r.number("concurrent", Double.NaN));
+        return new Router.Report(
+                position,
+                role,
+                r.number("load_share", Double.NaN),
+                r.number("depth", Double.NaN),
+                r.number("concurrent", Double.NaN));
     }
 
     @SuppressWarnings("unchecked")
@@ -296,11 +337,18 @@
             }
             Fields m = new Fields((Map<String, Object>) o);
             Router.State state = m.has("status")
-                    ? new Router.State[] {Router.State.UP, Router.State.DRAINING, Router.State.GONE}[
-                            m.oneOf("status", "U", "L", "D")] : Router.State.UP;
-            members.add(new Router.Member(m.text("member"), (int) m.whole("site", 0, 1 << 20, 0),
-                    (int) m.whole("hw", 0, 1 << 20, 0), (int) m.whole("set", 0, Integer.MAX_VALUE, 0),
-                    m.number("leads", 0) == 1, state, m.number("scale", 1), m.micros("cameUpS", 0)));
+                    ? new Router.State[] {Router.State.UP, Router.State.DRAINING, Router.State.GONE}
+                            [m.oneOf("status", "U", "L", "D")]
+                    : Router.State.UP;
+            members.add(new Router.Member(
+                    m.text("member"),
+                    (int) m.whole("site", 0, 1 << 20, 0),
+                    (int) m.whole("hw", 0, 1 << 20, 0),
+                    (int) m.whole("set", 0, Integer.MAX_VALUE, 0),
+                    m.number("leads", 0) == 1,
+                    state,
+                    m.number("scale", 1),
+                    m.micros("cameUpS", 0)));
         }
         lists.put(f.whole("buffer", 0, 15, 0), List.copyOf(members));
     }
@@ -309,7 +357,8 @@
         Fields options = f.object("options");
         Fields info = options.object("familyInfo");
         to.baseUs = info.micros("baseTimeS", 0);
-        to.reportsRole = options.has("stats") && options.object("stats").has("names")
+        to.reportsRole = options.has("stats")
+                && options.object("stats").has("names")
                 && options.object("stats").list("names").contains("x1");
         Router.Settings settings = SettingsReader.read(f.whole("initSeed", -FAR, Long.MAX_VALUE), options);
         to.classes = settings.classes().size();
--- a/decisions/src/test/java/frostreel/operation/ClassTableTest.java
+++ b/decisions/src/test/java/frostreel/operation/ClassTableTest.java
@@ -21,32 +21,42 @@
     private final RequestClass post = kind("post", Access.WRITE, Repeat.KEYED);
     private final ClassTable table = new ClassTable(List.of(read, post));
 
-    @Test void aClassAddedIsServedAtOnceAndOneDroppedForAWhile() {
+    @Test
+    void aClassAddedIsServedAtOnceAndOneDroppedForAWhile() {
         table.change(0, List.of(post, kind("new", Access.WRITE, Repeat.UNSAFE)));
         assertThat(table.number(0, "new", true, false)).isEqualTo(2);
-        assertThat(table.number(0, "post", true, true)).as("unchanged, it keeps its number").isEqualTo(1);
+        assertThat(table.number(0, "post", true, true))
+                .as("unchanged, it keeps its number")
+                .isEqualTo(1);
         assertThat(table.number(SOON, "read", false, false)).isZero();
         assertThat(table.number(LATER, "read", false, false)).isNull();
         assertThat(table.all()).hasSize(3);
     }
 
-    @Test void ofTwoClassesOfOneNameTheStricterHoldsUntilClientsSpeakByTheNew() {
+    @Test
+    void ofTwoClassesOfOneNameTheStricterHoldsUntilClientsSpeakByTheNew() {
         table.change(0, List.of(read, kind("post", Access.WRITE, Repeat.SAFE)));
-        assertThat(table.number(SOON, "post", true, true)).as("keyed is stricter").isEqualTo(1);
-        assertThat(table.number(SOON, "post", true, false)).as("only the new fits").isEqualTo(2);
+        assertThat(table.number(SOON, "post", true, true))
+                .as("keyed is stricter")
+                .isEqualTo(1);
+        assertThat(table.number(SOON, "post", true, false))
+                .as("only the new fits")
+                .isEqualTo(2);
         assertThat(table.number(LATER, "post", true, true)).isEqualTo(2);
         table.change(LATER, List.of(read, kind("post", Access.WRITE, Repeat.UNSAFE)));
         assertThat(table.number(LATER, "post", true, false)).isEqualTo(3);
     }
 
-    @Test void aReadThatBecomesAWriteIsEitherByItsStatement() {
+    @Test
+    void aReadThatBecomesAWriteIsEitherByItsStatement() {
         table.change(0, List.of(kind("read", Access.WRITE, Repeat.UNSAFE), post));
         assertThat(table.number(SOON, "read", false, false)).isZero();
         assertThat(table.number(SOON, "read", true, false)).isEqualTo(2);
         assertThat(table.number(LATER, "read", false, false)).isNull();
     }
 
-    @Test void whatComesBackAsItWasHasItsOldNumberSoThatTheTableDoesNotGrow() {
+    @Test
+    void whatComesBackAsItWasHasItsOldNumberSoThatTheTableDoesNotGrow() {
         for (int i = 0; i < 100; i++) {
             Repeat repeat = i % 2 == 0 ? Repeat.UNSAFE : Repeat.SAFE;
             table.change(i, List.of(kind("read", Access.ANY, repeat), post));
--- a/decisions/src/test/java/frostreel/operation/CommitBoardTest.java
+++ b/decisions/src/test/java/frostreel/operation/CommitBoardTest.java
@@ -14,15 +14,18 @@
     private static final long SESSION = 7;
     private final long[] file = new long[CommitBoard.LONGS];
     private final SharedLongs longs = new SharedLongs() {
-        @Override public long get(int index) {
+        @Override
+        public long get(int index) {
             return file[index];
         }
 
-        @Override public void set(int index, long value) {
+        @Override
+        public void set(int index, long value) {
             file[index] = value;
         }
 
-        @Override public boolean swap(int index, long from, long to) {
+        @Override
+        public boolean swap(int index, long from, long to) {
             boolean same = file[index] == from;
             file[index] = same ? to : from;
             return same;
@@ -46,7 +49,8 @@
         return now - Router.KNOWN_AFTER_US;
     }
 
-    @Test void oneThatIsAloneIsBoundByNothingItselfDid() {
+    @Test
+    void oneThatIsAloneIsBoundByNothingItselfDid() {
         Arrays.fill(file, 0);
         CommitBoard alone = begin(NOW);
         write(alone, 10, Outcome.OK, NOW + 5);
@@ -55,7 +59,8 @@
         assertThat(alone.boundUs(NOW + 2_000_000, SESSION)).isZero();
     }
 
-    @Test void whatOneAnsweredBindsTheOtherBothWaysAndOfNoOtherSession() {
+    @Test
+    void whatOneAnsweredBindsTheOtherBothWaysAndOfNoOtherSession() {
         write(before, 10, Outcome.OK, NOW - 4_000);
         assertThat(after.boundUs(NOW + 10, SESSION)).as("in milliseconds").isEqualTo(NOW - 3_000);
         assertThat(before.boundUs(NOW + 10, SESSION)).isZero();
@@ -66,7 +71,8 @@
         assertThat(after.boundUs(NOW + 10, SESSION)).as("an older one after it").isEqualTo(NOW - 3_000);
     }
 
-    @Test void whatIsOutBindsOnceItsAnswerMayCountAsKnown() {
+    @Test
+    void whatIsOutBindsOnceItsAnswerMayCountAsKnown() {
         before.sent(NOW, SESSION, DEADLINE);
         before.sent(NOW + 50_000, SESSION, DEADLINE);
         assertThat(after.boundUs(NOW + 100_000, SESSION)).isZero();
@@ -77,7 +83,8 @@
         assertThat(after.boundUs(NOW + 190_000, SESSION)).isZero();
     }
 
-    @Test void anEndWithoutAWordBindsForAsLongAsItMayBeAnswered() {
+    @Test
+    void anEndWithoutAWordBindsForAsLongAsItMayBeAnswered() {
         write(before, 10, Outcome.RESET, 0);
         assertThat(after.boundUs(NOW + 10_000, SESSION)).isEqualTo(known(NOW + 10_000));
         assertThat(after.boundUs(NOW + 900_000, SESSION)).isEqualTo(NOW + 10);
@@ -86,7 +93,8 @@
         assertThat(after.boundUs(DEADLINE + 900_000, SESSION)).isEqualTo(DEADLINE);
     }
 
-    @Test void whatOneHadInHandThatWasKilledBindsUntilItsDeadlineAndForEveryLaterLife() {
+    @Test
+    void whatOneHadInHandThatWasKilledBindsUntilItsDeadlineAndForEveryLaterLife() {
         before.sent(NOW, SESSION, DEADLINE);
         CommitBoard third = begin(NOW + 500_000);
         for (CommitBoard other : new CommitBoard[] {after, third}) {
@@ -95,13 +103,15 @@
         }
     }
 
-    @Test void oneThatStoodStillPastItsDeadlinesIsBelievedAgainWhenItGoesOn() {
+    @Test
+    void oneThatStoodStillPastItsDeadlinesIsBelievedAgainWhenItGoesOn() {
         before.sent(NOW, SESSION, DEADLINE);
         before.ended(DEADLINE + 1_000_000, SESSION, DEADLINE, Outcome.OK, DEADLINE + 40_000);
         assertThat(after.boundUs(DEADLINE + 2_000_000, SESSION)).isEqualTo(DEADLINE + 41_000);
     }
 
-    @Test void livesThatEndAtTheirStartTakeNobodysPlaceWhoLives() {
+    @Test
+    void livesThatEndAtTheirStartTakeNobodysPlaceWhoLives() {
         write(after, 10, Outcome.OK, NOW);
         for (long now = NOW; now < NOW + 20; now++) {
             before.beat(now);
@@ -116,7 +126,8 @@
         assertThat(before.boundUs(NOW + 10_000, SESSION)).isEqualTo(NOW + 7_000);
     }
 
-    @Test void aPlaceTakenOverLosesNothingOfWhatWasInIt() {
+    @Test
+    void aPlaceTakenOverLosesNothingOfWhatWasInIt() {
         write(before, 10, Outcome.OK, NOW - 4_000);
         before.sent(NOW, SESSION, DEADLINE);
         CommitBoard[] later = new CommitBoard[CommitBoard.PLACES];
@@ -129,7 +140,8 @@
         }
     }
 
-    @Test void oneWhosePlaceWasTakenWhileItStoodStillTakesAnotherAndShowsWhatItHasOut() {
+    @Test
+    void oneWhosePlaceWasTakenWhileItStoodStillTakesAnotherAndShowsWhatItHasOut() {
         before.sent(NOW, SESSION, DEADLINE);
         CommitBoard[] later = new CommitBoard[CommitBoard.PLACES];
         for (int i = 0; i < later.length; i++) {
@@ -145,7 +157,8 @@
         }
     }
 
-    @Test void marksOfAClockThatWasAheadAndWhateverElseIsThereBindToNowAtMost() {
+    @Test
+    void marksOfAClockThatWasAheadAndWhateverElseIsThereBindToNowAtMost() {
         SplittableRandom draw = new SplittableRandom(7);
         write(before, 10, Outcome.OK, NOW + 9_000_000);
         assertThat(after.boundUs(NOW, SESSION)).isEqualTo(NOW);
--- a/decisions/src/test/java/frostreel/operation/DoorTest.java
+++ b/decisions/src/test/java/frostreel/operation/DoorTest.java
@@ -6,7 +6,13 @@
 
 /** The door over all sequences of events up to length 6, half a second apart, alone and with a successor. */
 class DoorTest {
-    private enum Event { READY, EMPTY, FILL, END, TIME }
+    private enum Event {
+        READY,
+        EMPTY,
+        FILL,
+        END,
+        TIME
+    }
 
     private static final long STEP_US = 500_000;
     private static final long LONGEST_US = 8_000_000;
@@ -31,7 +37,7 @@
             case EMPTY -> door.empty(now);
             case FILL -> door.fill();
             case END -> door.end(now);
-            default -> { }
+            default -> {}
         }
     }
 
@@ -61,15 +67,19 @@
         boolean emptied = p.emptiedUs() >= 0;
         assertThat(d.word() == Door.Word.YES).isEqualTo(p.ready() && !emptied && !(shared && ended));
         if (!emptied && !ended) {
-            assertThat(d.closesAnswered(now + STEP_US)).as("nobody is closed in service").isFalse();
+            assertThat(d.closesAnswered(now + STEP_US))
+                    .as("nobody is closed in service")
+                    .isFalse();
             assertThat(d.sweepUs()).isEqualTo(Long.MAX_VALUE);
             assertThat(d.accepts(now)).isEqualTo(!shared || p.ready());
         }
         if (emptied) {
-            assertThat(d.closesAnswered(p.emptiedUs() + 300_000)).as("the front still deals clients out")
+            assertThat(d.closesAnswered(p.emptiedUs() + 300_000))
+                    .as("the front still deals clients out")
                     .isEqualTo(ended && (shared || p.emptiedUs() + 300_000 >= d.lastUs()));
             assertThat(d.closesAnswered(p.emptiedUs() + 2_000_000)).isTrue();
-            assertThat(d.sweepUs()).as("none has a request of the last 2 s after 4 s")
+            assertThat(d.sweepUs())
+                    .as("none has a request of the last 2 s after 4 s")
                     .isLessThan(p.emptiedUs() + 2_000_000);
         }
         if (ended) {
@@ -86,13 +96,15 @@
         assertThat(d.closesAll(now)).isEqualTo(ended && now >= d.lastUs());
     }
 
-    @Test void noSequenceOfEventsSaysYesWrongfullyOrLosesAClient() {
+    @Test
+    void noSequenceOfEventsSaysYesWrongfullyOrLosesAClient() {
         check(false, 0, new Event[6]);
         check(true, 0, new Event[6]);
         assertThat(states).isEqualTo(2 * (1 + 5 + 25 + 125 + 625 + 3125 + 15625));
     }
 
-    @Test void aloneItServesOnAsEverUntilTheKillIsNear() {
+    @Test
+    void aloneItServesOnAsEverUntilTheKillIsNear() {
         Door door = new Door(false, LONGEST_US);
         door.ready();
         door.end(0);
@@ -103,7 +115,8 @@
     }
 
     /** The process ended in the very moment in which the last answer was due. */
-    @Test void theEndIsWaitedForUntilWhatCameAtTheEndOfTheStayIsAnswered() {
+    @Test
+    void theEndIsWaitedForUntilWhatCameAtTheEndOfTheStayIsAnswered() {
         Door door = new Door(false, LONGEST_US);
         door.end(0);
         assertThat(door.answerByUs(Door.STAY_US - 1)).isEqualTo(Long.MAX_VALUE);
--- a/decisions/src/test/java/frostreel/operation/OutOfServiceTest.java
+++ b/decisions/src/test/java/frostreel/operation/OutOfServiceTest.java
@@ -18,33 +18,41 @@
         return new Router.Member(id, 0, 0, 1, false, state, 1, startedUs);
     }
 
-    @Test void aServerTakenOutDrainsWhateverDiscoverySaysUntilTheCallBack() {
+    @Test
+    void aServerTakenOutDrainsWhateverDiscoverySaysUntilTheCallBack() {
         out.told(true, List.of(member("a", State.UP, 0), member("b", State.UP, 0)));
         orders.give(100, OutOfService.thing("a"), true);
         assertThat(out.shown("a").state()).isEqualTo(State.DRAINING);
-        assertThat(out.told(false, List.of(member("a", State.UP, 0)))).extracting(Router.Member::state)
+        assertThat(out.told(false, List.of(member("a", State.UP, 0))))
+                .extracting(Router.Member::state)
                 .containsExactly(State.DRAINING);
         assertThat(out.told(true, List.of(member("a", State.UP, 0), member("b", State.UP, 0))))
-                .extracting(Router.Member::state).containsExactly(State.DRAINING, State.UP);
+                .extracting(Router.Member::state)
+                .containsExactly(State.DRAINING, State.UP);
         out.told(false, List.of(member("a", State.GONE, 0)));
-        assertThat(out.told(false, List.of(member("a", State.UP, 150)))).extracting(Router.Member::state)
+        assertThat(out.told(false, List.of(member("a", State.UP, 150))))
+                .extracting(Router.Member::state)
                 .containsExactly(State.DRAINING);
         orders.give(200, OutOfService.thing("a"), false);
         assertThat(out.shown("a").state()).isEqualTo(State.UP);
     }
 
-    @Test void theCallBackCountsAsAStartUntilDiscoveryTellsOfOneSinceItWasTakenOut() {
+    @Test
+    void theCallBackCountsAsAStartUntilDiscoveryTellsOfOneSinceItWasTakenOut() {
         out.told(true, List.of(member("a", State.UP, 5)));
         orders.give(100, OutOfService.thing("a"), true);
         orders.give(200, OutOfService.thing("a"), false);
         assertThat(out.shown("a").startedUs()).isEqualTo(200);
-        assertThat(out.told(false, List.of(member("a", State.UP, 5)))).extracting(Router.Member::startedUs)
+        assertThat(out.told(false, List.of(member("a", State.UP, 5))))
+                .extracting(Router.Member::startedUs)
                 .containsExactly(200L);
-        assertThat(out.told(false, List.of(member("a", State.UP, 150)))).extracting(Router.Member::startedUs)
+        assertThat(out.told(false, List.of(member("a", State.UP, 150))))
+                .extracting(Router.Member::startedUs)
                 .containsExactly(150L);
     }
 
-    @Test void oneCallBackIsEnoughForTwoCallsOutAndOneWithoutIsNoFault() {
+    @Test
+    void oneCallBackIsEnoughForTwoCallsOutAndOneWithoutIsNoFault() {
         out.told(true, List.of(member("a", State.UP, 0)));
         assertThat(orders.give(50, OutOfService.thing("a"), false)).isFalse();
         assertThat(out.shown("a").startedUs()).isZero();
@@ -55,7 +63,8 @@
         assertThat(out.out()).isEmpty();
     }
 
-    @Test void aServerBroughtBackIsAsDiscoveryLastHadIt() {
+    @Test
+    void aServerBroughtBackIsAsDiscoveryLastHadIt() {
         out.told(true, List.of(member("a", State.UP, 0), member("b", State.UP, 0)));
         orders.give(100, OutOfService.thing("a"), true);
         orders.give(100, OutOfService.thing("b"), true);
@@ -67,7 +76,8 @@
         assertThat(out.shown("b").state()).isEqualTo(State.GONE);
     }
 
-    @Test void idsThatNobodyHasAreNotKnownAndThoseGoneAreForgottenInTheEnd() {
+    @Test
+    void idsThatNobodyHasAreNotKnownAndThoseGoneAreForgottenInTheEnd() {
         assertThat(out.knows("a")).isFalse();
         out.told(true, List.of(member("a", State.UP, 0)));
         out.told(true, List.of());
@@ -78,7 +88,8 @@
         assertThat(out.knows("a")).isFalse();
     }
 
-    @Test void ordersTakenOverInAnySequenceEndInTheSame() {
+    @Test
+    void ordersTakenOverInAnySequenceEndInTheSame() {
         Random random = new Random(7);
         for (int round = 0; round < 2000; round++) {
             record Told(String thing, Orders.Order order) {}
--- a/decisions/src/test/java/frostreel/zones/ZoneAdviserTest.java
+++ b/decisions/src/test/java/frostreel/zones/ZoneAdviserTest.java
@@ -16,17 +16,24 @@
     private static final double WORK = 40_000;
     private static final long SECOND = 1_000_000;
     private static final double SPILL = 0.25;
-    private final Router.Settings settings = new Router.Settings(1, 0, 0, 1000,
-            List.of(read("cheap", 2), read("dear", 1)), Router.Checks.REFUSE, Router.ListRole.LATE,
-            Router.Marks.CARRIED, true,
-            new Router.Limits(10, Router.Probes.REPORT, true, true, SECOND, false, 0,
-                    250_000, 50_000, 30 * SECOND, 1),
+    private final Router.Settings settings = new Router.Settings(
+            1,
+            0,
+            0,
+            1000,
+            List.of(read("cheap", 2), read("dear", 1)),
+            Router.Checks.REFUSE,
+            Router.ListRole.LATE,
+            Router.Marks.CARRIED,
+            true,
+            new Router.Limits(10, Router.Probes.REPORT, true, true, SECOND, false, 0, 250_000, 50_000, 30 * SECOND, 1),
             new Router.Rules(20_000, SECOND, false, 0.2, 15 * SECOND, 3, 2 * SECOND));
-    private final ZoneSettings zones = new ZoneSettings(0, List.of(new ZoneSettings.Tier(List.of(1), SPILL),
-            new ZoneSettings.Tier(List.of(), SPILL)), 10);
+    private final ZoneSettings zones = new ZoneSettings(
+            0, List.of(new ZoneSettings.Tier(List.of(1), SPILL), new ZoneSettings.Tier(List.of(), SPILL)), 10);
     private final ZoneAdviser adviser = new ZoneAdviser(settings, zones, 0.5);
     /** By group and zone. */
     private final int[][] seats = new int[4][3];
+
     private long now = 1_000 * SECOND;
 
     ZoneAdviserTest() {
@@ -38,8 +45,8 @@
     }
 
     private static Router.RequestClass read(String name, double worth) {
-        return new Router.RequestClass(name, Router.Access.ANY, Router.Repeat.SAFE, Router.Scope.GROUP, 0, 0,
-                200_000, SECOND, worth, 0);
+        return new Router.RequestClass(
+                name, Router.Access.ANY, Router.Repeat.SAFE, Router.Scope.GROUP, 0, 0, 200_000, SECOND, worth, 0);
     }
 
     /** Reads of 40 ms: so many a second to one seat, as far as it permits; the number that went. */
@@ -81,15 +88,16 @@
         }
     }
 
-    @Test void tiersAreDearerTheFartherTheyAre() {
+    @Test
+    void tiersAreDearerTheFartherTheyAre() {
         assertThat(adviser.price(now, seats[0][0])).isEqualTo(1);
         assertThat(adviser.price(now, seats[0][1])).isEqualTo(2);
         assertThat(adviser.price(now, seats[0][2])).isEqualTo(4);
-        assertThatThrownBy(() -> new ZoneSettings.Tier(List.of(1),
-                0)).isInstanceOf(IllegalArgumentException.class);
+        assertThatThrownBy(() -> new ZoneSettings.Tier(List.of(1), 0)).isInstanceOf(IllegalArgumentException.class);
     }
 
-    @Test void oneFailureIsNoLossAndAnAnswerBetweenThemStartsAnew() {
+    @Test
+    void oneFailureIsNoLossAndAnAnswerBetweenThemStartsAnew() {
         calm();
         fail(seats[0][0], 2);
         adviser.ended(now, seats[0][0], Outcome.MISS, WORK);
@@ -100,7 +108,8 @@
         assertThat(open(seats[1][0])).isTrue();
     }
 
-    @Test void aZoneWithNoSignOfLifeAnywhereIsLostAsAWhole() {
+    @Test
+    void aZoneWithNoSignOfLifeAnywhereIsLostAsAWhole() {
         calm();
         fail(seats[0][0], 2);
         fail(seats[1][0], 1);
@@ -116,14 +125,16 @@
         assertThat(adviser.permits(now, seats[1][0], CHEAP)).as("in a ramp").isFalse();
     }
 
-    @Test void oneAreaThatFailsDoesNotTakeItsZoneAlong() {
+    @Test
+    void oneAreaThatFailsDoesNotTakeItsZoneAlong() {
         calm();
         fail(seats[0][0], 9);
         assertThat(open(seats[0][0])).isFalse();
         assertThat(open(seats[1][0])).isTrue();
     }
 
-    @Test void onlySoMuchSpillsAsTheTiersShareOfWhatTheNearestServed() {
+    @Test
+    void onlySoMuchSpillsAsTheTiersShareOfWhatTheNearestServed() {
         calm();
         loseZone();
         ask(seats[0][1], CHEAP, 100, 3); // What was saved up is used.
@@ -132,7 +143,8 @@
         assertThat(went / 20.0).isCloseTo(SPILL * 10, within(0.5));
     }
 
-    @Test void whatIsWorthLessForItsWorkIsTurnedDownFirst() {
+    @Test
+    void whatIsWorthLessForItsWorkIsTurnedDownFirst() {
         calm();
         loseZone();
         ask(seats[0][1], CHEAP, 100, 3);
@@ -145,14 +157,16 @@
         assertThat(cheap).isGreaterThan(5 * Math.max(1, dear));
     }
 
-    @Test void inCalmATierServesOnlyItsShareAndAGroupWithoutNearMembersIsNotBound() {
+    @Test
+    void inCalmATierServesOnlyItsShareAndAGroupWithoutNearMembersIsNotBound() {
         calm();
         assertThat(ask(seats[0][2], CHEAP, 100, 10)).isLessThan(100);
         int far = adviser.seat(9, 1);
         assertThat(ask(far, CHEAP, 100, 2)).isEqualTo(200);
     }
 
-    @Test void aReturnBeginsAtItsColdShareAndIsWholeWhenWarm() {
+    @Test
+    void aReturnBeginsAtItsColdShareAndIsWholeWhenWarm() {
         calm();
         loseZone();
         int seat = seats[0][0];
@@ -160,7 +174,9 @@
         assertThat(adviser.wantsProbe(now, seat)).as("so soon again").isFalse();
         adviser.probed(now, seat, true);
         assertThat(open(seat)).isTrue();
-        assertThat(adviser.permits(now, seat, CHEAP)).as("its budget begins below nothing").isFalse();
+        assertThat(adviser.permits(now, seat, CHEAP))
+                .as("its budget begins below nothing")
+                .isFalse();
         double first = ask(seat, CHEAP, 50, 3) / 3.0;
         assertThat(first).isBetween(0.3, 1.5); // Of 2.5 a second before; cold it can do 0.2 to 0.36 of that.
         ask(seat, CHEAP, 50, 12);
@@ -168,7 +184,8 @@
         assertThat(adviser.toString()).contains("returns=1").contains("0={UP=1, LOST=3}");
     }
 
-    @Test void aSecondLossWithinAMinuteHoldsTheReturnAndMinutesLaterItDoesNot() {
+    @Test
+    void aSecondLossWithinAMinuteHoldsTheReturnAndMinutesLaterItDoesNot() {
         calm();
         int seat = seats[0][0];
         fail(seat, 3);
@@ -194,7 +211,8 @@
         assertThat(open(seat)).isTrue();
     }
 
-    @Test void seatsAreGivenAgainAndAnAreaWithoutMembersIsStillMissed() {
+    @Test
+    void seatsAreGivenAgainAndAnAreaWithoutMembersIsStillMissed() {
         calm();
         adviser.left(seats[0][0]);
         assertThat(adviser.seat(1, 2)).isEqualTo(seats[0][0]);
@@ -202,18 +220,20 @@
         assertThat(ask(seats[0][1], CHEAP, 100, 5)).as("still a spill").isLessThan(100);
     }
 
-    @Test void newSettingsHoldAtOnceAndWhatIsLostStaysLost() {
+    @Test
+    void newSettingsHoldAtOnceAndWhatIsLostStaysLost() {
         calm();
         loseZone();
-        adviser.configure(new ZoneSettings(0, List.of(new ZoneSettings.Tier(List.of(2), 1),
-                new ZoneSettings.Tier(List.of(1), SPILL)), 10));
+        adviser.configure(new ZoneSettings(
+                0, List.of(new ZoneSettings.Tier(List.of(2), 1), new ZoneSettings.Tier(List.of(1), SPILL)), 10));
         assertThat(adviser.price(now, seats[0][2])).isEqualTo(2);
         assertThat(open(seats[0][0])).isFalse();
         ask(seats[0][2], CHEAP, 100, 3);
         assertThat(ask(seats[0][2], CHEAP, 100, 10) / 10.0).isCloseTo(10, within(2.0));
     }
 
-    @Test void equalEventsGiveEqualAnswers() {
+    @Test
+    void equalEventsGiveEqualAnswers() {
         String first = story(new ZoneAdviserTest());
         assertThat(story(new ZoneAdviserTest())).isEqualTo(first);
     }
--- a/decisions/src/test/java/willowfield/BrainTest.java
+++ b/decisions/src/test/java/willowfield/BrainTest.java
@@ -170,7 +170,9 @@
     }
 
     @ParameterizedTest
-    @EnumSource(value = Outcome.class, names = {"ERROR", "TIMEOUT", "RESET", "CANCELLED"})
+    @EnumSource(
+            value = Outcome.class,
+            names = {"ERROR", "TIMEOUT", "RESET", "CANCELLED"})
     void aKeyedWriteIsSentAgainInsideItsWindowAndFailsAfterIt(Outcome doubt) {
         Recorder r = trio();
         r.ask("w", KEYED, 0, 4_900_000);
@@ -198,8 +200,7 @@
         Recorder r = trio();
         r.ask("v", KEYED);
         r.end("v", Outcome.OK, Role.PRIMARY, 0);
-        r.router.onProbe(r.now, "a", true, 1_000,
-                new Router.Report(r.now, Role.PRIMARY, util, Double.NaN, Double.NaN));
+        r.router.onProbe(r.now, "a", true, 1_000, new Router.Report(r.now, Role.PRIMARY, util, Double.NaN, Double.NaN));
         r.ask("w", KEYED, 0, 2_900_000);
         assertEquals("a", r.last("w").member());
         assertEquals(waits, r.last("w").timeoutUs() == 2_900_000, "given all its time");
@@ -309,8 +310,8 @@
 
     @Test
     void aColdMemberGetsAShareOfWhatAWarmOneHasServed() {
-        Recorder r = new Setup().start(up("a", 0, true), up("b", 0, false),
-                with(up("c", 0, false), State.UP, 99_900_000));
+        Recorder r =
+                new Setup().start(up("a", 0, true), up("b", 0, false), with(up("c", 0, false), State.UP, 99_900_000));
         for (int i = 0; i < 400; i++) {
             r.ask("q" + i, ANY);
             r.pass(10_000);
@@ -325,11 +326,15 @@
     /** A storm of turn-aways at the warm members once raised the cold one's share past what it could do. */
     @Test
     void turnedAwayWorkDoesNotRaiseAColdMembersShare() {
-        Recorder r = new Setup().start(up("a", 0, true), up("b", 0, false),
-                with(up("c", 0, false), State.UP, 99_900_000));
+        Recorder r =
+                new Setup().start(up("a", 0, true), up("b", 0, false), with(up("c", 0, false), State.UP, 99_900_000));
         for (int i = 0; i < 300; i++) {
             r.ask("q" + i, ANY);
-            for (int j = 0; j < 3 && r.last("q" + i) != null && !r.last("q" + i).member().equals("c"); j++) {
+            for (int j = 0;
+                    j < 3
+                            && r.last("q" + i) != null
+                            && !r.last("q" + i).member().equals("c");
+                    j++) {
                 r.end("q" + i, Outcome.FULL, Role.REPLICA, r.now);
             }
             r.pass(5_000);
@@ -414,8 +419,7 @@
 
     /** Where it ran a zone's members drop it by its key; those of another zone would run it again. */
     @ParameterizedTest
-    @CsvSource({"TIMEOUT, b, true", "TIMEOUT, c, false", "ERROR, c, false", "RESET, c, false",
-            "MISS, b, true"})
+    @CsvSource({"TIMEOUT, b, true", "TIMEOUT, c, false", "ERROR, c, false", "RESET, c, false", "MISS, b, true"})
     void aKeyThatOneZoneKnowsIsRepeatedThereAlone(Outcome first, String primary, boolean again) {
         Recorder r = trio(); // a and b are in one zone, c is in another.
         r.ask("w", KEYED_IN_ZONE);
@@ -448,8 +452,17 @@
         for (int i = 0; i < 15; i++) {
             r.ask("teach" + i, ANY);
             Recorder.Sent s = r.last("teach" + i);
-            r.router.onOutcome(r.now, s.request(), s.attempt(), s.member(), Outcome.OK, true, 3_000_000,
-                    Role.REPLICA, r.now - 1_000, null);
+            r.router.onOutcome(
+                    r.now,
+                    s.request(),
+                    s.attempt(),
+                    s.member(),
+                    Outcome.OK,
+                    true,
+                    3_000_000,
+                    Role.REPLICA,
+                    r.now - 1_000,
+                    null);
         }
         for (int i = 0; i < 40; i++) {
             r.ask("short" + i, SESSION);
@@ -553,14 +566,15 @@
 
     /** A member that turns away or cannot be reached answers at once and would draw a storm of attempts. */
     @ParameterizedTest
-    @EnumSource(value = Outcome.class, names = {"FULL", "CONNECT_FAILED"})
+    @EnumSource(
+            value = Outcome.class,
+            names = {"FULL", "CONNECT_FAILED"})
     void aFullOrUnreachableMemberIsLeftAloneForAWhile(Outcome outcome) {
         Recorder r = new Setup().start(up("a", 0, true), up("b", 0, false));
         for (int i = 0; i < 100; i++) {
             r.ask("q" + i, ANY);
             for (int j = 0; j < 2 && r.last("q" + i) != null; j++) {
-                r.end("q" + i, Outcome.FULL, r.last("q" + i).member().equals("a") ? Role.PRIMARY
-                        : Role.REPLICA, 0);
+                r.end("q" + i, Outcome.FULL, r.last("q" + i).member().equals("a") ? Role.PRIMARY : Role.REPLICA, 0);
             }
             r.pass(1_000);
         }
@@ -608,8 +622,17 @@
             r.ask("q" + i, ANY);
             r.pass(10_000);
             Recorder.Sent s = r.last("q" + i);
-            r.router.onOutcome(r.now, s.request(), s.attempt(), s.member(), Outcome.OK, true,
-                    s.member().equals("b") ? 500_000 : 50_000, Role.REPLICA, r.now, null);
+            r.router.onOutcome(
+                    r.now,
+                    s.request(),
+                    s.attempt(),
+                    s.member(),
+                    Outcome.OK,
+                    true,
+                    s.member().equals("b") ? 500_000 : 50_000,
+                    Role.REPLICA,
+                    r.now,
+                    null);
         }
         assertTrue(r.countTo("b") < r.countTo("c") / 4, r.countTo("b") + " against " + r.countTo("c"));
     }
@@ -623,8 +646,17 @@
             r.pass(10_000);
             Recorder.Sent s = r.last("q" + i);
             assertTrue(s != null, "request " + i + " was kept back though nothing is out");
-            r.router.onOutcome(r.now, s.request(), s.attempt(), s.member(), Outcome.OK, true, 900_000,
-                    s.member().equals("a") ? Role.PRIMARY : Role.REPLICA, r.now, null);
+            r.router.onOutcome(
+                    r.now,
+                    s.request(),
+                    s.attempt(),
+                    s.member(),
+                    Outcome.OK,
+                    true,
+                    900_000,
+                    s.member().equals("a") ? Role.PRIMARY : Role.REPLICA,
+                    r.now,
+                    null);
         }
         assertTrue(r.countTo("b") > 50 && r.countTo("c") > 50);
     }
@@ -764,13 +796,14 @@
             soon.end("w" + i, Outcome.OK, Role.PRIMARY, soon.now);
             late.pass(400_000);
             soon.pass(400_000);
-            late.router.onOutcome(late.now, "w" + i, 0, "a", Outcome.OK, true, 800_000, Role.PRIMARY,
-                    late.now, null);
+            late.router.onOutcome(late.now, "w" + i, 0, "a", Outcome.OK, true, 800_000, Role.PRIMARY, late.now, null);
         }
         late.ask("last", KEYED);
         soon.ask("last", KEYED);
         assertEquals(4_000_000, late.last("last").timeoutUs());
-        assertTrue(soon.last("last").timeoutUs() < 1_500_000, "" + soon.last("last").timeoutUs());
+        assertTrue(
+                soon.last("last").timeoutUs() < 1_500_000,
+                "" + soon.last("last").timeoutUs());
     }
 
     /** Work alone took a quarter of an aim on some machines; cut for that, windows left them idle. */
@@ -781,8 +814,7 @@
             r.ask("q" + i, ANY);
             r.pass(200_000);
             if (r.last("q" + i) != null) {
-                r.router.onOutcome(r.now, "q" + i, 0, "b", Outcome.OK, true, 200_000, Role.REPLICA, r.now,
-                        null);
+                r.router.onOutcome(r.now, "q" + i, 0, "b", Outcome.OK, true, 200_000, Role.REPLICA, r.now, null);
             }
         }
         assertSentAtOnce(r, ANY);
@@ -900,8 +932,10 @@
         for (int i = 0; i < 30; i++) {
             r.ask("r" + i, ANY, 0, 800_000);
         }
-        List<String> unsent = IntStream.range(0, 30).mapToObj(i -> "r" + i)
-                .filter(id -> r.count(id) == 0).toList();
+        List<String> unsent = IntStream.range(0, 30)
+                .mapToObj(i -> "r" + i)
+                .filter(id -> r.count(id) == 0)
+                .toList();
         assertFalse(unsent.isEmpty());
         r.pass(320_000);
         assertEquals(List.of(), r.refused);
@@ -981,10 +1015,20 @@
         Recorder r = setup.start(up("a", 0, true), up("b", 0, false), up("c", 1, false));
         r.ask("open", UNSAFE);
         setup.maxAttempts = 1;
-        List<Router.RequestClass> classes = new java.util.ArrayList<>(setup.settings().classes());
+        List<Router.RequestClass> classes =
+                new java.util.ArrayList<>(setup.settings().classes());
         Router.RequestClass old = classes.get(SAFE_READ);
-        classes.add(new Router.RequestClass("new", Router.Access.WRITE, Router.Repeat.UNSAFE,
-                old.scope(), 0, 0, old.aimUs(), old.deadlineUs(), 1, 0));
+        classes.add(new Router.RequestClass(
+                "new",
+                Router.Access.WRITE,
+                Router.Repeat.UNSAFE,
+                old.scope(),
+                0,
+                0,
+                old.aimUs(),
+                old.deadlineUs(),
+                1,
+                0));
         r.router.onSettings(setup.settings().with(classes, 1));
         r.end("open", Outcome.MISS, Role.REPLICA, 0);
         assertEquals("b", r.last("open").member());
--- a/decisions/src/test/java/willowfield/FleetTest.java
+++ b/decisions/src/test/java/willowfield/FleetTest.java
@@ -39,7 +39,8 @@
     }
 
     /** Each had served nothing, took its share to be nothing, and a replaced group stood idle till warm. */
-    @Test void routersThatHaveServedNothingGiveAColdGroupAFirstDoseTogether() {
+    @Test
+    void routersThatHaveServedNothingGiveAColdGroupAFirstDoseTogether() {
         Member a = with(up("a", 0, true), State.UP, 99_900_000);
         List<Recorder> all = fleet(a, with(up("b", 0, false), State.UP, 99_900_000));
         for (Recorder r : all) {
@@ -54,7 +55,8 @@
     }
 
     /** Of the load that warm ones happened to have, a cold one got a fifth, however much room it had. */
-    @Test void aColdMemberIsGivenWhatItCanDoAndNotAPartOfWhatOthersAreAsked() {
+    @Test
+    void aColdMemberIsGivenWhatItCanDoAndNotAPartOfWhatOthersAreAsked() {
         Recorder busy = served(1);
         Recorder calm = served(0.1);
         assertThat(busy.countTo("c")).isPositive().isLessThan(busy.countTo("b") / 2);
@@ -64,16 +66,24 @@
     private static Recorder served(double util) {
         Setup s = new Setup();
         s.instances = INSTANCES;
-        Recorder r = s.start(up("a", 0, true), up("b", 0, false),
-                with(up("c", 0, false), State.UP, 99_900_000));
+        Recorder r = s.start(up("a", 0, true), up("b", 0, false), with(up("c", 0, false), State.UP, 99_900_000));
         for (int i = 0; i < 400; i++) {
             String id = "q" + i;
             r.ask(id, ANY);
             r.pass(10_000);
             Recorder.Sent sent = r.last(id);
             if (sent != null) {
-                r.router.onOutcome(r.now, id, sent.attempt(), sent.member(), Outcome.OK, true, USUAL_US,
-                        Role.REPLICA, r.now, new Report(r.now, Role.REPLICA, util, Double.NaN, Double.NaN));
+                r.router.onOutcome(
+                        r.now,
+                        id,
+                        sent.attempt(),
+                        sent.member(),
+                        Outcome.OK,
+                        true,
+                        USUAL_US,
+                        Role.REPLICA,
+                        r.now,
+                        new Report(r.now, Role.REPLICA, util, Double.NaN, Double.NaN));
             }
         }
         return r;
@@ -91,7 +101,8 @@
     }
 
     /** Each read that waited had each replica probed four times a second, by each of fourteen. */
-    @Test void aReplicaFarBehindIsAskedAgainNoSoonerThanItCanHaveCaughtUp() {
+    @Test
+    void aReplicaFarBehindIsAskedAgainNoSoonerThanItCanHaveCaughtUp() {
         List<Recorder> all = fleet(up("a", 0, true), up("b", 0, false));
         for (Recorder r : all) {
             for (int i = 0; i < 30; i++) {
@@ -106,7 +117,8 @@
         assertThat(probes(all)).isBetween((long) INSTANCES, 2L * INSTANCES);
     }
 
-    @Test void aMissThatTellsThePositionNeedsNoProbeToTellItAgain() {
+    @Test
+    void aMissThatTellsThePositionNeedsNoProbeToTellItAgain() {
         Setup s = new Setup();
         s.checks = Router.Checks.WAIT;
         Recorder r = s.start(up("a", 0, true), up("b", 0, false));
@@ -117,7 +129,8 @@
     }
 
     /** A full round each half second for one write that waits, at each of fourteen, cost more than it won. */
-    @Test void theWalkGoesAsFastAsThereAreWritesThatWait() {
+    @Test
+    void theWalkGoesAsFastAsThereAreWritesThatWait() {
         assertThat(walked(1)).isBetween(3L * INSTANCES, 5L * INSTANCES);
         assertThat(walked(6)).isBetween(10L * INSTANCES, 13L * INSTANCES);
     }
@@ -131,8 +144,8 @@
             }
             for (int i = 0; i < r.sent.size(); i++) { // Each miss sends it on, until the round is full.
                 Recorder.Sent s = r.sent.get(i);
-                r.router.onOutcome(r.now, s.request(), s.attempt(), s.member(), Outcome.MISS, false, 1_000,
-                        Role.REPLICA, 0, null);
+                r.router.onOutcome(
+                        r.now, s.request(), s.attempt(), s.member(), Outcome.MISS, false, 1_000, Role.REPLICA, 0, null);
             }
             for (int i = 0; i < 20; i++) {
                 int before = r.probed.size();
--- a/decisions/src/test/java/willowfield/PromotionTest.java
+++ b/decisions/src/test/java/willowfield/PromotionTest.java
@@ -30,7 +30,8 @@
     /** The commit of session 42, answered by a; no one else has it. */
     private long commitUs;
 
-    @BeforeEach void sessionWritesAndItsPrimaryDies() {
+    @BeforeEach
+    void sessionWritesAndItsPrimaryDies() {
         Setup s = new Setup();
         s.listRole = ListRole.START;
         s.marks = Marks.REMEMBERED;
@@ -79,7 +80,8 @@
         return r.last(id) == null ? "nobody" : r.last(id).member();
     }
 
-    @Test void theSessionWhoseCommitItLacksReadsThereAndNowhereElse() {
+    @Test
+    void theSessionWhoseCommitItLacksReadsThereAndNowhereElse() {
         assertThat(read("before")).as("nobody is known to have it").isEqualTo("nobody");
         r.pass(100_000);
         assertThat(r.last("before")).isNull();
@@ -94,7 +96,8 @@
         assertThat(read("caught up")).as("it has all to beyond the commit").isEqualTo("c");
     }
 
-    @Test void deposedByItsOwnWordItIsExcusedNoMore() {
+    @Test
+    void deposedByItsOwnWordItIsExcusedNoMore() {
         promoteB();
         assertThat(read("waits for its connection")).isEqualTo("b");
         assertThat(r.router.stands(r.now, "waits for its connection")).isTrue();
@@ -108,12 +111,15 @@
         assertThat(r.count("waits for its connection")).isEqualTo(1);
     }
 
-    @Test void theOldOneThatComesBackIsNobodyUntilItLeadsAgain() {
+    @Test
+    void theOldOneThatComesBackIsNobodyUntilItLeadsAgain() {
         promoteB();
         r.list(ListKind.CHANGES, with(up("a", 0, true), State.UP, r.now));
         r.list(ListKind.FULL, with(up("a", 0, true), State.UP, r.now), up("b", 0, false), up("c", 0, false));
         for (int i = 0; i < 4; i++) {
-            assertThat(read("while b leads " + i)).as("though the list still names a").isEqualTo("b");
+            assertThat(read("while b leads " + i))
+                    .as("though the list still names a")
+                    .isEqualTo("b");
             served("while b leads " + i);
         }
         r.pass(20_000_000); // It is warm by then, and nobody has heard from it.
@@ -126,7 +132,8 @@
     }
 
     /** Nobody has heard b say so, but two do not lead at once, and c's word is the later one. */
-    @Test void deposedByAnothersWordItIsExcusedNoMore() {
+    @Test
+    void deposedByAnothersWordItIsExcusedNoMore() {
         promoteB();
         assertThat(read("waits for its connection")).isEqualTo("b");
         write("cut off");
--- a/decisions/src/test/java/willowfield/Recorder.java
+++ b/decisions/src/test/java/willowfield/Recorder.java
@@ -77,16 +77,34 @@
                     kind("any", Access.ANY, Repeat.SAFE, Scope.GROUP, 0),
                     kind("keyed anywhere", Access.WRITE, Repeat.KEYED, Scope.ALL, 0.5),
                     kind("keyed in its zone", Access.WRITE, Repeat.KEYED, Scope.ZONE, 0.5));
-            return new Router.Settings(seed, instances, zone, 5_000, classes, checks, listRole, marks, true,
-                    new Router.Limits(maxAttempts, probes, cancel, advice, 2_000_000, subscribe, 10_000_000,
-                            250_000, 50_000, 30_000_000, 1, places),
+            return new Router.Settings(
+                    seed,
+                    instances,
+                    zone,
+                    5_000,
+                    classes,
+                    checks,
+                    listRole,
+                    marks,
+                    true,
+                    new Router.Limits(
+                            maxAttempts,
+                            probes,
+                            cancel,
+                            advice,
+                            2_000_000,
+                            subscribe,
+                            10_000_000,
+                            250_000,
+                            50_000,
+                            30_000_000,
+                            1,
+                            places),
                     new Router.Rules(20_000, 500_000, onlyDraining, 0.2, 18_000_000, 3, 2_000_000));
         }
 
-        private static RequestClass kind(String name, Access access, Repeat repeat, Scope scope,
-                double late) {
-            return new RequestClass(name, access, repeat, scope, 3_000_000, 800_000, 600_000, 5_000_000, 2,
-                    late);
+        private static RequestClass kind(String name, Access access, Repeat repeat, Scope scope, double late) {
+            return new RequestClass(name, access, repeat, scope, 3_000_000, 800_000, 600_000, 5_000_000, 2, late);
         }
     }
 
@@ -118,8 +136,7 @@
     /** Ends the newest attempt of a request; OK closes it. */
     void end(String id, Outcome outcome, Role role, long positionUs) {
         Sent s = last(id);
-        router.onOutcome(now, id, s.attempt, s.member, outcome, outcome == Outcome.OK, 50_000, role,
-                positionUs, null);
+        router.onOutcome(now, id, s.attempt, s.member, outcome, outcome == Outcome.OK, 50_000, role, positionUs, null);
     }
 
     void end(String id, Outcome outcome) {
@@ -127,8 +144,7 @@
     }
 
     void probeOk(String member, Role role, long positionUs) {
-        router.onProbe(now, member, true, 1_000,
-                new Report(positionUs, role, Double.NaN, Double.NaN, Double.NaN));
+        router.onProbe(now, member, true, 1_000, new Report(positionUs, role, Double.NaN, Double.NaN, Double.NaN));
     }
 
     void list(ListKind kind, Member... members) {
@@ -170,38 +186,46 @@
         return sent.stream().filter(s -> s.member.equals(member)).count();
     }
 
-    @Override public void send(String requestId, String memberId, long timeoutUs) {
+    @Override
+    public void send(String requestId, String memberId, long timeoutUs) {
         sent.add(new Sent(requestId, memberId, timeoutUs, (int) count(requestId)));
     }
 
-    @Override public void refuse(String requestId, long adviceUs) {
+    @Override
+    public void refuse(String requestId, long adviceUs) {
         refused.add(requestId);
         advice.add(adviceUs);
     }
 
-    @Override public void fail(String requestId) {
+    @Override
+    public void fail(String requestId) {
         failed.add(requestId);
     }
 
-    @Override public void cancel(String requestId, int attempt) {
+    @Override
+    public void cancel(String requestId, int attempt) {
         cancelled.add(requestId + "/" + attempt);
     }
 
-    @Override public void probe(String memberId) {
+    @Override
+    public void probe(String memberId) {
         probed.add(memberId);
     }
 
-    @Override public void setTimer(long inUs, String name) {
+    @Override
+    public void setTimer(long inUs, String name) {
         timersSet++;
         timers.add(name);
         due.add(now + inUs);
     }
 
-    @Override public void log(String text) {
+    @Override
+    public void log(String text) {
         log.add(text);
     }
 
-    @Override public void subscribe() {
+    @Override
+    public void subscribe() {
         subscriptions++;
     }
 }
--- a/decisions/src/test/java/willowfield/SessionCommitsTest.java
+++ b/decisions/src/test/java/willowfield/SessionCommitsTest.java
@@ -12,14 +12,16 @@
     private static final long KEEP = 100_000 * MS;
     private final SessionCommits commits = new SessionCommits();
 
-    @Test void aCommitThatWasToldBindsItsSessionAlone() {
+    @Test
+    void aCommitThatWasToldBindsItsSessionAlone() {
         commits.sent(T, 1);
         commits.ended(T + 50 * MS, 1, T + 3_000 * MS, Outcome.OK, T + 40 * MS, KEEP);
         assertThat(commits.need(T + 60 * MS, 1)).isEqualTo(T + 41 * MS);
         assertThat(commits.need(T + 60 * MS, 2)).isZero();
     }
 
-    @Test void aWriteThatIsOutBindsOnceItsAnswerMayCountAsKnown() {
+    @Test
+    void aWriteThatIsOutBindsOnceItsAnswerMayCountAsKnown() {
         commits.sent(T, 1);
         assertThat(commits.need(T + 100 * MS, 1)).isZero();
         assertThat(commits.need(T + 150 * MS, 1)).isEqualTo(T + 50 * MS);
@@ -27,7 +29,8 @@
         assertThat(commits.need(T + 250 * MS, 1)).isZero();
     }
 
-    @Test void ofTwoWritesAtOnceTheOldestBindsUntilBothHaveEnded() {
+    @Test
+    void ofTwoWritesAtOnceTheOldestBindsUntilBothHaveEnded() {
         commits.sent(T, 1);
         commits.sent(T + 500 * MS, 1);
         commits.ended(T + 510 * MS, 1, T + 3_000 * MS, Outcome.FULL, 0, KEEP);
@@ -36,7 +39,8 @@
         assertThat(commits.need(T + 540 * MS, 1)).isEqualTo(T + 6 * MS);
     }
 
-    @Test void oneThatEndedInDoubtBindsToAllThatItsServerMayYetHaveAnswered() {
+    @Test
+    void oneThatEndedInDoubtBindsToAllThatItsServerMayYetHaveAnswered() {
         commits.sent(T, 1);
         commits.ended(T + 700 * MS, 1, T + 3_000 * MS, Outcome.TIMEOUT, 0, KEEP);
         assertThat(commits.need(T + 800 * MS, 1)).isEqualTo(T + 700 * MS);
@@ -44,7 +48,8 @@
         assertThat(commits.need(T + 60_000 * MS, 1)).isEqualTo(T + 3_000 * MS);
     }
 
-    @Test void oneWhoseConnectionBrokeOrWhoseCommitWasNotToldWasAnsweredByThen() {
+    @Test
+    void oneWhoseConnectionBrokeOrWhoseCommitWasNotToldWasAnsweredByThen() {
         for (Outcome o : new Outcome[] {Outcome.RESET, Outcome.ERROR, Outcome.OK}) {
             commits.sent(T, o.ordinal());
             commits.ended(T + 700 * MS, o.ordinal(), T + 3_000 * MS, o, 0, KEEP);
@@ -52,7 +57,8 @@
         }
     }
 
-    @Test void whatIsForgottenBindsEverySession() {
+    @Test
+    void whatIsForgottenBindsEverySession() {
         commits.sent(T, 1);
         commits.ended(T, 1, T + MS, Outcome.OK, T - MS, KEEP);
         commits.sent(T + 2 * KEEP, 2);
@@ -61,7 +67,8 @@
         assertThat(commits.need(T + 2 * KEEP, 3)).isEqualTo(T - MS);
     }
 
-    @Test void noMoreThanABoundIsKeptAndADroppedWriteStillBinds() {
+    @Test
+    void noMoreThanABoundIsKeptAndADroppedWriteStillBinds() {
         for (int i = 0; i <= SessionCommits.MOST + 1; i++) {
             commits.sent(T, i);
         }
--- a/decisions/src/test/java/willowfield/SlowStartTest.java
+++ b/decisions/src/test/java/willowfield/SlowStartTest.java
@@ -49,7 +49,8 @@
 
     /** Sixty routers of one pool let one request each out at once, whatever its size, when their budgets were
      * above nothing. */
-    @Test void ofManyRoutersThatHaveServedNothingSomeSendAndNotAll() {
+    @Test
+    void ofManyRoutersThatHaveServedNothingSomeSendAndNotAll() {
         int all = 0;
         for (int seed = 0; seed < 60; seed++) {
             SlowStart slow = with(60, seed);
@@ -62,7 +63,8 @@
     }
 
     /** Times with a queue in them made short work seem as dear as long work: sent long work, it fell. */
-    @Test void whatAQueueAddsToATimeIsNoWork() {
+    @Test
+    void whatAQueueAddsToATimeIsNoWork() {
         SlowStart slow = with(1, 7);
         SlowStart.Member warm = slow.meet(START_US);
         slow.listed(START_US, warm, entry("a", 0));
@@ -75,7 +77,8 @@
     }
 
     /** Where no report tells how busy the others are, what they serve they can do at the least. */
-    @Test void withoutReportsItGetsMoreThanTheOthersServeAndLessThanPushesItOver() {
+    @Test
+    void withoutReportsItGetsMoreThanTheOthersServeAndLessThanPushesItOver() {
         SlowStart slow = with(1, 7);
         SlowStart.Member warm = slow.meet(START_US);
         slow.listed(START_US, warm, entry("a", 0));
@@ -95,7 +98,8 @@
     }
 
     /** By its first guess a write was a thousand times the reads answered so far, and waited for 4 s. */
-    @Test void aClassThatNobodyAnsweredYetIsGuessedByTheOthers() {
+    @Test
+    void aClassThatNobodyAnsweredYetIsGuessedByTheOthers() {
         SlowStart slow = with(0, 7);
         SlowStart.Member only = slow.meet(START_US);
         slow.listed(START_US, only, entry("a", 0));
@@ -106,7 +110,8 @@
         assertThat(sent(slow, only, START_US, LONG, 1_000)).isBetween(1, 60);
     }
 
-    @Test void aWarmMemberIsNotHeldBack() {
+    @Test
+    void aWarmMemberIsNotHeldBack() {
         SlowStart slow = with(100, 7);
         SlowStart.Member m = slow.meet(START_US);
         slow.listed(START_US, m, entry("a", START_US - 18 * SECOND_US));
--- a/decisions/src/test/java/willowfield/WireAdapterTest.java
+++ b/decisions/src/test/java/willowfield/WireAdapterTest.java
@@ -40,9 +40,10 @@
     private static Played play(String in) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         ByteArrayOutputStream err = new ByteArrayOutputStream();
-        int exit = WireAdapter.run(new ByteArrayInputStream(in.getBytes(StandardCharsets.UTF_8)),
-                new PrintStream(out, true, StandardCharsets.UTF_8), new PrintStream(err, true,
-                        StandardCharsets.UTF_8));
+        int exit = WireAdapter.run(
+                new ByteArrayInputStream(in.getBytes(StandardCharsets.UTF_8)),
+                new PrintStream(out, true, StandardCharsets.UTF_8),
+                new PrintStream(err, true, StandardCharsets.UTF_8));
         return new Played(exit, out.toString(StandardCharsets.UTF_8), err.toString(StandardCharsets.UTF_8));
     }
 
@@ -54,12 +55,16 @@
 
     @Test
     void aWriteIsPassedOnToTheListedPrimary() throws IOException {
-        Played p = play(START + batch(100.1,
-                "{\"t\":\"Ingress\",\"i\":\"proxy/1\",\"xid\":\"r-a\",\"category\":1,\"sess\":9,"
-                + "\"clusterNo\":3," + "\"expiresS\":102.1,\"attrs\":4}\n"));
+        Played p = play(START
+                + batch(
+                        100.1,
+                        "{\"t\":\"Ingress\",\"i\":\"proxy/1\",\"xid\":\"r-a\",\"category\":1,\"sess\":9,"
+                                + "\"clusterNo\":3," + "\"expiresS\":102.1,\"attrs\":4}\n"));
         assertEquals(0, p.exit, p.err);
-        assertTrue(p.out.contains("{\"t\":\"PassOn\",\"i\":\"proxy/1\",\"xid\":\"r-a\",\"member\":\"m:1\","
-                + "\"tryForS\":2.000000}\n"), p.out);
+        assertTrue(
+                p.out.contains("{\"t\":\"PassOn\",\"i\":\"proxy/1\",\"xid\":\"r-a\",\"member\":\"m:1\","
+                        + "\"tryForS\":2.000000}\n"),
+                p.out);
     }
 
     @Test
@@ -78,25 +83,34 @@
 
     @Test
     void aRequestThatNoMemberCanServeIsRefusedInTimeWithAdvice() throws IOException {
-        Played p = play(START + batch(100.1,
-                "{\"t\":\"Ingress\",\"i\":\"proxy/1\",\"xid\":\"r-a\",\"category\":1,"
-                + "\"clusterNo\":77,\"expiresS\":100.11}\n"));
-        assertTrue(p.out.contains("{\"t\":\"OverloadReply\",\"i\":\"proxy/1\",\"xid\":\"r-a\","
-                + "\"coolDownS\":0.300000}"), p.out);
+        Played p = play(START
+                + batch(
+                        100.1,
+                        "{\"t\":\"Ingress\",\"i\":\"proxy/1\",\"xid\":\"r-a\",\"category\":1,"
+                                + "\"clusterNo\":77,\"expiresS\":100.11}\n"));
+        assertTrue(
+                p.out.contains(
+                        "{\"t\":\"OverloadReply\",\"i\":\"proxy/1\",\"xid\":\"r-a\"," + "\"coolDownS\":0.300000}"),
+                p.out);
     }
 
     @Test
     void nothingIsDoneForAnInstanceThatIsDown() throws IOException {
-        Played p = play(START + batch(101, "{\"t\":\"Down\",\"i\":\"proxy/1\"}\n")
-                + batch(102, CREATE + LIST) + batch(103, ""));
+        Played p = play(START
+                + batch(101, "{\"t\":\"Down\",\"i\":\"proxy/1\"}\n")
+                + batch(102, CREATE + LIST)
+                + batch(103, ""));
         assertEquals(0, p.exit, p.err);
     }
 
     @Test
     void anExceptionInTheModuleIsReportedAsAFaultThatSaysWhere() throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        int exit = WireAdapter.run(new ByteArrayInputStream(START.getBytes(StandardCharsets.UTF_8)),
-                new PrintStream(out, true, StandardCharsets.UTF_8), System.err, (settings, actions) -> {
+        int exit = WireAdapter.run(
+                new ByteArrayInputStream(START.getBytes(StandardCharsets.UTF_8)),
+                new PrintStream(out, true, StandardCharsets.UTF_8),
+                System.err,
+                (settings, actions) -> {
                     throw new IllegalStateException("no module today");
                 });
         String text = out.toString(StandardCharsets.UTF_8);
@@ -107,18 +121,21 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', quoteCharacter = '`', value = {
-        "not json | JSON",
-        "[1] | 't'",
-        "{\"t\":\"Novel\",\"i\":\"proxy/1\"} | unknown message Novel",
-        "{\"t\":\"Fired\",\"i\":\"proxy/9\",\"ctx\":\"x\"} | 'i'",
-        "{\"t\":\"Fired\",\"i\":\"proxy/1\"} | 'ctx'",
-        "{\"t\":\"Endpoints\",\"i\":\"proxy/1\",\"scope\":\"total\",\"buffer\":9} | 'buffer'",
-        "{\"t\":\"Ingress\",\"i\":\"proxy/1\",\"xid\":\"r\",\"category\":2,\"expiresS\":1} | 'category'",
-        "{\"t\":\"Ingress\",\"i\":\"proxy/1\",\"xid\":\"r\",\"category\":0} | 'expiresS'",
-        "{\"t\":\"Answer\",\"i\":\"proxy/1\",\"xid\":\"r\",\"member\":\"m:1\",\"outcome\":77} | 'outcome'",
-        "{\"t\":\"Clock\",\"timeS\":101} | 't'"
-    })
+    @CsvSource(
+            delimiter = '|',
+            quoteCharacter = '`',
+            value = {
+                "not json | JSON",
+                "[1] | 't'",
+                "{\"t\":\"Novel\",\"i\":\"proxy/1\"} | unknown message Novel",
+                "{\"t\":\"Fired\",\"i\":\"proxy/9\",\"ctx\":\"x\"} | 'i'",
+                "{\"t\":\"Fired\",\"i\":\"proxy/1\"} | 'ctx'",
+                "{\"t\":\"Endpoints\",\"i\":\"proxy/1\",\"scope\":\"total\",\"buffer\":9} | 'buffer'",
+                "{\"t\":\"Ingress\",\"i\":\"proxy/1\",\"xid\":\"r\",\"category\":2,\"expiresS\":1} | 'category'",
+                "{\"t\":\"Ingress\",\"i\":\"proxy/1\",\"xid\":\"r\",\"category\":0} | 'expiresS'",
+                "{\"t\":\"Answer\",\"i\":\"proxy/1\",\"xid\":\"r\",\"member\":\"m:1\",\"outcome\":77} | 'outcome'",
+                "{\"t\":\"Clock\",\"timeS\":101} | 't'"
+            })
     void badInputIsNamedByLineAndFieldAndNothingIsHalfWritten(String line, String names) throws IOException {
         Played good = play(START);
         Played p = play(START + "{\"t\":\"Clock\",\"timeS\":100.1}\n" + line + "\n{\"t\":\"EofBatch\"}\n");
--- a/lab/src/main/java/frostreel/lab/cli/Compare.java
+++ b/lab/src/main/java/frostreel/lab/cli/Compare.java
@@ -16,16 +16,22 @@
 import picocli.CommandLine.Spec;
 
 /** Lays kept runs side by side. */
-@Command(name = "compare", mixinStandardHelpOptions = true,
+@Command(
+        name = "compare",
+        mixinStandardHelpOptions = true,
         description = "Lays the results of runs side by side; exit code 2 where one cannot be read.")
 final class Compare implements Callable<Integer> {
-    private static final List<String> FIGURES = List.of("worth", "worstTenSeconds", "worstClass", "attempts",
-            "fallen", "coldMultiple", "broken");
+    private static final List<String> FIGURES =
+            List.of("worth", "worstTenSeconds", "worstClass", "attempts", "fallen", "coldMultiple", "broken");
+
     @Parameters(arity = "1..*", paramLabel = "DIR", description = "Folders that run --out made.")
     private List<Path> folders;
-    @Spec private CommandSpec spec;
 
-    @Override public Integer call() {
+    @Spec
+    private CommandSpec spec;
+
+    @Override
+    public Integer call() {
         List<String> columns = new ArrayList<>(List.of("run", "policy"));
         columns.addAll(FIGURES);
         List<List<String>> rows = new ArrayList<>();
@@ -34,8 +40,7 @@
                 JSONObject result = new JSONObject(Files.readString(folder.resolve("result.json")));
                 for (Object each : result.getJSONArray("policies")) {
                     JSONObject policy = (JSONObject) each;
-                    List<String> row = new ArrayList<>(List.of(folder.toString(),
-                            policy.getString("policy")));
+                    List<String> row = new ArrayList<>(List.of(folder.toString(), policy.getString("policy")));
                     FIGURES.forEach(f -> row.add(String.format(Locale.ROOT, "%.3f", policy.getDouble(f))));
                     rows.add(row);
                 }
--- a/lab/src/main/java/frostreel/lab/cli/Main.java
+++ b/lab/src/main/java/frostreel/lab/cli/Main.java
@@ -6,8 +6,11 @@
 import picocli.CommandLine.Command;
 
 /** The lab's command line. */
-@Command(name = "frostreel-lab", description = "Plays experiments with whole fleets.",
-        mixinStandardHelpOptions = true, synopsisSubcommandLabel = "COMMAND",
+@Command(
+        name = "frostreel-lab",
+        description = "Plays experiments with whole fleets.",
+        mixinStandardHelpOptions = true,
+        synopsisSubcommandLabel = "COMMAND",
         subcommands = {Run.class, Processes.class, Faults.class, Compare.class})
 public final class Main {
     private Main() {}
--- a/lab/src/main/java/frostreel/lab/cli/Processes.java
+++ b/lab/src/main/java/frostreel/lab/cli/Processes.java
@@ -14,31 +14,47 @@
 import picocli.CommandLine.Spec;
 
 /** Plays one experiment with processes of the program. */
-@Command(name = "processes", mixinStandardHelpOptions = true, description = "Starts processes of the program"
-        + " on loopback and puts faults between them; exit code 0 where all checks hold, 1 where one does"
-        + " not, 2 where the file is faulty.")
+@Command(
+        name = "processes",
+        mixinStandardHelpOptions = true,
+        description = "Starts processes of the program"
+                + " on loopback and puts faults between them; exit code 0 where all checks hold, 1 where one does"
+                + " not, 2 where the file is faulty.")
 final class Processes implements Callable<Integer> {
     @Parameters(paramLabel = "FILE", description = "An experiment, as experiments/processes-restarts.xml.")
     private Path file;
+
     @Option(names = "--seed", paramLabel = "N", description = "The seed; the file's where left out.")
     private Long seed;
-    @Option(names = "--program", paramLabel = "JAR", defaultValue = "pooler/target/frostreel.jar",
+
+    @Option(
+            names = "--program",
+            paramLabel = "JAR",
+            defaultValue = "pooler/target/frostreel.jar",
             description = "The built program; ${DEFAULT-VALUE} where left out.")
     private Path program;
-    @Option(names = "--out", paramLabel = "DIR", description = "Keeps result.json, the story, tables, the"
-            + " chart and the poolers' logs there.")
+
+    @Option(
+            names = "--out",
+            paramLabel = "DIR",
+            description = "Keeps result.json, the story, tables, the" + " chart and the poolers' logs there.")
     private Path folder;
-    @Spec private CommandSpec spec;
 
-    @Override public Integer call() throws Exception {
+    @Spec
+    private CommandSpec spec;
+
+    @Override
+    public Integer call() throws Exception {
         if (!Files.isRegularFile(program)) {
             throw new ParameterException(spec.commandLine(), "--program: there is no " + program);
         }
         try {
             ProcessExperiment experiment = ProcessExperiment.read(file);
             boolean live = System.console() != null;
-            return new Conductor(spec.commandLine().getOut(), live).run(experiment,
-                    seed == null ? experiment.seed() : seed, program.toAbsolutePath(), folder) ? 0 : 1;
+            return new Conductor(spec.commandLine().getOut(), live)
+                            .run(experiment, seed == null ? experiment.seed() : seed, program.toAbsolutePath(), folder)
+                    ? 0
+                    : 1;
         } catch (FaultyFileException e) {
             spec.commandLine().getErr().println(e.getMessage());
             return 2;
--- a/lab/src/main/java/frostreel/lab/experiment/Experiment.java
+++ b/lab/src/main/java/frostreel/lab/experiment/Experiment.java
@@ -92,18 +92,19 @@
         if (e.name().equals("loseZone") && (firstLossS < 0 || e.number("atS") < firstLossS)) {
             firstLossS = (int) e.number("atS");
         }
-        faults.add(switch (e.name()) {
-            case "loseZone" -> world -> world.at(atUs, () -> world.loseZone(zone));
-            case "returnZone" -> world -> world.at(atUs, () -> world.returnZone(zone));
-            case "slowZone" -> {
-                double times = e.number("times");
-                yield world -> world.at(atUs, () -> world.slowZone(zone, times));
-            }
-            default -> {
-                double rate = e.number("rate");
-                yield world -> world.at(atUs, () -> world.replayZone(zone, rate));
-            }
-        });
+        faults.add(
+                switch (e.name()) {
+                    case "loseZone" -> world -> world.at(atUs, () -> world.loseZone(zone));
+                    case "returnZone" -> world -> world.at(atUs, () -> world.returnZone(zone));
+                    case "slowZone" -> {
+                        double times = e.number("times");
+                        yield world -> world.at(atUs, () -> world.slowZone(zone, times));
+                    }
+                    default -> {
+                        double rate = e.number("rate");
+                        yield world -> world.at(atUs, () -> world.replayZone(zone, rate));
+                    }
+                });
     }
 
     private void check(String file, XmlElement e, List<Fault> wrong) {
@@ -114,7 +115,10 @@
         if (!policies.containsKey(e.text("policy"))) {
             wrong.add(e.fault(file, "policy", "there is no policy '" + e.text("policy") + "'"));
         }
-        checks.add(new Check(e.name(), e.text("policy"), e.has("zone") ? zone(file, e, "zone", wrong) : -1,
+        checks.add(new Check(
+                e.name(),
+                e.text("policy"),
+                e.has("zone") ? zone(file, e, "zone", wrong) : -1,
                 e.number(e.has("atLeast") ? "atLeast" : "atMost")));
     }
 
@@ -141,9 +145,16 @@
     }
 
     Plan plan(long withSeed) {
-        return new Plan(withSeed, (int) fleet.whole("zones"), (int) fleet.whole("poolersPerZone"),
-                (int) fleet.whole("groups"), (int) fleet.whole("cores"), clients.number("load"),
-                fleet.seconds("listLagS"), durationS * 1_000_000L, clients.flag("retry"));
+        return new Plan(
+                withSeed,
+                (int) fleet.whole("zones"),
+                (int) fleet.whole("poolersPerZone"),
+                (int) fleet.whole("groups"),
+                (int) fleet.whole("cores"),
+                clients.number("load"),
+                fleet.seconds("listLagS"),
+                durationS * 1_000_000L,
+                clients.flag("retry"));
     }
 
     /** A world of one policy with the faults set, not yet run. */
--- a/lab/src/main/java/frostreel/lab/experiment/Outcome.java
+++ b/lab/src/main/java/frostreel/lab/experiment/Outcome.java
@@ -10,6 +10,7 @@
     final String policy;
     /** Recovered: this share of the all-knowing bound, for two seconds on end. */
     private static final double BACK = 0.95;
+
     private final int zones;
     private final double[] worstByZone;
     private final double[] worthByZone;
@@ -27,9 +28,11 @@
      * never.
      */
     double backAfterS;
+
     int runs;
     /** By second: worth as a share, and the share of attempts that left their pooler's zone. */
     final double[] worthBySecond;
+
     final double[] spiltBySecond;
 
     Outcome(String policy, Plan plan) {
--- a/lab/src/main/java/frostreel/lab/experiment/Runner.java
+++ b/lab/src/main/java/frostreel/lab/experiment/Runner.java
@@ -16,8 +16,18 @@
 
 /** Plays an experiment in virtual time, keeps what it showed, and says whether its checks hold. */
 public final class Runner {
-    private static final List<String> COLUMNS = List.of("policy", "worth", "worst 10 s", "worst class",
-            "bound 10 s", "of bound", "back after s", "attempts", "fallen", "cold multiple", "broken");
+    private static final List<String> COLUMNS = List.of(
+            "policy",
+            "worth",
+            "worst 10 s",
+            "worst class",
+            "bound 10 s",
+            "of bound",
+            "back after s",
+            "attempts",
+            "fallen",
+            "cold multiple",
+            "broken");
     private final PrintWriter out;
 
     public Runner(PrintWriter out) {
@@ -33,7 +43,10 @@
                 outcome.play(experiment, experiment.plan(firstSeed + i));
             }
             outcomes.add(outcome.mean());
-            out.printf(Locale.ROOT, "played %s: %d seeds, %.0f requests a second of real time%n", policy,
+            out.printf(
+                    Locale.ROOT,
+                    "played %s: %d seeds, %.0f requests a second of real time%n",
+                    policy,
                     seeds,
                     outcome.requestsASecond);
             out.flush();
@@ -61,38 +74,72 @@
                 boolean most = List.of("rules", "fallen", "coldMultiple").contains(check.kind());
                 boolean holds = most ? value <= check.bound() : value >= check.bound();
                 good &= holds;
-                verdicts.add(String.format(Locale.ROOT, "%s: %s of %s%s is %.3f, %s %.3f", holds ? "pass"
-                        : "fail",
-                        check.kind(), o.policy, check.zone() < 0 ? "" : " in zone " + check.zone(), value,
-                        most ? "at most" : "at least", check.bound()));
+                verdicts.add(String.format(
+                        Locale.ROOT,
+                        "%s: %s of %s%s is %.3f, %s %.3f",
+                        holds ? "pass" : "fail",
+                        check.kind(),
+                        o.policy,
+                        check.zone() < 0 ? "" : " in zone " + check.zone(),
+                        value,
+                        most ? "at most" : "at least",
+                        check.bound()));
             }
         }
         return good;
     }
 
     private static List<List<String>> rows(List<Outcome> outcomes) {
-        return outcomes.stream().map(o -> List.of(o.policy, three(o.worth), three(o.worstTen),
-                three(o.worstClass), three(o.bound), three(o.worstTen / o.bound), three(o.backAfterS),
+        return outcomes.stream()
+                .map(o -> List.of(
+                        o.policy,
+                        three(o.worth),
+                        three(o.worstTen),
+                        three(o.worstClass),
+                        three(o.bound),
+                        three(o.worstTen / o.bound),
+                        three(o.backAfterS),
                         three(o.attempts),
-                Long.toString(o.fallen), three(o.coldMultiple), Long.toString(o.broken))).toList();
+                        Long.toString(o.fallen),
+                        three(o.coldMultiple),
+                        Long.toString(o.broken)))
+                .toList();
     }
 
     private static String three(double value) {
         return String.format(Locale.ROOT, "%.3f", value);
     }
 
-    private static void keep(Experiment experiment, long firstSeed, int seeds, Path folder,
-            List<Outcome> outcomes, List<String> verdicts, boolean good) throws IOException {
+    private static void keep(
+            Experiment experiment,
+            long firstSeed,
+            int seeds,
+            Path folder,
+            List<Outcome> outcomes,
+            List<String> verdicts,
+            boolean good)
+            throws IOException {
         Files.createDirectories(folder);
-        JSONObject result = new JSONObject().put("experiment", experiment.name()).put("firstSeed", firstSeed)
-                .put("seeds", seeds).put("verdict", good ? "pass" : "fail").put("checks",
-                        new JSONArray(verdicts));
+        JSONObject result = new JSONObject()
+                .put("experiment", experiment.name())
+                .put("firstSeed", firstSeed)
+                .put("seeds", seeds)
+                .put("verdict", good ? "pass" : "fail")
+                .put("checks", new JSONArray(verdicts));
         for (Outcome o : outcomes) {
-            result.append("policies", new JSONObject().put("policy", o.policy).put("worth", o.worth)
-                    .put("worstTenSeconds", o.worstTen).put("worstClass", o.worstClass).put("bound",
-                            o.bound).put("backAfterS", o.backAfterS)
-                    .put("attempts", o.attempts).put("fallen", o.fallen).put("coldMultiple", o.coldMultiple)
-                    .put("broken", o.broken));
+            result.append(
+                    "policies",
+                    new JSONObject()
+                            .put("policy", o.policy)
+                            .put("worth", o.worth)
+                            .put("worstTenSeconds", o.worstTen)
+                            .put("worstClass", o.worstClass)
+                            .put("bound", o.bound)
+                            .put("backAfterS", o.backAfterS)
+                            .put("attempts", o.attempts)
+                            .put("fallen", o.fallen)
+                            .put("coldMultiple", o.coldMultiple)
+                            .put("broken", o.broken));
         }
         Files.writeString(folder.resolve("result.json"), result.toString(2) + "\n");
         Files.writeString(folder.resolve("table.md"), Tables.markdown(COLUMNS, rows(outcomes)));
@@ -116,10 +163,15 @@
             lines.add(line);
         }
         Files.writeString(folder.resolve("seconds.csv"), Tables.csv(head, lines));
-        Charts.bySecond(folder.resolve("worth.png"), experiment.name()
-                + ": worth in time, by second of asking",
-                "share of the worth asked for", worth);
-        Charts.bySecond(folder.resolve("spilt.png"), experiment.name() + ": attempts that left their zone",
-                "share of all attempts", spilt);
+        Charts.bySecond(
+                folder.resolve("worth.png"),
+                experiment.name() + ": worth in time, by second of asking",
+                "share of the worth asked for",
+                worth);
+        Charts.bySecond(
+                folder.resolve("spilt.png"),
+                experiment.name() + ": attempts that left their zone",
+                "share of all attempts",
+                spilt);
     }
 }
--- a/lab/src/main/java/frostreel/lab/model/Cluster.java
+++ b/lab/src/main/java/frostreel/lab/model/Cluster.java
@@ -25,9 +25,11 @@
     private static final long BETWEEN_US = 1_500;
     /** An election: so long until a primary is given up, and until a replica takes over. */
     private static final long LEAST_ELECTION_US = 2_800_000;
+
     private static final long MOST_ELECTION_US = 6_500_000;
     /** A primary that drains hands over; a draining server ends after so long. */
     private static final long HAND_OVER_US = 400_000;
+
     private static final long DRAIN_US = 3_000_000;
     private final Kernel kernel;
     private final SplittableRandom chance;
@@ -41,14 +43,20 @@
     /**
      * Each zone has one member of each group; {@code changed} hears of each server that the list has news of.
      */
-    public Cluster(Kernel kernel, SplittableRandom chance, int zones, int groups, int cores,
-            Consumer<Server> changed) {
+    public Cluster(Kernel kernel, SplittableRandom chance, int zones, int groups, int cores, Consumer<Server> changed) {
         this(kernel, chance, Physics.USUAL, zones, 1, groups, cores, changed);
     }
 
     /** Each zone has {@code members} of each group. */
-    public Cluster(Kernel kernel, SplittableRandom chance, Physics physics, int zones, int members,
-            int groups, int cores, Consumer<Server> changed) {
+    public Cluster(
+            Kernel kernel,
+            SplittableRandom chance,
+            Physics physics,
+            int zones,
+            int members,
+            int groups,
+            int cores,
+            Consumer<Server> changed) {
         this.kernel = kernel;
         this.chance = chance;
         this.groups = groups;
@@ -98,8 +106,7 @@
 
     /** What a list says of a server. */
     public static Router.Member entry(Server s) {
-        Router.State state = !s.up() ? Router.State.GONE : s.draining() ? Router.State.DRAINING
-                : Router.State.UP;
+        Router.State state = !s.up() ? Router.State.GONE : s.draining() ? Router.State.DRAINING : Router.State.UP;
         return new Router.Member(s.id, s.zone, 0, s.group, s.primary(), state, 1, s.bornUs());
     }
 
--- a/lab/src/main/java/frostreel/lab/model/Server.java
+++ b/lab/src/main/java/frostreel/lab/model/Server.java
@@ -17,6 +17,7 @@
         final long needUs;
         /** Whether its sender had been told of the server's last start. */
         final boolean told;
+
         final Done done;
         private boolean over;
         private boolean running;
@@ -82,6 +83,7 @@
     private long inheritedUs = -1;
     /** Work sent while cold, within the rule's window. */
     private final ArrayDeque<Sent> sent = new ArrayDeque<>();
+
     private double sentWork;
     private double largestMultiple;
 
--- a/lab/src/main/java/frostreel/lab/model/VirtualTime.java
+++ b/lab/src/main/java/frostreel/lab/model/VirtualTime.java
@@ -5,7 +5,8 @@
 /** Virtual time: tasks run in the order of their times, and of their making where those are equal. */
 public final class VirtualTime implements Kernel {
     private record Event(long atUs, long order, Runnable task) implements Comparable<Event> {
-        @Override public int compareTo(Event o) {
+        @Override
+        public int compareTo(Event o) {
             return atUs != o.atUs ? Long.compare(atUs, o.atUs) : Long.compare(order, o.order);
         }
     }
@@ -18,11 +19,13 @@
         nowUs = startUs;
     }
 
-    @Override public long now() {
+    @Override
+    public long now() {
         return nowUs;
     }
 
-    @Override public void after(long us, Runnable task) {
+    @Override
+    public void after(long us, Runnable task) {
         events.add(new Event(nowUs + Math.max(0, us), orders++, task));
     }
 
--- a/lab/src/main/java/frostreel/lab/processes/ClientTap.java
+++ b/lab/src/main/java/frostreel/lab/processes/ClientTap.java
@@ -23,6 +23,7 @@
     private final MessageReader said = new MessageReader(type -> MOST_BYTES);
     /** Queries not yet answered, by their ids; empty for what is none of a class. */
     private final ArrayDeque<String> open = new ArrayDeque<>();
+
     private final boolean mayCross;
     private boolean started;
     private boolean welcomed;
@@ -33,8 +34,7 @@
      * {@code mayCross}: poolers leave while clients ask, so that a request may cross the end of a connection
      * that was used before; it comes again on a new one, and is counted where the load has it.
      */
-    ClientTap(Clock clock, int pooler, Map<String, Router.RequestClass> classes, Witness witness,
-            boolean mayCross) {
+    ClientTap(Clock clock, int pooler, Map<String, Router.RequestClass> classes, Witness witness, boolean mayCross) {
         this.mayCross = mayCross;
         this.clock = clock;
         this.pooler = pooler;
@@ -42,7 +42,8 @@
         this.witness = witness;
     }
 
-    @Override public void hears(byte[] bytes) {
+    @Override
+    public void hears(byte[] bytes) {
         heard.feed(ByteBuffer.wrap(bytes));
         try {
             while (started ? heard.next() : heard.nextStartup()) {
@@ -60,14 +61,15 @@
         try {
             Statement s = Statement.parse(sql);
             open.add(s.id());
-            witness.asked(clock.now(), pooler, s.id(), classes.get(s.requestClass()),
-                    clock.now() + s.patienceMs() * 1000);
+            witness.asked(
+                    clock.now(), pooler, s.id(), classes.get(s.requestClass()), clock.now() + s.patienceMs() * 1000);
         } catch (PgException e) {
             open.add(""); // An empty query, or a page.
         }
     }
 
-    @Override public void says(byte[] bytes) {
+    @Override
+    public void says(byte[] bytes) {
         said.feed(ByteBuffer.wrap(bytes));
         try {
             while (said.next()) {
@@ -75,7 +77,7 @@
                     case 'C' -> answer = Answer.SERVED;
                     case 'E' -> answer = refusal(said.body()) ? Answer.REFUSED : Answer.FAILED;
                     case 'Z' -> answered();
-                    default -> { }
+                    default -> {}
                 }
             }
         } catch (PgException e) {
@@ -102,7 +104,8 @@
     }
 
     /** After a fatal error no ReadyForQuery comes; a request that the pooler leaves otherwise is lost. */
-    @Override public void ended(boolean byIt) {
+    @Override
+    public void ended(boolean byIt) {
         if (answer != null) {
             answered();
         }
--- a/lab/src/main/java/frostreel/lab/processes/Conductor.java
+++ b/lab/src/main/java/frostreel/lab/processes/Conductor.java
@@ -32,10 +32,15 @@
 
     /** True where every check holds; {@code folder} is null to keep nothing. */
     public boolean run(ProcessExperiment experiment, long seed, Path jar, Path folder) throws Exception {
-        Path work = folder == null ? Files.createTempDirectory("frostreel-processes")
-                : Files.createDirectories(folder);
-        Fleet fleet = new Fleet(experiment.plan(seed), experiment.poolers(),
-                experiment.silentAfterMs(), experiment.operated(), jar, work, experiment.slackUs());
+        Path work = folder == null ? Files.createTempDirectory("frostreel-processes") : Files.createDirectories(folder);
+        Fleet fleet = new Fleet(
+                experiment.plan(seed),
+                experiment.poolers(),
+                experiment.silentAfterMs(),
+                experiment.operated(),
+                jar,
+                work,
+                experiment.slackUs());
         // An interrupted run, too, ends all it started.
         Thread interrupted = new Thread(() -> end(fleet), "end");
         Runtime.getRuntime().addShutdownHook(interrupted);
@@ -89,10 +94,19 @@
         List<String> verdicts = new ArrayList<>();
         boolean good = judge(experiment, fleet, crashed, faults(work), apart, blind, verdicts);
         Load load = fleet.load();
-        out.printf(Locale.ROOT, "asked %d, served %d, refused %d, failed %d, unanswered %d, unplaced %d, "
-                + "retries %d; median %.1f ms, 99%% %.1f ms%n", load.asked, load.served.getTotalCount(),
-                load.refused, load.failed, load.unanswered, load.unplaced, load.retries,
-                load.served.getValueAtPercentile(50) / 1e3, load.served.getValueAtPercentile(99) / 1e3);
+        out.printf(
+                Locale.ROOT,
+                "asked %d, served %d, refused %d, failed %d, unanswered %d, unplaced %d, "
+                        + "retries %d; median %.1f ms, 99%% %.1f ms%n",
+                load.asked,
+                load.served.getTotalCount(),
+                load.refused,
+                load.failed,
+                load.unanswered,
+                load.unplaced,
+                load.retries,
+                load.served.getValueAtPercentile(50) / 1e3,
+                load.served.getValueAtPercentile(99) / 1e3);
         fleet.rules().rules().stream().flatMap(r -> r.convictions().stream()).forEach(out::println);
         if (keep) {
             keep(experiment, seed, fleet, work, verdicts, good);
@@ -136,12 +150,23 @@
 
     private static String line(Load load, int s) {
         Load.Second second = load.seconds()[s];
-        return String.format(Locale.ROOT, "%4d s  asked %5d  served %5d  worth %.3f", s, second.asked,
-                second.served, load.worth(s, s + 1));
+        return String.format(
+                Locale.ROOT,
+                "%4d s  asked %5d  served %5d  worth %.3f",
+                s,
+                second.asked,
+                second.served,
+                load.worth(s, s + 1));
     }
 
-    private static boolean judge(ProcessExperiment experiment, Fleet fleet, List<String> crashed,
-            long faultsInLogs, long apart, long blind, List<String> verdicts) {
+    private static boolean judge(
+            ProcessExperiment experiment,
+            Fleet fleet,
+            List<String> crashed,
+            long faultsInLogs,
+            long apart,
+            long blind,
+            List<String> verdicts) {
         boolean good = crashed.isEmpty() && fleet.load().foreign == 0;
         crashed.forEach(p -> verdicts.add("fail: " + p + " ended by itself"));
         if (fleet.load().foreign > 0) {
@@ -164,9 +189,15 @@
             boolean least = c.kind().equals("worth") || c.kind().equals("upgrades");
             boolean holds = least ? value >= c.bound() : value <= c.bound();
             good &= holds;
-            verdicts.add(String.format(Locale.ROOT, "%s: %s%s is %.3f, at %s %.3f", holds ? "pass" : "fail",
-                    c.kind(), c.toS() > 0 ? " of seconds " + c.fromS() + " to " + c.toS() : "", value,
-                    least ? "least" : "most", c.bound()));
+            verdicts.add(String.format(
+                    Locale.ROOT,
+                    "%s: %s%s is %.3f, at %s %.3f",
+                    holds ? "pass" : "fail",
+                    c.kind(),
+                    c.toS() > 0 ? " of seconds " + c.fromS() + " to " + c.toS() : "",
+                    value,
+                    least ? "least" : "most",
+                    c.bound()));
         }
         return good;
     }
@@ -176,41 +207,60 @@
         long faults = 0;
         try (Stream<Path> files = Files.list(work)) {
             for (Path log : files.filter(f -> f.toString().endsWith(".log")).toList()) {
-                faults += Files.readAllLines(log).stream().filter(l -> l.startsWith("SEVERE")
-                        || l.startsWith("ERROR") || l.contains("Exception in thread")).count();
+                faults += Files.readAllLines(log).stream()
+                        .filter(l ->
+                                l.startsWith("SEVERE") || l.startsWith("ERROR") || l.contains("Exception in thread"))
+                        .count();
             }
         }
         return faults;
     }
 
-    private static void keep(ProcessExperiment experiment, long seed, Fleet fleet, Path folder,
-            List<String> verdicts, boolean good) throws IOException {
+    private static void keep(
+            ProcessExperiment experiment, long seed, Fleet fleet, Path folder, List<String> verdicts, boolean good)
+            throws IOException {
         Load load = fleet.load();
         JSONArray rules = new JSONArray();
         for (Rule r : fleet.rules().rules()) {
-            rules.put(new JSONObject().put("rule", r.name()).put("broken", r.broken()).put("first",
-                    new JSONArray(r.convictions())));
+            rules.put(new JSONObject()
+                    .put("rule", r.name())
+                    .put("broken", r.broken())
+                    .put("first", new JSONArray(r.convictions())));
         }
-        JSONObject result = new JSONObject().put("experiment", experiment.name()).put("seed", seed)
-                .put("verdict", good ? "pass" : "fail").put("checks", new JSONArray(verdicts))
-                .put("asked", load.asked).put("served", load.served.getTotalCount())
-                .put("refused", load.refused).put("failed", load.failed).put("unanswered", load.unanswered)
-                .put("unplaced", load.unplaced).put("retries", load.retries).put("foreign", load.foreign)
+        JSONObject result = new JSONObject()
+                .put("experiment", experiment.name())
+                .put("seed", seed)
+                .put("verdict", good ? "pass" : "fail")
+                .put("checks", new JSONArray(verdicts))
+                .put("asked", load.asked)
+                .put("served", load.served.getTotalCount())
+                .put("refused", load.refused)
+                .put("failed", load.failed)
+                .put("unanswered", load.unanswered)
+                .put("unplaced", load.unplaced)
+                .put("retries", load.retries)
+                .put("foreign", load.foreign)
                 .put("medianUs", load.served.getValueAtPercentile(50))
-                .put("p99Us", load.served.getValueAtPercentile(99)).put("rules", rules);
+                .put("p99Us", load.served.getValueAtPercentile(99))
+                .put("rules", rules);
         Files.writeString(folder.resolve("result.json"), result.toString(2) + "\n");
         Files.write(folder.resolve("story.txt"), fleet.story());
         List<List<String>> rows = new ArrayList<>();
         double[] worth = new double[load.seconds().length];
         for (int s = 0; s < worth.length; s++) {
             worth[s] = load.worth(s, s + 1);
-            rows.add(List.of(Integer.toString(s), Long.toString(load.seconds()[s].asked),
-                    Long.toString(load.seconds()[s].served), String.format(Locale.ROOT, "%.3f", worth[s])));
+            rows.add(List.of(
+                    Integer.toString(s),
+                    Long.toString(load.seconds()[s].asked),
+                    Long.toString(load.seconds()[s].served),
+                    String.format(Locale.ROOT, "%.3f", worth[s])));
         }
         Files.writeString(folder.resolve("seconds.csv"), Tables.csv(COLUMNS, rows));
         Files.writeString(folder.resolve("table.md"), Tables.markdown(COLUMNS, rows));
-        Charts.bySecond(folder.resolve("worth.png"), experiment.name()
-                + ": worth in time, by second of asking", "share of the worth asked for",
+        Charts.bySecond(
+                folder.resolve("worth.png"),
+                experiment.name() + ": worth in time, by second of asking",
+                "share of the worth asked for",
                 Map.of("worth", worth));
     }
 
--- a/lab/src/main/java/frostreel/lab/processes/FaultCampaign.java
+++ b/lab/src/main/java/frostreel/lab/processes/FaultCampaign.java
@@ -18,7 +18,11 @@
  */
 public final class FaultCampaign {
     /** When a fault begins: right before a new life, under load, or right before SIGTERM. */
-    enum Phase { START, LOAD, END }
+    enum Phase {
+        START,
+        LOAD,
+        END
+    }
 
     /** One fault of the system, or of what the pooler speaks to; {@code xml} lacks pooler and times. */
     record Kind(String name, String xml) {}
@@ -30,19 +34,26 @@
     private static final double BEGINS_S = 2;
     /** After a fault's end, service has to be back within so long. */
     private static final int BACK_S = 3;
+
     private static final int SERVED_S = 3;
     /** A new life may take so long beside the fault itself. */
     private static final int START_S = 8;
+
     private static final List<Kind> KINDS = List.of(
-            system("accept-enfile", "ACCEPT", "ENFILE"), system("accept-enobufs", "ACCEPT", "ENOBUFS"),
+            system("accept-enfile", "ACCEPT", "ENFILE"),
+            system("accept-enobufs", "ACCEPT", "ENOBUFS"),
             system("accept-econnaborted", "ACCEPT", "ECONNABORTED"),
-            system("socket-enfile", "SOCKET", "ENFILE"), system("socket-enobufs", "SOCKET", "ENOBUFS"),
+            system("socket-enfile", "SOCKET", "ENFILE"),
+            system("socket-enobufs", "SOCKET", "ENOBUFS"),
             system("connect-eaddrnotavail", "CONNECT", "EADDRNOTAVAIL"),
-            system("connect-enetunreach", "CONNECT", "ENETUNREACH"), system("wait-eintr", "WAIT", "EINTR"),
-            system("receive-short", "RECEIVE", "SHORT"), system("send-short", "SEND", "SHORT"),
+            system("connect-enetunreach", "CONNECT", "ENETUNREACH"),
+            system("wait-eintr", "WAIT", "EINTR"),
+            system("receive-short", "RECEIVE", "SHORT"),
+            system("send-short", "SEND", "SHORT"),
             system("receive-etimedout", "RECEIVE", "ETIMEDOUT"),
             system("send-ehostunreach", "SEND", "EHOSTUNREACH"),
-            system("files-enospc", "FILES", "ENOSPC"), system("files-eio", "FILES", "EIO"),
+            system("files-enospc", "FILES", "ENOSPC"),
+            system("files-eio", "FILES", "EIO"),
             spanning("resolve-silent", "RESOLVE", 10_000, false),
             spanning("log-stuck", "LOG", 1_000, false),
             spanning("clock-hour-ahead", "WALL_CLOCK", 3_600_000, false),
@@ -91,14 +102,14 @@
         return good;
     }
 
-    private boolean play(Kind kind, Phase phase, int lasts, String name, Path jar, Path folder,
-            List<List<String>> rows) throws IOException, FaultyFileException, Exception {
+    private boolean play(Kind kind, Phase phase, int lasts, String name, Path jar, Path folder, List<List<String>> rows)
+            throws IOException, FaultyFileException, Exception {
         Path file = Files.writeString(folder.resolve(name + ".xml"), experiment(kind, phase, lasts));
         StringWriter told = new StringWriter();
-        boolean good = new Conductor(new PrintWriter(told), false).run(ProcessExperiment.read(file), 1, jar,
-                folder.resolve(name));
-        String failed = told.toString().lines().filter(l -> l.startsWith("fail:"))
-                .collect(Collectors.joining("; "));
+        boolean good = new Conductor(new PrintWriter(told), false)
+                .run(ProcessExperiment.read(file), 1, jar, folder.resolve(name));
+        String failed =
+                told.toString().lines().filter(l -> l.startsWith("fail:")).collect(Collectors.joining("; "));
         out.println((good ? "pass: " : "FAIL: ") + name + (good ? "" : " " + failed));
         out.flush();
         rows.add(List.of(kind.name(), phase.name(), Integer.toString(lasts), good ? "pass" : "fail", failed));
@@ -122,8 +133,15 @@
                 <fleet poolers="%d" groups="%d" operated="true"/><clients perSecond="%d"/>
                 <faults>%s%s</faults>
                 <checks><rules slackMs="20000"/><slowestStartS atMost="%d"/><blind atMost="0"/>
-                <faultsInLogs atMost="0"/><worth fromS="%d" toS="%d" atLeast="0.9"/></checks></processes>"""
-                .formatted(back + SERVED_S, size.poolers(), size.groups(), 40 * Math.min(size.poolers(), 12),
-                        fault, life, lasts + START_S, back, back + SERVED_S);
+                <faultsInLogs atMost="0"/><worth fromS="%d" toS="%d" atLeast="0.9"/></checks></processes>""".formatted(
+                        back + SERVED_S,
+                        size.poolers(),
+                        size.groups(),
+                        40 * Math.min(size.poolers(), 12),
+                        fault,
+                        life,
+                        lasts + START_S,
+                        back,
+                        back + SERVED_S);
     }
 }
--- a/lab/src/main/java/frostreel/lab/processes/Fleet.java
+++ b/lab/src/main/java/frostreel/lab/processes/Fleet.java
@@ -36,13 +36,18 @@
  */
 final class Fleet {
     /** What a pooler speaks to. */
-    enum Side { CLIENTS, SERVERS, DISCOVERY }
+    enum Side {
+        CLIENTS,
+        SERVERS,
+        DISCOVERY
+    }
 
     private static final int SOCKETS = 512;
     private static final int FIRST_HOST = 10;
     private static final long ASK_US = 50_000;
     /** SIGKILL after SIGTERM: the longest deadline, counted as 3 s where it is longer, and 0.7 s. */
     private static final long KILL_US = 3_700_000;
+
     private final Plan plan;
     private final boolean operated;
     private final Path folder;
@@ -57,6 +62,7 @@
     private final List<String> story = new ArrayList<>();
     /** Null where the poolers do not see each other. */
     private PeerLinks peers;
+
     private Path settings;
     private Cluster cluster;
     private Load load;
@@ -77,6 +83,7 @@
         final long seed = chance.nextLong();
         /** The list as its last life held it; the next one starts with that. */
         JSONObject known;
+
         boolean wanted;
         boolean upgrading;
         /** When the life that is not in yet was started, 0 where there is none. */
@@ -84,24 +91,35 @@
 
         Pooler(int number, String host, Path jar) throws IOException {
             InetSocketAddress any = new InetSocketAddress(host, 0);
-            process = operated ? new PoolerProcess(number, new SharedSocket(host), jar, folder)
+            process = operated
+                    ? new PoolerProcess(number, new SharedSocket(host), jar, folder)
                     : new PoolerProcess(number, free(host), jar, folder);
             List<Link> servers = new ArrayList<>();
             SendOrder order = new SendOrder();
             for (Map.Entry<String, Database> d : databases.entrySet()) {
-                Link link = new Link(loop, any, d.getValue()::address, true,
-                        () -> new StatementTap(loop.clock(), number, d.getKey(), classes, rules,
-                                order));
+                Link link = new Link(
+                        loop,
+                        any,
+                        d.getValue()::address,
+                        true,
+                        () -> new StatementTap(loop.clock(), number, d.getKey(), classes, rules, order));
                 servers.add(link);
                 order.looksBy(link::readNow);
                 dials.put(d.getKey(), PoolerProcess.text(link.address()));
             }
             agent = new Discovery(loop, kernel, cluster, dials::get, any);
             links.put(Side.SERVERS, servers);
-            links.put(Side.DISCOVERY, List.of(new Link(loop, any, agent::address, true,
-                    () -> new ListTap(loop.clock(), number, rules))));
-            links.put(Side.CLIENTS, List.of(new Link(loop, any, () -> process.listen, false,
-                    () -> new ClientTap(loop.clock(), number, classes, rules, operated))));
+            links.put(
+                    Side.DISCOVERY,
+                    List.of(new Link(loop, any, agent::address, true, () -> new ListTap(loop.clock(), number, rules))));
+            links.put(
+                    Side.CLIENTS,
+                    List.of(new Link(
+                            loop,
+                            any,
+                            () -> process.listen,
+                            false,
+                            () -> new ClientTap(loop.clock(), number, classes, rules, operated))));
         }
 
         /** What its agent has counts as told from its first moment: it would have been, had it asked. */
@@ -109,7 +127,8 @@
             wanted = true;
             startedUs = kernel.now();
             rules.paused(kernel.now(), process.number, false);
-            agent.members().stream().filter(m -> m.state() != Router.State.UP)
+            agent.members().stream()
+                    .filter(m -> m.state() != Router.State.UP)
                     .forEach(m -> rules.told(kernel.now(), process.number, m.id(), m.state()));
             try {
                 process.start(config(), discovery(), settings);
@@ -129,8 +148,11 @@
         }
 
         private JSONObject config() {
-            return PlatformConfig.of(plan.settings(process.number % plan.zones(), seed), plan.zones(),
-                    known == null ? agent.whole() : known, SOCKETS);
+            return PlatformConfig.of(
+                    plan.settings(process.number % plan.zones(), seed),
+                    plan.zones(),
+                    known == null ? agent.whole() : known,
+                    SOCKETS);
         }
 
         private String discovery() {
@@ -143,8 +165,8 @@
      * {@code silentAfterMs} is not 0, the poolers see each other, and notice silence after that time. Where
      * they are {@code operated}, operators call, and each has a listening socket that outlives it.
      */
-    Fleet(Plan plan, int poolerCount, long silentAfterMs, boolean operated, Path jar, Path folder,
-            long slackUs) throws Exception {
+    Fleet(Plan plan, int poolerCount, long silentAfterMs, boolean operated, Path jar, Path folder, long slackUs)
+            throws Exception {
         this.plan = plan;
         this.operated = operated;
         this.folder = folder;
@@ -153,9 +175,16 @@
         Router.Settings told = plan.settings(0, 0);
         told.classes().forEach(c -> classes.put(c.name(), c));
         Router.Rules r = told.rules();
-        rules = new RuleBook(told.limits(), new Router.Rules(r.answerSlackUs() + slackUs,
-                r.stopSendingUs() + slackUs, r.onlyDrainingBinds(), r.coldFrom(), r.warmAfterUs(),
-                r.fallMultiple(), r.fallUs()));
+        rules = new RuleBook(
+                told.limits(),
+                new Router.Rules(
+                        r.answerSlackUs() + slackUs,
+                        r.stopSendingUs() + slackUs,
+                        r.onlyDrainingBinds(),
+                        r.coldFrom(),
+                        r.warmAfterUs(),
+                        r.fallMultiple(),
+                        r.fallUs()));
         onLoop(() -> {
             build(poolerCount, jar);
             if (silentAfterMs > 0) {
@@ -189,14 +218,21 @@
         cluster = new Cluster(kernel, chance, plan.zones(), plan.groups(), plan.cores(), this::changed);
         for (Server s : cluster.all()) {
             bornUs.put(s.id, 0L);
-            databases.put(s.id, new Database(loop, kernel, s, orders(), () -> fell(s),
-                    new InetSocketAddress(net + 1, 0)));
+            databases.put(
+                    s.id, new Database(loop, kernel, s, orders(), () -> fell(s), new InetSocketAddress(net + 1, 0)));
         }
         for (int i = 0; i < count; i++) {
             poolers.add(new Pooler(i, net + (FIRST_HOST + i), jar));
         }
-        load = new Load(loop, chance.split(), poolers.stream().map(p -> p.links.get(Side.CLIENTS).get(0)
-                .address()).toList(), plan.groups(), plan.load(), plan.clientRetries(),
+        load = new Load(
+                loop,
+                chance.split(),
+                poolers.stream()
+                        .map(p -> p.links.get(Side.CLIENTS).get(0).address())
+                        .toList(),
+                plan.groups(),
+                plan.load(),
+                plan.clientRetries(),
                 (int) (plan.durationUs() / 1_000_000));
     }
 
@@ -210,9 +246,13 @@
         StringBuilder file = new StringBuilder("<frostreel xmlns=\"urn:frostreel:settings:1\">\n"
                 + "  <cluster silentAfterMs=\"" + silentAfterMs + "\">\n");
         for (int i = 0; i < binds.size(); i++) {
-            file.append("    <pooler name=\"").append(poolers.get(i).process.name()).append("\" at=\"")
-                    .append(PoolerProcess.text(peers.address(i))).append("\" bind=\"")
-                    .append(PoolerProcess.text(binds.get(i))).append("\"/>\n");
+            file.append("    <pooler name=\"")
+                    .append(poolers.get(i).process.name())
+                    .append("\" at=\"")
+                    .append(PoolerProcess.text(peers.address(i)))
+                    .append("\" bind=\"")
+                    .append(PoolerProcess.text(binds.get(i)))
+                    .append("\"/>\n");
         }
         file.append("  </cluster>\n</frostreel>\n");
         settings = Files.writeString(folder.resolve("frostreel.xml"), file);
@@ -226,7 +266,8 @@
     /** Work by class, drawn; freshness is the pooler's to ask for by class and position. */
     private Database.Orders orders() {
         return new Database.Orders() {
-            @Override public double workUs(Statement s) {
+            @Override
+            public double workUs(Statement s) {
                 for (Plan.Kind k : Plan.KINDS) {
                     if (k.c().name().equals(s.requestClass())) {
                         return k.leastUs() + chance.nextDouble() * (k.mostUs() - k.leastUs());
@@ -235,7 +276,8 @@
                 throw new IllegalArgumentException("no class " + s.requestClass());
             }
 
-            @Override public long needUs(Statement s, long nowUs) {
+            @Override
+            public long needUs(Statement s, long nowUs) {
                 Router.RequestClass c = classes.get(s.requestClass());
                 return s.write() ? 0 : c.boundUs() > 0 ? nowUs - c.boundUs() : s.afterMs() * 1000;
             }
@@ -373,7 +415,9 @@
 
     /** How long the slowest start after the first took until it was in, or has taken by now. */
     long slowestStartUs() {
-        return poolers.stream().filter(p -> p.startedUs > 0).mapToLong(p -> kernel.now() - p.startedUs)
+        return poolers.stream()
+                .filter(p -> p.startedUs > 0)
+                .mapToLong(p -> kernel.now() - p.startedUs)
                 .reduce(slowestStartUs, Math::max);
     }
 
@@ -468,8 +512,7 @@
     }
 
     /** System calls of a pooler's processes fail from now on for so long, so often at most. */
-    void strike(int pooler, SystemFaults.Call call, SystemFaults.Error error, long forUs, long times,
-            long spanUs) {
+    void strike(int pooler, SystemFaults.Call call, SystemFaults.Error error, long forUs, long times, long spanUs) {
         tell("p" + pooler + ": " + call + " meets " + error + " for " + forUs / 1000 + " ms"
                 + (times == SystemFaults.ALWAYS ? "" : ", " + times + " times"));
         poolers.get(pooler).process.faults().strike(call, error, forUs, times, spanUs);
@@ -492,8 +535,7 @@
 
     /** {@code in}: what the pooler hears, {@code out}: what it says. */
     void cut(int pooler, Side side, boolean in, boolean out) {
-        tell("p" + pooler + " to " + side + ": in " + (in ? "cut" : "open") + ", out "
-                + (out ? "cut" : "open"));
+        tell("p" + pooler + " to " + side + ": in " + (in ? "cut" : "open") + ", out " + (out ? "cut" : "open"));
         boolean near = side != Side.CLIENTS;
         links(pooler, side).forEach(l -> l.cut(near ? out : in, near ? in : out));
     }
@@ -510,8 +552,8 @@
 
     /** So many bytes a second on each connection, 0 for no bound. */
     void slow(int pooler, Side side, long bytesPerS) {
-        tell("p" + pooler + " to " + side + ": " + (bytesPerS == 0 ? "as fast as it goes"
-                : bytesPerS + " bytes a second"));
+        tell("p" + pooler + " to " + side + ": "
+                + (bytesPerS == 0 ? "as fast as it goes" : bytesPerS + " bytes a second"));
         links(pooler, side).forEach(l -> l.slow(bytesPerS));
     }
 
@@ -529,8 +571,8 @@
 
     /** So many bytes a second on each connection between the two sides, 0 for no bound. */
     void slowPeers(List<Integer> from, List<Integer> to, long bytesPerS) {
-        tell("between " + from + " and " + to + ": " + (bytesPerS == 0 ? "as fast as it goes"
-                : bytesPerS + " bytes a second"));
+        tell("between " + from + " and " + to + ": "
+                + (bytesPerS == 0 ? "as fast as it goes" : bytesPerS + " bytes a second"));
         from.forEach(f -> to.forEach(t -> peers.slow(f, t, bytesPerS)));
     }
 
@@ -573,7 +615,9 @@
 
     /** Processes that ended though nobody ended them. */
     List<String> crashed() {
-        return poolers.stream().filter(p -> p.wanted && !p.process.alive()).map(p -> p.process.name())
+        return poolers.stream()
+                .filter(p -> p.wanted && !p.process.alive())
+                .map(p -> p.process.name())
                 .toList();
     }
 
--- a/lab/src/main/java/frostreel/lab/processes/Link.java
+++ b/lab/src/main/java/frostreel/lab/processes/Link.java
@@ -40,6 +40,7 @@
     private final Supplier<Tap> taps;
     /** Null where connections are handed in by {@link #carry}. */
     private final Port port;
+
     private final Set<Pipe> pipes = new HashSet<>();
     private boolean forthCut;
     private boolean backCut;
@@ -50,8 +51,8 @@
      * {@code near}: where it listens, port 0 for a free one, or null where another listens for it;
      * {@code far}: where it goes on to.
      */
-    Link(Loop loop, InetSocketAddress near, Supplier<InetSocketAddress> far, boolean poolerIsNear,
-            Supplier<Tap> taps) throws IOException {
+    Link(Loop loop, InetSocketAddress near, Supplier<InetSocketAddress> far, boolean poolerIsNear, Supplier<Tap> taps)
+            throws IOException {
         this.loop = loop;
         this.poolerIsNear = poolerIsNear;
         this.far = far;
@@ -172,11 +173,13 @@
         Pipe(StreamConnection connection) {
             pipes.add(this);
             nearEnd = new Stream(loop, connection, new Stream.Handler() {
-                @Override public void received(ByteBuffer in) {
+                @Override
+                public void received(ByteBuffer in) {
                     forth.add(read(in, poolerIsNear));
                 }
 
-                @Override public void ended() {
+                @Override
+                public void ended() {
                     nearEnded = true;
                     if (poolerIsNear) {
                         told(true);
@@ -193,36 +196,42 @@
             if (forthCut || backCut) {
                 return;
             }
-            IoFuture<StreamConnection> to = loop.thread().openStreamConnection(far.get(), null,
-                    OptionMap.create(Options.TCP_NODELAY, true));
-            to.addNotifier(new IoFuture.HandlingNotifier<StreamConnection, Void>() {
-                @Override public void handleDone(StreamConnection connection, Void none) {
-                    farEnd = new Stream(loop, connection, new Stream.Handler() {
-                        @Override public void received(ByteBuffer in) {
-                            back.add(read(in, !poolerIsNear));
+            IoFuture<StreamConnection> to =
+                    loop.thread().openStreamConnection(far.get(), null, OptionMap.create(Options.TCP_NODELAY, true));
+            to.addNotifier(
+                    new IoFuture.HandlingNotifier<StreamConnection, Void>() {
+                        @Override
+                        public void handleDone(StreamConnection connection, Void none) {
+                            farEnd = new Stream(loop, connection, new Stream.Handler() {
+                                @Override
+                                public void received(ByteBuffer in) {
+                                    back.add(read(in, !poolerIsNear));
+                                }
+
+                                @Override
+                                public void ended() {
+                                    farEnded = true;
+                                    if (!poolerIsNear) {
+                                        told(true);
+                                    }
+                                    settle();
+                                }
+                            });
+                            if (closed) {
+                                farEnd.close();
+                            } else {
+                                farEnd.resumeReads();
+                                forth.move();
+                            }
                         }
 
-                        @Override public void ended() {
+                        @Override
+                        public void handleFailed(IOException e, Void none) {
                             farEnded = true;
-                            if (!poolerIsNear) {
-                                told(true);
-                            }
                             settle();
                         }
-                    });
-                    if (closed) {
-                        farEnd.close();
-                    } else {
-                        farEnd.resumeReads();
-                        forth.move();
-                    }
-                }
-
-                @Override public void handleFailed(IOException e, Void none) {
-                    farEnded = true;
-                    settle();
-                }
-            }, null);
+                    },
+                    null);
         }
 
         private void deliver(boolean onward, byte[] bytes) {
@@ -252,8 +261,7 @@
 
         /** An end goes through once what was sent before it has, and not through a cut. */
         private void settle() {
-            if (nearEnded && !forthCut && forth.queue.isEmpty()
-                    || farEnded && !backCut && back.queue.isEmpty()) {
+            if (nearEnded && !forthCut && forth.queue.isEmpty() || farEnded && !backCut && back.queue.isEmpty()) {
                 close();
             }
         }
--- a/lab/src/main/java/frostreel/lab/processes/ListTap.java
+++ b/lab/src/main/java/frostreel/lab/processes/ListTap.java
@@ -11,8 +11,7 @@
 
 /** Tells what the list has come to say to a pooler, from the stand-in's responses as they reach it. */
 final class ListTap implements Link.Tap {
-    private static final Pattern HEAD = Pattern.compile("(?s)^HTTP/1\\.1 200 OK.*?Content-Length: (\\d+)"
-            + "\r\n\r\n");
+    private static final Pattern HEAD = Pattern.compile("(?s)^HTTP/1\\.1 200 OK.*?Content-Length: (\\d+)" + "\r\n\r\n");
     private final Clock clock;
     private final int pooler;
     private final Witness witness;
@@ -25,7 +24,8 @@
         this.witness = witness;
     }
 
-    @Override public void hears(byte[] bytes) {
+    @Override
+    public void hears(byte[] bytes) {
         text.append(new String(bytes, StandardCharsets.ISO_8859_1));
         for (Matcher head = HEAD.matcher(text); head.find(); head = HEAD.matcher(text)) {
             int end = head.end() + Integer.parseInt(head.group(1));
@@ -35,11 +35,15 @@
             JSONArray hosts = new JSONObject(text.substring(head.end(), end)).getJSONArray("hosts");
             for (Object each : hosts) {
                 JSONObject host = (JSONObject) each;
-                witness.told(clock.now(), pooler, host.getString("host"), switch (host.getString("health")) {
-                    case "Ready" -> State.UP;
-                    case "Terminating" -> State.DRAINING;
-                    default -> State.GONE;
-                });
+                witness.told(
+                        clock.now(),
+                        pooler,
+                        host.getString("host"),
+                        switch (host.getString("health")) {
+                            case "Ready" -> State.UP;
+                            case "Terminating" -> State.DRAINING;
+                            default -> State.GONE;
+                        });
             }
             text.delete(0, end);
         }
