--- a/lab/src/main/java/frostreel/lab/processes/Load.java
+++ b/lab/src/main/java/frostreel/lab/processes/Load.java
@@ -38,6 +38,7 @@
     private static final long LEAST_ADVICE_US = 50_000;
     /** Beyond its deadline a client waits so long for an answer that earns nothing. */
     private static final long GIVE_UP_US = 500_000;
+
     private static final Pattern DETAIL = Pattern.compile("\0D(\\d+)\0");
 
     /** What became of the requests asked in one second. */
@@ -58,6 +59,7 @@
     private final long[] lastWriteMs = new long[SESSIONS];
     /** Times of the answers that were served, in microseconds. */
     final Histogram served = new Histogram(60_000_000L, 3);
+
     long asked;
     long refused;
     long failed;
@@ -70,10 +72,12 @@
     long foreign;
     /** Requests that crossed the end of a connection, and came again on a new one. */
     long atTheDoor;
+
     private long beganUs;
     private long ids;
     /** Requests asked and not ended, those that come again later among them. */
     private int open;
+
     private Runnable allEnded;
 
     /** A pooler as clients reach it; in once it has answered an empty query since its start. */
@@ -81,7 +85,7 @@
         final int number;
         final InetSocketAddress at;
         final ArrayDeque<Client> idle = new ArrayDeque<>();
-        Consumer<Door> whenIn = door -> { };
+        Consumer<Door> whenIn = door -> {};
         boolean in;
         boolean asking;
 
@@ -120,8 +124,14 @@
         }
     }
 
-    Load(Loop loop, SplittableRandom chance, List<InetSocketAddress> poolers, int groups, double perSecond,
-            boolean retry, int durationS) {
+    Load(
+            Loop loop,
+            SplittableRandom chance,
+            List<InetSocketAddress> poolers,
+            int groups,
+            double perSecond,
+            boolean retry,
+            int durationS) {
         this.loop = loop;
         this.chance = chance;
         this.groups = groups;
@@ -231,8 +241,12 @@
         Router.RequestClass c = Plan.KINDS.get(r.cls).c();
         r.id = Long.toString(++ids, 36);
         String key = "s" + r.session;
-        StringBuilder names = new StringBuilder(" /* id=").append(r.id).append(",c=").append(c.name())
-                .append(",d=").append(c.deadlineUs() / 1000);
+        StringBuilder names = new StringBuilder(" /* id=")
+                .append(r.id)
+                .append(",c=")
+                .append(c.name())
+                .append(",d=")
+                .append(c.deadlineUs() / 1000);
         if (c.repeat() == Router.Repeat.KEYED) {
             names.append(",k=").append(r.id);
         }
@@ -242,8 +256,9 @@
         }
         names.append(" */\0");
         return (c.access() == Router.Access.WRITE
-                ? "INSERT INTO records (k, v) VALUES ('" + key + "', '\\x00') RETURNING v"
-                : "SELECT v FROM records WHERE k = '" + key + "'") + names;
+                        ? "INSERT INTO records (k, v) VALUES ('" + key + "', '\\x00') RETURNING v"
+                        : "SELECT v FROM records WHERE k = '" + key + "'")
+                + names;
     }
 
     /** One connection of a client, with at most one query on it. */
@@ -268,8 +283,7 @@
         void send(Request r) {
             request = r;
             empty = r == null;
-            byte[] query = Messages.query((r == null ? "\0" : statement(r)).getBytes(
-                    StandardCharsets.US_ASCII));
+            byte[] query = Messages.query((r == null ? "\0" : statement(r)).getBytes(StandardCharsets.US_ASCII));
             if (r != null) {
                 loop.deadlines().after(Plan.KINDS.get(r.cls).c().deadlineUs() + GIVE_UP_US, () -> {
                     if (request == r) {
@@ -281,23 +295,28 @@
                 stream.write(query);
                 return;
             }
-            IoFuture<StreamConnection> to = loop.thread().openStreamConnection(door.at, null,
-                    OptionMap.create(Options.TCP_NODELAY, true));
-            to.addNotifier(new IoFuture.HandlingNotifier<StreamConnection, Void>() {
-                @Override public void handleDone(StreamConnection connection, Void none) {
-                    stream = new Stream(loop, connection, Client.this);
-                    stream.write(Messages.startup());
-                    stream.write(query);
-                    stream.resumeReads();
-                }
-
-                @Override public void handleFailed(IOException e, Void none) {
-                    ended();
-                }
-            }, null);
+            IoFuture<StreamConnection> to =
+                    loop.thread().openStreamConnection(door.at, null, OptionMap.create(Options.TCP_NODELAY, true));
+            to.addNotifier(
+                    new IoFuture.HandlingNotifier<StreamConnection, Void>() {
+                        @Override
+                        public void handleDone(StreamConnection connection, Void none) {
+                            stream = new Stream(loop, connection, Client.this);
+                            stream.write(Messages.startup());
+                            stream.write(query);
+                            stream.resumeReads();
+                        }
+
+                        @Override
+                        public void handleFailed(IOException e, Void none) {
+                            ended();
+                        }
+                    },
+                    null);
         }
 
-        @Override public void received(ByteBuffer in) {
+        @Override
+        public void received(ByteBuffer in) {
             reader.feed(in);
             try {
                 while (!over && reader.next()) {
@@ -306,7 +325,7 @@
                         case 'E' -> error = reader.body();
                         case 'I' -> emptyAnswer = true;
                         case 'Z' -> ready();
-                        default -> { }
+                        default -> {}
                     }
                 }
             } catch (PgException e) {
@@ -366,7 +385,8 @@
         }
 
         /** An idle one may end between requests; what crossed that is sent once more on a new connection. */
-        @Override public void ended() {
+        @Override
+        public void ended() {
             over = true;
             door.idle.remove(this);
             Request r = request;
--- a/lab/src/main/java/frostreel/lab/processes/PeerLinks.java
+++ b/lab/src/main/java/frostreel/lab/processes/PeerLinks.java
@@ -31,7 +31,8 @@
             }
             int called = to;
             ports.add(new Port(loop, new InetSocketAddress(far.getAddress(), 0), c -> {
-                int from = numberOf(binds, c.getPeerAddress(InetSocketAddress.class).getAddress());
+                int from = numberOf(
+                        binds, c.getPeerAddress(InetSocketAddress.class).getAddress());
                 links[from][called].carry(c);
             }));
         }
--- a/lab/src/main/java/frostreel/lab/processes/PlatformConfig.java
+++ b/lab/src/main/java/frostreel/lab/processes/PlatformConfig.java
@@ -14,18 +14,27 @@
         JSONArray freshness = new JSONArray();
         JSONArray bounds = new JSONArray();
         for (Router.RequestClass c : s.classes()) {
-            classes.put(new JSONObject().put("name", c.name()).put("deadlineS", seconds(c.deadlineUs()))
-                    .put("onTimeS", seconds(c.aimUs())).put("worth", c.worth())
-                    .put("lateWorth", c.lateWorth()).put("repeatWindowS", seconds(c.windowUs()))
-                    .put("repeat", switch (c.repeat()) {
-                        case SAFE -> "retryable";
-                        case KEYED -> "dedup";
-                        case UNSAFE -> "fragile";
-                    }).put("group", switch (c.scope()) {
-                        case ALL -> "all";
-                        case ZONE -> "zone";
-                        case GROUP -> "cell";
-                    }));
+            classes.put(new JSONObject()
+                    .put("name", c.name())
+                    .put("deadlineS", seconds(c.deadlineUs()))
+                    .put("onTimeS", seconds(c.aimUs()))
+                    .put("worth", c.worth())
+                    .put("lateWorth", c.lateWorth())
+                    .put("repeatWindowS", seconds(c.windowUs()))
+                    .put(
+                            "repeat",
+                            switch (c.repeat()) {
+                                case SAFE -> "retryable";
+                                case KEYED -> "dedup";
+                                case UNSAFE -> "fragile";
+                            })
+                    .put(
+                            "group",
+                            switch (c.scope()) {
+                                case ALL -> "all";
+                                case ZONE -> "zone";
+                                case GROUP -> "cell";
+                            }));
             freshness.put(c.access().name().toLowerCase(Locale.ROOT));
             bounds.put(seconds(c.boundUs()));
         }
@@ -35,28 +44,49 @@
         for (int z = 0; z < zones; z++) {
             names.put("z" + z);
         }
-        JSONObject settings = new JSONObject().put("zones", names).put("zone", s.zone())
-                .put("machineTypes", new JSONArray().put("m")).put("instances", s.instances())
-                .put("roundS", seconds(s.tickUs())).put("classes", classes)
-                .put("caps", new JSONObject().put("maxAttempts", limits.maxAttempts())
-                        .put("probes", limits.probes() != Router.Probes.NONE).put("cancel", limits.cancel())
-                        .put("retryAfter", limits.retryAdvice())
-                        .put("maxRetryAfterS", seconds(limits.maxAdviceUs()))
-                        .put("connectTimeoutS", seconds(limits.connectTimeoutUs()))
-                        .put("idleCloseS", seconds(limits.idleCloseUs()))
-                        .put("streamsPerConn", limits.perLink()))
-                .put("rules", new JSONObject().put("answerSlackS", seconds(rules.answerSlackUs()))
-                        .put("stopSendingWithinS", seconds(rules.stopSendingUs()))
-                        .put("onlyDrainingBinds", rules.onlyDrainingBinds())
-                        .put("coldFrom", rules.coldFrom()).put("warmAfterS", seconds(rules.warmAfterUs()))
-                        .put("fallMultiple", rules.fallMultiple()).put("fallS", seconds(rules.fallUs())))
-                .put("familyInfo", new JSONObject().put("freshness", freshness).put("lagAllowedS", bounds)
-                        .put("holdsForS", seconds(limits.holdsForUs())).put("positions", s.positions())
-                        .put("serverChecks", s.checks().name().toLowerCase(Locale.ROOT))
-                        .put("listRole", s.listRole().name().toLowerCase(Locale.ROOT))
-                        .put("writeMarks", s.marks().name().toLowerCase(Locale.ROOT)));
-        return new JSONObject().put("seed", Long.toHexString(s.seed())).put("known", known)
-                .put("limits", new JSONObject().put("sockets", sockets)).put("settings", settings);
+        JSONObject settings = new JSONObject()
+                .put("zones", names)
+                .put("zone", s.zone())
+                .put("machineTypes", new JSONArray().put("m"))
+                .put("instances", s.instances())
+                .put("roundS", seconds(s.tickUs()))
+                .put("classes", classes)
+                .put(
+                        "caps",
+                        new JSONObject()
+                                .put("maxAttempts", limits.maxAttempts())
+                                .put("probes", limits.probes() != Router.Probes.NONE)
+                                .put("cancel", limits.cancel())
+                                .put("retryAfter", limits.retryAdvice())
+                                .put("maxRetryAfterS", seconds(limits.maxAdviceUs()))
+                                .put("connectTimeoutS", seconds(limits.connectTimeoutUs()))
+                                .put("idleCloseS", seconds(limits.idleCloseUs()))
+                                .put("streamsPerConn", limits.perLink()))
+                .put(
+                        "rules",
+                        new JSONObject()
+                                .put("answerSlackS", seconds(rules.answerSlackUs()))
+                                .put("stopSendingWithinS", seconds(rules.stopSendingUs()))
+                                .put("onlyDrainingBinds", rules.onlyDrainingBinds())
+                                .put("coldFrom", rules.coldFrom())
+                                .put("warmAfterS", seconds(rules.warmAfterUs()))
+                                .put("fallMultiple", rules.fallMultiple())
+                                .put("fallS", seconds(rules.fallUs())))
+                .put(
+                        "familyInfo",
+                        new JSONObject()
+                                .put("freshness", freshness)
+                                .put("lagAllowedS", bounds)
+                                .put("holdsForS", seconds(limits.holdsForUs()))
+                                .put("positions", s.positions())
+                                .put("serverChecks", s.checks().name().toLowerCase(Locale.ROOT))
+                                .put("listRole", s.listRole().name().toLowerCase(Locale.ROOT))
+                                .put("writeMarks", s.marks().name().toLowerCase(Locale.ROOT)));
+        return new JSONObject()
+                .put("seed", Long.toHexString(s.seed()))
+                .put("known", known)
+                .put("limits", new JSONObject().put("sockets", sockets))
+                .put("settings", settings);
     }
 
     private static double seconds(long us) {
--- a/lab/src/main/java/frostreel/lab/processes/PoolerProcess.java
+++ b/lab/src/main/java/frostreel/lab/processes/PoolerProcess.java
@@ -18,8 +18,12 @@
 
 /** A process of the built program, under one name and address over all its lives. */
 final class PoolerProcess {
-    private static final List<String> JAVA = List.of("-Djava.net.preferIPv4Stack=true", "-Xmx64m",
-            "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-XX:-UsePerfData");
+    private static final List<String> JAVA = List.of(
+            "-Djava.net.preferIPv4Stack=true",
+            "-Xmx64m",
+            "-XX:+UseSerialGC",
+            "-XX:TieredStopAtLevel=1",
+            "-XX:-UsePerfData");
     private static final int PAGE_MS = 20_000;
     private static final String HOST_NAME = "HOSTNAME";
     final int number;
@@ -30,6 +34,7 @@
     private final SharedSocket shared;
     /** Null where none of its system calls is to fail. */
     private SystemFaults faults;
+
     private ProcessHandle process;
     private ProcessHandle before;
     private int lives;
@@ -115,21 +120,26 @@
             command.addAll(List.of("--settings", settings.toString()));
         }
         Path log = folder.resolve(name() + "-" + ++lives + ".log");
-        Map<String, String> environment = new TreeMap<>(Map.of("GW_CONFIG", file.toString(), "GW_NAME",
-                name(), "GW_LISTEN", text(listen), "GW_DISCOVERY", discovery));
+        Map<String, String> environment = new TreeMap<>(Map.of(
+                "GW_CONFIG", file.toString(), "GW_NAME", name(), "GW_LISTEN", text(listen), "GW_DISCOVERY", discovery));
         if (faults != null) {
             environment.putAll(faults.environment());
         }
         if (shared != null) {
             control = free(listen.getAddress());
             Files.createDirectories(temporary());
-            environment.putAll(Map.of("GW_CONTROL", text(control), "GW_FD", "0", "TMPDIR",
+            environment.putAll(Map.of(
+                    "GW_CONTROL",
+                    text(control),
+                    "GW_FD",
+                    "0",
+                    "TMPDIR",
                     temporary().toString()));
             process = shared.start(command, environment, log);
             return;
         }
-        ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true)
-                .redirectOutput(log.toFile());
+        ProcessBuilder builder =
+                new ProcessBuilder(command).redirectErrorStream(true).redirectOutput(log.toFile());
         builder.environment().remove(HOST_NAME); // A platform's environment has none, as a rule.
         builder.environment().putAll(environment);
         process = builder.start().toHandle();
@@ -157,8 +167,7 @@
             DataInputStream in = new DataInputStream(staff.getInputStream());
             staff.getOutputStream().write(Messages.startup());
             answer(in);
-            staff.getOutputStream().write(Messages.query(("SHOW " + page + "\0").getBytes(
-                    StandardCharsets.US_ASCII)));
+            staff.getOutputStream().write(Messages.query(("SHOW " + page + "\0").getBytes(StandardCharsets.US_ASCII)));
             return answer(in);
         }
     }
--- a/lab/src/main/java/frostreel/lab/processes/ProcessExperiment.java
+++ b/lab/src/main/java/frostreel/lab/processes/ProcessExperiment.java
@@ -20,6 +20,7 @@
 
     /** As the operators' file has it. */
     private static final long LEAST_SILENT_MS = 500;
+
     private static final long MOST_SILENT_MS = 60_000;
     private static final URL SCHEMA = ProcessExperiment.class.getResource("processes.xsd");
     private final String file;
@@ -41,8 +42,7 @@
         fleet = root.child("fleet");
         clients = root.child("clients");
         if (silentAfterMs() > 0 && (silentAfterMs() < LEAST_SILENT_MS || silentAfterMs() > MOST_SILENT_MS)) {
-            wrong.add(fleet.fault(file, "silentAfterMs", "is 0, or " + LEAST_SILENT_MS + " to "
-                    + MOST_SILENT_MS));
+            wrong.add(fleet.fault(file, "silentAfterMs", "is 0, or " + LEAST_SILENT_MS + " to " + MOST_SILENT_MS));
         }
         root.child("faults").children().forEach(f -> fault(f, wrong));
         root.child("checks").children().forEach(c -> check(c, wrong));
@@ -76,8 +76,8 @@
             wrong.add(e.fault(file, "untilS", "is not after atS"));
         }
         if (e.name().equals("random")) {
-            faults.add(f -> new RandomFaults(f, f.seed(), poolers(), servers(), e.seconds("lengthS")).set(
-                    (int) e.whole("count"), atUs, untilUs));
+            faults.add(f -> new RandomFaults(f, f.seed(), poolers(), servers(), e.seconds("lengthS"))
+                    .set((int) e.whole("count"), atUs, untilUs));
             return;
         }
         if (e.has("from")) {
@@ -93,8 +93,8 @@
             wrong.add(e.fault(file, null, "the poolers of this fleet are not operated"));
         }
         switch (e.name()) {
-            case "upgrade" -> faults.add(f -> f.at(atUs, () -> f.upgrade(pooler, e.has("diesAfterMs")
-                    ? e.ms("diesAfterMs") : 0)));
+            case "upgrade" ->
+                faults.add(f -> f.at(atUs, () -> f.upgrade(pooler, e.has("diesAfterMs") ? e.ms("diesAfterMs") : 0)));
             case "call" -> {
                 boolean named = e.has("on");
                 int server = named ? numbered(e, "on", servers(), wrong) : -1;
@@ -104,8 +104,8 @@
                 faults.add(f -> f.at(atUs, () -> f.call(pooler, e.text("line"), server)));
             }
             case "system" -> systemFault(e, pooler, atUs, untilUs);
-            case "kill" -> faults.add(f -> f.at(atUs, () -> f.kill(pooler, e.seconds("awayS"), () -> { })));
-            case "stop" -> faults.add(f -> f.at(atUs, () -> f.stop(pooler, e.seconds("awayS"), () -> { })));
+            case "kill" -> faults.add(f -> f.at(atUs, () -> f.kill(pooler, e.seconds("awayS"), () -> {})));
+            case "stop" -> faults.add(f -> f.at(atUs, () -> f.stop(pooler, e.seconds("awayS"), () -> {})));
             case "pause" -> between(atUs, untilUs, f -> f.pause(pooler, true), f -> f.pause(pooler, false));
             default -> linkFault(e, pooler, atUs, untilUs);
         }
@@ -133,8 +133,7 @@
             case "cut" -> {
                 boolean in = !e.text("way").equals("out");
                 boolean out = !e.text("way").equals("in");
-                between(atUs, untilUs, f -> f.cut(pooler, side, in, out),
-                        f -> f.cut(pooler, side, false, false));
+                between(atUs, untilUs, f -> f.cut(pooler, side, in, out), f -> f.cut(pooler, side, false, false));
             }
             case "delay" -> {
                 long us = e.ms("ms");
@@ -160,13 +159,12 @@
         switch (e.name()) {
             case "cutPeers" -> {
                 boolean both = e.text("way").equals("both");
-                between(atUs, untilUs, f -> cutPeers(f, from, to, both, true),
-                        f -> cutPeers(f, from, to, both, false));
+                between(atUs, untilUs, f -> cutPeers(f, from, to, both, true), f -> cutPeers(f, from, to, both, false));
             }
-            case "delayPeers" -> between(atUs, untilUs, f -> f.delayPeers(from, to, e.ms("ms")),
-                    f -> f.delayPeers(from, to, 0));
-            default -> between(atUs, untilUs, f -> f.slowPeers(from, to, e.whole("bytesPerS")),
-                    f -> f.slowPeers(from, to, 0));
+            case "delayPeers" ->
+                between(atUs, untilUs, f -> f.delayPeers(from, to, e.ms("ms")), f -> f.delayPeers(from, to, 0));
+            default ->
+                between(atUs, untilUs, f -> f.slowPeers(from, to, e.whole("bytesPerS")), f -> f.slowPeers(from, to, 0));
         }
     }
 
@@ -178,7 +176,9 @@
     }
 
     private List<Integer> numbers(XmlElement e, String attribute, List<Fault> wrong) {
-        List<Integer> numbers = Arrays.stream(e.text(attribute).split("\\s+")).map(Integer::valueOf).toList();
+        List<Integer> numbers = Arrays.stream(e.text(attribute).split("\\s+"))
+                .map(Integer::valueOf)
+                .toList();
         if (numbers.stream().anyMatch(n -> n >= poolers())) {
             wrong.add(e.fault(file, attribute, "there are poolers 0 to " + (poolers() - 1)));
         }
@@ -264,8 +264,15 @@
     /** Its load is in requests a second; there are as many poolers a zone as go round. */
     Plan plan(long withSeed) {
         int zones = (int) fleet.whole("zones");
-        return new Plan(withSeed, zones, (poolers() + zones - 1) / zones, (int) fleet.whole("groups"),
-                (int) fleet.whole("cores"), clients.number("perSecond"), fleet.seconds("listLagS"),
-                durationS * 1_000_000L, clients.flag("retry"));
+        return new Plan(
+                withSeed,
+                zones,
+                (poolers() + zones - 1) / zones,
+                (int) fleet.whole("groups"),
+                (int) fleet.whole("cores"),
+                clients.number("perSecond"),
+                fleet.seconds("listLagS"),
+                durationS * 1_000_000L,
+                clients.flag("retry"));
     }
 }
--- a/lab/src/main/java/frostreel/lab/processes/RandomFaults.java
+++ b/lab/src/main/java/frostreel/lab/processes/RandomFaults.java
@@ -28,27 +28,32 @@
             int server = chance.nextInt(servers);
             Fleet.Side side = List.of(Fleet.Side.values()).get(chance.nextInt(Fleet.Side.values().length));
             switch (chance.nextInt(9)) {
-                case 0 -> fleet.at(atUs, () -> fleet.kill(pooler, endUs - atUs, () -> { }));
-                case 1 -> fleet.at(atUs, () -> fleet.stop(pooler, endUs - atUs, () -> { }));
-                case 2 -> between(atUs, endUs, () -> fleet.pause(pooler, true),
-                        () -> fleet.pause(pooler, false));
+                case 0 -> fleet.at(atUs, () -> fleet.kill(pooler, endUs - atUs, () -> {}));
+                case 1 -> fleet.at(atUs, () -> fleet.stop(pooler, endUs - atUs, () -> {}));
+                case 2 -> between(atUs, endUs, () -> fleet.pause(pooler, true), () -> fleet.pause(pooler, false));
                 case 3 -> cut(atUs, endUs, pooler, side);
-                case 4 -> between(atUs, endUs, () -> fleet.delay(pooler, side, 20_000),
-                        () -> fleet.delay(pooler, side, 0));
-                case 5 -> between(atUs, endUs, () -> fleet.slow(pooler, side, 20_000),
-                        () -> fleet.slow(pooler, side, 0));
+                case 4 ->
+                    between(atUs, endUs, () -> fleet.delay(pooler, side, 20_000), () -> fleet.delay(pooler, side, 0));
+                case 5 ->
+                    between(atUs, endUs, () -> fleet.slow(pooler, side, 20_000), () -> fleet.slow(pooler, side, 0));
                 case 6 -> fleet.at(atUs, () -> fleet.reset(pooler, side));
-                case 7 -> between(atUs, endUs, () -> fleet.cluster().crash(fleet.server(server)),
-                        () -> fleet.cluster().start(fleet.server(server)));
-                default -> between(atUs, endUs, () -> fleet.cluster().drain(fleet.server(server)),
-                        () -> { });
+                case 7 ->
+                    between(
+                            atUs,
+                            endUs,
+                            () -> fleet.cluster().crash(fleet.server(server)),
+                            () -> fleet.cluster().start(fleet.server(server)));
+                default -> between(atUs, endUs, () -> fleet.cluster().drain(fleet.server(server)), () -> {});
             }
         }
     }
 
     private void cut(long atUs, long endUs, int pooler, Fleet.Side side) {
         int way = chance.nextInt(3);
-        between(atUs, endUs, () -> fleet.cut(pooler, side, way != 1, way != 2),
+        between(
+                atUs,
+                endUs,
+                () -> fleet.cut(pooler, side, way != 1, way != 2),
                 () -> fleet.cut(pooler, side, false, false));
     }
 
--- a/lab/src/main/java/frostreel/lab/processes/SharedSocket.java
+++ b/lab/src/main/java/frostreel/lab/processes/SharedSocket.java
@@ -29,13 +29,15 @@
                 print "$pid\\n";
             }
             """;
+
     private final Process holder;
     private final PrintStream commands;
     private final BufferedReader answers;
     private final InetSocketAddress address;
 
     SharedSocket(String host) throws IOException {
-        holder = new ProcessBuilder("perl", "-e", HOLDER, host).redirectError(ProcessBuilder.Redirect.INHERIT)
+        holder = new ProcessBuilder("perl", "-e", HOLDER, host)
+                .redirectError(ProcessBuilder.Redirect.INHERIT)
                 .start();
         commands = new PrintStream(holder.getOutputStream(), true, StandardCharsets.UTF_8);
         answers = new BufferedReader(new InputStreamReader(holder.getInputStream(), StandardCharsets.UTF_8));
@@ -57,8 +59,8 @@
     /** Starts a process that has the socket as descriptor 0; no word may hold a quote or a line's end. */
     ProcessHandle start(List<String> command, Map<String, String> environment, Path log) throws IOException {
         StringBuilder line = new StringBuilder("exec env -u HOSTNAME");
-        environment.forEach((name, value) -> line.append(" '").append(name).append('=').append(value)
-                .append('\''));
+        environment.forEach((name, value) ->
+                line.append(" '").append(name).append('=').append(value).append('\''));
         command.forEach(word -> line.append(" '").append(word).append('\''));
         commands.println(line + " >'" + log + "' 2>&1");
         long pid = number();
--- a/lab/src/main/java/frostreel/lab/processes/StaffCall.java
+++ b/lab/src/main/java/frostreel/lab/processes/StaffCall.java
@@ -24,25 +24,31 @@
     static void make(Loop loop, InetSocketAddress at, String line, Consumer<String> answer) {
         StaffCall call = new StaffCall(answer);
         IoFuture<StreamConnection> to = loop.thread().openStreamConnection(at, null, OptionMap.EMPTY);
-        to.addNotifier(new IoFuture.HandlingNotifier<StreamConnection, Void>() {
-            @Override public void handleDone(StreamConnection connection, Void none) {
-                Stream stream = new Stream(loop, connection, call);
-                stream.resumeReads();
-                stream.write((line + "\n").getBytes(StandardCharsets.US_ASCII));
-            }
+        to.addNotifier(
+                new IoFuture.HandlingNotifier<StreamConnection, Void>() {
+                    @Override
+                    public void handleDone(StreamConnection connection, Void none) {
+                        Stream stream = new Stream(loop, connection, call);
+                        stream.resumeReads();
+                        stream.write((line + "\n").getBytes(StandardCharsets.US_ASCII));
+                    }
 
-            @Override public void handleFailed(IOException e, Void none) {
-                call.ended();
-            }
-        }, null);
+                    @Override
+                    public void handleFailed(IOException e, Void none) {
+                        call.ended();
+                    }
+                },
+                null);
     }
 
-    @Override public void received(ByteBuffer in) {
+    @Override
+    public void received(ByteBuffer in) {
         heard.append(StandardCharsets.US_ASCII.decode(in));
     }
 
     /** The pooler ends the connection behind its answer. */
-    @Override public void ended() {
+    @Override
+    public void ended() {
         if (!over) {
             over = true;
             answer.accept(heard.toString().trim());
--- a/lab/src/main/java/frostreel/lab/processes/StatementTap.java
+++ b/lab/src/main/java/frostreel/lab/processes/StatementTap.java
@@ -27,12 +27,18 @@
     private Reply reply = Reply.toStartup();
     /** What is out, null for nothing or a probe; its first byte's time and its last's. */
     private Statement out;
+
     private boolean told;
     private long firstUs;
     private long lastUs;
 
-    StatementTap(Clock clock, int pooler, String server, Map<String, Router.RequestClass> classes,
-            Witness witness, SendOrder order) {
+    StatementTap(
+            Clock clock,
+            int pooler,
+            String server,
+            Map<String, Router.RequestClass> classes,
+            Witness witness,
+            SendOrder order) {
         this.order = order;
         this.clock = clock;
         this.pooler = pooler;
@@ -41,7 +47,8 @@
         this.witness = witness;
     }
 
-    @Override public void says(byte[] bytes) {
+    @Override
+    public void says(byte[] bytes) {
         firstUs = said.buffered() == 0 ? clock.now() : firstUs;
         said.feed(ByteBuffer.wrap(bytes));
         try {
@@ -76,7 +83,8 @@
         }
     }
 
-    @Override public void hears(byte[] bytes) {
+    @Override
+    public void hears(byte[] bytes) {
         tell();
         heard.feed(ByteBuffer.wrap(bytes));
         try {
@@ -99,15 +107,20 @@
         Router.RequestClass c = classes.get(s.requestClass());
         if (o == Outcome.OK && !s.write() && c != null) {
             long positionUs = result.role() == Router.Role.PRIMARY ? clock.now() : result.positionUs();
-            witness.read(clock.now(), s.id(), positionUs, switch (c.access()) {
-                case BOUNDED -> lastUs - c.boundUs();
-                case SESSION -> s.afterMs() * 1000;
-                default -> 0;
-            });
+            witness.read(
+                    clock.now(),
+                    s.id(),
+                    positionUs,
+                    switch (c.access()) {
+                        case BOUNDED -> lastUs - c.boundUs();
+                        case SESSION -> s.afterMs() * 1000;
+                        default -> 0;
+                    });
         }
     }
 
-    @Override public void ended(boolean byIt) {
+    @Override
+    public void ended(boolean byIt) {
         tell();
         if (out != null) {
             witness.ended(clock.now(), pooler, out.id(), byIt ? Outcome.TIMEOUT : Outcome.RESET, true);
--- a/lab/src/main/java/frostreel/lab/processes/SystemFaults.java
+++ b/lab/src/main/java/frostreel/lab/processes/SystemFaults.java
@@ -17,15 +17,36 @@
  */
 final class SystemFaults {
     /** What can fail; in the order of the library's own list. */
-    enum Call { ACCEPT, SOCKET, CONNECT, WAIT, RECEIVE, SEND, RESOLVE, FILES, LOG, WALL_CLOCK }
+    enum Call {
+        ACCEPT,
+        SOCKET,
+        CONNECT,
+        WAIT,
+        RECEIVE,
+        SEND,
+        RESOLVE,
+        FILES,
+        LOG,
+        WALL_CLOCK
+    }
 
     /** How it fails, by the numbers that Linux has on all its 64-bit machines in use. */
     enum Error {
         /** The call goes well, though late, or with another result. */
         NONE(0),
         /** Of a read or write: only one byte goes. */
-        SHORT(-1), EINTR(4), EIO(5), ENFILE(23), EMFILE(24), ENOSPC(28), EADDRNOTAVAIL(99), ENETUNREACH(101),
-        ECONNABORTED(103), ENOBUFS(105), ETIMEDOUT(110), EHOSTUNREACH(113);
+        SHORT(-1),
+        EINTR(4),
+        EIO(5),
+        ENFILE(23),
+        EMFILE(24),
+        ENOSPC(28),
+        EADDRNOTAVAIL(99),
+        ENETUNREACH(101),
+        ECONNABORTED(103),
+        ENOBUFS(105),
+        ETIMEDOUT(110),
+        EHOSTUNREACH(113);
 
         final int number;
 
@@ -36,6 +57,7 @@
 
     /** Strikes without a bound on how often. */
     static final long ALWAYS = -1;
+
     private static final String SOURCE = "system-faults.c";
     private static final String LIBRARY = "system-faults.so";
     private static final int FIELDS = 5;
@@ -48,8 +70,8 @@
         this.library = library;
         this.table = table;
         long bytes = (long) Call.values().length * FIELDS * Long.BYTES;
-        try (FileChannel all = FileChannel.open(table, StandardOpenOption.CREATE, StandardOpenOption.READ,
-                StandardOpenOption.WRITE)) {
+        try (FileChannel all =
+                FileChannel.open(table, StandardOpenOption.CREATE, StandardOpenOption.READ, StandardOpenOption.WRITE)) {
             mapped = all.map(FileChannel.MapMode.READ_WRITE, 0, bytes);
             mapped.order(ByteOrder.nativeOrder());
         }
@@ -62,8 +84,10 @@
             Files.write(source, in.readAllBytes());
         }
         Path library = folder.resolve(LIBRARY);
-        Process compiler = new ProcessBuilder("gcc", "-O1", "-shared", "-fPIC", "-o", library.toString(),
-                source.toString(), "-ldl").redirectErrorStream(true).start();
+        Process compiler = new ProcessBuilder(
+                        "gcc", "-O1", "-shared", "-fPIC", "-o", library.toString(), source.toString(), "-ldl")
+                .redirectErrorStream(true)
+                .start();
         String said = new String(compiler.getInputStream().readAllBytes());
         if (compiler.waitFor() != 0) {
             throw new IOException("gcc cannot compile " + SOURCE + ": " + said);
--- a/lab/src/main/java/frostreel/lab/processes/ViewWatch.java
+++ b/lab/src/main/java/frostreel/lab/processes/ViewWatch.java
@@ -61,8 +61,7 @@
     }
 
     private synchronized void note(int number, String names) {
-        rows.add(List.of(String.format(Locale.ROOT, "%.3f", (System.nanoTime() - beganNs) / 1e9),
-                "p" + number, names));
+        rows.add(List.of(String.format(Locale.ROOT, "%.3f", (System.nanoTime() - beganNs) / 1e9), "p" + number, names));
     }
 
     /** What each saw from when on, in the order of time; "-" while it does not answer. */
@@ -70,7 +69,8 @@
         return List.copyOf(rows);
     }
 
-    @Override public void close() {
+    @Override
+    public void close() {
         ended = true;
         threads.forEach(Thread::interrupt);
     }
--- a/lab/src/main/java/frostreel/lab/report/Charts.java
+++ b/lab/src/main/java/frostreel/lab/report/Charts.java
@@ -18,8 +18,7 @@
     private Charts() {}
 
     /** One line a name, one point a second. */
-    public static void bySecond(Path file, String title, String axis, Map<String, double[]> lines)
-            throws IOException {
+    public static void bySecond(Path file, String title, String axis, Map<String, double[]> lines) throws IOException {
         System.setProperty("java.awt.headless", "true");
         XYSeriesCollection data = new XYSeriesCollection();
         lines.forEach((name, values) -> {
@@ -29,9 +28,8 @@
             }
             data.addSeries(series);
         });
-        JFreeChart chart = ChartFactory.createXYLineChart(title, "second", axis, data,
-                PlotOrientation.VERTICAL,
-                true, false, false);
+        JFreeChart chart = ChartFactory.createXYLineChart(
+                title, "second", axis, data, PlotOrientation.VERTICAL, true, false, false);
         chart.getXYPlot().getRangeAxis().setRange(0, 1.02);
         ChartUtils.saveChartAsPNG(file.toFile(), chart, WIDTH, HEIGHT);
     }
--- a/lab/src/main/java/frostreel/lab/rules/RuleBook.java
+++ b/lab/src/main/java/frostreel/lab/rules/RuleBook.java
@@ -30,7 +30,8 @@
             this.slackUs = slackUs;
         }
 
-        @Override public void answered(long nowUs, int pooler, String id, Answer answer) {
+        @Override
+        public void answered(long nowUs, int pooler, String id, Answer answer) {
             Owed owed = open.remove(id);
             if (owed == null) {
                 if (!excused.remove(id)) {
@@ -41,13 +42,15 @@
             }
         }
 
-        @Override public void excused(long nowUs, String id) {
+        @Override
+        public void excused(long nowUs, String id) {
             if (open.remove(id) != null) {
                 excused.add(id);
             }
         }
 
-        @Override public void asked(long nowUs, int pooler, String id, RequestClass c, long deadlineUs) {
+        @Override
+        public void asked(long nowUs, int pooler, String id, RequestClass c, long deadlineUs) {
             excused.remove(id);
             open.put(id, new Owed(pooler, deadlineUs));
             if (paused.contains(pooler)) {
@@ -55,7 +58,8 @@
             }
         }
 
-        @Override public void paused(long nowUs, int pooler, boolean isPaused) {
+        @Override
+        public void paused(long nowUs, int pooler, boolean isPaused) {
             if (isPaused) {
                 paused.add(pooler);
                 excuse(nowUs, pooler);
@@ -65,12 +69,14 @@
         }
 
         /** It owes nothing more; what it had written before may still arrive. */
-        @Override public void died(long nowUs, int pooler) {
+        @Override
+        public void died(long nowUs, int pooler) {
             excuse(nowUs, pooler);
         }
 
         private void excuse(long nowUs, int pooler) {
-            List.copyOf(open.entrySet()).stream().filter(e -> e.getValue().pooler == pooler)
+            List.copyOf(open.entrySet()).stream()
+                    .filter(e -> e.getValue().pooler == pooler)
                     .forEach(e -> excused(nowUs, e.getKey()));
         }
 
@@ -94,7 +100,8 @@
             this.most = most;
         }
 
-        @Override public void sent(long nowUs, int pooler, String id, String server) {
+        @Override
+        public void sent(long nowUs, int pooler, String id, String server) {
             if (!out.add(id)) {
                 convict(nowUs, id + " was sent to " + server + " with an attempt in flight");
             }
@@ -103,11 +110,13 @@
             }
         }
 
-        @Override public void ended(long nowUs, int pooler, String id, Outcome outcome, boolean mayHaveRun) {
+        @Override
+        public void ended(long nowUs, int pooler, String id, Outcome outcome, boolean mayHaveRun) {
             out.remove(id);
         }
 
-        @Override public void answered(long nowUs, int pooler, String id, Answer answer) {
+        @Override
+        public void answered(long nowUs, int pooler, String id, Answer answer) {
             counts.remove(id);
         }
     }
@@ -122,31 +131,37 @@
             super("sent again only as the class permits");
         }
 
-        @Override public void asked(long nowUs, int pooler, String id, RequestClass c, long deadlineUs) {
+        @Override
+        public void asked(long nowUs, int pooler, String id, RequestClass c, long deadlineUs) {
             classes.put(id, c);
         }
 
-        @Override public void sent(long nowUs, int pooler, String id, String server) {
+        @Override
+        public void sent(long nowUs, int pooler, String id, String server) {
             Long since = doubted.get(id);
             RequestClass c = classes.get(id);
-            if (since != null && c != null && c.repeat() != Repeat.SAFE
+            if (since != null
+                    && c != null
+                    && c.repeat() != Repeat.SAFE
                     && (c.repeat() == Repeat.UNSAFE || nowUs > since + c.windowUs())) {
                 convict(nowUs, id + " may have run, and was sent again to " + server);
             }
             begun.put(id, nowUs);
         }
 
-        @Override public void ended(long nowUs, int pooler, String id, Outcome outcome, boolean mayHaveRun) {
+        @Override
+        public void ended(long nowUs, int pooler, String id, Outcome outcome, boolean mayHaveRun) {
             Long since = begun.remove(id);
             if (mayHaveRun && since != null) {
                 doubted.putIfAbsent(id, since);
             }
         }
 
-        @Override public void answered(long nowUs, int pooler, String id, Answer answer) {
+        @Override
+        public void answered(long nowUs, int pooler, String id, Answer answer) {
             RequestClass c = classes.remove(id);
-            boolean harmless = c == null || c.repeat() == Repeat.SAFE
-                    || c.repeat() == Repeat.KEYED && c.scope() == Scope.ALL;
+            boolean harmless =
+                    c == null || c.repeat() == Repeat.SAFE || c.repeat() == Repeat.KEYED && c.scope() == Scope.ALL;
             if (doubted.remove(id) != null && answer == Answer.REFUSED && !harmless) {
                 convict(nowUs, id + " may have run, and was refused");
             }
@@ -166,7 +181,8 @@
             this.withinUs = withinUs;
         }
 
-        @Override public void told(long nowUs, int pooler, String server, State state) {
+        @Override
+        public void told(long nowUs, int pooler, String server, State state) {
             Map<String, Long> own = toldUs.computeIfAbsent(pooler, p -> new HashMap<>());
             if (state == State.UP) {
                 own.remove(server);
@@ -175,11 +191,13 @@
             }
         }
 
-        @Override public void died(long nowUs, int pooler) {
+        @Override
+        public void died(long nowUs, int pooler) {
             toldUs.remove(pooler);
         }
 
-        @Override public void takenOut(long nowUs, int pooler, String server, boolean isOut) {
+        @Override
+        public void takenOut(long nowUs, int pooler, String server, boolean isOut) {
             if (isOut) {
                 outUs.putIfAbsent(pooler + " " + server, nowUs);
             } else {
@@ -187,12 +205,15 @@
             }
         }
 
-        @Override public void sent(long nowUs, int pooler, String id, String server) {
+        @Override
+        public void sent(long nowUs, int pooler, String id, String server) {
             Long out = outUs.get(pooler + " " + server);
             Long at = out != null ? out : toldUs.getOrDefault(pooler, Map.of()).get(server);
             if (at != null && nowUs > at + withinUs) {
-                convict(nowUs, id + " was sent to " + server + " by pooler " + pooler + " "
-                        + (nowUs - at) + " us after its end was told");
+                convict(
+                        nowUs,
+                        id + " was sent to " + server + " by pooler " + pooler + " " + (nowUs - at)
+                                + " us after its end was told");
             }
         }
     }
@@ -203,7 +224,8 @@
             super("no cold server pushed over");
         }
 
-        @Override public void fell(long nowUs, String server) {
+        @Override
+        public void fell(long nowUs, String server) {
             convict(nowUs, server + " fell over");
         }
     }
@@ -214,7 +236,8 @@
             super("no stale read");
         }
 
-        @Override public void read(long nowUs, String id, long positionUs, long needUs) {
+        @Override
+        public void read(long nowUs, String id, long positionUs, long needUs) {
             if (positionUs < needUs) {
                 convict(nowUs, id + " was served " + (needUs - positionUs) + " us too old");
             }
@@ -226,9 +249,13 @@
 
     public RuleBook(Limits limits, Rules figures) {
         answers = new OneAnswer(figures.answerSlackUs());
-        rules.addAll(List.of(answers, new Attempts(limits.maxAttempts()), new Repeats(),
+        rules.addAll(List.of(
+                answers,
+                new Attempts(limits.maxAttempts()),
+                new Repeats(),
                 new Drains(figures.stopSendingUs(), figures.onlyDrainingBinds()),
-                new ColdServers(), new Freshness()));
+                new ColdServers(),
+                new Freshness()));
     }
 
     /** The run is over: what is open past its time was never answered. */
@@ -245,47 +272,58 @@
         return rules.stream().mapToLong(Rule::broken).sum();
     }
 
-    @Override public void asked(long nowUs, int pooler, String id, RequestClass c, long deadlineUs) {
+    @Override
+    public void asked(long nowUs, int pooler, String id, RequestClass c, long deadlineUs) {
         rules.forEach(r -> r.asked(nowUs, pooler, id, c, deadlineUs));
     }
 
-    @Override public void answered(long nowUs, int pooler, String id, Answer answer) {
+    @Override
+    public void answered(long nowUs, int pooler, String id, Answer answer) {
         rules.forEach(r -> r.answered(nowUs, pooler, id, answer));
     }
 
-    @Override public void sent(long nowUs, int pooler, String id, String server) {
+    @Override
+    public void sent(long nowUs, int pooler, String id, String server) {
         rules.forEach(r -> r.sent(nowUs, pooler, id, server));
     }
 
-    @Override public void ended(long nowUs, int pooler, String id, Outcome outcome, boolean mayHaveRun) {
+    @Override
+    public void ended(long nowUs, int pooler, String id, Outcome outcome, boolean mayHaveRun) {
         rules.forEach(r -> r.ended(nowUs, pooler, id, outcome, mayHaveRun));
     }
 
-    @Override public void read(long nowUs, String id, long positionUs, long needUs) {
+    @Override
+    public void read(long nowUs, String id, long positionUs, long needUs) {
         rules.forEach(r -> r.read(nowUs, id, positionUs, needUs));
     }
 
-    @Override public void told(long nowUs, int pooler, String server, State state) {
+    @Override
+    public void told(long nowUs, int pooler, String server, State state) {
         rules.forEach(r -> r.told(nowUs, pooler, server, state));
     }
 
-    @Override public void takenOut(long nowUs, int pooler, String server, boolean isOut) {
+    @Override
+    public void takenOut(long nowUs, int pooler, String server, boolean isOut) {
         rules.forEach(r -> r.takenOut(nowUs, pooler, server, isOut));
     }
 
-    @Override public void fell(long nowUs, String server) {
+    @Override
+    public void fell(long nowUs, String server) {
         rules.forEach(r -> r.fell(nowUs, server));
     }
 
-    @Override public void excused(long nowUs, String id) {
+    @Override
+    public void excused(long nowUs, String id) {
         rules.forEach(r -> r.excused(nowUs, id));
     }
 
-    @Override public void died(long nowUs, int pooler) {
+    @Override
+    public void died(long nowUs, int pooler) {
         rules.forEach(r -> r.died(nowUs, pooler));
     }
 
-    @Override public void paused(long nowUs, int pooler, boolean isPaused) {
+    @Override
+    public void paused(long nowUs, int pooler, boolean isPaused) {
         rules.forEach(r -> r.paused(nowUs, pooler, isPaused));
     }
 }
--- a/lab/src/main/java/frostreel/lab/rules/Witness.java
+++ b/lab/src/main/java/frostreel/lab/rules/Witness.java
@@ -40,5 +40,9 @@
     default void paused(long nowUs, int pooler, boolean isPaused) {}
 
     /** How a request was answered. */
-    enum Answer { SERVED, REFUSED, FAILED }
+    enum Answer {
+        SERVED,
+        REFUSED,
+        FAILED
+    }
 }
--- a/lab/src/main/java/frostreel/lab/standin/Database.java
+++ b/lab/src/main/java/frostreel/lab/standin/Database.java
@@ -44,8 +44,8 @@
     private final Port port;
 
     /** {@code fell} hears that the server was sent more than it could take while cold. */
-    public Database(Loop loop, Kernel kernel, Server server, Orders orders, Runnable fell,
-            InetSocketAddress at) throws IOException {
+    public Database(Loop loop, Kernel kernel, Server server, Orders orders, Runnable fell, InetSocketAddress at)
+            throws IOException {
         this.fell = fell;
         this.loop = loop;
         this.kernel = kernel;
@@ -85,7 +85,8 @@
             stream.resumeReads();
         }
 
-        @Override public void received(ByteBuffer in) {
+        @Override
+        public void received(ByteBuffer in) {
             reader.feed(in);
             if (server.vanished()) {
                 return;
@@ -116,8 +117,8 @@
             Statement s = Statement.parse(sql);
             // It is held before it arrives: a server may answer, or fall over, at once.
             Server.Job[] made = new Server.Job[1];
-            made[0] = new Server.Job(orders.workUs(s), s.write(), orders.needUs(s, kernel.now()),
-                    (outcome, role, positionUs, util) -> {
+            made[0] = new Server.Job(
+                    orders.workUs(s), s.write(), orders.needUs(s, kernel.now()), (outcome, role, positionUs, util) -> {
                         if (job == made[0]) {
                             job = null;
                             ended(s, outcome, role, positionUs);
@@ -133,12 +134,17 @@
 
         private void ended(Statement s, Outcome outcome, Role role, long positionUs) {
             switch (outcome) {
-                case OK -> answer(Messages.row("v", s.id()), parameter("role", role == Role.PRIMARY
-                        ? "primary" : "replica"), parameter("applied_ms", Long.toString(positionUs / 1000)),
-                        parameter("load", load()));
-                case MISS -> answer(Messages.error(false, s.write() ? "25006" : "72000", "not here", null),
-                        parameter("role", role == Role.PRIMARY ? "primary" : "replica"),
-                        parameter("applied_ms", Long.toString(positionUs / 1000)));
+                case OK ->
+                    answer(
+                            Messages.row("v", s.id()),
+                            parameter("role", role == Role.PRIMARY ? "primary" : "replica"),
+                            parameter("applied_ms", Long.toString(positionUs / 1000)),
+                            parameter("load", load()));
+                case MISS ->
+                    answer(
+                            Messages.error(false, s.write() ? "25006" : "72000", "not here", null),
+                            parameter("role", role == Role.PRIMARY ? "primary" : "replica"),
+                            parameter("applied_ms", Long.toString(positionUs / 1000)));
                 case FULL -> answer(Messages.error(false, Messages.REFUSED, "no room", null));
                 case ERROR -> answer(Messages.error(false, "XX000", "it failed here", null));
                 default -> close();
@@ -157,7 +163,8 @@
             stream.write(all.toByteArray());
         }
 
-        @Override public void ended() {
+        @Override
+        public void ended() {
             close();
         }
 
@@ -174,13 +181,21 @@
     }
 
     private String load() {
-        return String.format(Locale.ROOT, "x0=%.6f,x1=%d,load_share=%.3f", server.applied() / 1e6,
-                server.primary() ? 1 : 0, server.util());
+        return String.format(
+                Locale.ROOT,
+                "x0=%.6f,x1=%d,load_share=%.3f",
+                server.applied() / 1e6,
+                server.primary() ? 1 : 0,
+                server.util());
     }
 
     /** A ParameterStatus message. */
     private static byte[] parameter(String name, String value) {
         byte[] text = (name + "\0" + value + "\0").getBytes(StandardCharsets.UTF_8);
-        return ByteBuffer.allocate(text.length + 5).put((byte) 'S').putInt(text.length + 4).put(text).array();
+        return ByteBuffer.allocate(text.length + 5)
+                .put((byte) 'S')
+                .putInt(text.length + 4)
+                .put(text)
+                .array();
     }
 }
--- a/lab/src/main/java/frostreel/lab/standin/Discovery.java
+++ b/lab/src/main/java/frostreel/lab/standin/Discovery.java
@@ -22,21 +22,22 @@
 
 /** The agent of one pooler's machine: the list of servers over HTTP, whole or as a watch. */
 public final class Discovery {
-    private static final Pattern CALL = Pattern.compile(
-            "GET /discovery/hosts(?:\\?index=(\\d+)&wait=(\\d+))? HTTP/1\\.1\r\n");
+    private static final Pattern CALL =
+            Pattern.compile("GET /discovery/hosts(?:\\?index=(\\d+)&wait=(\\d+))? HTTP/1\\.1\r\n");
     private final Loop loop;
     private final Kernel kernel;
     private final Function<String, String> dial;
     private final Port port;
     /** Every server as last told, with the number at which that was. */
     private final Map<String, Router.Member> hosts = new LinkedHashMap<>();
+
     private final Map<String, Long> changedAt = new LinkedHashMap<>();
     private final List<Call> watches = new ArrayList<>();
     private long seq;
 
     /** {@code dial}: the address, as text, at which this pooler reaches a server. */
-    public Discovery(Loop loop, Kernel kernel, Cluster cluster, Function<String, String> dial,
-            InetSocketAddress at) throws IOException {
+    public Discovery(Loop loop, Kernel kernel, Cluster cluster, Function<String, String> dial, InetSocketAddress at)
+            throws IOException {
         this.loop = loop;
         this.kernel = kernel;
         this.dial = dial;
@@ -68,24 +69,39 @@
 
     /** The whole list, as a pooler's configuration has it as known. */
     public JSONObject whole() {
-        return list(true, hosts.values().stream().filter(m -> m.state() != Router.State.GONE).toList());
+        return list(
+                true,
+                hosts.values().stream()
+                        .filter(m -> m.state() != Router.State.GONE)
+                        .toList());
     }
 
     private JSONObject changes(long since) {
-        return list(false, hosts.values().stream().filter(m -> changedAt.getOrDefault(m.id(), 0L) > since)
-                .toList());
+        return list(
+                false,
+                hosts.values().stream()
+                        .filter(m -> changedAt.getOrDefault(m.id(), 0L) > since)
+                        .toList());
     }
 
     private JSONObject list(boolean whole, List<Router.Member> members) {
         JSONArray entries = new JSONArray();
         for (Router.Member m : members) {
-            entries.put(new JSONObject().put("host", m.id()).put("dial", dial.apply(m.id()))
-                    .put("site", "z" + m.zone()).put("class", "m").put("block", m.group())
-                    .put("health", switch (m.state()) {
-                        case UP -> "Ready";
-                        case DRAINING -> "Terminating";
-                        case GONE -> "Gone";
-                    }).put("share", 1.0).put("born_ms", m.startedUs() / 1000)
+            entries.put(new JSONObject()
+                    .put("host", m.id())
+                    .put("dial", dial.apply(m.id()))
+                    .put("site", "z" + m.zone())
+                    .put("class", "m")
+                    .put("block", m.group())
+                    .put(
+                            "health",
+                            switch (m.state()) {
+                                case UP -> "Ready";
+                                case DRAINING -> "Terminating";
+                                case GONE -> "Gone";
+                            })
+                    .put("share", 1.0)
+                    .put("born_ms", m.startedUs() / 1000)
                     .put("role", m.primary() ? "primary" : "replica"));
         }
         return new JSONObject().put("seq", seq).put("whole", whole).put("hosts", entries);
@@ -103,7 +119,8 @@
             stream.resumeReads();
         }
 
-        @Override public void received(ByteBuffer in) {
+        @Override
+        public void received(ByteBuffer in) {
             head.append(StandardCharsets.US_ASCII.decode(in));
             int end = head.indexOf("\r\n\r\n");
             if (end < 0) {
@@ -135,12 +152,14 @@
         void answer(JSONObject list) {
             watches.remove(this);
             byte[] body = list.toString().getBytes(StandardCharsets.UTF_8);
-            stream.write(("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: "
-                    + body.length + "\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
+            stream.write(
+                    ("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: " + body.length + "\r\n\r\n")
+                            .getBytes(StandardCharsets.US_ASCII));
             stream.write(body);
         }
 
-        @Override public void ended() {
+        @Override
+        public void ended() {
             watches.remove(this);
         }
     }
--- a/lab/src/main/java/frostreel/lab/standin/Port.java
+++ b/lab/src/main/java/frostreel/lab/standin/Port.java
@@ -17,17 +17,25 @@
 
     /** Port 0 takes a free one. */
     public Port(Loop loop, InetSocketAddress at, Consumer<StreamConnection> accepted) throws IOException {
-        channel = loop.worker().createStreamConnectionServer(at, from -> {
-            try {
-                for (StreamConnection c = from.accept(); c != null; c = from.accept()) {
-                    accepted.accept(c);
-                }
-            } catch (IOException e) {
-                IoUtils.safeClose(from); // Without descriptors nothing of the run can be trusted any more.
-                throw new IllegalStateException("accepting failed at " + at, e);
-            }
-        }, OptionMap.builder().set(Options.TCP_NODELAY, true).set(Options.REUSE_ADDRESSES, true)
-                .set(Options.BACKLOG, BACKLOG).getMap());
+        channel = loop.worker()
+                .createStreamConnectionServer(
+                        at,
+                        from -> {
+                            try {
+                                for (StreamConnection c = from.accept(); c != null; c = from.accept()) {
+                                    accepted.accept(c);
+                                }
+                            } catch (IOException e) {
+                                IoUtils.safeClose(
+                                        from); // Without descriptors nothing of the run can be trusted any more.
+                                throw new IllegalStateException("accepting failed at " + at, e);
+                            }
+                        },
+                        OptionMap.builder()
+                                .set(Options.TCP_NODELAY, true)
+                                .set(Options.REUSE_ADDRESSES, true)
+                                .set(Options.BACKLOG, BACKLOG)
+                                .getMap());
         channel.resumeAccepts();
     }
 
--- a/lab/src/main/java/frostreel/lab/standin/RealTime.java
+++ b/lab/src/main/java/frostreel/lab/standin/RealTime.java
@@ -11,11 +11,13 @@
         this.loop = loop;
     }
 
-    @Override public long now() {
+    @Override
+    public long now() {
         return loop.clock().now();
     }
 
-    @Override public void after(long us, Runnable task) {
+    @Override
+    public void after(long us, Runnable task) {
         loop.deadlines().after(us, task);
     }
 }
--- a/lab/src/main/java/frostreel/lab/virtual/Bound.java
+++ b/lab/src/main/java/frostreel/lab/virtual/Bound.java
@@ -14,6 +14,7 @@
     private static final int SAMPLES = (int) (1_000_000 / SAMPLE_US);
     /** Of a class's time, what a client waits on the mean. */
     private static final double PATIENCE = 0.7;
+
     private final Plan plan;
     private final List<Double> capacities = new ArrayList<>();
     private final List<boolean[]> led = new ArrayList<>();
@@ -56,8 +57,8 @@
             double each = k.share() * rate;
             boolean write = k.c().access() == willowfield.Router.Access.WRITE;
             double[] inTime = write ? writes(second, k) : new double[] {1, 1};
-            demands.add(new Demand(each * inTime[0] * k.meanUs() / 1e6, each * inTime[1] * k.c().worth(),
-                    each * k.c().worth()));
+            demands.add(new Demand(
+                    each * inTime[0] * k.meanUs() / 1e6, each * inTime[1] * k.c().worth(), each * k.c().worth()));
             asked += each * k.c().worth();
         }
         demands.sort(Comparator.comparingDouble(d -> d.work == 0 ? 0 : -d.worth / d.work));
--- a/lab/src/main/java/frostreel/lab/virtual/Plan.java
+++ b/lab/src/main/java/frostreel/lab/virtual/Plan.java
@@ -12,13 +12,28 @@
  * @param durationUs how long clients ask
  * @param site what the deployment states
  */
-public record Plan(long seed, int zones, int poolersPerZone, int groups, int cores, double load,
+public record Plan(
+        long seed,
+        int zones,
+        int poolersPerZone,
+        int groups,
+        int cores,
+        double load,
         long listLagUs,
-        long durationUs, boolean clientRetries, Site site) {
-    public Plan(long seed, int zones, int poolersPerZone, int groups, int cores, double load, long listLagUs,
-            long durationUs, boolean clientRetries) {
-        this(seed, zones, poolersPerZone, groups, cores, load, listLagUs, durationUs, clientRetries,
-                Site.USUAL);
+        long durationUs,
+        boolean clientRetries,
+        Site site) {
+    public Plan(
+            long seed,
+            int zones,
+            int poolersPerZone,
+            int groups,
+            int cores,
+            double load,
+            long listLagUs,
+            long durationUs,
+            boolean clientRetries) {
+        this(seed, zones, poolersPerZone, groups, cores, load, listLagUs, durationUs, clientRetries, Site.USUAL);
     }
 
     /** A class of requests: its part of all, and its work in microseconds of a core. */
@@ -36,25 +51,55 @@
             kind("payment-post", Router.Access.WRITE, 600, 3_000, 4, 0.3, 0.17, 45, 78),
             kind("receipt-view", Router.Access.SESSION, 300, 1_000, 2, 0, 0.05, 27, 47));
 
-    private static Kind kind(String name, Router.Access access, long aimMs, long deadlineMs, double worth,
-            double lateWorth, double share, double leastMs, double mostMs) {
+    private static Kind kind(
+            String name,
+            Router.Access access,
+            long aimMs,
+            long deadlineMs,
+            double worth,
+            double lateWorth,
+            double share,
+            double leastMs,
+            double mostMs) {
         boolean write = access == Router.Access.WRITE;
-        return new Kind(new Router.RequestClass(name, access, write ? Router.Repeat.KEYED
-                : Router.Repeat.SAFE,
-                Router.Scope.GROUP, write ? 3_000_000 : 0, access == Router.Access.BOUNDED ? 800_000 : 0,
-                aimMs * 1000, deadlineMs * 1000, worth, lateWorth), share, leastMs * 1000, mostMs * 1000);
+        return new Kind(
+                new Router.RequestClass(
+                        name,
+                        access,
+                        write ? Router.Repeat.KEYED : Router.Repeat.SAFE,
+                        Router.Scope.GROUP,
+                        write ? 3_000_000 : 0,
+                        access == Router.Access.BOUNDED ? 800_000 : 0,
+                        aimMs * 1000,
+                        deadlineMs * 1000,
+                        worth,
+                        lateWorth),
+                share,
+                leastMs * 1000,
+                mostMs * 1000);
     }
 
     /** What a pooler of a zone is told. */
     public Router.Settings settings(int zone, long poolerSeed) {
         Router.Settings s = site.settings();
-        return new Router.Settings(poolerSeed, zones * poolersPerZone, zone, s.tickUs(), s.classes(),
-                s.checks(), s.listRole(), s.marks(), s.positions(), s.limits(), s.rules());
+        return new Router.Settings(
+                poolerSeed,
+                zones * poolersPerZone,
+                zone,
+                s.tickUs(),
+                s.classes(),
+                s.checks(),
+                s.listRole(),
+                s.marks(),
+                s.positions(),
+                s.limits(),
+                s.rules());
     }
 
     /** Requests a second that one pooler is asked. */
     double perPooler() {
-        double meanWorkUs = site.kinds().stream().mapToDouble(k -> k.share() * k.meanUs()).sum();
+        double meanWorkUs =
+                site.kinds().stream().mapToDouble(k -> k.share() * k.meanUs()).sum();
         return load * zones * site.members() * groups * cores * 1e6 / meanWorkUs / (zones * poolersPerZone);
     }
 }
--- a/lab/src/main/java/frostreel/lab/virtual/Policy.java
+++ b/lab/src/main/java/frostreel/lab/virtual/Policy.java
@@ -27,8 +27,8 @@
     }
 
     /** The next zone as the first tier behind the own one, all others as the second. */
-    public static BiFunction<Router.Settings, Router.Actions, Router> tiers(Plan plan, double nextSpill,
-            double restSpill) {
+    public static BiFunction<Router.Settings, Router.Actions, Router> tiers(
+            Plan plan, double nextSpill, double restSpill) {
         return (settings, actions) -> {
             int own = settings.zone();
             int next = (own + 1) % plan.zones();
@@ -37,9 +37,13 @@
             if (plan.zones() > 2) {
                 tiers.add(new ZoneSettings.Tier(List.of(), restSpill));
             }
-            return new Brain(settings, actions, new ZoneAdviser(settings,
-                    new ZoneSettings(own, tiers, plan.zones() * plan.poolersPerZone()),
-                    new SplittableRandom(settings.seed()).nextDouble()));
+            return new Brain(
+                    settings,
+                    actions,
+                    new ZoneAdviser(
+                            settings,
+                            new ZoneSettings(own, tiers, plan.zones() * plan.poolersPerZone()),
+                            new SplittableRandom(settings.seed()).nextDouble()));
         };
     }
 }
--- a/lab/src/main/java/frostreel/lab/virtual/Site.java
+++ b/lab/src/main/java/frostreel/lab/virtual/Site.java
@@ -14,15 +14,31 @@
  * @param members of each group in each zone
  * @param sessions of all clients together
  */
-public record Site(List<Plan.Kind> kinds, Router.Settings settings, Physics physics, Set<String> reports,
-        int members, int sessions) {
+public record Site(
+        List<Plan.Kind> kinds,
+        Router.Settings settings,
+        Physics physics,
+        Set<String> reports,
+        int members,
+        int sessions) {
     /** The site in service. */
-    public static final Site USUAL = new Site(Plan.KINDS,
-            new Router.Settings(0, 0, 0, 1_000, Plan.KINDS.stream().map(Plan.Kind::c).toList(),
-                    Router.Checks.REFUSE, Router.ListRole.LATE, Router.Marks.CARRIED, true,
-                    new Router.Limits(10, Router.Probes.REPORT, true, true, 2_000_000, false, 0, 250_000,
-                            50_000, 30_000_000,
-                            1),
+    public static final Site USUAL = new Site(
+            Plan.KINDS,
+            new Router.Settings(
+                    0,
+                    0,
+                    0,
+                    1_000,
+                    Plan.KINDS.stream().map(Plan.Kind::c).toList(),
+                    Router.Checks.REFUSE,
+                    Router.ListRole.LATE,
+                    Router.Marks.CARRIED,
+                    true,
+                    new Router.Limits(
+                            10, Router.Probes.REPORT, true, true, 2_000_000, false, 0, 250_000, 50_000, 30_000_000, 1),
                     new Router.Rules(20_000, 1_000_000, false, 0.22, 15_000_000, 3, 2_000_000)),
-            Physics.USUAL, Set.of("x0", "x1", "load_share"), 1, 500);
+            Physics.USUAL,
+            Set.of("x0", "x1", "load_share"),
+            1,
+            500);
 }
--- a/lab/src/main/java/frostreel/lab/virtual/Tally.java
+++ b/lab/src/main/java/frostreel/lab/virtual/Tally.java
@@ -79,9 +79,10 @@
         return failed;
     }
 
-    @Override public String toString() {
+    @Override
+    public String toString() {
         return "requests=" + requests + " retries=" + retries + " served=" + served + " refused=" + refused
                 + " failed=" + failed + " worth=" + worth(0, asked.length, -1) + " by="
-                        + Arrays.deepToString(got);
+                + Arrays.deepToString(got);
     }
 }
--- a/lab/src/main/java/frostreel/lab/virtual/VirtualGroup.java
+++ b/lab/src/main/java/frostreel/lab/virtual/VirtualGroup.java
@@ -25,6 +25,7 @@
 public final class VirtualGroup {
     /** Beyond the time after which silence counts, views come so much later at most. */
     private static final long SPREAD_US = 500_000;
+
     private static final long PROPOSAL_US = 10_000_000;
     private static final long AGAIN_US = 100_000;
     private final Kernel kernel;
@@ -37,13 +38,13 @@
     private final Set<Peer> farewells = new HashSet<>();
     /** Ways that are cut, from whom to whom, and since when. */
     private final Map<List<String>, Long> cuts = new HashMap<>();
+
     private final Map<List<String>, Long> delays = new HashMap<>();
     private final Map<List<String>, Long> lastArrivals = new HashMap<>();
     private final long usualDelayUs;
 
     /** {@code silentUs}: how long silence lasts until it counts; {@code delayUs}: a message's usual way. */
-    public VirtualGroup(Kernel kernel, SplittableRandom chance, Set<String> named, long silentUs,
-            long delayUs) {
+    public VirtualGroup(Kernel kernel, SplittableRandom chance, Set<String> named, long silentUs, long delayUs) {
         this.kernel = kernel;
         this.chance = chance;
         this.named = Set.copyOf(named);
@@ -57,11 +58,13 @@
         private final Listener listener;
         /** What came while it was paused. */
         private final Queue<Runnable> missed = new ArrayDeque<>();
+
         private View view = View.NONE;
         /** The newest view there is for it; it takes it only once it does not pause. */
         private View given = View.NONE;
         /** Null where it takes no part in the log. */
         private MajorityLog.Listener chosen;
+
         private long toldNumber;
         private boolean lags;
         private boolean paused;
@@ -73,22 +76,26 @@
             this.listener = listener;
         }
 
-        @Override public Peer self() {
+        @Override
+        public Peer self() {
             return self;
         }
 
-        @Override public View view() {
+        @Override
+        public View view() {
             return view;
         }
 
-        @Override public void send(Peer to, byte[] message) {
+        @Override
+        public void send(Peer to, byte[] message) {
             Membership.check(message);
             if (!to.equals(self) && view.members().contains(to)) {
                 carry(this, to, message);
             }
         }
 
-        @Override public void cast(byte[] message) {
+        @Override
+        public void cast(byte[] message) {
             Membership.check(message);
             for (Peer to : view.members()) {
                 if (!to.equals(self)) {
@@ -97,7 +104,8 @@
             }
         }
 
-        @Override public void leave() {
+        @Override
+        public void leave() {
             if (!gone) {
                 farewells.add(self);
                 end(this);
@@ -183,7 +191,8 @@
 
     /** Those that reach each other now, this one among them; a paused one reaches nobody. */
     private List<Member> partOf(Member m) {
-        return present.values().stream().filter(o -> o == m || !o.paused && !m.paused && waysOpen(o, m))
+        return present.values().stream()
+                .filter(o -> o == m || !o.paused && !m.paused && waysOpen(o, m))
                 .toList();
     }
 
@@ -295,7 +304,9 @@
             if (m.paused && silent(m.pausedAtUs)) {
                 continue; // It keeps its view until it wakes; the others go on without it.
             }
-            List<Member> mine = parts.stream().filter(p -> p.stream().allMatch(o -> reach(o, m))).findFirst()
+            List<Member> mine = parts.stream()
+                    .filter(p -> p.stream().allMatch(o -> reach(o, m)))
+                    .findFirst()
                     .orElseGet(() -> {
                         List<Member> part = new ArrayList<>();
                         parts.add(part);
@@ -312,8 +323,12 @@
             return;
         }
         long number = 1 + part.stream().mapToLong(m -> m.given.number()).max().orElse(0);
-        boolean merged = part.stream().filter(m -> m.given != View.NONE).map(m -> m.given.members())
-                .distinct().count() > 1;
+        boolean merged = part.stream()
+                        .filter(m -> m.given != View.NONE)
+                        .map(m -> m.given.members())
+                        .distinct()
+                        .count()
+                > 1;
         View next = new View(number, peers, merged);
         for (Member m : part) {
             m.given = next;
--- a/lab/src/main/java/frostreel/lab/virtual/VirtualPooler.java
+++ b/lab/src/main/java/frostreel/lab/virtual/VirtualPooler.java
@@ -29,9 +29,9 @@
     /**
      * What a request costs a server, and what it must see; handed through the broker as its bytes would be.
      */
-    record Order(String id, double workUs, boolean write, long session, long boundUs, long sinceUs)
-            implements Payload {
-        @Override public byte[] forServer(long patienceUs) {
+    record Order(String id, double workUs, boolean write, long session, long boundUs, long sinceUs) implements Payload {
+        @Override
+        public byte[] forServer(long patienceUs) {
             throw new UnsupportedOperationException("the model takes the order itself");
         }
 
@@ -52,6 +52,7 @@
         boolean told;
         /** It may be too old: nothing has told this pooler yet that the server leads no more. */
         boolean excused;
+
         boolean held;
         Server.Job job;
 
@@ -65,12 +66,14 @@
     private static final double PROBE_WORK_US = 300;
     /** What an answer tells counts as known so long after it was written, also where nobody waits for it. */
     private static final long KNOWN_AFTER_US = 100_000;
+
     final int number;
     final int zone;
     final Broker broker;
     final Counters counters = new Counters();
     /** Attempts begun to each zone. */
     final long[] sentTo;
+
     private final Kernel kernel;
     private final Links links;
     private final Map<String, Server> servers;
@@ -81,14 +84,24 @@
     private final Map<String, ArrayDeque<Long>> idle = new HashMap<>();
     /** The servers' last starts as told, and when each last said to be a replica. */
     private final Map<String, Long> bornUs = new HashMap<>();
+
     private final Map<String, Long> replicasAtUs = new HashMap<>();
     /** The commits of sessions' writes that this pooler was answered, or would have been. */
     private final Map<Long, Long> commits = new HashMap<>();
+
     private final SlotTable<Attempt> attempts = new SlotTable<>(1 << 19);
     private long alarms;
 
-    VirtualPooler(int number, int zone, int zones, Kernel kernel, Links links, Map<String, Server> servers,
-            Witness witness, Set<String> reports, Router.Settings settings,
+    VirtualPooler(
+            int number,
+            int zone,
+            int zones,
+            Kernel kernel,
+            Links links,
+            Map<String, Server> servers,
+            Witness witness,
+            Set<String> reports,
+            Router.Settings settings,
             BiFunction<Router.Settings, Router.Actions, Router> maker) {
         this.number = number;
         this.zone = zone;
@@ -148,7 +161,8 @@
         witness.died(kernel.now(), number);
     }
 
-    @Override public long start(String memberId, Payload payload, long patienceUs, Sink sink) {
+    @Override
+    public long start(String memberId, Payload payload, long patienceUs, Sink sink) {
         Attempt a = new Attempt(servers.get(memberId), (Order) payload, sink);
         a.handle = attempts.add(a);
         sentTo[a.server.zone]++;
@@ -207,18 +221,17 @@
             return;
         }
         long checkedUs = settings.checks() == Router.Checks.SILENT ? 0 : needUs;
-        a.job = new Server.Job(a.order.workUs, a.order.write, checkedUs, a.told,
-                (outcome, role, positionUs, util) -> {
-                    if (links.open(a.server.zone, zone)) {
-                        if (outcome == Outcome.OK && a.order.write) {
-                            kernel.after(KNOWN_AFTER_US, () -> committed(a.order, positionUs));
-                        }
-                    }
-                    if (links.open(a.server.zone, zone) && !a.server.losesAnswer()) {
-                        kernel.after(links.delayUs(a.server.zone, zone),
-                                () -> answer(a, needUs, outcome, role, positionUs, util));
-                    }
-                });
+        a.job = new Server.Job(a.order.workUs, a.order.write, checkedUs, a.told, (outcome, role, positionUs, util) -> {
+            if (links.open(a.server.zone, zone)) {
+                if (outcome == Outcome.OK && a.order.write) {
+                    kernel.after(KNOWN_AFTER_US, () -> committed(a.order, positionUs));
+                }
+            }
+            if (links.open(a.server.zone, zone) && !a.server.losesAnswer()) {
+                kernel.after(
+                        links.delayUs(a.server.zone, zone), () -> answer(a, needUs, outcome, role, positionUs, util));
+            }
+        });
         hand(a.server, a.job);
     }
 
@@ -271,49 +284,58 @@
     }
 
     private Router.Report report(Role role, long positionUs, double util) {
-        return reports.isEmpty() ? null : new Router.Report(reports.contains("x0") ? floorMs(positionUs) : 0,
-                reports.contains("x1") ? role : Role.UNKNOWN,
-                reports.contains("load_share") ? util : Double.NaN, Double.NaN, Double.NaN);
+        return reports.isEmpty()
+                ? null
+                : new Router.Report(
+                        reports.contains("x0") ? floorMs(positionUs) : 0,
+                        reports.contains("x1") ? role : Role.UNKNOWN,
+                        reports.contains("load_share") ? util : Double.NaN,
+                        Double.NaN,
+                        Double.NaN);
     }
 
     private void finish(Attempt a, Result result) {
         if (attempts.remove(a.handle) == a) {
             if (a.order != null) {
-                witness.ended(kernel.now(), number, a.order.id, result.outcome(),
+                witness.ended(
+                        kernel.now(),
+                        number,
+                        a.order.id,
+                        result.outcome(),
                         !result.outcome().provesNotRun && result.outcome() != Outcome.OK);
             }
             a.sink.ended(result);
         }
     }
 
-    @Override public boolean begun(long attempt) {
+    @Override
+    public boolean begun(long attempt) {
         Attempt a = attempts.get(attempt);
         return a == null || a.written;
     }
 
-    @Override public boolean abandon(long attempt) {
+    @Override
+    public boolean abandon(long attempt) {
         Attempt a = attempts.remove(attempt);
         if (a == null) {
             return false;
         }
-        witness.ended(kernel.now(), number, a.order.id, a.written ? Outcome.TIMEOUT : Outcome.MOOT,
-                a.written);
+        witness.ended(kernel.now(), number, a.order.id, a.written ? Outcome.TIMEOUT : Outcome.MOOT, a.written);
         if (a.job != null && links.open(zone, a.server.zone)) {
             kernel.after(links.delayUs(zone, a.server.zone), () -> a.server.cancel(a.job));
         }
         return a.written;
     }
 
-    @Override public void probe(String memberId, Sink sink) {
+    @Override
+    public void probe(String memberId, Sink sink) {
         Attempt a = new Attempt(servers.get(memberId), null, sink);
         a.handle = attempts.add(a);
         kernel.after(connectTimeoutUs, () -> finish(a, Result.of(Outcome.TIMEOUT)));
         connect(a, () -> {
             Server s = a.server;
-            Result report = new Result(Outcome.OK, Role.UNKNOWN, 0, report(s.role(), s.position(), s.util()),
-                    null);
-            hand(s, new Server.Job(PROBE_WORK_US, false, 0, knowsStart(s),
-                    (outcome, role, positionUs, util) -> { }));
+            Result report = new Result(Outcome.OK, Role.UNKNOWN, 0, report(s.role(), s.position(), s.util()), null);
+            hand(s, new Server.Job(PROBE_WORK_US, false, 0, knowsStart(s), (outcome, role, positionUs, util) -> {}));
             finish(a, report);
         });
     }
--- a/lab/src/main/java/frostreel/lab/virtual/World.java
+++ b/lab/src/main/java/frostreel/lab/virtual/World.java
@@ -26,6 +26,7 @@
     private static final long AFTERMATH_US = 2_000_000;
     /** A pooler that starts hears what its list has missed, and is then dealt clients. */
     private static final long LIST_AFTER_US = 50_000;
+
     private static final long CLIENTS_AFTER_US = 100_000;
 
     private final Plan plan;
@@ -33,9 +34,11 @@
     private final Cluster cluster;
     /** Every life of every pooler, and the one that serves under each number, or null. */
     private final List<VirtualPooler> poolers = new ArrayList<>();
+
     private final VirtualPooler[] serving;
     /** What each one's agent has of the list. */
     private final List<Map<String, Router.Member>> lists = new ArrayList<>();
+
     private final Set<String> firstPrimaries = new HashSet<>();
     private final BiFunction<Router.Settings, Router.Actions, Router> maker;
     private final SplittableRandom seeds;
@@ -47,6 +50,7 @@
     private final long[] lastWriteUs;
     /** What each pooler is asked, as a multiple of the mean. */
     private final double[] asked;
+
     private long ids;
     private final List<LostRead> lostReads = new ArrayList<>();
 
@@ -62,11 +66,21 @@
         this.maker = maker;
         seeds = new SplittableRandom(plan.seed());
         chance = seeds.split();
-        tally = new Tally((int) (plan.durationUs() / 1_000_000), plan.zones(), plan.site().kinds().size());
+        tally = new Tally(
+                (int) (plan.durationUs() / 1_000_000),
+                plan.zones(),
+                plan.site().kinds().size());
         Router.Settings told = plan.settings(0, 0);
         rules = new RuleBook(told.limits(), told.rules());
-        cluster = new Cluster(kernel, chance, plan.site().physics(), plan.zones(), plan.site().members(),
-                plan.groups(), plan.cores(), this::tellLate);
+        cluster = new Cluster(
+                kernel,
+                chance,
+                plan.site().physics(),
+                plan.zones(),
+                plan.site().members(),
+                plan.groups(),
+                plan.cores(),
+                this::tellLate);
         cluster.all().stream().filter(Server::primary).forEach(s -> firstPrimaries.add(s.id));
         int count = plan.zones() * plan.poolersPerZone();
         clients = new SplittableRandom[count];
@@ -87,8 +101,16 @@
 
     private VirtualPooler start(int number) {
         int zone = number % plan.zones();
-        VirtualPooler p = new VirtualPooler(number, zone, plan.zones(), kernel, cluster.links(),
-                cluster.servers(), rules, plan.site().reports(), plan.settings(zone, seeds.nextLong()),
+        VirtualPooler p = new VirtualPooler(
+                number,
+                zone,
+                plan.zones(),
+                kernel,
+                cluster.links(),
+                cluster.servers(),
+                rules,
+                plan.site().reports(),
+                plan.settings(zone, seeds.nextLong()),
                 maker);
         poolers.add(p);
         return p;
@@ -102,8 +124,7 @@
             case START -> firstPrimaries.contains(s.id);
             case SILENT -> false;
         };
-        return new Router.Member(m.id(), m.zone(), m.kind(), m.group(), primary, m.state(), m.weight(),
-                m.startedUs());
+        return new Router.Member(m.id(), m.zone(), m.kind(), m.group(), primary, m.state(), m.weight(), m.startedUs());
     }
 
     // ---- Faults; each at a time from the start. ----
@@ -137,8 +158,11 @@
         kernel.after(downUs, () -> {
             VirtualPooler p = start(number);
             p.told(Router.ListKind.CACHED, held);
-            kernel.after(LIST_AFTER_US, () -> p.told(Router.ListKind.CHANGES,
-                    List.copyOf(lists.get(number).values())));
+            kernel.after(
+                    LIST_AFTER_US,
+                    () -> p.told(
+                            Router.ListKind.CHANGES,
+                            List.copyOf(lists.get(number).values())));
             kernel.after(CLIENTS_AFTER_US, () -> serving[number] = p);
         });
     }
@@ -226,8 +250,18 @@
         double patience = 0.4 + 0.6 * r.nextDouble();
         tally.requests++;
         tally.asked(second(), p.zone, cls, kind.c().worth());
-        submit(new Try(p, cls, session % plan.groups(), session, work, patience, kernel.now(), second(),
-                r.nextBoolean() && plan.clientRetries()), false);
+        submit(
+                new Try(
+                        p,
+                        cls,
+                        session % plan.groups(),
+                        session,
+                        work,
+                        patience,
+                        kernel.now(),
+                        second(),
+                        r.nextBoolean() && plan.clientRetries()),
+                false);
     }
 
     private int second() {
@@ -235,8 +269,16 @@
     }
 
     /** A client's request, with what its retry needs. */
-    private record Try(VirtualPooler pooler, int cls, int group, int session, double workUs, double patience,
-            long askedUs, int second, boolean mayRetry) {}
+    private record Try(
+            VirtualPooler pooler,
+            int cls,
+            int group,
+            int session,
+            double workUs,
+            double patience,
+            long askedUs,
+            int second,
+            boolean mayRetry) {}
 
     private void submit(Try t, boolean again) {
         Router.RequestClass c = plan.site().kinds().get(t.cls).c();
@@ -250,23 +292,36 @@
         rules.asked(now, t.pooler.number, id, c, deadlineUs);
         boolean isLost = reads && !carried && cluster.lost(t.group, wroteUs);
         long ledUs = isLost ? ledUs(t.group) : 0;
-        t.pooler.submit(new Broker.Ask(id, t.cls, t.session, t.group, deadlineUs,
-                reads && carried && wroteUs > 0 ? now - wroteUs : 0, again),
-                new VirtualPooler.Order(id, t.workUs, c.access() == Router.Access.WRITE, t.session,
-                        c.access() == Router.Access.BOUNDED ? c.boundUs() : 0, seesUs),
+        t.pooler.submit(
+                new Broker.Ask(
+                        id,
+                        t.cls,
+                        t.session,
+                        t.group,
+                        deadlineUs,
+                        reads && carried && wroteUs > 0 ? now - wroteUs : 0,
+                        again),
+                new VirtualPooler.Order(
+                        id,
+                        t.workUs,
+                        c.access() == Router.Access.WRITE,
+                        t.session,
+                        c.access() == Router.Access.BOUNDED ? c.boundUs() : 0,
+                        seesUs),
                 new Caller() {
-                    @Override public void served(byte[] answer) {
+                    @Override
+                    public void served(byte[] answer) {
                         tally.served++;
                         answered(Answer.SERVED);
                         long took = kernel.now() - t.askedUs;
-                        tally.got(t.second, t.pooler.zone, t.cls,
-                                c.worth() * (took <= c.aimUs() ? 1 : c.lateWorth()));
+                        tally.got(t.second, t.pooler.zone, t.cls, c.worth() * (took <= c.aimUs() ? 1 : c.lateWorth()));
                         if (c.access() == Router.Access.WRITE) {
                             lastWriteUs[t.session] = kernel.now();
                         }
                     }
 
-                    @Override public void refused(long adviceUs) {
+                    @Override
+                    public void refused(long adviceUs) {
                         tally.refused++;
                         answered(Answer.REFUSED);
                         if (t.mayRetry && !again) {
@@ -275,7 +330,8 @@
                         }
                     }
 
-                    @Override public void failed() {
+                    @Override
+                    public void failed() {
                         tally.failed++;
                         answered(Answer.FAILED);
                     }
@@ -287,11 +343,13 @@
                         }
                     }
 
-                    @Override public void cancelled() {
+                    @Override
+                    public void cancelled() {
                         throw new IllegalStateException("no client of this model cancels");
                     }
 
-                    @Override public boolean waits() {
+                    @Override
+                    public boolean waits() {
                         return true;
                     }
                 });
@@ -299,15 +357,17 @@
 
     /** For how long a group has had its primary, 0 where it has none. */
     private long ledUs(int group) {
-        return cluster.all().stream().filter(s -> s.group == group && s.primary())
-                .mapToLong(s -> kernel.now() - s.ledSinceUs()).findFirst().orElse(0);
+        return cluster.all().stream()
+                .filter(s -> s.group == group && s.primary())
+                .mapToLong(s -> kernel.now() - s.ledSinceUs())
+                .findFirst()
+                .orElse(0);
     }
 
     private void comeBack(Try t) {
         VirtualPooler p = taker(t.pooler.number);
         if (p != null) {
-            submit(new Try(p, t.cls, t.group, t.session, t.workUs, t.patience, t.askedUs, t.second, false),
-                    true);
+            submit(new Try(p, t.cls, t.group, t.session, t.workUs, t.patience, t.askedUs, t.second, false), true);
         }
     }
 
@@ -315,7 +375,10 @@
 
     /** Plays to the end, and a little longer for what is still open. */
     public World run() {
-        long longestUs = plan.site().kinds().stream().mapToLong(k -> k.c().deadlineUs()).max().orElse(0);
+        long longestUs = plan.site().kinds().stream()
+                .mapToLong(k -> k.c().deadlineUs())
+                .max()
+                .orElse(0);
         kernel.runUntil(START_US + plan.durationUs() + longestUs + AFTERMATH_US);
         rules.end(kernel.now());
         return this;
@@ -341,7 +404,10 @@
 
     /** Attempts begun by poolers of one zone to servers of another, since the start. */
     public long sent(int from, int to) {
-        return poolers.stream().filter(p -> p.zone == from).mapToLong(p -> p.sentTo[to]).sum();
+        return poolers.stream()
+                .filter(p -> p.zone == from)
+                .mapToLong(p -> p.sentTo[to])
+                .sum();
     }
 
     /** Attempts of all poolers since the start. */
@@ -361,7 +427,10 @@
 
     /** Cores' worth of work that all servers together can do now. */
     double capacity() {
-        return cluster.all().stream().filter(Server::up).mapToDouble(Server::capacity).sum();
+        return cluster.all().stream()
+                .filter(Server::up)
+                .mapToDouble(Server::capacity)
+                .sum();
     }
 
     /** Whether a group has a primary now. */
@@ -373,7 +442,8 @@
     public String record() {
         StringBuilder out = new StringBuilder(tally.toString());
         poolers.forEach(p -> out.append('\n').append(p.counters));
-        rules.rules().forEach(r -> out.append('\n').append(r.name()).append(": ").append(r.broken()));
+        rules.rules()
+                .forEach(r -> out.append('\n').append(r.name()).append(": ").append(r.broken()));
         return out.toString();
     }
 }
--- a/lab/src/test/java/frostreel/lab/DeployedRunTest.java
+++ b/lab/src/test/java/frostreel/lab/DeployedRunTest.java
@@ -27,16 +27,37 @@
 class DeployedRunTest {
     private static final Path ROOT = Path.of("..").toAbsolutePath().normalize();
     private static final String JAR = "pooler/target/frostreel.jar";
-    private static final List<String> OPTIONS = List.of("-Djava.net.preferIPv4Stack=true", "-Xms48m",
-            "-Xmx72m", "-Xss512k", "-XX:+UseSerialGC", "-XX:MaxMetaspaceSize=28m",
-            "-XX:ReservedCodeCacheSize=16m", "-XX:MaxDirectMemorySize=8m", "-XX:TieredStopAtLevel=1",
-            "-XX:-UsePerfData", "-XX:+ExitOnOutOfMemoryError",
+    private static final List<String> OPTIONS = List.of(
+            "-Djava.net.preferIPv4Stack=true",
+            "-Xms48m",
+            "-Xmx72m",
+            "-Xss512k",
+            "-XX:+UseSerialGC",
+            "-XX:MaxMetaspaceSize=28m",
+            "-XX:ReservedCodeCacheSize=16m",
+            "-XX:MaxDirectMemorySize=8m",
+            "-XX:TieredStopAtLevel=1",
+            "-XX:-UsePerfData",
+            "-XX:+ExitOnOutOfMemoryError",
             "-XX:SharedArchiveFile=pooler/target/frostreel.jsa");
     /** Threads that the JVM starts for itself, whatever it runs; the system cuts names to 15 bytes. */
-    private static final Set<String> JVM_THREADS = Set.of("C1 CompilerThre", "Common-Cleaner", "Finalizer",
-            "Monitor Deflati", "Notification Th", "Reference Handl", "Service Thread", "Signal Dispatch",
-            "Sweeper thread", "VM Periodic Tas", "VM Thread", "java", "process reaper");
-    @TempDir Path dir;
+    private static final Set<String> JVM_THREADS = Set.of(
+            "C1 CompilerThre",
+            "Common-Cleaner",
+            "Finalizer",
+            "Monitor Deflati",
+            "Notification Th",
+            "Reference Handl",
+            "Service Thread",
+            "Signal Dispatch",
+            "Sweeper thread",
+            "VM Periodic Tas",
+            "VM Thread",
+            "java",
+            "process reaper");
+
+    @TempDir
+    Path dir;
 
     private static List<String> run() throws IOException {
         Matcher run = Pattern.compile("(?m)^run = \"exec (.*)\"$")
@@ -45,14 +66,16 @@
         return List.of(run.group(1).split(" "));
     }
 
-    @Test void runNamesNoOperatorsFileAndNoOptionBeyondTodays() throws Exception {
+    @Test
+    void runNamesNoOperatorsFileAndNoOptionBeyondTodays() throws Exception {
         List<String> expected = new ArrayList<>(List.of("java"));
         expected.addAll(OPTIONS);
         expected.addAll(List.of("-jar", JAR, "serve"));
         assertThat(run()).isEqualTo(expected);
     }
 
-    @Test void theProgramAsRunLoadsNothingOptionalAndHasOneListenerAndItsFourThreads() throws Exception {
+    @Test
+    void theProgramAsRunLoadsNothingOptionalAndHasOneListenerAndItsFourThreads() throws Exception {
         Path classes = dir.resolve("classes");
         List<String> command = new ArrayList<>(run());
         command.add(1, "-Xlog:class+load:file=" + classes);
@@ -76,7 +99,8 @@
 
     private static void look(Process program, Path classes) throws IOException {
         BufferedReader log = program.errorReader();
-        Matcher listening = Pattern.compile("listening on /127.0.0.1:(\\d+) as guard").matcher("");
+        Matcher listening =
+                Pattern.compile("listening on /127.0.0.1:(\\d+) as guard").matcher("");
         String line = log.readLine();
         while (line != null && !listening.reset(line).find()) {
             line = log.readLine();
@@ -87,8 +111,8 @@
             client.getOutputStream().write(Messages.startup());
             assertThat(answer(client)).startsWith("R");
             for (String page : List.of("stats", "zones")) {
-                client.getOutputStream().write(Messages.query(("SHOW " + page + "\0").getBytes(
-                        StandardCharsets.US_ASCII)));
+                client.getOutputStream()
+                        .write(Messages.query(("SHOW " + page + "\0").getBytes(StandardCharsets.US_ASCII)));
                 assertThat(answer(client)).as(page).startsWith(page.equals("stats") ? "T" : "E");
             }
         }
@@ -98,8 +122,8 @@
             assertThat(loaded).doesNotContain(" " + optional + ".");
         }
         assertThat(listeners(program.pid())).containsExactly(port);
-        assertThat(threads(program.pid())).containsExactlyInAnyOrder("frostreel I/O-1", "frostreel Accep",
-                "Reference Reape", "log", "watchdog");
+        assertThat(threads(program.pid()))
+                .containsExactlyInAnyOrder("frostreel I/O-1", "frostreel Accep", "Reference Reape", "log", "watchdog");
     }
 
     /** The types of an answer's messages, up to ReadyForQuery. */
--- a/lab/src/test/java/frostreel/lab/LayersTest.java
+++ b/lab/src/test/java/frostreel/lab/LayersTest.java
@@ -25,52 +25,92 @@
 /** Which room may lean on which, within the lines that the build's modules hold. */
 class LayersTest {
     /** The simulator's adapter reads and writes streams for the decisions; it decides nothing. */
-    private static final DescribedPredicate<JavaClass> DECISIONS = resideInAnyPackage("willowfield..",
-            "frostreel.operation..", "frostreel.zones..")
+    private static final DescribedPredicate<JavaClass> DECISIONS = resideInAnyPackage(
+                    "willowfield..", "frostreel.operation..", "frostreel.zones..")
             .and(DescribedPredicate.not(belongToAnyOf(WireAdapter.class)));
+
     private static final JavaClasses ALL = new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
             .importPackages("willowfield", "frostreel");
 
     private static Stream<ArchRule> rules() {
         return Stream.of(
-                noClasses().that(DECISIONS).should().dependOnClassesThat(resideInAnyPackage("java.io..",
-                        "java.net..", "java.nio..", "java.util.logging..", "java.util.concurrent..",
-                        "org.xnio..", "org.jboss..")
-                        .or(belongToAnyOf(Thread.class, Clock.class, Runtime.class)))
+                noClasses()
+                        .that(DECISIONS)
+                        .should()
+                        .dependOnClassesThat(resideInAnyPackage(
+                                        "java.io..",
+                                        "java.net..",
+                                        "java.nio..",
+                                        "java.util.logging..",
+                                        "java.util.concurrent..",
+                                        "org.xnio..",
+                                        "org.jboss..")
+                                .or(belongToAnyOf(Thread.class, Clock.class, Runtime.class)))
                         .because("equal events must give equal actions"),
-                noClasses().that(DECISIONS).should().callMethod(System.class, "nanoTime")
-                        .orShould().callMethod(System.class, "currentTimeMillis")
-                        .orShould().callMethod(Math.class, "random")
-                        .orShould().dependOnClassesThat(belongToAnyOf(ThreadLocalRandom.class))
+                noClasses()
+                        .that(DECISIONS)
+                        .should()
+                        .callMethod(System.class, "nanoTime")
+                        .orShould()
+                        .callMethod(System.class, "currentTimeMillis")
+                        .orShould()
+                        .callMethod(Math.class, "random")
+                        .orShould()
+                        .dependOnClassesThat(belongToAnyOf(ThreadLocalRandom.class))
                         .because("time and seed are handed in"),
-                noClasses().that().resideInAPackage("frostreel.broker..").should().dependOnClassesThat()
+                noClasses()
+                        .that()
+                        .resideInAPackage("frostreel.broker..")
+                        .should()
+                        .dependOnClassesThat()
                         .resideInAnyPackage("frostreel.pg..", "frostreel.net..", "org.xnio..", "java.net..")
                         .because("the broker knows no protocol"),
-                noClasses().that().resideInAPackage("frostreel.pg..").should().dependOnClassesThat()
-                        .resideInAnyPackage("org.xnio..", "java.net..", "java.nio.channels..",
-                                "frostreel.net..")
+                noClasses()
+                        .that()
+                        .resideInAPackage("frostreel.pg..")
+                        .should()
+                        .dependOnClassesThat()
+                        .resideInAnyPackage("org.xnio..", "java.net..", "java.nio.channels..", "frostreel.net..")
                         .because("a parser has no sockets"),
-                noClasses().that().resideOutsideOfPackages("frostreel.cli..", "frostreel.lab..")
-                        .should().dependOnClassesThat().resideInAPackage("picocli..")
+                noClasses()
+                        .that()
+                        .resideOutsideOfPackages("frostreel.cli..", "frostreel.lab..")
+                        .should()
+                        .dependOnClassesThat()
+                        .resideInAPackage("picocli..")
                         .because("serving does not pay for the command line"),
-                noClasses().that().resideOutsideOfPackages("frostreel.cluster.jgroups..", "org.jgroups..")
-                        .should().dependOnClassesThat().resideInAPackage("org.jgroups..")
+                noClasses()
+                        .that()
+                        .resideOutsideOfPackages("frostreel.cluster.jgroups..", "org.jgroups..")
+                        .should()
+                        .dependOnClassesThat()
+                        .resideInAPackage("org.jgroups..")
                         .because("the library stands behind one narrow interface"),
-                noClasses().that().resideOutsideOfPackages("frostreel.lab..").should()
-                        .dependOnClassesThat().resideInAPackage("frostreel.lab..")
+                noClasses()
+                        .that()
+                        .resideOutsideOfPackages("frostreel.lab..")
+                        .should()
+                        .dependOnClassesThat()
+                        .resideInAPackage("frostreel.lab..")
                         .because("the lab is not on the serving class path"));
     }
 
-    @Test void everyPackageIsKnownToServeOrToBeOptional() {
-        Set<String> packages = ALL.stream().map(JavaClass::getPackageName)
-                .filter(p -> !p.startsWith("frostreel.lab")).collect(Collectors.toCollection(TreeSet::new));
-        assertThat(packages).as("a new package is listed in Packages, so that the guard knows of it")
-                .containsExactlyInAnyOrderElementsOf(Stream.concat(Packages.SERVING.stream(),
-                        Packages.OPTIONAL.stream()).toList());
+    @Test
+    void everyPackageIsKnownToServeOrToBeOptional() {
+        Set<String> packages = ALL.stream()
+                .map(JavaClass::getPackageName)
+                .filter(p -> !p.startsWith("frostreel.lab"))
+                .collect(Collectors.toCollection(TreeSet::new));
+        assertThat(packages)
+                .as("a new package is listed in Packages, so that the guard knows of it")
+                .containsExactlyInAnyOrderElementsOf(
+                        Stream.concat(Packages.SERVING.stream(), Packages.OPTIONAL.stream())
+                                .toList());
     }
 
-    @TestFactory Stream<DynamicTest> layersHold() {
+    @TestFactory
+    Stream<DynamicTest> layersHold() {
         return rules().map(rule -> DynamicTest.dynamicTest(rule.getDescription(), () -> rule.check(ALL)));
     }
 }
--- a/lab/src/test/java/frostreel/lab/Packages.java
+++ b/lab/src/test/java/frostreel/lab/Packages.java
@@ -5,11 +5,23 @@
 /** All packages of the product: those that serve everywhere, and those absent where not configured. */
 final class Packages {
     /** Of these, `run` in the deploy file loads nothing, and the guard fails where it does. */
-    static final List<String> OPTIONAL = List.of("frostreel.cluster",
-            "frostreel.cluster.jgroups", "frostreel.fleet", "frostreel.zones");
-    static final List<String> SERVING = List.of("frostreel", "frostreel.broker", "frostreel.cli",
-            "frostreel.config", "frostreel.control", "frostreel.discovery", "frostreel.log", "frostreel.net",
-            "frostreel.operation", "frostreel.pg", "frostreel.settings", "frostreel.stats", "willowfield");
+    static final List<String> OPTIONAL =
+            List.of("frostreel.cluster", "frostreel.cluster.jgroups", "frostreel.fleet", "frostreel.zones");
+
+    static final List<String> SERVING = List.of(
+            "frostreel",
+            "frostreel.broker",
+            "frostreel.cli",
+            "frostreel.config",
+            "frostreel.control",
+            "frostreel.discovery",
+            "frostreel.log",
+            "frostreel.net",
+            "frostreel.operation",
+            "frostreel.pg",
+            "frostreel.settings",
+            "frostreel.stats",
+            "willowfield");
 
     private Packages() {}
 }
--- a/lab/src/test/java/frostreel/lab/model/ServerTest.java
+++ b/lab/src/test/java/frostreel/lab/model/ServerTest.java
@@ -6,7 +6,6 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
-import willowfield.Router.Outcome;
 
 class ServerTest {
     private static final long START_US = 1_000_000_000;
@@ -15,8 +14,11 @@
     private final List<String> ended = new ArrayList<>();
 
     private Server.Job job(String name, double workUs, boolean write, long needUs) {
-        return new Server.Job(workUs, write, needUs, (outcome, role, positionUs, util) ->
-                ended.add(name + " " + outcome + " " + (kernel.now() - START_US)));
+        return new Server.Job(
+                workUs,
+                write,
+                needUs,
+                (outcome, role, positionUs, util) -> ended.add(name + " " + outcome + " " + (kernel.now() - START_US)));
     }
 
     private Server.Job send(String name, double workUs) {
@@ -25,17 +27,18 @@
         return job;
     }
 
-    @Test void coresWorkSideBySideTheRestWaitsAndBeyondTheQueueItIsTurnedAway() {
+    @Test
+    void coresWorkSideBySideTheRestWaitsAndBeyondTheQueueItIsTurnedAway() {
         for (int i = 0; i < 2 + Physics.USUAL.queue() + 1; i++) {
             send("j" + i, 1000);
         }
         assertThat(ended).containsExactly("j66 FULL 0");
         kernel.runUntil(START_US + 2000);
-        assertThat(ended.subList(1, 5)).containsExactly("j0 OK 1000", "j1 OK 1000", "j2 OK 2000",
-                "j3 OK 2000");
+        assertThat(ended.subList(1, 5)).containsExactly("j0 OK 1000", "j1 OK 1000", "j2 OK 2000", "j3 OK 2000");
     }
 
-    @Test void aCancelledRequestFreesItsCoreAndIsNotAnswered() {
+    @Test
+    void aCancelledRequestFreesItsCoreAndIsNotAnswered() {
         Server.Job first = send("a", 10_000);
         send("b", 10_000);
         Server.Job waiting = send("c", 10_000);
@@ -46,7 +49,8 @@
         assertThat(ended).containsExactly("d OK 1000", "b OK 10000");
     }
 
-    @Test void aWriteMissesAReplicaAndAReadMissesWhatIsTooFarBehind() {
+    @Test
+    void aWriteMissesAReplicaAndAReadMissesWhatIsTooFarBehind() {
         server.arrive(job("w", 1000, true, 0));
         server.arrive(job("r", 1000, false, kernel.now()));
         server.replayAt(0.5);
@@ -62,12 +66,22 @@
         assertThat(server.applied()).isEqualTo(kernel.now());
     }
 
-    @Test void whoSucceedsTellsTheEndOfItsLogAndWhoIsSucceededLosesWhatCameLater() {
+    @Test
+    void whoSucceedsTellsTheEndOfItsLogAndWhoIsSucceededLosesWhatCameLater() {
         Physics u = Physics.USUAL;
-        Physics lossy = new Physics(u.coldFrom(), u.warmAfterUs(), u.fallMultiple(), u.fallUs(),
-                u.logDelayUs(), u.replayRate(), u.queue(), u.toldShare(), u.slackUs(), u.cancels(),
+        Physics lossy = new Physics(
+                u.coldFrom(),
+                u.warmAfterUs(),
+                u.fallMultiple(),
+                u.fallUs(),
+                u.logDelayUs(),
+                u.replayRate(),
+                u.queue(),
+                u.toldShare(),
+                u.slackUs(),
+                u.cancels(),
                 false);
-        Cluster cluster = new Cluster(kernel, new SplittableRandom(1), lossy, 1, 2, 1, 2, s -> { });
+        Cluster cluster = new Cluster(kernel, new SplittableRandom(1), lossy, 1, 2, 1, 2, s -> {});
         Server old = cluster.all().stream().filter(Server::primary).findFirst().orElseThrow();
         Server next = cluster.all().stream().filter(s -> s != old).findFirst().orElseThrow();
         next.replayAt(0);
@@ -88,7 +102,8 @@
         assertThat(cluster.lost()).isEqualTo(1);
     }
 
-    @Test void aColdServerIsSlowThenWarmAndFallsWhenPushed() {
+    @Test
+    void aColdServerIsSlowThenWarmAndFallsWhenPushed() {
         server.crash();
         server.start();
         assertThat(server.capacity()).isEqualTo(2 * Physics.USUAL.coldFrom());
@@ -106,7 +121,8 @@
         assertThat(server.up()).isFalse();
     }
 
-    @Test void aServerThatVanishesSaysNothing() {
+    @Test
+    void aServerThatVanishesSaysNothing() {
         send("a", 1000);
         server.vanish();
         send("b", 1000);
--- a/lab/src/test/java/frostreel/lab/processes/BesideTest.java
+++ b/lab/src/test/java/frostreel/lab/processes/BesideTest.java
@@ -32,7 +32,8 @@
  */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class BesideTest {
-    private static final Path PROGRAM = Path.of("../pooler/target/frostreel.jar").toAbsolutePath();
+    private static final Path PROGRAM =
+            Path.of("../pooler/target/frostreel.jar").toAbsolutePath();
     private static final String CONFIG = """
             {"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f",
             "settings":{"zones":["dc"],"machineTypes":["m"],"zone":0,"roundS":0.005,
@@ -45,14 +46,19 @@
     private final long beganMs = System.currentTimeMillis();
     /** Where it is set, writes have come there and get no answer. */
     private volatile CountDownLatch held;
+
     private JSONArray hosts;
-    @TempDir Path dir;
 
-    @BeforeEach void raise() throws Exception {
+    @TempDir
+    Path dir;
+
+    @BeforeEach
+    void raise() throws Exception {
         hosts = new JSONArray().put(server("primary")).put(server("replica"));
     }
 
-    @AfterEach void strike() throws Exception {
+    @AfterEach
+    void strike() throws Exception {
         for (AutoCloseable o : open) {
             o.close();
         }
@@ -69,8 +75,23 @@
                 daemon(() -> serve(link, role));
             }
         });
-        return new JSONObject(Map.of("host", role, "dial", "127.0.0.1:" + listener.getLocalPort(),
-                "site", "dc", "class", "m", "block", 2, "health", "Ready", "share", 1.0, "role", role));
+        return new JSONObject(Map.of(
+                "host",
+                role,
+                "dial",
+                "127.0.0.1:" + listener.getLocalPort(),
+                "site",
+                "dc",
+                "class",
+                "m",
+                "block",
+                2,
+                "health",
+                "Ready",
+                "share",
+                1.0,
+                "role",
+                role));
     }
 
     private void serve(Socket link, String role) throws IOException {
@@ -131,14 +152,31 @@
         /** The shell's line has the program's command as its words. */
         Life(String line) throws IOException {
             open.add(0, this::end);
-            Path config = Files.writeString(dir.resolve("pooler.json"), new JSONObject(CONFIG)
-                    .put("known", new JSONObject(Map.of("seq", 1, "whole", true, "hosts", hosts)))
-                    .toString());
+            Path config = Files.writeString(
+                    dir.resolve("pooler.json"),
+                    new JSONObject(CONFIG)
+                            .put("known", new JSONObject(Map.of("seq", 1, "whole", true, "hosts", hosts)))
+                            .toString());
             InetSocketAddress control = PoolerProcess.free(InetAddress.getByName("127.0.0.1"));
-            process = socket.start(List.of("/bin/sh", "-c", line, "sh",
-                    ProcessHandle.current().info().command().orElseThrow(), "-jar",
-                    PROGRAM.toString(), "serve"), Map.of("GW_CONFIG", config.toString(), "GW_FD", "0",
-                    "GW_CONTROL", PoolerProcess.text(control), "TMPDIR", dir.toString()),
+            process = socket.start(
+                    List.of(
+                            "/bin/sh",
+                            "-c",
+                            line,
+                            "sh",
+                            ProcessHandle.current().info().command().orElseThrow(),
+                            "-jar",
+                            PROGRAM.toString(),
+                            "serve"),
+                    Map.of(
+                            "GW_CONFIG",
+                            config.toString(),
+                            "GW_FD",
+                            "0",
+                            "GW_CONTROL",
+                            PoolerProcess.text(control),
+                            "TMPDIR",
+                            dir.toString()),
                     log);
             client = new Socket(socket.address().getAddress(), socket.address().getPort());
             in = new DataInputStream(client.getInputStream());
@@ -149,10 +187,11 @@
         /** The value of the answer, or its error. */
         private String answer() throws IOException {
             String value = "";
-            for (int type = 0; type != 'Z';) {
+            for (int type = 0; type != 'Z'; ) {
                 type = in.readUnsignedByte();
                 byte[] body = in.readNBytes(in.readInt() - Integer.BYTES);
-                value = type == 'D' ? new String(body, 6, body.length - 6, StandardCharsets.US_ASCII)
+                value = type == 'D'
+                        ? new String(body, 6, body.length - 6, StandardCharsets.US_ASCII)
                         : type == 'E' ? new String(body, StandardCharsets.US_ASCII) : value;
             }
             return value;
@@ -160,13 +199,13 @@
 
         void send(String sql, String comment) throws IOException {
             String id = Integer.toHexString(hashCode()) + "x" + ++asked;
-            client.getOutputStream().write(Messages.query((sql + " /* id=" + id + ",d=50000,cluster=2,"
-                    + comment + " */\0").getBytes(StandardCharsets.US_ASCII)));
+            client.getOutputStream()
+                    .write(Messages.query((sql + " /* id=" + id + ",d=50000,cluster=2," + comment + " */\0")
+                            .getBytes(StandardCharsets.US_ASCII)));
         }
 
         void post(String session) throws IOException {
-            send("INSERT INTO records (k, v) VALUES ('" + session + "', '\\x9f') RETURNING v",
-                    "c=post,k=5c0f");
+            send("INSERT INTO records (k, v) VALUES ('" + session + "', '\\x9f') RETURNING v", "c=post,k=5c0f");
         }
 
         String look(String session) throws IOException {
@@ -181,7 +220,8 @@
         }
     }
 
-    @Test void whatWentThroughOneProcessIsSeenThroughTheOtherAlsoAfterItsEnd() throws Exception {
+    @Test
+    void whatWentThroughOneProcessIsSeenThroughTheOtherAlsoAfterItsEnd() throws Exception {
         Life before = new Life();
         before.post("7f3a");
         assertThat(before.answer()).isEqualTo("primary");
@@ -205,16 +245,18 @@
     }
 
     /** The system ends each writing to a file beyond that size as it does on a disk that is full. */
-    @Test void whereTheFileCannotBeMadeAsLargeAsNeededItServesAsWithNoFolder() throws Exception {
+    @Test
+    void whereTheFileCannotBeMadeAsLargeAsNeededItServesAsWithNoFolder() throws Exception {
         Life full = new Life("ulimit -f 40; exec \"$@\"");
         assertThat(full.look("aaaa")).as("anyone's commits may be the other's").isEqualTo("primary");
         full.post("7f3a");
         assertThat(full.answer()).isEqualTo("primary");
         assertThat(full.look("7f3a")).isEqualTo("primary");
-        assertThat(Files.readString(full.log)).containsOnlyOnce(
-                "commits of other processes are not known: java.io.IOException: File too large");
+        assertThat(Files.readString(full.log))
+                .containsOnlyOnce("commits of other processes are not known: java.io.IOException: File too large");
         try (Stream<Path> left = Files.list(dir.resolve("frostreel-orders"))) {
-            assertThat(left.map(f -> f.getFileName().toString())).as("nothing half made is left")
+            assertThat(left.map(f -> f.getFileName().toString()))
+                    .as("nothing half made is left")
                     .containsExactly("clock");
         }
         assertThat(new Life().look("aaaa")).as("the next one has room").isEqualTo("replica");
--- a/lab/src/test/java/frostreel/lab/processes/FellowsTest.java
+++ b/lab/src/test/java/frostreel/lab/processes/FellowsTest.java
@@ -18,14 +18,19 @@
 /** Processes of the program that see each other, and faults between them; waits are for what they show. */
 @Timeout(300)
 class FellowsTest {
-    private static final Path PROGRAM = Path.of("../pooler/target/frostreel.jar").toAbsolutePath();
+    private static final Path PROGRAM =
+            Path.of("../pooler/target/frostreel.jar").toAbsolutePath();
     private static final long SILENT_MS = 800;
-    @TempDir Path dir;
+
+    @TempDir
+    Path dir;
+
     private Fleet fleet;
 
-    @BeforeEach void start() throws Exception {
-        fleet = new Fleet(new Plan(3, 3, 1, 2, 2, 30, 0, 600_000_000, true), 3, SILENT_MS, false, PROGRAM,
-                dir, 20_000_000);
+    @BeforeEach
+    void start() throws Exception {
+        fleet = new Fleet(
+                new Plan(3, 3, 1, 2, 2, 30, 0, 600_000_000, true), 3, SILENT_MS, false, PROGRAM, dir, 20_000_000);
         fleet.start();
         fleet.begin(List.of());
         await(0, "p0 here", "p1 here", "p2 here");
@@ -33,7 +38,8 @@
         await(2, "p0 here", "p1 here", "p2 here");
     }
 
-    @AfterEach void end() throws Exception {
+    @AfterEach
+    void end() throws Exception {
         fleet.end();
         assertThat(ProcessHandle.current().children()).isEmpty();
     }
@@ -70,12 +76,15 @@
         });
         over.await();
         fleet.judge();
-        assertThat(fleet.rules().broken()).as(() -> String.join("\n", fleet.story())).isZero();
+        assertThat(fleet.rules().broken())
+                .as(() -> String.join("\n", fleet.story()))
+                .isZero();
         assertThat(fleet.load().served.getTotalCount()).isPositive();
         assertThat(fleet.crashed()).isEmpty();
     }
 
-    @Test void oneThatIsCutOffIsAbsentForTheOthersServesOnAndIsHereAgain() throws Exception {
+    @Test
+    void oneThatIsCutOffIsAbsentForTheOthersServesOnAndIsHereAgain() throws Exception {
         cut(true, List.of(2), List.of(0, 1));
         await(0, "p0 here", "p1 here", "p2 absent");
         await(1, "p0 here", "p1 here", "p2 absent");
@@ -87,7 +96,8 @@
         rulesWereKept();
     }
 
-    @Test void oneThatIsKilledComesBackInANewLifeAndOneThatPausesInItsOldOne() throws Exception {
+    @Test
+    void oneThatIsKilledComesBackInANewLifeAndOneThatPausesInItsOldOne() throws Exception {
         long first = life(await(0, "p1 here"), "p1");
         CountDownLatch back = new CountDownLatch(1);
         fleet.onLoop(() -> {
--- a/lab/src/test/java/frostreel/lab/processes/GroupMembershipTest.java
+++ b/lab/src/test/java/frostreel/lab/processes/GroupMembershipTest.java
@@ -15,7 +15,8 @@
 
 /** The group over real sockets, with a relay on every way. */
 class GroupMembershipTest extends GroupRig {
-    @Test void aPartThatIsCutOffHasItsOwnViewAndIsOneWithTheOthersOnceHealed() throws Exception {
+    @Test
+    void aPartThatIsCutOffHasItsOwnViewAndIsOneWithTheOthersOnceHealed() throws Exception {
         five();
         cut(true, new int[] {0, 1}, new int[] {2, 3, 4});
         cut(true, new int[] {2, 3, 4}, new int[] {0, 1});
@@ -31,7 +32,8 @@
         }
     }
 
-    @Test void oneThatHearsButIsNotHeardIsOut() throws Exception {
+    @Test
+    void oneThatHearsButIsNotHeardIsOut() throws Exception {
         five();
         cut(true, new int[] {4}, new int[] {0, 1, 2, 3});
         for (int i = 0; i < 4; i++) {
@@ -43,7 +45,8 @@
         }
     }
 
-    @Test void messagesArriveInOrderAndALeaverIsGoneAtOnce() throws Exception {
+    @Test
+    void messagesArriveInOrderAndALeaverIsGoneAtOnce() throws Exception {
         network(3);
         Member a = start("p0", 0);
         a.sees("p0");
@@ -62,8 +65,10 @@
             heard.add(b.hears());
         }
         for (String kind : List.of("all", "one")) {
-            assertThat(heard.stream().filter(h -> h.startsWith("p0:" + kind)).toList()).hasSize(50)
-                    .startsWith("p0:" + kind + " 0", "p0:" + kind + " 1").endsWith("p0:" + kind + " 49");
+            assertThat(heard.stream().filter(h -> h.startsWith("p0:" + kind)).toList())
+                    .hasSize(50)
+                    .startsWith("p0:" + kind + " 0", "p0:" + kind + " 1")
+                    .endsWith("p0:" + kind + " 49");
         }
         for (int i = 0; i < 50; i++) {
             assertThat(c.hears()).isEqualTo("p0:all " + i);
@@ -79,7 +84,8 @@
         assertThat(a.heard).isEmpty();
     }
 
-    @Test void whoeverTheSettingsDoNotNameIsNotListenedTo() throws Exception {
+    @Test
+    void whoeverTheSettingsDoNotNameIsNotListenedTo() throws Exception {
         network(3);
         InetSocketAddress taken = addresses.remove("p2");
         Member a = start("p0", 0);
@@ -97,7 +103,8 @@
         assertThat(a.group.counters()).doesNotContain("strangers=0");
     }
 
-    @Test void aFloodIsBoundedAndCountedWhileTheOwnerIsBusy() throws Exception {
+    @Test
+    void aFloodIsBoundedAndCountedWhileTheOwnerIsBusy() throws Exception {
         network(2);
         Member a = start("p0", 0);
         a.sees("p0");
@@ -119,15 +126,18 @@
         assertThat(b.hears()).isEqualTo("p0:" + new String(new byte[10]));
     }
 
-    @Test void anAddressThatIsTakenEndsItsPartWithAWord() throws Exception {
+    @Test
+    void anAddressThatIsTakenEndsItsPartWithAWord() throws Exception {
         network(1);
-        try (ServerSocket taken = new ServerSocket(binds.get(0).getPort(), 1, binds.get(0).getAddress())) {
+        try (ServerSocket taken =
+                new ServerSocket(binds.get(0).getPort(), 1, binds.get(0).getAddress())) {
             assertThat(taken.isBound()).isTrue();
             assertThat(start("p0", 0).failures.poll(HANG_S, TimeUnit.SECONDS)).isNotBlank();
         }
     }
 
-    @Test void aNewLifeIsAnotherPeerOfTheSameName() throws Exception {
+    @Test
+    void aNewLifeIsAnotherPeerOfTheSameName() throws Exception {
         network(2);
         Member a = start("p0", 0);
         a.sees("p0");
--- a/lab/src/test/java/frostreel/lab/processes/GroupRig.java
+++ b/lab/src/test/java/frostreel/lab/processes/GroupRig.java
@@ -50,30 +50,40 @@
 
         /** {@code folder}: of its log, null for none. */
         Member(String name, int place, long life, Path folder) {
-            group = new GroupMembership(new ClusterSettings("test", name, binds.get(place), addresses,
-                    SILENT_MS), life, owner, this, folder, folder == null ? null : this);
+            group = new GroupMembership(
+                    new ClusterSettings("test", name, binds.get(place), addresses, SILENT_MS),
+                    life,
+                    owner,
+                    this,
+                    folder,
+                    folder == null ? null : this);
         }
 
-        @Override public void chosen(long number, byte[] entry) {
+        @Override
+        public void chosen(long number, byte[] entry) {
             chosen.add(number + ":" + new String(entry));
         }
 
-        @Override public void changed(View view, View before) {
+        @Override
+        public void changed(View view, View before) {
             assertThat(before).isEqualTo(last);
             assertThat(view.number()).isGreaterThan(before.number());
             last = view;
             views.add(view);
         }
 
-        @Override public void suspected(Peer peer) {
+        @Override
+        public void suspected(Peer peer) {
             suspects.add(peer);
         }
 
-        @Override public void received(Peer from, byte[] message) {
+        @Override
+        public void received(Peer from, byte[] message) {
             heard.add(from.name() + ":" + (message.length < 100 ? new String(message) : message.length));
         }
 
-        @Override public void failed(String why) {
+        @Override
+        public void failed(String why) {
             failures.add(why);
         }
 
@@ -81,7 +91,9 @@
         View sees(String... names) throws InterruptedException {
             while (true) {
                 View v = views.poll(HANG_S, TimeUnit.SECONDS);
-                assertThat(v).as("a view of %s at %s", List.of(names), group.self()).isNotNull();
+                assertThat(v)
+                        .as("a view of %s at %s", List.of(names), group.self())
+                        .isNotNull();
                 if (v.members().stream().map(Peer::name).toList().equals(List.of(names))) {
                     return v;
                 }
@@ -98,7 +110,8 @@
         }
     }
 
-    @BeforeEach void begin() throws IOException {
+    @BeforeEach
+    void begin() throws IOException {
         loop = new Loop();
     }
 
@@ -159,7 +172,8 @@
         }
     }
 
-    @AfterEach void end() throws Exception {
+    @AfterEach
+    void end() throws Exception {
         for (Member m : members) {
             m.leave();
             m.owner.shutdown();
@@ -172,5 +186,4 @@
         }
         loop.end();
     }
-
 }
--- a/lab/src/test/java/frostreel/lab/processes/MajorityLogTest.java
+++ b/lab/src/test/java/frostreel/lab/processes/MajorityLogTest.java
@@ -18,7 +18,10 @@
 /** What a majority chose has one number for ever, whatever is cut, ends or starts again. */
 class MajorityLogTest extends GroupRig {
     private static final int MOST_TRIES = 6;
-    @TempDir Path folder;
+
+    @TempDir
+    Path folder;
+
     private long life;
 
     private void all(int count) throws Exception {
@@ -36,11 +39,13 @@
     private static CompletableFuture<Long> propose(Member m, String entry) {
         CompletableFuture<Long> number = new CompletableFuture<>();
         m.owner.execute(() -> m.group.log().propose(entry.getBytes(), new MajorityLog.Outcome() {
-            @Override public void chosen(long n) {
+            @Override
+            public void chosen(long n) {
                 number.complete(n);
             }
 
-            @Override public void unknown(String why) {
+            @Override
+            public void unknown(String why) {
                 number.completeExceptionally(new IllegalStateException(why));
             }
         }));
@@ -73,7 +78,8 @@
         return heard;
     }
 
-    @Test void whatAllProposeAtOnceGetsOneOrderEverywhere() throws Exception {
+    @Test
+    void whatAllProposeAtOnceGetsOneOrderEverywhere() throws Exception {
         network(3);
         all(3);
         List<CompletableFuture<Long>> numbers = new ArrayList<>();
@@ -93,11 +99,12 @@
         assertThat(order.get(29)).startsWith("30:");
         assertThat(hears(members.get(1), 30)).isEqualTo(order);
         assertThat(hears(members.get(2), 30)).isEqualTo(order);
-        assertThatThrownBy(() -> members.get(0).group.log().propose(new byte[MajorityLog.MOST_BYTES + 1],
-                null)).hasMessageContaining("at most");
+        assertThatThrownBy(() -> members.get(0).group.log().propose(new byte[MajorityLog.MOST_BYTES + 1], null))
+                .hasMessageContaining("at most");
     }
 
-    @Test void theSmallerPartChoosesNothingAndHearsAllOnceHealed() throws Exception {
+    @Test
+    void theSmallerPartChoosesNothingAndHearsAllOnceHealed() throws Exception {
         network(5);
         all(5);
         assertThat(propose(members.get(0), "before").get()).isEqualTo(1);
@@ -119,7 +126,8 @@
         }
     }
 
-    @Test void numbersGoOnAfterAllHaveStartedAgainFromTheirFolders() throws Exception {
+    @Test
+    void numbersGoOnAfterAllHaveStartedAgainFromTheirFolders() throws Exception {
         network(3);
         all(3);
         assertThat(propose(members.get(2), "one").get()).isEqualTo(1);
@@ -140,7 +148,8 @@
     }
 
     /** Whoever leads is among them: each is cut off in the middle of proposals, ends, and starts again. */
-    @Test void noNumberIsLostOrGivenTwiceThoughEachIsCutOffWhileItProposes() throws Exception {
+    @Test
+    void noNumberIsLostOrGivenTwiceThoughEachIsCutOffWhileItProposes() throws Exception {
         int count = 3;
         network(count);
         all(count);
--- a/lab/src/test/java/frostreel/lab/processes/TapsTest.java
+++ b/lab/src/test/java/frostreel/lab/processes/TapsTest.java
@@ -17,10 +17,9 @@
 
 /** What is seen of sockets convicts as what is seen in virtual time does; one case for each rule. */
 class TapsTest {
-    private static final Router.Settings SETTINGS = new Plan(1, 1, 1, 1, 1, 1, 0, 1_000_000, false)
-            .settings(0, 0);
-    private static final Map<String, Router.RequestClass> CLASSES = SETTINGS.classes().stream()
-            .collect(Collectors.toMap(Router.RequestClass::name, c -> c));
+    private static final Router.Settings SETTINGS = new Plan(1, 1, 1, 1, 1, 1, 0, 1_000_000, false).settings(0, 0);
+    private static final Map<String, Router.RequestClass> CLASSES =
+            SETTINGS.classes().stream().collect(Collectors.toMap(Router.RequestClass::name, c -> c));
     private static final byte[] REFUSED = with(Messages.error(false, "53300", "no", null));
     private long nowUs = 1_700_000_000_000_000L;
     private final RuleBook book = new RuleBook(SETTINGS.limits(), SETTINGS.rules());
@@ -48,8 +47,8 @@
     }
 
     private static byte[] read(String id, String cls, String more) {
-        return query("SELECT v FROM records WHERE k = 's1' /* id=" + id + ",c=" + cls + ",d=1000,cluster=0"
-                + more + " */");
+        return query(
+                "SELECT v FROM records WHERE k = 's1' /* id=" + id + ",c=" + cls + ",d=1000,cluster=0" + more + " */");
     }
 
     private static byte[] write(String id) {
@@ -64,8 +63,13 @@
     /** A replica's answer from data of that age. */
     private byte[] row(long ageUs) {
         byte[] text = ("applied_ms\0" + (nowUs - ageUs) / 1000 + "\0").getBytes(StandardCharsets.US_ASCII);
-        return with(Messages.row("v", "x"), ByteBuffer.allocate(text.length + 5).put((byte) 'S')
-                .putInt(text.length + 4).put(text).array());
+        return with(
+                Messages.row("v", "x"),
+                ByteBuffer.allocate(text.length + 5)
+                        .put((byte) 'S')
+                        .putInt(text.length + 4)
+                        .put(text)
+                        .array());
     }
 
     private List<String> broken() {
@@ -79,7 +83,8 @@
         client.hears(query);
     }
 
-    @Test void aRequestServedInTimeBreaksNothing() {
+    @Test
+    void aRequestServedInTimeBreaksNothing() {
         asks(read("1", "account-view", ""));
         StatementTap s = server("a");
         byte[] query = read("1", "account-view", "");
@@ -93,7 +98,8 @@
         assertThat(broken()).isEmpty();
     }
 
-    @Test void anAnswerThatIsLateOrNeverComesConvicts() {
+    @Test
+    void anAnswerThatIsLateOrNeverComesConvicts() {
         asks(read("1", "account-view", ""));
         nowUs += 1_100_000;
         client.says(REFUSED);
@@ -105,7 +111,8 @@
         assertThat(book.broken()).isEqualTo(2);
     }
 
-    @Test void whatAClientThatLeftOrAKilledPoolerOwesConvictsNobody() {
+    @Test
+    void whatAClientThatLeftOrAKilledPoolerOwesConvictsNobody() {
         asks(read("1", "account-view", ""));
         client.ended(false);
         ClientTap second = new ClientTap(() -> nowUs, 1, CLASSES, book, false);
@@ -124,7 +131,8 @@
         assertThat(broken()).isEmpty();
     }
 
-    @Test void whatCrossesTheEndOfAUsedConnectionIsExcusedWhereItMayAndElsewhereConvicts() {
+    @Test
+    void whatCrossesTheEndOfAUsedConnectionIsExcusedWhereItMayAndElsewhereConvicts() {
         for (boolean mayCross : new boolean[] {true, false}) {
             ClientTap tap = new ClientTap(() -> nowUs, 0, CLASSES, book, mayCross);
             tap.hears(Messages.startup());
@@ -147,14 +155,16 @@
         assertThat(book.broken()).as("the first on its connection").isGreaterThan(before);
     }
 
-    @Test void aSecondAttemptInFlightConvicts() {
+    @Test
+    void aSecondAttemptInFlightConvicts() {
         server("a").says(read("1", "account-view", ""));
         server("b").says(read("1", "account-view", ""));
         assertThat(broken()).containsExactly("one attempt at a time, 10 at most");
     }
 
     /** Two sockets that are ready at once are taken in any order. */
-    @Test void anAttemptWhoseEndIsFoundBehindTheNextOnesBytesConvictsNobody() {
+    @Test
+    void anAttemptWhoseEndIsFoundBehindTheNextOnesBytesConvictsNobody() {
         SendOrder order = new SendOrder();
         StatementTap a = server("a", order);
         StatementTap b = server("b", order);
@@ -164,7 +174,8 @@
         assertThat(broken()).isEmpty();
     }
 
-    @Test void aWriteSentAgainPastItsWindowConvictsAndWithinItDoesNot() {
+    @Test
+    void aWriteSentAgainPastItsWindowConvictsAndWithinItDoesNot() {
         StatementTap a = server("a");
         asks(write("1"));
         a.says(write("1"));
@@ -179,11 +190,12 @@
         assertThat(broken()).contains("sent again only as the class permits");
     }
 
-    @Test void aSendLongAfterTheListSaidThatItsServerDrainsConvicts() {
-        byte[] body = "{\"seq\":1,\"hosts\":[{\"host\":\"a\",\"health\":\"Terminating\"}]}".getBytes(
-                StandardCharsets.US_ASCII);
-        byte[] response = ("HTTP/1.1 200 OK\r\nContent-Length: " + body.length + "\r\n\r\n").getBytes(
-                StandardCharsets.US_ASCII);
+    @Test
+    void aSendLongAfterTheListSaidThatItsServerDrainsConvicts() {
+        byte[] body = "{\"seq\":1,\"hosts\":[{\"host\":\"a\",\"health\":\"Terminating\"}]}"
+                .getBytes(StandardCharsets.US_ASCII);
+        byte[] response =
+                ("HTTP/1.1 200 OK\r\nContent-Length: " + body.length + "\r\n\r\n").getBytes(StandardCharsets.US_ASCII);
         list.hears(response);
         list.hears(body);
         nowUs += 900_000;
@@ -196,7 +208,8 @@
         assertThat(broken()).containsExactly("drains and ends kept");
     }
 
-    @Test void aReadOlderThanItsClassOrItsSessionAllowsConvicts() {
+    @Test
+    void aReadOlderThanItsClassOrItsSessionAllowsConvicts() {
         StatementTap a = server("a");
         a.says(read("1", "account-view", ""));
         a.hears(row(790_000));
--- a/lab/src/test/java/frostreel/lab/rules/RuleBookTest.java
+++ b/lab/src/test/java/frostreel/lab/rules/RuleBookTest.java
@@ -12,24 +12,21 @@
 
 /** Each checker convicts what breaks its rule, and nothing that keeps it. */
 class RuleBookTest {
-    private static final Router.Limits LIMITS = new Router.Limits(3, Router.Probes.REPORT, true, true,
-            2_000_000, false, 0,
-            250_000,
-            50_000, 30_000_000, 1);
-    private static final Router.Rules FIGURES = new Router.Rules(20_000, 1_000_000, false, 0.22, 15_000_000,
-            3,
-            2_000_000);
+    private static final Router.Limits LIMITS =
+            new Router.Limits(3, Router.Probes.REPORT, true, true, 2_000_000, false, 0, 250_000, 50_000, 30_000_000, 1);
+    private static final Router.Rules FIGURES =
+            new Router.Rules(20_000, 1_000_000, false, 0.22, 15_000_000, 3, 2_000_000);
     private static final Router.RequestClass READ = requestClass(Router.Access.ANY, Router.Repeat.SAFE);
     private static final Router.RequestClass KEYED = requestClass(Router.Access.WRITE, Router.Repeat.KEYED);
     private static final Router.RequestClass UNSAFE = requestClass(Router.Access.WRITE, Router.Repeat.UNSAFE);
     private RuleBook book;
 
     private static Router.RequestClass requestClass(Router.Access access, Router.Repeat repeat) {
-        return new Router.RequestClass("c", access, repeat, Router.Scope.GROUP, 3_000_000, 0, 100, 1000, 1,
-                0);
+        return new Router.RequestClass("c", access, repeat, Router.Scope.GROUP, 3_000_000, 0, 100, 1000, 1, 0);
     }
 
-    @BeforeEach void open() {
+    @BeforeEach
+    void open() {
         book = new RuleBook(LIMITS, FIGURES);
     }
 
@@ -37,7 +34,8 @@
         return book.rules().stream().filter(r -> r.broken() > 0).map(Rule::name).toList();
     }
 
-    @Test void aRunThatKeepsAllIsNotConvicted() {
+    @Test
+    void aRunThatKeepsAllIsNotConvicted() {
         book.told(0, 1, "s", State.UP);
         book.asked(10, 1, "a", KEYED, 5_000_000);
         book.sent(20, 1, "a", "s");
@@ -56,7 +54,8 @@
         assertThat(book.broken()).isZero();
     }
 
-    @Test void aSecondALateAndAMissingAnswer() {
+    @Test
+    void aSecondALateAndAMissingAnswer() {
         book.asked(0, 1, "a", READ, 1000);
         book.answered(10, 1, "a", Answer.REFUSED);
         book.answered(20, 1, "a", Answer.SERVED);
@@ -68,7 +67,8 @@
         assertThat(book.broken()).isEqualTo(3);
     }
 
-    @Test void aDeadPoolerOwesNothingButItsNextLifeDoes() {
+    @Test
+    void aDeadPoolerOwesNothingButItsNextLifeDoes() {
         book.asked(0, 1, "a", READ, 1000);
         book.asked(0, 1, "b", READ, 1000);
         book.died(500, 1);
@@ -83,7 +83,8 @@
         assertThat(book.broken()).isEqualTo(2);
     }
 
-    @Test void twoAttemptsInFlightAndTooMany() {
+    @Test
+    void twoAttemptsInFlightAndTooMany() {
         book.asked(0, 1, "a", READ, 1000);
         book.sent(1, 1, "a", "s");
         book.sent(2, 1, "a", "t");
@@ -96,7 +97,8 @@
         assertThat(book.broken()).isEqualTo(2);
     }
 
-    @Test void whatMayHaveRunIsSentAgain() {
+    @Test
+    void whatMayHaveRunIsSentAgain() {
         book.asked(0, 1, "a", UNSAFE, 9_000_000);
         book.sent(1, 1, "a", "s");
         book.ended(2, 1, "a", Outcome.TIMEOUT, true);
@@ -109,7 +111,8 @@
         assertThat(book.broken()).isEqualTo(2);
     }
 
-    @Test void aSendAfterADrainWasToldBindsThePoolerThatWasTold() {
+    @Test
+    void aSendAfterADrainWasToldBindsThePoolerThatWasTold() {
         book.told(0, 1, "s", State.DRAINING);
         book.sent(1_000_001, 1, "a", "s");
         book.sent(1_000_001, 2, "b", "s");
@@ -120,15 +123,16 @@
         assertThat(book.broken()).isEqualTo(1);
     }
 
-    @Test void aColdServerFallsOver() {
+    @Test
+    void aColdServerFallsOver() {
         book.fell(1, "s");
         assertThat(broken()).containsExactly("no cold server pushed over");
     }
 
-    @Test void aStaleRead() {
+    @Test
+    void aStaleRead() {
         book.read(1, "a", 99, 100);
         assertThat(broken()).containsExactly("no stale read");
-        assertThat(book.rules().get(5).convictions()).singleElement().asString()
-                .contains("a was served 1 us");
+        assertThat(book.rules().get(5).convictions()).singleElement().asString().contains("a was served 1 us");
     }
 }
--- a/lab/src/test/java/frostreel/lab/standin/StandInsTest.java
+++ b/lab/src/test/java/frostreel/lab/standin/StandInsTest.java
@@ -40,12 +40,12 @@
     private Database second;
     private Discovery agent;
 
-    @BeforeEach void raise() throws Exception {
+    @BeforeEach
+    void raise() throws Exception {
         loop = new Loop();
         kernel = new RealTime(loop);
         onLoop(() -> {
-            cluster = new Cluster(kernel, new SplittableRandom(1), 2, 1, 1,
-                    s -> agent.hears(Cluster.entry(s)));
+            cluster = new Cluster(kernel, new SplittableRandom(1), 2, 1, 1, s -> agent.hears(Cluster.entry(s)));
             primary = cluster.zone(0).get(0);
             replica = cluster.zone(1).get(0);
             first = database(primary);
@@ -55,7 +55,8 @@
         });
     }
 
-    @AfterEach void strike() throws Exception {
+    @AfterEach
+    void strike() throws Exception {
         onLoop(() -> {
             first.close();
             second.close();
@@ -66,15 +67,23 @@
     }
 
     private Database database(Server s) throws IOException {
-        return new Database(loop, kernel, s, new Database.Orders() {
-            @Override public double workUs(Statement statement) {
-                return statement.id().equals("long") ? 700_000 : 1_000;
-            }
-
-            @Override public long needUs(Statement statement, long nowUs) {
-                return statement.afterMs() * 1000;
-            }
-        }, fell::countDown, ANY);
+        return new Database(
+                loop,
+                kernel,
+                s,
+                new Database.Orders() {
+                    @Override
+                    public double workUs(Statement statement) {
+                        return statement.id().equals("long") ? 700_000 : 1_000;
+                    }
+
+                    @Override
+                    public long needUs(Statement statement, long nowUs) {
+                        return statement.afterMs() * 1000;
+                    }
+                },
+                fell::countDown,
+                ANY);
     }
 
     private <T> T onLoop(Callable<T> task) throws Exception {
@@ -124,36 +133,42 @@
         return "SELECT v FROM records WHERE k = 's' /* id=r,c=look,d=900,cluster=0" + more + " */";
     }
 
-    private static final String WRITE = "INSERT INTO records (k, v) VALUES ('s', '\\x00') RETURNING v"
-            + " /* id=w,c=post,d=900,k=1,cluster=0 */";
+    private static final String WRITE =
+            "INSERT INTO records (k, v) VALUES ('s', '\\x00') RETURNING v" + " /* id=w,c=post,d=900,k=1,cluster=0 */";
 
-    @Test void theProgramsOwnReaderTakesWhatServersAnswer() throws Exception {
-        try (Socket p = welcomed(first); Socket r = welcomed(second)) {
+    @Test
+    void theProgramsOwnReaderTakesWhatServersAnswer() throws Exception {
+        try (Socket p = welcomed(first);
+                Socket r = welcomed(second)) {
             Reply written = ask(p, WRITE);
             assertThat(written.result(false).outcome()).isEqualTo(Outcome.OK);
             assertThat(written.result(false).role()).isEqualTo(Role.PRIMARY);
-            assertThat(new String(written.result(false).answer(), StandardCharsets.US_ASCII)).contains("w");
+            assertThat(new String(written.result(false).answer(), StandardCharsets.US_ASCII))
+                    .contains("w");
             assertThat(ask(r, WRITE).errorCode()).isEqualTo("25006");
             Reply served = ask(r, read(""));
             assertThat(served.result(false).role()).isEqualTo(Role.REPLICA);
             assertThat(served.result(false).positionUs()).isPositive();
-            assertThat(ask(r, read(",after=" + (System.currentTimeMillis() + 60_000))).errorCode())
+            assertThat(ask(r, read(",after=" + (System.currentTimeMillis() + 60_000)))
+                            .errorCode())
                     .isEqualTo("72000");
             assertThat(ask(r, "SHOW load").probeResult(false).report().role()).isEqualTo(Role.REPLICA);
             assertThat(ask(r, "SELECT 1").errorCode()).isEqualTo("08P01");
         }
     }
 
-    @Test void aColdServerThatIsPushedOverFallsAndItsConnectionEnds() throws Exception {
+    @Test
+    void aColdServerThatIsPushedOverFallsAndItsConnectionEnds() throws Exception {
         onLoop(() -> {
             cluster.crash(replica);
             cluster.start(replica);
             return null;
         });
         // A core at 0.22 of its speed over two seconds is 0.44 s of work; three times as much is a push.
-        try (Socket one = welcomed(second); Socket other = welcomed(second)) {
-            byte[] query = Messages.query((read("").replace("id=r", "id=long") + "\0").getBytes(
-                    StandardCharsets.US_ASCII));
+        try (Socket one = welcomed(second);
+                Socket other = welcomed(second)) {
+            byte[] query =
+                    Messages.query((read("").replace("id=r", "id=long") + "\0").getBytes(StandardCharsets.US_ASCII));
             one.getOutputStream().write(query);
             assertThat(answer(other, query, Reply.toQuery()).ready()).isFalse();
             assertThat(one.getInputStream().read()).isNegative();
@@ -162,7 +177,8 @@
         assertThat(onLoop(replica::fallen)).isTrue();
     }
 
-    @Test void aWatchIsToldOfADrainAndOneThatIsNotBehindWaits() throws Exception {
+    @Test
+    void aWatchIsToldOfADrainAndOneThatIsNotBehindWaits() throws Exception {
         try (Socket s = connect(onLoop(agent::address))) {
             JSONObject whole = call(s, "");
             assertThat(whole.getBoolean("whole")).isTrue();
@@ -184,8 +200,9 @@
     }
 
     private static JSONObject call(Socket s, String query) throws IOException {
-        s.getOutputStream().write(("GET /discovery/hosts" + query + " HTTP/1.1\r\nHost: x\r\n\r\n").getBytes(
-                StandardCharsets.US_ASCII));
+        s.getOutputStream()
+                .write(("GET /discovery/hosts" + query + " HTTP/1.1\r\nHost: x\r\n\r\n")
+                        .getBytes(StandardCharsets.US_ASCII));
         DataInputStream in = new DataInputStream(s.getInputStream());
         StringBuilder head = new StringBuilder();
         while (head.indexOf("\r\n\r\n") < 0) {
--- a/lab/src/test/java/frostreel/lab/virtual/AgainstLuckTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/AgainstLuckTest.java
@@ -26,6 +26,7 @@
     private static final int GENERATED_SIZE = 1_000;
     /** Requests of a draw, at the most: what keeps a try short. */
     private static final int MOST_REQUESTS = 4_000;
+
     private static final double MOST_WORK_S = 0.7;
     private static final double MOST_LOAD = 1.5;
 
@@ -39,13 +40,17 @@
         }
 
         Parts with(String key, double least, double most) {
-            return with(key, Arbitraries.doubles().between(least, most).ofScale(3)
-                    .withDistribution(RandomDistribution.uniform()));
+            return with(
+                    key,
+                    Arbitraries.doubles()
+                            .between(least, most)
+                            .ofScale(3)
+                            .withDistribution(RandomDistribution.uniform()));
         }
 
         Parts with(String key, int least, int most) {
-            return with(key, Arbitraries.integers().between(least, most)
-                    .withDistribution(RandomDistribution.uniform()));
+            return with(
+                    key, Arbitraries.integers().between(least, most).withDistribution(RandomDistribution.uniform()));
         }
 
         Parts oneOf(String key, Object... values) {
@@ -73,49 +78,113 @@
 
     /** A class, with what the fleet knows of it under {@code fleet}. */
     private static Arbitrary<JSONObject> requestClass() {
-        return new Parts().oneOf("access", "any", "write", "session", "bounded", "fresh")
-                .oneOf("repeat", "retryable", "dedup", "fragile").oneOf("group", "cell", "all")
-                .with("deadlineS", 0.3, 20).with("aimShare", 0.05, 1).with("worth", 0.5, 10)
-                .with("lateWorth", 0.0, 1).with("repeatWindowS", 0.5, 30).with("boundS", 0.05, 5)
-                .with("share", 1, 20).with("aims", 2.0, 30).build();
+        return new Parts()
+                .oneOf("access", "any", "write", "session", "bounded", "fresh")
+                .oneOf("repeat", "retryable", "dedup", "fragile")
+                .oneOf("group", "cell", "all")
+                .with("deadlineS", 0.3, 20)
+                .with("aimShare", 0.05, 1)
+                .with("worth", 0.5, 10)
+                .with("lateWorth", 0.0, 1)
+                .with("repeatWindowS", 0.5, 30)
+                .with("boundS", 0.05, 5)
+                .with("share", 1, 20)
+                .with("aims", 2.0, 30)
+                .build();
     }
 
     private static Arbitrary<JSONObject> event() {
-        return new Parts().oneOf("kind", "lag", "roll", "restart", "drain", "lose", "losePrimary", "errors",
-                "losses", "slow", "stalls").with("atS", 0.5, 12).with("lenS", 0.2, 12)
-                .with("part", 0.05, 0.96).with("from", 0, 30).with("size", 0.05, 0.95).build();
+        return new Parts()
+                .oneOf(
+                        "kind",
+                        "lag",
+                        "roll",
+                        "restart",
+                        "drain",
+                        "lose",
+                        "losePrimary",
+                        "errors",
+                        "losses",
+                        "slow",
+                        "stalls")
+                .with("atS", 0.5, 12)
+                .with("lenS", 0.2, 12)
+                .with("part", 0.05, 0.96)
+                .with("from", 0, 30)
+                .with("size", 0.05, 0.95)
+                .build();
     }
 
     private static Arbitrary<JSONObject> settings() {
-        Arbitrary<JSONObject> caps = new Parts().with("maxAttempts", 1, 20).flag("probes").flag("cancel")
-                .flag("retryAfter").with("maxRetryAfterS", 0.1, 5).with("streamsPerConn", 1, 32)
-                .with("idleCloseS", 2.0, 60).with("connectTimeoutS", 0.05, 5).flag("secondCopies").build();
-        Arbitrary<JSONObject> info = new Parts().flag("positions")
-                .oneOf("serverChecks", "silent", "refuse", "wait").with("holdsForS", 0.0, 0.2)
-                .oneOf("listRole", "late", "start", "silent").oneOf("writeMarks", "carried", "remembered")
+        Arbitrary<JSONObject> caps = new Parts()
+                .with("maxAttempts", 1, 20)
+                .flag("probes")
+                .flag("cancel")
+                .flag("retryAfter")
+                .with("maxRetryAfterS", 0.1, 5)
+                .with("streamsPerConn", 1, 32)
+                .with("idleCloseS", 2.0, 60)
+                .with("connectTimeoutS", 0.05, 5)
+                .flag("secondCopies")
+                .build();
+        Arbitrary<JSONObject> info = new Parts()
+                .flag("positions")
+                .oneOf("serverChecks", "silent", "refuse", "wait")
+                .with("holdsForS", 0.0, 0.2)
+                .oneOf("listRole", "late", "start", "silent")
+                .oneOf("writeMarks", "carried", "remembered")
+                .build();
+        Arbitrary<JSONObject> rules = new Parts()
+                .with("answerSlackS", 0.02, 0.1)
+                .with("stopSendingWithinS", 0.1, 3)
+                .with("coldFrom", 0.05, 1)
+                .with("fallMultiple", 1.5, 4)
+                .with("fallS", 0.5, 4)
+                .with("warmAfterS", 0.0, 30)
+                .flag("onlyDrainingBinds")
+                .build();
+        Arbitrary<JSONObject> stats = Arbitraries.of("silent", "piggyback")
+                .flatMap(how -> Arbitraries.of("x0", "x1", "load_share")
+                        .set()
+                        .ofMaxSize(how.equals("silent") ? 0 : 3)
+                        .map(names -> new JSONObject().put("how", how).put("names", new JSONArray(names))));
+        return new Parts()
+                .with("caps", caps)
+                .with("familyInfo", info)
+                .with("rules", rules)
+                .with("stats", stats)
+                .with("roundS", 0.001, 0.02)
                 .build();
-        Arbitrary<JSONObject> rules = new Parts().with("answerSlackS", 0.02, 0.1)
-                .with("stopSendingWithinS", 0.1, 3).with("coldFrom", 0.05, 1).with("fallMultiple", 1.5, 4)
-                .with("fallS", 0.5, 4).with("warmAfterS", 0.0, 30).flag("onlyDrainingBinds").build();
-        Arbitrary<JSONObject> stats = Arbitraries.of("silent", "piggyback").flatMap(how -> Arbitraries
-                .of("x0", "x1", "load_share").set().ofMaxSize(how.equals("silent") ? 0 : 3)
-                .map(names -> new JSONObject().put("how", how).put("names", new JSONArray(names))));
-        return new Parts().with("caps", caps).with("familyInfo", info).with("rules", rules)
-                .with("stats", stats).with("roundS", 0.001, 0.02).build();
     }
 
     private static Arbitrary<JSONObject> fleet() {
-        return new Parts().with("zones", 1, 3).with("members", 1, 4).with("poolersPerZone", 1, 33)
-                .with("groups", 1, 4).with("cores", 1, 8).with("rate", 0.3, 60).with("uneven", 1.0, 16)
-                .with("listLagS", 0.05, 5).with("durationS", 6, 20).with("sessions", 1, 100)
-                .with("logDelayS", 0.001, 0.05).with("replay", 1.05, 3).with("queue", 4, 100)
-                .flag("cancels").flag("retries").build();
+        return new Parts()
+                .with("zones", 1, 3)
+                .with("members", 1, 4)
+                .with("poolersPerZone", 1, 33)
+                .with("groups", 1, 4)
+                .with("cores", 1, 8)
+                .with("rate", 0.3, 60)
+                .with("uneven", 1.0, 16)
+                .with("listLagS", 0.05, 5)
+                .with("durationS", 6, 20)
+                .with("sessions", 1, 100)
+                .with("logDelayS", 0.001, 0.05)
+                .with("replay", 1.05, 3)
+                .with("queue", 4, 100)
+                .flag("cancels")
+                .flag("retries")
+                .build();
     }
 
-    @Provide Arbitrary<Draw> draws() {
-        return salted(Combinators.combine(settings(), fleet(),
-                requestClass().list().ofMinSize(2).ofMaxSize(6), event().list().ofMaxSize(5),
-                Arbitraries.longs().between(0, 1_000_000))
+    @Provide
+    Arbitrary<Draw> draws() {
+        return salted(Combinators.combine(
+                        settings(),
+                        fleet(),
+                        requestClass().list().ofMinSize(2).ofMaxSize(6),
+                        event().list().ofMaxSize(5),
+                        Arbitraries.longs().between(0, 1_000_000))
                 .as(AgainstLuckTest::draw));
     }
 
@@ -123,12 +192,17 @@
     private static Arbitrary<Draw> salted(Arbitrary<Draw> draws) {
         long salt = Long.getLong("frostreel.draws", 0);
         RandomGenerator<Draw> generator = draws.generator(GENERATED_SIZE);
-        return salt == 0 ? draws : Arbitraries.fromGenerator(
-                random -> generator.next(new Random(random.nextLong() ^ salt)));
+        return salt == 0
+                ? draws
+                : Arbitraries.fromGenerator(random -> generator.next(new Random(random.nextLong() ^ salt)));
     }
 
-    private static Draw draw(JSONObject settings, JSONObject drawnFleet, List<JSONObject> drawnClasses,
-            List<JSONObject> events, long seed) {
+    private static Draw draw(
+            JSONObject settings,
+            JSONObject drawnFleet,
+            List<JSONObject> drawnClasses,
+            List<JSONObject> events,
+            long seed) {
         JSONArray classes = new JSONArray();
         JSONArray kinds = new JSONArray();
         JSONArray freshness = new JSONArray();
@@ -143,9 +217,13 @@
             double aim = deadline * c.getDouble("aimShare");
             double needs = Math.min(MOST_WORK_S, aim / c.getDouble("aims"));
             boolean dedup = c.getString("repeat").equals("dedup");
-            classes.put(new JSONObject().put("name", "c" + classes.length()).put("deadlineS", deadline)
-                    .put("onTimeS", aim).put("worth", c.getDouble("worth"))
-                    .put("lateWorth", c.getDouble("lateWorth")).put("repeat", c.getString("repeat"))
+            classes.put(new JSONObject()
+                    .put("name", "c" + classes.length())
+                    .put("deadlineS", deadline)
+                    .put("onTimeS", aim)
+                    .put("worth", c.getDouble("worth"))
+                    .put("lateWorth", c.getDouble("lateWorth"))
+                    .put("repeat", c.getString("repeat"))
                     .put("group", dedup ? c.getString("group") : "all")
                     .put("repeatWindowS", c.getDouble("repeatWindowS")));
             freshness.put(c.getString("access"));
@@ -156,29 +234,36 @@
             longest = Math.max(longest, needs);
         }
         // What a server just started may be sent holds two requests of any class, and some of the usual ones.
-        double cold = rules.getDouble("coldFrom") * rules.getDouble("fallMultiple")
-                * rules.getDouble("fallS");
-        int cores = Math.max(fleet.getInt("cores"),
-                (int) Math.ceil(Math.max(2 * 1.3 * longest, 8 * work / shares) / cold));
+        double cold = rules.getDouble("coldFrom") * rules.getDouble("fallMultiple") * rules.getDouble("fallS");
+        int cores =
+                Math.max(fleet.getInt("cores"), (int) Math.ceil(Math.max(2 * 1.3 * longest, 8 * work / shares) / cold));
         int poolers = fleet.getInt("zones") * fleet.getInt("poolersPerZone");
-        double rate = Math.min(fleet.getDouble("rate") * poolers,
-                MOST_REQUESTS / fleet.getDouble("durationS"));
+        double rate = Math.min(fleet.getDouble("rate") * poolers, MOST_REQUESTS / fleet.getDouble("durationS"));
         double capacity = fleet.getInt("zones") * fleet.getInt("members") * fleet.getInt("groups") * cores;
-        fleet.put("chance", true).put("cores", cores).put("kinds", kinds).put("load",
-                Math.min(MOST_LOAD, rate * work / shares / capacity));
+        fleet.put("chance", true)
+                .put("cores", cores)
+                .put("kinds", kinds)
+                .put("load", Math.min(MOST_LOAD, rate * work / shares / capacity));
         JSONObject all = copy(settings).put("classes", classes).put("instances", poolers);
-        all.put("familyInfo", copy(all.getJSONObject("familyInfo")).put("freshness", freshness)
-                .put("lagAllowedS", bounds));
-        return new Draw(new JSONObject().put("settings", all).put("fleet", fleet).put("seed", seed)
+        all.put(
+                "familyInfo",
+                copy(all.getJSONObject("familyInfo"))
+                        .put("freshness", freshness)
+                        .put("lagAllowedS", bounds));
+        return new Draw(new JSONObject()
+                .put("settings", all)
+                .put("fleet", fleet)
+                .put("seed", seed)
                 .put("events", new JSONArray(events)));
     }
 
-    @Property(tries = TRIES, seed = "1", shrinking = ShrinkingMode.BOUNDED,
-            afterFailure = AfterFailureMode.RANDOM_SEED)
+    @Property(tries = TRIES, seed = "1", shrinking = ShrinkingMode.BOUNDED, afterFailure = AfterFailureMode.RANDOM_SEED)
     void theRulesHoldOnEveryDraw(@ForAll("draws") Draw draw) throws Malformed {
         World world = draw.play();
-        assertThat(world.rules().rules()).allSatisfy(
-                r -> assertThat(r.broken()).as("%s: %s", r.name(), r.convictions()).isZero());
+        assertThat(world.rules().rules())
+                .allSatisfy(r -> assertThat(r.broken())
+                        .as("%s: %s", r.name(), r.convictions())
+                        .isZero());
         assertThat(world.strayExceptions()).isZero();
     }
 }
--- a/lab/src/test/java/frostreel/lab/virtual/ColdFleetTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/ColdFleetTest.java
@@ -14,10 +14,8 @@
     private static final int ZONES = 2;
 
     /** A zone of small servers comes back at once while the other one's carry all that there is. */
-    private static World comesBack(int poolers, long seed,
-            BiFunction<Router.Settings, Router.Actions, Router> maker) {
-        World world = new World(new Plan(seed, ZONES, poolers / ZONES, 4, 2, 0.6, 1_000_000, 16_000_000,
-                true), maker);
+    private static World comesBack(int poolers, long seed, BiFunction<Router.Settings, Router.Actions, Router> maker) {
+        World world = new World(new Plan(seed, ZONES, poolers / ZONES, 4, 2, 0.6, 1_000_000, 16_000_000, true), maker);
         world.uneven(8);
         world.at(4_000_000, () -> world.loseZone(1));
         world.at(9_000_000, () -> world.returnZone(1));
@@ -27,10 +25,27 @@
     /** Decisions that take a started server for a warm one. */
     private static Router careless(Router.Settings s, Router.Actions actions) {
         Router.Rules r = s.rules();
-        return new Brain(new Router.Settings(s.seed(), s.instances(), s.zone(), s.tickUs(), s.classes(),
-                s.checks(), s.listRole(), s.marks(), s.positions(), s.limits(),
-                new Router.Rules(r.answerSlackUs(), r.stopSendingUs(), r.onlyDrainingBinds(), 1,
-                        r.warmAfterUs(), r.fallMultiple(), r.fallUs())), actions);
+        return new Brain(
+                new Router.Settings(
+                        s.seed(),
+                        s.instances(),
+                        s.zone(),
+                        s.tickUs(),
+                        s.classes(),
+                        s.checks(),
+                        s.listRole(),
+                        s.marks(),
+                        s.positions(),
+                        s.limits(),
+                        new Router.Rules(
+                                r.answerSlackUs(),
+                                r.stopSendingUs(),
+                                r.onlyDrainingBinds(),
+                                1,
+                                r.warmAfterUs(),
+                                r.fallMultiple(),
+                                r.fallUs())),
+                actions);
     }
 
     @ParameterizedTest
@@ -39,10 +54,14 @@
         int pushedByTheCareless = 0;
         for (long seed = 1; seed <= SEEDS; seed++) {
             World world = comesBack(poolers, seed, Brain::new);
-            assertThat(world.fallen()).as("seed %d, largest multiple %.2f", seed, world.largestMultiple())
+            assertThat(world.fallen())
+                    .as("seed %d, largest multiple %.2f", seed, world.largestMultiple())
                     .isZero();
-            assertThat(world.rules().broken()).as("seed %d: %s", seed, world.rules().rules()).isZero();
-            pushedByTheCareless += comesBack(poolers, seed, ColdFleetTest::careless).fallen() > 0 ? 1 : 0;
+            assertThat(world.rules().broken())
+                    .as("seed %d: %s", seed, world.rules().rules())
+                    .isZero();
+            pushedByTheCareless +=
+                    comesBack(poolers, seed, ColdFleetTest::careless).fallen() > 0 ? 1 : 0;
         }
         assertThat(pushedByTheCareless).isPositive();
     }
--- a/lab/src/test/java/frostreel/lab/virtual/Draw.java
+++ b/lab/src/test/java/frostreel/lab/virtual/Draw.java
@@ -50,20 +50,41 @@
         for (int i = 0; i < kinds.length(); i++) {
             double workUs = kinds.getJSONObject(i).getDouble("workMs") * 1e3;
             meanUs += workUs * kinds.getJSONObject(i).getDouble("share") / shares;
-            all.add(new Plan.Kind(s.classes().get(i), kinds.getJSONObject(i).getDouble("share") / shares,
-                    0.7 * workUs, 1.3 * workUs));
+            all.add(new Plan.Kind(
+                    s.classes().get(i),
+                    kinds.getJSONObject(i).getDouble("share") / shares,
+                    0.7 * workUs,
+                    1.3 * workUs));
         }
-        boolean commitsWait = json.getJSONObject("settings").getJSONObject("familyInfo")
-                .optBoolean("commitWaits", true);
-        Physics physics = new Physics(r.coldFrom(), r.warmAfterUs(), r.fallMultiple(), r.fallUs(),
-                us(fleet, "logDelayS"), fleet.getDouble("replay"), fleet.getInt("queue"), 2 / 3.0,
-                fleet.optBoolean("chance") ? meanUs : 0, fleet.getBoolean("cancels"), commitsWait);
+        boolean commitsWait =
+                json.getJSONObject("settings").getJSONObject("familyInfo").optBoolean("commitWaits", true);
+        Physics physics = new Physics(
+                r.coldFrom(),
+                r.warmAfterUs(),
+                r.fallMultiple(),
+                r.fallUs(),
+                us(fleet, "logDelayS"),
+                fleet.getDouble("replay"),
+                fleet.getInt("queue"),
+                2 / 3.0,
+                fleet.optBoolean("chance") ? meanUs : 0,
+                fleet.getBoolean("cancels"),
+                commitsWait);
         Set<String> reports = new HashSet<>();
-        json.getJSONObject("settings").getJSONObject("stats").getJSONArray("names")
+        json.getJSONObject("settings")
+                .getJSONObject("stats")
+                .getJSONArray("names")
                 .forEach(name -> reports.add((String) name));
-        return new Plan(json.getLong("seed"), fleet.getInt("zones"), fleet.getInt("poolersPerZone"),
-                fleet.getInt("groups"), fleet.getInt("cores"), fleet.getDouble("load"), us(fleet, "listLagS"),
-                us(fleet, "durationS"), fleet.getBoolean("retries"),
+        return new Plan(
+                json.getLong("seed"),
+                fleet.getInt("zones"),
+                fleet.getInt("poolersPerZone"),
+                fleet.getInt("groups"),
+                fleet.getInt("cores"),
+                fleet.getDouble("load"),
+                us(fleet, "listLagS"),
+                us(fleet, "durationS"),
+                fleet.getBoolean("retries"),
                 new Site(all, s, physics, reports, fleet.getInt("members"), fleet.getInt("sessions")));
     }
 
@@ -97,26 +118,40 @@
                     world.at(at + len * i / met, () -> world.restart(number, 200_000 + (long) (size * US)));
                 }
             }
-            case "restart" -> servers.forEach(s -> {
-                world.at(at, () -> cluster.crash(s));
-                world.at(at + len / 4 + 200_000, () -> start(cluster, s));
-            });
+            case "restart" ->
+                servers.forEach(s -> {
+                    world.at(at, () -> cluster.crash(s));
+                    world.at(at + len / 4 + 200_000, () -> start(cluster, s));
+                });
             case "drain" -> {
                 world.at(at, () -> cluster.drain(servers.get(0)));
                 world.at(at + DRAIN_US + len / 4, () -> start(cluster, servers.get(0)));
             }
-            case "lose" -> servers.forEach(s -> {
-                world.at(at, () -> cluster.vanish(s));
-                world.at(at + 200_000 + len, () -> start(cluster, s));
-            });
-            case "losePrimary" -> world.at(at, () -> cluster.all().stream().filter(Server::primary)
-                    .skip(e.getInt("from") % json.getJSONObject("fleet").getInt("groups")).findFirst()
-                    .ifPresent(s -> {
-                        cluster.vanish(s);
-                        world.at(at + 200_000 + len, () -> start(cluster, s));
-                    }));
-            case "lag" -> during(world, at, len, servers, s -> s.replayAt(size),
-                    s -> s.replayAt(json.getJSONObject("fleet").getDouble("replay")));
+            case "lose" ->
+                servers.forEach(s -> {
+                    world.at(at, () -> cluster.vanish(s));
+                    world.at(at + 200_000 + len, () -> start(cluster, s));
+                });
+            case "losePrimary" ->
+                world.at(
+                        at,
+                        () -> cluster.all().stream()
+                                .filter(Server::primary)
+                                .skip(e.getInt("from")
+                                        % json.getJSONObject("fleet").getInt("groups"))
+                                .findFirst()
+                                .ifPresent(s -> {
+                                    cluster.vanish(s);
+                                    world.at(at + 200_000 + len, () -> start(cluster, s));
+                                }));
+            case "lag" ->
+                during(
+                        world,
+                        at,
+                        len,
+                        servers,
+                        s -> s.replayAt(size),
+                        s -> s.replayAt(json.getJSONObject("fleet").getDouble("replay")));
             case "errors" -> during(world, at, len, servers, s -> s.failing(size), s -> s.failing(0));
             case "losses" -> during(world, at, len, servers, s -> s.losing(size), s -> s.losing(0));
             case "slow" -> during(world, at, len, servers, s -> s.slowDown(1 + size), s -> s.slowDown(1));
@@ -135,13 +170,14 @@
         }
     }
 
-    private static void during(World world, long at, long len, List<Server> servers,
-            Consumer<Server> from, Consumer<Server> to) {
+    private static void during(
+            World world, long at, long len, List<Server> servers, Consumer<Server> from, Consumer<Server> to) {
         world.at(at, () -> servers.forEach(from));
         world.at(at + len, () -> servers.forEach(to));
     }
 
-    @Override public String toString() {
+    @Override
+    public String toString() {
         return json.toString();
     }
 }
--- a/lab/src/test/java/frostreel/lab/virtual/KeptDrawsTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/KeptDrawsTest.java
@@ -14,14 +14,18 @@
 class KeptDrawsTest {
     private static final int SEEDS = 10;
 
-    @ParameterizedTest @ValueSource(strings = {"cold-one-server", "cold-thin-fleet", "cold-busy-by-half"})
+    @ParameterizedTest
+    @ValueSource(strings = {"cold-one-server", "cold-thin-fleet", "cold-busy-by-half"})
     void theRulesHold(String name) throws IOException, Malformed {
         try (InputStream in = KeptDrawsTest.class.getResourceAsStream("/draws/" + name + ".json")) {
             JSONObject kept = new JSONObject(new String(in.readAllBytes(), StandardCharsets.UTF_8));
             for (int seed = 1; seed <= SEEDS; seed++) {
                 World world = new Draw(new JSONObject(kept.toString()).put("seed", seed)).play();
-                assertThat(world.rules().rules()).as("seed %d", seed).allSatisfy(r -> assertThat(r.broken())
-                        .as("%s: %s", r.name(), r.convictions()).isZero());
+                assertThat(world.rules().rules())
+                        .as("seed %d", seed)
+                        .allSatisfy(r -> assertThat(r.broken())
+                                .as("%s: %s", r.name(), r.convictions())
+                                .isZero());
             }
         }
     }
--- a/lab/src/test/java/frostreel/lab/virtual/KnownSitesTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/KnownSitesTest.java
@@ -31,65 +31,117 @@
         JSONObject fleet = new JSONObject("""
                 {"zones":1,"members":4,"groups":3,"cores":5,"uneven":8,"listLagS":0.28,"durationS":34,
                 "sessions":40,"logDelayS":0.009,"replay":2,"queue":60,"cancels":false,"retries":true}""")
-                .put("poolersPerZone", poolers).put("load", load).put("kinds", kinds);
-        return new Draw(new JSONObject().put("settings", settings.put("instances", poolers))
-                .put("fleet", fleet).put("seed", seed).put("events", new JSONArray(List.of(events))));
+                .put("poolersPerZone", poolers)
+                .put("load", load)
+                .put("kinds", kinds);
+        return new Draw(new JSONObject()
+                .put("settings", settings.put("instances", poolers))
+                .put("fleet", fleet)
+                .put("seed", seed)
+                .put("events", new JSONArray(List.of(events))));
     }
 
     static JSONObject event(String kind, double atS, double lenS, double part, double size) {
-        return new JSONObject().put("kind", kind).put("atS", atS).put("lenS", lenS).put("part", part)
-                .put("from", 0).put("size", size);
+        return new JSONObject()
+                .put("kind", kind)
+                .put("atS", atS)
+                .put("lenS", lenS)
+                .put("part", part)
+                .put("from", 0)
+                .put("size", size);
     }
 
     static void keepsTheRules(World world) {
-        assertThat(world.rules().rules()).allSatisfy(r -> assertThat(r.broken()).as("%s: %s", r.name(),
-                r.convictions()).isZero());
+        assertThat(world.rules().rules())
+                .allSatisfy(r -> assertThat(r.broken())
+                        .as("%s: %s", r.name(), r.convictions())
+                        .isZero());
         assertThat(world.strayExceptions()).isZero();
     }
 
-    @Test void theirSettingsAreReadAsThePageNamesThem() throws IOException, Malformed {
+    @Test
+    void theirSettingsAreReadAsThePageNamesThem() throws IOException, Malformed {
         Router.Settings kamloops = draw(settings("billing-kamloops"), 1, 0.3, 1).settings();
-        assertThat(kamloops.classes()).extracting(Router.RequestClass::access).containsExactly(
-                Router.Access.BOUNDED, Router.Access.ANY, Router.Access.ANY, Router.Access.WRITE);
+        assertThat(kamloops.classes())
+                .extracting(Router.RequestClass::access)
+                .containsExactly(Router.Access.BOUNDED, Router.Access.ANY, Router.Access.ANY, Router.Access.WRITE);
         assertThat(kamloops.checks()).isEqualTo(Router.Checks.WAIT);
         assertThat(kamloops.marks()).isEqualTo(Router.Marks.CARRIED);
-        assertThat(kamloops.rules()).isEqualTo(new Router.Rules(20_000, 1_000_000, false, 0.22, 15_000_000, 3,
-                2_000_000));
+        assertThat(kamloops.rules())
+                .isEqualTo(new Router.Rules(20_000, 1_000_000, false, 0.22, 15_000_000, 3, 2_000_000));
         Router.Settings bsas = draw(settings("bsas-main"), 2, 0.3, 1).settings();
-        assertThat(bsas.classes()).extracting(Router.RequestClass::access).containsExactly(
-                Router.Access.SESSION, Router.Access.ANY, Router.Access.ANY, Router.Access.WRITE);
-        assertThat(bsas.classes().get(3)).isEqualTo(new Router.RequestClass("order-write",
-                Router.Access.WRITE, Router.Repeat.KEYED, Router.Scope.GROUP, 3_000_000, 0, 500_000,
-                3_000_000, 6, 0.7));
+        assertThat(bsas.classes())
+                .extracting(Router.RequestClass::access)
+                .containsExactly(Router.Access.SESSION, Router.Access.ANY, Router.Access.ANY, Router.Access.WRITE);
+        assertThat(bsas.classes().get(3))
+                .isEqualTo(new Router.RequestClass(
+                        "order-write",
+                        Router.Access.WRITE,
+                        Router.Repeat.KEYED,
+                        Router.Scope.GROUP,
+                        3_000_000,
+                        0,
+                        500_000,
+                        3_000_000,
+                        6,
+                        0.7));
         assertThat(bsas.checks()).isEqualTo(Router.Checks.SILENT);
         assertThat(bsas.listRole()).isEqualTo(Router.ListRole.START);
         assertThat(bsas.marks()).isEqualTo(Router.Marks.REMEMBERED);
         assertThat(bsas.positions()).isTrue();
-        assertThat(bsas.limits()).isEqualTo(new Router.Limits(10, Router.Probes.LIVENESS, true, false,
-                500_000, false, 10_000_000, 250_000, 0, 15_000_000, 8));
-        assertThat(bsas.rules()).isEqualTo(new Router.Rules(20_000, 250_000, false, 0.16, 15_000_000, 2,
-                1_000_000));
+        assertThat(bsas.limits())
+                .isEqualTo(new Router.Limits(
+                        10,
+                        Router.Probes.LIVENESS,
+                        true,
+                        false,
+                        500_000,
+                        false,
+                        10_000_000,
+                        250_000,
+                        0,
+                        15_000_000,
+                        8));
+        assertThat(bsas.rules()).isEqualTo(new Router.Rules(20_000, 250_000, false, 0.16, 15_000_000, 2, 1_000_000));
     }
 
-    @ParameterizedTest @ValueSource(strings = {"billing-kamloops", "bsas-main"})
+    @ParameterizedTest
+    @ValueSource(strings = {"billing-kamloops", "bsas-main"})
     void theirRulesHoldThroughTheirTroubles(String site) throws IOException, Malformed {
         for (long seed = 1; seed <= SEEDS; seed++) {
-            keepsTheRules(draw(settings(site), 2, 0.6, seed, event("roll", 3, 12, 0.96, 0.3),
-                    event("lag", 4, 12, 0.9, 0.1), event("losePrimary", 8, 4, 1, 0.5),
-                    event("losses", 16, 8, 0.3, 0.3), event("errors", 18, 9, 0.18, 0.7),
-                    event("stalls", 20, 10, 0.4, 0.5), event("drain", 25, 2, 0.1, 0.5)).play());
+            keepsTheRules(draw(
+                            settings(site),
+                            2,
+                            0.6,
+                            seed,
+                            event("roll", 3, 12, 0.96, 0.3),
+                            event("lag", 4, 12, 0.9, 0.1),
+                            event("losePrimary", 8, 4, 1, 0.5),
+                            event("losses", 16, 8, 0.3, 0.3),
+                            event("errors", 18, 9, 0.18, 0.7),
+                            event("stalls", 20, 10, 0.4, 0.5),
+                            event("drain", 25, 2, 0.1, 0.5))
+                    .play());
         }
     }
 
     /** Poolers that have forgotten all, one after another, over servers that are cold: thin and uneven. */
-    @ParameterizedTest @ValueSource(ints = {2, 14, 100})
+    @ParameterizedTest
+    @ValueSource(ints = {2, 14, 100})
     void poolersRestartedInARowPushNoColdServerOver(int poolers) throws IOException, Malformed {
         for (long seed = 1; seed <= SEEDS; seed++) {
             double lenS = 10 + 17.0 * seed / SEEDS;
-            World world = draw(settings("bsas-main"), poolers, 0.15, seed,
-                    event("restart", 2, 4, 0.5, 0.5), event("roll", 2.5, lenS, 0.96, 0.7),
-                    event("restart", 12, 2, 0.9, 0.5)).play();
-            assertThat(world.fallen()).as("seed %d, largest multiple %.2f", seed, world.largestMultiple())
+            World world = draw(
+                            settings("bsas-main"),
+                            poolers,
+                            0.15,
+                            seed,
+                            event("restart", 2, 4, 0.5, 0.5),
+                            event("roll", 2.5, lenS, 0.96, 0.7),
+                            event("restart", 12, 2, 0.9, 0.5))
+                    .play();
+            assertThat(world.fallen())
+                    .as("seed %d, largest multiple %.2f", seed, world.largestMultiple())
                     .isZero();
             keepsTheRules(world);
         }
--- a/lab/src/test/java/frostreel/lab/virtual/LostCommitsTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/LostCommitsTest.java
@@ -20,14 +20,21 @@
     private static final long SETTLED_US = 2_000_000;
 
     private static World play(String site, long seed) throws Exception {
-        Draw draw = KnownSitesTest.draw(KnownSitesTest.settings(site), 2, 0.4, seed,
-                event("lag", 3, 6.5, 0.9, 0.1), event("losePrimary", 6, 8, 1, 0.5),
-                event("losePrimary", 9, 8, 1, 0.5).put("from", 1), event("losePrimary", 20, 8, 1, 0.5));
+        Draw draw = KnownSitesTest.draw(
+                KnownSitesTest.settings(site),
+                2,
+                0.4,
+                seed,
+                event("lag", 3, 6.5, 0.9, 0.1),
+                event("losePrimary", 6, 8, 1, 0.5),
+                event("losePrimary", 9, 8, 1, 0.5).put("from", 1),
+                event("losePrimary", 20, 8, 1, 0.5));
         draw.json().getJSONObject("fleet").put("sessions", SESSIONS);
         return draw.play();
     }
 
-    @Test void theRulesHoldAndReadsOfSessionsWhoseCommitIsLostAreServedAgain() throws Exception {
+    @Test
+    void theRulesHoldAndReadsOfSessionsWhoseCommitIsLostAreServedAgain() throws Exception {
         for (long seed = 1; seed <= SEEDS; seed++) {
             World world = play("bsas-main", seed);
             KnownSitesTest.keepsTheRules(world);
@@ -35,13 +42,17 @@
             assertThat(t.served() + t.refused() + t.failed()).isEqualTo(t.requests() + t.retries);
             assertThat(world.cluster().lost()).as("seed %d", seed).isPositive();
             List<World.LostRead> settled = world.lostReads().stream()
-                    .filter(r -> r.ledUs() > SETTLED_US).toList();
-            assertThat(settled).as("seed %d", seed).isNotEmpty()
+                    .filter(r -> r.ledUs() > SETTLED_US)
+                    .toList();
+            assertThat(settled)
+                    .as("seed %d", seed)
+                    .isNotEmpty()
                     .allSatisfy(r -> assertThat(r.answer()).isEqualTo(Answer.SERVED));
         }
     }
 
-    @Test void whereCommitsWaitNoneIsLost() throws Exception {
+    @Test
+    void whereCommitsWaitNoneIsLost() throws Exception {
         assertThat(play("billing-kamloops", 1).cluster().lost()).isZero();
     }
 }
--- a/lab/src/test/java/frostreel/lab/virtual/VirtualGroupTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/VirtualGroupTest.java
@@ -35,22 +35,26 @@
         final List<String> failures = new ArrayList<>();
         Membership mine;
 
-        @Override public void changed(View view, View before) {
+        @Override
+        public void changed(View view, View before) {
             assertThat(before).isEqualTo(views.isEmpty() ? View.NONE : views.get(views.size() - 1));
             assertThat(view.number()).isGreaterThan(before.number());
             assertThat(view.members()).contains(mine.self());
             views.add(view);
         }
 
-        @Override public void suspected(Peer peer) {
+        @Override
+        public void suspected(Peer peer) {
             suspects.add(peer.name());
         }
 
-        @Override public void received(Peer from, byte[] message) {
+        @Override
+        public void received(Peer from, byte[] message) {
             heard.add(from.name() + ":" + new String(message));
         }
 
-        @Override public void failed(String why) {
+        @Override
+        public void failed(String why) {
             failures.add(why);
         }
 
@@ -83,7 +87,8 @@
         time.runUntil(time.now() + us);
     }
 
-    @Test void aCutBothWaysMakesTwoPartsAndHealingMergesThem() {
+    @Test
+    void aCutBothWaysMakesTwoPartsAndHealingMergesThem() {
         start(5, 1);
         cut(true, 2, 5);
         pass(SETTLED_US);
@@ -107,7 +112,8 @@
         }
     }
 
-    @Test void oneThatHearsButIsNotHeardIsOut() {
+    @Test
+    void oneThatHearsButIsNotHeardIsOut() {
         start(3, 1);
         group.cut("p002", "p000", true);
         group.cut("p002", "p001", true);
@@ -120,7 +126,8 @@
         assertThat(ears.get("p002").sees()).containsExactly("p002");
     }
 
-    @Test void aCutShorterThanSilenceChangesNoView() {
+    @Test
+    void aCutShorterThanSilenceChangesNoView() {
         start(3, 1);
         cut(true, 1, 3);
         pass(SILENT_US / 2);
@@ -129,7 +136,8 @@
         ears.values().forEach(e -> assertThat(e.views).hasSize(1));
     }
 
-    @Test void aPausedOneIsOutHearsWhatCameOnWakingAndIsTakenInAgain() {
+    @Test
+    void aPausedOneIsOutHearsWhatCameOnWakingAndIsTakenInAgain() {
         start(3, 1);
         group.pause("p001", true);
         ears.get("p000").mine.cast("news".getBytes());
@@ -143,7 +151,8 @@
         ears.values().forEach(e -> assertThat(e.sees()).hasSize(3));
     }
 
-    @Test void messagesKeepTheirOrderThoughTheWayGetsShorter() {
+    @Test
+    void messagesKeepTheirOrderThoughTheWayGetsShorter() {
         start(2, 1);
         Membership a = ears.get("p000").mine;
         group.delay("p000", "p001", 500_000);
@@ -157,7 +166,8 @@
         assertThatThrownBy(() -> a.cast(new byte[Membership.MOST_BYTES + 1])).hasMessageContaining("at most");
     }
 
-    @Test void aLeaverIsNotSuspectedAndItsNextLifeIsAnotherPeer() {
+    @Test
+    void aLeaverIsNotSuspectedAndItsNextLifeIsAnotherPeer() {
         start(3, 1);
         Ears old = ears.get("p001");
         old.mine.leave();
@@ -172,7 +182,8 @@
         assertThat(ears.get("p001").heard).isEmpty();
     }
 
-    @Test void whoIsNotNamedIsRefused() {
+    @Test
+    void whoIsNotNamedIsRefused() {
         start(2, 1);
         assertThat(join("other", 1).failures).isEmpty();
         pass(SETTLED_US);
@@ -229,18 +240,21 @@
 
         void propose(String entry) {
             log.propose(entry.getBytes(), new MajorityLog.Outcome() {
-                @Override public void chosen(long number) {
+                @Override
+                public void chosen(long number) {
                     answered.put(entry, number);
                 }
 
-                @Override public void unknown(String why) {
+                @Override
+                public void unknown(String why) {
                     doubtful.add(entry);
                 }
             });
         }
     }
 
-    @Test void theSmallerPartChoosesNothingAndHearsAllOnceHealed() {
+    @Test
+    void theSmallerPartChoosesNothingAndHearsAllOnceHealed() {
         start(5, 1);
         Scribe small = new Scribe("p000");
         Scribe large = new Scribe("p004");
--- a/lab/src/test/java/frostreel/lab/virtual/WorldTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/WorldTest.java
@@ -21,19 +21,23 @@
     }
 
     private static void keepsTheRules(World world) {
-        assertThat(world.rules().rules()).allSatisfy(r -> assertThat(r.broken()).as("%s: %s", r.name(),
-                r.convictions()).isZero());
+        assertThat(world.rules().rules())
+                .allSatisfy(r -> assertThat(r.broken())
+                        .as("%s: %s", r.name(), r.convictions())
+                        .isZero());
         assertThat(world.strayExceptions()).isZero();
         assertThat(world.fallen()).isZero();
     }
 
-    @Test void theSameSeedGivesTheSameRecordAndAnotherSeedAnother() {
+    @Test
+    void theSameSeedGivesTheSameRecordAndAnotherSeedAnother() {
         String record = lossAndReturn(1).record();
         assertThat(lossAndReturn(1).record()).isEqualTo(record);
         assertThat(lossAndReturn(2).record()).isNotEqualTo(record);
     }
 
-    @Test void aCalmRunIsServedNearlyWholeAndEveryRequestHasOneAnswer() {
+    @Test
+    void aCalmRunIsServedNearlyWholeAndEveryRequestHasOneAnswer() {
         World world = new World(plan(3), Brain::new).run();
         keepsTheRules(world);
         assertThat(world.tally().worth(5, 25, -1)).isGreaterThan(0.97);
@@ -41,7 +45,8 @@
         assertThat(t.served() + t.refused() + t.failed()).isEqualTo(t.requests() + t.retries);
     }
 
-    @Test void theRulesHoldThroughTheLossAndReturnOfAZone() {
+    @Test
+    void theRulesHoldThroughTheLossAndReturnOfAZone() {
         World world = lossAndReturn(4);
         keepsTheRules(world);
         assertThat(world.tally().worstTenSeconds(1)).isLessThan(world.tally().worth(0, 8, 1));
@@ -57,44 +62,68 @@
             this.act = act;
         }
 
-        @Override public void onSettings(Settings settings) {}
+        @Override
+        public void onSettings(Settings settings) {}
 
-        @Override public void onRequest(long nowUs, Request q) {
+        @Override
+        public void onRequest(long nowUs, Request q) {
             act.send(q.id(), first(q), q.deadlineUs() - nowUs);
         }
 
         private String first(Request q) {
-            return members.stream().filter(m -> m.group() == q.group()).findFirst().orElseThrow().id();
+            return members.stream()
+                    .filter(m -> m.group() == q.group())
+                    .findFirst()
+                    .orElseThrow()
+                    .id();
         }
 
-        @Override public boolean stands(long nowUs, String requestId) {
+        @Override
+        public boolean stands(long nowUs, String requestId) {
             return true;
         }
 
-        @Override public void onOutcome(long nowUs, String requestId, int attempt, String memberId,
-                Outcome outcome, boolean closed, long tookUs, Role role, long positionUs, Report report) {
+        @Override
+        public void onOutcome(
+                long nowUs,
+                String requestId,
+                int attempt,
+                String memberId,
+                Outcome outcome,
+                boolean closed,
+                long tookUs,
+                Role role,
+                long positionUs,
+                Report report) {
             if (!closed) {
                 act.fail(requestId);
             }
         }
 
-        @Override public void onMembers(long nowUs, ListKind kind, List<Member> list) {
+        @Override
+        public void onMembers(long nowUs, ListKind kind, List<Member> list) {
             members = kind == ListKind.FULL ? list : members;
         }
 
-        @Override public void onProbe(long nowUs, String memberId, boolean ok, long tookUs, Report report) {}
+        @Override
+        public void onProbe(long nowUs, String memberId, boolean ok, long tookUs, Report report) {}
 
-        @Override public void onTimer(long nowUs, String name) {}
+        @Override
+        public void onTimer(long nowUs, String name) {}
 
-        @Override public void onClientGone(long nowUs, String requestId) {}
+        @Override
+        public void onClientGone(long nowUs, String requestId) {}
     }
 
-    @Test void decisionsThatIgnoreTheListAndTheColdAreConvicted() {
+    @Test
+    void decisionsThatIgnoreTheListAndTheColdAreConvicted() {
         World world = new World(plan(5), Stubborn::new);
         world.at(8_000_000, () -> world.loseZone(0));
         world.at(12_000_000, () -> world.returnZone(0));
         world.run();
-        assertThat(world.rules().rules()).filteredOn(r -> r.broken() > 0).extracting(Rule::name)
+        assertThat(world.rules().rules())
+                .filteredOn(r -> r.broken() > 0)
+                .extracting(Rule::name)
                 .contains("drains and ends kept", "no cold server pushed over");
         assertThat(world.fallen()).isPositive();
     }
--- a/lab/src/test/java/frostreel/lab/virtual/ZoneLossTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/ZoneLossTest.java
@@ -14,8 +14,10 @@
         World world = new World(plan, tiers ? Policy.tiers(plan, 1, 1) : Policy.plain());
         faults.accept(world);
         world.run();
-        assertThat(world.rules().rules()).allSatisfy(r -> assertThat(r.broken()).as("%s: %s", r.name(),
-                r.convictions()).isZero());
+        assertThat(world.rules().rules())
+                .allSatisfy(r -> assertThat(r.broken())
+                        .as("%s: %s", r.name(), r.convictions())
+                        .isZero());
         assertThat(world.fallen()).isZero();
         assertThat(world.strayExceptions()).isZero();
         return world;
@@ -26,17 +28,20 @@
         world.at(20 * SECOND, () -> world.returnZone(1));
     }
 
-    @ParameterizedTest @ValueSource(longs = {1, 2, 3})
+    @ParameterizedTest
+    @ValueSource(longs = {1, 2, 3})
     void aHundredPoolersSeeAColdZoneReturnWhileTheListSaysSoLate(long seed) {
         Plan plan = new Plan(seed, 3, 34, 6, 4, 0.6, 5 * SECOND, 32 * SECOND, true);
         World tiers = play(plan, true, ZoneLossTest::lossAndReturn);
         World plain = play(plan, false, ZoneLossTest::lossAndReturn);
         assertThat(tiers.largestMultiple()).isLessThan(plain.largestMultiple());
-        assertThat(tiers.tally().worstTenSeconds(-1)).isGreaterThan(plain.tally().worstTenSeconds(-1) + 0.05);
+        assertThat(tiers.tally().worstTenSeconds(-1))
+                .isGreaterThan(plain.tally().worstTenSeconds(-1) + 0.05);
         assertThat(tiers.tally().worth(5, 32, -1)).isGreaterThan(plain.tally().worth(5, 32, -1));
     }
 
-    @ParameterizedTest @ValueSource(longs = {1, 2, 3})
+    @ParameterizedTest
+    @ValueSource(longs = {1, 2, 3})
     void theSurvivorsAtFourFifthsKeepTheirOwnClients(long seed) {
         Plan plan = new Plan(seed, 4, 3, 12, 4, 0.8, 2 * SECOND, 30 * SECOND, true);
         World tiers = play(plan, true, ZoneLossTest::lossAndReturn);
@@ -45,13 +50,15 @@
         lossAndReturn(closed);
         closed.run();
         for (int zone : new int[] {0, 2, 3}) {
-            assertThat(tiers.tally().worstTenSeconds(zone)).as("zone %d", zone)
+            assertThat(tiers.tally().worstTenSeconds(zone))
+                    .as("zone %d", zone)
                     .isGreaterThan(plain.tally().worstTenSeconds(zone))
                     .isGreaterThan(closed.tally().worstTenSeconds(zone) - 0.05);
         }
     }
 
-    @ParameterizedTest @ValueSource(longs = {1, 2, 3})
+    @ParameterizedTest
+    @ValueSource(longs = {1, 2, 3})
     void aZoneThatFlapsTwiceWithinAMinuteIsNotTakenInWithTheSameHaste(long seed) {
         Plan plan = new Plan(seed, 3, 10, 6, 4, 0.6, 5 * SECOND, 45 * SECOND, true);
         long tiers = sentAfterTheSecondReturn(plan, true);
@@ -78,7 +85,8 @@
         return world.sent(0, zone) + world.sent(1, zone) + world.sent(2, zone);
     }
 
-    @ParameterizedTest @ValueSource(longs = {1, 2, 3})
+    @ParameterizedTest
+    @ValueSource(longs = {1, 2, 3})
     void aSlowZoneSpillsSomeAndNotAll(long seed) {
         Plan plan = new Plan(seed, 3, 3, 6, 4, 0.6, 2 * SECOND, 25 * SECOND, true);
         long[] before = new long[2];
@@ -95,7 +103,8 @@
         assertThat(spilt / (home + spilt)).isGreaterThan(calmShare + 0.05).isLessThan(0.9);
     }
 
-    @ParameterizedTest @ValueSource(longs = {1, 2, 3})
+    @ParameterizedTest
+    @ValueSource(longs = {1, 2, 3})
     void aCutOfOneDirectionRepeatsNoWriteBeyondItsKeyAndEndsWithItsCause(long seed) {
         Plan plan = new Plan(seed, 3, 3, 6, 4, 0.5, 2 * SECOND, 40 * SECOND, true);
         World world = play(plan, true, w -> {
@@ -108,7 +117,8 @@
         assertThat(world.tally().worth(38, 40, -1)).isGreaterThan(0.95);
     }
 
-    @ParameterizedTest @ValueSource(longs = {1, 2, 3})
+    @ParameterizedTest
+    @ValueSource(longs = {1, 2, 3})
     void readsThatMustBeFreshAreServedWhereOnlyAFarReplicaIs(long seed) {
         Plan plan = new Plan(seed, 3, 2, 6, 4, 0.4, 2 * SECOND, 25 * SECOND, true);
         World world = play(plan, true, w -> w.at(8 * SECOND, () -> w.replayZone(0, 0.2)));
