--- a/pooler/src/main/java/frostreel/Pooler.java
+++ b/pooler/src/main/java/frostreel/Pooler.java
@@ -45,9 +45,11 @@
     static final long KNOWN_PATIENCE_US = 100_000;
     /** So many times as long, from the start, where no connection to discovery comes up. */
     private static final int UNREACHED = 3;
+
     private static final long CHECK_US = 20_000;
     /** For so long the system is asked for a listening socket, and so long after each refusal. */
     private static final long LISTEN_PATIENCE_US = 20_000_000;
+
     private static final long LISTEN_AGAIN_US = 50_000;
     private static final long LEAVE_MS = 300;
     private static final Logger LOG = Logger.getLogger(Pooler.class.getName());
@@ -59,15 +61,18 @@
     private final Operator operator;
     /** Null where operators may not call. */
     private final CallListener calls;
+
     private Watch watch;
     /** The watch on the discovery that a new configuration names, until it has answered; null for none. */
     private Watch next;
     /** The list known from the start; null once it is taken. */
     private HostList known;
+
     private ZoneAdviser advice;
     private final Beside beside;
     /** Null where no poolers see each other. */
     private final Fellows fellows;
+
     private final OperatorSettings.Cluster cluster;
     private final CountDownLatch listening = new CountDownLatch(1);
     private final CountDownLatch ended = new CountDownLatch(1);
@@ -75,10 +80,12 @@
     private Config inForce;
     /** What clients wait for at the start: a list of servers, and the orders of earlier lives. */
     private boolean serversKnown;
+
     private boolean ordersTaken;
     private boolean listens;
     /** How many changes of settings there were, and how many attempts a request that comes now may have. */
     private int changes;
+
     private int attempts;
     private final long knownPatienceUs;
 
@@ -91,27 +98,45 @@
      * {@code knownPatienceUs}: how long at most the list known from the start waits for discovery's word;
      * {@code lingerUs}: how long clients are waited for whose connections were ended.
      */
-    Pooler(Config config, OperatorSettings operators, long knownPatienceUs, long lingerUs)
-            throws IOException {
+    Pooler(Config config, OperatorSettings operators, long knownPatienceUs, long lingerUs) throws IOException {
         this.knownPatienceUs = knownPatienceUs;
         loop = new Loop(ClockAnchor.clock(config.orders()));
         beside = Beside.of(config, loop.clock().now());
         loop.onBeat(beside.writes()::beat);
         pool = new ServerPool(loop, config.settings(), config.maxServerConnections());
-        broker = new Broker(loop.clock(), loop.deadlines(), loop.counters(), loop.events(), pool,
+        broker = new Broker(
+                loop.clock(),
+                loop.deadlines(),
+                loop.counters(),
+                loop.events(),
+                pool,
                 config.settings(),
-                config.maxOpen(), (settings, actions) -> router(config, operators, settings, actions),
+                config.maxOpen(),
+                (settings, actions) -> router(config, operators, settings, actions),
                 beside.writes());
         inForce = config;
         attempts = config.settings().limits().maxAttempts();
         classes = new ClassTable(config.settings().classes());
         door = new Door(config.inherits(), longest(config.settings()), lingerUs);
-        listener = new Listener(loop, broker, door, classes, config.maxClients(),
-                config.usualClients(), config.settings().seed());
+        listener = new Listener(
+                loop,
+                broker,
+                door,
+                classes,
+                config.maxClients(),
+                config.usualClients(),
+                config.settings().seed());
         listener.page("stats", () -> loop.counters().toString());
         listener.page("health", this::health);
-        operator = new Operator(loop, door, pool, broker, listener::sweep, config.orders(),
-                Long.toHexString(config.settings().seed()) + "x" + Long.toHexString(loop.clock().now()));
+        operator = new Operator(
+                loop,
+                door,
+                pool,
+                broker,
+                listener::sweep,
+                config.orders(),
+                Long.toHexString(config.settings().seed()) + "x"
+                        + Long.toHexString(loop.clock().now()));
         calls = config.control() == null ? null : new CallListener(loop, operator);
         if (calls != null) {
             listener.page("operation", operator::toString);
@@ -132,12 +157,13 @@
     }
 
     /** Where no tiers are stated, nothing of zones is so much as loaded. */
-    private Router router(Config config, OperatorSettings operators, Router.Settings settings,
-            Router.Actions actions) {
+    private Router router(Config config, OperatorSettings operators, Router.Settings settings, Router.Actions actions) {
         if (operators.zones() == null) {
             return new Brain(settings, actions, new NearFirst(settings.zone()), beside.elsewhere());
         }
-        advice = new ZoneAdviser(settings, operators.zonesFor(settings.zone(), config.zones()).orElseThrow(),
+        advice = new ZoneAdviser(
+                settings,
+                operators.zonesFor(settings.zone(), config.zones()).orElseThrow(),
                 new SplittableRandom(settings.seed()).nextDouble());
         return new Brain(settings, actions, advice, beside.elsewhere());
     }
@@ -160,8 +186,7 @@
         if (known.hosts().isEmpty()) {
             loop.deadlines().after(LIST_PATIENCE_US, this::serversAreKnown);
         } else {
-            Deadlines.Deadline unreached = loop.deadlines().after(UNREACHED * knownPatienceUs,
-                    this::serversAreKnown);
+            Deadlines.Deadline unreached = loop.deadlines().after(UNREACHED * knownPatienceUs, this::serversAreKnown);
             watch.onAsked(() -> {
                 loop.deadlines().cancel(unreached);
                 loop.deadlines().after(knownPatienceUs, this::serversAreKnown);
@@ -188,8 +213,11 @@
             becomeReady();
         } catch (IOException e) {
             if (e instanceof BindException || loop.clock().now() >= untilUs) {
-                LOG.log(Level.SEVERE, "GW_LISTEN, GW_CONTROL: cannot listen on " + config.listen()
-                        + (calls == null ? "" : " and " + config.control()), e);
+                LOG.log(
+                        Level.SEVERE,
+                        "GW_LISTEN, GW_CONTROL: cannot listen on " + config.listen()
+                                + (calls == null ? "" : " and " + config.control()),
+                        e);
                 new Thread(() -> System.exit(1), "exit").start();
             } else {
                 LOG.warning("cannot listen yet: " + e + "; tried again");
@@ -255,7 +283,10 @@
     }
 
     private static long longest(Router.Settings settings) {
-        return settings.classes().stream().mapToLong(Router.RequestClass::deadlineUs).max().orElse(0);
+        return settings.classes().stream()
+                .mapToLong(Router.RequestClass::deadlineUs)
+                .max()
+                .orElse(0);
     }
 
     /** Goes over to the operators' new tiers; whether there are any, or none, is settled at the start. */
@@ -263,14 +294,16 @@
         if (!Objects.equals(cluster, operators.cluster())) {
             LOG.warning("other poolers are named now: they hold from the next start");
         }
-        loop.thread().execute(() -> operators.zonesFor(config.settings().zone(), config.zones())
-                .ifPresent(zones -> {
-                    if (advice == null) {
-                        LOG.warning("zones are stated now: they hold from the next start");
-                    } else {
-                        advice.configure(zones);
-                    }
-                }));
+        loop.thread()
+                .execute(() -> operators
+                        .zonesFor(config.settings().zone(), config.zones())
+                        .ifPresent(zones -> {
+                            if (advice == null) {
+                                LOG.warning("zones are stated now: they hold from the next start");
+                            } else {
+                                advice.configure(zones);
+                            }
+                        }));
     }
 
     private void listed(HostList list) {
@@ -294,8 +327,8 @@
 
     /** Whether this process serves, what it waits for, and how old its view of the servers is. */
     private String health() {
-        String missing = !serversKnown ? "servers" : !ordersTaken ? "orders" : listening.getCount() > 0
-                ? "sockets" : "nothing";
+        String missing =
+                !serversKnown ? "servers" : !ordersTaken ? "orders" : listening.getCount() > 0 ? "sockets" : "nothing";
         return "clients=" + door.word().name().toLowerCase(Locale.ROOT) + " missing=" + missing + " " + watch
                 + " next_discovery=" + (next == null ? "none" : "unanswered") + " open_requests="
                 + broker.open() + " open_clients=" + listener.open() + " loop_late_ms=" + loop.lateUs() / 1000
--- a/pooler/src/main/java/frostreel/broker/BackEnd.java
+++ b/pooler/src/main/java/frostreel/broker/BackEnd.java
@@ -7,8 +7,7 @@
  */
 public interface BackEnd {
     /** How an attempt ended, with what the answer told of the server; {@code answer} is set for OK. */
-    record Result(Router.Outcome outcome, Router.Role role, long positionUs, Router.Report report,
-            byte[] answer) {
+    record Result(Router.Outcome outcome, Router.Role role, long positionUs, Router.Report report, byte[] answer) {
         public static Result of(Router.Outcome outcome) {
             return new Result(outcome, Router.Role.UNKNOWN, 0, null, null);
         }
--- a/pooler/src/main/java/frostreel/broker/Broker.java
+++ b/pooler/src/main/java/frostreel/broker/Broker.java
@@ -20,8 +20,8 @@
  */
 public final class Broker implements Router.Actions {
     /** What the decisions need of a request; {@code id} is its own name, as its sender gave it. */
-    public record Ask(String id, int cls, long session, int group, long deadlineUs, long sinceWriteUs,
-    boolean repeated) {}
+    public record Ask(
+            String id, int cls, long session, int group, long deadlineUs, long sinceWriteUs, boolean repeated) {}
 
     private static final class Entry {
         final Ask ask;
@@ -32,6 +32,7 @@
         boolean answered;
         /** Its answer has begun, and goes on as it comes. */
         boolean passing;
+
         final Router.RequestClass rules;
         final int mostAttempts;
         int attempts;
@@ -42,6 +43,7 @@
         Outcome lastOutcome;
         /** When the first attempt was sent that may have run; {@code Long.MAX_VALUE} while none was. */
         long maybeRanUs = Long.MAX_VALUE;
+
         Deadlines.Deadline timeout;
         Deadlines.Deadline overdue;
 
@@ -58,7 +60,8 @@
             if (maybeRanUs == Long.MAX_VALUE || rules.repeat() == Router.Repeat.SAFE) {
                 return ask.deadlineUs();
             }
-            return rules.repeat() == Router.Repeat.UNSAFE ? maybeRanUs
+            return rules.repeat() == Router.Repeat.UNSAFE
+                    ? maybeRanUs
                     : Math.min(ask.deadlineUs(), maybeRanUs + rules.windowUs());
         }
     }
@@ -68,6 +71,7 @@
      * left unanswered is answered here; the rest is for the answer's way.
      */
     private static final double OVERDUE_SHARE = 0.75;
+
     private static final Logger LOG = Logger.getLogger(Broker.class.getName());
     private final Clock clock;
     private final Deadlines deadlines;
@@ -83,17 +87,28 @@
     private final ArrayDeque<Runnable> events = new ArrayDeque<>();
     private boolean inEvent;
 
-    public Broker(Clock clock, Deadlines deadlines, Counters counters, BackEnd backEnd,
+    public Broker(
+            Clock clock,
+            Deadlines deadlines,
+            Counters counters,
+            BackEnd backEnd,
             Router.Settings settings,
-            int maxOpen, BiFunction<Router.Settings, Router.Actions, Router> maker) {
-        this(clock, deadlines, counters, EventLog.silent(), backEnd, settings, maxOpen, maker,
-                CommitLog.NONE);
+            int maxOpen,
+            BiFunction<Router.Settings, Router.Actions, Router> maker) {
+        this(clock, deadlines, counters, EventLog.silent(), backEnd, settings, maxOpen, maker, CommitLog.NONE);
     }
 
     /** {@code commits}: hears of the writes, for the processes that serve beside this one. */
-    public Broker(Clock clock, Deadlines deadlines, Counters counters, EventLog log, BackEnd backEnd,
-            Router.Settings settings, int maxOpen,
-            BiFunction<Router.Settings, Router.Actions, Router> maker, CommitLog commits) {
+    public Broker(
+            Clock clock,
+            Deadlines deadlines,
+            Counters counters,
+            EventLog log,
+            BackEnd backEnd,
+            Router.Settings settings,
+            int maxOpen,
+            BiFunction<Router.Settings, Router.Actions, Router> maker,
+            CommitLog commits) {
         this.commits = commits;
         this.clock = clock;
         this.deadlines = deadlines;
@@ -153,7 +168,11 @@
     /** Takes a request; its caller may be answered before this returns. */
     public long submit(Ask ask, Payload payload, Caller caller) {
         counters.requests++;
-        Entry r = new Entry(ask, payload, caller, settings.classes().get(ask.cls()),
+        Entry r = new Entry(
+                ask,
+                payload,
+                caller,
+                settings.classes().get(ask.cls()),
                 settings.limits().maxAttempts());
         r.handle = requests.add(r);
         if (r.handle == SlotTable.NONE || !groups.contains(ask.group())) {
@@ -164,11 +183,19 @@
         }
         ids.add(ask.id());
         r.id = Long.toString(r.handle);
-        r.overdue = deadlines.at(ask.deadlineUs() + (long) (settings.rules().answerSlackUs() * OVERDUE_SHARE),
+        r.overdue = deadlines.at(
+                ask.deadlineUs() + (long) (settings.rules().answerSlackUs() * OVERDUE_SHARE),
                 () -> event(() -> overdue(r)));
-        event(() -> router.onRequest(clock.now(), new Router.Request(r.id, ask.cls(), ask.session(),
-                ask.group(),
-                ask.deadlineUs(), ask.sinceWriteUs(), ask.repeated())));
+        event(() -> router.onRequest(
+                clock.now(),
+                new Router.Request(
+                        r.id,
+                        ask.cls(),
+                        ask.session(),
+                        ask.group(),
+                        ask.deadlineUs(),
+                        ask.sinceWriteUs(),
+                        ask.repeated())));
         return r.handle;
     }
 
@@ -236,8 +263,10 @@
     /** What is known of a request, for the log: its own id, its attempts and its time. */
     private String story(Entry r) {
         return "request " + r.ask.id() + " of class " + r.rules.name() + ", attempts " + r.attempts
-                + (r.attempts == 0 ? "" : ", last to " + r.memberId
-                + (r.inFlight != SlotTable.NONE ? " and out" : " ended " + r.lastOutcome))
+                + (r.attempts == 0
+                        ? ""
+                        : ", last to " + r.memberId
+                                + (r.inFlight != SlotTable.NONE ? " and out" : " ended " + r.lastOutcome))
                 + ", left " + (r.ask.deadlineUs() - clock.now()) / 1000 + " ms";
     }
 
@@ -307,8 +336,17 @@
             counters.served++;
             r.caller.served(result.answer());
         }
-        router.onOutcome(now, r.id, attempt, r.memberId, result.outcome(), r.answered, now - r.sentUs,
-                result.role(), result.positionUs(), result.report());
+        router.onOutcome(
+                now,
+                r.id,
+                attempt,
+                r.memberId,
+                result.outcome(),
+                r.answered,
+                now - r.sentUs,
+                result.role(),
+                result.positionUs(),
+                result.report());
         release(r);
     }
 
@@ -332,8 +370,8 @@
         counters.longAnswers++;
         settle(now, r, Outcome.OK, 0);
         BackEnd.Passage passage = r.caller.begins(from);
-        event(() -> router.onOutcome(now, r.id, attempt, r.memberId, Outcome.OK, true, now - r.sentUs,
-                Router.Role.UNKNOWN, 0, null));
+        event(() -> router.onOutcome(
+                now, r.id, attempt, r.memberId, Outcome.OK, true, now - r.sentUs, Router.Role.UNKNOWN, 0, null));
         return passage;
     }
 
@@ -343,7 +381,8 @@
         return requests.get(Long.parseLong(requestId));
     }
 
-    @Override public void send(String requestId, String memberId, long timeoutUs) {
+    @Override
+    public void send(String requestId, String memberId, long timeoutUs) {
         Entry r = entry(requestId);
         if (r == null || r.answered) {
             return;
@@ -354,8 +393,8 @@
         // Never two attempts in flight, none past the limit, the deadline or the repeats' end, none for a
         // client that has gone, whatever is asked for.
         if (r.inFlight != SlotTable.NONE || attempt >= r.mostAttempts || left <= 0 || !mayBegin(r)) {
-            event(() -> router.onOutcome(clock.now(), r.id, attempt, memberId, Outcome.MOOT, r.answered, 0,
-                    Router.Role.UNKNOWN, 0, null));
+            event(() -> router.onOutcome(
+                    clock.now(), r.id, attempt, memberId, Outcome.MOOT, r.answered, 0, Router.Role.UNKNOWN, 0, null));
             return;
         }
         counters.attempts++;
@@ -365,27 +404,32 @@
             commits.sent(now, r.ask.session(), r.ask.deadlineUs());
         }
         r.inFlight = backEnd.start(memberId, r.payload, left, new BackEnd.Sink() {
-            @Override public void ended(BackEnd.Result result) {
+            @Override
+            public void ended(BackEnd.Result result) {
                 event(() -> Broker.this.ended(r, attempt, result));
             }
 
-            @Override public BackEnd.Passage begins(BackEnd.Flow from) {
+            @Override
+            public BackEnd.Passage begins(BackEnd.Flow from) {
                 return Broker.this.begins(r, attempt, from);
             }
 
-            @Override public boolean mayBegin() {
+            @Override
+            public boolean mayBegin() {
                 return router.stands(clock.now(), r.id) && Broker.this.mayBegin(r);
             }
         });
         long beginsIn = Math.min(left, r.beginByUs() - now);
-        r.timeout = deadlines.after(beginsIn, () -> event(() -> {
-            if (beginsIn < left && backEnd.begun(r.inFlight)) {
-                r.timeout = deadlines.after(left - beginsIn, () -> event(() -> stop(r, attempt,
-                        Outcome.TIMEOUT)));
-            } else {
-                stop(r, attempt, Outcome.TIMEOUT);
-            }
-        }));
+        r.timeout = deadlines.after(
+                beginsIn,
+                () -> event(() -> {
+                    if (beginsIn < left && backEnd.begun(r.inFlight)) {
+                        r.timeout =
+                                deadlines.after(left - beginsIn, () -> event(() -> stop(r, attempt, Outcome.TIMEOUT)));
+                    } else {
+                        stop(r, attempt, Outcome.TIMEOUT);
+                    }
+                }));
     }
 
     /** An attempt that never reached its server is moot: that proves that it never ran. */
@@ -396,26 +440,28 @@
         }
     }
 
-    @Override public void cancel(String requestId, int attempt) {
+    @Override
+    public void cancel(String requestId, int attempt) {
         Entry r = entry(requestId);
         if (r != null) {
             event(() -> stop(r, attempt, Outcome.CANCELLED));
         }
     }
 
-    @Override public void refuse(String requestId, long adviceUs) {
+    @Override
+    public void refuse(String requestId, long adviceUs) {
         Entry r = entry(requestId);
         if (r != null && !r.answered) {
             close(r);
-            log.tell(EventLog.Kind.REQUEST_REFUSED, () -> story(r) + ": to come back in " + adviceUs / 1000
-                    + " ms");
+            log.tell(EventLog.Kind.REQUEST_REFUSED, () -> story(r) + ": to come back in " + adviceUs / 1000 + " ms");
             counters.refused++;
             r.caller.refused(adviceUs);
             release(r);
         }
     }
 
-    @Override public void fail(String requestId) {
+    @Override
+    public void fail(String requestId) {
         Entry r = entry(requestId);
         if (r != null && !r.answered) {
             close(r);
@@ -426,23 +472,29 @@
         }
     }
 
-    @Override public void probe(String memberId) {
+    @Override
+    public void probe(String memberId) {
         counters.probes++;
         long sentUs = clock.now();
-        backEnd.probe(memberId, result -> event(() -> {
-            long now = clock.now();
-            router.onProbe(now, memberId, result.outcome() == Outcome.OK, now - sentUs, result.report());
-        }));
+        backEnd.probe(
+                memberId,
+                result -> event(() -> {
+                    long now = clock.now();
+                    router.onProbe(now, memberId, result.outcome() == Outcome.OK, now - sentUs, result.report());
+                }));
     }
 
-    @Override public void setTimer(long inUs, String name) {
+    @Override
+    public void setTimer(long inUs, String name) {
         deadlines.after(inUs, () -> event(() -> router.onTimer(clock.now(), name)));
     }
 
-    @Override public void log(String text) {
+    @Override
+    public void log(String text) {
         LOG.info(text);
     }
 
     /** Discovery is watched from the start, whether or not the module asks. */
-    @Override public void subscribe() {}
+    @Override
+    public void subscribe() {}
 }
--- a/pooler/src/main/java/frostreel/broker/Deadlines.java
+++ b/pooler/src/main/java/frostreel/broker/Deadlines.java
@@ -23,7 +23,8 @@
             this.task = task;
         }
 
-        @Override public int compareTo(Deadline o) {
+        @Override
+        public int compareTo(Deadline o) {
             return atUs != o.atUs ? Long.compare(atUs, o.atUs) : Long.compare(order, o.order);
         }
     }
--- a/pooler/src/main/java/frostreel/broker/SlotTable.java
+++ b/pooler/src/main/java/frostreel/broker/SlotTable.java
@@ -48,8 +48,7 @@
     @SuppressWarnings("unchecked")
     public T get(long handle) {
         int number = (int) (handle & NUMBER_MASK);
-        return handle < 0 || number >= used || generations[number] != handle >> NUMBER_BITS ? null
-                : (T) items[number];
+        return handle < 0 || number >= used || generations[number] != handle >> NUMBER_BITS ? null : (T) items[number];
     }
 
     public T remove(long handle) {
--- a/pooler/src/main/java/frostreel/cli/Check.java
+++ b/pooler/src/main/java/frostreel/cli/Check.java
@@ -11,15 +11,19 @@
 import picocli.CommandLine.Spec;
 
 /** Says what is wrong in files, all of it at once, before anything runs by them. */
-@Command(name = "check", description = "Says what is wrong in settings files; exit code 2 where anything is.",
+@Command(
+        name = "check",
+        description = "Says what is wrong in settings files; exit code 2 where anything is.",
         mixinStandardHelpOptions = true)
 final class Check implements Callable<Integer> {
-    @Parameters(arity = "1..*", paramLabel = "FILE",
-            description = "Operators' settings, as deploy/frostreel.xml.")
+    @Parameters(arity = "1..*", paramLabel = "FILE", description = "Operators' settings, as deploy/frostreel.xml.")
     private List<Path> files;
-    @Spec private CommandSpec spec;
 
-    @Override public Integer call() {
+    @Spec
+    private CommandSpec spec;
+
+    @Override
+    public Integer call() {
         int code = 0;
         for (Path file : files) {
             try {
--- a/pooler/src/main/java/frostreel/cli/Hangup.java
+++ b/pooler/src/main/java/frostreel/cli/Hangup.java
@@ -18,13 +18,13 @@
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
-            Object own = Proxy.newProxyInstance(Hangup.class.getClassLoader(), new Class<?>[] {handler},
-                    (proxy, method, args) -> {
+            Object own = Proxy.newProxyInstance(
+                    Hangup.class.getClassLoader(), new Class<?>[] {handler}, (proxy, method, args) -> {
                         task.run();
                         return null;
                     });
-            Object before = signal.getMethod("handle", signal, handler).invoke(null,
-                    signal.getConstructor(String.class).newInstance("HUP"), own);
+            Object before = signal.getMethod("handle", signal, handler)
+                    .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), own);
             return before != handler.getField("SIG_IGN").get(null);
         } catch (ReflectiveOperationException e) {
             throw new IllegalStateException("SIGHUP cannot be handled here", e);
--- a/pooler/src/main/java/frostreel/cli/Rehearsal.java
+++ b/pooler/src/main/java/frostreel/cli/Rehearsal.java
@@ -25,31 +25,39 @@
  * away.
  */
 final class Rehearsal {
-    private static final String[] STATEMENTS = {"", "SHOW stats",
+    private static final String[] STATEMENTS = {
+        "",
+        "SHOW stats",
         "SELECT v FROM records WHERE k = 'a' /* id=1,c=look,d=300,cluster=1 */",
-        "INSERT INTO records (k, v) VALUES ('a', '\\x00') RETURNING v /* id=2,c=post,d=300,k=1,cluster=1 */"};
+        "INSERT INTO records (k, v) VALUES ('a', '\\x00') RETURNING v /* id=2,c=post,d=300,k=1,cluster=1 */"
+    };
 
     private Rehearsal() {}
 
     static void run() throws IOException, ConfigException, InterruptedException {
-        Hangup.handle(() -> { });
+        Hangup.handle(() -> {});
         String address;
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             address = "127.0.0.1:" + free.getLocalPort();
         }
         Path file = Files.createTempFile("rehearsal", ".json");
         try (InputStream in = Rehearsal.class.getResourceAsStream("/rehearsal.json")) {
-            JSONObject host = new JSONObject(Map.of("host", "self", "dial", address, "site", "z",
-                    "class", "m", "block", 1, "health", "Ready", "share", 1.0, "role", "primary"));
-            JSONObject list = new JSONObject(Map.of("seq", 1, "whole", true, "hosts",
-                    new JSONArray().put(host)));
-            Files.writeString(file, new JSONObject(new String(in.readAllBytes(), StandardCharsets.UTF_8))
-                    .put("listen", address).put("discovery", address).put("known", list).toString());
+            JSONObject host = new JSONObject(Map.of(
+                    "host", "self", "dial", address, "site", "z", "class", "m", "block", 1, "health", "Ready", "share",
+                    1.0, "role", "primary"));
+            JSONObject list = new JSONObject(Map.of("seq", 1, "whole", true, "hosts", new JSONArray().put(host)));
+            Files.writeString(
+                    file,
+                    new JSONObject(new String(in.readAllBytes(), StandardCharsets.UTF_8))
+                            .put("listen", address)
+                            .put("discovery", address)
+                            .put("known", list)
+                            .toString());
         }
-        Pooler pooler = new Pooler(Config.load(Map.of("GW_CONFIG", file.toString())),
-                OperatorSettings.DEFAULT);
+        Pooler pooler = new Pooler(Config.load(Map.of("GW_CONFIG", file.toString())), OperatorSettings.DEFAULT);
         Files.delete(file);
-        try (Socket client = new Socket(pooler.address().getAddress(), pooler.address().getPort())) {
+        try (Socket client =
+                new Socket(pooler.address().getAddress(), pooler.address().getPort())) {
             DataInputStream in = new DataInputStream(client.getInputStream());
             client.getOutputStream().write(Messages.startup());
             skipAnswer(in);
--- a/pooler/src/main/java/frostreel/cli/Rehearse.java
+++ b/pooler/src/main/java/frostreel/cli/Rehearse.java
@@ -6,10 +6,13 @@
 import picocli.CommandLine.Command;
 
 /** Goes through serving once, for the class archive that the build makes. */
-@Command(name = "rehearse", description = "Goes through serving once, against itself, and ends.",
+@Command(
+        name = "rehearse",
+        description = "Goes through serving once, against itself, and ends.",
         mixinStandardHelpOptions = true)
 final class Rehearse implements Callable<Integer> {
-    @Override public Integer call() throws IOException, InterruptedException {
+    @Override
+    public Integer call() throws IOException, InterruptedException {
         try {
             Rehearsal.run();
             return 0;
--- a/pooler/src/main/java/frostreel/cli/Serve.java
+++ b/pooler/src/main/java/frostreel/cli/Serve.java
@@ -16,7 +16,8 @@
 import picocli.CommandLine.Option;
 
 /** The pooler, in the foreground, until SIGTERM; its configuration comes by the environment. */
-@Command(name = "serve",
+@Command(
+        name = "serve",
         description = "Runs the pooler in the foreground; GW_CONFIG names its configuration.",
         mixinStandardHelpOptions = true)
 final class Serve implements Callable<Integer> {
@@ -24,19 +25,23 @@
     static final int GOES_ON = -1;
     /** How long a line at the end may take to be written. */
     private static final long MOST_WRITING_MS = 200;
+
     private static final Logger LOG = Logger.getLogger(Serve.class.getName());
 
-    @Option(names = "--settings", paramLabel = "FILE",
+    @Option(
+            names = "--settings",
+            paramLabel = "FILE",
             description = "The operators' settings, as deploy/frostreel.xml; read again at SIGHUP.")
     private Path settings;
     /** By which the pooler runs; read and replaced by {@link #reload} alone, one at a time. */
     private volatile Config inForce;
 
-    @Override public Integer call() throws IOException {
+    @Override
+    public Integer call() throws IOException {
         try {
             Config config = Config.load(System.getenv());
-            OperatorSettings operators = settings == null ? OperatorSettings.DEFAULT
-                    : OperatorSettings.read(settings, config.name());
+            OperatorSettings operators =
+                    settings == null ? OperatorSettings.DEFAULT : OperatorSettings.read(settings, config.name());
             Logging.configure(operators.logFormat(), operators.logLevel());
             inForce = config;
             Pooler pooler = new Pooler(config, operators);
--- a/pooler/src/main/java/frostreel/cli/SimHost.java
+++ b/pooler/src/main/java/frostreel/cli/SimHost.java
@@ -6,11 +6,13 @@
 import willowfield.WireAdapter;
 
 /** The decisions alone, on the simulator's wire. */
-@Command(name = "simhost",
+@Command(
+        name = "simhost",
         description = "Plays the decisions on the simulator's wire, by standard input and output.",
         mixinStandardHelpOptions = true)
 final class SimHost implements Callable<Integer> {
-    @Override public Integer call() throws IOException {
+    @Override
+    public Integer call() throws IOException {
         return WireAdapter.run(System.in, System.out, System.err);
     }
 }
--- a/pooler/src/main/java/frostreel/config/Config.java
+++ b/pooler/src/main/java/frostreel/config/Config.java
@@ -18,10 +18,22 @@
  * All that the program is told at its start, read and checked here alone. Limits left out get the platform's
  * least: what the pooler must manage with anyway.
  */
-public record Config(String name, InetSocketAddress listen, InetSocketAddress control,
-        boolean inherits, Path orders, InetSocketAddress discovery, int maxClients,
-        int usualClients, int maxServerConnections, int maxOpen, HostList known, List<Object> zones,
-        List<Object> kinds, Router.Settings settings, JSONObject source) {
+public record Config(
+        String name,
+        InetSocketAddress listen,
+        InetSocketAddress control,
+        boolean inherits,
+        Path orders,
+        InetSocketAddress discovery,
+        int maxClients,
+        int usualClients,
+        int maxServerConnections,
+        int maxOpen,
+        HostList known,
+        List<Object> zones,
+        List<Object> kinds,
+        Router.Settings settings,
+        JSONObject source) {
     private static final int DEFAULT_SOCKETS = 1024;
     /** Descriptors for the program itself: its jar, selectors, the listener, discovery, a margin. */
     private static final int OWN_SOCKETS = 64;
@@ -31,6 +43,7 @@
      * fewer mean a handshake for every other request.
      */
     private static final int SPARE_PART = 4;
+
     private static final int DEFAULT_OPEN = 4096;
     /** The platform's word: for requests, clients hold at most this part of all descriptors. */
     private static final int USUAL_PART = 3;
@@ -79,8 +92,7 @@
     public Config inPlaceOf(Config inForce) throws ConfigException {
         String missing = Shape.missing(inForce.source, source);
         if (missing != null) {
-            throw new ConfigException("GW_CONFIG: field '" + missing
-                    + "' is missing, which the file in force has");
+            throw new ConfigException("GW_CONFIG: field '" + missing + "' is missing, which the file in force has");
         }
         return this;
     }
@@ -103,7 +115,8 @@
         List<Object> kinds = options.has("machineTypes") ? options.list("machineTypes") : List.of();
         Fields caps = options.object("caps");
         int maxOpen = (int) Math.min(caps.whole("maxOpen", 1, Integer.MAX_VALUE, DEFAULT_OPEN), DEFAULT_OPEN);
-        HostList known = f.has("known") ? HostList.read(f.object("known").map(), zones, kinds)
+        HostList known = f.has("known")
+                ? HostList.read(f.object("known").map(), zones, kinds)
                 : new HostList(0, true, List.of());
         String inherited = environment.getOrDefault("GW_FD", "");
         if (!inherited.isEmpty() && !inherited.equals("0")) {
@@ -115,14 +128,24 @@
         }
         String control = environment.get("GW_CONTROL");
         boolean called = f.has("control") || control != null && !control.isEmpty();
-        return new Config(told(f, "name", environment, "GW_NAME"),
+        return new Config(
+                told(f, "name", environment, "GW_NAME"),
                 HostList.address(told(f, "listen", environment, "GW_LISTEN"), "listen"),
                 called ? HostList.address(told(f, "control", environment, "GW_CONTROL"), "control") : null,
-                inherits, called && environment.get("TMPDIR") != null
-                        ? Path.of(environment.get("TMPDIR"), "frostreel-orders") : null,
+                inherits,
+                called && environment.get("TMPDIR") != null
+                        ? Path.of(environment.get("TMPDIR"), "frostreel-orders")
+                        : null,
                 HostList.address(told(f, "discovery", environment, "GW_DISCOVERY"), "discovery"),
-                sockets - maxServers, usual, maxServers, maxOpen, known, zones, kinds,
-                settings, source);
+                sockets - maxServers,
+                usual,
+                maxServers,
+                maxOpen,
+                known,
+                zones,
+                kinds,
+                settings,
+                source);
     }
 
     /** The environment's word goes first. */
--- a/pooler/src/main/java/frostreel/config/HostList.java
+++ b/pooler/src/main/java/frostreel/config/HostList.java
@@ -21,8 +21,7 @@
      * Zones and kinds are told by name, and known to the decisions by their place among the settings' names.
      */
     @SuppressWarnings("unchecked")
-    public static HostList read(Map<String, Object> json, List<Object> zones,
-    List<Object> kinds) throws Malformed {
+    public static HostList read(Map<String, Object> json, List<Object> zones, List<Object> kinds) throws Malformed {
         Fields list = new Fields(json);
         List<Host> hosts = new ArrayList<>();
         for (Object each : list.list("hosts")) {
@@ -30,14 +29,16 @@
                 throw new Malformed("field 'hosts' is not a list of objects");
             }
             Fields h = new Fields((Map<String, Object>) each);
-            Router.State state = new Router.State[] {Router.State.UP, Router.State.DRAINING,
-                    Router.State.GONE}[
-                    h.oneOf("health", "Ready", "Terminating", "Gone")];
-            Router.Member member = new Router.Member(h.text("host"),
+            Router.State state = new Router.State[] {Router.State.UP, Router.State.DRAINING, Router.State.GONE}
+                    [h.oneOf("health", "Ready", "Terminating", "Gone")];
+            Router.Member member = new Router.Member(
+                    h.text("host"),
                     Math.max(0, zones.indexOf(h.map().get("site"))),
                     Math.max(0, kinds.indexOf(h.map().get("class"))),
                     (int) h.whole("block", 0, Integer.MAX_VALUE, 0),
-                    h.has("role") && h.oneOf("role", "primary", "replica") == 0, state, h.number("share", 1),
+                    h.has("role") && h.oneOf("role", "primary", "replica") == 0,
+                    state,
+                    h.number("share", 1),
                     h.whole("born_ms", 0, Long.MAX_VALUE / 1000, 0) * 1000);
             hosts.add(new Host(member, address(h.text("dial"), "dial")));
         }
--- a/pooler/src/main/java/frostreel/config/Shape.java
+++ b/pooler/src/main/java/frostreel/config/Shape.java
@@ -1,7 +1,7 @@
 package frostreel.config;
 
-import java.util.TreeSet;
 import java.util.Set;
+import java.util.TreeSet;
 import org.json.JSONArray;
 import org.json.JSONObject;
 
--- a/pooler/src/main/java/frostreel/control/CallConnection.java
+++ b/pooler/src/main/java/frostreel/control/CallConnection.java
@@ -14,6 +14,7 @@
     private static final long PATIENCE_US = 10_000_000;
     /** So long the caller may take to close after its answer: to close with bytes unread may lose that. */
     private static final long LINGER_US = 500_000;
+
     private final Loop loop;
     private final CallListener listener;
     private final Stream stream;
@@ -42,13 +43,13 @@
         close();
     }
 
-    @Override public void received(ByteBuffer in) {
+    @Override
+    public void received(ByteBuffer in) {
         while (in.hasRemaining() && !answered) {
             byte b = in.get();
             if (b == '\n') {
                 answered = true;
-                listener.operator().call(new String(line, 0, length, StandardCharsets.US_ASCII),
-                        this::answer);
+                listener.operator().call(new String(line, 0, length, StandardCharsets.US_ASCII), this::answer);
             } else if (length == MOST_BYTES) {
                 loop.counters().callsRefused++;
                 answered = true;
@@ -68,7 +69,8 @@
         }
     }
 
-    @Override public void ended() {
+    @Override
+    public void ended() {
         close();
     }
 
--- a/pooler/src/main/java/frostreel/control/CallListener.java
+++ b/pooler/src/main/java/frostreel/control/CallListener.java
@@ -2,7 +2,6 @@
 
 import frostreel.net.Acceptor;
 import frostreel.net.Loop;
-import frostreel.net.Stream;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.LinkedHashSet;
@@ -18,6 +17,7 @@
 public final class CallListener {
     /** So many callers at once; where there are more, the one that has been silent for longest is closed. */
     private static final int MOST_CALLERS = 24;
+
     private static final int BACKLOG = 256;
     private final Loop loop;
     private final Operator operator;
@@ -31,8 +31,14 @@
     }
 
     public void open(InetSocketAddress address) throws IOException {
-        acceptor.open(address, false, OptionMap.builder().set(Options.TCP_NODELAY, true)
-                .set(Options.REUSE_ADDRESSES, true).set(Options.BACKLOG, BACKLOG).getMap());
+        acceptor.open(
+                address,
+                false,
+                OptionMap.builder()
+                        .set(Options.TCP_NODELAY, true)
+                        .set(Options.REUSE_ADDRESSES, true)
+                        .set(Options.BACKLOG, BACKLOG)
+                        .getMap());
         acceptor.resume();
     }
 
--- a/pooler/src/main/java/frostreel/control/ClockAnchor.java
+++ b/pooler/src/main/java/frostreel/control/ClockAnchor.java
@@ -68,7 +68,8 @@
     /** What the file holds, null where that is nothing of this boot. */
     private static Long read(Path file, String boot) throws IOException {
         try {
-            String[] words = Files.readString(file, StandardCharsets.US_ASCII).strip().split(" ");
+            String[] words =
+                    Files.readString(file, StandardCharsets.US_ASCII).strip().split(" ");
             return words.length == 2 && words[0].equals(boot) ? Long.valueOf(words[1]) : null;
         } catch (NoSuchFileException | NumberFormatException e) {
             return null;
--- a/pooler/src/main/java/frostreel/control/CommitFile.java
+++ b/pooler/src/main/java/frostreel/control/CommitFile.java
@@ -22,9 +22,9 @@
     static final String NAME = "commits";
     /** The layout, "frostre" and its version: another layout has another. */
     private static final long LAYOUT = 0x66726f7374726501L;
+
     private static final int BYTES = (1 + CommitBoard.LONGS) * Long.BYTES;
-    private static final VarHandle LONGS = MethodHandles.byteBufferViewVarHandle(long[].class,
-            ByteOrder.nativeOrder());
+    private static final VarHandle LONGS = MethodHandles.byteBufferViewVarHandle(long[].class, ByteOrder.nativeOrder());
     private final ByteBuffer mapped;
     private final String replaced;
 
@@ -62,7 +62,8 @@
     private static Path fresh(Path folder) throws IOException {
         Path fresh = Files.createTempFile(folder, NAME, ".new");
         try (FileChannel out = FileChannel.open(fresh, StandardOpenOption.WRITE)) {
-            ByteBuffer bytes = ByteBuffer.allocate(BYTES).order(ByteOrder.nativeOrder()).putLong(0, LAYOUT);
+            ByteBuffer bytes =
+                    ByteBuffer.allocate(BYTES).order(ByteOrder.nativeOrder()).putLong(0, LAYOUT);
             while (bytes.hasRemaining()) {
                 out.write(bytes);
             }
@@ -98,15 +99,18 @@
         return (1 + index) * Long.BYTES;
     }
 
-    @Override public long get(int index) {
+    @Override
+    public long get(int index) {
         return (long) LONGS.getVolatile(mapped, offset(index));
     }
 
-    @Override public void set(int index, long value) {
+    @Override
+    public void set(int index, long value) {
         LONGS.setVolatile(mapped, offset(index), value);
     }
 
-    @Override public boolean swap(int index, long from, long to) {
+    @Override
+    public boolean swap(int index, long from, long to) {
         return LONGS.compareAndSet(mapped, offset(index), from, to);
     }
 }
--- a/pooler/src/main/java/frostreel/control/Operator.java
+++ b/pooler/src/main/java/frostreel/control/Operator.java
@@ -24,6 +24,7 @@
     private static final Logger LOG = Logger.getLogger(Operator.class.getName());
     /** The thing that an order to take no clients is on. */
     private static final String CLIENTS = "clients";
+
     private final Loop loop;
     private final Door door;
     private final ServerPool pool;
@@ -33,14 +34,14 @@
     private final OutOfService outOfService = new OutOfService(orders);
     /** Null where nothing outlasts an end. */
     private final OrderKeeper keeper;
+
     private int given;
 
     /**
      * {@code sweep}: looks through the clients, as the door then has it; {@code folder}: where orders outlast
      * an end, null for nowhere; {@code life}: this process's own name among those that keep orders there.
      */
-    public Operator(Loop loop, Door door, ServerPool pool, Broker broker, Runnable sweep, Path folder,
-            String life) {
+    public Operator(Loop loop, Door door, ServerPool pool, Broker broker, Runnable sweep, Path folder, String life) {
         this.loop = loop;
         this.door = door;
         this.pool = pool;
@@ -60,7 +61,7 @@
         }
         keeper.start(this::taken, () -> {
             if (!orders.all().isEmpty()) { // The files of older lives do not stay for good.
-                keeper.keep(Map.copyOf(orders.all()), failure -> { });
+                keeper.keep(Map.copyOf(orders.all()), failure -> {});
             }
             keeper.watch(this::taken);
             then.run();
@@ -70,8 +71,7 @@
     private void taken(Map<String, Orders.Order> heard) {
         heard.forEach((thing, order) -> {
             if (orders.take(thing, order)) {
-                LOG.info("operators, by another process: " + thing
-                        + (order.inForce() ? " in force" : " ended"));
+                LOG.info("operators, by another process: " + thing + (order.inForce() ? " in force" : " ended"));
                 carryOut(thing);
             }
         });
@@ -100,8 +100,8 @@
     /** Takes discovery's word, or the list known from the start; all members come through here. */
     public void listed(HostList list, Router.ListKind kind) {
         boolean whole = kind != Router.ListKind.CHANGES;
-        List<Router.Member> shown = outOfService.told(whole,
-                list.hosts().stream().map(HostList.Host::member).toList());
+        List<Router.Member> shown = outOfService.told(
+                whole, list.hosts().stream().map(HostList.Host::member).toList());
         List<HostList.Host> hosts = new ArrayList<>(shown.size());
         for (int i = 0; i < shown.size(); i++) {
             hosts.add(new HostList.Host(shown.get(i), list.hosts().get(i).dial()));
@@ -126,8 +126,9 @@
         if (given == before || keeper == null) {
             answer(line, answer, caller);
         } else {
-            keeper.keep(Map.copyOf(orders.all()), failure -> answer(line, failure == null ? answer
-                    : answer + " but " + failure, caller));
+            keeper.keep(
+                    Map.copyOf(orders.all()),
+                    failure -> answer(line, failure == null ? answer : answer + " but " + failure, caller));
         }
     }
 
@@ -176,7 +177,8 @@
     }
 
     /** What is in force, for whoever asks by {@code SHOW operation}. */
-    @Override public String toString() {
+    @Override
+    public String toString() {
         return "clients=" + state() + " out=" + outOfService.out();
     }
 }
--- a/pooler/src/main/java/frostreel/control/OrderFolder.java
+++ b/pooler/src/main/java/frostreel/control/OrderFolder.java
@@ -34,9 +34,11 @@
     private static final int MOST_BYTES = 1 << 18;
     /** Files of so many lives are kept; the rest were taken over long ago. */
     private static final int MOST_LIVES = 16;
+
     private static final String UNFINISHED = ".new";
     /** No writing takes so long. */
     private static final long UNFINISHED_MS = 60_000;
+
     private static final Logger LOG = Logger.getLogger(OrderFolder.class.getName());
 
     /** What was found; {@code complete}: nothing was there that the disk would not give. */
@@ -54,6 +56,7 @@
     private final Set<String> seen = new HashSet<>();
     /** The number of this life's newest file, and of the newest that is gone. */
     private int written;
+
     private int removed;
 
     /** {@code life}: this process's own name, which no other life has or had; plain letters and digits. */
@@ -66,9 +69,17 @@
     void write(Map<String, Orders.Order> orders) throws IOException {
         Files.createDirectories(folder);
         JSONObject all = new JSONObject();
-        orders.forEach((thing, o) -> all.put(thing, new JSONObject().put("inForce", o.inForce())
-                .put("sinceUs", o.sinceUs()).put("atUs", o.atUs())));
-        byte[] text = new JSONObject().put("version", VERSION).put("life", life).put("orders", all).toString()
+        orders.forEach((thing, o) -> all.put(
+                thing,
+                new JSONObject()
+                        .put("inForce", o.inForce())
+                        .put("sinceUs", o.sinceUs())
+                        .put("atUs", o.atUs())));
+        byte[] text = new JSONObject()
+                .put("version", VERSION)
+                .put("life", life)
+                .put("orders", all)
+                .toString()
                 .getBytes(StandardCharsets.UTF_8);
         byte[] head = (checksum(text) + "\n").getBytes(StandardCharsets.US_ASCII);
         Path fresh = folder.resolve(life + UNFINISHED);
@@ -96,9 +107,12 @@
     }
 
     private static void writeWhole(Path fresh, byte[] head, byte[] text) throws IOException {
-        try (FileChannel out = FileChannel.open(fresh, StandardOpenOption.CREATE, StandardOpenOption.WRITE,
-                StandardOpenOption.TRUNCATE_EXISTING)) {
-            ByteBuffer bytes = ByteBuffer.allocate(head.length + text.length).put(head).put(text).flip();
+        try (FileChannel out = FileChannel.open(
+                fresh, StandardOpenOption.CREATE, StandardOpenOption.WRITE, StandardOpenOption.TRUNCATE_EXISTING)) {
+            ByteBuffer bytes = ByteBuffer.allocate(head.length + text.length)
+                    .put(head)
+                    .put(text)
+                    .flip();
             while (bytes.hasRemaining()) {
                 out.write(bytes);
             }
@@ -166,8 +180,7 @@
         JSONObject all = json.getJSONObject("orders");
         for (String thing : all.keySet()) {
             JSONObject o = all.getJSONObject(thing);
-            orders.put(thing, new Orders.Order(o.getBoolean("inForce"), o.getLong("sinceUs"),
-                    o.getLong("atUs")));
+            orders.put(thing, new Orders.Order(o.getBoolean("inForce"), o.getLong("sinceUs"), o.getLong("atUs")));
         }
         return orders;
     }
@@ -195,7 +208,8 @@
     private void removeUnfinished() throws IOException {
         try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, "*" + UNFINISHED)) {
             for (Path f : files) {
-                long ageMs = System.currentTimeMillis() - Files.getLastModifiedTime(f).toMillis();
+                long ageMs = System.currentTimeMillis()
+                        - Files.getLastModifiedTime(f).toMillis();
                 if (ageMs > UNFINISHED_MS) {
                     Files.deleteIfExists(f);
                 }
--- a/pooler/src/main/java/frostreel/control/OrderKeeper.java
+++ b/pooler/src/main/java/frostreel/control/OrderKeeper.java
@@ -23,6 +23,7 @@
     private static final long WRITE_AGAIN_US = 500_000;
     /** What earlier lives left is waited for no longer than this where the disk does not give it. */
     static final long FIRST_PATIENCE_US = 3_000_000;
+
     private static final Logger LOG = Logger.getLogger(OrderKeeper.class.getName());
     private final Loop loop;
     private final OrderFolder folder;
@@ -40,20 +41,20 @@
      * {@link #FIRST_PATIENCE_US}; the rest is found by {@link #watch}.
      */
     void start(Consumer<Map<String, Orders.Order>> found, Runnable then) {
-        beside(() -> {
-            clean();
-            return look();
-        }, first -> taken(first, found, then, loop.clock().now() + FIRST_PATIENCE_US));
+        beside(
+                () -> {
+                    clean();
+                    return look();
+                },
+                first -> taken(first, found, then, loop.clock().now() + FIRST_PATIENCE_US));
     }
 
-    private void taken(OrderFolder.Found read, Consumer<Map<String, Orders.Order>> found, Runnable then,
-            long untilUs) {
+    private void taken(OrderFolder.Found read, Consumer<Map<String, Orders.Order>> found, Runnable then, long untilUs) {
         found.accept(read.orders());
         if (read.complete() || loop.clock().now() >= untilUs) {
             then.run();
         } else {
-            loop.deadlines().after(LOOK_US, () -> beside(this::look,
-                    next -> taken(next, found, then, untilUs)));
+            loop.deadlines().after(LOOK_US, () -> beside(this::look, next -> taken(next, found, then, untilUs)));
         }
     }
 
@@ -83,12 +84,15 @@
 
     /** Looks on and on for what other processes heard. */
     void watch(Consumer<Map<String, Orders.Order>> found) {
-        loop.deadlines().after(LOOK_US, () -> beside(this::look, heard -> {
-            if (!heard.orders().isEmpty()) {
-                found.accept(heard.orders());
-            }
-            watch(found);
-        }));
+        loop.deadlines()
+                .after(
+                        LOOK_US,
+                        () -> beside(this::look, heard -> {
+                            if (!heard.orders().isEmpty()) {
+                                found.accept(heard.orders());
+                            }
+                            watch(found);
+                        }));
     }
 
     /** Runs what may block on the task thread, and hands what comes of it to the loop. */
--- a/pooler/src/main/java/frostreel/discovery/AgentConnection.java
+++ b/pooler/src/main/java/frostreel/discovery/AgentConnection.java
@@ -35,6 +35,7 @@
 
     /** An answer of which bytes came within this time is on its way, for so long in all at the most. */
     private static final long ARRIVING_US = 500_000;
+
     private static final long ARRIVAL_MOST_US = 20_000_000;
     private final Loop loop;
     private final Owner owner;
@@ -56,27 +57,30 @@
         calledUs = loop.clock().now();
         heardUs = calledUs;
         patience = loop.deadlines().after(patienceUs, () -> owner.late(this, "no connection in time"));
-        connecting = loop.thread().openStreamConnection(address, null,
-                OptionMap.create(Options.TCP_NODELAY, true));
+        connecting = loop.thread().openStreamConnection(address, null, OptionMap.create(Options.TCP_NODELAY, true));
     }
 
     /** Hears of the connection from now on; a separate step, so that the owner may first keep this. */
     void begin() {
-        connecting.addNotifier(new IoFuture.HandlingNotifier<StreamConnection, Void>() {
-            @Override public void handleDone(StreamConnection connection, Void none) {
-                if (closed) {
-                    IoUtils.safeClose(connection); // Given up on while it came up.
-                    return;
-                }
-                stream = new Stream(loop, connection, AgentConnection.this);
-                stream.resumeReads();
-                owner.connected(AgentConnection.this);
-            }
-
-            @Override public void handleFailed(IOException e, Void none) {
-                fail("the connection failed: " + e.getMessage());
-            }
-        }, null);
+        connecting.addNotifier(
+                new IoFuture.HandlingNotifier<StreamConnection, Void>() {
+                    @Override
+                    public void handleDone(StreamConnection connection, Void none) {
+                        if (closed) {
+                            IoUtils.safeClose(connection); // Given up on while it came up.
+                            return;
+                        }
+                        stream = new Stream(loop, connection, AgentConnection.this);
+                        stream.resumeReads();
+                        owner.connected(AgentConnection.this);
+                    }
+
+                    @Override
+                    public void handleFailed(IOException e, Void none) {
+                        fail("the connection failed: " + e.getMessage());
+                    }
+                },
+                null);
     }
 
     /** Asks for a path and query; {@code index}: the version it asks from, negative for the whole list. */
@@ -88,8 +92,9 @@
         loop.deadlines().cancel(patience);
         patience = loop.deadlines().after(patienceUs, this::lateUnlessArriving);
         String host = address.getAddress().getHostAddress() + ":" + address.getPort();
-        stream.write(("GET " + pathAndQuery + " HTTP/1.1\r\nHost: " + host + "\r\nAccept: application/json"
-                + "\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
+        stream.write(
+                ("GET " + pathAndQuery + " HTTP/1.1\r\nHost: " + host + "\r\nAccept: application/json" + "\r\n\r\n")
+                        .getBytes(StandardCharsets.US_ASCII));
     }
 
     /** A long list that is on its way takes its time; asked for again, it would take longer. */
@@ -124,7 +129,8 @@
         }
     }
 
-    @Override public void received(ByteBuffer in) {
+    @Override
+    public void received(ByteBuffer in) {
         heardUs = loop.clock().now();
         try {
             response.accept(in);
@@ -137,7 +143,8 @@
         }
     }
 
-    @Override public void ended() {
+    @Override
+    public void ended() {
         if (!stream.wasReset() && response.endsWithConnection()) {
             respond();
         } else {
--- a/pooler/src/main/java/frostreel/discovery/HttpResponse.java
+++ b/pooler/src/main/java/frostreel/discovery/HttpResponse.java
@@ -76,7 +76,7 @@
                 case "content-length" -> left = length(value, 10, MOST_BODY);
                 case "transfer-encoding" -> chunked = value.equals("chunked");
                 case "connection" -> keepAlive = !value.equals("close");
-                default -> { }
+                default -> {}
             }
         }
     }
--- a/pooler/src/main/java/frostreel/discovery/Watch.java
+++ b/pooler/src/main/java/frostreel/discovery/Watch.java
@@ -36,10 +36,12 @@
     private static final long FIRST_WAIT_MS = 1;
     /** How long a call may take beyond its own wait before it is late; the agent answers at once. */
     static final long PATIENCE_US = 1_500_000;
+
     static final long RETRY_LEAST_US = 50_000;
     static final long RETRY_MOST_US = 1_000_000;
     /** A late call is given up once nothing came of it for so long, or it took so long in all. */
     static final long LATE_SILENT_US = 15_000_000;
+
     static final long LATE_MOST_US = 60_000_000;
     private static final Logger LOG = Logger.getLogger(Watch.class.getName());
     private final Loop loop;
@@ -51,20 +53,27 @@
     private AgentConnection current;
     /** A call that is late, and may still be answered; null for none. */
     private AgentConnection late;
+
     private long seq;
     private long retryUs = RETRY_LEAST_US;
     private boolean answered;
     /** Since when nothing was heard, 0 where the last call was answered. */
     private long silentSinceUs;
+
     private long answeredUs;
     private boolean stopped;
     private Deadlines.Deadline retry;
-    private Runnable asked = () -> { };
-    private Runnable answering = () -> { };
+    private Runnable asked = () -> {};
+    private Runnable answering = () -> {};
     private long calls;
 
     /** {@code seq}: the version of the list in hand, or negative for none: the whole list is asked for. */
-    public Watch(Loop loop, InetSocketAddress address, List<Object> zones, List<Object> kinds, long seq,
+    public Watch(
+            Loop loop,
+            InetSocketAddress address,
+            List<Object> zones,
+            List<Object> kinds,
+            long seq,
             Consumer<HostList> listener) {
         this.seq = seq;
         this.loop = loop;
@@ -123,7 +132,8 @@
         }
     }
 
-    @Override public void connected(AgentConnection on) {
+    @Override
+    public void connected(AgentConnection on) {
         call(on);
     }
 
@@ -138,7 +148,8 @@
         }
     }
 
-    @Override public void responded(AgentConnection on, HttpResponse response) {
+    @Override
+    public void responded(AgentConnection on, HttpResponse response) {
         HostList list;
         try {
             if (response.status() != 200) {
@@ -160,7 +171,7 @@
         goOn(on, response.keepAlive());
         if (news) {
             Runnable first = answering;
-            answering = () -> { };
+            answering = () -> {};
             first.run();
             listener.accept(list);
         }
@@ -196,7 +207,8 @@
         }
     }
 
-    @Override public void late(AgentConnection on, String why) {
+    @Override
+    public void late(AgentConnection on, String why) {
         if (on != current) {
             return;
         }
@@ -217,7 +229,8 @@
         return now - c.heardUs() > LATE_SILENT_US || now - c.calledUs() > LATE_MOST_US;
     }
 
-    @Override public void failed(AgentConnection on, String why) {
+    @Override
+    public void failed(AgentConnection on, String why) {
         boolean wasLate = on == late;
         drop(on);
         if (!wasLate) {
@@ -242,7 +255,8 @@
     }
 
     /** What on-call staff see: how long ago an answer came, and since when none does. */
-    @Override public String toString() {
+    @Override
+    public String toString() {
         long now = loop.clock().now();
         return "discovery=" + (silentSinceUs != 0 ? "silent" : answeredUs == 0 ? "asked" : "answering")
                 + " discovery_version=" + seq
--- a/pooler/src/main/java/frostreel/fleet/Fellows.java
+++ b/pooler/src/main/java/frostreel/fleet/Fellows.java
@@ -31,14 +31,19 @@
         named = cluster.stations().keySet();
         Map<String, InetSocketAddress> members = new TreeMap<>();
         cluster.stations().forEach((name, station) -> members.put(name, station.at()));
-        group = new GroupMembership(new ClusterSettings(cluster.group(), self,
-                cluster.stations().get(self).bind(), members, cluster.silentAfterMs()),
-                loop.clock().now() / 1000, loop.thread(), this);
+        group = new GroupMembership(
+                new ClusterSettings(
+                        cluster.group(), self, cluster.stations().get(self).bind(), members, cluster.silentAfterMs()),
+                loop.clock().now() / 1000,
+                loop.thread(),
+                this);
     }
 
-    @Override public void changed(View view, View before) {
+    @Override
+    public void changed(View view, View before) {
         silent.retainAll(view.members());
-        view.joined(before).stream().filter(p -> !p.equals(group.self()))
+        view.joined(before).stream()
+                .filter(p -> !p.equals(group.self()))
                 .forEach(p -> LOG.info("fleet: " + p.name() + " is here, life " + p.life()));
         view.left(before).forEach(p -> LOG.warning("GW_FLEET: " + p.name() + " is gone, life " + p.life()));
         if (view.merged()) {
@@ -46,17 +51,20 @@
         }
     }
 
-    @Override public void suspected(Peer peer) {
+    @Override
+    public void suspected(Peer peer) {
         if (silent.add(peer)) {
             LOG.warning("GW_FLEET: " + peer.name() + " is silent");
         }
     }
 
-    @Override public void received(Peer from, byte[] message) {
+    @Override
+    public void received(Peer from, byte[] message) {
         LOG.fine("fleet: " + message.length + " bytes of " + from + " that nobody here knows");
     }
 
-    @Override public void failed(String why) {
+    @Override
+    public void failed(String why) {
         failure = why;
     }
 
@@ -67,17 +75,19 @@
     }
 
     /** For on-call staff: one line of its own, and one for each pooler named. */
-    @Override public String toString() {
+    @Override
+    public String toString() {
         View view = group.view();
-        Map<String, Long> lives = view.members().stream().collect(Collectors.toMap(Peer::name, Peer::life,
-                Math::max));
+        Map<String, Long> lives = view.members().stream().collect(Collectors.toMap(Peer::name, Peer::life, Math::max));
         StringBuilder page = new StringBuilder("self=" + group.self() + " view=" + view.number() + " here="
                 + lives.size() + " named=" + named.size() + " " + group.counters()
                 + (failure == null ? "" : " failed='" + failure + "'"));
         for (String name : named) {
             Long life = lives.get(name);
             boolean quiet = silent.stream().anyMatch(p -> p.name().equals(name));
-            page.append('\n').append(name).append(life == null ? " absent" : " here life=" + life)
+            page.append('\n')
+                    .append(name)
+                    .append(life == null ? " absent" : " here life=" + life)
                     .append(quiet ? " silent" : "");
         }
         return page.toString();
--- a/pooler/src/main/java/frostreel/log/EventLog.java
+++ b/pooler/src/main/java/frostreel/log/EventLog.java
@@ -13,12 +13,18 @@
 public final class EventLog {
     /** What happened. */
     public enum Kind {
-        REQUEST_REFUSED, REQUEST_FAILED, REQUEST_OVERDUE, REQUEST_WITHDRAWN, ATTEMPT_FAILED, CLIENT_CLOSED,
+        REQUEST_REFUSED,
+        REQUEST_FAILED,
+        REQUEST_OVERDUE,
+        REQUEST_WITHDRAWN,
+        ATTEMPT_FAILED,
+        CLIENT_CLOSED,
         SERVER_CONNECTION_FAILED
     }
 
     /** So many lines of one kind a second. */
     static final int MOST_A_SECOND = 2;
+
     private static final long SECOND_US = 1_000_000;
     private static final Logger LOG = Logger.getLogger(EventLog.class.getName());
     private final LongSupplier nowUs;
--- a/pooler/src/main/java/frostreel/log/LogQueue.java
+++ b/pooler/src/main/java/frostreel/log/LogQueue.java
@@ -20,15 +20,18 @@
     static final int CAPACITY = 1_024;
     /** How many records a second are taken. */
     static final int MOST_A_SECOND = 200;
+
     private static final long SECOND_NANOS = 1_000_000_000;
     private final Handler target;
     private final BlockingQueue<LogRecord> waiting = new ArrayBlockingQueue<>(CAPACITY);
     private final AtomicLong dropped = new AtomicLong();
     /** Records handed in and not yet written. */
     private final AtomicLong open = new AtomicLong();
+
     private long toldDropped;
     /** When the second began in which records are counted, and how many it has had; guarded by this. */
     private long secondNanos = System.nanoTime();
+
     private int inSecond;
 
     /** Writes to {@code target} from a daemon thread, which lives as long as the program. */
@@ -39,7 +42,8 @@
         writer.start();
     }
 
-    @Override public void publish(LogRecord entry) {
+    @Override
+    public void publish(LogRecord entry) {
         if (!isLoggable(entry)) {
             return;
         }
@@ -79,9 +83,11 @@
     private void tellDropped() {
         long now = dropped.get();
         if (now > toldDropped) {
-            publishToTarget(new LogRecord(Level.WARNING, (now - toldDropped)
-                    + " log lines were dropped: over "
-                    + MOST_A_SECOND + " a second, or written too slowly"));
+            publishToTarget(new LogRecord(
+                    Level.WARNING,
+                    (now - toldDropped)
+                            + " log lines were dropped: over "
+                            + MOST_A_SECOND + " a second, or written too slowly"));
             toldDropped = now;
         }
     }
@@ -95,18 +101,21 @@
     }
 
     /** Waits until all that was taken is written, for 200 ms at the most. */
-    @Override public void flush() {
+    @Override
+    public void flush() {
         long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(200);
         while (open.get() > 0 && System.nanoTime() < deadline) {
             Thread.onSpinWait();
         }
     }
 
-    @Override public void close() {
+    @Override
+    public void close() {
         flush();
     }
 
-    @Override public void setFormatter(Formatter formatter) {
+    @Override
+    public void setFormatter(Formatter formatter) {
         target.setFormatter(formatter);
     }
 }
--- a/pooler/src/main/java/frostreel/log/Logging.java
+++ b/pooler/src/main/java/frostreel/log/Logging.java
@@ -18,16 +18,21 @@
  */
 public final class Logging {
     /** How a line is written; TEXT is level, logger, text, and a trace where there is one. */
-    public enum Format { TEXT, JSON }
+    public enum Format {
+        TEXT,
+        JSON
+    }
 
     private static final String TEXT = "%p %c: %s%e%n";
 
     /** By which the log manager knows the host's name; without it, it asks the resolver. */
     private static final String HOST_PROPERTY = "jboss.host.name";
+
     private static final Path HOST_NAME = Path.of("/proc/sys/kernel/hostname");
     private static final String UNKNOWN_HOST = "localhost";
     /** XNIO's line for each failed accept; the acceptor tells of the first one and of their end. */
     private static final String ACCEPT_FAILED = "XNIO008001";
+
     private static LogQueue queue;
 
     private Logging() {}
@@ -48,8 +53,9 @@
         // Their starts and ends say nothing that ours do not.
         LogContext.getLogContext().getLogger("org.xnio").setLevel(Level.WARNING);
         LogContext.getLogContext().getLogger("org.jboss.threads").setLevel(Level.WARNING);
-        LogContext.getLogContext().getLogger("org.xnio.nio").setFilter(
-                entry -> !entry.getMessage().startsWith(ACCEPT_FAILED));
+        LogContext.getLogContext()
+                .getLogger("org.xnio.nio")
+                .setFilter(entry -> !entry.getMessage().startsWith(ACCEPT_FAILED));
     }
 
     /**
--- a/pooler/src/main/java/frostreel/net/Acceptor.java
+++ b/pooler/src/main/java/frostreel/net/Acceptor.java
@@ -24,6 +24,7 @@
 public final class Acceptor {
     /** From a failed accept to the next try; it does not grow. */
     static final long RETRY_MS = 20;
+
     private static final Logger LOG = Logger.getLogger(Acceptor.class.getName());
     private final Loop loop;
     private final String accepted;
@@ -52,7 +53,8 @@
      * @throws IOException where the address is taken or not ours, or the system gives no socket
      */
     public void open(InetSocketAddress address, boolean inherits, OptionMap options) throws IOException {
-        channel = inherits ? TcpServers.inherit(loop.worker(), c -> accept(), options)
+        channel = inherits
+                ? TcpServers.inherit(loop.worker(), c -> accept(), options)
                 : TcpServers.bind(loop.worker(), address, c -> accept(), options);
     }
 
@@ -105,8 +107,7 @@
         if (failingSinceUs == 0) {
             IoUtils.safeClose(channel);
         } else {
-            AcceptBackOff.thread(channel).executeAfter(this::acceptAllAndClose, RETRY_MS,
-                    TimeUnit.MILLISECONDS);
+            AcceptBackOff.thread(channel).executeAfter(this::acceptAllAndClose, RETRY_MS, TimeUnit.MILLISECONDS);
         }
     }
 
--- a/pooler/src/main/java/frostreel/net/ArrivalTimes.java
+++ b/pooler/src/main/java/frostreel/net/ArrivalTimes.java
@@ -18,6 +18,7 @@
     private static final long GRAIN_US = 1000;
     /** The offset behind an arrival's last byte, and its time; those from {@code first} to {@code next}. */
     private long[] ends = new long[FEW];
+
     private long[] times = new long[FEW];
     private int first;
     private int next;
--- a/pooler/src/main/java/frostreel/net/ClientConnection.java
+++ b/pooler/src/main/java/frostreel/net/ClientConnection.java
@@ -21,7 +21,12 @@
  * One that does not come to ask is told so and closed, as it holds a place that others need.
  */
 final class ClientConnection implements Stream.Handler, Caller {
-    private enum Phase { STARTUP, RUNNING, LINGERING, CLOSED }
+    private enum Phase {
+        STARTUP,
+        RUNNING,
+        LINGERING,
+        CLOSED
+    }
 
     /** The longest query: a value of 64 KiB as hexadecimal text, twice as long, with room for the rest. */
     private static final int MOST_BYTES = (1 << 17) + (1 << 12);
@@ -31,6 +36,7 @@
      * leave it unread instead would hide that the client has gone.
      */
     private static final int BACKLOG_BYTES = 1 << 20;
+
     private static final int LEAST_BACKLOG_BYTES = 1 << 16;
     /** So much of a long answer may wait for its reader; beyond it the server is not read from. */
     private static final int MOST_WAITING = 1 << 17;
@@ -46,12 +52,14 @@
     private static final long CROWDED_RETRY_AFTER_US = 200_000;
     /** Between the client's sending, from which its patience counts, and our reading, and back again. */
     private static final long TRANSIT_US = 4_000;
+
     private final Loop loop;
     private final Listener listener;
     private final Stream stream;
     private final MessageReader reader = new MessageReader(ClientConnection::longest);
     /** Of the key by which this client may cancel; the other half is its slot's number. */
     private final int secret;
+
     long slot;
     private Phase phase = Phase.STARTUP;
     private boolean busy;
@@ -61,16 +69,19 @@
     private int faults;
     /** More came than may wait; what comes on is dropped. */
     private boolean overrun;
+
     private int dropped;
     /** How much memory for what waits to be taken is counted with all that is held. */
     private int held;
     /** When all that had come was last read. */
     private long readUs;
+
     private final ArrivalTimes arrivals = new ArrivalTimes();
     /** Since when the message that is being taken may have been here, by its last byte. */
     private long cameUs;
     /** Its socket was read empty in this very call, so that there is no need to look again. */
     private boolean justLooked;
+
     private long sinceUs;
     private Deadlines.Deadline patience;
     private long request = SlotTable.NONE;
@@ -117,7 +128,8 @@
         patience = null;
     }
 
-    @Override public void received(ByteBuffer in) {
+    @Override
+    public void received(ByteBuffer in) {
         if (phase == Phase.LINGERING || overrun) {
             dropped += in.remaining();
             if (dropped > DROPPED_BYTES && phase == Phase.LINGERING) {
@@ -132,13 +144,16 @@
     }
 
     /** Only now, as a client that asked and went is not to be asked for any more. */
-    @Override public void caughtUp() {
+    @Override
+    public void caughtUp() {
         readUs = loop.clock().now();
         boolean before = justLooked;
         justLooked = true;
         take();
         justLooked = before;
-        if (!overrun && phase.compareTo(Phase.LINGERING) < 0 && (busy || !stream.flushed())
+        if (!overrun
+                && phase.compareTo(Phase.LINGERING) < 0
+                && (busy || !stream.flushed())
                 && reader.buffered() > (loop.holdsMuch() ? LEAST_BACKLOG_BYTES : BACKLOG_BYTES)) {
             overrun = true;
             loop.counters().malformed++;
@@ -151,7 +166,8 @@
         held = bytes;
     }
 
-    @Override public void drained() {
+    @Override
+    public void drained() {
         if (flow != null) {
             flow.resume();
         }
@@ -217,8 +233,10 @@
             if (stream.waiting() < waiting) {
                 awaitReader();
             } else {
-                loop.events().tell(EventLog.Kind.CLIENT_CLOSED, () -> "it takes nothing of its answer, "
-                        + waiting + " bytes wait");
+                loop.events()
+                        .tell(
+                                EventLog.Kind.CLIENT_CLOSED,
+                                () -> "it takes nothing of its answer, " + waiting + " bytes wait");
                 close();
             }
         });
@@ -276,9 +294,14 @@
         if (Statement.isEmpty(body)) {
             asked = true;
             Door.Word word = listener.word();
-            answer(word == Door.Word.YES ? Messages.emptyQueryResponse()
-                    : Messages.error(false, Messages.STARTING, "takes no clients: "
-                            + word.name().toLowerCase(Locale.ROOT), null));
+            answer(
+                    word == Door.Word.YES
+                            ? Messages.emptyQueryResponse()
+                            : Messages.error(
+                                    false,
+                                    Messages.STARTING,
+                                    "takes no clients: " + word.name().toLowerCase(Locale.ROOT),
+                                    null));
             return;
         }
         Supplier<String> page = listener.page(body);
@@ -316,9 +339,18 @@
         busy = true;
         heard();
         listener.busy(this);
-        long handle = listener.broker().submit(new Broker.Ask(s.id(), cls, s.session(),
-                s.cluster(), Math.min(cameUs + s.patienceMs() * 1000 - TRANSIT_US, listener.answerBy()),
-                sinceWriteUs, s.repeated()), s, this);
+        long handle = listener.broker()
+                .submit(
+                        new Broker.Ask(
+                                s.id(),
+                                cls,
+                                s.session(),
+                                s.cluster(),
+                                Math.min(cameUs + s.patienceMs() * 1000 - TRANSIT_US, listener.answerBy()),
+                                sinceWriteUs,
+                                s.repeated()),
+                        s,
+                        this);
         if (busy) {
             request = handle;
         }
@@ -350,11 +382,13 @@
         take();
     }
 
-    @Override public void served(byte[] answer) {
+    @Override
+    public void served(byte[] answer) {
         settle(answer);
     }
 
-    @Override public BackEnd.Passage begins(BackEnd.Flow from) {
+    @Override
+    public BackEnd.Passage begins(BackEnd.Flow from) {
         flow = from;
         return piece -> {
             stream.write(piece);
@@ -364,33 +398,40 @@
         };
     }
 
-    @Override public void broken() {
+    @Override
+    public void broken() {
         close();
     }
 
-    @Override public void refused(long adviceUs) {
+    @Override
+    public void refused(long adviceUs) {
         settle(refusal(adviceUs));
     }
 
     private static byte[] refusal(long adviceUs) {
-        return Messages.error(false, Messages.REFUSED, "refused: trying again is harmless",
+        return Messages.error(
+                false,
+                Messages.REFUSED,
+                "refused: trying again is harmless",
                 adviceUs <= 0 ? null : Long.toString((adviceUs + 999) / 1000));
     }
 
-    @Override public void cancelled() {
+    @Override
+    public void cancelled() {
         settle(Messages.error(false, Messages.CANCELLED, "cancelled by its client", null));
     }
 
-    @Override public boolean waits() {
+    @Override
+    public boolean waits() {
         if (!justLooked) {
             stream.readNow();
         }
         return phase != Phase.CLOSED;
     }
 
-    @Override public void failed() {
-        settle(Messages.error(false, Messages.UNKNOWN_EFFECT, "failed: whether it took effect is not known",
-                null));
+    @Override
+    public void failed() {
+        settle(Messages.error(false, Messages.UNKNOWN_EFFECT, "failed: whether it took effect is not known", null));
     }
 
     private void fatal(String code, String text) {
@@ -416,9 +457,11 @@
         }
     }
 
-    @Override public void ended() {
+    @Override
+    public void ended() {
         try {
-            if (phase == Phase.STARTUP && reader.nextStartup()
+            if (phase == Phase.STARTUP
+                    && reader.nextStartup()
                     && reader.intOfBody(0) == Messages.CANCEL_REQUEST) { // Nobody waits behind such a one.
                 listener.cancel(reader.intOfBody(1), reader.intOfBody(2));
             }
--- a/pooler/src/main/java/frostreel/net/Listener.java
+++ b/pooler/src/main/java/frostreel/net/Listener.java
@@ -34,6 +34,7 @@
     private static final long ROOM_CHECK_US = 50_000;
     /** Nobody who has something to ask is silent for so long after connecting. */
     private static final long SILENT_US = 300_000;
+
     private final Loop loop;
     private final Broker broker;
     private final Door door;
@@ -42,23 +43,26 @@
     private final int maxClients;
     /** Beyond so many clients that may ask, of which so many are idle, the longest idle is closed. */
     private final int usualBound;
+
     private final int idleBound;
     private final SlotTable<ClientConnection> clients;
     private final Acceptor acceptor;
     private boolean inherited;
     /** Clients between requests, and clients that have yet to send a whole one; the longest so first. */
     private final Set<ClientConnection> idle = new LinkedHashSet<>();
+
     private final Set<ClientConnection> owing = new LinkedHashSet<>();
     /** Clients whose connection we have ended, and that have yet to end it too; the longest so first. */
     private final Set<ClientConnection> leaving = new LinkedHashSet<>();
     /** For the keys by which clients cancel. */
     private final SplittableRandom secrets;
+
     private boolean lookingForRoom;
     private boolean sparing;
 
     /** Of the {@code usualClients} that come to ask, three quarters may stay without a bound on idle ones. */
-    public Listener(Loop loop, Broker broker, Door door, ClassTable classes, int maxClients,
-            int usualClients, long seed) {
+    public Listener(
+            Loop loop, Broker broker, Door door, ClassTable classes, int maxClients, int usualClients, long seed) {
         this.loop = loop;
         secrets = new SplittableRandom(seed).split();
         this.broker = broker;
@@ -78,9 +82,12 @@
      */
     public void open(InetSocketAddress address, boolean inherits) throws IOException {
         OptionMap options = OptionMap.builder()
-                .set(Options.TCP_NODELAY, true).set(Options.REUSE_ADDRESSES, true)
-                .set(Options.BACKLOG, BACKLOG).set(Options.CONNECTION_HIGH_WATER, maxClients)
-                .set(Options.CONNECTION_LOW_WATER, maxClients - 1).getMap();
+                .set(Options.TCP_NODELAY, true)
+                .set(Options.REUSE_ADDRESSES, true)
+                .set(Options.BACKLOG, BACKLOG)
+                .set(Options.CONNECTION_HIGH_WATER, maxClients)
+                .set(Options.CONNECTION_LOW_WATER, maxClients - 1)
+                .getMap();
         inherited = inherits;
         acceptor.open(address, inherits, options);
         if (door.accepts(loop.clock().now())) {
@@ -116,8 +123,7 @@
 
     /** The page that a query asks for, null where it asks for none. */
     Supplier<String> page(byte[] query) {
-        return query.length > MOST_PAGE_BYTES ? null : pages.get(new String(query,
-                StandardCharsets.US_ASCII));
+        return query.length > MOST_PAGE_BYTES ? null : pages.get(new String(query, StandardCharsets.US_ASCII));
     }
 
     /** Whether those that have yet to ask are closed, too. */
@@ -168,8 +174,9 @@
             return; // By a request that was found while looking for one to close.
         }
         sparing = true;
-        for (int looks = idle.size(); looks > 0 && idle.size() > idleBound
-                && clients.size() - owing.size() - leaving.size() > usualBound; looks--) {
+        for (int looks = idle.size();
+                looks > 0 && idle.size() > idleBound && clients.size() - owing.size() - leaving.size() > usualBound;
+                looks--) {
             if (idle.iterator().next().leaveUnlessAsking()) {
                 loop.counters().clientsSpared++;
             }
--- a/pooler/src/main/java/frostreel/net/Loop.java
+++ b/pooler/src/main/java/frostreel/net/Loop.java
@@ -25,6 +25,7 @@
      * have to stop: the rest is for a pause between the look and a send. More often, a look costs too much.
      */
     private static final int LOOK_PART = 5;
+
     private static final long LOOK_LEAST_US = 10_000;
     /**
      * The loop shows so often that it runs, and is late where it was not seen to for so long: a little less
@@ -32,6 +33,7 @@
      * waiting for less, and its clients' times must not be cut for each of these.
      */
     private static final long BEAT_US = 200_000;
+
     private static final long LATE_US = 2 * BEAT_US;
     private final LoopWatchdog watchdog;
     private final EventLog events;
@@ -43,8 +45,8 @@
     private final ByteBuffer readBuffer = ByteBuffer.allocateDirect(READ_BYTES);
     private XnioExecutor.Key alarm;
     private boolean ending;
-    private Runnable look = () -> { };
-    private LongConsumer beaten = nowUs -> { };
+    private Runnable look = () -> {};
+    private LongConsumer beaten = nowUs -> {};
     private long lookEveryUs;
     private long lookedUs;
     private long heldBytes;
@@ -62,9 +64,13 @@
         deadlines = new Deadlines(clock, this::wakeAfter);
         lookedUs = clock.now();
         beatUs = lookedUs;
-        worker = Xnio.getInstance().createWorker(OptionMap.builder().set(Options.WORKER_IO_THREADS, 1)
-                .set(Options.WORKER_TASK_CORE_THREADS, 1).set(Options.WORKER_TASK_MAX_THREADS, 1)
-                .set(Options.WORKER_NAME, "frostreel").getMap());
+        worker = Xnio.getInstance()
+                .createWorker(OptionMap.builder()
+                        .set(Options.WORKER_IO_THREADS, 1)
+                        .set(Options.WORKER_TASK_CORE_THREADS, 1)
+                        .set(Options.WORKER_TASK_MAX_THREADS, 1)
+                        .set(Options.WORKER_NAME, "frostreel")
+                        .getMap());
         thread = worker.getIoThread();
         events = new EventLog(clock::now);
         watchdog = new LoopWatchdog(thread);
@@ -77,11 +83,14 @@
         if (alarm != null) {
             alarm.remove();
         }
-        alarm = thread.executeAfter(() -> {
-            alarm = null;
-            awake();
-            deadlines.runDue();
-        }, wholeMillis(us), TimeUnit.MILLISECONDS);
+        alarm = thread.executeAfter(
+                () -> {
+                    alarm = null;
+                    awake();
+                    deadlines.runDue();
+                },
+                wholeMillis(us),
+                TimeUnit.MILLISECONDS);
     }
 
     /**
--- a/pooler/src/main/java/frostreel/net/LoopWatchdog.java
+++ b/pooler/src/main/java/frostreel/net/LoopWatchdog.java
@@ -11,9 +11,11 @@
 final class LoopWatchdog implements Runnable {
     /** An I/O thread that has not come round for so long stands still; it does so five times a second. */
     static final long STILL_NANOS = TimeUnit.MILLISECONDS.toNanos(1_500);
+
     private static final long LOOK_MS = 500;
     /** Its own sleep was longer by so much: the whole process was held up, and not that thread. */
     private static final long HELD_UP_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
+
     private static final int MOST_FRAMES = 12;
     private static final int EXIT_CODE = 1;
     private static final Logger LOG = Logger.getLogger(LoopWatchdog.class.getName());
@@ -45,7 +47,8 @@
         ended = true;
     }
 
-    @Override public void run() {
+    @Override
+    public void run() {
         try {
             while (!ended) {
                 long before = System.nanoTime();
--- a/pooler/src/main/java/frostreel/net/ServerConnection.java
+++ b/pooler/src/main/java/frostreel/net/ServerConnection.java
@@ -19,10 +19,17 @@
 
 /** One connection to a server, with at most one attempt on it. */
 final class ServerConnection implements Stream.Handler, BackEnd.Flow {
-    private enum Phase { CONNECTING, STARTUP, IDLE, BUSY, CLOSED }
+    private enum Phase {
+        CONNECTING,
+        STARTUP,
+        IDLE,
+        BUSY,
+        CLOSED
+    }
 
     /** Peers need seconds to read or write; a row of which nothing moves for so long is given up. */
     private static final long STILL_US = 30_000_000;
+
     private static final OptionMap OPTIONS = OptionMap.create(Options.TCP_NODELAY, true);
     final ServerPool.Server server;
     final InetSocketAddress address;
@@ -38,6 +45,7 @@
     private Deadlines.Deadline deadline;
     /** Where a long row goes, and how much of it is still to come. */
     private BackEnd.Passage passage;
+
     private int passing;
     private boolean moved;
 
@@ -50,8 +58,10 @@
 
     void open(long timeoutUs) {
         deadline = loop.deadlines().after(timeoutUs, () -> {
-            loop.events().tell(EventLog.Kind.SERVER_CONNECTION_FAILED, () -> "to " + address
-                    + ": not up in " + timeoutUs / 1000 + " ms, in " + phase);
+            loop.events()
+                    .tell(
+                            EventLog.Kind.SERVER_CONNECTION_FAILED,
+                            () -> "to " + address + ": not up in " + timeoutUs / 1000 + " ms, in " + phase);
             fail(Outcome.CONNECT_FAILED);
         });
         try {
@@ -59,16 +69,20 @@
         } catch (RuntimeException e) { // As for an address of a family that this process does not speak.
             connecting = new FailedIoFuture<>(new IOException(e));
         }
-        connecting.addNotifier(new IoFuture.HandlingNotifier<StreamConnection, Void>() {
-            @Override public void handleDone(StreamConnection connection, Void none) {
-                connected(connection);
-            }
+        connecting.addNotifier(
+                new IoFuture.HandlingNotifier<StreamConnection, Void>() {
+                    @Override
+                    public void handleDone(StreamConnection connection, Void none) {
+                        connected(connection);
+                    }
 
-            @Override public void handleFailed(IOException e, Void none) {
-                loop.events().tell(EventLog.Kind.SERVER_CONNECTION_FAILED, () -> "to " + address + ": " + e);
-                fail(Outcome.CONNECT_FAILED);
-            }
-        }, null);
+                    @Override
+                    public void handleFailed(IOException e, Void none) {
+                        loop.events().tell(EventLog.Kind.SERVER_CONNECTION_FAILED, () -> "to " + address + ": " + e);
+                        fail(Outcome.CONNECT_FAILED);
+                    }
+                },
+                null);
     }
 
     private void connected(StreamConnection connection) {
@@ -110,7 +124,8 @@
         return stream.flushed();
     }
 
-    @Override public void received(ByteBuffer in) {
+    @Override
+    public void received(ByteBuffer in) {
         if (phase == Phase.IDLE) {
             loop.counters().strayBytes++;
             close();
@@ -180,11 +195,13 @@
         }
     }
 
-    @Override public void pause() {
+    @Override
+    public void pause() {
         stream.suspendReads();
     }
 
-    @Override public void resume() {
+    @Override
+    public void resume() {
         stream.resumeReads();
     }
 
@@ -218,14 +235,14 @@
         return result;
     }
 
-    @Override public void ended() {
+    @Override
+    public void ended() {
         if (phase == Phase.STARTUP) {
             fail(Outcome.CONNECT_FAILED);
         } else if (phase == Phase.BUSY) {
             // Broken before the last byte was written: it never ran.
             BackEnd.Result broken = reply.result(true);
-            end(broken.outcome() == Outcome.RESET && !wroteAll() ? BackEnd.Result.of(Outcome.CONNECT_FAILED)
-                    : broken);
+            end(broken.outcome() == Outcome.RESET && !wroteAll() ? BackEnd.Result.of(Outcome.CONNECT_FAILED) : broken);
         } else {
             close();
         }
--- a/pooler/src/main/java/frostreel/net/ServerPool.java
+++ b/pooler/src/main/java/frostreel/net/ServerPool.java
@@ -6,8 +6,8 @@
 import frostreel.broker.SlotTable;
 import frostreel.config.HostList;
 import frostreel.pg.Messages;
-import java.nio.charset.StandardCharsets;
 import java.net.InetSocketAddress;
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -33,6 +33,7 @@
         final Sink sink;
         /** The request, null for a probe, and until when its server is waited for. */
         private final Payload payload;
+
         private final long untilUs;
         long handle;
         ServerConnection on;
@@ -60,6 +61,7 @@
         InetSocketAddress address;
         /** Whether it may be sent something new; one that drained is so no more, whatever it is later. */
         boolean usable;
+
         boolean drained;
         final Set<ServerConnection> opening = new LinkedHashSet<>();
         final ArrayDeque<ServerConnection> idle = new ArrayDeque<>();
@@ -68,6 +70,7 @@
 
     /** An idle connection is closed after this share of the time at which its server would. */
     private static final double IDLE_SHARE = 0.8;
+
     private static final byte[] SHOW_LOAD = Messages.query("SHOW load\0".getBytes(StandardCharsets.US_ASCII));
     private final Loop loop;
     private final boolean onlyDrainingBinds;
@@ -77,6 +80,7 @@
     private final SlotTable<ServerConnection> connections;
     /** All idle connections of all servers, in the order in which they came to rest. */
     private final LinkedHashSet<ServerConnection> resting = new LinkedHashSet<>();
+
     private final SlotTable<Attempt> attempts = new SlotTable<>(1 << 16);
 
     public ServerPool(Loop loop, Router.Settings settings, int maxConnections) {
@@ -116,8 +120,7 @@
 
     private void is(Server s, Router.State state) {
         s.drained |= state == Router.State.DRAINING;
-        s.usable = state == Router.State.UP
-                || state == Router.State.GONE && onlyDrainingBinds && !s.drained;
+        s.usable = state == Router.State.UP || state == Router.State.GONE && onlyDrainingBinds && !s.drained;
     }
 
     /**
@@ -137,11 +140,13 @@
         }
     }
 
-    @Override public long start(String memberId, Payload payload, long patienceUs, Sink sink) {
+    @Override
+    public long start(String memberId, Payload payload, long patienceUs, Sink sink) {
         return begin(memberId, payload, loop.clock().now() + patienceUs, sink).handle;
     }
 
-    @Override public void probe(String memberId, Sink sink) {
+    @Override
+    public void probe(String memberId, Sink sink) {
         Attempt a = begin(memberId, null, 0, sink);
         a.timeout = loop.deadlines().after(connectTimeoutUs, () -> {
             if (attempts.get(a.handle) != null) {
@@ -196,12 +201,14 @@
         }
     }
 
-    @Override public boolean begun(long attempt) {
+    @Override
+    public boolean begun(long attempt) {
         Attempt a = attempts.get(attempt);
         return a == null || a.on != null;
     }
 
-    @Override public boolean abandon(long attempt) {
+    @Override
+    public boolean abandon(long attempt) {
         Attempt a = attempts.remove(attempt);
         if (a == null) {
             return false;
--- a/pooler/src/main/java/frostreel/net/Stream.java
+++ b/pooler/src/main/java/frostreel/net/Stream.java
@@ -39,6 +39,7 @@
 
     /** Reads in one go, so that one busy connection does not keep the others waiting. */
     private static final int READS_AT_ONCE = 4;
+
     private static final Logger LOG = Logger.getLogger(Stream.class.getName());
     private final Loop loop;
     private final StreamConnection connection;
--- a/pooler/src/main/java/frostreel/pg/LoadReport.java
+++ b/pooler/src/main/java/frostreel/pg/LoadReport.java
@@ -24,7 +24,7 @@
                 case "util", "load_share" -> util = value;
                 case "queue", "depth" -> queued = value;
                 case "inflight", "concurrent" -> inHand = value;
-                default -> { }
+                default -> {}
             }
         }
         return new Router.Report(positionUs, role, util, queued, inHand);
--- a/pooler/src/main/java/frostreel/pg/MessageReader.java
+++ b/pooler/src/main/java/frostreel/pg/MessageReader.java
@@ -16,6 +16,7 @@
     public static final int HEADER = 5;
     /** A row begins with the number of its columns and the first one's length. */
     private static final int ROW_HEAD = 6;
+
     private static final int STARTUP_MOST = 10_000;
     private final Bounds bounds;
     private byte[] buffer = new byte[SMALL];
@@ -41,8 +42,7 @@
         int n = in.remaining();
         if (to + n > buffer.length) {
             int kept = to - from;
-            byte[] into = kept + n <= buffer.length ? buffer : new byte[Math.max(2 * buffer.length, kept
-                    + n)];
+            byte[] into = kept + n <= buffer.length ? buffer : new byte[Math.max(2 * buffer.length, kept + n)];
             System.arraycopy(buffer, from, into, 0, kept);
             buffer = into;
             from = 0;
@@ -86,7 +86,8 @@
 
     /** Whether the row that comes next is one column whose length fits the row's. */
     public boolean rowHoldsOneValue() {
-        return buffer[from + HEADER] == 0 && buffer[from + HEADER + 1] == 1
+        return buffer[from + HEADER] == 0
+                && buffer[from + HEADER + 1] == 1
                 && intAt(from + HEADER + 2) == intAt(from + 1) - Integer.BYTES - ROW_HEAD;
     }
 
@@ -135,8 +136,7 @@
     }
 
     private int intAt(int at) {
-        return buffer[at] << 24 | (buffer[at + 1] & 255) << 16 | (buffer[at + 2] & 255) << 8
-                | buffer[at + 3] & 255;
+        return buffer[at] << 24 | (buffer[at + 1] & 255) << 16 | (buffer[at + 2] & 255) << 8 | buffer[at + 3] & 255;
     }
 
     /** A copy of the body, without its length. */
--- a/pooler/src/main/java/frostreel/pg/Messages.java
+++ b/pooler/src/main/java/frostreel/pg/Messages.java
@@ -48,8 +48,16 @@
     public static byte[] welcome(int process, int secret) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         out.writeBytes(message('R', new byte[4]));
-        String[] parameters = {"server_version", "15.0", "server_encoding", "UTF8", "client_encoding", "UTF8",
-            "standard_conforming_strings", "on"};
+        String[] parameters = {
+            "server_version",
+            "15.0",
+            "server_encoding",
+            "UTF8",
+            "client_encoding",
+            "UTF8",
+            "standard_conforming_strings",
+            "on"
+        };
         for (int i = 0; i < parameters.length; i += 2) {
             ByteArrayOutputStream body = new ByteArrayOutputStream();
             writeText(body, parameters[i]);
@@ -91,8 +99,7 @@
     public static byte[] startup() {
         ByteArrayOutputStream body = new ByteArrayOutputStream();
         writeInt(body, PROTOCOL_3);
-        for (String word : new String[] {"user", "svc", "database", "main", "application_name",
-                "frostreel"}) {
+        for (String word : new String[] {"user", "svc", "database", "main", "application_name", "frostreel"}) {
             writeText(body, word);
         }
         body.write(0);
--- a/pooler/src/main/java/frostreel/pg/Reply.java
+++ b/pooler/src/main/java/frostreel/pg/Reply.java
@@ -13,17 +13,28 @@
  * like a good one, and what is passed on has to be what the server made for this request.
  */
 public final class Reply {
-    private enum Part { CALLED, WELCOMED, ASKED, DESCRIBED, ROW, COMPLETE, ERROR, READY }
+    private enum Part {
+        CALLED,
+        WELCOMED,
+        ASKED,
+        DESCRIBED,
+        ROW,
+        COMPLETE,
+        ERROR,
+        READY
+    }
 
     /** The longest row that is held until it is whole: a value of 64 KiB with its head. */
     public static final int HELD_ROW = (1 << 16) + 6;
     /** The longest row that is passed on; what claims to be longer is noise. */
     private static final int MOST_ROW = 1 << 24;
+
     private static final int MOST_OTHER = 1 << 13;
     /** All messages of one answer together; notices without end are no answer either. */
     private static final int MOST_BYTES = HELD_ROW + (1 << 16);
     /** After its name, a described column has six numbers: table, place, type, length, modifier, format. */
     private static final int COLUMN_NUMBERS = 18;
+
     private final ByteArrayOutputStream rows = new ByteArrayOutputStream(256);
     private Part part;
     private int bytes;
@@ -76,8 +87,7 @@
             }
             case 'C' -> {
                 byte[] tag = in.body();
-                advance(part == Part.ROW && tag.length > 1 && textEnd(tag, 0) == tag.length - 1,
-                        Part.COMPLETE);
+                advance(part == Part.ROW && tag.length > 1 && textEnd(tag, 0) == tag.length - 1, Part.COMPLETE);
                 in.copyTo(rows);
             }
             case 'E' -> {
@@ -85,12 +95,16 @@
                 advance(part != Part.COMPLETE && part != Part.ERROR, Part.ERROR);
                 error(in.body());
             }
-            case 'Z' -> advance((part == Part.WELCOMED || part == Part.COMPLETE || part == Part.ERROR)
-                    && in.length() == 1 && in.body()[0] == 'I', Part.READY);
+            case 'Z' ->
+                advance(
+                        (part == Part.WELCOMED || part == Part.COMPLETE || part == Part.ERROR)
+                                && in.length() == 1
+                                && in.body()[0] == 'I',
+                        Part.READY);
             case 'R' -> advance(part == Part.CALLED && in.intOfBody(0) == 0, Part.WELCOMED);
             case 'K' -> advance(part == Part.WELCOMED, Part.WELCOMED);
             case 'S' -> parameter(in.body());
-            default -> { } // Notices and notifications.
+            default -> {} // Notices and notifications.
         }
     }
 
@@ -113,8 +127,7 @@
     }
 
     private static boolean describesOneColumn(byte[] body) throws PgException {
-        return body.length > 2 && body[0] == 0 && body[1] == 1
-                && textEnd(body, 2) + 1 + COLUMN_NUMBERS == body.length;
+        return body.length > 2 && body[0] == 0 && body[1] == 1 && textEnd(body, 2) + 1 + COLUMN_NUMBERS == body.length;
     }
 
     private static boolean holdsOneValue(byte[] body) {
@@ -137,14 +150,15 @@
         try {
             int end = textEnd(body, 0);
             String name = new String(body, 0, end, StandardCharsets.UTF_8);
-            String value = new String(body, end + 1, textEnd(body, end + 1) - end - 1,
-                    StandardCharsets.UTF_8);
+            String value = new String(body, end + 1, textEnd(body, end + 1) - end - 1, StandardCharsets.UTF_8);
             switch (name) {
-                case "role" -> role = value.equals("primary") ? Router.Role.PRIMARY
-                        : value.equals("replica") ? Router.Role.REPLICA : Router.Role.UNKNOWN;
+                case "role" ->
+                    role = value.equals("primary")
+                            ? Router.Role.PRIMARY
+                            : value.equals("replica") ? Router.Role.REPLICA : Router.Role.UNKNOWN;
                 case "applied_ms" -> positionUs = (long) (LoadReport.number(value) * 1000);
                 case "load" -> report = LoadReport.parse(value);
-                default -> { }
+                default -> {}
             }
         } catch (PgException e) {
             unread++;
@@ -191,16 +205,17 @@
     public BackEnd.Result result(boolean broken) {
         Outcome outcome;
         if (errorCode != null) {
-            outcome = !errorAlone ? Outcome.ERROR : switch (errorCode) {
-                case "53300" -> Outcome.FULL;
-                case "25006", "72000" -> Outcome.MISS;
-                default -> Outcome.ERROR;
-            };
+            outcome = !errorAlone
+                    ? Outcome.ERROR
+                    : switch (errorCode) {
+                        case "53300" -> Outcome.FULL;
+                        case "25006", "72000" -> Outcome.MISS;
+                        default -> Outcome.ERROR;
+                    };
         } else {
             outcome = broken || !ready() ? Outcome.RESET : Outcome.OK;
         }
-        return new BackEnd.Result(outcome, role, positionUs, report,
-                outcome == Outcome.OK ? rows.toByteArray() : null);
+        return new BackEnd.Result(outcome, role, positionUs, report, outcome == Outcome.OK ? rows.toByteArray() : null);
     }
 
     /** The same for a probe: the report stands in the row. */
--- a/pooler/src/main/java/frostreel/pg/Statement.java
+++ b/pooler/src/main/java/frostreel/pg/Statement.java
@@ -62,8 +62,7 @@
     }
 
     private boolean starts(byte[] word) {
-        return sql.length - at >= word.length
-                && Arrays.equals(sql, at, at + word.length, word, 0, word.length);
+        return sql.length - at >= word.length && Arrays.equals(sql, at, at + word.length, word, 0, word.length);
     }
 
     private void take(byte[] word) throws PgException {
@@ -142,7 +141,7 @@
             case "after" -> afterMs = number(name, value, Long.MAX_VALUE / 1000);
             case "k" -> keyed = !value.isEmpty();
             case "r" -> repeated = value.equals("1");
-            default -> { }
+            default -> {}
         }
     }
 
@@ -198,7 +197,8 @@
         return (session ^ session >>> 32) & KEY_MASK;
     }
 
-    @Override public byte[] forServer(long patienceUs) {
+    @Override
+    public byte[] forServer(long patienceUs) {
         byte[] digits = Long.toString(Math.max(1, patienceUs / 1000)).getBytes(StandardCharsets.US_ASCII);
         byte[] out = new byte[sql.length - (patienceTo - patienceFrom) + digits.length];
         System.arraycopy(sql, 0, out, 0, patienceFrom);
--- a/pooler/src/main/java/frostreel/settings/Fault.java
+++ b/pooler/src/main/java/frostreel/settings/Fault.java
@@ -5,8 +5,8 @@
  * {@code key} is the path of elements to the faulty one, and its attribute behind an {@code @}.
  */
 public record Fault(String file, int line, int column, String key, String text) {
-    @Override public String toString() {
-        return file + (line > 0 ? ":" + line + ":" + column : "") + ": " + (key.isEmpty() ? "" : key + ": ")
-                + text;
+    @Override
+    public String toString() {
+        return file + (line > 0 ? ":" + line + ":" + column : "") + ": " + (key.isEmpty() ? "" : key + ": ") + text;
     }
 }
--- a/pooler/src/main/java/frostreel/settings/OperatorSettings.java
+++ b/pooler/src/main/java/frostreel/settings/OperatorSettings.java
@@ -39,8 +39,7 @@
 
     private static final int MOST_PORT = 65_535;
     /** What holds where there is no file. */
-    public static final OperatorSettings DEFAULT = new OperatorSettings(Logging.Format.TEXT, Level.INFO,
-            null, null);
+    public static final OperatorSettings DEFAULT = new OperatorSettings(Logging.Format.TEXT, Level.INFO, null, null);
     /** The schema, for whoever writes such a file. */
     public static final URL SCHEMA = OperatorSettings.class.getResource("frostreel.xsd");
 
@@ -56,7 +55,8 @@
         XmlElement cluster = root.child("cluster");
         XmlElement log = root.child("log");
         OperatorSettings read = new OperatorSettings(
-                log == null ? DEFAULT.logFormat
+                log == null
+                        ? DEFAULT.logFormat
                         : Logging.Format.valueOf(log.text("format").toUpperCase(Locale.ROOT)),
                 log == null ? DEFAULT.logLevel : Level.parse(log.text("level").toUpperCase(Locale.ROOT)),
                 zones == null ? null : zones(file.toString(), zones, faults),
@@ -73,16 +73,15 @@
         List<XmlElement> all = zones.all("tier").toList();
         for (int i = 0; i < all.size(); i++) {
             XmlElement tier = all.get(i);
-            List<String> names = tier.has("zones") ? Arrays.asList(tier.text("zones").split("\\s+"))
-                    : List.of();
+            List<String> names =
+                    tier.has("zones") ? Arrays.asList(tier.text("zones").split("\\s+")) : List.of();
             if (names.isEmpty() && i < all.size() - 1) {
                 faults.add(tier.fault(file, "zones", "only the last tier may stand for all other zones"));
             }
             for (String name : names) {
                 Integer before = named.putIfAbsent(name, i + 1);
                 if (before != null) {
-                    faults.add(tier.fault(file, "zones", "zone '" + name + "' stands in tier " + before
-                            + " too"));
+                    faults.add(tier.fault(file, "zones", "zone '" + name + "' stands in tier " + before + " too"));
                 }
             }
             tiers.add(new Tier(names, tier.number("spill")));
@@ -127,9 +126,17 @@
 
     /** Tiers as the decisions know them, by each zone's place among the platform's names. */
     public Optional<ZoneSettings> zonesFor(int own, List<Object> names) {
-        return Optional.ofNullable(zones).map(z -> new ZoneSettings(own, z.tiers.stream().map(t ->
-                new ZoneSettings.Tier(t.zones.stream().map(names::indexOf).filter(n -> n >= 0).toList(),
-                        t.spill))
-                .toList(), z.poolers));
+        return Optional.ofNullable(zones)
+                .map(z -> new ZoneSettings(
+                        own,
+                        z.tiers.stream()
+                                .map(t -> new ZoneSettings.Tier(
+                                        t.zones.stream()
+                                                .map(names::indexOf)
+                                                .filter(n -> n >= 0)
+                                                .toList(),
+                                        t.spill))
+                                .toList(),
+                        z.poolers));
     }
 }
--- a/pooler/src/main/java/frostreel/settings/XmlFile.java
+++ b/pooler/src/main/java/frostreel/settings/XmlFile.java
@@ -33,6 +33,7 @@
 public final class XmlFile {
     /** The largest file that is read, in bytes. */
     public static final int MOST_BYTES = 1 << 20;
+
     private static final int MOST_FAULTS = 100;
     private static final Pattern ATTRIBUTE = Pattern.compile("ttribute '([\\w:]+)'");
     private static final Pattern ELEMENT = Pattern.compile("element '(?:\\{\"[^\"]*\":)?(\\w+)\\}?'");
@@ -94,11 +95,13 @@
             this.file = file;
         }
 
-        @Override public void setDocumentLocator(Locator locator) {
+        @Override
+        public void setDocumentLocator(Locator locator) {
             this.locator = locator;
         }
 
-        @Override public void startElement(String uri, String local, String name, Attributes a) {
+        @Override
+        public void startElement(String uri, String local, String name, Attributes a) {
             Map<String, String> attributes = new LinkedHashMap<>();
             for (int i = 0; i < a.getLength(); i++) {
                 attributes.put(a.getLocalName(i), a.getValue(i));
@@ -107,16 +110,19 @@
             root = root == null ? at : root;
         }
 
-        @Override public void endElement(String uri, String local, String name) {
+        @Override
+        public void endElement(String uri, String local, String name) {
             at = at.parent();
         }
 
-        @Override public void fatalError(SAXParseException e) throws SAXException {
+        @Override
+        public void fatalError(SAXParseException e) throws SAXException {
             throw e;
         }
 
         /** The validator speaks before the element that it means has begun here: it names it in its text. */
-        @Override public void error(SAXParseException e) {
+        @Override
+        public void error(SAXParseException e) {
             String text = e.getMessage().replaceFirst("^cvc-[\\w.-]+: ", "");
             Matcher element = ELEMENT.matcher(text);
             Matcher attribute = ATTRIBUTE.matcher(text);
@@ -130,8 +136,7 @@
                 Fault last = faults.get(faults.size() - 1);
                 boolean same = last.line() == e.getLineNumber() && last.column() == e.getColumnNumber();
                 if (same && !last.key().contains("@") && key.contains("@")) {
-                    faults.set(faults.size() - 1,
-                            new Fault(file, last.line(), last.column(), key, last.text()));
+                    faults.set(faults.size() - 1, new Fault(file, last.line(), last.column(), key, last.text()));
                     return;
                 }
             }
--- a/pooler/src/main/java/frostreel/stats/Counters.java
+++ b/pooler/src/main/java/frostreel/stats/Counters.java
@@ -10,6 +10,7 @@
     public long clientsClosed;
     /** Accepts that the system failed, of clients and of operators' callers. */
     public long acceptFailures;
+
     public long clientsGone;
     public long clientsCancelled;
     public long clientsSilent;
@@ -22,6 +23,7 @@
     public long requests;
     /** Answers passed on as they came, and those of them that ended unfinished. */
     public long longAnswers;
+
     public long longBroken;
     public long served;
     public long refused;
@@ -39,6 +41,7 @@
     public long strayExceptions;
     /** Operators' calls answered yes, answered no, and callers closed for having said nothing whole. */
     public long callsDone;
+
     public long callsRefused;
     public long callersSilent;
     private final Map<Outcome, Long> outcomes = new EnumMap<>(Outcome.class);
@@ -48,7 +51,8 @@
     }
 
     /** One line, names and values. */
-    @Override public String toString() {
+    @Override
+    public String toString() {
         return "clients_accepted=" + clientsAccepted + " clients_closed=" + clientsClosed
                 + " accept_failures=" + acceptFailures + " clients_gone="
                 + clientsGone + " clients_cancelled=" + clientsCancelled + " clients_silent=" + clientsSilent
--- a/pooler/src/main/java/org/xnio/nio/TcpServers.java
+++ b/pooler/src/main/java/org/xnio/nio/TcpServers.java
@@ -27,8 +27,11 @@
      *
      * @throws IOException where the address is taken or not ours, or the system gives no socket
      */
-    public static AcceptingChannel<StreamConnection> bind(XnioWorker worker, InetSocketAddress address,
-            ChannelListener<? super AcceptingChannel<StreamConnection>> listener, OptionMap options)
+    public static AcceptingChannel<StreamConnection> bind(
+            XnioWorker worker,
+            InetSocketAddress address,
+            ChannelListener<? super AcceptingChannel<StreamConnection>> listener,
+            OptionMap options)
             throws IOException {
         ServerSocketChannel channel = ServerSocketChannel.open();
         try {
@@ -47,8 +50,8 @@
      *
      * @throws IOException where descriptor 0 is no listening socket
      */
-    public static AcceptingChannel<StreamConnection> inherit(XnioWorker worker,
-            ChannelListener<? super AcceptingChannel<StreamConnection>> listener, OptionMap options)
+    public static AcceptingChannel<StreamConnection> inherit(
+            XnioWorker worker, ChannelListener<? super AcceptingChannel<StreamConnection>> listener, OptionMap options)
             throws IOException {
         Channel inherited = System.inheritedChannel();
         if (!(inherited instanceof ServerSocketChannel channel)) {
@@ -57,9 +60,12 @@
         return accepting(worker, channel, listener, options);
     }
 
-    private static AcceptingChannel<StreamConnection> accepting(XnioWorker worker,
-            ServerSocketChannel channel, ChannelListener<? super AcceptingChannel<StreamConnection>> listener,
-            OptionMap options) throws IOException {
+    private static AcceptingChannel<StreamConnection> accepting(
+            XnioWorker worker,
+            ServerSocketChannel channel,
+            ChannelListener<? super AcceptingChannel<StreamConnection>> listener,
+            OptionMap options)
+            throws IOException {
         channel.configureBlocking(false);
         NioTcpServer server = new NioTcpServer((NioXnioWorker) worker, channel, options, true);
         server.setAcceptListener(listener);
--- a/pooler/src/test/java/frostreel/BesideTest.java
+++ b/pooler/src/test/java/frostreel/BesideTest.java
@@ -22,7 +22,9 @@
     private static final long NOW = 1_000_000_000;
     private static final String CARRIED = Stage.configuration("127.0.0.1:1");
     private static final String REMEMBERED = CARRIED.replace("carried", "remembered");
-    @TempDir Path dir;
+
+    @TempDir
+    Path dir;
 
     private Beside begin(String config, String descriptor) throws Exception {
         return Beside.of(Config.parse(config, Map.of("GW_FD", descriptor, "TMPDIR", dir.toString())), NOW);
@@ -50,7 +52,8 @@
         assertThat(bound(at)).as("all that counts as known").isEqualTo(NOW - 50_000);
     }
 
-    @Test void whatOneProcessAnsweredBindsTheOtherBothWays() throws Exception {
+    @Test
+    void whatOneProcessAnsweredBindsTheOtherBothWays() throws Exception {
         Beside before = begin();
         Beside after = begin();
         assertThat(List.of(bound(before), bound(after))).containsOnly(0L);
@@ -62,7 +65,8 @@
         assertThat(bound(begin())).as("a third").isEqualTo(NOW + 6_000);
     }
 
-    @Test void whereNobodyIsBesideOrNothingIsRememberedThereIsNoFile() throws Exception {
+    @Test
+    void whereNobodyIsBesideOrNothingIsRememberedThereIsNoFile() throws Exception {
         for (Beside alone : List.of(begin(REMEMBERED, ""), begin(CARRIED, "0"))) {
             write(alone, NOW);
             assertThat(bound(alone)).isZero();
@@ -83,7 +87,8 @@
         return file;
     }
 
-    @Test void afterAFileThatIsDamagedOrOfAnotherVersionOneIsBlindAndTheNextIsNot() throws Exception {
+    @Test
+    void afterAFileThatIsDamagedOrOfAnotherVersionOneIsBlindAndTheNextIsNot() throws Exception {
         for (String how : List.of("empty", "cut short", "longer", "of another version")) {
             Files.deleteIfExists(folder().resolve("commits"));
             begin();
@@ -102,7 +107,8 @@
         }
     }
 
-    @Test void whereThereCanBeNoFileItServesBlind() throws Exception {
+    @Test
+    void whereThereCanBeNoFileItServesBlind() throws Exception {
         Files.createDirectories(folder().resolve("commits")); // Read as root may read and write any.
         Beside before = begin();
         write(before, NOW);
--- a/pooler/src/test/java/frostreel/ClosesTest.java
+++ b/pooler/src/test/java/frostreel/ClosesTest.java
@@ -37,7 +37,8 @@
         assertThat(requests()).isEqualTo(before);
     }
 
-    @Test void bytesThatCrossTheSparingOfAnIdleClientDoNotResetIt() throws Exception {
+    @Test
+    void bytesThatCrossTheSparingOfAnIdleClientDoNotResetIt() throws Exception {
         lingerWithoutEnd();
         start();
         List<Stage.Link> clients = new ArrayList<>();
@@ -51,12 +52,15 @@
         }
     }
 
-    @Test void bytesThatCrossTheSweepAtTheEndDoNotResetTheirConnection() throws Exception {
+    @Test
+    void bytesThatCrossTheSweepAtTheEndDoNotResetTheirConnection() throws Exception {
         lingerWithoutEnd();
-        stage.settings = Stage.SETTINGS.replace("\"deadlineS\":10", "\"deadlineS\":0.3").replace(
-                "\"onTimeS\":5", "\"onTimeS\":0.2"); // SIGKILL is due after 1 s, the sweep after 0.6 s.
+        stage.settings = Stage.SETTINGS
+                .replace("\"deadlineS\":10", "\"deadlineS\":0.3")
+                .replace("\"onTimeS\":5", "\"onTimeS\":0.2"); // SIGKILL is due after 1 s, the sweep after 0.6 s.
         start();
-        try (Stage.Link asked = stage.client(); Stage.Link silent = stage.client()) {
+        try (Stage.Link asked = stage.client();
+                Stage.Link silent = stage.client()) {
             assertThat(value(asked.ask(look("1", 300)))).isEqualTo("from-replica");
             Thread stop = stops();
             whatCrossesTheEndResetsNothingAndIsNotSentOn(asked);
@@ -70,21 +74,25 @@
      * while one timer runs, and the one that closes the door is due in the same turn, before any look at
      * sockets: both were due while the thread stood still before.
      */
-    @Test void whoWaitsAtTheDoorInTheTurnInWhichItClosesIsAnswered() throws Exception {
+    @Test
+    void whoWaitsAtTheDoorInTheTurnInWhichItClosesIsAnswered() throws Exception {
         stage.startSilent(host("a", primary, "primary", "Ready"));
         stage.discovery.next(); // A call that it gives up after 1.5 s, which it logs.
         stage.untilReady();
         List<Stage.Link> waits = new ArrayList<>();
         List<Thread> stop = new ArrayList<>();
-        stage.whileItStandsStill(Watch.class, () -> {
-            stop.add(stops()); // The door closes 3.3 s later.
-            stage.whileItStandsStill(() -> Stage.pass(System.nanoTime(), 3_500));
-        }, () -> {
-            for (int i = 0; i < 3; i++) { // The first was let in even by the door that had closed.
-                waits.add(new Stage.Link(stage.connect()));
-                waits.get(i).send(Stage.startup(), query(look("" + i, 300)));
-            }
-        });
+        stage.whileItStandsStill(
+                Watch.class,
+                () -> {
+                    stop.add(stops()); // The door closes 3.3 s later.
+                    stage.whileItStandsStill(() -> Stage.pass(System.nanoTime(), 3_500));
+                },
+                () -> {
+                    for (int i = 0; i < 3; i++) { // The first was let in even by the door that had closed.
+                        waits.add(new Stage.Link(stage.connect()));
+                        waits.get(i).send(Stage.startup(), query(look("" + i, 300)));
+                    }
+                });
         for (Stage.Link c : waits) {
             c.takeAnswer();
             assertThat(c.takeAnswer()).singleElement().asString().contains("|C53300|");
@@ -110,7 +118,8 @@
     }
 
     /** Two silent clients, one after the other, show that a whole message was long owed. */
-    @Test void aReaderThatTakesItsTimeIsNotTakenForAClientThatOwesSomething() throws Exception {
+    @Test
+    void aReaderThatTakesItsTimeIsNotTakenForAClientThatOwesSomething() throws Exception {
         String large = "x".repeat(60_000);
         replica.script = rows(large, "replica");
         start();
@@ -132,7 +141,8 @@
     }
 
     /** What is held behind a request is bounded: it was not, behind an answer that waited for its reader. */
-    @Test void muchTooMuchBehindARequestEndsItsClientAfterTheLastAnswerThatIsOwed() throws Exception {
+    @Test
+    void muchTooMuchBehindARequestEndsItsClientAfterTheLastAnswerThatIsOwed() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
         primary.script = (text, link) -> {
             try {
@@ -163,12 +173,13 @@
     }
 
     /** An answer is whole or it is none, wherever its connection ends and however. */
-    @Test void anAnswerCutAtAnyByteIsNeverServed() throws Exception {
+    @Test
+    void anAnswerCutAtAnyByteIsNeverServed() throws Exception {
         byte[] whole = Stage.row("cut", "replica");
         int every = 2; // With either kind of end, at each byte in turn.
         int calm = 5; // Each of them gives a fifth of a further attempt after doubt.
-        List<String> hosts = new ArrayList<>(List.of(host("a", primary, "primary", "Ready"),
-                host("b", replica, "replica", "Ready")));
+        List<String> hosts = new ArrayList<>(
+                List.of(host("a", primary, "primary", "Ready"), host("b", replica, "replica", "Ready")));
         for (int i = 0; i < whole.length; i++) {
             int cut = i;
             boolean reset = i % every == 0;
@@ -187,7 +198,8 @@
         try (Stage.Link c = stage.client()) {
             for (int i = 0; i < whole.length; i++) {
                 assertThat(value(c.ask(look("q" + i, 9000).replace("cluster=2", "cluster=" + (100 + i)))))
-                        .as("cut at byte %d", i).isEqualTo("from-primary");
+                        .as("cut at byte %d", i)
+                        .isEqualTo("from-primary");
                 for (int j = 0; j < calm; j++) {
                     assertThat(value(c.ask(look("q" + i + "x" + j, 9000)))).isEqualTo("from-replica");
                 }
--- a/pooler/src/test/java/frostreel/CrowdedTest.java
+++ b/pooler/src/test/java/frostreel/CrowdedTest.java
@@ -15,7 +15,7 @@
     /** The answer to one that comes when the others hold all places but the last. */
     private String refusal() throws Exception {
         stage.allMayWait = true;
-        replica.script = (text, link) -> { };
+        replica.script = (text, link) -> {};
         primary.script = replica.script;
         start();
         int busy = Stage.MAX_CLIENTS - 16;
@@ -40,18 +40,21 @@
         }
     }
 
-    @Test void itIsTheUsualTimeWhereThatIsAllowed() throws Exception {
+    @Test
+    void itIsTheUsualTimeWhereThatIsAllowed() throws Exception {
         assertThat(refusal()).contains("|D200|");
         leave();
     }
 
-    @Test void itIsNoLongerThanTheSettingsAllow() throws Exception {
+    @Test
+    void itIsNoLongerThanTheSettingsAllow() throws Exception {
         stage.settings = Stage.SETTINGS.replace("\"maxRetryAfterS\":2", "\"maxRetryAfterS\":0.12");
         assertThat(refusal()).contains("|D120|");
         leave();
     }
 
-    @Test void itIsNothingWhereTheSettingsAllowNoneAndNewSettingsCountAtOnce() throws Exception {
+    @Test
+    void itIsNothingWhereTheSettingsAllowNoneAndNewSettingsCountAtOnce() throws Exception {
         stage.settings = Stage.SETTINGS.replace("\"retryAfter\":true", "\"retryAfter\":false");
         assertThat(refusal()).doesNotContain("|D");
         stage.settings = Stage.SETTINGS;
--- a/pooler/src/test/java/frostreel/DiscoveryTest.java
+++ b/pooler/src/test/java/frostreel/DiscoveryTest.java
@@ -17,7 +17,7 @@
 
 /** What an agent may do at each point of a call, and that what it tells afterwards counts at once. */
 class DiscoveryTest extends Story {
-    private static final Stage.Script SILENCE = (text, link) -> { };
+    private static final Stage.Script SILENCE = (text, link) -> {};
     private static final Stage.Script END = (text, link) -> link.close();
     private static final Stage.Script RESET = (text, link) -> {
         link.socket.setSoLinger(true, 0);
@@ -53,9 +53,12 @@
     }
 
     /** A silence may cost no more than 6 s; a call that waits again after one would add to it. */
-    @Test void afterEachKindOfFailureTheNextCallDoesNotWaitAndItsAnswerIsObeyed() throws Exception {
+    @Test
+    void afterEachKindOfFailureTheNextCallDoesNotWaitAndItsAnswerIsObeyed() throws Exception {
         List<List<Stage.Script>> failures = List.of(
-                List.of(SILENCE, RESET,
+                List.of(
+                        SILENCE,
+                        RESET,
                         (text, link) -> link.send("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n".getBytes()),
                         (text, link) -> link.send(http("{\"seq\":")),
                         (text, link) -> {
@@ -80,7 +83,8 @@
         }
     }
 
-    @Test void aListWithoutALengthIsWholeAtItsEndAndNotAfterAReset() throws Exception {
+    @Test
+    void aListWithoutALengthIsWholeAtItsEndAndNotAfterAReset() throws Exception {
         play();
         deeds.add((text, link) -> {
             link.send(http("", told(2, "Terminating")));
@@ -99,7 +103,8 @@
     }
 
     /** A connect that is given up while it is pending must not come back as a second watch. */
-    @Test void aWatchThatIsStoppedWhileItsConnectionIsPendingMakesNoFurtherOne() throws Exception {
+    @Test
+    void aWatchThatIsStoppedWhileItsConnectionIsPendingMakesNoFurtherOne() throws Exception {
         play();
         Stage.Peer away = stage.agent(SILENCE);
         away.close(); // Refused: it fails, and is begun again after a while.
@@ -132,7 +137,8 @@
     }
 
     /** The list in hand must not age while the agent that a new file names says nothing. */
-    @Test void untilTheNewDiscoveryHasAnsweredTheOldOneIsObeyed() throws Exception {
+    @Test
+    void untilTheNewDiscoveryHasAnsweredTheOldOneIsObeyed() throws Exception {
         play();
         try (Stage.Link c = stage.client()) {
             Stage.Peer silent = stage.agent(SILENCE);
@@ -153,8 +159,8 @@
             BlockingQueue<Stage.Script> theirs = new LinkedBlockingQueue<>();
             Stage.Peer answering = stage.agent(oneAfterAnother(theirs));
             stage.hangUp(answering);
-            theirs.add(answers(list(1, true, host("a", primary, "primary", "Ready"),
-                    host("b", replica, "replica", "Terminating"))));
+            theirs.add(answers(list(
+                    1, true, host("a", primary, "primary", "Ready"), host("b", replica, "replica", "Terminating"))));
             assertThat(answering.next()).startsWith("GET /discovery/hosts HTTP");
             assertThat(answering.next()).contains("index=1&");
             theOldOneHasEnded();
@@ -162,8 +168,8 @@
         }
     }
 
-    private static final String STOP_SOON = Stage.SETTINGS.replace("\"stopSendingWithinS\":1",
-            "\"stopSendingWithinS\":0.25");
+    private static final String STOP_SOON =
+            Stage.SETTINGS.replace("\"stopSendingWithinS\":1", "\"stopSendingWithinS\":0.25");
 
     /** The requests of many clients and the list are found in one turn, in an order that nobody chooses. */
     private void aShortPauseHidesNothingThatWasTold() throws Exception {
@@ -193,13 +199,15 @@
         assertThat(replica.heard).hasSize(1);
     }
 
-    @Test void afterAPauseThatIsShortButLongForTheRuleWhatWasToldGoesFirst() throws Exception {
+    @Test
+    void afterAPauseThatIsShortButLongForTheRuleWhatWasToldGoesFirst() throws Exception {
         stage.settings = STOP_SOON;
         play();
         aShortPauseHidesNothingThatWasTold();
     }
 
-    @Test void newSettingsSayWhatALongPauseIs() throws Exception {
+    @Test
+    void newSettingsSayWhatALongPauseIs() throws Exception {
         play();
         stage.settings = STOP_SOON;
         stage.hangUp(stage.discovery);
@@ -208,7 +216,8 @@
     }
 
     /** An agent that takes longer than the pooler's patience for each answer is heard all the same. */
-    @Test void aLateAnswerCountsAndTheCallMadeBesideItIsGivenUp() throws Exception {
+    @Test
+    void aLateAnswerCountsAndTheCallMadeBesideItIsGivenUp() throws Exception {
         play();
         BlockingQueue<Stage.Link> late = new LinkedBlockingQueue<>();
         deeds.add(END);
@@ -219,9 +228,13 @@
         assertThat(stage.discovery.next()).as("beside the late one").contains("index=1&wait=1 ");
         deeds.add(SILENCE);
         first.send(http(told(2, "Terminating")));
-        assertThat(stage.discovery.next()).as("on the connection that was answered").contains("index=2&")
+        assertThat(stage.discovery.next())
+                .as("on the connection that was answered")
+                .contains("index=2&")
                 .doesNotContain("wait=1 ");
-        assertThat(stage.discovery.ended.take()).as("the second call is given up").isEqualTo("ended");
+        assertThat(stage.discovery.ended.take())
+                .as("the second call is given up")
+                .isEqualTo("ended");
         try (Stage.Link c = stage.client()) {
             assertThat(value(c.ask(look("1", 9000)))).isEqualTo("from-primary");
         }
--- a/pooler/src/test/java/frostreel/GoneClientsTest.java
+++ b/pooler/src/test/java/frostreel/GoneClientsTest.java
@@ -8,7 +8,6 @@
 import static frostreel.Stage.rows;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import java.io.IOException;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -46,8 +45,8 @@
         assertThat(replica.links.get()).isEqualTo(1);
     }
 
-    @Test void whatWaitsForAConnectionIsNotSentOnceItsClientHasGoneThoughNothingMayBeCancelled()
-            throws Exception {
+    @Test
+    void whatWaitsForAConnectionIsNotSentOnceItsClientHasGoneThoughNothingMayBeCancelled() throws Exception {
         mayNotCancel();
         holdHandshakes();
         start();
@@ -60,7 +59,8 @@
     }
 
     /** More than a connection's buffers hold behind the request that waits; its end comes after all that. */
-    @Test void theEndOfAClientThatSentMuchBehindItsRequestIsSeen() throws Exception {
+    @Test
+    void theEndOfAClientThatSentMuchBehindItsRequestIsSeen() throws Exception {
         mayNotCancel();
         holdHandshakes();
         start();
@@ -77,7 +77,8 @@
      * Answers and ends are found in one turn. Each answer makes room for requests that wait; their clients'
      * ends stand unread behind it, for all orders but one of some thousand.
      */
-    @Test void whatIsLetOutInTheTurnInWhichItsClientsEndIsFoundIsNotSent() throws Exception {
+    @Test
+    void whatIsLetOutInTheTurnInWhichItsClientsEndIsFoundIsNotSent() throws Exception {
         BlockingQueue<Stage.Link> held = new LinkedBlockingQueue<>();
         replica.script = (text, link) -> held.add(link);
         primary.script = replica.script;
@@ -121,7 +122,8 @@
 
     // ---- Cancelling. ----
 
-    @Test void aCancelledRequestThatWaitsForAConnectionIsNeverSent() throws Exception {
+    @Test
+    void aCancelledRequestThatWaitsForAConnectionIsNeverSent() throws Exception {
         mayNotCancel();
         holdHandshakes();
         start();
@@ -134,7 +136,8 @@
         }
     }
 
-    @Test void aCancelledWriteThatIsHeldIsNotSentOnceThereIsAPrimary() throws Exception {
+    @Test
+    void aCancelledWriteThatIsHeldIsNotSentOnceThereIsAPrimary() throws Exception {
         stage.settings = Stage.SETTINGS.replace("\"probes\":true", "\"probes\":false"); // Writes walk.
         primary.script = errors("25006", "replica");
         replica.script = errors("25006", "replica");
@@ -153,12 +156,15 @@
     }
 
     private long heardOf(String id) {
-        return Stream.of(primary, replica).flatMap(p -> p.heard.stream())
-                .filter(text -> text.contains("id=" + id + ",")).count();
+        return Stream.of(primary, replica)
+                .flatMap(p -> p.heard.stream())
+                .filter(text -> text.contains("id=" + id + ","))
+                .count();
     }
 
-    @Test void aCancelledRequestInFlightHasOneAnswerAndNoFurtherAttempt() throws Exception {
-        replica.script = (text, link) -> { };
+    @Test
+    void aCancelledRequestInFlightHasOneAnswerAndNoFurtherAttempt() throws Exception {
+        replica.script = (text, link) -> {};
         start();
         try (Keyed c = new Keyed()) {
             c.link.send(query(look("gone", 9000)));
@@ -170,7 +176,9 @@
             assertThat(value(c.link.ask(post("2", 9000)))).isEqualTo("from-primary");
             c.cancel(c.secret); // Of what has ended.
             assertThat(value(c.link.ask(post("3", 9000)))).isEqualTo("from-primary");
-            assertThat(stage.pooler.counters()).contains(" clients_cancelled=1 ").contains(" attempts=3 ");
+            assertThat(stage.pooler.counters())
+                    .contains(" clients_cancelled=1 ")
+                    .contains(" attempts=3 ");
         }
     }
 }
--- a/pooler/src/test/java/frostreel/LateConnectionsTest.java
+++ b/pooler/src/test/java/frostreel/LateConnectionsTest.java
@@ -22,10 +22,12 @@
     }
 
     /** The repeat was decided upon in time; its connection took longer than the window. */
-    @Test void aRepeatWhoseConnectionComesUpAfterItsWindowIsNotSent() throws Exception {
+    @Test
+    void aRepeatWhoseConnectionComesUpAfterItsWindowIsNotSent() throws Exception {
         long windowMs = 2_000;
         BlockingQueue<Stage.Link> served = new LinkedBlockingQueue<>();
-        stage.settings = Stage.SETTINGS.replace("\"repeatWindowS\":3", "\"repeatWindowS\":2")
+        stage.settings = Stage.SETTINGS
+                .replace("\"repeatWindowS\":3", "\"repeatWindowS\":2")
                 .replace("\"probes\":true", "\"probes\":false"); // Which would wait for connections, too.
         primary.script = (text, link) -> {
             primary.script = (next, on) -> {
@@ -52,7 +54,8 @@
         }
     }
 
-    @Test void aConnectionThatComesUpAfterItsRequestHasEndedServesTheNextOne() throws Exception {
+    @Test
+    void aConnectionThatComesUpAfterItsRequestHasEndedServesTheNextOne() throws Exception {
         replica.welcome = (text, link) -> handshakes.add(link);
         start();
         try (Stage.Link c = stage.client()) {
@@ -73,7 +76,8 @@
     }
 
     /** The old connection becomes free while a request waits for one to the new address. */
-    @Test void whatWaitsForAServerThatMovedIsNotSentToWhereItWas() throws Exception {
+    @Test
+    void whatWaitsForAServerThatMovedIsNotSentToWhereItWas() throws Exception {
         Stage.Peer moved = stage.server(rows("from-moved", "replica"));
         moved.welcome = (text, link) -> handshakes.add(link);
         BlockingQueue<Stage.Link> held = new LinkedBlockingQueue<>();
@@ -81,7 +85,8 @@
         start();
         stage.discovery.next();
         stage.discovery.next();
-        try (Stage.Link first = stage.client(); Stage.Link second = stage.client()) {
+        try (Stage.Link first = stage.client();
+                Stage.Link second = stage.client()) {
             first.send(query(look("1", 9000)));
             Stage.Link old = held.take();
             stage.lists.add(list(2, false, host("b", moved, "replica", "Ready")));
@@ -98,7 +103,8 @@
     }
 
     /** Its server is waited for until the client's deadline, which is nearer by the time of the handshake. */
-    @Test void theTimeThatAnAttemptTellsItsServerCountsFromItsSending() throws Exception {
+    @Test
+    void theTimeThatAnAttemptTellsItsServerCountsFromItsSending() throws Exception {
         replica.welcome = (text, link) -> handshakes.add(link);
         start();
         try (Stage.Link c = stage.client()) {
--- a/pooler/src/test/java/frostreel/LongValuesTest.java
+++ b/pooler/src/test/java/frostreel/LongValuesTest.java
@@ -23,11 +23,13 @@
 class LongValuesTest extends Story {
     private static final int LONG = 4 << 20;
     private static final byte[] VALUE = new byte[LONG];
+
     static {
         new SplittableRandom(3).nextBytes(VALUE);
     }
 
-    @BeforeEach void begin() throws Exception {
+    @BeforeEach
+    void begin() throws Exception {
         start();
     }
 
@@ -36,7 +38,10 @@
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         out.writeBytes(Stage.bytes('T', "\0\1v|" + "|".repeat(18)));
         out.write('D');
-        out.writeBytes(ByteBuffer.allocate(10).putInt(rowLength + 10).putShort((short) 1).putInt(valueLength)
+        out.writeBytes(ByteBuffer.allocate(10)
+                .putInt(rowLength + 10)
+                .putShort((short) 1)
+                .putInt(valueLength)
                 .array());
         return out.toByteArray();
     }
@@ -69,7 +74,8 @@
         assertThat(c.take()).startsWith("Z");
     }
 
-    @Test void theFirstBytesGoOnBeforeTheLastHaveComeAndTheConnectionServesOn() throws Exception {
+    @Test
+    void theFirstBytesGoOnBeforeTheLastHaveComeAndTheConnectionServesOn() throws Exception {
         CountDownLatch first = new CountDownLatch(1);
         replica.script = (text, link) -> {
             link.send(head(LONG, LONG), Arrays.copyOf(VALUE, 100));
@@ -92,7 +98,9 @@
             begin(c, LONG);
             assertThat(c.in.readNBytes(LONG)).isEqualTo(VALUE);
             end(c);
-            assertThat(replica.links.get()).as("the server's connection stayed clean").isEqualTo(1);
+            assertThat(replica.links.get())
+                    .as("the server's connection stayed clean")
+                    .isEqualTo(1);
             assertThat(stage.pooler.counters()).contains("long_answers=2 long_broken=0");
         }
     }
@@ -105,7 +113,8 @@
         }
     }
 
-    @Test void aValueThatBreaksOffEndsTheClientsConnectionAndIsAskedForNowhereElse() throws Exception {
+    @Test
+    void aValueThatBreaksOffEndsTheClientsConnectionAndIsAskedForNowhereElse() throws Exception {
         replica.script = (text, link) -> {
             link.send(head(LONG, LONG), Arrays.copyOf(VALUE, LONG / 2));
             link.close();
@@ -121,9 +130,9 @@
         assertThat(primary.heard).isEmpty();
     }
 
-    @Test void anErrorBehindAValueEndsTheClientsConnection() throws Exception {
-        replica.script = (text, link) -> link.send(head(LONG, LONG), VALUE, Stage.error("XX000"),
-                Stage.READY);
+    @Test
+    void anErrorBehindAValueEndsTheClientsConnection() throws Exception {
+        replica.script = (text, link) -> link.send(head(LONG, LONG), VALUE, Stage.error("XX000"), Stage.READY);
         try (Stage.Link c = stage.client()) {
             c.send(Stage.query(look("1", 9000)));
             begin(c, LONG);
@@ -132,7 +141,8 @@
         }
     }
 
-    @Test void aClientThatLeavesInTheMiddleEndsTheServersSending() throws Exception {
+    @Test
+    void aClientThatLeavesInTheMiddleEndsTheServersSending() throws Exception {
         CountDownLatch first = new CountDownLatch(1);
         replica.script = (text, link) -> {
             link.send(head(LONG, LONG), Arrays.copyOf(VALUE, LONG / 2));
@@ -149,7 +159,8 @@
         }
     }
 
-    @Test void aRowWhoseValueDoesNotFitItIsNotPassedOn() throws Exception {
+    @Test
+    void aRowWhoseValueDoesNotFitItIsNotPassedOn() throws Exception {
         replica.script = (text, link) -> link.send(head(LONG, LONG - 1), VALUE, TAIL);
         try (Stage.Link c = stage.client()) {
             assertThat(c.ask(look("1", 9000)).get(1)).endsWith("from-primary");
@@ -157,7 +168,8 @@
     }
 
     /** A client that takes its time, and a server that gives a byte now and then, hold nobody up. */
-    @Test void slowPeersKeepTheOthersFromNothing() throws Exception {
+    @Test
+    void slowPeersKeepTheOthersFromNothing() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
         replica.script = (text, link) -> {
             if (text.contains("id=drip,")) {
@@ -171,7 +183,8 @@
                 whole(VALUE).answer(text, link);
             }
         };
-        try (Stage.Link slow = stage.client(); Stage.Link drip = stage.client();
+        try (Stage.Link slow = stage.client();
+                Stage.Link drip = stage.client();
                 Stage.Link quick = stage.client()) {
             slow.send(Stage.query(look("slow", 9000)));
             drip.send(Stage.query(look("drip", 9000)));
@@ -182,8 +195,7 @@
                 begin(quick, LONG);
                 assertThat(quick.in.readNBytes(LONG)).isEqualTo(VALUE);
                 end(quick);
-                assertThat(slow.in.readNBytes(1000)).isEqualTo(Arrays.copyOfRange(VALUE, 1000 * i,
-                        1000 * i + 1000));
+                assertThat(slow.in.readNBytes(1000)).isEqualTo(Arrays.copyOfRange(VALUE, 1000 * i, 1000 * i + 1000));
             }
             go.countDown();
             assertThat(drip.in.readNBytes(LONG)).isEqualTo(VALUE);
@@ -207,7 +219,8 @@
     }
 
     /** Twenty rows of 15 MiB that nobody reads until all have begun: held whole, they are 300 MB. */
-    @Test void moreAtOnceThanMemoryHoldsWaitsWithItsServers() throws Exception {
+    @Test
+    void moreAtOnceThanMemoryHoldsWaitsWithItsServers() throws Exception {
         byte[] part = Arrays.copyOf(VALUE, 3 << 20);
         int parts = 5;
         int clients = 20;
@@ -219,12 +232,21 @@
             link.send(TAIL);
         };
         primary.script = replica.script; // While the replica's window is full, reads go there.
-        ProcessBuilder builder = new ProcessBuilder(ProcessHandle.current().info().command().orElseThrow(),
-                "-Xmx32m", "-XX:+ExitOnOutOfMemoryError", "-cp", System.getProperty("java.class.path"),
-                "frostreel.cli.Main", "serve").redirectErrorStream(true);
-        builder.environment().putAll(Stage.environment(Stage.configuration(stage.discovery.address(),
-                host("a", primary, "primary", "Ready"), host("b", replica, "replica", "Ready"))
-                .replace("\"sockets\":128", "\"sockets\":512")));
+        ProcessBuilder builder = new ProcessBuilder(
+                        ProcessHandle.current().info().command().orElseThrow(),
+                        "-Xmx32m",
+                        "-XX:+ExitOnOutOfMemoryError",
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        "frostreel.cli.Main",
+                        "serve")
+                .redirectErrorStream(true);
+        builder.environment()
+                .putAll(Stage.environment(Stage.configuration(
+                                stage.discovery.address(),
+                                host("a", primary, "primary", "Ready"),
+                                host("b", replica, "replica", "Ready"))
+                        .replace("\"sockets\":128", "\"sockets\":512")));
         Process program = builder.start();
         List<Stage.Link> all = new ArrayList<>();
         try (BufferedReader log = program.inputReader()) {
@@ -241,7 +263,8 @@
             }
             for (Stage.Link c : all) {
                 for (int i = 0; i < parts; i++) {
-                    assertThat(Arrays.equals(c.in.readNBytes(part.length), part)).isTrue();
+                    assertThat(Arrays.equals(c.in.readNBytes(part.length), part))
+                            .isTrue();
                 }
                 end(c);
             }
--- a/pooler/src/test/java/frostreel/OperatorsTest.java
+++ b/pooler/src/test/java/frostreel/OperatorsTest.java
@@ -19,18 +19,20 @@
 
 /** What operators call for, over sockets. */
 class OperatorsTest extends Story {
-    @BeforeEach void begin() throws Exception {
+    @BeforeEach
+    void begin() throws Exception {
         start();
     }
 
-    @Test void aServerTakenOutGetsNothingNewThoughDiscoveryListsItUntilItIsCalledBack() throws Exception {
+    @Test
+    void aServerTakenOutGetsNothingNewThoughDiscoveryListsItUntilItIsCalledBack() throws Exception {
         try (Stage.Link c = stage.client()) {
             assertThat(value(c.ask(look("1", 9000)))).isEqualTo("from-replica");
             assertThat(stage.call("SUSPEND b")).isEqualTo("OK\n");
             assertThat(value(c.ask(look("2", 9000)))).isEqualTo("from-primary");
             stage.told.clear();
-            stage.lists.add(list(2, true, host("a", primary, "primary", "Ready"),
-                    host("b", replica, "replica", "Ready")));
+            stage.lists.add(
+                    list(2, true, host("a", primary, "primary", "Ready"), host("b", replica, "replica", "Ready")));
             stage.told.take();
             stage.lists.add(list(3, false));
             stage.told.take(); // The list before was taken, as this call came only after it.
@@ -45,7 +47,8 @@
         }
     }
 
-    @Test void aWriteWhosePrimaryIsTakenOutIsRefusedAndNeverReachesIt() throws Exception {
+    @Test
+    void aWriteWhosePrimaryIsTakenOutIsRefusedAndNeverReachesIt() throws Exception {
         replica.script = Stage.errors("25006", "replica");
         assertThat(stage.call("SUSPEND a")).isEqualTo("OK\n");
         try (Stage.Link c = stage.client()) {
@@ -54,7 +57,8 @@
         }
     }
 
-    @Test void whatNoOneHasOrCanReadIsAnsweredNo() throws Exception {
+    @Test
+    void whatNoOneHasOrCanReadIsAnsweredNo() throws Exception {
         assertThat(stage.call("SUSPEND nobody")).startsWith("ERR ");
         assertThat(stage.call("RESTORE nobody")).startsWith("ERR ");
         assertThat(stage.call("RESTORE a")).isEqualTo("OK\n");
@@ -64,7 +68,8 @@
         }
     }
 
-    @Test void silentCallersAndLongLinesKeepNobodyFromCalling() throws Exception {
+    @Test
+    void silentCallersAndLongLinesKeepNobodyFromCalling() throws Exception {
         InetSocketAddress at = stage.pooler.callsAt();
         List<Socket> silent = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
@@ -79,14 +84,18 @@
         }
     }
 
-    @Test void emptiedItSaysNoAndClosesItsClientsAfterTheirAnswersThenServesAgain() throws Exception {
-        try (Stage.Link kept = stage.client(); Stage.Link idle = stage.client()) {
+    @Test
+    void emptiedItSaysNoAndClosesItsClientsAfterTheirAnswersThenServesAgain() throws Exception {
+        try (Stage.Link kept = stage.client();
+                Stage.Link idle = stage.client()) {
             kept.ask(look("1", 9000));
             idle.ask(look("2", 9000));
             assertThat(stage.call("PAUSE")).isEqualTo("OK\n");
             assertThat(stage.call("STATUS")).startsWith("ERR ");
             try (Stage.Link late = stage.client()) {
-                assertThat(value(late.ask(look("3", 9000)))).as("still dealt out").isNotEmpty();
+                assertThat(value(late.ask(look("3", 9000))))
+                        .as("still dealt out")
+                        .isNotEmpty();
                 assertThat(late.ask("")).singleElement().asString().contains("|C57P03|");
                 assertThat(late.endsNext()).isTrue();
             }
@@ -103,11 +112,14 @@
 
     /** Other settings of the same pooler: the class "post" is dropped, "pay" may not be repeated. */
     private static String changed(String discovery) {
-        return Stage.configuration(discovery).replace("\"name\":\"post\"", "\"name\":\"pay\"")
-                .replace("\"dedup\"", "\"fragile\"").replace("\"maxAttempts\":4", "\"maxAttempts\":1");
+        return Stage.configuration(discovery)
+                .replace("\"name\":\"post\"", "\"name\":\"pay\"")
+                .replace("\"dedup\"", "\"fragile\"")
+                .replace("\"maxAttempts\":4", "\"maxAttempts\":1");
     }
 
-    @Test void aRequestInFlightKeepsItsRulesAndANewClassIsServedByItsOwn() throws Exception {
+    @Test
+    void aRequestInFlightKeepsItsRulesAndANewClassIsServedByItsOwn() throws Exception {
         CountDownLatch asked = new CountDownLatch(1);
         CountDownLatch reloaded = new CountDownLatch(1);
         replica.script = (text, link) -> {
@@ -119,7 +131,8 @@
             }
             link.send(Stage.error("XX000"), Stage.READY);
         };
-        try (Stage.Link open = stage.client(); Stage.Link later = stage.client()) {
+        try (Stage.Link open = stage.client();
+                Stage.Link later = stage.client()) {
             open.send(Stage.query(look("1", 9000)));
             asked.await();
             stage.pooler.reload(Config.load(Stage.environment(changed(stage.discovery.address()))));
@@ -128,20 +141,28 @@
             }
             String pay = post("2", 9000).replace("c=post", "c=pay");
             assertThat(value(later.ask(pay))).isEqualTo("from-primary");
-            assertThat(value(later.ask(post("3", 9000)))).as("clients may still speak by the old")
+            assertThat(value(later.ask(post("3", 9000))))
+                    .as("clients may still speak by the old")
                     .isEqualTo("from-primary");
             reloaded.countDown();
             assertThat(value(open.takeAnswer())).as("a second attempt").isEqualTo("from-primary");
             replica.script = errors("XX000", "replica");
             primary.script = errors("XX000", "primary");
-            assertThat(later.ask(look("4", 9000))).as("one attempt, and safe to repeat").singleElement()
-                    .asString().contains("|C53300|");
-            assertThat(later.ask(post("5", 9000).replace("c=post", "c=pay"))).as("may have run")
-                    .singleElement().asString().doesNotContain("|C53300|");
+            assertThat(later.ask(look("4", 9000)))
+                    .as("one attempt, and safe to repeat")
+                    .singleElement()
+                    .asString()
+                    .contains("|C53300|");
+            assertThat(later.ask(post("5", 9000).replace("c=post", "c=pay")))
+                    .as("may have run")
+                    .singleElement()
+                    .asString()
+                    .doesNotContain("|C53300|");
         }
     }
 
-    @Test void withAllReplicasOutReadsGoToThePrimaryAndWithTheWholeGroupOutAreRefused() throws Exception {
+    @Test
+    void withAllReplicasOutReadsGoToThePrimaryAndWithTheWholeGroupOutAreRefused() throws Exception {
         try (Stage.Link c = stage.client()) {
             assertThat(stage.call("SUSPEND b")).isEqualTo("OK\n");
             assertThat(value(c.ask(look("1", 9000)))).isEqualTo("from-primary");
@@ -153,7 +174,8 @@
     }
 
     /** The attempt waits for a connection that never comes up; the call must not wait for it. */
-    @Test void whatWaitsForAConnectionToAServerTakenOutGoesElsewhereAtOnce() throws Exception {
+    @Test
+    void whatWaitsForAConnectionToAServerTakenOutGoesElsewhereAtOnce() throws Exception {
         CountDownLatch welcomed = new CountDownLatch(1);
         CountDownLatch over = new CountDownLatch(1);
         replica.welcome = (text, link) -> {
@@ -174,7 +196,8 @@
         }
     }
 
-    @Test void aServerThatGoesAndComesBackInTheListsWhileItIsOutStaysOut() throws Exception {
+    @Test
+    void aServerThatGoesAndComesBackInTheListsWhileItIsOutStaysOut() throws Exception {
         assertThat(stage.call("SUSPEND b")).isEqualTo("OK\n");
         String up = host("b", replica, "replica", "Ready");
         int seq = 2;
--- a/pooler/src/test/java/frostreel/PartsTest.java
+++ b/pooler/src/test/java/frostreel/PartsTest.java
@@ -18,7 +18,8 @@
 
 /** The parts that need no sockets. */
 class PartsTest {
-    @Test void aStaleHandleFindsNothing() {
+    @Test
+    void aStaleHandleFindsNothing() {
         SlotTable<String> table = new SlotTable<>(2);
         long a = table.add("a");
         table.add("b");
@@ -31,7 +32,8 @@
         assertThat(table.get(SlotTable.NONE)).isNull();
     }
 
-    @Test void deadlinesRunInOrderAndOneFaultSparesTheRest() {
+    @Test
+    void deadlinesRunInOrderAndOneFaultSparesTheRest() {
         List<Long> wakes = new ArrayList<>();
         List<String> ran = new ArrayList<>();
         Deadlines deadlines = new Deadlines(Clock.system(), wakes::add);
@@ -47,10 +49,11 @@
     }
 
     /** With 60 servers and 80 connections, every other request opened one. */
-    @Test void whatUsualClientsLeaveServesConnectionsToServers() throws Exception {
+    @Test
+    void whatUsualClientsLeaveServesConnectionsToServers() throws Exception {
         for (int sockets : new int[] {128, 256, 384, 1024}) {
-            Config c = Config.load(Stage.environment(Stage.configuration("127.0.0.1:1", SERVER).replace(
-                    "\"sockets\":128", "\"sockets\":" + sockets)));
+            Config c = Config.load(Stage.environment(
+                    Stage.configuration("127.0.0.1:1", SERVER).replace("\"sockets\":128", "\"sockets\":" + sockets)));
             int rest = sockets - 64;
             assertThat(c.maxClients() + c.maxServerConnections()).isEqualTo(rest);
             assertThat(c.maxServerConnections()).isGreaterThanOrEqualTo(rest / 4);
@@ -61,20 +64,32 @@
         }
     }
 
-    @Test void configurationErrorsNameTheKey() throws Exception {
-        assertThatThrownBy(() -> Config.load(Map.of())).isInstanceOf(ConfigException.class)
+    @Test
+    void configurationErrorsNameTheKey() throws Exception {
+        assertThatThrownBy(() -> Config.load(Map.of()))
+                .isInstanceOf(ConfigException.class)
                 .hasMessageContaining("GW_CONFIG");
-        Map<String, String> faults = Map.of("listen", "\"127.0.0.1\"", "discovery",
-                "\"a.name.to.look.up:8500\"", "seed", "\"xyz\"",
-                "settings", "{\"classes\":[]}",
-                "known", "{\"seq\":1,\"hosts\":[{\"host\":\"a\",\"health\":\"Odd\"}]}");
+        Map<String, String> faults = Map.of(
+                "listen",
+                "\"127.0.0.1\"",
+                "discovery",
+                "\"a.name.to.look.up:8500\"",
+                "seed",
+                "\"xyz\"",
+                "settings",
+                "{\"classes\":[]}",
+                "known",
+                "{\"seq\":1,\"hosts\":[{\"host\":\"a\",\"health\":\"Odd\"}]}");
         for (Map.Entry<String, String> bad : faults.entrySet()) {
-            String faulty = new JSONObject(Stage.configuration("127.0.0.1:1", SERVER)).put(bad.getKey(),
-                    new JSONTokener(bad.getValue()).nextValue()).toString();
-            assertThatThrownBy(() ->
-                    Config.load(Stage.environment(faulty))).isInstanceOf(ConfigException.class)
-                    .hasMessageContaining(bad.getKey().equals("settings") ? "familyInfo"
-                            : bad.getKey().equals("known") ? "health" : bad.getKey());
+            String faulty = new JSONObject(Stage.configuration("127.0.0.1:1", SERVER))
+                    .put(bad.getKey(), new JSONTokener(bad.getValue()).nextValue())
+                    .toString();
+            assertThatThrownBy(() -> Config.load(Stage.environment(faulty)))
+                    .isInstanceOf(ConfigException.class)
+                    .hasMessageContaining(
+                            bad.getKey().equals("settings")
+                                    ? "familyInfo"
+                                    : bad.getKey().equals("known") ? "health" : bad.getKey());
         }
     }
 
@@ -88,7 +103,8 @@
         Config.parse(fresh, Map.of()).inPlaceOf(inForce);
     }
 
-    @Test void aFileCutAnywhereIsTurnedDown() throws Exception {
+    @Test
+    void aFileCutAnywhereIsTurnedDown() throws Exception {
         String whole = Stage.configuration("127.0.0.1:2", SERVER);
         reload(whole);
         for (int i = 0; i < whole.length(); i++) {
@@ -97,21 +113,24 @@
         }
     }
 
-    @Test void aFileWithoutAKeyOfTheOneInForceIsTurnedDownWithTheKeyNamed() throws Exception {
+    @Test
+    void aFileWithoutAKeyOfTheOneInForceIsTurnedDownWithTheKeyNamed() throws Exception {
         List<String> keys = new ArrayList<>();
         keys(new JSONObject(Stage.configuration("127.0.0.1:2", SERVER)), "", keys);
-        assertThat(keys).hasSizeGreaterThan(40).contains("settings/classes/0/worth",
-                "settings/caps/probes", "known/hosts/0/role");
+        assertThat(keys)
+                .hasSizeGreaterThan(40)
+                .contains("settings/classes/0/worth", "settings/caps/probes", "known/hosts/0/role");
         for (String key : keys) {
             JSONObject cut = new JSONObject(Stage.configuration("127.0.0.1:2", SERVER));
             String[] way = key.split("/");
             Object at = cut;
             for (int i = 0; i < way.length - 1; i++) {
-                at = at instanceof JSONArray a ? a.get(Integer.parseInt(way[i]))
-                        : ((JSONObject) at).get(way[i]);
+                at = at instanceof JSONArray a ? a.get(Integer.parseInt(way[i])) : ((JSONObject) at).get(way[i]);
             }
             ((JSONObject) at).remove(way[way.length - 1]);
-            assertThatThrownBy(() -> reload(cut.toString())).as(key).isInstanceOf(ConfigException.class)
+            assertThatThrownBy(() -> reload(cut.toString()))
+                    .as(key)
+                    .isInstanceOf(ConfigException.class)
                     .hasMessageContaining(way[way.length - 1]);
         }
     }
@@ -134,13 +153,18 @@
         }
     }
 
-    @Test void aDeadlineOrANumberOfAttemptsThatIsNoNumberAboveZeroIsTurnedDown() {
+    @Test
+    void aDeadlineOrANumberOfAttemptsThatIsNoNumberAboveZeroIsTurnedDown() {
         String whole = Stage.configuration("127.0.0.1:2", SERVER);
         for (String wrong : List.of("0", "-5", "\"ten\"", "\"\"", "null", "true", "{}", "[]", "NaN")) {
             assertThatThrownBy(() -> reload(whole.replaceFirst("\"deadlineS\":10", "\"deadlineS\":" + wrong)))
-                    .as(wrong).isInstanceOf(ConfigException.class).hasMessageContaining("deadlineS");
+                    .as(wrong)
+                    .isInstanceOf(ConfigException.class)
+                    .hasMessageContaining("deadlineS");
             assertThatThrownBy(() -> reload(whole.replace("\"maxAttempts\":4", "\"maxAttempts\":" + wrong)))
-                    .as(wrong).isInstanceOf(ConfigException.class).hasMessageContaining("maxAttempts");
+                    .as(wrong)
+                    .isInstanceOf(ConfigException.class)
+                    .hasMessageContaining("maxAttempts");
         }
     }
 }
--- a/pooler/src/test/java/frostreel/PipelineTest.java
+++ b/pooler/src/test/java/frostreel/PipelineTest.java
@@ -56,11 +56,16 @@
     }
 
     private void countsTwoAttemptsAndOneRefusal() {
-        assertThat(stage.pooler.counters()).contains(" requests=3 ").contains(" refused=1 ")
-                .contains(" failed=0 ").contains(" overdue=0 ").contains(" attempts=2 ");
+        assertThat(stage.pooler.counters())
+                .contains(" requests=3 ")
+                .contains(" refused=1 ")
+                .contains(" failed=0 ")
+                .contains(" overdue=0 ")
+                .contains(" attempts=2 ");
     }
 
-    @Test void theTimeThatARequestWaitedBehindAnotherIsNotGivenTwice() throws Exception {
+    @Test
+    void theTimeThatARequestWaitedBehindAnotherIsNotGivenTwice() throws Exception {
         holdFirst();
         try (Stage.Link c = stage.client()) {
             c.send(first(), query(look("dead", PATIENCE_MS)), query(look("live", 9000)));
@@ -68,13 +73,16 @@
             assertThat(value(c.takeAnswer())).isEqualTo("of-first");
             isRefused(c.takeAnswer());
             assertThat(value(c.takeAnswer())).isEqualTo("from-replica");
-            assertThat(Integer.parseInt(replica.next().replaceAll(".*id=live,.*,d=(\\d+),.*", "$1")
-                    .replace("|", ""))).isLessThanOrEqualTo(9000 - PATIENCE_MS);
+            assertThat(Integer.parseInt(replica.next()
+                            .replaceAll(".*id=live,.*,d=(\\d+),.*", "$1")
+                            .replace("|", "")))
+                    .isLessThanOrEqualTo(9000 - PATIENCE_MS);
             countsTwoAttemptsAndOneRefusal();
         }
     }
 
-    @Test void behindARequestThatIsCancelledEachHasItsOwnTime() throws Exception {
+    @Test
+    void behindARequestThatIsCancelledEachHasItsOwnTime() throws Exception {
         holdFirst();
         try (Keyed c = new Keyed()) {
             c.link.send(first(), query(look("dead", PATIENCE_MS)), query(look("live", 9000)));
@@ -86,7 +94,8 @@
         }
     }
 
-    @Test void whatWaitsAtTheEndOfTheProgramIsAnsweredInItsOrderAndThenClosed() throws Exception {
+    @Test
+    void whatWaitsAtTheEndOfTheProgramIsAnsweredInItsOrderAndThenClosed() throws Exception {
         holdFirst();
         try (Stage.Link c = stage.client()) {
             c.send(first(), query(look("dead", PATIENCE_MS)), query(look("live", 9000)));
@@ -104,19 +113,21 @@
         }
     }
 
-    @Test void twoHundredCommandsOfAllKindsHaveOneAnswerEachInTheirOrder() throws Exception {
-        replica.script = (text, link) -> link.send(row(text.replaceAll(".*id=(\\w+),.*", "$1").replace("|",
-                ""), "replica"), Stage.READY);
+    @Test
+    void twoHundredCommandsOfAllKindsHaveOneAnswerEachInTheirOrder() throws Exception {
+        replica.script = (text, link) ->
+                link.send(row(text.replaceAll(".*id=(\\w+),.*", "$1").replace("|", ""), "replica"), Stage.READY);
         holdFirst();
         ByteArrayOutputStream all = new ByteArrayOutputStream();
         all.writeBytes(first());
         for (int i = 1; i < 200; i++) {
-            all.writeBytes(query(switch (i % 4) {
-                case 0 -> look("live" + i, 9000);
-                case 1 -> look("dead" + i, PATIENCE_MS);
-                case 2 -> "no statement";
-                default -> "";
-            }));
+            all.writeBytes(query(
+                    switch (i % 4) {
+                        case 0 -> look("live" + i, 9000);
+                        case 1 -> look("dead" + i, PATIENCE_MS);
+                        case 2 -> "no statement";
+                        default -> "";
+                    }));
         }
         try (Stage.Link c = stage.client()) {
             c.send(all.toByteArray());
@@ -131,13 +142,19 @@
                     default -> assertThat(answer).containsExactly("I");
                 }
             }
-            assertThat(value(c.ask("SHOW stats"))).contains(" requests=100 ").contains(" served=50 ")
-                    .contains(" refused=50 ").contains(" failed=0 ").contains(" attempts=50 ")
-                    .contains(" malformed=50 ").contains(" stray_exceptions=0 ");
+            assertThat(value(c.ask("SHOW stats")))
+                    .contains(" requests=100 ")
+                    .contains(" served=50 ")
+                    .contains(" refused=50 ")
+                    .contains(" failed=0 ")
+                    .contains(" attempts=50 ")
+                    .contains(" malformed=50 ")
+                    .contains(" stray_exceptions=0 ");
         }
     }
 
-    @Test void eachPieceHasTheTimeOfItsOwnLastByte() {
+    @Test
+    void eachPieceHasTheTimeOfItsOwnLastByte() {
         ArrivalTimes times = new ArrivalTimes();
         times.add(10, 100_000);
         times.add(10, 200_000);
@@ -151,7 +168,8 @@
         assertThat(times.take(0)).isEqualTo(300_001);
     }
 
-    @Test void aByteAtATimeTakesNoMoreMemoryAndHasAHardlyEarlierTime() {
+    @Test
+    void aByteAtATimeTakesNoMoreMemoryAndHasAHardlyEarlierTime() {
         ArrivalTimes times = new ArrivalTimes();
         int idle = times.memory();
         int n = 100_000;
--- a/pooler/src/test/java/frostreel/ServingTest.java
+++ b/pooler/src/test/java/frostreel/ServingTest.java
@@ -34,7 +34,8 @@
 
 /** One story for each failure that the pooler met, or must stand. */
 class ServingTest extends Story {
-    @Test void startupAndQueriesMayComeTogetherOneByteAtATime() throws Exception {
+    @Test
+    void startupAndQueriesMayComeTogetherOneByteAtATime() throws Exception {
         start();
         try (Stage.Link c = new Stage.Link(stage.connect())) {
             for (byte[] part : List.of(Stage.startup(), query(look("1", 9000)), query(post("2", 9000)))) {
@@ -48,7 +49,8 @@
         }
     }
 
-    @Test void aStatementGoesOnUnchangedButForTheTimeToWait() throws Exception {
+    @Test
+    void aStatementGoesOnUnchangedButForTheTimeToWait() throws Exception {
         start();
         try (Stage.Link c = stage.client()) {
             c.ask(post("7", 8000));
@@ -59,7 +61,8 @@
         }
     }
 
-    @Test void aWriteMovesOnAfterAMissAndIsNeverAtTwoServers() throws Exception {
+    @Test
+    void aWriteMovesOnAfterAMissAndIsNeverAtTwoServers() throws Exception {
         primary.script = errors("25006", "replica");
         replica.script = rows("from-new-primary", "primary");
         start();
@@ -71,7 +74,8 @@
         }
     }
 
-    @Test void aReadMovesOnWhenItsConnectionBreaksInTheMiddleOfTheRow() throws Exception {
+    @Test
+    void aReadMovesOnWhenItsConnectionBreaksInTheMiddleOfTheRow() throws Exception {
         replica.script = (text, link) -> {
             link.send(java.util.Arrays.copyOf(row("half", "replica"), 30));
             link.close();
@@ -82,7 +86,8 @@
         }
     }
 
-    @Test void aServerThatRefusesConnectionsIsPassedOver() throws Exception {
+    @Test
+    void aServerThatRefusesConnectionsIsPassedOver() throws Exception {
         start();
         replica.close();
         try (Stage.Link c = stage.client()) {
@@ -90,7 +95,8 @@
         }
     }
 
-    @Test void anErrorOnARepeatableReadIsTriedElsewhereAndTheConnectionStaysClean() throws Exception {
+    @Test
+    void anErrorOnARepeatableReadIsTriedElsewhereAndTheConnectionStaysClean() throws Exception {
         replica.script = errors("XX000", "replica");
         start();
         try (Stage.Link c = stage.client()) {
@@ -101,7 +107,8 @@
         }
     }
 
-    @Test void aRequestGivenUpOnIsRefusedWithTheTimeToComeBack() throws Exception {
+    @Test
+    void aRequestGivenUpOnIsRefusedWithTheTimeToComeBack() throws Exception {
         replica.script = errors("53300", "replica");
         primary.script = errors("53300", "primary");
         start();
@@ -111,8 +118,9 @@
         }
     }
 
-    @Test void aTimeOutEndsTheServersConnectionAndTheClientGetsOneAnswer() throws Exception {
-        Stage.Script silence = (text, link) -> { };
+    @Test
+    void aTimeOutEndsTheServersConnectionAndTheClientGetsOneAnswer() throws Exception {
+        Stage.Script silence = (text, link) -> {};
         replica.script = silence;
         primary.script = silence;
         start();
@@ -129,8 +137,9 @@
         }
     }
 
-    @Test void aClientThatGoesAwayFreesItsServer() throws Exception {
-        replica.script = (text, link) -> { };
+    @Test
+    void aClientThatGoesAwayFreesItsServer() throws Exception {
+        replica.script = (text, link) -> {};
         start();
         try (Stage.Link c = stage.client()) {
             c.send(query(look("1", 9000)));
@@ -139,9 +148,11 @@
         assertThat(replica.ended.take()).isEqualTo("ended");
     }
 
-    @Test void malformedInputEndsItsOwnConnectionAlone() throws Exception {
+    @Test
+    void malformedInputEndsItsOwnConnectionAlone() throws Exception {
         start();
-        try (Stage.Link good = stage.client(); Stage.Link bad = stage.client();
+        try (Stage.Link good = stage.client();
+                Stage.Link bad = stage.client();
                 Stage.Link early = new Stage.Link(stage.connect())) {
             bad.send(new byte[] {'Q', 127, -1, -1, -1});
             assertThat(bad.take()).startsWith("E").contains("|C08P01|");
@@ -149,14 +160,17 @@
             early.send(new byte[] {-1, -1, -1, -1});
             assertThat(early.take()).startsWith("E");
             assertThat(good.ask("SELECT 1")).singleElement().asString().contains("|C22023|");
-            assertThat(good.ask(look("1", 9000).replace("d=9000", "d=x"))).singleElement().asString()
+            assertThat(good.ask(look("1", 9000).replace("d=9000", "d=x")))
+                    .singleElement()
+                    .asString()
                     .contains("|C22023|");
             assertThat(value(good.ask(look("2", 9000)))).isEqualTo("from-replica");
             assertThat(stage.pooler.counters()).contains("malformed=4 ").contains("stray_exceptions=0 ");
         }
     }
 
-    @Test void aMalformedServerCostsItsConnectionAlone() throws Exception {
+    @Test
+    void aMalformedServerCostsItsConnectionAlone() throws Exception {
         replica.script = (text, link) -> link.send(new byte[] {'T', -1, 0, 0, 0});
         start();
         try (Stage.Link c = stage.client()) {
@@ -164,7 +178,8 @@
         }
     }
 
-    @Test void whatComesBehindAnAnswerIsNeverTakenForTheNextOne() throws Exception {
+    @Test
+    void whatComesBehindAnAnswerIsNeverTakenForTheNextOne() throws Exception {
         replica.script = (text, link) -> {
             byte[] row = row(text.replaceAll(".*id=(\\w+),.*", "$1").replace("|", ""), "replica");
             link.send(row, Stage.READY, row, Stage.READY);
@@ -179,16 +194,23 @@
         }
     }
 
-    @Test void aSpoiltAnswerHasFailedAndIsTriedElsewhereAtOnce() throws Exception {
+    @Test
+    void aSpoiltAnswerHasFailedAndIsTriedElsewhereAtOnce() throws Exception {
         byte[] good = row("spoilt", "replica");
         byte[] twoColumns = good.clone();
         twoColumns[6] = 2;
-        byte[] tooLong = new String(good, java.nio.charset.StandardCharsets.ISO_8859_1).replace("\6spoilt",
-                "\7spoilt").getBytes(java.nio.charset.StandardCharsets.ISO_8859_1);
+        byte[] tooLong = new String(good, java.nio.charset.StandardCharsets.ISO_8859_1)
+                .replace("\6spoilt", "\7spoilt")
+                .getBytes(java.nio.charset.StandardCharsets.ISO_8859_1);
         assertThat(tooLong).isNotEqualTo(good);
-        List<byte[]> spoilt = List.of(twoColumns, tooLong, new byte[] {'D', 127, -1, -1, -1},
-                new byte[] {'%', 0, 0, 1, 0}, Stage.bytes('C', "SELECT 1|"),
-                Stage.bytes('E', "Cunended"), Stage.bytes('Z', "II"));
+        List<byte[]> spoilt = List.of(
+                twoColumns,
+                tooLong,
+                new byte[] {'D', 127, -1, -1, -1},
+                new byte[] {'%', 0, 0, 1, 0},
+                Stage.bytes('C', "SELECT 1|"),
+                Stage.bytes('E', "Cunended"),
+                Stage.bytes('Z', "II"));
         start();
         try (Stage.Link c = stage.client()) {
             for (byte[] answer : spoilt) {
@@ -201,10 +223,14 @@
         }
     }
 
-    @Test void aReportThatCannotBeReadIsDroppedAndTheValueServed() throws Exception {
-        replica.script = (text, link) -> link.send(row("good", "replica"),
+    @Test
+    void aReportThatCannotBeReadIsDroppedAndTheValueServed() throws Exception {
+        replica.script = (text, link) -> link.send(
+                row("good", "replica"),
                 Stage.bytes('S', "load|x0=,util=?|"),
-                Stage.bytes('S', "applied_ms|soon|"), Stage.bytes('S', "unended"), Stage.READY);
+                Stage.bytes('S', "applied_ms|soon|"),
+                Stage.bytes('S', "unended"),
+                Stage.READY);
         start();
         try (Stage.Link c = stage.client()) {
             assertThat(value(c.ask(look("1", 9000)))).isEqualTo("good");
@@ -212,7 +238,8 @@
         }
     }
 
-    @Test void aSlowReaderGetsEveryValueWholeAndInOrder() throws Exception {
+    @Test
+    void aSlowReaderGetsEveryValueWholeAndInOrder() throws Exception {
         String large = "x".repeat(60_000);
         replica.script = rows(large, "replica");
         start();
@@ -227,7 +254,8 @@
         }
     }
 
-    @Test void atTheCapIdleClientsMakeRoomForNewOnes() throws Exception {
+    @Test
+    void atTheCapIdleClientsMakeRoomForNewOnes() throws Exception {
         stage.allMayWait = true;
         start();
         try (Stage.Link leaver = stage.client()) {
@@ -240,7 +268,7 @@
             clients.add(stage.client());
             assertThat(value(clients.get(i).ask(look("c" + i, 9000)))).isEqualTo("from-replica");
         }
-        replica.script = (text, link) -> { };
+        replica.script = (text, link) -> {};
         primary.script = replica.script;
         for (int i = idle; i < Stage.MAX_CLIENTS - 16; i++) { // These hold their places by a request in hand.
             clients.add(stage.client());
@@ -258,7 +286,8 @@
         }
     }
 
-    @Test void clientsThatAskOnceAndStayLeavePlacesForOthersAndInCalmAllStay() throws Exception {
+    @Test
+    void clientsThatAskOnceAndStayLeavePlacesForOthersAndInCalmAllStay() throws Exception {
         start();
         try (Stage.Link leaver = stage.client()) { // The one that saw the pooler become ready has gone, too.
             leaver.send(Stage.bytes('X', ""));
@@ -288,7 +317,8 @@
         }
     }
 
-    @Test void anIdleClientWhoseRequestWaitsUnreadIsNotClosedButAnswered() throws Exception {
+    @Test
+    void anIdleClientWhoseRequestWaitsUnreadIsNotClosedButAnswered() throws Exception {
         primary.script = (text, link) -> {
             if (!text.startsWith("QINSERT")) {
                 link.send(row("from-primary", "primary"), Stage.READY);
@@ -329,7 +359,8 @@
         }
     }
 
-    @Test void silentClientsKeepNobodyOutAndAreToldAndClosed() throws Exception {
+    @Test
+    void silentClientsKeepNobodyOutAndAreToldAndClosed() throws Exception {
         start();
         List<Stage.Link> silent = new ArrayList<>();
         for (int i = 0; i < 2 * Stage.MAX_CLIENTS; i++) {
@@ -349,10 +380,12 @@
         assertThat(stage.pooler.counters()).contains(" requests=1 ");
     }
 
-    @Test void theIdOfAnOpenRequestIsNotSentASecondTime() throws Exception {
-        replica.script = (text, link) -> { };
+    @Test
+    void theIdOfAnOpenRequestIsNotSentASecondTime() throws Exception {
+        replica.script = (text, link) -> {};
         start();
-        try (Stage.Link c = stage.client(); Stage.Link thief = stage.client()) {
+        try (Stage.Link c = stage.client();
+                Stage.Link thief = stage.client()) {
             c.send(query(look("1", 9000)));
             assertThat(replica.next()).contains("id=1,");
             assertThat(thief.ask(look("1", 9000))).singleElement().asString().contains("|C22023|");
@@ -360,21 +393,29 @@
         }
     }
 
-    @Test void aStatementInNeitherFormReachesNoServer() throws Exception {
+    @Test
+    void aStatementInNeitherFormReachesNoServer() throws Exception {
         start();
         try (Stage.Link c = stage.client()) {
-            for (String bad : List.of(look("1", 9000) + ";", look("1", 9000).replace("records", "accounts"),
-                    look("1", 9000).replace("id=1", "id="), look("1", 9000).replace("c=look", "c=post"),
-                    look("1", 9000).replace("7f3a", "7'f3a"), post("1", 9000).replace("c=post", "c=look"),
-                    post("1", 9000).replace("\\x9f03", "\\x9f0"), post("1", 9000).replace(",k=5c0f", ""),
-                    look("1", 9000).replace("d=9000", "d=-5"), look("1", 9000).replace("look", "none"))) {
+            for (String bad : List.of(
+                    look("1", 9000) + ";",
+                    look("1", 9000).replace("records", "accounts"),
+                    look("1", 9000).replace("id=1", "id="),
+                    look("1", 9000).replace("c=look", "c=post"),
+                    look("1", 9000).replace("7f3a", "7'f3a"),
+                    post("1", 9000).replace("c=post", "c=look"),
+                    post("1", 9000).replace("\\x9f03", "\\x9f0"),
+                    post("1", 9000).replace(",k=5c0f", ""),
+                    look("1", 9000).replace("d=9000", "d=-5"),
+                    look("1", 9000).replace("look", "none"))) {
                 assertThat(c.ask(bad)).as(bad).singleElement().asString().contains("|C22023|");
             }
             assertThat(stage.pooler.counters()).contains(" requests=0 ").contains(" malformed=10 ");
         }
     }
 
-    @Test void theErrorArrivesThoughMuchIsStillUnread() throws Exception {
+    @Test
+    void theErrorArrivesThoughMuchIsStillUnread() throws Exception {
         start();
         try (Stage.Link c = stage.client()) {
             c.send(new byte[] {'Q', 3, -1, -1, -1}, new byte[900_000]);
@@ -383,9 +424,10 @@
         }
     }
 
-    @Test void withNearlyAllPlacesTakenARequestIsRefusedAtOnce() throws Exception {
+    @Test
+    void withNearlyAllPlacesTakenARequestIsRefusedAtOnce() throws Exception {
         stage.allMayWait = true;
-        replica.script = (text, link) -> { };
+        replica.script = (text, link) -> {};
         primary.script = replica.script;
         start();
         List<Stage.Link> clients = new ArrayList<>();
@@ -406,32 +448,42 @@
         }
     }
 
-    @Test void countersAreShownOnRequest() throws Exception {
+    @Test
+    void countersAreShownOnRequest() throws Exception {
         start();
         try (Stage.Link c = stage.client()) {
             c.ask(look("1", 9000));
-            assertThat(value(c.ask("SHOW stats"))).contains(" requests=1 ").contains(" served=1 ")
+            assertThat(value(c.ask("SHOW stats")))
+                    .contains(" requests=1 ")
+                    .contains(" served=1 ")
                     .contains("outcomes={OK=1}");
         }
     }
 
-    @Test void withTiersStatedReadsKeepToThemAndTheOverviewIsShown() throws Exception {
-        stage.operators = new OperatorSettings(Logging.Format.TEXT, Level.INFO, new OperatorSettings.Zones(
-                List.of(new OperatorSettings.Tier(List.of(), 1)), 2), null);
+    @Test
+    void withTiersStatedReadsKeepToThemAndTheOverviewIsShown() throws Exception {
+        stage.operators = new OperatorSettings(
+                Logging.Format.TEXT,
+                Level.INFO,
+                new OperatorSettings.Zones(List.of(new OperatorSettings.Tier(List.of(), 1)), 2),
+                null);
         start();
         try (Stage.Link c = stage.client()) {
             assertThat(value(c.ask(look("1", 9000)))).isEqualTo("from-replica");
-            assertThat(value(c.ask("SHOW zones"))).contains("sent_by_tier=[1, 0]")
+            assertThat(value(c.ask("SHOW zones")))
+                    .contains("sent_by_tier=[1, 0]")
                     .contains("areas={0={UP=1}}");
-            stage.pooler.reload(frostreel.config.Config.load(Stage.environment(
-                    Stage.configuration(stage.discovery.address()))), stage.operators);
+            stage.pooler.reload(
+                    frostreel.config.Config.load(Stage.environment(Stage.configuration(stage.discovery.address()))),
+                    stage.operators);
             while (!value(c.ask("SHOW zones")).contains("sent_by_tier=[0, 0]")) {
                 Thread.onSpinWait(); // The reload waits its turn on the I/O thread.
             }
         }
     }
 
-    @Test void readyOnlyOnceTheListIsKnown() throws Exception {
+    @Test
+    void readyOnlyOnceTheListIsKnown() throws Exception {
         stage.startSilent();
         try (Stage.Link c = stage.client()) {
             assertThat(c.ask("")).singleElement().asString().contains("|C57P03|");
@@ -448,7 +500,8 @@
     }
 
     /** Fourteen poolers that each closed the first server's cost that server 45 handshakes a second. */
-    @Test void withAllServerConnectionsTakenTheLongestIdleMakesRoomWhoseverItIs() throws Exception {
+    @Test
+    void withAllServerConnectionsTakenTheLongestIdleMakesRoomWhoseverItIs() throws Exception {
         List<String> order = List.of("d", "c", "b", "a", "e"); // Not the order of any table of names.
         Map<String, Stage.Peer> servers = new HashMap<>();
         List<String> hosts = new ArrayList<>();
@@ -464,16 +517,15 @@
                 }
                 link.send(row(id, "primary"), Stage.READY);
             }));
-            hosts.add(host(id, servers.get(id), "primary", "Ready").replace("\"block\":2", "\"block\":"
-                    + (int) id.charAt(0)));
+            hosts.add(host(id, servers.get(id), "primary", "Ready")
+                    .replace("\"block\":2", "\"block\":" + (int) id.charAt(0)));
         }
         stage.start(hosts.toArray(String[]::new));
         for (String id : order) {
             List<Stage.Link> clients = new ArrayList<>();
             for (int i = 0; i < (id.equals("e") ? 1 : atOnce); i++) {
                 clients.add(stage.client());
-                clients.get(i).send(query(post(id + i, 9000).replace("cluster=2",
-                        "cluster=" + (int) id.charAt(0))));
+                clients.get(i).send(query(post(id + i, 9000).replace("cluster=2", "cluster=" + (int) id.charAt(0))));
             }
             for (Stage.Link c : clients) {
                 assertThat(value(c.takeAnswer())).isEqualTo(id);
@@ -481,7 +533,8 @@
             }
         }
         assertThat(servers.get("d").ended.take()).isEqualTo("ended");
-        assertThat(stage.pooler.counters()).contains("server_connections=" + (Stage.MAX_SERVERS + 1) + " ")
+        assertThat(stage.pooler.counters())
+                .contains("server_connections=" + (Stage.MAX_SERVERS + 1) + " ")
                 .contains("server_connections_evicted=1 ");
         for (String id : List.of("c", "b", "a", "e")) {
             assertThat(servers.get(id).ended).as(id).isEmpty();
@@ -489,7 +542,8 @@
     }
 
     /** Many that start at once and each ask for the whole list keep discovery from answering any of them. */
-    @Test void startedWithAListItServesWithoutDiscoveryAndAsksOnlyForWhatChanged() throws Exception {
+    @Test
+    void startedWithAListItServesWithoutDiscoveryAndAsksOnlyForWhatChanged() throws Exception {
         stage.startSilent(host("a", primary, "primary", "Ready"), host("b", replica, "replica", "Ready"));
         assertThat(stage.discovery.next()).startsWith("GET /discovery/hosts?index=0&wait=1 ");
         try (Stage.Link c = stage.client()) {
@@ -503,7 +557,8 @@
     }
 
     /** A start may take longer than the rule on drains allows; what drained meanwhile counts as told. */
-    @Test void nothingIsSentByTheListFromTheStartBeforeDiscoveryToldWhatChangedSince() throws Exception {
+    @Test
+    void nothingIsSentByTheListFromTheStartBeforeDiscoveryToldWhatChangedSince() throws Exception {
         stage.knownPatienceUs = Long.MAX_VALUE / 8;
         stage.startSilent(host("a", primary, "primary", "Ready"), host("b", replica, "replica", "Ready"));
         try (Stage.Link c = stage.client()) {
@@ -523,7 +578,8 @@
         }
     }
 
-    @Test void aListWhoseNumbersWentBackIsAskedForWhole() throws Exception {
+    @Test
+    void aListWhoseNumbersWentBackIsAskedForWhole() throws Exception {
         stage.startSilent(host("a", primary, "primary", "Ready"));
         stage.lists.add(list(9, false));
         stage.lists.add(list(3, false));
@@ -532,7 +588,8 @@
         assertThat(stage.discovery.next()).startsWith("GET /discovery/hosts HTTP");
     }
 
-    @Test void aServerThatDrainsGetsNothingNew() throws Exception {
+    @Test
+    void aServerThatDrainsGetsNothingNew() throws Exception {
         start();
         try (Stage.Link c = stage.client()) {
             c.ask(look("1", 9000));
@@ -548,7 +605,8 @@
     }
 
     /** Its handshake may last longer than the rule on drains allows, and the request would follow it. */
-    @Test void whatWaitsForAConnectionGoesElsewhereOnceItsServerDrainsOrMoves() throws Exception {
+    @Test
+    void whatWaitsForAConnectionGoesElsewhereOnceItsServerDrainsOrMoves() throws Exception {
         Stage.Peer moved = stage.server(rows("from-moved", "replica"));
         replica.welcome = (text, link) -> replica.heard.add("a handshake that does not end");
         start();
@@ -574,7 +632,8 @@
         assertThat(stage.pooler.counters()).contains("outcomes={OK=3, MOOT=2}");
     }
 
-    @Test void aServerThatEndsItsConnectionsBehindTheirHandshakeKeepsNoRequestWaiting() throws Exception {
+    @Test
+    void aServerThatEndsItsConnectionsBehindTheirHandshakeKeepsNoRequestWaiting() throws Exception {
         replica.welcome = (text, link) -> {
             link.send(Stage.bytes('R', new byte[4]), Stage.READY);
             link.close();
@@ -588,7 +647,8 @@
         assertThat(stage.pooler.counters()).doesNotContain("MOOT").doesNotContain("TIMEOUT");
     }
 
-    @Test void theListStaysWhileDiscoveryIsAway() throws Exception {
+    @Test
+    void theListStaysWhileDiscoveryIsAway() throws Exception {
         start();
         stage.discovery.close();
         stage.lists.add("not a list");
@@ -600,11 +660,12 @@
         }
     }
 
-    @Test void aHangupTakesTheNewDiscoveryAndNeverEndsTheProgram() throws Exception {
+    @Test
+    void aHangupTakesTheNewDiscoveryAndNeverEndsTheProgram() throws Exception {
         BlockingQueue<String> lists = new LinkedBlockingQueue<>();
         Stage.Peer next = stage.discovery(lists);
-        Map<String, String> environment = new HashMap<>(Stage.environment(
-                Stage.configuration(stage.discovery.address())));
+        Map<String, String> environment =
+                new HashMap<>(Stage.environment(Stage.configuration(stage.discovery.address())));
         Path file = Path.of(environment.get("GW_CONFIG"));
         environment.put("GW_DISCOVERY", stage.discovery.address()); // As old as the start: the file must win.
         Process program = Stage.program(environment);
@@ -631,11 +692,19 @@
         }
     }
 
-    @Test void aStartWithHangupsIgnoredIsToldOf() throws Exception {
+    @Test
+    void aStartWithHangupsIgnoredIsToldOf() throws Exception {
         Map<String, String> environment = Stage.environment(Stage.configuration(stage.discovery.address()));
-        ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", "trap '' HUP; exec \"$@\"", "sh",
-                ProcessHandle.current().info().command().orElseThrow(), "-cp",
-                System.getProperty("java.class.path"), "frostreel.cli.Main", "serve");
+        ProcessBuilder builder = new ProcessBuilder(
+                "/bin/sh",
+                "-c",
+                "trap '' HUP; exec \"$@\"",
+                "sh",
+                ProcessHandle.current().info().command().orElseThrow(),
+                "-cp",
+                System.getProperty("java.class.path"),
+                "frostreel.cli.Main",
+                "serve");
         builder.environment().putAll(environment);
         Process program = builder.start();
         try (BufferedReader log = program.errorReader()) {
@@ -645,12 +714,13 @@
         }
     }
 
-    @Test void aHangupTakesNewSettingsAndAFaultyFileNeverReplacesThem() throws Exception {
+    @Test
+    void aHangupTakesNewSettingsAndAFaultyFileNeverReplacesThem() throws Exception {
         Path settings = Files.createTempFile("settings", ".xml");
         String good = "<frostreel xmlns=\"urn:frostreel:settings:1\"><log format=\"json\"/></frostreel>";
         Files.writeString(settings, good);
-        Process program = Stage.program(Stage.environment(Stage.configuration(stage.discovery.address())),
-                "--settings", settings.toString());
+        Process program = Stage.program(
+                Stage.environment(Stage.configuration(stage.discovery.address())), "--settings", settings.toString());
         try (BufferedReader log = program.errorReader()) {
             stage.lists.add(list(7, true));
             Stage.await(log, "\"message\":\"ready\"");
@@ -671,9 +741,12 @@
     }
 
     /** What comes first on its sockets is the request, then the list: the order that would mislead it. */
-    @Test void aPausedProcessThatWakesKnowsWhatDiscoveryToldBeforeItSends() throws Exception {
-        Process program = Stage.program(Stage.environment(Stage.configuration(stage.discovery.address(),
-                host("a", primary, "primary", "Ready"), host("b", replica, "replica", "Ready"))));
+    @Test
+    void aPausedProcessThatWakesKnowsWhatDiscoveryToldBeforeItSends() throws Exception {
+        Process program = Stage.program(Stage.environment(Stage.configuration(
+                stage.discovery.address(),
+                host("a", primary, "primary", "Ready"),
+                host("b", replica, "replica", "Ready"))));
         try (BufferedReader log = program.errorReader()) {
             stage.lists.add(list(1, false));
             String listening = Stage.await(log, "listening on /127.0.0.1:");
@@ -703,10 +776,13 @@
     }
 
     /** What waited while the process did has no more time than its client: the time began at the sending. */
-    @Test void theTimeThatARequestWaitedForAPausedProcessIsNotGivenTwice() throws Exception {
+    @Test
+    void theTimeThatARequestWaitedForAPausedProcessIsNotGivenTwice() throws Exception {
         long pausedMs = 600;
-        Process program = Stage.program(Stage.environment(Stage.configuration(stage.discovery.address(),
-                host("a", primary, "primary", "Ready"), host("b", replica, "replica", "Ready"))));
+        Process program = Stage.program(Stage.environment(Stage.configuration(
+                stage.discovery.address(),
+                host("a", primary, "primary", "Ready"),
+                host("b", replica, "replica", "Ready"))));
         try (BufferedReader log = program.errorReader()) {
             stage.lists.add(list(1, false));
             String listening = Stage.await(log, "listening on /127.0.0.1:");
@@ -725,8 +801,10 @@
                 Stage.pass(System.nanoTime(), pausedMs);
                 Stage.signal(program, "CONT");
                 assertThat(value(c.takeAnswer())).isEqualTo("from-primary");
-                assertThat(Integer.parseInt(primary.next().replaceAll(".*,d=(\\d+),.*", "$1")
-                        .replace("|", ""))).isLessThanOrEqualTo((int) (9000 - pausedMs));
+                assertThat(Integer.parseInt(primary.next()
+                                .replaceAll(".*,d=(\\d+),.*", "$1")
+                                .replace("|", "")))
+                        .isLessThanOrEqualTo((int) (9000 - pausedMs));
                 late.takeAnswer();
                 assertThat(late.takeAnswer()).singleElement().asString().contains("|C53300|");
                 assertThat(primary.heard).isEmpty();
@@ -736,10 +814,12 @@
         }
     }
 
-    @Test void aStopAnswersWhatWasTakenAndThenClosesItsClients() throws Exception {
+    @Test
+    void aStopAnswersWhatWasTakenAndThenClosesItsClients() throws Exception {
         List<String> faults = new CopyOnWriteArrayList<>();
         Handler handler = new StreamHandler() {
-            @Override public void publish(LogRecord r) {
+            @Override
+            public void publish(LogRecord r) {
                 if (r.getLevel().intValue() >= Level.WARNING.intValue()) {
                     faults.add(r.getLevel() + " " + r.getMessage());
                 }
@@ -759,7 +839,8 @@
             link.send(row("late", "replica"), Stage.READY);
         };
         start();
-        try (Stage.Link c = stage.client(); Stage.Link idle = stage.client()) {
+        try (Stage.Link c = stage.client();
+                Stage.Link idle = stage.client()) {
             c.send(query(look("1", 9000)));
             asked.await();
             Thread stop = new Thread(() -> {
@@ -787,7 +868,8 @@
         assertThat(faults).isEmpty(); // A timer set while the thread ends was once an exception.
     }
 
-    @Test void aReplicaTooFarBehindIsAMiss() throws Exception {
+    @Test
+    void aReplicaTooFarBehindIsAMiss() throws Exception {
         replica.script = errors("72000", "replica");
         start();
         try (Stage.Link c = stage.client()) {
--- a/pooler/src/test/java/frostreel/ShutdownTest.java
+++ b/pooler/src/test/java/frostreel/ShutdownTest.java
@@ -23,16 +23,23 @@
 
 /** The program's end, with clients that send on every connection for as long as it stays open. */
 class ShutdownTest extends Story {
-    private static final String SHORT = Stage.SETTINGS.replace("\"deadlineS\":10", "\"deadlineS\":0.3")
-            .replace("\"onTimeS\":5", "\"onTimeS\":0.2");
+    private static final String SHORT =
+            Stage.SETTINGS.replace("\"deadlineS\":10", "\"deadlineS\":0.3").replace("\"onTimeS\":5", "\"onTimeS\":0.2");
     private static final int CLIENTS = 8;
 
     /** What comes before the end, or with it. */
-    enum Before { NOTHING, ANOTHER_SIGTERM, PAUSE, NOT_READY }
+    enum Before {
+        NOTHING,
+        ANOTHER_SIGTERM,
+        PAUSE,
+        NOT_READY
+    }
 
     private Map<String, String> environment() throws IOException {
-        return Stage.environment(Stage.configuration(stage.discovery.address(),
-                host("a", primary, "primary", "Ready"), host("b", replica, "replica", "Ready"))
+        return Stage.environment(Stage.configuration(
+                        stage.discovery.address(),
+                        host("a", primary, "primary", "Ready"),
+                        host("b", replica, "replica", "Ready"))
                 .replace(Stage.SETTINGS, SHORT));
     }
 
@@ -93,7 +100,8 @@
             }
             Set<String> reached = new HashSet<>();
             for (Stage.Peer p : List.of(primary, replica)) {
-                p.heard.forEach(t -> reached.add(t.replaceAll(".*id=(\\w+),.*", "$1").replace("|", "")));
+                p.heard.forEach(
+                        t -> reached.add(t.replaceAll(".*id=(\\w+),.*", "$1").replace("|", "")));
             }
             reached.removeAll(answered);
             assertThat(reached).isEmpty();
@@ -103,7 +111,8 @@
     }
 
     /** Clients that asked and stay hold all places that are theirs; discovery goes away and comes back. */
-    @Test void idleClientsKeepNeitherDiscoveryNorServersNorOtherClientsOut() throws Exception {
+    @Test
+    void idleClientsKeepNeitherDiscoveryNorServersNorOtherClientsOut() throws Exception {
         int many = 3 * Stage.MAX_CLIENTS;
         Process program = Stage.program(environment());
         List<Stage.Link> idle = new ArrayList<>();
@@ -112,9 +121,14 @@
             int port = port(Stage.await(log, "listening on /127.0.0.1:"));
             Stage.await(log, "ready");
             int descriptors = 128;
-            new ProcessBuilder("prlimit", "--pid", Long.toString(program.pid()), "--nofile=" + descriptors
-                    + ":" + descriptors).start().waitFor();
-            stage.discovery.script = (text, link) -> { }; // From the next call on it is silent.
+            new ProcessBuilder(
+                            "prlimit",
+                            "--pid",
+                            Long.toString(program.pid()),
+                            "--nofile=" + descriptors + ":" + descriptors)
+                    .start()
+                    .waitFor();
+            stage.discovery.script = (text, link) -> {}; // From the next call on it is silent.
             stage.lists.add("no list");
             Stage.await(log, "the last list is kept");
             for (int i = 0; i < many; i++) {
