--- a/pooler/src/test/java/frostreel/Stage.java
+++ b/pooler/src/test/java/frostreel/Stage.java
@@ -43,6 +43,7 @@
     static final int MOST_WAITING = USUAL_CLIENTS * 3 / 8;
     /** Of 128 descriptors 64 are the program's own, and usual clients leave servers a quarter of the rest. */
     static final int MAX_SERVERS = 16;
+
     static final String SETTINGS = """
             {"zones":["dc"],"machineTypes":["m"],"zone":0,"roundS":0.005,
             "caps":{"maxAttempts":4,"probes":true,"cancel":true,"retryAfter":true,"maxRetryAfterS":2,
@@ -115,7 +116,8 @@
             }
         }
 
-        @Override public void close() throws IOException {
+        @Override
+        public void close() throws IOException {
             socket.close();
         }
     }
@@ -129,6 +131,7 @@
         volatile Script script;
         /** What a database does with the startup message. */
         volatile Script welcome = (text, link) -> link.send(bytes('R', new byte[4]), READY);
+
         private final Thread acceptor;
 
         Peer(boolean database, Script script) throws IOException {
@@ -206,6 +209,7 @@
     final BlockingQueue<String> lists = new LinkedBlockingQueue<>();
     /** One for each list that discovery has written. */
     final BlockingQueue<String> told = new LinkedBlockingQueue<>();
+
     final Peer discovery;
     Pooler pooler;
     OperatorSettings operators = OperatorSettings.DEFAULT;
@@ -304,9 +308,22 @@
     }
 
     private static Config withoutPlaces(Config c) {
-        return new Config(c.name(), c.listen(), c.control(), c.inherits(), c.orders(), c.discovery(),
-                c.maxClients(), c.usualClients(), c.maxServerConnections(), c.maxOpen(), c.known(), c.zones(),
-                c.kinds(), c.settings().onSockets(0), c.source());
+        return new Config(
+                c.name(),
+                c.listen(),
+                c.control(),
+                c.inherits(),
+                c.orders(),
+                c.discovery(),
+                c.maxClients(),
+                c.usualClients(),
+                c.maxServerConnections(),
+                c.maxOpen(),
+                c.known(),
+                c.zones(),
+                c.kinds(),
+                c.settings().onSockets(0),
+                c.source());
     }
 
     /** SIGHUP, with a file that names another discovery. */
@@ -336,7 +353,8 @@
         CountDownLatch stands = new CountDownLatch(1);
         CountDownLatch over = new CountDownLatch(1);
         Handler stop = new StreamHandler() {
-            @Override public void publish(LogRecord r) {
+            @Override
+            public void publish(LogRecord r) {
                 stands.countDown();
                 try {
                     over.await();
@@ -426,8 +444,7 @@
     }
 
     static String look(String id, int patienceMs) {
-        return "SELECT v FROM records WHERE k = '7f3a' /* id=" + id + ",c=look,d=" + patienceMs
-                + ",cluster=2 */";
+        return "SELECT v FROM records WHERE k = '7f3a' /* id=" + id + ",c=look,d=" + patienceMs + ",cluster=2 */";
     }
 
     static String post(String id, int patienceMs) {
@@ -439,8 +456,8 @@
     static byte[] row(String value, String role) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         out.writeBytes(bytes('T', "\0\1v|" + "|".repeat(18)));
-        out.writeBytes(bytes('D', "\0\1" + "\0\0" + (char) (value.length() >> 8)
-                + (char) (value.length() & 255) + value));
+        out.writeBytes(
+                bytes('D', "\0\1" + "\0\0" + (char) (value.length() >> 8) + (char) (value.length() & 255) + value));
         out.writeBytes(bytes('C', "SELECT 1|"));
         out.writeBytes(bytes('S', "role|" + role + "|"));
         out.writeBytes(bytes('S', "applied_ms|" + System.currentTimeMillis() + "|"));
@@ -461,8 +478,12 @@
 
     /** The program as its own process, with these options of {@code serve}. */
     static Process program(Map<String, String> environment, String... options) throws Exception {
-        List<String> command = new ArrayList<>(List.of(ProcessHandle.current().info().command().orElseThrow(),
-                "-cp", System.getProperty("java.class.path"), "frostreel.cli.Main", "serve"));
+        List<String> command = new ArrayList<>(List.of(
+                ProcessHandle.current().info().command().orElseThrow(),
+                "-cp",
+                System.getProperty("java.class.path"),
+                "frostreel.cli.Main",
+                "serve"));
         command.addAll(List.of(options));
         ProcessBuilder builder = new ProcessBuilder(command);
         builder.environment().putAll(environment);
@@ -474,7 +495,9 @@
     }
 
     static void signal(Process program, String name) throws Exception {
-        new ProcessBuilder("kill", "-" + name, Long.toString(program.pid())).start().waitFor();
+        new ProcessBuilder("kill", "-" + name, Long.toString(program.pid()))
+                .start()
+                .waitFor();
     }
 
     static String await(BufferedReader log, String text) throws Exception {
--- a/pooler/src/test/java/frostreel/Story.java
+++ b/pooler/src/test/java/frostreel/Story.java
@@ -21,13 +21,15 @@
     Stage.Peer primary;
     Stage.Peer replica;
 
-    @BeforeEach void raise() throws Exception {
+    @BeforeEach
+    void raise() throws Exception {
         stage = new Stage();
         primary = stage.server(rows("from-primary", "primary"));
         replica = stage.server(rows("from-replica", "replica"));
     }
 
-    @AfterEach void strike() throws Exception {
+    @AfterEach
+    void strike() throws Exception {
         stage.strike();
     }
 
@@ -64,8 +66,12 @@
         /** Its end tells that the pooler has done with it. */
         void cancel(int withSecret) throws Exception {
             try (Stage.Link other = new Stage.Link(stage.connect())) {
-                other.send(ByteBuffer.allocate(16).putInt(16).putInt(CANCEL_REQUEST).putInt(process)
-                        .putInt(withSecret).array());
+                other.send(ByteBuffer.allocate(16)
+                        .putInt(16)
+                        .putInt(CANCEL_REQUEST)
+                        .putInt(process)
+                        .putInt(withSecret)
+                        .array());
                 other.socket.shutdownOutput(); // Its end may be read with its only message.
                 assertThat(other.endsNext()).isTrue();
             }
@@ -76,7 +82,8 @@
             assertThat(link.takeAnswer()).singleElement().asString().contains("|C57014|");
         }
 
-        @Override public void close() throws IOException {
+        @Override
+        public void close() throws IOException {
             link.close();
         }
     }
--- a/pooler/src/test/java/frostreel/broker/BrokerTest.java
+++ b/pooler/src/test/java/frostreel/broker/BrokerTest.java
@@ -12,30 +12,45 @@
 class BrokerTest {
     private static final long DEADLINE_US = 1_000_000;
     private long nowUs;
-    private final Deadlines deadlines = new Deadlines(() -> nowUs, us -> { });
+    private final Deadlines deadlines = new Deadlines(() -> nowUs, us -> {});
     private final List<String> failed = new ArrayList<>();
 
     private static Router.Settings settings(long answerSlackUs) {
-        Router.RequestClass read = new Router.RequestClass("look", Router.Access.ANY, Router.Repeat.SAFE,
-                Router.Scope.GROUP, 0, 0, DEADLINE_US, DEADLINE_US, 1, 0);
-        return new Router.Settings(1, 1, 0, 5_000, List.of(read), Router.Checks.WAIT, Router.ListRole.LATE,
-                Router.Marks.CARRIED, true, new Router.Limits(4, Router.Probes.NONE, true, true, 0, false, 0,
-                        0, 0, 0, 1),
+        Router.RequestClass read = new Router.RequestClass(
+                "look",
+                Router.Access.ANY,
+                Router.Repeat.SAFE,
+                Router.Scope.GROUP,
+                0,
+                0,
+                DEADLINE_US,
+                DEADLINE_US,
+                1,
+                0);
+        return new Router.Settings(
+                1,
+                1,
+                0,
+                5_000,
+                List.of(read),
+                Router.Checks.WAIT,
+                Router.ListRole.LATE,
+                Router.Marks.CARRIED,
+                true,
+                new Router.Limits(4, Router.Probes.NONE, true, true, 0, false, 0, 0, 0, 0, 1),
                 new Router.Rules(answerSlackUs, 1_000_000, false, 1, 0, 1, 0));
     }
 
     /** By a module that leaves every request unanswered. */
     private Broker broker(Router.Settings settings) {
-        Broker broker = new Broker(() -> nowUs, deadlines, new Counters(), null, settings, 16,
-                (told, actions) -> new Idle());
-        broker.members(Router.ListKind.FULL, List.of(new Router.Member("a", 0, 0, 2, true, Router.State.UP,
-                1, 0)));
+        Broker broker =
+                new Broker(() -> nowUs, deadlines, new Counters(), null, settings, 16, (told, actions) -> new Idle());
+        broker.members(Router.ListKind.FULL, List.of(new Router.Member("a", 0, 0, 2, true, Router.State.UP, 1, 0)));
         return broker;
     }
 
     private void ask(Broker broker, String id) {
-        broker.submit(new Broker.Ask(id, 0, 0, 2, DEADLINE_US, 0, false), patienceUs -> new byte[0],
-                new Waiting(id));
+        broker.submit(new Broker.Ask(id, 0, 0, 2, DEADLINE_US, 0, false), patienceUs -> new byte[0], new Waiting(id));
     }
 
     private void at(long us) {
@@ -43,7 +58,8 @@
         deadlines.runDue();
     }
 
-    @Test void aRequestLeftUnansweredFailsWithinTheSlackThatItsSettingsAllow() {
+    @Test
+    void aRequestLeftUnansweredFailsWithinTheSlackThatItsSettingsAllow() {
         for (long slackUs : new long[] {0, 4_000, 20_000, 100_000}) {
             failed.clear();
             nowUs = 0;
@@ -56,7 +72,8 @@
         }
     }
 
-    @Test void newSettingsBindTheSlackOfRequestsThatComeAfterThem() {
+    @Test
+    void newSettingsBindTheSlackOfRequestsThatComeAfterThem() {
         Broker broker = broker(settings(20_000));
         ask(broker, "before");
         broker.settings(settings(4_000));
@@ -76,45 +93,67 @@
             this.id = id;
         }
 
-        @Override public void served(byte[] answer) {
+        @Override
+        public void served(byte[] answer) {
             throw new AssertionError(id);
         }
 
-        @Override public void refused(long adviceUs) {
+        @Override
+        public void refused(long adviceUs) {
             throw new AssertionError(id);
         }
 
-        @Override public void failed() {
+        @Override
+        public void failed() {
             failed.add(id);
         }
 
-        @Override public void cancelled() {
+        @Override
+        public void cancelled() {
             throw new AssertionError(id);
         }
 
-        @Override public boolean waits() {
+        @Override
+        public boolean waits() {
             return true;
         }
     }
 
     private static final class Idle implements Router {
-        @Override public void onSettings(Settings settings) {}
-
-        @Override public void onRequest(long nowUs, Request request) {}
-
-        @Override public void onOutcome(long nowUs, String requestId, int attempt, String memberId,
-                Outcome outcome, boolean closed, long tookUs, Role role, long positionUs, Report report) {}
-
-        @Override public boolean stands(long nowUs, String requestId) {
+        @Override
+        public void onSettings(Settings settings) {}
+
+        @Override
+        public void onRequest(long nowUs, Request request) {}
+
+        @Override
+        public void onOutcome(
+                long nowUs,
+                String requestId,
+                int attempt,
+                String memberId,
+                Outcome outcome,
+                boolean closed,
+                long tookUs,
+                Role role,
+                long positionUs,
+                Report report) {}
+
+        @Override
+        public boolean stands(long nowUs, String requestId) {
             return true;
         }
 
-        @Override public void onMembers(long nowUs, ListKind kind, List<Member> members) {}
+        @Override
+        public void onMembers(long nowUs, ListKind kind, List<Member> members) {}
 
-        @Override public void onProbe(long nowUs, String memberId, boolean ok, long tookUs, Report report) {}
+        @Override
+        public void onProbe(long nowUs, String memberId, boolean ok, long tookUs, Report report) {}
 
-        @Override public void onTimer(long nowUs, String name) {}
+        @Override
+        public void onTimer(long nowUs, String name) {}
 
-        @Override public void onClientGone(long nowUs, String requestId) {}
+        @Override
+        public void onClientGone(long nowUs, String requestId) {}
     }
 }
--- a/pooler/src/test/java/frostreel/cli/MainTest.java
+++ b/pooler/src/test/java/frostreel/cli/MainTest.java
@@ -13,10 +13,11 @@
 class MainTest {
     private final StringWriter out = new StringWriter();
     private final StringWriter err = new StringWriter();
-    private final CommandLine line = Main.commandLine().setOut(new PrintWriter(out))
-            .setErr(new PrintWriter(err));
+    private final CommandLine line =
+            Main.commandLine().setOut(new PrintWriter(out)).setErr(new PrintWriter(err));
 
-    @Test void aFaultyCallExitsWithTwoAndNamesTheFault() {
+    @Test
+    void aFaultyCallExitsWithTwoAndNamesTheFault() {
         assertThat(line.execute()).isEqualTo(2);
         assertThat(line.execute("sevre")).isEqualTo(2);
         assertThat(err.toString()).contains("Missing required subcommand").contains("sevre");
@@ -25,19 +26,24 @@
         assertThat(out.toString()).isEmpty();
     }
 
-    @Test void checkTellsEveryFaultOfEveryFile(@TempDir Path folder) throws Exception {
+    @Test
+    void checkTellsEveryFaultOfEveryFile(@TempDir Path folder) throws Exception {
         String head = "<frostreel xmlns='urn:frostreel:settings:1'>";
         Path good = Files.writeString(folder.resolve("good.xml"), head + "</frostreel>");
         Path bad = Files.writeString(folder.resolve("bad.xml"), head + "<log level='x'/><y/></frostreel>");
         assertThat(line.execute("check", good.toString())).isZero();
-        assertThat(line.execute("check", good.toString(), bad.toString(), folder.resolve("no").toString()))
+        assertThat(line.execute(
+                        "check",
+                        good.toString(),
+                        bad.toString(),
+                        folder.resolve("no").toString()))
                 .isEqualTo(2);
         assertThat(out.toString()).contains("good.xml: good").doesNotContain("bad.xml");
-        assertThat(err.toString()).contains("bad.xml:1:", "frostreel/log@level", "frostreel/y",
-                "cannot be read");
+        assertThat(err.toString()).contains("bad.xml:1:", "frostreel/log@level", "frostreel/y", "cannot be read");
     }
 
-    @Test void helpNamesEachCommandAndTheVersionIsShown() {
+    @Test
+    void helpNamesEachCommandAndTheVersionIsShown() {
         assertThat(line.execute("--help")).isZero();
         assertThat(out.toString()).contains("serve", "simhost", "rehearse");
         assertThat(line.execute("--version")).isZero();
--- a/pooler/src/test/java/frostreel/control/BeforeCommitsTest.java
+++ b/pooler/src/test/java/frostreel/control/BeforeCommitsTest.java
@@ -21,7 +21,9 @@
     private static final long NOW = 1_000_000_000;
     private static final Map<String, Orders.Order> OUT = Map.of("server a", new Orders.Order(true, 5, 5));
     private static final Map<String, Orders.Order> BACK = Map.of("server a", new Orders.Order(false, 5, 9));
-    @TempDir Path dir;
+
+    @TempDir
+    Path dir;
 
     private CommitBoard board(long life) throws IOException {
         CommitFile file = CommitFile.open(dir);
@@ -29,7 +31,8 @@
         return new CommitBoard(file, life, NOW);
     }
 
-    @Test void ordersGoBothWaysBesideTheFileAndTheOldOneDoesNotClearItAway() throws Exception {
+    @Test
+    void ordersGoBothWaysBesideTheFileAndTheOldOneDoesNotClearItAway() throws Exception {
         OrderFolder old = new OrderFolder(dir, "old");
         old.write(OUT);
         CommitBoard successor = board(1);
@@ -47,7 +50,8 @@
         assertThat(board(2).boundUs(NOW + 50_000, 7)).isEqualTo(NOW + 1_000);
     }
 
-    @Test void fromTheSuccessorOnEachLifeKnowsWhatTheOthersAnswered() throws Exception {
+    @Test
+    void fromTheSuccessorOnEachLifeKnowsWhatTheOthersAnswered() throws Exception {
         new OrderFolder(dir, "old").write(OUT);
         CommitBoard successor = board(1);
         successor.sent(NOW, 7, NOW + 1_000_000);
--- a/pooler/src/test/java/frostreel/control/ClockAnchorTest.java
+++ b/pooler/src/test/java/frostreel/control/ClockAnchorTest.java
@@ -11,14 +11,17 @@
 /** Processes of one pooler read one clock, though the wall clock be stepped between their starts. */
 class ClockAnchorTest {
     private static final long HOUR_US = 3_600_000_000L;
-    @TempDir Path dir;
+
+    @TempDir
+    Path dir;
 
     /** How far a clock read now is ahead of another read before. */
     private static long ahead(Clock clock, long ofUs) {
         return clock.now() - ofUs;
     }
 
-    @Test void theFirstAnchorHoldsForThoseThatStartAfterAStepOfTheWallClock() throws Exception {
+    @Test
+    void theFirstAnchorHoldsForThoseThatStartAfterAStepOfTheWallClock() throws Exception {
         long before = Clock.system().now();
         ClockAnchor.clock(dir);
         String[] words = Files.readString(dir.resolve("clock")).strip().split(" ");
@@ -27,7 +30,8 @@
         assertThat(ahead(ClockAnchor.clock(dir), before)).isBetween(HOUR_US, HOUR_US + 60_000_000);
     }
 
-    @Test void anAnchorOfAnotherBootOrADamagedOneIsReplaced() throws Exception {
+    @Test
+    void anAnchorOfAnotherBootOrADamagedOneIsReplaced() throws Exception {
         for (String old : new String[] {"another-boot 12", "", "no number", "a b c"}) {
             Files.writeString(dir.resolve("clock"), old);
             long before = Clock.system().now();
@@ -36,7 +40,8 @@
         }
     }
 
-    @Test void aFolderThatTakesNothingLeavesTheProcessItsOwnClock() throws Exception {
+    @Test
+    void aFolderThatTakesNothingLeavesTheProcessItsOwnClock() throws Exception {
         Path file = Files.writeString(dir.resolve("taken"), "a file in its place");
         long before = Clock.system().now();
         assertThat(ahead(ClockAnchor.clock(file), before)).isBetween(0L, 60_000_000L);
--- a/pooler/src/test/java/frostreel/control/OrderFolderTest.java
+++ b/pooler/src/test/java/frostreel/control/OrderFolderTest.java
@@ -19,7 +19,9 @@
 
 class OrderFolderTest {
     private static final Map<String, Orders.Order> OUT = Map.of("server a", new Orders.Order(true, 5, 5));
-    @TempDir Path dir;
+
+    @TempDir
+    Path dir;
 
     private OrderFolder life(String name) {
         return new OrderFolder(dir.resolve("orders"), name);
@@ -31,7 +33,8 @@
         }
     }
 
-    @Test void whatOneLifeWroteTheNextFindsAndItsOwnIsNotNews() throws Exception {
+    @Test
+    void whatOneLifeWroteTheNextFindsAndItsOwnIsNotNews() throws Exception {
         OrderFolder one = life("one");
         assertThat(one.read().orders()).as("nobody has written").isEmpty();
         one.write(OUT);
@@ -47,7 +50,8 @@
         assertThat(life("three").read().orders()).as("the later order holds").isEqualTo(later);
     }
 
-    @Test void aFileCutOrChangedAnywhereIsLeftOutWhole() throws Exception {
+    @Test
+    void aFileCutOrChangedAnywhereIsLeftOutWhole() throws Exception {
         life("one").write(OUT);
         Path file = files().get(0);
         byte[] whole = Files.readAllBytes(file);
@@ -63,18 +67,21 @@
         assertThat(life("two").read().orders()).isEqualTo(OUT);
     }
 
-    @Test void aFolderThatTakesNothingFailsAndDisturbsNobody() throws Exception {
+    @Test
+    void aFolderThatTakesNothingFailsAndDisturbsNobody() throws Exception {
         Files.writeString(dir.resolve("orders"), "a file in its place");
         assertThatThrownBy(() -> life("one").write(OUT)).isInstanceOf(IOException.class);
         assertThatThrownBy(() -> life("one").read()).isInstanceOf(IOException.class);
     }
 
     /** A link to the device that takes no byte, where the file is written before it has its name. */
-    @Test void aDiskThatIsFullFailsAndLeavesWhatWasThere() throws Exception {
+    @Test
+    void aDiskThatIsFullFailsAndLeavesWhatWasThere() throws Exception {
         OrderFolder one = life("one");
         one.write(OUT);
         Path half = Files.createSymbolicLink(dir.resolve("orders/one.new"), Path.of("/dev/full"));
-        assertThatThrownBy(() -> one.write(Map.of())).isInstanceOf(IOException.class)
+        assertThatThrownBy(() -> one.write(Map.of()))
+                .isInstanceOf(IOException.class)
                 .hasMessageContaining("No space left");
         assertThat(life("two").read().orders()).isEqualTo(OUT);
         assertThat(half).as("what was half written takes no room").doesNotExist();
@@ -82,18 +89,19 @@
         assertThat(life("three").read().orders()).as("room again").isEmpty();
     }
 
-    @Test void filesOfManyLivesDoNotPileUp() throws Exception {
+    @Test
+    void filesOfManyLivesDoNotPileUp() throws Exception {
         for (int i = 0; i < 40; i++) {
             life("life" + i).write(OUT);
-            Files.setLastModifiedTime(dir.resolve("orders/life" + i + "-00000001.orders"),
-                    FileTime.fromMillis(i));
+            Files.setLastModifiedTime(dir.resolve("orders/life" + i + "-00000001.orders"), FileTime.fromMillis(i));
         }
         life("last").clean();
         assertThat(files()).hasSize(16);
         assertThat(life("last").read().orders()).isEqualTo(OUT);
     }
 
-    @Test void aFileThatCannotBeReadNowIsReadOnceItCan() throws Exception {
+    @Test
+    void aFileThatCannotBeReadNowIsReadOnceItCan() throws Exception {
         life("one").write(OUT);
         Path file = files().get(0);
         byte[] whole = Files.readAllBytes(file);
@@ -108,7 +116,8 @@
         assertThat(found.complete()).isTrue();
     }
 
-    @Test void whatALifeThatWasKilledLeftHalfWrittenIsRemovedOnceItIsOld() throws Exception {
+    @Test
+    void whatALifeThatWasKilledLeftHalfWrittenIsRemovedOnceItIsOld() throws Exception {
         life("one").write(OUT);
         Path old = Files.writeString(dir.resolve("orders/dead.new"), "half");
         Path young = Files.writeString(dir.resolve("orders/living.new"), "half");
@@ -119,7 +128,8 @@
     }
 
     /** Orders that were answered while the disk took nothing are owed to a successor all the same. */
-    @Test void whatADiskDidNotTakeIsWrittenOnceItDoes() throws Exception {
+    @Test
+    void whatADiskDidNotTakeIsWrittenOnceItDoes() throws Exception {
         Path inItsPlace = Files.writeString(dir.resolve("orders"), "a file in its place");
         Loop loop = new Loop();
         OrderKeeper keeper = new OrderKeeper(loop, dir.resolve("orders"), "one");
--- a/pooler/src/test/java/frostreel/discovery/ListLayoutTest.java
+++ b/pooler/src/test/java/frostreel/discovery/ListLayoutTest.java
@@ -17,8 +17,9 @@
 
     private static HostList inPiecesOfOneByte(String body) throws Exception {
         HttpResponse response = new HttpResponse();
-        byte[] bytes = ("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: "
-                + body.length() + "\r\n\r\n" + body).getBytes(StandardCharsets.US_ASCII);
+        byte[] bytes = ("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: " + body.length()
+                        + "\r\n\r\n" + body)
+                .getBytes(StandardCharsets.US_ASCII);
         for (int i = 0; i < bytes.length; i++) {
             assertThat(response.complete()).as("at byte %d", i).isFalse();
             response.accept(ByteBuffer.wrap(bytes, i, 1));
@@ -27,7 +28,8 @@
         return HostList.read(new JSONObject(response.body()).toMap(), List.of("dc"), List.of("m"));
     }
 
-    @Test void aListIsTheSameHoweverItIsIndentedAndCut() throws Exception {
+    @Test
+    void aListIsTheSameHoweverItIsIndentedAndCut() throws Exception {
         HostList plain = inPiecesOfOneByte(LIST.toString());
         assertThat(plain.hosts()).singleElement().satisfies(h -> {
             assertThat(h.member().id()).isEqualTo("a");
--- a/pooler/src/test/java/frostreel/discovery/WatchTimesTest.java
+++ b/pooler/src/test/java/frostreel/discovery/WatchTimesTest.java
@@ -8,13 +8,15 @@
 class WatchTimesTest {
     private static final long LEAVE_US = 6_000_000;
 
-    @Test void aCallThatFallsSilentAndOneMoreFitIntoTheLeaveForEverySilence() {
+    @Test
+    void aCallThatFallsSilentAndOneMoreFitIntoTheLeaveForEverySilence() {
         long found = Watch.WAIT_MS * 1000 + Watch.PATIENCE_US;
         long onceMore = Watch.RETRY_LEAST_US + Watch.PATIENCE_US;
         assertThat(found + onceMore + 2 * Watch.RETRY_LEAST_US).isLessThan(LEAVE_US);
     }
 
-    @Test void aCallThatNobodyAnsweredIsMadeAgainWellWithinTheLeave() {
+    @Test
+    void aCallThatNobodyAnsweredIsMadeAgainWellWithinTheLeave() {
         assertThat(2 * (Watch.RETRY_MOST_US + Watch.PATIENCE_US)).isLessThan(LEAVE_US);
     }
 }
--- a/pooler/src/test/java/frostreel/net/LoopTest.java
+++ b/pooler/src/test/java/frostreel/net/LoopTest.java
@@ -15,7 +15,8 @@
     private long lookedUs;
     private Loop loop;
 
-    @BeforeEach void begin() throws Exception {
+    @BeforeEach
+    void begin() throws Exception {
         loop = new Loop(() -> nowUs);
         loop.onNews(() -> {
             looks++;
@@ -23,7 +24,8 @@
         });
     }
 
-    @AfterEach void end() throws Exception {
+    @AfterEach
+    void end() throws Exception {
         loop.end();
     }
 
@@ -45,7 +47,8 @@
         assertThat(looks).isBetween(1, mostLooks);
     }
 
-    @Test void underWorkItLooksOnceInAFifthOfTheTimeInWhichSendsHaveToStop() {
+    @Test
+    void underWorkItLooksOnceInAFifthOfTheTimeInWhichSendsHaveToStop() {
         loop.stopSendingUs(SECOND_US);
         busySecond(5, 200_000);
         loop.stopSendingUs(250_000);
@@ -54,7 +57,8 @@
         busySecond(100, 10_000);
     }
 
-    @Test void afterAPauseItLooksFirstWhereThatWasLongForTheRule() {
+    @Test
+    void afterAPauseItLooksFirstWhereThatWasLongForTheRule() {
         loop.stopSendingUs(250_000);
         assertThat(looksAfter(50_000)).isFalse();
         assertThat(looksAfter(1)).isTrue();
@@ -64,7 +68,8 @@
         assertThat(looksAfter(150_000)).isTrue();
     }
 
-    @Test void whatALookBringsMayAwakeItAgainWithoutEnd() {
+    @Test
+    void whatALookBringsMayAwakeItAgainWithoutEnd() {
         loop.stopSendingUs(0);
         loop.onNews(() -> {
             looks++;
--- a/pooler/src/test/java/frostreel/net/LoopTimersTest.java
+++ b/pooler/src/test/java/frostreel/net/LoopTimersTest.java
@@ -18,6 +18,7 @@
 class LoopTimersTest {
     /** So often a timer is set again that is due in less than a millisecond. */
     private static final int TIMES = 2_000;
+
     private final CompletableFuture<Boolean> readInTime = new CompletableFuture<>();
     private Loop loop;
     private boolean read;
@@ -33,12 +34,14 @@
     private void accept(AcceptingChannel<StreamConnection> from) {
         try {
             Stream stream = new Stream(loop, from.accept(), new Stream.Handler() {
-                @Override public void received(ByteBuffer in) {
+                @Override
+                public void received(ByteBuffer in) {
                     in.position(in.limit());
                     read = true;
                 }
 
-                @Override public void ended() {
+                @Override
+                public void ended() {
                     readInTime.completeExceptionally(new IOException("it ended"));
                 }
             });
@@ -50,10 +53,12 @@
     }
 
     @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
-    @Test void timersThatAreDueSoonOneAfterAnotherKeepNoSocketWaiting() throws Exception {
+    @Test
+    void timersThatAreDueSoonOneAfterAnotherKeepNoSocketWaiting() throws Exception {
         loop = new Loop();
-        AcceptingChannel<StreamConnection> server = loop.worker().createStreamConnectionServer(
-                new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), this::accept, OptionMap.EMPTY);
+        AcceptingChannel<StreamConnection> server = loop.worker()
+                .createStreamConnectionServer(
+                        new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), this::accept, OptionMap.EMPTY);
         try (Socket client = new Socket()) {
             client.connect(server.getLocalAddress());
             client.getOutputStream().write(1);
--- a/pooler/src/test/java/frostreel/settings/OperatorSettingsTest.java
+++ b/pooler/src/test/java/frostreel/settings/OperatorSettingsTest.java
@@ -17,7 +17,9 @@
 
 class OperatorSettingsTest {
     private static final String HEAD = "<frostreel xmlns=\"urn:frostreel:settings:1\">\n";
-    @TempDir Path folder;
+
+    @TempDir
+    Path folder;
 
     private Path file(String text) throws IOException {
         return Files.writeString(folder.resolve("f.xml"), text);
@@ -25,89 +27,113 @@
 
     private List<Fault> faults(String text) throws IOException {
         Path file = file(text);
-        return assertThatThrownBy(() -> OperatorSettings.read(file)).isInstanceOf(FaultyFileException.class)
-                .asInstanceOf(InstanceOfAssertFactories.type(FaultyFileException.class)).actual().faults();
+        return assertThatThrownBy(() -> OperatorSettings.read(file))
+                .isInstanceOf(FaultyFileException.class)
+                .asInstanceOf(InstanceOfAssertFactories.type(FaultyFileException.class))
+                .actual()
+                .faults();
     }
 
-    @Test void theShippedFileIsGoodAndChangesNothing() throws Exception {
-        assertThat(OperatorSettings.read(Path.of("../deploy/frostreel.xml")))
-                .isEqualTo(OperatorSettings.DEFAULT);
+    @Test
+    void theShippedFileIsGoodAndChangesNothing() throws Exception {
+        assertThat(OperatorSettings.read(Path.of("../deploy/frostreel.xml"))).isEqualTo(OperatorSettings.DEFAULT);
     }
 
-    @Test void defaultsAreFilledIn() throws Exception {
+    @Test
+    void defaultsAreFilledIn() throws Exception {
         assertThat(OperatorSettings.read(file(HEAD + "<log format=\"json\"/></frostreel>")))
                 .isEqualTo(new OperatorSettings(Logging.Format.JSON, Level.INFO, null, null));
         assertThat(OperatorSettings.read(file(HEAD + "</frostreel>"))).isEqualTo(OperatorSettings.DEFAULT);
     }
 
-    @Test void allFaultsAreToldAtOnceWithLineAndKey() throws Exception {
-        List<Fault> faults = faults(HEAD + "<log format=\"yaml\"\n level=\"loud\" colour=\"red\"/>\n<pool/>\n"
-                + "</frostreel>");
+    @Test
+    void allFaultsAreToldAtOnceWithLineAndKey() throws Exception {
+        List<Fault> faults =
+                faults(HEAD + "<log format=\"yaml\"\n level=\"loud\" colour=\"red\"/>\n<pool/>\n" + "</frostreel>");
         assertThat(faults).extracting(Fault::line).containsExactly(3, 3, 3, 4);
-        assertThat(faults).extracting(Fault::key).containsExactlyInAnyOrder("frostreel/log@format",
-                "frostreel/log@level", "frostreel/log@colour", "frostreel/pool");
+        assertThat(faults)
+                .extracting(Fault::key)
+                .containsExactlyInAnyOrder(
+                        "frostreel/log@format", "frostreel/log@level", "frostreel/log@colour", "frostreel/pool");
         assertThat(faults).allSatisfy(f -> assertThat(f.file()).endsWith("f.xml"));
         assertThat(faults.get(0).toString()).containsPattern("f\\.xml:3:\\d+: frostreel/log@\\w+: .+");
     }
 
-    @Test void tiersAreReadByNameAndTheirFaultsNamed() throws Exception {
+    @Test
+    void tiersAreReadByNameAndTheirFaultsNamed() throws Exception {
         OperatorSettings read = OperatorSettings.read(file(HEAD
                 + "<zones poolers='6'><tier zones='b c' spill='0.5'/><tier spill='0.2'/></zones>"
                 + "</frostreel>"));
-        assertThat(read.zonesFor(1, List.of("b", "a", "c", "d"))).hasValue(new ZoneSettings(1, List.of(
-                new ZoneSettings.Tier(List.of(0, 2), 0.5), new ZoneSettings.Tier(List.of(), 0.2)), 6));
+        assertThat(read.zonesFor(1, List.of("b", "a", "c", "d")))
+                .hasValue(new ZoneSettings(
+                        1,
+                        List.of(new ZoneSettings.Tier(List.of(0, 2), 0.5), new ZoneSettings.Tier(List.of(), 0.2)),
+                        6));
         assertThat(OperatorSettings.DEFAULT.zonesFor(0, List.of("a"))).isEmpty();
         assertThat(faults(HEAD + "<zones poolers='6'>\n<tier spill='1'/>\n<tier zones='b b' spill='1'/>\n"
-                + "</zones></frostreel>")).extracting(f -> f.line() + " " + f.key()).containsExactly(
-                        "3 frostreel/zones/tier@zones", "4 frostreel/zones/tier@zones");
+                        + "</zones></frostreel>"))
+                .extracting(f -> f.line() + " " + f.key())
+                .containsExactly("3 frostreel/zones/tier@zones", "4 frostreel/zones/tier@zones");
         assertThat(faults(HEAD + "<zones poolers='0'>\n<tier spill='-1'/></zones></frostreel>"))
-                .extracting(Fault::key).containsExactly("frostreel/zones@poolers",
-                        "frostreel/zones/tier@spill");
+                .extracting(Fault::key)
+                .containsExactly("frostreel/zones@poolers", "frostreel/zones/tier@spill");
     }
 
-    @Test void thePoolersThatSeeEachOtherAreReadAndTheirFaultsNamed() throws Exception {
+    @Test
+    void thePoolersThatSeeEachOtherAreReadAndTheirFaultsNamed() throws Exception {
         Path file = file(HEAD + "<cluster silentAfterMs='800'><pooler name='a' at='10.0.0.1:7800'/>"
                 + "<pooler name='b' at='10.0.0.2:7800' bind='127.0.0.2:7801'/></cluster></frostreel>");
         OperatorSettings.Cluster read = OperatorSettings.read(file, "b").cluster();
         assertThat(read.group()).isEqualTo("frostreel");
         assertThat(read.silentAfterMs()).isEqualTo(800);
         InetSocketAddress first = new InetSocketAddress("10.0.0.1", 7800);
-        assertThat(read.stations()).containsOnlyKeys("a", "b")
+        assertThat(read.stations())
+                .containsOnlyKeys("a", "b")
                 .containsEntry("a", new OperatorSettings.Station(first, first))
-                .containsEntry("b", new OperatorSettings.Station(new InetSocketAddress("10.0.0.2", 7800),
-                        new InetSocketAddress("127.0.0.2", 7801)));
+                .containsEntry(
+                        "b",
+                        new OperatorSettings.Station(
+                                new InetSocketAddress("10.0.0.2", 7800), new InetSocketAddress("127.0.0.2", 7801)));
         assertThatThrownBy(() -> OperatorSettings.read(file, "c"))
-                .hasMessageContaining(":2:").hasMessageContaining("frostreel/cluster: this pooler, 'c'");
+                .hasMessageContaining(":2:")
+                .hasMessageContaining("frostreel/cluster: this pooler, 'c'");
         assertThat(faults(HEAD + "<cluster>\n<pooler name='a' at='10.0.0.1:7800'/>\n"
-                + "<pooler name='a' at='10.0.0.2:7800'/>\n<pooler name='b' at='10.0.0.1:7800'/>\n"
-                + "<pooler name='c' at='0.0.0.0:7800'/>\n<pooler name='d' at='10.0.0.300:1'/>\n"
-                + "<pooler name='e' at='10.0.0.3:0'/>\n<pooler name='f' at='10.0.0.4:65536'/>\n"
-                + "</cluster></frostreel>")).extracting(f -> f.line() + " " + f.key()).containsExactly(
+                        + "<pooler name='a' at='10.0.0.2:7800'/>\n<pooler name='b' at='10.0.0.1:7800'/>\n"
+                        + "<pooler name='c' at='0.0.0.0:7800'/>\n<pooler name='d' at='10.0.0.300:1'/>\n"
+                        + "<pooler name='e' at='10.0.0.3:0'/>\n<pooler name='f' at='10.0.0.4:65536'/>\n"
+                        + "</cluster></frostreel>"))
+                .extracting(f -> f.line() + " " + f.key())
+                .containsExactly(
                         "4 frostreel/cluster/pooler@name", "5 frostreel/cluster/pooler@at",
                         "6 frostreel/cluster/pooler@at", "7 frostreel/cluster/pooler@at",
                         "8 frostreel/cluster/pooler@at", "9 frostreel/cluster/pooler@at");
         assertThat(faults(HEAD + "<cluster silentAfterMs='100'>\n<pooler name='a' at='localhost:1'/>"
-                + "</cluster></frostreel>")).extracting(Fault::key).containsExactly(
-                        "frostreel/cluster@silentAfterMs", "frostreel/cluster/pooler@at");
+                        + "</cluster></frostreel>"))
+                .extracting(Fault::key)
+                .containsExactly("frostreel/cluster@silentAfterMs", "frostreel/cluster/pooler@at");
     }
 
-    @Test void whatIsNotWellFormedIsToldByLine() throws Exception {
-        assertThat(faults(HEAD + "<log>\n</frostreel>")).singleElement()
+    @Test
+    void whatIsNotWellFormedIsToldByLine() throws Exception {
+        assertThat(faults(HEAD + "<log>\n</frostreel>"))
+                .singleElement()
                 .satisfies(f -> assertThat(f.line()).isEqualTo(3));
         assertThat(faults("")).singleElement();
     }
 
-    @Test void noDocumentTypeAndNothingFromOutsideIsRead() throws Exception {
+    @Test
+    void noDocumentTypeAndNothingFromOutsideIsRead() throws Exception {
         Path secret = Files.writeString(folder.resolve("secret"), "json");
-        List<Fault> faults = faults("<!DOCTYPE frostreel [<!ENTITY x SYSTEM \"" + secret.toUri() + "\">]>\n"
-                + HEAD + "<log format=\"&x;\"/></frostreel>");
+        List<Fault> faults = faults("<!DOCTYPE frostreel [<!ENTITY x SYSTEM \"" + secret.toUri() + "\">]>\n" + HEAD
+                + "<log format=\"&x;\"/></frostreel>");
         assertThat(faults).singleElement().satisfies(f -> assertThat(f.text()).contains("DOCTYPE"));
     }
 
-    @Test void theSizeIsBoundedAndAMissingFileIsAFault() throws Exception {
-        assertThat(faults(HEAD + " ".repeat(XmlFile.MOST_BYTES))).singleElement()
+    @Test
+    void theSizeIsBoundedAndAMissingFileIsAFault() throws Exception {
+        assertThat(faults(HEAD + " ".repeat(XmlFile.MOST_BYTES)))
+                .singleElement()
                 .satisfies(f -> assertThat(f.text()).contains("larger"));
-        assertThatThrownBy(() -> OperatorSettings.read(folder.resolve("none")))
-                .hasMessageContaining("cannot be read");
+        assertThatThrownBy(() -> OperatorSettings.read(folder.resolve("none"))).hasMessageContaining("cannot be read");
     }
 }
