--- a/decisions/src/jmh/java/frostreel/zones/AdviserBenchmark.java
+++ b/decisions/src/jmh/java/frostreel/zones/AdviserBenchmark.java
@@ -12,7 +12,7 @@
 import org.openjdk.jmh.annotations.Setup;
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
-import willowfield.Router;
+import frostreel.routing.Router;
 
 /**
  * What the adviser costs a read that looks at three members: price and leave of each, and one send and end.
--- a/decisions/src/main/java/frostreel/operation/ClassTable.java
+++ b/decisions/src/main/java/frostreel/operation/ClassTable.java
@@ -1,11 +1,11 @@
 package frostreel.operation;
 
+import frostreel.routing.Router;
+import frostreel.routing.Router.RequestClass;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import willowfield.Router;
-import willowfield.Router.RequestClass;
 
 /**
  * The classes of requests under numbers that never change their meaning, though settings change: a class that
--- a/decisions/src/main/java/frostreel/operation/CommitBoard.java
+++ b/decisions/src/main/java/frostreel/operation/CommitBoard.java
@@ -1,6 +1,6 @@
 package frostreel.operation;
 
-import willowfield.Router;
+import frostreel.routing.Router;
 
 /**
  * What the processes that serve beside each other as one pooler, or after each other, tell each other of the
--- a/decisions/src/main/java/frostreel/operation/CommitLog.java
+++ b/decisions/src/main/java/frostreel/operation/CommitLog.java
@@ -1,6 +1,6 @@
 package frostreel.operation;
 
-import willowfield.Router;
+import frostreel.routing.Router;
 
 /**
  * Hears of the attempts of writes that this process carries, for the others of the same pooler. Times are
--- a/decisions/src/main/java/frostreel/operation/OutOfService.java
+++ b/decisions/src/main/java/frostreel/operation/OutOfService.java
@@ -1,5 +1,6 @@
 package frostreel.operation;
 
+import frostreel.routing.Router;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -7,7 +8,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import willowfield.Router;
 
 /**
  * Lays the operators' word on servers over discovery's. What goes on to the decisions and to the connections
--- a/decisions/src/main/java/willowfield/Brain.java
+++ b/decisions/src/main/java/frostreel/routing/Brain.java
@@ -1,4 +1,4 @@
-package willowfield;
+package frostreel.routing;
 
 import java.util.ArrayList;
 import java.util.Arrays;
--- a/decisions/src/main/java/willowfield/NearFirst.java
+++ b/decisions/src/main/java/frostreel/routing/NearFirst.java
@@ -1,4 +1,4 @@
-package willowfield;
+package frostreel.routing;
 
 /** The adviser of an installation that states no tiers: another zone is dearer, and nothing else is said. */
 public final class NearFirst implements Router.Adviser {
--- a/decisions/src/main/java/willowfield/WireAdapter.java
+++ b/decisions/src/main/java/frostreel/simulator/WireAdapter.java
@@ -1,5 +1,11 @@
-package willowfield;
+package frostreel.simulator;
 
+import frostreel.routing.Brain;
+import frostreel.routing.Router;
+import frostreel.routing.Router.Outcome;
+import frostreel.wire.Fields;
+import frostreel.wire.Malformed;
+import frostreel.wire.SettingsReader;
 import java.io.BufferedInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -17,7 +23,6 @@
 import org.json.JSONObject;
 import org.json.JSONParserConfiguration;
 import org.json.JSONTokener;
-import willowfield.Router.Outcome;
 
 /** Translates the bench's wire to and from {@link Router}; one Brain an instance. It decides nothing. */
 public final class WireAdapter {
@@ -224,7 +229,7 @@
             faulted = true;
             String at = "";
             for (StackTraceElement frame : e.getStackTrace()) {
-                if (frame.getClassName().startsWith("willowfield.")) {
+                if (frame.getClassName().startsWith("frostreel.")) {
                     at = " at " + frame;
                     break;
                 }
--- a/decisions/src/main/java/willowfield/Fields.java
+++ b/decisions/src/main/java/frostreel/wire/Fields.java
@@ -1,4 +1,4 @@
-package willowfield;
+package frostreel.wire;
 
 import java.util.List;
 import java.util.Map;
@@ -6,7 +6,7 @@
 /** A decoded message: its fields by name, read with a check of each. */
 public record Fields(Map<String, Object> map) {
     /** Whole numbers beyond this are not told apart by every JSON reader. */
-    static final long FAR = 1L << 53;
+    public static final long FAR = 1L << 53;
 
     public boolean has(String key) {
         return map.get(key) != null;
--- a/decisions/src/main/java/willowfield/SettingsReader.java
+++ b/decisions/src/main/java/frostreel/wire/SettingsReader.java
@@ -1,5 +1,6 @@
-package willowfield;
+package frostreel.wire;
 
+import frostreel.routing.Router;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
--- a/decisions/src/main/java/frostreel/zones/ZoneAdviser.java
+++ b/decisions/src/main/java/frostreel/zones/ZoneAdviser.java
@@ -1,5 +1,6 @@
 package frostreel.zones;
 
+import frostreel.routing.Router;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -8,7 +9,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import willowfield.Router;
 
 /**
  * Tiers of preference among zones, with a bound on what spills to the next and a ramp for what comes back.
--- a/decisions/src/test/java/example/Embedding.java
+++ b/decisions/src/test/java/example/Embedding.java
@@ -1,8 +1,8 @@
 package example;
 
+import frostreel.routing.Brain;
+import frostreel.routing.Router;
 import java.util.List;
-import willowfield.Brain;
-import willowfield.Router;
 
 /** A proxy's side of the router: hand in what happens, carry out what it asks for. */
 public final class Embedding implements Router.Actions {
--- a/decisions/src/test/java/frostreel/operation/ClassTableTest.java
+++ b/decisions/src/test/java/frostreel/operation/ClassTableTest.java
@@ -2,12 +2,12 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import frostreel.routing.Router.Access;
+import frostreel.routing.Router.Repeat;
+import frostreel.routing.Router.RequestClass;
+import frostreel.routing.Router.Scope;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import willowfield.Router.Access;
-import willowfield.Router.Repeat;
-import willowfield.Router.RequestClass;
-import willowfield.Router.Scope;
 
 class ClassTableTest {
     private static final long SOON = ClassTable.CHANGE_US - 1;
--- a/decisions/src/test/java/frostreel/operation/CommitBoardTest.java
+++ b/decisions/src/test/java/frostreel/operation/CommitBoardTest.java
@@ -2,11 +2,11 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import frostreel.routing.Router;
+import frostreel.routing.Router.Outcome;
 import java.util.Arrays;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
-import willowfield.Router;
-import willowfield.Router.Outcome;
 
 class CommitBoardTest {
     private static final long NOW = 1_000_000_000;
--- a/decisions/src/test/java/frostreel/operation/OutOfServiceTest.java
+++ b/decisions/src/test/java/frostreel/operation/OutOfServiceTest.java
@@ -2,13 +2,13 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import frostreel.routing.Router;
+import frostreel.routing.Router.State;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
-import willowfield.Router;
-import willowfield.Router.State;
 
 class OutOfServiceTest {
     private final Orders orders = new Orders();
--- a/decisions/src/test/java/willowfield/BrainTest.java
+++ b/decisions/src/test/java/frostreel/routing/BrainTest.java
@@ -1,22 +1,30 @@
-package willowfield;
-
+package frostreel.routing;
+
+import static frostreel.routing.Recorder.ANY;
+import static frostreel.routing.Recorder.FRESH;
+import static frostreel.routing.Recorder.KEYED;
+import static frostreel.routing.Recorder.KEYED_ANYWHERE;
+import static frostreel.routing.Recorder.KEYED_IN_ZONE;
+import static frostreel.routing.Recorder.SAFE_READ;
+import static frostreel.routing.Recorder.SESSION;
+import static frostreel.routing.Recorder.UNSAFE;
+import static frostreel.routing.Recorder.trio;
+import static frostreel.routing.Recorder.up;
+import static frostreel.routing.Recorder.with;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static willowfield.Recorder.ANY;
-import static willowfield.Recorder.FRESH;
-import static willowfield.Recorder.KEYED;
-import static willowfield.Recorder.KEYED_ANYWHERE;
-import static willowfield.Recorder.KEYED_IN_ZONE;
-import static willowfield.Recorder.SAFE_READ;
-import static willowfield.Recorder.SESSION;
-import static willowfield.Recorder.UNSAFE;
-import static willowfield.Recorder.trio;
-import static willowfield.Recorder.up;
-import static willowfield.Recorder.with;
 
+import frostreel.routing.Recorder.Setup;
+import frostreel.routing.Router.Checks;
+import frostreel.routing.Router.ListKind;
+import frostreel.routing.Router.ListRole;
+import frostreel.routing.Router.Marks;
+import frostreel.routing.Router.Outcome;
+import frostreel.routing.Router.Role;
+import frostreel.routing.Router.State;
 import java.util.Comparator;
 import java.util.List;
 import java.util.stream.IntStream;
@@ -25,14 +33,6 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import willowfield.Recorder.Setup;
-import willowfield.Router.Checks;
-import willowfield.Router.ListKind;
-import willowfield.Router.ListRole;
-import willowfield.Router.Marks;
-import willowfield.Router.Outcome;
-import willowfield.Router.Role;
-import willowfield.Router.State;
 
 /** The decisions, through the interface alone. */
 class BrainTest {
--- a/decisions/src/test/java/willowfield/FleetTest.java
+++ b/decisions/src/test/java/frostreel/routing/FleetTest.java
@@ -1,21 +1,21 @@
-package willowfield;
+package frostreel.routing;
 
+import static frostreel.routing.Recorder.ANY;
+import static frostreel.routing.Recorder.SAFE_READ;
+import static frostreel.routing.Recorder.UNSAFE;
+import static frostreel.routing.Recorder.up;
+import static frostreel.routing.Recorder.with;
 import static org.assertj.core.api.Assertions.assertThat;
-import static willowfield.Recorder.ANY;
-import static willowfield.Recorder.SAFE_READ;
-import static willowfield.Recorder.UNSAFE;
-import static willowfield.Recorder.up;
-import static willowfield.Recorder.with;
 
+import frostreel.routing.Recorder.Setup;
+import frostreel.routing.Router.Member;
+import frostreel.routing.Router.Outcome;
+import frostreel.routing.Router.Report;
+import frostreel.routing.Router.Role;
+import frostreel.routing.Router.State;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import willowfield.Recorder.Setup;
-import willowfield.Router.Member;
-import willowfield.Router.Outcome;
-import willowfield.Router.Report;
-import willowfield.Router.Role;
-import willowfield.Router.State;
 
 /** What many routers do to the same members, each knowing only what it saw itself. */
 class FleetTest {
--- a/decisions/src/test/java/willowfield/PromotionTest.java
+++ b/decisions/src/test/java/frostreel/routing/PromotionTest.java
@@ -1,23 +1,23 @@
-package willowfield;
+package frostreel.routing;
 
+import static frostreel.routing.Recorder.ANY;
+import static frostreel.routing.Recorder.KEYED;
+import static frostreel.routing.Recorder.SESSION;
+import static frostreel.routing.Recorder.up;
+import static frostreel.routing.Recorder.with;
 import static org.assertj.core.api.Assertions.assertThat;
-import static willowfield.Recorder.ANY;
-import static willowfield.Recorder.KEYED;
-import static willowfield.Recorder.SESSION;
-import static willowfield.Recorder.up;
-import static willowfield.Recorder.with;
 
+import frostreel.routing.Recorder.Setup;
+import frostreel.routing.Router.ListKind;
+import frostreel.routing.Router.ListRole;
+import frostreel.routing.Router.Marks;
+import frostreel.routing.Router.Outcome;
+import frostreel.routing.Router.Probes;
+import frostreel.routing.Router.Request;
+import frostreel.routing.Router.Role;
+import frostreel.routing.Router.State;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import willowfield.Recorder.Setup;
-import willowfield.Router.ListKind;
-import willowfield.Router.ListRole;
-import willowfield.Router.Marks;
-import willowfield.Router.Outcome;
-import willowfield.Router.Probes;
-import willowfield.Router.Request;
-import willowfield.Router.Role;
-import willowfield.Router.State;
 
 /**
  * A replica that lags is promoted, where commits do not wait for a replica, checks are silent, probes tell no
--- a/decisions/src/test/java/willowfield/Recorder.java
+++ b/decisions/src/test/java/frostreel/routing/Recorder.java
@@ -1,21 +1,21 @@
-package willowfield;
-
+package frostreel.routing;
+
+import frostreel.routing.Router.Access;
+import frostreel.routing.Router.Checks;
+import frostreel.routing.Router.ListKind;
+import frostreel.routing.Router.ListRole;
+import frostreel.routing.Router.Marks;
+import frostreel.routing.Router.Member;
+import frostreel.routing.Router.Outcome;
+import frostreel.routing.Router.Repeat;
+import frostreel.routing.Router.Report;
+import frostreel.routing.Router.Request;
+import frostreel.routing.Router.RequestClass;
+import frostreel.routing.Router.Role;
+import frostreel.routing.Router.Scope;
+import frostreel.routing.Router.State;
 import java.util.ArrayList;
 import java.util.List;
-import willowfield.Router.Access;
-import willowfield.Router.Checks;
-import willowfield.Router.ListKind;
-import willowfield.Router.ListRole;
-import willowfield.Router.Marks;
-import willowfield.Router.Member;
-import willowfield.Router.Outcome;
-import willowfield.Router.Repeat;
-import willowfield.Router.Report;
-import willowfield.Router.Request;
-import willowfield.Router.RequestClass;
-import willowfield.Router.Role;
-import willowfield.Router.Scope;
-import willowfield.Router.State;
 
 /** A router under test, a clock to move by hand, and a record of what the router asked for. */
 final class Recorder implements Router.Actions {
--- a/decisions/src/test/java/willowfield/SessionCommitsTest.java
+++ b/decisions/src/test/java/frostreel/routing/SessionCommitsTest.java
@@ -1,9 +1,9 @@
-package willowfield;
+package frostreel.routing;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import frostreel.routing.Router.Outcome;
 import org.junit.jupiter.api.Test;
-import willowfield.Router.Outcome;
 
 /** What a session's reads must see of its writes, told or in doubt. */
 class SessionCommitsTest {
--- a/decisions/src/test/java/willowfield/SlowStartTest.java
+++ b/decisions/src/test/java/frostreel/routing/SlowStartTest.java
@@ -1,11 +1,11 @@
-package willowfield;
+package frostreel.routing;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import frostreel.routing.Recorder.Setup;
+import frostreel.routing.Router.Member;
+import frostreel.routing.Router.State;
 import org.junit.jupiter.api.Test;
-import willowfield.Recorder.Setup;
-import willowfield.Router.Member;
-import willowfield.Router.State;
 
 /** The part of a started member's work that each router sends it. The rule's span is 2 s, its multiple 3. */
 class SlowStartTest {
--- a/decisions/src/test/java/willowfield/WireAdapterTest.java
+++ b/decisions/src/test/java/frostreel/simulator/WireAdapterTest.java
@@ -1,4 +1,4 @@
-package willowfield;
+package frostreel.simulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -116,7 +116,7 @@
         String text = out.toString(StandardCharsets.UTF_8);
         assertEquals(1, exit);
         assertTrue(text.startsWith("{\"t\":\"Fault\",\"i\":\"proxy/1\",\"bodyText\":\"Create: "), text);
-        assertTrue(text.contains("no module today at willowfield.WireAdapterTest"), text);
+        assertTrue(text.contains("no module today at frostreel.simulator.WireAdapterTest"), text);
         assertTrue(text.endsWith("{\"t\":\"Ack\"}\n"));
     }
 
--- a/decisions/src/test/java/frostreel/zones/ZoneAdviserTest.java
+++ b/decisions/src/test/java/frostreel/zones/ZoneAdviserTest.java
@@ -4,10 +4,10 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 import static org.assertj.core.api.Assertions.within;
 
+import frostreel.routing.Router;
+import frostreel.routing.Router.Outcome;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import willowfield.Router;
-import willowfield.Router.Outcome;
 
 /** One pooler in zone 0, zone 1 next, zone 2 behind it; groups with a member in each zone. */
 class ZoneAdviserTest {
--- a/lab/src/main/java/frostreel/lab/experiment/Experiment.java
+++ b/lab/src/main/java/frostreel/lab/experiment/Experiment.java
@@ -3,6 +3,7 @@
 import frostreel.lab.virtual.Plan;
 import frostreel.lab.virtual.Policy;
 import frostreel.lab.virtual.World;
+import frostreel.routing.Router;
 import frostreel.settings.Fault;
 import frostreel.settings.FaultyFileException;
 import frostreel.settings.XmlElement;
@@ -15,7 +16,6 @@
 import java.util.Map;
 import java.util.function.BiFunction;
 import java.util.function.Consumer;
-import willowfield.Router;
 
 /** An experiment file, read against its schema and checked for sense. */
 public final class Experiment {
--- a/lab/src/main/java/frostreel/lab/model/Cluster.java
+++ b/lab/src/main/java/frostreel/lab/model/Cluster.java
@@ -1,5 +1,6 @@
 package frostreel.lab.model;
 
+import frostreel.routing.Router;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashSet;
@@ -9,7 +10,6 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
-import willowfield.Router;
 
 /**
  * Groups of servers over zones: who leads, who has the log, and what befalls them. It knows no pooler.
--- a/lab/src/main/java/frostreel/lab/model/Server.java
+++ b/lab/src/main/java/frostreel/lab/model/Server.java
@@ -1,12 +1,12 @@
 package frostreel.lab.model;
 
+import frostreel.routing.Router.Outcome;
+import frostreel.routing.Router.Role;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.NavigableSet;
 import java.util.TreeSet;
-import willowfield.Router.Outcome;
-import willowfield.Router.Role;
 
 /** One database server: cores, a queue, a log position, and what knocks it over. It knows no network. */
 public final class Server {
--- a/lab/src/main/java/frostreel/lab/processes/ClientTap.java
+++ b/lab/src/main/java/frostreel/lab/processes/ClientTap.java
@@ -6,11 +6,11 @@
 import frostreel.pg.MessageReader;
 import frostreel.pg.PgException;
 import frostreel.pg.Statement;
+import frostreel.routing.Router;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
 import java.util.Map;
-import willowfield.Router;
 
 /** Tells of the requests on one connection of a client, as the pooler sees them: taken, and answered. */
 final class ClientTap implements Link.Tap {
--- a/lab/src/main/java/frostreel/lab/processes/Fleet.java
+++ b/lab/src/main/java/frostreel/lab/processes/Fleet.java
@@ -10,6 +10,7 @@
 import frostreel.lab.virtual.Plan;
 import frostreel.net.Loop;
 import frostreel.pg.Statement;
+import frostreel.routing.Router;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.net.InetAddress;
@@ -27,7 +28,6 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.function.Consumer;
 import org.json.JSONObject;
-import willowfield.Router;
 
 /**
  * Real processes of the program between stand-ins of all that they speak to, with a link on every way. Owns
--- a/lab/src/main/java/frostreel/lab/processes/ListTap.java
+++ b/lab/src/main/java/frostreel/lab/processes/ListTap.java
@@ -2,12 +2,12 @@
 
 import frostreel.broker.Clock;
 import frostreel.lab.rules.Witness;
+import frostreel.routing.Router.State;
 import java.nio.charset.StandardCharsets;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import org.json.JSONArray;
 import org.json.JSONObject;
-import willowfield.Router.State;
 
 /** Tells what the list has come to say to a pooler, from the stand-in's responses as they reach it. */
 final class ListTap implements Link.Tap {
--- a/lab/src/main/java/frostreel/lab/processes/Load.java
+++ b/lab/src/main/java/frostreel/lab/processes/Load.java
@@ -6,6 +6,7 @@
 import frostreel.pg.MessageReader;
 import frostreel.pg.Messages;
 import frostreel.pg.PgException;
+import frostreel.routing.Router;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
@@ -22,7 +23,6 @@
 import org.xnio.OptionMap;
 import org.xnio.Options;
 import org.xnio.StreamConnection;
-import willowfield.Router;
 
 /**
  * Clients of the poolers: sessions that arrive by chance at a mean rate, ask by class with a deadline, come
--- a/lab/src/main/java/frostreel/lab/processes/PlatformConfig.java
+++ b/lab/src/main/java/frostreel/lab/processes/PlatformConfig.java
@@ -1,9 +1,9 @@
 package frostreel.lab.processes;
 
+import frostreel.routing.Router;
 import java.util.Locale;
 import org.json.JSONArray;
 import org.json.JSONObject;
-import willowfield.Router;
 
 /** Words a pooler's configuration as the platform does; the inverse of the program's reading of settings. */
 final class PlatformConfig {
--- a/lab/src/main/java/frostreel/lab/processes/StatementTap.java
+++ b/lab/src/main/java/frostreel/lab/processes/StatementTap.java
@@ -7,10 +7,10 @@
 import frostreel.pg.PgException;
 import frostreel.pg.Reply;
 import frostreel.pg.Statement;
+import frostreel.routing.Router;
+import frostreel.routing.Router.Outcome;
 import java.nio.ByteBuffer;
 import java.util.Map;
-import willowfield.Router;
-import willowfield.Router.Outcome;
 
 /** Tells of the attempts on one connection from a pooler to a server, as that pooler sees them. */
 final class StatementTap implements Link.Tap {
--- a/lab/src/main/java/frostreel/lab/rules/RuleBook.java
+++ b/lab/src/main/java/frostreel/lab/rules/RuleBook.java
@@ -1,18 +1,18 @@
 package frostreel.lab.rules;
 
+import frostreel.routing.Router.Limits;
+import frostreel.routing.Router.Outcome;
+import frostreel.routing.Router.Repeat;
+import frostreel.routing.Router.RequestClass;
+import frostreel.routing.Router.Rules;
+import frostreel.routing.Router.Scope;
+import frostreel.routing.Router.State;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import willowfield.Router.Limits;
-import willowfield.Router.Outcome;
-import willowfield.Router.Repeat;
-import willowfield.Router.RequestClass;
-import willowfield.Router.Rules;
-import willowfield.Router.Scope;
-import willowfield.Router.State;
 
 /** Every rule, fed with one run. A request's name is its own at all poolers. */
 public final class RuleBook implements Witness {
--- a/lab/src/main/java/frostreel/lab/rules/Witness.java
+++ b/lab/src/main/java/frostreel/lab/rules/Witness.java
@@ -1,8 +1,8 @@
 package frostreel.lab.rules;
 
-import willowfield.Router.Outcome;
-import willowfield.Router.RequestClass;
-import willowfield.Router.State;
+import frostreel.routing.Router.Outcome;
+import frostreel.routing.Router.RequestClass;
+import frostreel.routing.Router.State;
 
 /** What a host tells of a run, in the order in which it happened; times are Unix microseconds. */
 public interface Witness {
--- a/lab/src/main/java/frostreel/lab/standin/Database.java
+++ b/lab/src/main/java/frostreel/lab/standin/Database.java
@@ -8,6 +8,8 @@
 import frostreel.pg.Messages;
 import frostreel.pg.PgException;
 import frostreel.pg.Statement;
+import frostreel.routing.Router.Outcome;
+import frostreel.routing.Router.Role;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -19,8 +21,6 @@
 import java.util.Locale;
 import java.util.Set;
 import org.xnio.StreamConnection;
-import willowfield.Router.Outcome;
-import willowfield.Router.Role;
 
 /** A server of the model behind PostgreSQL's protocol: the part of it that poolers speak to servers. */
 public final class Database {
--- a/lab/src/main/java/frostreel/lab/standin/Discovery.java
+++ b/lab/src/main/java/frostreel/lab/standin/Discovery.java
@@ -4,6 +4,7 @@
 import frostreel.lab.model.Kernel;
 import frostreel.net.Loop;
 import frostreel.net.Stream;
+import frostreel.routing.Router;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
@@ -18,7 +19,6 @@
 import org.json.JSONArray;
 import org.json.JSONObject;
 import org.xnio.StreamConnection;
-import willowfield.Router;
 
 /** The agent of one pooler's machine: the list of servers over HTTP, whole or as a watch. */
 public final class Discovery {
--- a/lab/src/main/java/frostreel/lab/virtual/Bound.java
+++ b/lab/src/main/java/frostreel/lab/virtual/Bound.java
@@ -55,7 +55,7 @@
         double asked = 0;
         for (Plan.Kind k : Plan.KINDS) {
             double each = k.share() * rate;
-            boolean write = k.c().access() == willowfield.Router.Access.WRITE;
+            boolean write = k.c().access() == frostreel.routing.Router.Access.WRITE;
             double[] inTime = write ? writes(second, k) : new double[] {1, 1};
             demands.add(new Demand(
                     each * inTime[0] * k.meanUs() / 1e6, each * inTime[1] * k.c().worth(), each * k.c().worth()));
--- a/lab/src/main/java/frostreel/lab/virtual/Plan.java
+++ b/lab/src/main/java/frostreel/lab/virtual/Plan.java
@@ -1,7 +1,7 @@
 package frostreel.lab.virtual;
 
+import frostreel.routing.Router;
 import java.util.List;
-import willowfield.Router;
 
 /**
  * A run, before any fault.
--- a/lab/src/main/java/frostreel/lab/virtual/Policy.java
+++ b/lab/src/main/java/frostreel/lab/virtual/Policy.java
@@ -1,13 +1,13 @@
 package frostreel.lab.virtual;
 
+import frostreel.routing.Brain;
+import frostreel.routing.Router;
 import frostreel.zones.ZoneAdviser;
 import frostreel.zones.ZoneSettings;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.function.BiFunction;
-import willowfield.Brain;
-import willowfield.Router;
 
 /** Decisions that runs are compared by. */
 public final class Policy {
--- a/lab/src/main/java/frostreel/lab/virtual/Site.java
+++ b/lab/src/main/java/frostreel/lab/virtual/Site.java
@@ -1,9 +1,9 @@
 package frostreel.lab.virtual;
 
 import frostreel.lab.model.Physics;
+import frostreel.routing.Router;
 import java.util.List;
 import java.util.Set;
-import willowfield.Router;
 
 /**
  * What a deployment states, and how its clients and servers are, whatever their number.
--- a/lab/src/main/java/frostreel/lab/virtual/VirtualPooler.java
+++ b/lab/src/main/java/frostreel/lab/virtual/VirtualPooler.java
@@ -10,6 +10,9 @@
 import frostreel.lab.model.Links;
 import frostreel.lab.model.Server;
 import frostreel.lab.rules.Witness;
+import frostreel.routing.Router;
+import frostreel.routing.Router.Outcome;
+import frostreel.routing.Router.Role;
 import frostreel.stats.Counters;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -18,9 +21,6 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.BiFunction;
-import willowfield.Router;
-import willowfield.Router.Outcome;
-import willowfield.Router.Role;
 
 /**
  * The program's own broker and decisions on virtual time; in place of sockets, the model's servers and links.
--- a/lab/src/main/java/frostreel/lab/virtual/World.java
+++ b/lab/src/main/java/frostreel/lab/virtual/World.java
@@ -7,6 +7,7 @@
 import frostreel.lab.model.VirtualTime;
 import frostreel.lab.rules.RuleBook;
 import frostreel.lab.rules.Witness.Answer;
+import frostreel.routing.Router;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashSet;
@@ -16,7 +17,6 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.function.BiFunction;
-import willowfield.Router;
 
 /** Poolers, servers, links, clients and a list that comes late, on virtual time: one seed, one run. */
 public final class World {
--- a/lab/src/test/java/frostreel/lab/LayersTest.java
+++ b/lab/src/test/java/frostreel/lab/LayersTest.java
@@ -11,6 +11,7 @@
 import com.tngtech.archunit.core.importer.ClassFileImporter;
 import com.tngtech.archunit.core.importer.ImportOption;
 import com.tngtech.archunit.lang.ArchRule;
+import frostreel.simulator.WireAdapter;
 import java.time.Clock;
 import java.util.Set;
 import java.util.TreeSet;
@@ -20,18 +21,21 @@
 import org.junit.jupiter.api.DynamicTest;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.TestFactory;
-import willowfield.WireAdapter;
 
 /** Which room may lean on which, within the lines that the build's modules hold. */
 class LayersTest {
     /** The simulator's adapter reads and writes streams for the decisions; it decides nothing. */
     private static final DescribedPredicate<JavaClass> DECISIONS = resideInAnyPackage(
-                    "willowfield..", "frostreel.operation..", "frostreel.zones..")
+                    "frostreel.routing..",
+                    "frostreel.simulator..",
+                    "frostreel.wire..",
+                    "frostreel.operation..",
+                    "frostreel.zones..")
             .and(DescribedPredicate.not(belongToAnyOf(WireAdapter.class)));
 
     private static final JavaClasses ALL = new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
-            .importPackages("willowfield", "frostreel");
+            .importPackages("frostreel");
 
     private static Stream<ArchRule> rules() {
         return Stream.of(
--- a/lab/src/test/java/frostreel/lab/Packages.java
+++ b/lab/src/test/java/frostreel/lab/Packages.java
@@ -19,9 +19,11 @@
             "frostreel.net",
             "frostreel.operation",
             "frostreel.pg",
+            "frostreel.routing",
             "frostreel.settings",
+            "frostreel.simulator",
             "frostreel.stats",
-            "willowfield");
+            "frostreel.wire");
 
     private Packages() {}
 }
--- a/lab/src/test/java/frostreel/lab/processes/TapsTest.java
+++ b/lab/src/test/java/frostreel/lab/processes/TapsTest.java
@@ -6,6 +6,7 @@
 import frostreel.lab.rules.RuleBook;
 import frostreel.lab.virtual.Plan;
 import frostreel.pg.Messages;
+import frostreel.routing.Router;
 import java.io.ByteArrayOutputStream;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -13,7 +14,6 @@
 import java.util.Map;
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
-import willowfield.Router;
 
 /** What is seen of sockets convicts as what is seen in virtual time does; one case for each rule. */
 class TapsTest {
--- a/lab/src/test/java/frostreel/lab/rules/RuleBookTest.java
+++ b/lab/src/test/java/frostreel/lab/rules/RuleBookTest.java
@@ -3,12 +3,12 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import frostreel.lab.rules.Witness.Answer;
+import frostreel.routing.Router;
+import frostreel.routing.Router.Outcome;
+import frostreel.routing.Router.State;
 import java.util.List;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import willowfield.Router;
-import willowfield.Router.Outcome;
-import willowfield.Router.State;
 
 /** Each checker convicts what breaks its rule, and nothing that keeps it. */
 class RuleBookTest {
--- a/lab/src/test/java/frostreel/lab/standin/StandInsTest.java
+++ b/lab/src/test/java/frostreel/lab/standin/StandInsTest.java
@@ -10,6 +10,8 @@
 import frostreel.pg.Messages;
 import frostreel.pg.Reply;
 import frostreel.pg.Statement;
+import frostreel.routing.Router.Outcome;
+import frostreel.routing.Router.Role;
 import java.io.DataInputStream;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -24,8 +26,6 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import willowfield.Router.Outcome;
-import willowfield.Router.Role;
 
 /** The model as a pooler meets it, on sockets; one group of two servers, the first its primary. */
 class StandInsTest {
--- a/lab/src/test/java/frostreel/lab/virtual/AgainstLuckTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/AgainstLuckTest.java
@@ -2,6 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import frostreel.wire.Malformed;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -18,7 +19,6 @@
 import net.jqwik.api.ShrinkingMode;
 import org.json.JSONArray;
 import org.json.JSONObject;
-import willowfield.Malformed;
 
 /** What serves the deployments we know must serve every other one whose settings the same page allows. */
 class AgainstLuckTest {
--- a/lab/src/test/java/frostreel/lab/virtual/ColdFleetTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/ColdFleetTest.java
@@ -2,11 +2,11 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import frostreel.routing.Brain;
+import frostreel.routing.Router;
 import java.util.function.BiFunction;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import willowfield.Brain;
-import willowfield.Router;
 
 /** What all poolers together send to servers that come back cold: each sees a thin and uneven part of all. */
 class ColdFleetTest {
--- a/lab/src/test/java/frostreel/lab/virtual/Draw.java
+++ b/lab/src/test/java/frostreel/lab/virtual/Draw.java
@@ -3,6 +3,11 @@
 import frostreel.lab.model.Cluster;
 import frostreel.lab.model.Physics;
 import frostreel.lab.model.Server;
+import frostreel.routing.Brain;
+import frostreel.routing.Router;
+import frostreel.wire.Fields;
+import frostreel.wire.Malformed;
+import frostreel.wire.SettingsReader;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -10,11 +15,6 @@
 import java.util.function.Consumer;
 import org.json.JSONArray;
 import org.json.JSONObject;
-import willowfield.Brain;
-import willowfield.Fields;
-import willowfield.Malformed;
-import willowfield.Router;
-import willowfield.SettingsReader;
 
 /** A deployment as JSON: {@code settings} as the platform hands them over, a {@code fleet}, and events. */
 record Draw(JSONObject json) {
--- a/lab/src/test/java/frostreel/lab/virtual/KeptDrawsTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/KeptDrawsTest.java
@@ -2,13 +2,13 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import frostreel.wire.Malformed;
 import java.io.IOException;
 import java.io.InputStream;
 import java.nio.charset.StandardCharsets;
 import org.json.JSONObject;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import willowfield.Malformed;
 
 /** Draws that once broke a rule, made small; each with ten seeds. */
 class KeptDrawsTest {
--- a/lab/src/test/java/frostreel/lab/virtual/KnownSitesTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/KnownSitesTest.java
@@ -2,6 +2,8 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import frostreel.routing.Router;
+import frostreel.wire.Malformed;
 import java.io.IOException;
 import java.io.InputStream;
 import java.nio.charset.StandardCharsets;
@@ -11,8 +13,6 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import willowfield.Malformed;
-import willowfield.Router;
 
 /** The deployments in service, by their settings as the simulator hands them over. */
 class KnownSitesTest {
--- a/lab/src/test/java/frostreel/lab/virtual/WorldTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/WorldTest.java
@@ -3,10 +3,10 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import frostreel.lab.rules.Rule;
+import frostreel.routing.Brain;
+import frostreel.routing.Router;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import willowfield.Brain;
-import willowfield.Router;
 
 class WorldTest {
     private static Plan plan(long seed) {
--- a/pooler/src/main/java/frostreel/Pooler.java
+++ b/pooler/src/main/java/frostreel/Pooler.java
@@ -16,6 +16,9 @@
 import frostreel.net.ServerPool;
 import frostreel.operation.ClassTable;
 import frostreel.operation.Door;
+import frostreel.routing.Brain;
+import frostreel.routing.NearFirst;
+import frostreel.routing.Router;
 import frostreel.settings.OperatorSettings;
 import frostreel.zones.ZoneAdviser;
 import java.io.IOException;
@@ -28,9 +31,6 @@
 import java.util.concurrent.TimeUnit;
 import java.util.logging.Level;
 import java.util.logging.Logger;
-import willowfield.Brain;
-import willowfield.NearFirst;
-import willowfield.Router;
 
 /** One pooler: owns its parts, wires them, and sees to their start and their end. */
 public final class Pooler {
--- a/pooler/src/main/java/frostreel/broker/BackEnd.java
+++ b/pooler/src/main/java/frostreel/broker/BackEnd.java
@@ -1,6 +1,6 @@
 package frostreel.broker;
 
-import willowfield.Router;
+import frostreel.routing.Router;
 
 /**
  * Carries attempts and probes to servers, and reports each one's end once, at the earliest within the call.
--- a/pooler/src/main/java/frostreel/broker/Broker.java
+++ b/pooler/src/main/java/frostreel/broker/Broker.java
@@ -2,6 +2,8 @@
 
 import frostreel.log.EventLog;
 import frostreel.operation.CommitLog;
+import frostreel.routing.Router;
+import frostreel.routing.Router.Outcome;
 import frostreel.stats.Counters;
 import java.util.ArrayDeque;
 import java.util.HashSet;
@@ -10,8 +12,6 @@
 import java.util.function.BiFunction;
 import java.util.logging.Level;
 import java.util.logging.Logger;
-import willowfield.Router;
-import willowfield.Router.Outcome;
 
 /**
  * Owns the requests: hands events to the decision module and carries its actions out. It knows no protocol: a
--- a/pooler/src/main/java/frostreel/cli/SimHost.java
+++ b/pooler/src/main/java/frostreel/cli/SimHost.java
@@ -1,9 +1,9 @@
 package frostreel.cli;
 
+import frostreel.simulator.WireAdapter;
 import java.io.IOException;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
-import willowfield.WireAdapter;
 
 /** The decisions alone, on the simulator's wire. */
 @Command(
--- a/pooler/src/main/java/frostreel/config/Config.java
+++ b/pooler/src/main/java/frostreel/config/Config.java
@@ -1,5 +1,9 @@
 package frostreel.config;
 
+import frostreel.routing.Router;
+import frostreel.wire.Fields;
+import frostreel.wire.Malformed;
+import frostreel.wire.SettingsReader;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -9,10 +13,6 @@
 import java.util.Map;
 import org.json.JSONException;
 import org.json.JSONObject;
-import willowfield.Fields;
-import willowfield.Malformed;
-import willowfield.Router;
-import willowfield.SettingsReader;
 
 /**
  * All that the program is told at its start, read and checked here alone. Limits left out get the platform's
--- a/pooler/src/main/java/frostreel/config/HostList.java
+++ b/pooler/src/main/java/frostreel/config/HostList.java
@@ -1,14 +1,14 @@
 package frostreel.config;
 
+import frostreel.routing.Router;
+import frostreel.wire.Fields;
+import frostreel.wire.Malformed;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import willowfield.Fields;
-import willowfield.Malformed;
-import willowfield.Router;
 
 /** A list of servers, whole or only what changed, in discovery's form. */
 public record HostList(long seq, boolean whole, List<Host> hosts) {
--- a/pooler/src/main/java/frostreel/control/Beside.java
+++ b/pooler/src/main/java/frostreel/control/Beside.java
@@ -3,10 +3,10 @@
 import frostreel.config.Config;
 import frostreel.operation.CommitBoard;
 import frostreel.operation.CommitLog;
+import frostreel.routing.Router;
 import java.io.IOException;
 import java.util.SplittableRandom;
 import java.util.logging.Logger;
-import willowfield.Router;
 
 /**
  * What this process tells of its writes to those that serve beside it as the same pooler, and what it knows
--- a/pooler/src/main/java/frostreel/control/Operator.java
+++ b/pooler/src/main/java/frostreel/control/Operator.java
@@ -7,6 +7,7 @@
 import frostreel.operation.Door;
 import frostreel.operation.Orders;
 import frostreel.operation.OutOfService;
+import frostreel.routing.Router;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
@@ -14,7 +15,6 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import java.util.logging.Logger;
-import willowfield.Router;
 
 /**
  * Carries operators' orders out, and lays those on servers over discovery's lists on their way in. An order
--- a/pooler/src/main/java/frostreel/discovery/Watch.java
+++ b/pooler/src/main/java/frostreel/discovery/Watch.java
@@ -3,13 +3,13 @@
 import frostreel.broker.Deadlines;
 import frostreel.config.HostList;
 import frostreel.net.Loop;
+import frostreel.wire.Malformed;
 import java.net.InetSocketAddress;
 import java.util.List;
 import java.util.function.Consumer;
 import java.util.logging.Logger;
 import org.json.JSONException;
 import org.json.JSONObject;
-import willowfield.Malformed;
 
 /**
  * Owns the watch on discovery: changes since the list in hand, each call made right after the last answer;
--- a/pooler/src/main/java/frostreel/net/ServerConnection.java
+++ b/pooler/src/main/java/frostreel/net/ServerConnection.java
@@ -7,6 +7,7 @@
 import frostreel.pg.Messages;
 import frostreel.pg.PgException;
 import frostreel.pg.Reply;
+import frostreel.routing.Router.Outcome;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
@@ -15,7 +16,6 @@
 import org.xnio.OptionMap;
 import org.xnio.Options;
 import org.xnio.StreamConnection;
-import willowfield.Router.Outcome;
 
 /** One connection to a server, with at most one attempt on it. */
 final class ServerConnection implements Stream.Handler, BackEnd.Flow {
--- a/pooler/src/main/java/frostreel/net/ServerPool.java
+++ b/pooler/src/main/java/frostreel/net/ServerPool.java
@@ -6,6 +6,8 @@
 import frostreel.broker.SlotTable;
 import frostreel.config.HostList;
 import frostreel.pg.Messages;
+import frostreel.routing.Router;
+import frostreel.routing.Router.Outcome;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
@@ -17,8 +19,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import willowfield.Router;
-import willowfield.Router.Outcome;
 
 /**
  * Owns the connections to servers. An attempt takes a clean idle connection, or waits for the one opened for
--- a/pooler/src/main/java/frostreel/pg/LoadReport.java
+++ b/pooler/src/main/java/frostreel/pg/LoadReport.java
@@ -1,6 +1,6 @@
 package frostreel.pg;
 
-import willowfield.Router;
+import frostreel.routing.Router;
 
 /** Reads a server's word on itself, {@code inflight=7,util=0.61}. */
 final class LoadReport {
--- a/pooler/src/main/java/frostreel/pg/Reply.java
+++ b/pooler/src/main/java/frostreel/pg/Reply.java
@@ -1,11 +1,11 @@
 package frostreel.pg;
 
 import frostreel.broker.BackEnd;
+import frostreel.routing.Router;
+import frostreel.routing.Router.Outcome;
 import java.io.ByteArrayOutputStream;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
-import willowfield.Router;
-import willowfield.Router.Outcome;
 
 /**
  * What a server has answered so far to one query, or to the startup message; owns the row's bytes until
--- a/pooler/src/main/java/frostreel/stats/Counters.java
+++ b/pooler/src/main/java/frostreel/stats/Counters.java
@@ -1,8 +1,8 @@
 package frostreel.stats;
 
+import frostreel.routing.Router.Outcome;
 import java.util.EnumMap;
 import java.util.Map;
-import willowfield.Router.Outcome;
 
 /** Counts what is taken in, sent and answered. Written by the I/O thread alone. */
 public final class Counters {
--- a/pooler/src/test/java/frostreel/BesideTest.java
+++ b/pooler/src/test/java/frostreel/BesideTest.java
@@ -4,6 +4,7 @@
 
 import frostreel.config.Config;
 import frostreel.control.Beside;
+import frostreel.routing.Router.Outcome;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.channels.FileChannel;
@@ -15,7 +16,6 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import willowfield.Router.Outcome;
 
 /** The file that the processes of one pooler share: two of them, each with a mapping of its own. */
 class BesideTest {
--- a/pooler/src/test/java/frostreel/broker/BrokerTest.java
+++ b/pooler/src/test/java/frostreel/broker/BrokerTest.java
@@ -2,11 +2,11 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import frostreel.routing.Router;
 import frostreel.stats.Counters;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import willowfield.Router;
 
 /** What the broker sees to by itself where the decision module does nothing, on a clock that tests move. */
 class BrokerTest {
--- a/pooler/src/test/java/frostreel/control/BeforeCommitsTest.java
+++ b/pooler/src/test/java/frostreel/control/BeforeCommitsTest.java
@@ -4,13 +4,13 @@
 
 import frostreel.operation.CommitBoard;
 import frostreel.operation.Orders;
+import frostreel.routing.Router.Outcome;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import willowfield.Router.Outcome;
 
 /**
  * A process from before there was the commits' file serves in the same folder. Held: its orders and the
