--- a/decisions/src/main/java/frostreel/routing/Brain.java
+++ b/decisions/src/main/java/frostreel/routing/ChainRouter.java
@@ -21,7 +21,7 @@
  * reads go to an own-zone replica known to be new enough, else to another zone's, and reach the primary only
  * when no replica can serve. Every send passes {@link #send}, which holds the rules; every request ends in an
  * OK or in {@link #giveUp}. */
-public final class Brain implements Router {
+public final class ChainRouter implements Router {
     // ---- Constants: each a ratio of a handed setting, or a starting value of the design page. ----
 
     /** The design's half second: the walk visits a member this often; a full round while on hold. */
@@ -57,9 +57,9 @@
     private static final String SWEEP = "sweep";
 
     /** A member of a group, with what answers, probes and the list have told of it. */
-    private final class Node {
+    private final class MemberState {
         final String id;
-        final Group group;
+        final GroupState group;
         int zone, kind, seat; // The adviser's name for it.
         State state = State.UP;
         boolean drained;
@@ -87,44 +87,44 @@
         long pausedUntil; // Turned away as full: left alone until then, longer each time.
         int turnedAway;
 
-        Node(String named, Group in, long now) {
+        MemberState(String named, GroupState in, long now) {
             id = named;
             group = in;
             start = slow.meet(now);
         }
     }
 
-    private final class Group {
+    private final class GroupState {
         final int number;
-        final List<Node> chain = new ArrayList<>();
-        final ArrayList<Call> held = new ArrayList<>(), parked = new ArrayList<>();
-        Node head;
+        final List<MemberState> chain = new ArrayList<>();
+        final ArrayList<PendingRequest> held = new ArrayList<>(), parked = new ArrayList<>();
+        MemberState head;
         long headAt = -1; // When the head was last heard as primary, and whether by an answer.
-        Node start, keeper; // Where its long queries go.
+        MemberState start, keeper; // Where its long queries go.
         boolean headAnswered, holding, doubted;
         long walkAt, canaryAt, probedAt;
         int walk, turn, sinceLink;
         final Goodput goodput = new Goodput(spanUs);
 
-        Group(int number) {
+        GroupState(int number) {
             this.number = number;
         }
     }
 
-    private final class Call {
+    private final class PendingRequest {
         final Request q;
         final RequestClass k;
-        final Group g;
+        final GroupState g;
         final long arrivedUs;
         final boolean toHead;
         final int mostAttempts = set.limits().maxAttempts();
-        final ArrayList<Node> missed = new ArrayList<>(4);
-        Node on;
+        final ArrayList<MemberState> missed = new ArrayList<>(4);
+        MemberState on;
         int attempts, keyZone = -1; // The one zone that may know its key; -1 while it may go anywhere.
         long startedUs, sentAt, firstMaybe, notBefore, patienceUs;
         boolean mayHaveRun, parked, ended, crowded;
 
-        Call(Request request, Group group, long now) {
+        PendingRequest(Request request, GroupState group, long now) {
             q = request;
             k = set.classes().get(q.cls());
             g = group;
@@ -144,13 +144,13 @@
     private final long sweepUs;
     private long keepUs;
     private double[] expect = {};
-    private final Map<String, Node> nodes = new HashMap<>();
-    private final Map<Integer, Group> groups = new TreeMap<>();
+    private final Map<String, MemberState> nodes = new HashMap<>();
+    private final Map<Integer, GroupState> groups = new TreeMap<>();
     /** The groups in which a request waits unsent; the sweep runs while there is one, over these alone. */
-    private final Map<Integer, Group> waiting = new TreeMap<>();
+    private final Map<Integer, GroupState> waiting = new TreeMap<>();
 
     private boolean sweeping, started;
-    private final Map<String, Call> calls = new HashMap<>();
+    private final Map<String, PendingRequest> calls = new HashMap<>();
     private final SessionCommits commits = new SessionCommits();
     private double retryTokens = RETRY_BURST;
     private double baseLag = WALK_US / 2.0;
@@ -163,15 +163,15 @@
 
     private final Goodput goodput = new Goodput(spanUs);
 
-    public Brain(Settings settings, Actions actions) {
+    public ChainRouter(Settings settings, Actions actions) {
         this(settings, actions, new NearFirst(settings.zone()));
     }
 
-    public Brain(Settings settings, Actions actions, Adviser adviser) {
+    public ChainRouter(Settings settings, Actions actions, Adviser adviser) {
         this(settings, actions, adviser, (now, session) -> 0);
     }
 
-    public Brain(Settings settings, Actions actions, Adviser adviser, Elsewhere elsewhere) {
+    public ChainRouter(Settings settings, Actions actions, Adviser adviser, Elsewhere elsewhere) {
         act = actions;
         advice = adviser;
         this.elsewhere = elsewhere;
@@ -219,7 +219,7 @@
             listed(now, m, first);
         }
         nodes.values().forEach(n -> slow.usable(n.start, usable(n)));
-        for (Group g : groups.values()) {
+        for (GroupState g : groups.values()) {
             g.chain.removeIf(n -> forgotten(now, n) && forget(n));
             if (g.head != null && !usable(g.head)) {
                 loseHead(g);
@@ -228,10 +228,10 @@
     }
 
     private void listed(long now, Member m, boolean atStart) {
-        Node n = nodes.get(m.id());
+        MemberState n = nodes.get(m.id());
         if (n == null) {
-            Group g = groups.computeIfAbsent(m.group(), Group::new);
-            n = new Node(m.id(), g, now);
+            GroupState g = groups.computeIfAbsent(m.group(), GroupState::new);
+            n = new MemberState(m.id(), g, now);
             n.known = atStart;
             n.seat = advice.seat(m.group(), m.zone());
             n.progressAt = n.markedAt = now;
@@ -260,26 +260,26 @@
         }
     }
 
-    private boolean forgotten(long now, Node n) {
+    private boolean forgotten(long now, MemberState n) {
         n.goneAt = n.state != State.GONE ? 0 : n.goneAt == 0 ? now : n.goneAt;
         boolean kept = n.known && (set.rules().onlyDrainingBinds() || now - n.goneAt <= keepUs);
         return n.goneAt > 0 && n.out == 0 && !kept;
     }
 
-    private boolean forget(Node n) {
+    private boolean forget(MemberState n) {
         advice.left(n.seat);
         slow.forget(n.start);
         return nodes.remove(n.id, n);
     }
 
-    private boolean usable(Node n) {
+    private boolean usable(MemberState n) {
         return n.state == State.UP || n.state == State.GONE && set.rules().onlyDrainingBinds() && !n.drained;
     }
 
     /** Role evidence: an answer beats a probe beats the list, and what is older than the head's is passed
      * over. */
-    private void noteRole(long now, Node n, Role role, long at, boolean answer) {
-        Group g = n.group;
+    private void noteRole(long now, MemberState n, Role role, long at, boolean answer) {
+        GroupState g = n.group;
         if (role == Role.PRIMARY && at > n.replicaAt) {
             n.primaryAt = Math.max(n.primaryAt, at);
             boolean open = g.head == null || g.doubted || !g.headAnswered;
@@ -300,8 +300,8 @@
         }
     }
 
-    private void setHead(long now, Node n, long at, boolean answer) {
-        Group g = n.group;
+    private void setHead(long now, MemberState n, long at, boolean answer) {
+        GroupState g = n.group;
         if (g.holding || g.doubted) {
             n.window = Math.min(n.window, FIRST_WINDOW);
             n.opening = true;
@@ -312,18 +312,18 @@
         g.holding = g.doubted = false;
     }
 
-    private void loseHead(Group g) {
+    private void loseHead(GroupState g) {
         g.head = null;
         g.headAnswered = false;
         g.doubted = false;
     }
 
     /** The next of the chain for a write: from the head or where it last was, each once, strangers last. */
-    private Node next(Call c) {
-        List<Node> chain = c.g.chain;
+    private MemberState next(PendingRequest c) {
+        List<MemberState> chain = c.g.chain;
         int from = c.g.start == null ? 0 : Math.max(0, chain.indexOf(c.g.start));
         for (int i = 0; i < 2 * chain.size(); i++) {
-            Node n = chain.get((from + i) % chain.size());
+            MemberState n = chain.get((from + i) % chain.size());
             boolean last = !n.known || c.keyZone >= 0 && n.zone != c.keyZone;
             if (usable(n) && !c.missed.contains(n) && (!last || i >= chain.size())) {
                 return n;
@@ -334,7 +334,7 @@
 
     /** The walk: probes the next member, once a group; a full round each half second where as many wait, less
      * where fewer do, as every router walks so. A head that answered of late needs none. */
-    private void walk(long now, Group g) {
+    private void walk(long now, GroupState g) {
         boolean urgent = g.head == null || g.holding || g.doubted;
         long step = WALK_US / Math.max(1, Math.min(g.chain.size(), g.held.size()));
         boolean idle = !urgent && (g.held.isEmpty() || now - g.headAt < KEEP * WALK_US / 5);
@@ -343,7 +343,7 @@
         }
         g.walkAt = now;
         for (int i = 0; i < g.chain.size(); i++) {
-            Node n = g.chain.get(g.walk++ % g.chain.size());
+            MemberState n = g.chain.get(g.walk++ % g.chain.size());
             if (!usable(n) || n.probing) {
                 continue;
             }
@@ -352,7 +352,7 @@
                 return;
             }
             for (int j = 0; urgent && j < g.held.size(); j++) {
-                Call c = g.held.get(j);
+                PendingRequest c = g.held.get(j);
                 if (!c.mayHaveRun && send(now, c, n, WALK_US)) {
                     g.held.remove(j);
                     return;
@@ -361,7 +361,7 @@
         }
     }
 
-    private void probe(long now, Node n) {
+    private void probe(long now, MemberState n) {
         if (set.limits().probes() != Probes.NONE && !n.probing && usable(n)) {
             n.probing = true;
             n.askedAt = now;
@@ -371,7 +371,7 @@
 
     @Override
     public void onProbe(long now, String memberId, boolean ok, long tookUs, Report report) {
-        Node n = nodes.get(memberId);
+        MemberState n = nodes.get(memberId);
         if (n == null) {
             return;
         }
@@ -385,7 +385,7 @@
         pump(now, n.group);
     }
 
-    private void learnReport(long now, Node n, Report r) {
+    private void learnReport(long now, MemberState n, Report r) {
         slow.reported(n.start, r.util());
         if (r.positionUs() > 0) {
             n.position = Math.max(n.position, r.positionUs());
@@ -402,8 +402,8 @@
     @Override
     public void onRequest(long now, Request q) {
         retryTokens = Math.min(RETRY_BURST, retryTokens + RETRY_SHARE);
-        Group g = groups.computeIfAbsent(q.group(), Group::new);
-        Call c = new Call(q, g, now);
+        GroupState g = groups.computeIfAbsent(q.group(), GroupState::new);
+        PendingRequest c = new PendingRequest(q, g, now);
         calls.put(q.id(), c);
         c.crowded = jammed(c) && draw.nextDouble() < g.goodput.excess(now, goodput);
         if (c.crowded) {
@@ -424,13 +424,13 @@
     }
 
     /** Whether a member where it may go lets out one attempt at a time: a slow replica jams no write. */
-    private boolean jammed(Call c) {
+    private boolean jammed(PendingRequest c) {
         return c.toHead
                 ? c.g.head != null && !c.g.doubted && c.g.head.window <= 1
                 : c.g.chain.stream().anyMatch(n -> n.window <= 1);
     }
 
-    private void conclude(long now, Call c, double worth) {
+    private void conclude(long now, PendingRequest c, double worth) {
         if (!c.ended && (worth > 0 || c.crowded)) { // Refusing cures no error, and no want of a primary.
             goodput.add(now, worth);
             c.g.goodput.add(now, worth);
@@ -438,7 +438,7 @@
         c.ended = true;
     }
 
-    private void route(long now, Call c) {
+    private void route(long now, PendingRequest c) {
         if (!c.toHead) {
             routeRead(now, c);
         } else if (spent(now, c)) {
@@ -450,7 +450,7 @@
     }
 
     /** Only a request that waits keeps the sweep going: an idle router costs nobody anything. */
-    private void enqueue(Call c, List<Call> queue, int at) {
+    private void enqueue(PendingRequest c, List<PendingRequest> queue, int at) {
         queue.add(at, c);
         waiting.put(c.g.number, c.g);
         if (!sweeping) {
@@ -460,7 +460,7 @@
     }
 
     /** Whether nothing more may be tried: time, attempts or the key's window have run out. */
-    private boolean spent(long now, Call c) {
+    private boolean spent(long now, PendingRequest c) {
         return now + 2 * sweepUs >= c.q.deadlineUs()
                 || c.attempts >= c.mostAttempts
                 || c.mayHaveRun
@@ -470,18 +470,18 @@
 
     /** Lets out what waits: held writes as the head's window allows, then parked reads. Newest first: oldest
      * first, a backlog makes every request late; this way only those that are late already wait on. */
-    private void pump(long now, Group g) {
+    private void pump(long now, GroupState g) {
         doubt(now, g);
         boolean canary = g.doubted && now - g.canaryAt >= WALK_US;
         for (int i = g.held.size() - 1; i >= 0; i--) {
-            Call c = g.held.get(i);
+            PendingRequest c = g.held.get(i);
             if (g.holding || g.head != null && !g.doubted && !room(now, g.head, 1)) {
                 break;
             }
             if (now < c.notBefore || g.doubted && (!canary || c.k.repeat() == Repeat.UNSAFE)) {
                 continue;
             }
-            Node to = g.head != null ? g.head : next(c);
+            MemberState to = g.head != null ? g.head : next(c);
             if (to == null) {
                 g.holding = true;
                 break;
@@ -495,7 +495,7 @@
             }
         }
         for (int i = g.parked.size() - 1; i >= 0; i--) {
-            Call c = g.parked.get(i);
+            PendingRequest c = g.parked.get(i);
             c.parked = false;
             routeRead(now, c);
         }
@@ -504,7 +504,7 @@
 
     /** A primary that says it is busy, or that says nothing and was late of late, is not silent: the same
      * write again would only add to its work. */
-    private long writeTimeout(long now, Call c, Node n) {
+    private long writeTimeout(long now, PendingRequest c, MemberState n) {
         long left = c.q.deadlineUs() - now;
         double util = slow.util(n.start);
         if (c.k.repeat() == Repeat.UNSAFE || util >= FULL || util < 0 && n.window < FIRST_WINDOW) {
@@ -520,11 +520,11 @@
     // ---- Reads: the pick of a replica. ----
 
     /** Whether sessions' writes are remembered here, and this is one. */
-    private boolean marks(Call c) {
+    private boolean marks(PendingRequest c) {
         return c.k.access() == Access.WRITE && set.marks() == Marks.REMEMBERED;
     }
 
-    private long need(long now, Call c) {
+    private long need(long now, PendingRequest c) {
         return switch (c.k.access()) {
             case BOUNDED -> now - c.k.boundUs() + 2000;
             case SESSION -> {
@@ -539,7 +539,7 @@
     }
 
     /** Whether a member checks and nothing says that it is too far behind; the baseline is report age. */
-    private boolean likely(long now, Node n, long need) {
+    private boolean likely(long now, MemberState n, long need) {
         return set.checks() != Checks.SILENT
                 && now - n.missAt > WALK_US
                 && now - need + set.limits().holdsForUs() >= n.lag - Math.min(baseLag, n.lag);
@@ -548,7 +548,7 @@
     /** Whether a probe might show that a member has what is needed: that is not all too recent, and it was
      * not asked just now. A waiting read that asks on and on costs more than it is worth, and of one that
      * stood far behind each router would know without asking that it cannot have caught up yet. */
-    private boolean provable(long now, Node n, long need) {
+    private boolean provable(long now, MemberState n, long need) {
         long behind = n.lag - (now - need); // When it last told its position.
         return set.limits().probes() == Probes.REPORT
                 && now - need > baseLag
@@ -557,7 +557,7 @@
     }
 
     /** A member listed later gets reads once it answered a probe: a list may name what is none of ours. */
-    private boolean stranger(long now, Node n) {
+    private boolean stranger(long now, MemberState n) {
         if (!n.known && now - n.askedAt > KEEP * WALK_US / 2) {
             probe(now, n);
         }
@@ -565,12 +565,12 @@
     }
 
     /** Whether to wait for a probe that is out and may tell a position, a tenth of the aim at most. */
-    private boolean asks(long now, Call c) {
+    private boolean asks(long now, PendingRequest c) {
         if (c.patienceUs == 0) {
             c.patienceUs = now + Math.max(2 * set.tickUs(), c.k.aimUs() / 10);
         }
         boolean any = false;
-        for (Node n : c.g.chain) {
+        for (MemberState n : c.g.chain) {
             any |= n.probing && usable(n) && !c.missed.contains(n);
         }
         return any && now < c.patienceUs && set.limits().probes() == Probes.REPORT;
@@ -578,13 +578,13 @@
 
     /** So much of its time gone, nothing sent: its client does better to ask elsewhere than to wait on. So
      * with a write while no primary is known; for room at one that is, it waits as long as it may. */
-    private boolean stuck(long now, Call c) {
+    private boolean stuck(long now, PendingRequest c) {
         double wait = WAIT * (c.q.deadlineUs() - c.arrivedUs);
         return c.attempts == 0 && now + 2 * sweepUs > c.arrivedUs + wait;
     }
 
-    private void routeRead(long now, Call c) {
-        Group g = c.g;
+    private void routeRead(long now, PendingRequest c) {
+        GroupState g = c.g;
         boolean late = now + expect[c.q.cls()] / 2 > until(c) && (c.attempts > 0 || now > c.arrivedUs);
         if (late || stuck(now, c) || spent(now, c)) {
             giveUp(now, c);
@@ -600,17 +600,17 @@
             g.canaryAt = now;
             return;
         }
-        Node best = null;
-        Node unproven = null;
+        MemberState best = null;
+        MemberState unproven = null;
         double bestCost = Double.MAX_VALUE;
         double askCost = Double.MAX_VALUE;
         boolean waits = false, denied = false;
         boolean longer = lengthy(c);
         double part = c.k.access() == Access.ANY && !longer ? LEAVE : 1;
-        Node only = longer && now - c.arrivedUs < PATIENT * c.k.aimUs() ? keeper(now, c) : null;
+        MemberState only = longer && now - c.arrivedUs < PATIENT * c.k.aimUs() ? keeper(now, c) : null;
         int size = g.chain.size();
         for (int i = 0; i < size; i++) {
-            Node n = g.chain.get((turnSeed + g.turn + i) % size);
+            MemberState n = g.chain.get((turnSeed + g.turn + i) % size);
             if (n == g.head || !usable(n) || c.missed.contains(n) || stranger(now, n) || only != null && n != only) {
                 continue;
             }
@@ -677,23 +677,23 @@
 
     /** Whether an open connection is free: a new one costs the member work and the request time, and hundreds
      * of routers that each rotate over all members would fill their tables. */
-    private boolean linked(long now, Node n) {
+    private boolean linked(long now, MemberState n) {
         return n.out < n.links * set.limits().perLink()
                 && now - n.linkedAt < set.limits().idleCloseUs();
     }
 
     /** A long query that any member may answer: its own work, not a queue, makes its time. */
-    private boolean lengthy(Call c) {
+    private boolean lengthy(PendingRequest c) {
         return c.k.access() == Access.ANY && expect[c.q.cls()] > LENGTHY * work;
     }
 
     /** The replica that a group's long queries keep to: one that holds any may apply nothing, so spread over
      * all they would leave none that is new enough for other reads. The furthest behind, as routers agree on
      * that one, and kept until another is well behind it or it can't serve. */
-    private Node keeper(long now, Call c) {
-        Node best = null;
+    private MemberState keeper(long now, PendingRequest c) {
+        MemberState best = null;
         double furthest = -1;
-        for (Node n : c.g.chain) {
+        for (MemberState n : c.g.chain) {
             double price = advice.price(now, n.seat);
             if (n != c.g.head
                     && usable(n)
@@ -713,7 +713,7 @@
 
     /** A read that any member may answer leans to a replica that is behind and can serve little else, so that
      * long queries, which may stop a replica from applying, keep to few of them; the others stay fresh. */
-    private double leisure(Call c, Node n) {
+    private double leisure(PendingRequest c, MemberState n) {
         return c.k.access() != Access.ANY
                 ? 1
                 : 1
@@ -724,7 +724,7 @@
 
     /** Waits for room. A marked repeat waits behind first tries: part of its aim has gone, and under overload
      * repeats would else take the room in which first tries still make theirs. */
-    private void park(Call c) {
+    private void park(PendingRequest c) {
         if (!c.parked && !c.g.parked.contains(c)) {
             enqueue(c, c.g.parked, c.q.repeated() ? 0 : c.g.parked.size());
         }
@@ -732,12 +732,12 @@
     }
 
     /** Until when an answer is worth anything: the deadline, or the aim where lateness earns nothing. */
-    private static long until(Call c) {
+    private static long until(PendingRequest c) {
         return c.k.lateWorth() > 0 ? c.q.deadlineUs() : Math.min(c.q.deadlineUs(), c.arrivedUs + c.k.aimUs());
     }
 
     /** Where no window bounds a member's queue, a time-out takes out of it what is past its use. */
-    private long readTimeout(long now, Call c, Node n) {
+    private long readTimeout(long now, PendingRequest c, MemberState n) {
         long left = (n.window <= 1 ? until(c) : c.q.deadlineUs()) - now;
         double mean = expected(c, n, now);
         double spare = c.arrivedUs + c.k.aimUs() - now - 1.5 * mean;
@@ -746,37 +746,37 @@
 
     // ---- Health: what outcomes say of a member, against its peers. ----
 
-    private double fade(long now, Node n) {
+    private double fade(long now, MemberState n) {
         return Math.exp(-(now - n.markedAt) / FADE_US);
     }
 
-    private double expected(Call c, Node n, long now) {
+    private double expected(PendingRequest c, MemberState n, long now) {
         return expect[c.q.cls()] * (1 + (n.ratio - 1) * fade(now, n));
     }
 
-    private double cost(long now, Node n) {
+    private double cost(long now, MemberState n) {
         double f = fade(now, n);
         double c = (1 + (n.ratio - 1) * f) * (1 + 0.5 * n.out / Math.max(0.1, n.weight)) * (1 + FAIL_COST * n.fail * f);
         return silent(now, n) ? c * FAIL_COST : c;
     }
 
-    private boolean silent(long now, Node n) {
+    private boolean silent(long now, MemberState n) {
         return n.out > 0 && now - n.progressAt > SILENCE * n.slowest;
     }
 
     /** The window: one bound against overload, hangs, crawling members and floods after a release alike. */
-    private boolean room(long now, Node n, double share) {
+    private boolean room(long now, MemberState n, double share) {
         return now >= n.pausedUntil && n.out < Math.max(1, n.window * share);
     }
 
-    private void widen(Node n) {
+    private void widen(MemberState n) {
         n.turnedAway = 0;
         if (n.out + 1 >= n.window / 2) {
             n.window += n.opening ? 1 : 1 / n.window;
         }
     }
 
-    private void narrow(long now, Node n, double aboutUs) {
+    private void narrow(long now, MemberState n, double aboutUs) {
         n.opening = false;
         if (now - n.cutAt > aboutUs) {
             n.window = Math.max(1, Math.min(n.window, n.out + 1) * CUT);
@@ -785,11 +785,11 @@
     }
 
     /** A member that turns away or cannot be reached does so at once, and would draw a storm of attempts. */
-    private void pause(long now, Node n, Call c) {
+    private void pause(long now, MemberState n, PendingRequest c) {
         n.pausedUntil = now + Math.min(WALK_US, (long) expect[c.q.cls()] / 4 << Math.min(n.turnedAway++, 8));
     }
 
-    private void mark(long now, Node n, double ratio, boolean failed) {
+    private void mark(long now, MemberState n, double ratio, boolean failed) {
         double f = fade(now, n);
         n.fail = n.fail * f * (1 - 2 * MEAN) + (failed ? 2 * MEAN : 0);
         n.ratio = 1 + (n.ratio - 1) * f;
@@ -811,8 +811,8 @@
             Role role,
             long positionUs,
             Report report) {
-        Call c = calls.get(requestId);
-        Node n = nodes.get(memberId);
+        PendingRequest c = calls.get(requestId);
+        MemberState n = nodes.get(memberId);
         if (n == null || c == null || c.on == null) {
             return;
         }
@@ -838,8 +838,15 @@
     }
 
     private void learnOutcome(
-            long now, Call c, Node n, Outcome o, long tookUs, Role role, long positionUs, Report report) {
-        Group g = n.group;
+            long now,
+            PendingRequest c,
+            MemberState n,
+            Outcome o,
+            long tookUs,
+            Role role,
+            long positionUs,
+            Report report) {
+        GroupState g = n.group;
         boolean write = c.k.access() == Access.WRITE;
         if (o == Outcome.OK || o == Outcome.ERROR || o == Outcome.FULL || o == Outcome.MISS) {
             n.progressAt = now;
@@ -901,7 +908,7 @@
     }
 
     /** What becomes of a request whose attempt did not serve it. */
-    private void again(long now, Call c, Node n, Outcome o) {
+    private void again(long now, PendingRequest c, MemberState n, Outcome o) {
         if (o != Outcome.FULL || !c.toHead) {
             c.missed.add(n);
         }
@@ -933,9 +940,9 @@
             act.subscribe();
             return;
         }
-        for (Group g : List.copyOf(waiting.values())) {
+        for (GroupState g : List.copyOf(waiting.values())) {
             for (int i = 0; i < g.held.size(); i++) {
-                Call c = g.held.get(i);
+                PendingRequest c = g.held.get(i);
                 if (spent(now, c) || g.head == null && stuck(now, c)) {
                     g.held.remove(i--);
                     giveUp(now, c);
@@ -952,7 +959,7 @@
     }
 
     /** A head with attempts out and long silent is doubted; looked at when something is to be sent. */
-    private void doubt(long now, Group g) {
+    private void doubt(long now, GroupState g) {
         if (g.head != null && !g.doubted && silent(now, g.head)) {
             g.doubted = true;
             g.canaryAt = now;
@@ -961,7 +968,7 @@
 
     @Override
     public void onClientGone(long now, String requestId) {
-        Call c = calls.get(requestId);
+        PendingRequest c = calls.get(requestId);
         if (c == null || c.ended) {
             return;
         }
@@ -979,7 +986,7 @@
 
     /** Whether it is new enough for a read, by its own word; the head is excused until it is heard as a
      * replica, or another as primary. */
-    private boolean fresh(long now, Call c, Node n) {
+    private boolean fresh(long now, PendingRequest c, MemberState n) {
         return set.checks() != Checks.SILENT
                 || c.k.access() == Access.WRITE
                 || n.position >= need(now, c)
@@ -989,7 +996,7 @@
     /** Also whether its member was told to have started meanwhile: then it goes as one that is sent now. */
     @Override
     public boolean stands(long now, String requestId) {
-        Call c = calls.get(requestId);
+        PendingRequest c = calls.get(requestId);
         if (c == null || c.on == null || c.startedUs == c.on.start.startedUs()) {
             return c == null || c.on == null || fresh(now, c, c.on);
         }
@@ -1000,13 +1007,13 @@
         return stands;
     }
 
-    private void pay(Call c) {
+    private void pay(PendingRequest c) {
         slow.sent(c.on.start, c.q.cls());
         c.startedUs = c.on.start.startedUs();
     }
 
     /** The send gate: draining, group, attempts, deadline, repeats, freshness, cold members are held here. */
-    private boolean send(long now, Call c, Node n, long timeoutUs) {
+    private boolean send(long now, PendingRequest c, MemberState n, long timeoutUs) {
         if (c.ended
                 || c.on != null
                 || !usable(n)
@@ -1043,7 +1050,7 @@
     }
 
     /** The final answer, at once: a refusal where trying again is harmless, else a failure. */
-    private void giveUp(long now, Call c) {
+    private void giveUp(long now, PendingRequest c) {
         conclude(now, c, 0);
         calls.remove(c.q.id());
         boolean harmless = !c.mayHaveRun
--- a/decisions/src/main/java/frostreel/routing/SessionCommits.java
+++ b/decisions/src/main/java/frostreel/routing/SessionCommits.java
@@ -5,7 +5,7 @@
 
 /**
  * What the reads of sessions must see of the writes that went through this router, where the settings have it
- * remember them. Owned by {@link Brain}; it decides nothing. Positions and times are microseconds on one
+ * remember them. Owned by {@link ChainRouter}; it decides nothing. Positions and times are microseconds on one
  * clock.
  *
  * <p>A write whose answer has come binds by its commit. One that is out, or that ended with no word on its
--- a/decisions/src/main/java/frostreel/simulator/WireAdapter.java
+++ b/decisions/src/main/java/frostreel/simulator/WireAdapter.java
@@ -1,6 +1,6 @@
 package frostreel.simulator;
 
-import frostreel.routing.Brain;
+import frostreel.routing.ChainRouter;
 import frostreel.routing.Router;
 import frostreel.routing.Router.Outcome;
 import frostreel.wire.Fields;
@@ -133,7 +133,7 @@
 
     /** Plays batches until the input ends; returns the exit status. */
     public static int run(InputStream in, PrintStream out, PrintStream err) throws IOException {
-        return run(in, out, err, Brain::new);
+        return run(in, out, err, ChainRouter::new);
     }
 
     static int run(
--- a/decisions/src/test/java/example/Embedding.java
+++ b/decisions/src/test/java/example/Embedding.java
@@ -1,6 +1,6 @@
 package example;
 
-import frostreel.routing.Brain;
+import frostreel.routing.ChainRouter;
 import frostreel.routing.Router;
 import java.util.List;
 
@@ -42,7 +42,7 @@
                 new Router.Limits(
                         8, Router.Probes.REPORT, true, true, 500_000, false, 0, 250_000, 50_000, 30_000_000, 1),
                 new Router.Rules(20_000, 500_000, false, 0.15, 18_000_000, 3, 3_000_000));
-        Router router = new Brain(settings, new Embedding());
+        Router router = new ChainRouter(settings, new Embedding());
 
         long now = 1_000_000;
         router.onMembers(
--- a/decisions/src/test/java/frostreel/routing/BrainTest.java
+++ b/decisions/src/test/java/frostreel/routing/ChainRouterTest.java
@@ -35,7 +35,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** The decisions, through the interface alone. */
-class BrainTest {
+class ChainRouterTest {
     // ---- The chain.
 
     @Test
--- a/decisions/src/test/java/frostreel/routing/Recorder.java
+++ b/decisions/src/test/java/frostreel/routing/Recorder.java
@@ -62,7 +62,7 @@
 
         Recorder start(Member... members) {
             Recorder r = new Recorder();
-            r.router = new Brain(settings(), r);
+            r.router = new ChainRouter(settings(), r);
             r.router.onMembers(r.now, ListKind.CACHED, List.of(members));
             return r;
         }
--- a/lab/src/main/java/frostreel/lab/virtual/Policy.java
+++ b/lab/src/main/java/frostreel/lab/virtual/Policy.java
@@ -1,6 +1,6 @@
 package frostreel.lab.virtual;
 
-import frostreel.routing.Brain;
+import frostreel.routing.ChainRouter;
 import frostreel.routing.Router;
 import frostreel.zones.ZoneAdviser;
 import frostreel.zones.ZoneSettings;
@@ -18,7 +18,7 @@
 
     /** The decisions without an adviser on zones: another zone is dearer, and that is all. */
     public static BiFunction<Router.Settings, Router.Actions, Router> plain() {
-        return Brain::new;
+        return ChainRouter::new;
     }
 
     /** All that a lost zone leaves goes to the next one, without a bound. */
@@ -37,7 +37,7 @@
             if (plan.zones() > 2) {
                 tiers.add(new ZoneSettings.Tier(List.of(), restSpill));
             }
-            return new Brain(
+            return new ChainRouter(
                     settings,
                     actions,
                     new ZoneAdviser(
--- a/lab/src/test/java/frostreel/lab/virtual/ColdFleetTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/ColdFleetTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import frostreel.routing.Brain;
+import frostreel.routing.ChainRouter;
 import frostreel.routing.Router;
 import java.util.function.BiFunction;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -25,7 +25,7 @@
     /** Decisions that take a started server for a warm one. */
     private static Router careless(Router.Settings s, Router.Actions actions) {
         Router.Rules r = s.rules();
-        return new Brain(
+        return new ChainRouter(
                 new Router.Settings(
                         s.seed(),
                         s.instances(),
@@ -53,7 +53,7 @@
     void theSumOfAllPoolersPushesNoColdServerOver(int poolers) {
         int pushedByTheCareless = 0;
         for (long seed = 1; seed <= SEEDS; seed++) {
-            World world = comesBack(poolers, seed, Brain::new);
+            World world = comesBack(poolers, seed, ChainRouter::new);
             assertThat(world.fallen())
                     .as("seed %d, largest multiple %.2f", seed, world.largestMultiple())
                     .isZero();
--- a/lab/src/test/java/frostreel/lab/virtual/Draw.java
+++ b/lab/src/test/java/frostreel/lab/virtual/Draw.java
@@ -3,7 +3,7 @@
 import frostreel.lab.model.Cluster;
 import frostreel.lab.model.Physics;
 import frostreel.lab.model.Server;
-import frostreel.routing.Brain;
+import frostreel.routing.ChainRouter;
 import frostreel.routing.Router;
 import frostreel.wire.Fields;
 import frostreel.wire.Malformed;
@@ -25,7 +25,7 @@
     /** Plays it; the seed is the draw's own. */
     World play() throws Malformed {
         JSONObject fleet = json.getJSONObject("fleet");
-        World world = new World(plan(fleet), Brain::new);
+        World world = new World(plan(fleet), ChainRouter::new);
         world.uneven(fleet.getDouble("uneven"));
         for (Object e : json.getJSONArray("events")) {
             schedule(world, (JSONObject) e);
--- a/lab/src/test/java/frostreel/lab/virtual/WorldTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/WorldTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import frostreel.lab.rules.Rule;
-import frostreel.routing.Brain;
+import frostreel.routing.ChainRouter;
 import frostreel.routing.Router;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -14,7 +14,7 @@
     }
 
     private static World lossAndReturn(long seed) {
-        World world = new World(plan(seed), Brain::new);
+        World world = new World(plan(seed), ChainRouter::new);
         world.at(8_000_000, () -> world.loseZone(1));
         world.at(15_000_000, () -> world.returnZone(1));
         return world.run();
@@ -38,7 +38,7 @@
 
     @Test
     void aCalmRunIsServedNearlyWholeAndEveryRequestHasOneAnswer() {
-        World world = new World(plan(3), Brain::new).run();
+        World world = new World(plan(3), ChainRouter::new).run();
         keepsTheRules(world);
         assertThat(world.tally().worth(5, 25, -1)).isGreaterThan(0.97);
         Tally t = world.tally();
--- a/pooler/src/main/java/frostreel/Pooler.java
+++ b/pooler/src/main/java/frostreel/Pooler.java
@@ -16,7 +16,7 @@
 import frostreel.net.ServerPool;
 import frostreel.operation.ClassTable;
 import frostreel.operation.Door;
-import frostreel.routing.Brain;
+import frostreel.routing.ChainRouter;
 import frostreel.routing.NearFirst;
 import frostreel.routing.Router;
 import frostreel.settings.OperatorSettings;
@@ -159,13 +159,13 @@
     /** Where no tiers are stated, nothing of zones is so much as loaded. */
     private Router router(Config config, OperatorSettings operators, Router.Settings settings, Router.Actions actions) {
         if (operators.zones() == null) {
-            return new Brain(settings, actions, new NearFirst(settings.zone()), beside.elsewhere());
+            return new ChainRouter(settings, actions, new NearFirst(settings.zone()), beside.elsewhere());
         }
         advice = new ZoneAdviser(
                 settings,
                 operators.zonesFor(settings.zone(), config.zones()).orElseThrow(),
                 new SplittableRandom(settings.seed()).nextDouble());
-        return new Brain(settings, actions, advice, beside.elsewhere());
+        return new ChainRouter(settings, actions, advice, beside.elsewhere());
     }
 
     private void readNews() {
