--- a/decisions/src/jmh/java/frostreel/zones/AdviserBenchmark.java
+++ b/decisions/src/jmh/java/frostreel/zones/LocalityPolicyBenchmark.java
@@ -23,11 +23,11 @@
 @Warmup(iterations = 3, time = 1)
 @Measurement(iterations = 5, time = 1)
 @Fork(2)
-public class AdviserBenchmark {
+public class LocalityPolicyBenchmark {
     private static final int GROUPS = 100;
     private static final double WORK = 40_000;
     private final int[] seats = new int[3 * GROUPS];
-    private ZoneAdviser adviser;
+    private ZoneFailoverPolicy adviser;
     private long now = 1_000_000_000;
     private int at;
 
@@ -40,7 +40,7 @@
                 new Router.Limits(10, Router.Probes.REPORT, true, true, 1, false, 0,
                         250_000, 50_000, 30_000_000, 1),
                 new Router.Rules(20_000, 1_000_000, false, 0.2, 15_000_000, 3, 2_000_000));
-        adviser = new ZoneAdviser(settings, new ZoneSettings(0, List.of(
+        adviser = new ZoneFailoverPolicy(settings, new ZoneSettings(0, List.of(
                 new ZoneSettings.Tier(List.of(1), 0.5), new ZoneSettings.Tier(List.of(), 0.5)), 10), 0.5);
         for (int i = 0; i < seats.length; i++) {
             seats[i] = adviser.seat(i / 3, i % 3);
--- a/decisions/src/main/java/frostreel/routing/ChainRouter.java
+++ b/decisions/src/main/java/frostreel/routing/ChainRouter.java
@@ -139,7 +139,7 @@
 
     private final SlowStart slow;
     private final Actions act;
-    private final Adviser advice;
+    private final LocalityPolicy advice;
     private final Elsewhere elsewhere;
     private final long sweepUs;
     private long keepUs;
@@ -164,14 +164,14 @@
     private final Goodput goodput = new Goodput(spanUs);
 
     public ChainRouter(Settings settings, Actions actions) {
-        this(settings, actions, new NearFirst(settings.zone()));
+        this(settings, actions, new NearestZonePolicy(settings.zone()));
     }
 
-    public ChainRouter(Settings settings, Actions actions, Adviser adviser) {
+    public ChainRouter(Settings settings, Actions actions, LocalityPolicy adviser) {
         this(settings, actions, adviser, (now, session) -> 0);
     }
 
-    public ChainRouter(Settings settings, Actions actions, Adviser adviser, Elsewhere elsewhere) {
+    public ChainRouter(Settings settings, Actions actions, LocalityPolicy adviser, Elsewhere elsewhere) {
         act = actions;
         advice = adviser;
         this.elsewhere = elsewhere;
--- a/decisions/src/main/java/frostreel/routing/Flow.java
+++ b/decisions/src/main/java/frostreel/routing/DecayingRate.java
@@ -3,13 +3,13 @@
 import java.util.function.LongSupplier;
 
 /** Work, or a number, per microsecond of the last while; what is older fades. */
-final class Flow {
+final class DecayingRate {
     private final LongSupplier spanUs;
     private double rate;
     private double sinceUs;
 
     /** {@code spanUs}: over which it fades to 1/e; asked anew each time, as settings may change it. */
-    Flow(LongSupplier spanUs) {
+    DecayingRate(LongSupplier spanUs) {
         this.spanUs = spanUs;
     }
 
--- a/decisions/src/main/java/frostreel/routing/Goodput.java
+++ b/decisions/src/main/java/frostreel/routing/Goodput.java
@@ -9,13 +9,13 @@
 
     private static final double MOST_SHED = 0.9;
     private final LongSupplier spanUs;
-    private final Flow asked;
-    private final Flow useful;
+    private final DecayingRate asked;
+    private final DecayingRate useful;
 
     Goodput(LongSupplier spanUs) {
         this.spanUs = spanUs;
-        asked = new Flow(spanUs);
-        useful = new Flow(spanUs);
+        asked = new DecayingRate(spanUs);
+        useful = new DecayingRate(spanUs);
     }
 
     /** {@code worth}: of its answer, from 0 to 1. */
--- a/decisions/src/main/java/frostreel/routing/NearFirst.java
+++ b/decisions/src/main/java/frostreel/routing/NearestZonePolicy.java
@@ -1,13 +1,13 @@
 package frostreel.routing;
 
 /** The adviser of an installation that states no tiers: another zone is dearer, and nothing else is said. */
-public final class NearFirst implements Router.Adviser {
+public final class NearestZonePolicy implements Router.LocalityPolicy {
     /** Times dearer than a member of one's own zone. */
     private static final double FAR = 2;
 
     private final int own;
 
-    public NearFirst(int ownZone) {
+    public NearestZonePolicy(int ownZone) {
         own = ownZone;
     }
 
--- a/decisions/src/main/java/frostreel/routing/Router.java
+++ b/decisions/src/main/java/frostreel/routing/Router.java
@@ -262,7 +262,7 @@
      * A say in which members reads go to, beside the decisions' own. It is told what the decisions are told,
      * answers at once, and never acts. Members are named by the seats that it gave them.
      */
-    interface Adviser {
+    interface LocalityPolicy {
         /** New settings, as in {@link Router#onSettings}. */
         void settings(Settings settings);
 
--- a/decisions/src/main/java/frostreel/routing/SlowStart.java
+++ b/decisions/src/main/java/frostreel/routing/SlowStart.java
@@ -16,7 +16,7 @@
 final class SlowStart {
     /** A member, as its list and its answers tell it. Owned by who asked for it with {@link #meet}. */
     static final class Member {
-        private final Flow served;
+        private final DecayingRate served;
         private int kind;
         private double weight = 1;
         private boolean usable = true;
@@ -28,7 +28,7 @@
         /** What of its present capacity is in use, by its last report; below 0 where none has come. */
         private double util = -1;
 
-        private Member(Flow served) {
+        private Member(DecayingRate served) {
             this.served = served;
         }
 
@@ -75,7 +75,7 @@
     /** A member newly listed. */
     Member meet(long nowUs) {
         beganUs = beganUs == Long.MIN_VALUE ? nowUs : beganUs;
-        Member m = new Member(new Flow(this::spanUs));
+        Member m = new Member(new DecayingRate(this::spanUs));
         m.budgetAtUs = nowUs;
         members.add(m);
         return m;
--- a/decisions/src/main/java/frostreel/zones/Bucket.java
+++ b/decisions/src/main/java/frostreel/zones/TokenBucket.java
@@ -1,7 +1,7 @@
 package frostreel.zones;
 
 /** A budget of work that fills at a rate and may be overdrawn by the last request, and no further. */
-final class Bucket {
+final class TokenBucket {
     private double level;
     private long atUs;
 
--- a/decisions/src/main/java/frostreel/zones/ZoneAdviser.java
+++ b/decisions/src/main/java/frostreel/zones/ZoneFailoverPolicy.java
@@ -21,7 +21,7 @@
  * moment that differs from pooler to pooler, each with its part of what the area served before. An area lost
  * again and again must answer for a while first. Writes are none of its matters.
  */
-public final class ZoneAdviser implements Router.Adviser {
+public final class ZoneFailoverPolicy implements Router.LocalityPolicy {
     /** Each farther tier is so many times dearer. */
     private static final double FARTHER = 2;
     /** A tier's budget holds what it gains in this time. */
@@ -39,13 +39,13 @@
     private Router.Settings set;
     private ZoneSettings zones;
     private final double phase;
-    private final Map<Long, Area> areas = new HashMap<>();
-    private final Map<Integer, Area.Group> groups = new HashMap<>();
-    private final Map<Integer, Area.Zone> byZone = new HashMap<>();
-    private final List<Area> bySeat = new ArrayList<>();
-    private final List<Bucket> ramps = new ArrayList<>();
+    private final Map<Long, ZoneReplicas> areas = new HashMap<>();
+    private final Map<Integer, ZoneReplicas.Group> groups = new HashMap<>();
+    private final Map<Integer, ZoneReplicas.Zone> byZone = new HashMap<>();
+    private final List<ZoneReplicas> bySeat = new ArrayList<>();
+    private final List<TokenBucket> ramps = new ArrayList<>();
     private final ArrayDeque<Integer> free = new ArrayDeque<>();
-    private Bucket[] spills;
+    private TokenBucket[] spills;
     private double[] prices;
     /** For the overview: reads sent and turned down by tier, and what became of areas. */
     private long[] sent;
@@ -64,7 +64,7 @@
     private double anyWork;
 
     /** {@code phase}: at least 0 and under 1, drawn anew for each pooler. */
-    public ZoneAdviser(Router.Settings settings, ZoneSettings zones, double phase) {
+    public ZoneFailoverPolicy(Router.Settings settings, ZoneSettings zones, double phase) {
         this.phase = phase;
         configure(zones);
         settings(settings);
@@ -87,22 +87,22 @@
     /** Goes over to other tiers; what is known of areas stays, and the budgets begin empty. */
     public void configure(ZoneSettings settings) {
         zones = settings;
-        spills = new Bucket[zones.tiers().size() + 1];
+        spills = new TokenBucket[zones.tiers().size() + 1];
         prices = new double[spills.length];
         sent = new long[spills.length];
         denied = new long[spills.length];
         for (int t = 0; t < spills.length; t++) {
-            spills[t] = new Bucket();
+            spills[t] = new TokenBucket();
             prices[t] = Math.pow(FARTHER, t);
         }
         groups.values().forEach(g -> g.nearest = Integer.MAX_VALUE);
-        for (Area a : areas.values()) {
+        for (ZoneReplicas a : areas.values()) {
             a.tier = zones.tierOf(a.zone.number);
             a.group.nearest = Math.min(a.group.nearest, a.tier);
         }
         missing = 0;
-        for (Area a : areas.values()) {
-            missing += a.nearest() && a.health != Area.Health.UP ? a.usual(0) : 0;
+        for (ZoneReplicas a : areas.values()) {
+            missing += a.nearest() && a.health != ZoneReplicas.Health.UP ? a.usual(0) : 0;
         }
     }
 
@@ -110,10 +110,10 @@
 
     @Override
     public int seat(int group, int zone) {
-        Area area = areas.computeIfAbsent((long) group << 32 | zone, k -> {
-            Area made = new Area(
-                    groups.computeIfAbsent(group, g -> new Area.Group()),
-                    byZone.computeIfAbsent(zone, Area.Zone::new),
+        ZoneReplicas area = areas.computeIfAbsent((long) group << 32 | zone, k -> {
+            ZoneReplicas made = new ZoneReplicas(
+                    groups.computeIfAbsent(group, g -> new ZoneReplicas.Group()),
+                    byZone.computeIfAbsent(zone, ZoneReplicas.Zone::new),
                     zones.tierOf(zone));
             made.zone.areas.add(made);
             return made;
@@ -124,10 +124,10 @@
         if (seat == null) {
             seat = bySeat.size();
             bySeat.add(area);
-            ramps.add(new Bucket());
+            ramps.add(new TokenBucket());
         } else {
             bySeat.set(seat, area);
-            ramps.set(seat, new Bucket());
+            ramps.set(seat, new TokenBucket());
         }
         return seat;
     }
@@ -142,12 +142,12 @@
 
     @Override
     public void ended(long nowUs, int seat, Router.Outcome outcome, double workUs) {
-        Area a = bySeat.get(seat);
+        ZoneReplicas a = bySeat.get(seat);
         switch (outcome) {
             case OK -> {
                 a.alive(nowUs);
                 a.served(nowUs, workUs);
-                if (a.nearest() && a.health == Area.Health.UP) {
+                if (a.nearest() && a.health == ZoneReplicas.Health.UP) {
                     home.add(nowUs, workUs);
                     everServed = true;
                 }
@@ -160,12 +160,12 @@
 
     @Override
     public void probed(long nowUs, int seat, boolean ok) {
-        Area a = bySeat.get(seat);
+        ZoneReplicas a = bySeat.get(seat);
         if (!ok) {
             failed(nowUs, a);
         } else if (a.answers(nowUs)) {
             returns++;
-            if (a.health == Area.Health.UP) {
+            if (a.health == ZoneReplicas.Health.UP) {
                 regained(nowUs, a);
                 return;
             }
@@ -178,12 +178,12 @@
         }
     }
 
-    private void failed(long nowUs, Area a) {
+    private void failed(long nowUs, ZoneReplicas a) {
         if (a.failed(nowUs)) {
             lose(nowUs, a);
         }
         if (a.zone.silent()) {
-            for (Area each : a.zone.areas) {
+            for (ZoneReplicas each : a.zone.areas) {
                 if (each.open()) {
                     lose(nowUs, each);
                 }
@@ -191,8 +191,8 @@
         }
     }
 
-    private void lose(long nowUs, Area a) {
-        boolean fresh = a.nearest() && a.health == Area.Health.UP;
+    private void lose(long nowUs, ZoneReplicas a) {
+        boolean fresh = a.nearest() && a.health == ZoneReplicas.Health.UP;
         losses++;
         a.lose(nowUs);
         if (fresh) {
@@ -201,7 +201,7 @@
         }
     }
 
-    private void regained(long nowUs, Area a) {
+    private void regained(long nowUs, ZoneReplicas a) {
         if (a.nearest()) {
             missing = Math.max(0, missing - a.usualBefore());
             home.shift(nowUs, a.usualBefore());
@@ -210,7 +210,7 @@
 
     @Override
     public void sent(long nowUs, int seat, int cls, double workUs) {
-        Area a = bySeat.get(seat);
+        ZoneReplicas a = bySeat.get(seat);
         sent[a.tier]++;
         work[cls] += MEAN * (workUs - work[cls]);
         anyWork += MEAN * (workUs - anyWork);
@@ -218,7 +218,7 @@
             untilOrder = ORDER_EVERY;
             order();
         }
-        if (a.health == Area.Health.RETURNING) {
+        if (a.health == ZoneReplicas.Health.RETURNING) {
             ramps.get(seat).take(workUs);
         }
         if (!a.nearest()) {
@@ -245,14 +245,14 @@
 
     @Override
     public double price(long nowUs, int seat) {
-        Area a = bySeat.get(seat);
+        ZoneReplicas a = bySeat.get(seat);
         return a.open() ? prices[a.tier] : Double.POSITIVE_INFINITY;
     }
 
     @Override
     public boolean permits(long nowUs, int seat, int cls) {
-        Area a = bySeat.get(seat);
-        if (!a.open() || a.health == Area.Health.RETURNING && !admits(nowUs, seat, a)) {
+        ZoneReplicas a = bySeat.get(seat);
+        if (!a.open() || a.health == ZoneReplicas.Health.RETURNING && !admits(nowUs, seat, a)) {
             return false;
         }
         if (a.nearest() || !everServed) {
@@ -266,11 +266,11 @@
     }
 
     /** Whether a returning area may be sent one more, at its present share of what it served before. */
-    private boolean admits(long nowUs, int seat, Area a) {
+    private boolean admits(long nowUs, int seat, ZoneReplicas a) {
         double present = a.present(nowUs, set.rules().coldFrom(), set.rules().warmAfterUs());
         if (present >= 1) {
             regained(nowUs, a);
-            a.health = Area.Health.UP;
+            a.health = ZoneReplicas.Health.UP;
             return true;
         }
         // One that served this pooler nothing may still be sent a little: a core's work, shared by all
@@ -287,10 +287,10 @@
     /** The overview: areas by zone and health, reads sent and turned down by tier, losses and returns. */
     @Override
     public String toString() {
-        Map<Integer, Map<Area.Health, Integer>> healths = new TreeMap<>();
-        for (Area a : areas.values()) {
+        Map<Integer, Map<ZoneReplicas.Health, Integer>> healths = new TreeMap<>();
+        for (ZoneReplicas a : areas.values()) {
             if (a.seats > 0) {
-                healths.computeIfAbsent(a.zone.number, z -> new EnumMap<>(Area.Health.class))
+                healths.computeIfAbsent(a.zone.number, z -> new EnumMap<>(ZoneReplicas.Health.class))
                         .merge(a.health, 1, Integer::sum);
             }
         }
--- a/decisions/src/main/java/frostreel/zones/Area.java
+++ b/decisions/src/main/java/frostreel/zones/ZoneReplicas.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /** The members of one group in one zone: what this pooler saw of them, and whether reads may go there. */
-final class Area {
+final class ZoneReplicas {
     /** HELD: it answers probes again, and has been lost too often of late to be believed at once. */
     enum Health {
         UP,
@@ -42,9 +42,9 @@
         private static final int FAILURES = 4;
 
         final int number;
-        final List<Area> areas = new ArrayList<>();
+        final List<ZoneReplicas> areas = new ArrayList<>();
         private int failures;
-        private Area failedFirst;
+        private ZoneReplicas failedFirst;
         private boolean spread;
         private long aliveAt = Long.MIN_VALUE / 2;
 
@@ -59,7 +59,7 @@
             aliveAt = nowUs;
         }
 
-        private void failed(long nowUs, Area area) {
+        private void failed(long nowUs, ZoneReplicas area) {
             if (nowUs - aliveAt > ALIVE_US) {
                 failures++;
                 failedFirst = failedFirst == null ? area : failedFirst;
@@ -91,7 +91,7 @@
     private long returnedAt;
     private long probeAt;
 
-    Area(Group group, Zone zone, int tier) {
+    ZoneReplicas(Group group, Zone zone, int tier) {
         this.group = group;
         this.zone = zone;
         this.tier = tier;
--- a/decisions/src/test/java/frostreel/zones/ZoneAdviserTest.java
+++ b/decisions/src/test/java/frostreel/zones/ZoneFailoverPolicyTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 
 /** One pooler in zone 0, zone 1 next, zone 2 behind it; groups with a member in each zone. */
-class ZoneAdviserTest {
+class ZoneFailoverPolicyTest {
     private static final int CHEAP = 0;
     private static final int DEAR = 1;
     private static final double WORK = 40_000;
@@ -30,13 +30,13 @@
             new Router.Rules(20_000, SECOND, false, 0.2, 15 * SECOND, 3, 2 * SECOND));
     private final ZoneSettings zones = new ZoneSettings(
             0, List.of(new ZoneSettings.Tier(List.of(1), SPILL), new ZoneSettings.Tier(List.of(), SPILL)), 10);
-    private final ZoneAdviser adviser = new ZoneAdviser(settings, zones, 0.5);
+    private final ZoneFailoverPolicy adviser = new ZoneFailoverPolicy(settings, zones, 0.5);
     /** By group and zone. */
     private final int[][] seats = new int[4][3];
 
     private long now = 1_000 * SECOND;
 
-    ZoneAdviserTest() {
+    ZoneFailoverPolicyTest() {
         for (int g = 0; g < seats.length; g++) {
             for (int z = 0; z < 3; z++) {
                 seats[g][z] = adviser.seat(g, z);
@@ -234,11 +234,11 @@
 
     @Test
     void equalEventsGiveEqualAnswers() {
-        String first = story(new ZoneAdviserTest());
-        assertThat(story(new ZoneAdviserTest())).isEqualTo(first);
+        String first = story(new ZoneFailoverPolicyTest());
+        assertThat(story(new ZoneFailoverPolicyTest())).isEqualTo(first);
     }
 
-    private static String story(ZoneAdviserTest t) {
+    private static String story(ZoneFailoverPolicyTest t) {
         t.calm();
         t.loseZone();
         int went = t.ask(t.seats[1][1], DEAR, 70, 5);
--- a/lab/src/main/java/frostreel/lab/virtual/Policy.java
+++ b/lab/src/main/java/frostreel/lab/virtual/Policy.java
@@ -2,7 +2,7 @@
 
 import frostreel.routing.ChainRouter;
 import frostreel.routing.Router;
-import frostreel.zones.ZoneAdviser;
+import frostreel.zones.ZoneFailoverPolicy;
 import frostreel.zones.ZoneSettings;
 import java.util.ArrayList;
 import java.util.List;
@@ -40,7 +40,7 @@
             return new ChainRouter(
                     settings,
                     actions,
-                    new ZoneAdviser(
+                    new ZoneFailoverPolicy(
                             settings,
                             new ZoneSettings(own, tiers, plan.zones() * plan.poolersPerZone()),
                             new SplittableRandom(settings.seed()).nextDouble()));
--- a/pooler/src/main/java/frostreel/Pooler.java
+++ b/pooler/src/main/java/frostreel/Pooler.java
@@ -17,10 +17,10 @@
 import frostreel.operation.ClassTable;
 import frostreel.operation.Door;
 import frostreel.routing.ChainRouter;
-import frostreel.routing.NearFirst;
+import frostreel.routing.NearestZonePolicy;
 import frostreel.routing.Router;
 import frostreel.settings.OperatorSettings;
-import frostreel.zones.ZoneAdviser;
+import frostreel.zones.ZoneFailoverPolicy;
 import java.io.IOException;
 import java.net.BindException;
 import java.net.InetSocketAddress;
@@ -68,7 +68,7 @@
     /** The list known from the start; null once it is taken. */
     private HostList known;
 
-    private ZoneAdviser advice;
+    private ZoneFailoverPolicy advice;
     private final Beside beside;
     /** Null where no poolers see each other. */
     private final Fellows fellows;
@@ -159,9 +159,9 @@
     /** Where no tiers are stated, nothing of zones is so much as loaded. */
     private Router router(Config config, OperatorSettings operators, Router.Settings settings, Router.Actions actions) {
         if (operators.zones() == null) {
-            return new ChainRouter(settings, actions, new NearFirst(settings.zone()), beside.elsewhere());
+            return new ChainRouter(settings, actions, new NearestZonePolicy(settings.zone()), beside.elsewhere());
         }
-        advice = new ZoneAdviser(
+        advice = new ZoneFailoverPolicy(
                 settings,
                 operators.zonesFor(settings.zone(), config.zones()).orElseThrow(),
                 new SplittableRandom(settings.seed()).nextDouble());
