--- a/decisions/src/jmh/java/frostreel/zones/LocalityPolicyBenchmark.java
+++ b/decisions/src/jmh/java/frostreel/zones/LocalityPolicyBenchmark.java
@@ -33,10 +33,10 @@
 
     /** A hundred groups over three zones, one of them lost. */
     @Setup public void raise() {
-        Router.RequestClass read = new Router.RequestClass("look", Router.Access.ANY, Router.Repeat.SAFE,
-                Router.Scope.GROUP, 0, 0, 200_000, 1_000_000, 1, 0);
-        Router.Settings settings = new Router.Settings(1, 0, 0, 1000, List.of(read, read), Router.Checks.REFUSE,
-                Router.ListRole.LATE, Router.Marks.CARRIED, true,
+        Router.RequestClass read = new Router.RequestClass("look", Router.Access.ANY, Router.Idempotency.SAFE,
+                Router.DeduplicationScope.GROUP, 0, 0, 200_000, 1_000_000, 1, 0);
+        Router.Settings settings = new Router.Settings(1, 0, 0, 1000, List.of(read, read), Router.StalenessCheck.REFUSE,
+                Router.ListRole.LATE, Router.SessionTracking.CARRIED, true,
                 new Router.Limits(10, Router.Probes.REPORT, true, true, 1, false, 0,
                         250_000, 50_000, 30_000_000, 1),
                 new Router.Rules(20_000, 1_000_000, false, 0.2, 15_000_000, 3, 2_000_000));
--- a/decisions/src/main/java/frostreel/operation/ClassTable.java
+++ b/decisions/src/main/java/frostreel/operation/ClassTable.java
@@ -72,7 +72,8 @@
             return null;
         }
         RequestClass c = all.get(number);
-        boolean fits = write == (c.access() == Router.Access.WRITE) && (keyed || c.repeat() != Router.Repeat.KEYED);
+        boolean fits =
+                write == (c.access() == Router.Access.WRITE) && (keyed || c.repeat() != Router.Idempotency.KEYED);
         return fits ? number : null;
     }
 }
--- a/decisions/src/main/java/frostreel/operation/CommitBoard.java
+++ b/decisions/src/main/java/frostreel/operation/CommitBoard.java
@@ -17,9 +17,9 @@
  * every member has. A new life takes the place that was longest without a beat, and loses nothing of what is
  * in it: that goes on binding it, and its own marks are laid over it by maxima.
  */
-public final class CommitBoard implements CommitLog, Router.Elsewhere {
+public final class CommitBoard implements CommitLog, Router.PeerCommits {
     /** Where nothing can be known of the others, what counts as known may be theirs, at any time. */
-    public static final Router.Elsewhere BLIND = (nowUs, session) -> nowUs - Router.KNOWN_AFTER_US;
+    public static final Router.PeerCommits BLIND = (nowUs, session) -> nowUs - Router.KNOWN_AFTER_US;
     /** Commits are told in milliseconds. */
     private static final long ROUNDING_US = 1_000;
 
--- a/decisions/src/main/java/frostreel/routing/ChainRouter.java
+++ b/decisions/src/main/java/frostreel/routing/ChainRouter.java
@@ -140,7 +140,7 @@
     private final SlowStart slow;
     private final Actions act;
     private final LocalityPolicy advice;
-    private final Elsewhere elsewhere;
+    private final PeerCommits elsewhere;
     private final long sweepUs;
     private long keepUs;
     private double[] expect = {};
@@ -171,7 +171,7 @@
         this(settings, actions, adviser, (now, session) -> 0);
     }
 
-    public ChainRouter(Settings settings, Actions actions, LocalityPolicy adviser, Elsewhere elsewhere) {
+    public ChainRouter(Settings settings, Actions actions, LocalityPolicy adviser, PeerCommits elsewhere) {
         act = actions;
         advice = adviser;
         this.elsewhere = elsewhere;
@@ -464,8 +464,8 @@
         return now + 2 * sweepUs >= c.q.deadlineUs()
                 || c.attempts >= c.mostAttempts
                 || c.mayHaveRun
-                        && (c.k.repeat() == Repeat.UNSAFE
-                                || c.k.repeat() == Repeat.KEYED && now + sweepUs > c.firstMaybe + c.k.windowUs());
+                        && (c.k.repeat() == Idempotency.UNSAFE
+                                || c.k.repeat() == Idempotency.KEYED && now + sweepUs > c.firstMaybe + c.k.windowUs());
     }
 
     /** Lets out what waits: held writes as the head's window allows, then parked reads. Newest first: oldest
@@ -478,7 +478,7 @@
             if (g.holding || g.head != null && !g.doubted && !room(now, g.head, 1)) {
                 break;
             }
-            if (now < c.notBefore || g.doubted && (!canary || c.k.repeat() == Repeat.UNSAFE)) {
+            if (now < c.notBefore || g.doubted && (!canary || c.k.repeat() == Idempotency.UNSAFE)) {
                 continue;
             }
             MemberState to = g.head != null ? g.head : next(c);
@@ -507,12 +507,12 @@
     private long writeTimeout(long now, PendingRequest c, MemberState n) {
         long left = c.q.deadlineUs() - now;
         double util = slow.util(n.start);
-        if (c.k.repeat() == Repeat.UNSAFE || util >= FULL || util < 0 && n.window < FIRST_WINDOW) {
+        if (c.k.repeat() == Idempotency.UNSAFE || util >= FULL || util < 0 && n.window < FIRST_WINDOW) {
             return left;
         }
         long t = (long) Math.max(c.k.aimUs(), SILENCE * expected(c, n, now));
         boolean again = c.attempts + 1 < c.mostAttempts
-                && (c.k.repeat() == Repeat.SAFE
+                && (c.k.repeat() == Idempotency.SAFE
                         || now + t + sweepUs < (c.mayHaveRun ? c.firstMaybe : now) + c.k.windowUs());
         return again ? Math.min(left, t) : left;
     }
@@ -521,14 +521,14 @@
 
     /** Whether sessions' writes are remembered here, and this is one. */
     private boolean marks(PendingRequest c) {
-        return c.k.access() == Access.WRITE && set.marks() == Marks.REMEMBERED;
+        return c.k.access() == Access.WRITE && set.marks() == SessionTracking.REMEMBERED;
     }
 
     private long need(long now, PendingRequest c) {
         return switch (c.k.access()) {
             case BOUNDED -> now - c.k.boundUs() + 2000;
             case SESSION -> {
-                if (set.marks() == Marks.CARRIED) {
+                if (set.marks() == SessionTracking.CARRIED) {
                     yield c.q.sinceWriteUs() <= 0 ? 0 : c.arrivedUs - c.q.sinceWriteUs() + 2000;
                 }
                 yield Math.max(commits.need(now, c.q.session()), elsewhere.boundUs(now, c.q.session()));
@@ -540,7 +540,7 @@
 
     /** Whether a member checks and nothing says that it is too far behind; the baseline is report age. */
     private boolean likely(long now, MemberState n, long need) {
-        return set.checks() != Checks.SILENT
+        return set.checks() != StalenessCheck.SILENT
                 && now - n.missAt > WALK_US
                 && now - need + set.limits().holdsForUs() >= n.lag - Math.min(baseLag, n.lag);
     }
@@ -595,7 +595,7 @@
             return;
         }
         long need = need(now, c);
-        boolean canary = g.doubted && now - g.canaryAt >= WALK_US && c.k.repeat() == Repeat.SAFE;
+        boolean canary = g.doubted && now - g.canaryAt >= WALK_US && c.k.repeat() == Idempotency.SAFE;
         if (canary && !c.missed.contains(g.head) && send(now, c, g.head, readTimeout(now, c, g.head))) {
             g.canaryAt = now;
             return;
@@ -650,7 +650,7 @@
             g.probedAt = now;
             probe(now, unproven);
         }
-        if (set.checks() == Checks.SILENT && asks(now, c)) {
+        if (set.checks() == StalenessCheck.SILENT && asks(now, c)) {
             park(c);
             return;
         }
@@ -825,7 +825,7 @@
         if (!outcome.provesNotRun && !c.mayHaveRun) {
             c.mayHaveRun = true;
             c.firstMaybe = c.sentAt;
-            c.keyZone = c.k.repeat() == Repeat.KEYED && c.k.scope() == Scope.ZONE ? n.zone : -1;
+            c.keyZone = c.k.repeat() == Idempotency.KEYED && c.k.scope() == DeduplicationScope.ZONE ? n.zone : -1;
         }
         if (closed || c.ended || outcome == Outcome.OK) {
             double worth = now - c.arrivedUs <= c.k.aimUs() ? 1 : c.k.lateWorth();
@@ -912,7 +912,7 @@
         if (o != Outcome.FULL || !c.toHead) {
             c.missed.add(n);
         }
-        if (spent(now, c) || !o.provesNotRun && (retryTokens < 1 && c.k.repeat() == Repeat.SAFE)) {
+        if (spent(now, c) || !o.provesNotRun && (retryTokens < 1 && c.k.repeat() == Idempotency.SAFE)) {
             giveUp(now, c);
             return;
         }
@@ -987,7 +987,7 @@
     /** Whether it is new enough for a read, by its own word; the head is excused until it is heard as a
      * replica, or another as primary. */
     private boolean fresh(long now, PendingRequest c, MemberState n) {
-        return set.checks() != Checks.SILENT
+        return set.checks() != StalenessCheck.SILENT
                 || c.k.access() == Access.WRITE
                 || n.position >= need(now, c)
                 || n == n.group.head && n.primaryAt > n.replicaAt;
@@ -1054,8 +1054,8 @@
         conclude(now, c, 0);
         calls.remove(c.q.id());
         boolean harmless = !c.mayHaveRun
-                || c.k.repeat() == Repeat.SAFE
-                || c.k.repeat() == Repeat.KEYED && c.k.scope() == Scope.ALL;
+                || c.k.repeat() == Idempotency.SAFE
+                || c.k.repeat() == Idempotency.KEYED && c.k.scope() == DeduplicationScope.ALL;
         if (harmless) {
             act.refuse(
                     c.q.id(),
--- a/decisions/src/main/java/frostreel/routing/Router.java
+++ b/decisions/src/main/java/frostreel/routing/Router.java
@@ -25,21 +25,21 @@
     }
 
     /** Whether a request may be repeated after an attempt that may have run. */
-    enum Repeat {
+    enum Idempotency {
         SAFE,
         KEYED,
         UNSAFE
     }
 
     /** Which members drop a keyed request's repeats. */
-    enum Scope {
+    enum DeduplicationScope {
         ALL,
         ZONE,
         GROUP
     }
 
     /** What a member does with a read it is too far behind for. */
-    enum Checks {
+    enum StalenessCheck {
         SILENT,
         REFUSE,
         WAIT
@@ -53,7 +53,7 @@
     }
 
     /** Where a session read's last write is known from. */
-    enum Marks {
+    enum SessionTracking {
         CARRIED,
         REMEMBERED
     }
@@ -107,8 +107,8 @@
     record RequestClass(
             String name,
             Access access,
-            Repeat repeat,
-            Scope scope,
+            Idempotency repeat,
+            DeduplicationScope scope,
             long windowUs,
             long boundUs,
             long aimUs,
@@ -204,9 +204,9 @@
             int zone,
             long tickUs,
             List<RequestClass> classes,
-            Checks checks,
+            StalenessCheck checks,
             ListRole listRole,
-            Marks marks,
+            SessionTracking marks,
             boolean positions,
             Limits limits,
             Rules rules) {
@@ -297,7 +297,7 @@
      * served beside this one. Asked with every session read; answers in a few nanoseconds, and allocates
      * nothing.
      */
-    interface Elsewhere {
+    interface PeerCommits {
         /** The position that a read of that session must see at this time, 0 for any. */
         long boundUs(long nowUs, long session);
     }
--- a/decisions/src/main/java/frostreel/wire/SettingsReader.java
+++ b/decisions/src/main/java/frostreel/wire/SettingsReader.java
@@ -32,10 +32,10 @@
             classes.add(new Router.RequestClass(
                     c.has("name") ? c.text("name") : "class " + n,
                     Router.Access.values()[one.oneOf("freshness", "write", "fresh", "session", "bounded", "any")],
-                    Router.Repeat.values()[c.oneOf("repeat", "retryable", "dedup", "fragile")],
+                    Router.Idempotency.values()[c.oneOf("repeat", "retryable", "dedup", "fragile")],
                     !c.has("group")
-                            ? Router.Scope.GROUP
-                            : Router.Scope.values()[c.oneOf("group", "all", "zone", "cell")],
+                            ? Router.DeduplicationScope.GROUP
+                            : Router.DeduplicationScope.values()[c.oneOf("group", "all", "zone", "cell")],
                     c.micros("repeatWindowS", 0),
                     Math.round(bound * 1e6),
                     c.micros("onTimeS", deadline),
@@ -72,14 +72,14 @@
                 o.micros("roundS", 1000),
                 List.copyOf(classes),
                 info.has("serverChecks")
-                        ? Router.Checks.values()[info.oneOf("serverChecks", "silent", "refuse", "wait")]
-                        : Router.Checks.SILENT,
+                        ? Router.StalenessCheck.values()[info.oneOf("serverChecks", "silent", "refuse", "wait")]
+                        : Router.StalenessCheck.SILENT,
                 info.has("listRole")
                         ? Router.ListRole.values()[info.oneOf("listRole", "late", "start", "silent")]
                         : Router.ListRole.SILENT,
                 info.has("writeMarks")
-                        ? Router.Marks.values()[info.oneOf("writeMarks", "carried", "remembered")]
-                        : Router.Marks.REMEMBERED,
+                        ? Router.SessionTracking.values()[info.oneOf("writeMarks", "carried", "remembered")]
+                        : Router.SessionTracking.REMEMBERED,
                 info.flag("positions"),
                 limits,
                 r);
--- a/decisions/src/test/java/example/Embedding.java
+++ b/decisions/src/test/java/example/Embedding.java
@@ -10,8 +10,8 @@
         Router.RequestClass post = new Router.RequestClass(
                 "post",
                 Router.Access.WRITE,
-                Router.Repeat.UNSAFE,
-                Router.Scope.GROUP,
+                Router.Idempotency.UNSAFE,
+                Router.DeduplicationScope.GROUP,
                 0,
                 0,
                 400_000,
@@ -21,8 +21,8 @@
         Router.RequestClass view = new Router.RequestClass(
                 "view",
                 Router.Access.BOUNDED,
-                Router.Repeat.SAFE,
-                Router.Scope.GROUP,
+                Router.Idempotency.SAFE,
+                Router.DeduplicationScope.GROUP,
                 0,
                 800_000,
                 200_000,
@@ -35,9 +35,9 @@
                 0,
                 1_000,
                 List.of(post, view),
-                Router.Checks.WAIT,
+                Router.StalenessCheck.WAIT,
                 Router.ListRole.LATE,
-                Router.Marks.CARRIED,
+                Router.SessionTracking.CARRIED,
                 false,
                 new Router.Limits(
                         8, Router.Probes.REPORT, true, true, 500_000, false, 0, 250_000, 50_000, 30_000_000, 1),
--- a/decisions/src/test/java/frostreel/operation/ClassTableTest.java
+++ b/decisions/src/test/java/frostreel/operation/ClassTableTest.java
@@ -3,9 +3,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import frostreel.routing.Router.Access;
-import frostreel.routing.Router.Repeat;
+import frostreel.routing.Router.DeduplicationScope;
+import frostreel.routing.Router.Idempotency;
 import frostreel.routing.Router.RequestClass;
-import frostreel.routing.Router.Scope;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
@@ -13,17 +13,17 @@
     private static final long SOON = ClassTable.CHANGE_US - 1;
     private static final long LATER = ClassTable.CHANGE_US;
 
-    private static RequestClass kind(String name, Access access, Repeat repeat) {
-        return new RequestClass(name, access, repeat, Scope.GROUP, 3_000_000, 0, 100_000, 400_000, 1, 0);
+    private static RequestClass kind(String name, Access access, Idempotency repeat) {
+        return new RequestClass(name, access, repeat, DeduplicationScope.GROUP, 3_000_000, 0, 100_000, 400_000, 1, 0);
     }
 
-    private final RequestClass read = kind("read", Access.ANY, Repeat.SAFE);
-    private final RequestClass post = kind("post", Access.WRITE, Repeat.KEYED);
+    private final RequestClass read = kind("read", Access.ANY, Idempotency.SAFE);
+    private final RequestClass post = kind("post", Access.WRITE, Idempotency.KEYED);
     private final ClassTable table = new ClassTable(List.of(read, post));
 
     @Test
     void aClassAddedIsServedAtOnceAndOneDroppedForAWhile() {
-        table.change(0, List.of(post, kind("new", Access.WRITE, Repeat.UNSAFE)));
+        table.change(0, List.of(post, kind("new", Access.WRITE, Idempotency.UNSAFE)));
         assertThat(table.number(0, "new", true, false)).isEqualTo(2);
         assertThat(table.number(0, "post", true, true))
                 .as("unchanged, it keeps its number")
@@ -35,7 +35,7 @@
 
     @Test
     void ofTwoClassesOfOneNameTheStricterHoldsUntilClientsSpeakByTheNew() {
-        table.change(0, List.of(read, kind("post", Access.WRITE, Repeat.SAFE)));
+        table.change(0, List.of(read, kind("post", Access.WRITE, Idempotency.SAFE)));
         assertThat(table.number(SOON, "post", true, true))
                 .as("keyed is stricter")
                 .isEqualTo(1);
@@ -43,13 +43,13 @@
                 .as("only the new fits")
                 .isEqualTo(2);
         assertThat(table.number(LATER, "post", true, true)).isEqualTo(2);
-        table.change(LATER, List.of(read, kind("post", Access.WRITE, Repeat.UNSAFE)));
+        table.change(LATER, List.of(read, kind("post", Access.WRITE, Idempotency.UNSAFE)));
         assertThat(table.number(LATER, "post", true, false)).isEqualTo(3);
     }
 
     @Test
     void aReadThatBecomesAWriteIsEitherByItsStatement() {
-        table.change(0, List.of(kind("read", Access.WRITE, Repeat.UNSAFE), post));
+        table.change(0, List.of(kind("read", Access.WRITE, Idempotency.UNSAFE), post));
         assertThat(table.number(SOON, "read", false, false)).isZero();
         assertThat(table.number(SOON, "read", true, false)).isEqualTo(2);
         assertThat(table.number(LATER, "read", false, false)).isNull();
@@ -58,7 +58,7 @@
     @Test
     void whatComesBackAsItWasHasItsOldNumberSoThatTheTableDoesNotGrow() {
         for (int i = 0; i < 100; i++) {
-            Repeat repeat = i % 2 == 0 ? Repeat.UNSAFE : Repeat.SAFE;
+            Idempotency repeat = i % 2 == 0 ? Idempotency.UNSAFE : Idempotency.SAFE;
             table.change(i, List.of(kind("read", Access.ANY, repeat), post));
         }
         assertThat(table.all()).hasSize(3);
--- a/decisions/src/test/java/frostreel/routing/ChainRouterTest.java
+++ b/decisions/src/test/java/frostreel/routing/ChainRouterTest.java
@@ -18,12 +18,12 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import frostreel.routing.Recorder.Setup;
-import frostreel.routing.Router.Checks;
 import frostreel.routing.Router.ListKind;
 import frostreel.routing.Router.ListRole;
-import frostreel.routing.Router.Marks;
 import frostreel.routing.Router.Outcome;
 import frostreel.routing.Router.Role;
+import frostreel.routing.Router.SessionTracking;
+import frostreel.routing.Router.StalenessCheck;
 import frostreel.routing.Router.State;
 import java.util.Comparator;
 import java.util.List;
@@ -367,7 +367,7 @@
     @Test
     void rememberedCommitsBindTheSessionsReads() {
         Setup s = new Setup();
-        s.marks = Marks.REMEMBERED;
+        s.marks = SessionTracking.REMEMBERED;
         Recorder r = s.start(up("a", 0, true), up("b", 0, false));
         r.probeOk("b", Role.REPLICA, r.now - 100_000);
         r.ask("w", UNSAFE);
@@ -385,7 +385,7 @@
     @Test
     void aWriteInDoubtBindsTheSessionsReads() {
         Setup s = new Setup();
-        s.marks = Marks.REMEMBERED;
+        s.marks = SessionTracking.REMEMBERED;
         Recorder r = s.start(up("a", 0, true), up("b", 0, false));
         r.probeOk("b", Role.REPLICA, r.now - 10_000);
         r.ask("w", UNSAFE);
@@ -404,7 +404,7 @@
     @Test
     void whatWaitsForItsConnectionStandsOnlyWhileItsMemberIsNewEnough() {
         Setup s = new Setup();
-        s.marks = Marks.REMEMBERED;
+        s.marks = SessionTracking.REMEMBERED;
         Recorder r = s.start(up("a", 0, true), up("b", 0, false));
         r.probeOk("b", Role.REPLICA, r.now - 100_000);
         r.ask("w", UNSAFE);
@@ -506,7 +506,7 @@
     @Test
     void commitsThatAreForgottenStillBind() {
         Setup s = new Setup();
-        s.marks = Marks.REMEMBERED;
+        s.marks = SessionTracking.REMEMBERED;
         Recorder r = s.start(up("a", 0, true), up("b", 0, false));
         r.ask("w", UNSAFE);
         long commit = r.now;
@@ -536,7 +536,7 @@
     @Test
     void aCheckingReplicaMayBeTriedUnproven() {
         Setup s = new Setup();
-        s.checks = Checks.WAIT;
+        s.checks = StalenessCheck.WAIT;
         Recorder r = s.start(up("a", 0, true), up("b", 0, false));
         r.ask("q", SAFE_READ);
         assertEquals("b", r.last("q").member());
@@ -1021,7 +1021,7 @@
         classes.add(new Router.RequestClass(
                 "new",
                 Router.Access.WRITE,
-                Router.Repeat.UNSAFE,
+                Router.Idempotency.UNSAFE,
                 old.scope(),
                 0,
                 0,
--- a/decisions/src/test/java/frostreel/routing/PromotionTest.java
+++ b/decisions/src/test/java/frostreel/routing/PromotionTest.java
@@ -10,11 +10,11 @@
 import frostreel.routing.Recorder.Setup;
 import frostreel.routing.Router.ListKind;
 import frostreel.routing.Router.ListRole;
-import frostreel.routing.Router.Marks;
 import frostreel.routing.Router.Outcome;
 import frostreel.routing.Router.Probes;
 import frostreel.routing.Router.Request;
 import frostreel.routing.Router.Role;
+import frostreel.routing.Router.SessionTracking;
 import frostreel.routing.Router.State;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -34,7 +34,7 @@
     void sessionWritesAndItsPrimaryDies() {
         Setup s = new Setup();
         s.listRole = ListRole.START;
-        s.marks = Marks.REMEMBERED;
+        s.marks = SessionTracking.REMEMBERED;
         s.probes = Probes.LIVENESS;
         r = s.start(up("a", 0, true), up("b", 0, false), up("c", 0, false));
         commitUs = r.now;
--- a/decisions/src/test/java/frostreel/routing/Recorder.java
+++ b/decisions/src/test/java/frostreel/routing/Recorder.java
@@ -1,18 +1,18 @@
 package frostreel.routing;
 
 import frostreel.routing.Router.Access;
-import frostreel.routing.Router.Checks;
+import frostreel.routing.Router.DeduplicationScope;
+import frostreel.routing.Router.Idempotency;
 import frostreel.routing.Router.ListKind;
 import frostreel.routing.Router.ListRole;
-import frostreel.routing.Router.Marks;
 import frostreel.routing.Router.Member;
 import frostreel.routing.Router.Outcome;
-import frostreel.routing.Router.Repeat;
 import frostreel.routing.Router.Report;
 import frostreel.routing.Router.Request;
 import frostreel.routing.Router.RequestClass;
 import frostreel.routing.Router.Role;
-import frostreel.routing.Router.Scope;
+import frostreel.routing.Router.SessionTracking;
+import frostreel.routing.Router.StalenessCheck;
 import frostreel.routing.Router.State;
 import java.util.ArrayList;
 import java.util.List;
@@ -46,9 +46,9 @@
 
     /** The settings a test may vary. */
     static final class Setup {
-        Checks checks = Checks.SILENT;
+        StalenessCheck checks = StalenessCheck.SILENT;
         ListRole listRole = ListRole.LATE;
-        Marks marks = Marks.CARRIED;
+        SessionTracking marks = SessionTracking.CARRIED;
         Router.Probes probes = Router.Probes.REPORT;
         boolean cancel = true;
         boolean advice = true;
@@ -69,14 +69,14 @@
 
         Router.Settings settings() {
             List<RequestClass> classes = List.of(
-                    kind("bounded", Access.BOUNDED, Repeat.SAFE, Scope.GROUP, 0),
-                    kind("session", Access.SESSION, Repeat.SAFE, Scope.GROUP, 0),
-                    kind("fresh", Access.FRESH, Repeat.SAFE, Scope.GROUP, 0),
-                    kind("keyed", Access.WRITE, Repeat.KEYED, Scope.GROUP, 0.5),
-                    kind("unsafe", Access.WRITE, Repeat.UNSAFE, Scope.GROUP, 0.5),
-                    kind("any", Access.ANY, Repeat.SAFE, Scope.GROUP, 0),
-                    kind("keyed anywhere", Access.WRITE, Repeat.KEYED, Scope.ALL, 0.5),
-                    kind("keyed in its zone", Access.WRITE, Repeat.KEYED, Scope.ZONE, 0.5));
+                    kind("bounded", Access.BOUNDED, Idempotency.SAFE, DeduplicationScope.GROUP, 0),
+                    kind("session", Access.SESSION, Idempotency.SAFE, DeduplicationScope.GROUP, 0),
+                    kind("fresh", Access.FRESH, Idempotency.SAFE, DeduplicationScope.GROUP, 0),
+                    kind("keyed", Access.WRITE, Idempotency.KEYED, DeduplicationScope.GROUP, 0.5),
+                    kind("unsafe", Access.WRITE, Idempotency.UNSAFE, DeduplicationScope.GROUP, 0.5),
+                    kind("any", Access.ANY, Idempotency.SAFE, DeduplicationScope.GROUP, 0),
+                    kind("keyed anywhere", Access.WRITE, Idempotency.KEYED, DeduplicationScope.ALL, 0.5),
+                    kind("keyed in its zone", Access.WRITE, Idempotency.KEYED, DeduplicationScope.ZONE, 0.5));
             return new Router.Settings(
                     seed,
                     instances,
@@ -103,7 +103,8 @@
                     new Router.Rules(20_000, 500_000, onlyDraining, 0.2, 18_000_000, 3, 2_000_000));
         }
 
-        private static RequestClass kind(String name, Access access, Repeat repeat, Scope scope, double late) {
+        private static RequestClass kind(
+                String name, Access access, Idempotency repeat, DeduplicationScope scope, double late) {
             return new RequestClass(name, access, repeat, scope, 3_000_000, 800_000, 600_000, 5_000_000, 2, late);
         }
     }
--- a/decisions/src/test/java/frostreel/zones/ZoneFailoverPolicyTest.java
+++ b/decisions/src/test/java/frostreel/zones/ZoneFailoverPolicyTest.java
@@ -22,9 +22,9 @@
             0,
             1000,
             List.of(read("cheap", 2), read("dear", 1)),
-            Router.Checks.REFUSE,
+            Router.StalenessCheck.REFUSE,
             Router.ListRole.LATE,
-            Router.Marks.CARRIED,
+            Router.SessionTracking.CARRIED,
             true,
             new Router.Limits(10, Router.Probes.REPORT, true, true, SECOND, false, 0, 250_000, 50_000, 30 * SECOND, 1),
             new Router.Rules(20_000, SECOND, false, 0.2, 15 * SECOND, 3, 2 * SECOND));
@@ -46,7 +46,16 @@
 
     private static Router.RequestClass read(String name, double worth) {
         return new Router.RequestClass(
-                name, Router.Access.ANY, Router.Repeat.SAFE, Router.Scope.GROUP, 0, 0, 200_000, SECOND, worth, 0);
+                name,
+                Router.Access.ANY,
+                Router.Idempotency.SAFE,
+                Router.DeduplicationScope.GROUP,
+                0,
+                0,
+                200_000,
+                SECOND,
+                worth,
+                0);
     }
 
     /** Reads of 40 ms: so many a second to one seat, as far as it permits; the number that went. */
--- a/lab/src/main/java/frostreel/lab/processes/Load.java
+++ b/lab/src/main/java/frostreel/lab/processes/Load.java
@@ -247,7 +247,7 @@
                 .append(c.name())
                 .append(",d=")
                 .append(c.deadlineUs() / 1000);
-        if (c.repeat() == Router.Repeat.KEYED) {
+        if (c.repeat() == Router.Idempotency.KEYED) {
             names.append(",k=").append(r.id);
         }
         names.append(",cluster=").append(r.session % groups);
--- a/lab/src/main/java/frostreel/lab/rules/RuleBook.java
+++ b/lab/src/main/java/frostreel/lab/rules/RuleBook.java
@@ -1,11 +1,11 @@
 package frostreel.lab.rules;
 
+import frostreel.routing.Router.DeduplicationScope;
+import frostreel.routing.Router.Idempotency;
 import frostreel.routing.Router.Limits;
 import frostreel.routing.Router.Outcome;
-import frostreel.routing.Router.Repeat;
 import frostreel.routing.Router.RequestClass;
 import frostreel.routing.Router.Rules;
-import frostreel.routing.Router.Scope;
 import frostreel.routing.Router.State;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -142,8 +142,8 @@
             RequestClass c = classes.get(id);
             if (since != null
                     && c != null
-                    && c.repeat() != Repeat.SAFE
-                    && (c.repeat() == Repeat.UNSAFE || nowUs > since + c.windowUs())) {
+                    && c.repeat() != Idempotency.SAFE
+                    && (c.repeat() == Idempotency.UNSAFE || nowUs > since + c.windowUs())) {
                 convict(nowUs, id + " may have run, and was sent again to " + server);
             }
             begun.put(id, nowUs);
@@ -160,8 +160,9 @@
         @Override
         public void answered(long nowUs, int pooler, String id, Answer answer) {
             RequestClass c = classes.remove(id);
-            boolean harmless =
-                    c == null || c.repeat() == Repeat.SAFE || c.repeat() == Repeat.KEYED && c.scope() == Scope.ALL;
+            boolean harmless = c == null
+                    || c.repeat() == Idempotency.SAFE
+                    || c.repeat() == Idempotency.KEYED && c.scope() == DeduplicationScope.ALL;
             if (doubted.remove(id) != null && answer == Answer.REFUSED && !harmless) {
                 convict(nowUs, id + " may have run, and was refused");
             }
--- a/lab/src/main/java/frostreel/lab/virtual/Plan.java
+++ b/lab/src/main/java/frostreel/lab/virtual/Plan.java
@@ -66,8 +66,8 @@
                 new Router.RequestClass(
                         name,
                         access,
-                        write ? Router.Repeat.KEYED : Router.Repeat.SAFE,
-                        Router.Scope.GROUP,
+                        write ? Router.Idempotency.KEYED : Router.Idempotency.SAFE,
+                        Router.DeduplicationScope.GROUP,
                         write ? 3_000_000 : 0,
                         access == Router.Access.BOUNDED ? 800_000 : 0,
                         aimMs * 1000,
--- a/lab/src/main/java/frostreel/lab/virtual/Site.java
+++ b/lab/src/main/java/frostreel/lab/virtual/Site.java
@@ -30,9 +30,9 @@
                     0,
                     1_000,
                     Plan.KINDS.stream().map(Plan.Kind::c).toList(),
-                    Router.Checks.REFUSE,
+                    Router.StalenessCheck.REFUSE,
                     Router.ListRole.LATE,
-                    Router.Marks.CARRIED,
+                    Router.SessionTracking.CARRIED,
                     true,
                     new Router.Limits(
                             10, Router.Probes.REPORT, true, true, 2_000_000, false, 0, 250_000, 50_000, 30_000_000, 1),
--- a/lab/src/main/java/frostreel/lab/virtual/World.java
+++ b/lab/src/main/java/frostreel/lab/virtual/World.java
@@ -285,7 +285,7 @@
         String id = Long.toString(++ids, 36);
         long now = kernel.now();
         long deadlineUs = now + (long) (c.deadlineUs() * t.patience);
-        boolean carried = plan.site().settings().marks() == Router.Marks.CARRIED;
+        boolean carried = plan.site().settings().marks() == Router.SessionTracking.CARRIED;
         long wroteUs = carried ? lastWriteUs[t.session] : t.pooler.commit(t.session);
         boolean reads = c.access() == Router.Access.SESSION;
         long seesUs = reads ? wroteUs : c.access() == Router.Access.FRESH ? now : 0;
--- a/lab/src/test/java/frostreel/lab/processes/BesideTest.java
+++ b/lab/src/test/java/frostreel/lab/processes/HandoverTest.java
@@ -31,7 +31,7 @@
  * the test says which of them a request goes through. The replica lags, and says so; nothing checks it.
  */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
-class BesideTest {
+class HandoverTest {
     private static final Path PROGRAM =
             Path.of("../pooler/target/frostreel.jar").toAbsolutePath();
     private static final String CONFIG = """
--- a/lab/src/test/java/frostreel/lab/rules/RuleBookTest.java
+++ b/lab/src/test/java/frostreel/lab/rules/RuleBookTest.java
@@ -16,13 +16,14 @@
             new Router.Limits(3, Router.Probes.REPORT, true, true, 2_000_000, false, 0, 250_000, 50_000, 30_000_000, 1);
     private static final Router.Rules FIGURES =
             new Router.Rules(20_000, 1_000_000, false, 0.22, 15_000_000, 3, 2_000_000);
-    private static final Router.RequestClass READ = requestClass(Router.Access.ANY, Router.Repeat.SAFE);
-    private static final Router.RequestClass KEYED = requestClass(Router.Access.WRITE, Router.Repeat.KEYED);
-    private static final Router.RequestClass UNSAFE = requestClass(Router.Access.WRITE, Router.Repeat.UNSAFE);
+    private static final Router.RequestClass READ = requestClass(Router.Access.ANY, Router.Idempotency.SAFE);
+    private static final Router.RequestClass KEYED = requestClass(Router.Access.WRITE, Router.Idempotency.KEYED);
+    private static final Router.RequestClass UNSAFE = requestClass(Router.Access.WRITE, Router.Idempotency.UNSAFE);
     private RuleBook book;
 
-    private static Router.RequestClass requestClass(Router.Access access, Router.Repeat repeat) {
-        return new Router.RequestClass("c", access, repeat, Router.Scope.GROUP, 3_000_000, 0, 100, 1000, 1, 0);
+    private static Router.RequestClass requestClass(Router.Access access, Router.Idempotency repeat) {
+        return new Router.RequestClass(
+                "c", access, repeat, Router.DeduplicationScope.GROUP, 3_000_000, 0, 100, 1000, 1, 0);
     }
 
     @BeforeEach
--- a/lab/src/test/java/frostreel/lab/virtual/KnownSitesTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/KnownSitesTest.java
@@ -65,8 +65,8 @@
         assertThat(kamloops.classes())
                 .extracting(Router.RequestClass::access)
                 .containsExactly(Router.Access.BOUNDED, Router.Access.ANY, Router.Access.ANY, Router.Access.WRITE);
-        assertThat(kamloops.checks()).isEqualTo(Router.Checks.WAIT);
-        assertThat(kamloops.marks()).isEqualTo(Router.Marks.CARRIED);
+        assertThat(kamloops.checks()).isEqualTo(Router.StalenessCheck.WAIT);
+        assertThat(kamloops.marks()).isEqualTo(Router.SessionTracking.CARRIED);
         assertThat(kamloops.rules())
                 .isEqualTo(new Router.Rules(20_000, 1_000_000, false, 0.22, 15_000_000, 3, 2_000_000));
         Router.Settings bsas = draw(settings("bsas-main"), 2, 0.3, 1).settings();
@@ -77,17 +77,17 @@
                 .isEqualTo(new Router.RequestClass(
                         "order-write",
                         Router.Access.WRITE,
-                        Router.Repeat.KEYED,
-                        Router.Scope.GROUP,
+                        Router.Idempotency.KEYED,
+                        Router.DeduplicationScope.GROUP,
                         3_000_000,
                         0,
                         500_000,
                         3_000_000,
                         6,
                         0.7));
-        assertThat(bsas.checks()).isEqualTo(Router.Checks.SILENT);
+        assertThat(bsas.checks()).isEqualTo(Router.StalenessCheck.SILENT);
         assertThat(bsas.listRole()).isEqualTo(Router.ListRole.START);
-        assertThat(bsas.marks()).isEqualTo(Router.Marks.REMEMBERED);
+        assertThat(bsas.marks()).isEqualTo(Router.SessionTracking.REMEMBERED);
         assertThat(bsas.positions()).isTrue();
         assertThat(bsas.limits())
                 .isEqualTo(new Router.Limits(
--- a/pooler/src/main/java/frostreel/Pooler.java
+++ b/pooler/src/main/java/frostreel/Pooler.java
@@ -4,10 +4,10 @@
 import frostreel.broker.Deadlines;
 import frostreel.config.Config;
 import frostreel.config.HostList;
-import frostreel.control.Beside;
 import frostreel.control.CallListener;
 import frostreel.control.ClockAnchor;
 import frostreel.control.Operator;
+import frostreel.control.PeerProcessCommits;
 import frostreel.discovery.Watch;
 import frostreel.fleet.Fellows;
 import frostreel.log.Logging;
@@ -69,7 +69,7 @@
     private HostList known;
 
     private ZoneFailoverPolicy advice;
-    private final Beside beside;
+    private final PeerProcessCommits beside;
     /** Null where no poolers see each other. */
     private final Fellows fellows;
 
@@ -101,7 +101,7 @@
     Pooler(Config config, OperatorSettings operators, long knownPatienceUs, long lingerUs) throws IOException {
         this.knownPatienceUs = knownPatienceUs;
         loop = new Loop(ClockAnchor.clock(config.orders()));
-        beside = Beside.of(config, loop.clock().now());
+        beside = PeerProcessCommits.of(config, loop.clock().now());
         loop.onBeat(beside.writes()::beat);
         pool = new ServerPool(loop, config.settings(), config.maxServerConnections());
         broker = new Broker(
--- a/pooler/src/main/java/frostreel/broker/Broker.java
+++ b/pooler/src/main/java/frostreel/broker/Broker.java
@@ -57,10 +57,10 @@
 
         /** From when on no attempt of it may begin: its deadline, or the end of what may be repeated. */
         long beginByUs() {
-            if (maybeRanUs == Long.MAX_VALUE || rules.repeat() == Router.Repeat.SAFE) {
+            if (maybeRanUs == Long.MAX_VALUE || rules.repeat() == Router.Idempotency.SAFE) {
                 return ask.deadlineUs();
             }
-            return rules.repeat() == Router.Repeat.UNSAFE
+            return rules.repeat() == Router.Idempotency.UNSAFE
                     ? maybeRanUs
                     : Math.min(ask.deadlineUs(), maybeRanUs + rules.windowUs());
         }
--- a/pooler/src/main/java/frostreel/control/Beside.java
+++ b/pooler/src/main/java/frostreel/control/PeerProcessCommits.java
@@ -13,20 +13,20 @@
  * of theirs: by a file that all of them map, where there may be others and settings have sessions' commits
  * remembered. Where that file is of no use, the others' writes bind as soon as they count as known.
  */
-public record Beside(CommitLog writes, Router.Elsewhere elsewhere) {
-    private static final Logger LOG = Logger.getLogger(Beside.class.getName());
+public record PeerProcessCommits(CommitLog writes, Router.PeerCommits elsewhere) {
+    private static final Logger LOG = Logger.getLogger(PeerProcessCommits.class.getName());
 
     /** Opens the file, if there is to be one; blocks for that, so before the loop has anything to do. */
-    public static Beside of(Config config, long nowUs) {
-        if (!config.inherits() || config.settings().marks() != Router.Marks.REMEMBERED) {
-            return new Beside(CommitLog.NONE, (now, session) -> 0);
+    public static PeerProcessCommits of(Config config, long nowUs) {
+        if (!config.inherits() || config.settings().marks() != Router.SessionTracking.REMEMBERED) {
+            return new PeerProcessCommits(CommitLog.NONE, (now, session) -> 0);
         }
         return Joined.of(config, nowUs);
     }
 
     /** Apart, so that a process which has none beside it loads nothing of all this. */
     private static final class Joined {
-        static Beside of(Config config, long nowUs) {
+        static PeerProcessCommits of(Config config, long nowUs) {
             try {
                 if (config.orders() == null) {
                     throw new IOException("there is no folder for it");
@@ -36,10 +36,10 @@
                     warn(file.replaced());
                 }
                 CommitBoard board = new CommitBoard(file, new SplittableRandom().nextLong() | 1, nowUs);
-                return new Beside(board, file.replaced() == null ? board : CommitBoard.BLIND);
+                return new PeerProcessCommits(board, file.replaced() == null ? board : CommitBoard.BLIND);
             } catch (IOException | UnsupportedOperationException e) { // Such a file system has no links.
                 warn(e.toString());
-                return new Beside(CommitLog.NONE, CommitBoard.BLIND);
+                return new PeerProcessCommits(CommitLog.NONE, CommitBoard.BLIND);
             }
         }
 
--- a/pooler/src/test/java/frostreel/BesideTest.java
+++ b/pooler/src/test/java/frostreel/HandoverTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import frostreel.config.Config;
-import frostreel.control.Beside;
+import frostreel.control.PeerProcessCommits;
 import frostreel.routing.Router.Outcome;
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** The file that the processes of one pooler share: two of them, each with a mapping of its own. */
-class BesideTest {
+class HandoverTest {
     private static final long NOW = 1_000_000_000;
     private static final String CARRIED = Stage.configuration("127.0.0.1:1");
     private static final String REMEMBERED = CARRIED.replace("carried", "remembered");
@@ -26,11 +26,11 @@
     @TempDir
     Path dir;
 
-    private Beside begin(String config, String descriptor) throws Exception {
-        return Beside.of(Config.parse(config, Map.of("GW_FD", descriptor, "TMPDIR", dir.toString())), NOW);
+    private PeerProcessCommits begin(String config, String descriptor) throws Exception {
+        return PeerProcessCommits.of(Config.parse(config, Map.of("GW_FD", descriptor, "TMPDIR", dir.toString())), NOW);
     }
 
-    private Beside begin() throws Exception {
+    private PeerProcessCommits begin() throws Exception {
         return begin(REMEMBERED, "0");
     }
 
@@ -38,24 +38,24 @@
         return dir.resolve("frostreel-orders");
     }
 
-    private static void write(Beside by, long commitUs) {
+    private static void write(PeerProcessCommits by, long commitUs) {
         by.writes().sent(NOW, 7, NOW + 1_000_000);
         by.writes().ended(NOW, 7, NOW + 1_000_000, Outcome.OK, commitUs);
     }
 
     /** What a read of that session must see at that time. */
-    private static long bound(Beside at) {
+    private static long bound(PeerProcessCommits at) {
         return at.elsewhere().boundUs(NOW + 50_000, 7);
     }
 
-    private void blind(Beside at) {
+    private void blind(PeerProcessCommits at) {
         assertThat(bound(at)).as("all that counts as known").isEqualTo(NOW - 50_000);
     }
 
     @Test
     void whatOneProcessAnsweredBindsTheOtherBothWays() throws Exception {
-        Beside before = begin();
-        Beside after = begin();
+        PeerProcessCommits before = begin();
+        PeerProcessCommits after = begin();
         assertThat(List.of(bound(before), bound(after))).containsOnly(0L);
         write(before, NOW + 2_000);
         assertThat(bound(after)).isEqualTo(NOW + 3_000);
@@ -67,7 +67,7 @@
 
     @Test
     void whereNobodyIsBesideOrNothingIsRememberedThereIsNoFile() throws Exception {
-        for (Beside alone : List.of(begin(REMEMBERED, ""), begin(CARRIED, "0"))) {
+        for (PeerProcessCommits alone : List.of(begin(REMEMBERED, ""), begin(CARRIED, "0"))) {
             write(alone, NOW);
             assertThat(bound(alone)).isZero();
         }
@@ -93,11 +93,11 @@
             Files.deleteIfExists(folder().resolve("commits"));
             begin();
             damaged(how);
-            Beside first = begin();
+            PeerProcessCommits first = begin();
             blind(first);
             write(first, NOW + 2_000);
             blind(first);
-            Beside second = begin();
+            PeerProcessCommits second = begin();
             assertThat(bound(second)).as(how).isEqualTo(NOW + 3_000);
             write(second, NOW + 60_000);
             blind(first);
@@ -110,13 +110,13 @@
     @Test
     void whereThereCanBeNoFileItServesBlind() throws Exception {
         Files.createDirectories(folder().resolve("commits")); // Read as root may read and write any.
-        Beside before = begin();
+        PeerProcessCommits before = begin();
         write(before, NOW);
         blind(before);
         Files.delete(folder().resolve("commits"));
         Files.delete(folder());
         Files.createFile(folder());
         blind(begin());
-        blind(Beside.of(Config.parse(REMEMBERED, Map.of("GW_FD", "0")), NOW));
+        blind(PeerProcessCommits.of(Config.parse(REMEMBERED, Map.of("GW_FD", "0")), NOW));
     }
 }
--- a/pooler/src/test/java/frostreel/broker/BrokerTest.java
+++ b/pooler/src/test/java/frostreel/broker/BrokerTest.java
@@ -19,8 +19,8 @@
         Router.RequestClass read = new Router.RequestClass(
                 "look",
                 Router.Access.ANY,
-                Router.Repeat.SAFE,
-                Router.Scope.GROUP,
+                Router.Idempotency.SAFE,
+                Router.DeduplicationScope.GROUP,
                 0,
                 0,
                 DEADLINE_US,
@@ -33,9 +33,9 @@
                 0,
                 5_000,
                 List.of(read),
-                Router.Checks.WAIT,
+                Router.StalenessCheck.WAIT,
                 Router.ListRole.LATE,
-                Router.Marks.CARRIED,
+                Router.SessionTracking.CARRIED,
                 true,
                 new Router.Limits(4, Router.Probes.NONE, true, true, 0, false, 0, 0, 0, 0, 1),
                 new Router.Rules(answerSlackUs, 1_000_000, false, 1, 0, 1, 0));
