--- a/decisions/src/main/java/frostreel/simulator/WireAdapter.java
+++ b/decisions/src/main/java/frostreel/simulator/WireAdapter.java
@@ -3,8 +3,8 @@
 import frostreel.routing.ChainRouter;
 import frostreel.routing.Router;
 import frostreel.routing.Router.Outcome;
-import frostreel.wire.Fields;
-import frostreel.wire.Malformed;
+import frostreel.wire.MalformedMessageException;
+import frostreel.wire.MessageFields;
 import frostreel.wire.SettingsReader;
 import java.io.BufferedInputStream;
 import java.io.ByteArrayOutputStream;
@@ -120,7 +120,7 @@
     }
 
     private static final JSONParserConfiguration STRICT = new JSONParserConfiguration().withStrictMode(true);
-    private static final long FAR = Fields.FAR;
+    private static final long FAR = MessageFields.FAR;
     private final StringBuilder out = new StringBuilder(1 << 16);
     private final Map<String, Instance> instances = new HashMap<>();
     private final Map<Long, List<Router.Member>> lists = new HashMap<>();
@@ -153,16 +153,16 @@
                 continue;
             }
             try {
-                Fields f = decode(line.toByteArray());
+                MessageFields f = decode(line.toByteArray());
                 String type = f.text("t");
                 if (type.equals("Clock")) {
                     if (inBatch) {
-                        throw new Malformed("field 't': Clock inside a batch");
+                        throw new MalformedMessageException("field 't': Clock inside a batch");
                     }
                     now = f.micros("timeS");
                     inBatch = true;
                 } else if (!inBatch) {
-                    throw new Malformed("field 't': " + type + " outside a batch");
+                    throw new MalformedMessageException("field 't': " + type + " outside a batch");
                 } else if (type.equals("EofBatch")) {
                     inBatch = false;
                     out.append("{\"t\":\"Ack\"}\n");
@@ -175,7 +175,7 @@
                 } else if (!faulted) {
                     event(type, now, f);
                 }
-            } catch (Malformed | JSONException e) {
+            } catch (MalformedMessageException | JSONException e) {
                 String what = e instanceof JSONException ? "not JSON: " + e.getMessage() : e.getMessage();
                 err.println("frostreel: line " + lineNumber + ": " + what);
                 return 1;
@@ -201,16 +201,16 @@
         return line.size() > 0;
     }
 
-    private static Fields decode(byte[] bytes) throws Malformed {
+    private static MessageFields decode(byte[] bytes) throws MalformedMessageException {
         JSONTokener p = new JSONTokener(new String(bytes, StandardCharsets.UTF_8), STRICT);
         Object v = p.nextValue();
         if (!(v instanceof JSONObject o) || p.nextClean() != 0) {
-            throw new Malformed("field 't': the line is not one object");
+            throw new MalformedMessageException("field 't': the line is not one object");
         }
-        return new Fields(o.toMap());
+        return new MessageFields(o.toMap());
     }
 
-    private void event(String type, long now, Fields f) throws Malformed {
+    private void event(String type, long now, MessageFields f) throws MalformedMessageException {
         if (type.equals("Register")) {
             register(f);
             return;
@@ -221,7 +221,7 @@
             to = new Instance(name, out);
             instances.put(name, to);
         } else if (to == null) {
-            throw new Malformed("field 'i': no instance '" + name + "' was created");
+            throw new MalformedMessageException("field 'i': no instance '" + name + "' was created");
         }
         try {
             hand(type, now, f, to);
@@ -238,7 +238,7 @@
         }
     }
 
-    private void hand(String type, long now, Fields f, Instance to) throws Malformed {
+    private void hand(String type, long now, MessageFields f, Instance to) throws MalformedMessageException {
         switch (type) {
             case "Create" -> create(f, to);
             case "Endpoints" -> {
@@ -253,7 +253,7 @@
                 if (kind != Router.ListKind.FAILED) {
                     list = lists.get(f.whole("buffer", 0, 15, 0));
                     if (list == null) {
-                        throw new Malformed("field 'buffer': no list was registered under this number");
+                        throw new MalformedMessageException("field 'buffer': no list was registered under this number");
                     }
                 }
                 to.router.onMembers(now, kind, list);
@@ -290,7 +290,7 @@
             case "ClientGone" -> to.router.onClientGone(now, f.text("xid"));
             case "Down" -> instances.remove(to.name);
             case "Accepted", "Datagram" -> {}
-            default -> throw new Malformed("field 't': unknown message " + type);
+            default -> throw new MalformedMessageException("field 't': unknown message " + type);
         }
     }
 
@@ -298,7 +298,7 @@
         return bits == 1 ? Router.Role.PRIMARY : bits == 2 ? Router.Role.REPLICA : Router.Role.UNKNOWN;
     }
 
-    private static Outcome outcome(Fields f) throws Malformed {
+    private static Outcome outcome(MessageFields f) throws MalformedMessageException {
         return switch ((int) f.whole("outcome", 0, 1000, 0)) {
             case 0 -> Outcome.OK;
             case 13 -> Outcome.ERROR;
@@ -309,15 +309,15 @@
             case 1 -> Outcome.CANCELLED;
             case 9 -> Outcome.MOOT;
             case 5 -> Outcome.MISS;
-            default -> throw new Malformed("field 'outcome' is not a known outcome");
+            default -> throw new MalformedMessageException("field 'outcome' is not a known outcome");
         };
     }
 
-    private static Router.Report report(Fields f, Instance to) throws Malformed {
+    private static Router.Report report(MessageFields f, Instance to) throws MalformedMessageException {
         if (!f.has("healthInfo")) {
             return null;
         }
-        Fields r = f.object("healthInfo");
+        MessageFields r = f.object("healthInfo");
         if (r.map().isEmpty()) {
             return null;
         }
@@ -334,13 +334,13 @@
     }
 
     @SuppressWarnings("unchecked")
-    private void register(Fields f) throws Malformed {
+    private void register(MessageFields f) throws MalformedMessageException {
         List<Router.Member> members = new ArrayList<>();
         for (Object o : f.list("membersList")) {
             if (!(o instanceof Map)) {
-                throw new Malformed("field 'membersList' is not a list of objects");
+                throw new MalformedMessageException("field 'membersList' is not a list of objects");
             }
-            Fields m = new Fields((Map<String, Object>) o);
+            MessageFields m = new MessageFields((Map<String, Object>) o);
             Router.State state = m.has("status")
                     ? new Router.State[] {Router.State.UP, Router.State.DRAINING, Router.State.GONE}
                             [m.oneOf("status", "U", "L", "D")]
@@ -358,9 +358,9 @@
         lists.put(f.whole("buffer", 0, 15, 0), List.copyOf(members));
     }
 
-    private void create(Fields f, Instance to) throws Malformed {
-        Fields options = f.object("options");
-        Fields info = options.object("familyInfo");
+    private void create(MessageFields f, Instance to) throws MalformedMessageException {
+        MessageFields options = f.object("options");
+        MessageFields info = options.object("familyInfo");
         to.baseUs = info.micros("baseTimeS", 0);
         to.reportsRole = options.has("stats")
                 && options.object("stats").has("names")
--- a/decisions/src/main/java/frostreel/wire/Fields.java
+++ b/decisions/src/main/java/frostreel/wire/MessageFields.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /** A decoded message: its fields by name, read with a check of each. */
-public record Fields(Map<String, Object> map) {
+public record MessageFields(Map<String, Object> map) {
     /** Whole numbers beyond this are not told apart by every JSON reader. */
     public static final long FAR = 1L << 53;
 
@@ -12,25 +12,25 @@
         return map.get(key) != null;
     }
 
-    public String text(String key) throws Malformed {
+    public String text(String key) throws MalformedMessageException {
         if (map.get(key) instanceof String s) {
             return s;
         }
         throw bad(key, "text");
     }
 
-    public double number(String key) throws Malformed {
+    public double number(String key) throws MalformedMessageException {
         if (map.get(key) instanceof Number n && Double.isFinite(n.doubleValue())) {
             return n.doubleValue();
         }
         throw bad(key, "a number");
     }
 
-    public double number(String key, double absent) throws Malformed {
+    public double number(String key, double absent) throws MalformedMessageException {
         return has(key) ? number(key) : absent;
     }
 
-    public long whole(String key, long least, long most) throws Malformed {
+    public long whole(String key, long least, long most) throws MalformedMessageException {
         double d = number(key);
         if (d != Math.rint(d) || d < least || d > most) {
             throw bad(key, "a whole number from " + least + " to " + most);
@@ -38,12 +38,12 @@
         return map.get(key) instanceof Long l ? l : (long) d;
     }
 
-    public long whole(String key, long least, long most, long absent) throws Malformed {
+    public long whole(String key, long least, long most, long absent) throws MalformedMessageException {
         return has(key) ? whole(key, least, most) : absent;
     }
 
     /** A time in seconds, as microseconds. */
-    public long micros(String key) throws Malformed {
+    public long micros(String key) throws MalformedMessageException {
         double d = number(key);
         if (Math.abs(d) > 1e12) {
             throw bad(key, "a time in range");
@@ -51,11 +51,11 @@
         return Math.round(d * 1e6);
     }
 
-    public long micros(String key, long absent) throws Malformed {
+    public long micros(String key, long absent) throws MalformedMessageException {
         return has(key) ? micros(key) : absent;
     }
 
-    public boolean flag(String key) throws Malformed {
+    public boolean flag(String key) throws MalformedMessageException {
         Object v = map.get(key);
         if (v == null || v instanceof Boolean) {
             return v == Boolean.TRUE;
@@ -64,23 +64,23 @@
     }
 
     @SuppressWarnings("unchecked")
-    public Fields object(String key) throws Malformed {
+    public MessageFields object(String key) throws MalformedMessageException {
         Object v = map.get(key);
         if (v instanceof Map) {
-            return new Fields((Map<String, Object>) v);
+            return new MessageFields((Map<String, Object>) v);
         }
         throw bad(key, "an object");
     }
 
     @SuppressWarnings("unchecked")
-    public List<Object> list(String key) throws Malformed {
+    public List<Object> list(String key) throws MalformedMessageException {
         if (map.get(key) instanceof List<?> l) {
             return (List<Object>) l;
         }
         throw bad(key, "a list");
     }
 
-    public int oneOf(String key, String... words) throws Malformed {
+    public int oneOf(String key, String... words) throws MalformedMessageException {
         String word = text(key);
         for (int i = 0; i < words.length; i++) {
             if (words[i].equals(word)) {
@@ -90,7 +90,8 @@
         throw bad(key, "one of " + String.join(", ", words));
     }
 
-    private Malformed bad(String key, String wanted) {
-        return new Malformed(has(key) ? "field '" + key + "' is not " + wanted : "field '" + key + "' is missing");
+    private MalformedMessageException bad(String key, String wanted) {
+        return new MalformedMessageException(
+                has(key) ? "field '" + key + "' is not " + wanted : "field '" + key + "' is missing");
     }
 }
--- a/decisions/src/main/java/frostreel/wire/SettingsReader.java
+++ b/decisions/src/main/java/frostreel/wire/SettingsReader.java
@@ -12,22 +12,22 @@
     private SettingsReader() {}
 
     @SuppressWarnings("unchecked")
-    public static Router.Settings read(long seed, Fields o) throws Malformed {
-        Fields info = o.object("familyInfo");
+    public static Router.Settings read(long seed, MessageFields o) throws MalformedMessageException {
+        MessageFields info = o.object("familyInfo");
         List<Object> access = info.list("freshness");
         List<Object> bounds = info.has("lagAllowedS") ? info.list("lagAllowedS") : List.of();
         List<Router.RequestClass> classes = new ArrayList<>();
         for (Object each : o.list("classes")) {
-            Fields c = new Fields((Map<String, Object>) each);
+            MessageFields c = new MessageFields((Map<String, Object>) each);
             int n = classes.size();
             if (n >= access.size() || !(access.get(n) instanceof String)) {
-                throw new Malformed("field 'freshness' has no word for class " + n);
+                throw new MalformedMessageException("field 'freshness' has no word for class " + n);
             }
-            Fields one = new Fields(Map.of("freshness", access.get(n)));
+            MessageFields one = new MessageFields(Map.of("freshness", access.get(n)));
             double bound = n < bounds.size() && bounds.get(n) instanceof Number b ? b.doubleValue() : 0;
             long deadline = c.micros("deadlineS");
             if (deadline <= 0) {
-                throw new Malformed("field 'deadlineS' of class " + n + " is not above 0");
+                throw new MalformedMessageException("field 'deadlineS' of class " + n + " is not above 0");
             }
             classes.add(new Router.RequestClass(
                     c.has("name") ? c.text("name") : "class " + n,
@@ -43,8 +43,8 @@
                     c.number("worth", 1),
                     c.number("lateWorth", 0)));
         }
-        Fields caps = o.object("caps");
-        Fields rules = o.object("rules");
+        MessageFields caps = o.object("caps");
+        MessageFields rules = o.object("rules");
         Router.Limits limits = new Router.Limits(
                 (int) caps.whole("maxAttempts", 1, 1 << 20, 1),
                 probes(caps, o),
@@ -86,11 +86,11 @@
     }
 
     /** What a probe tells of a member: where there are reports, what they hold. */
-    private static Router.Probes probes(Fields caps, Fields o) throws Malformed {
+    private static Router.Probes probes(MessageFields caps, MessageFields o) throws MalformedMessageException {
         if (!caps.flag("probes")) {
             return Router.Probes.NONE;
         }
-        Fields stats = o.has("stats") ? o.object("stats") : null;
+        MessageFields stats = o.has("stats") ? o.object("stats") : null;
         boolean told = stats != null
                 && stats.has("names")
                 && stats.list("names").containsAll(POSITION_AND_ROLE)
--- a/lab/src/test/java/frostreel/lab/virtual/AgainstLuckTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/AgainstLuckTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import frostreel.wire.Malformed;
+import frostreel.wire.MalformedMessageException;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -258,7 +258,7 @@
     }
 
     @Property(tries = TRIES, seed = "1", shrinking = ShrinkingMode.BOUNDED, afterFailure = AfterFailureMode.RANDOM_SEED)
-    void theRulesHoldOnEveryDraw(@ForAll("draws") Draw draw) throws Malformed {
+    void theRulesHoldOnEveryDraw(@ForAll("draws") Draw draw) throws MalformedMessageException {
         World world = draw.play();
         assertThat(world.rules().rules())
                 .allSatisfy(r -> assertThat(r.broken())
--- a/lab/src/test/java/frostreel/lab/virtual/Draw.java
+++ b/lab/src/test/java/frostreel/lab/virtual/Draw.java
@@ -5,8 +5,8 @@
 import frostreel.lab.model.Server;
 import frostreel.routing.ChainRouter;
 import frostreel.routing.Router;
-import frostreel.wire.Fields;
-import frostreel.wire.Malformed;
+import frostreel.wire.MalformedMessageException;
+import frostreel.wire.MessageFields;
 import frostreel.wire.SettingsReader;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -23,7 +23,7 @@
     private static final long DRAIN_US = 3_100_000;
 
     /** Plays it; the seed is the draw's own. */
-    World play() throws Malformed {
+    World play() throws MalformedMessageException {
         JSONObject fleet = json.getJSONObject("fleet");
         World world = new World(plan(fleet), ChainRouter::new);
         world.uneven(fleet.getDouble("uneven"));
@@ -33,11 +33,12 @@
         return world.run();
     }
 
-    Router.Settings settings() throws Malformed {
-        return SettingsReader.read(0, new Fields(json.getJSONObject("settings").toMap()));
+    Router.Settings settings() throws MalformedMessageException {
+        return SettingsReader.read(
+                0, new MessageFields(json.getJSONObject("settings").toMap()));
     }
 
-    private Plan plan(JSONObject fleet) throws Malformed {
+    private Plan plan(JSONObject fleet) throws MalformedMessageException {
         Router.Settings s = settings();
         Router.Rules r = s.rules();
         double shares = 0;
--- a/lab/src/test/java/frostreel/lab/virtual/KeptDrawsTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/KeptDrawsTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import frostreel.wire.Malformed;
+import frostreel.wire.MalformedMessageException;
 import java.io.IOException;
 import java.io.InputStream;
 import java.nio.charset.StandardCharsets;
@@ -16,7 +16,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"cold-one-server", "cold-thin-fleet", "cold-busy-by-half"})
-    void theRulesHold(String name) throws IOException, Malformed {
+    void theRulesHold(String name) throws IOException, MalformedMessageException {
         try (InputStream in = KeptDrawsTest.class.getResourceAsStream("/draws/" + name + ".json")) {
             JSONObject kept = new JSONObject(new String(in.readAllBytes(), StandardCharsets.UTF_8));
             for (int seed = 1; seed <= SEEDS; seed++) {
--- a/lab/src/test/java/frostreel/lab/virtual/KnownSitesTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/KnownSitesTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import frostreel.routing.Router;
-import frostreel.wire.Malformed;
+import frostreel.wire.MalformedMessageException;
 import java.io.IOException;
 import java.io.InputStream;
 import java.nio.charset.StandardCharsets;
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void theirSettingsAreReadAsThePageNamesThem() throws IOException, Malformed {
+    void theirSettingsAreReadAsThePageNamesThem() throws IOException, MalformedMessageException {
         Router.Settings kamloops = draw(settings("billing-kamloops"), 1, 0.3, 1).settings();
         assertThat(kamloops.classes())
                 .extracting(Router.RequestClass::access)
@@ -107,7 +107,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"billing-kamloops", "bsas-main"})
-    void theirRulesHoldThroughTheirTroubles(String site) throws IOException, Malformed {
+    void theirRulesHoldThroughTheirTroubles(String site) throws IOException, MalformedMessageException {
         for (long seed = 1; seed <= SEEDS; seed++) {
             keepsTheRules(draw(
                             settings(site),
@@ -128,7 +128,7 @@
     /** Poolers that have forgotten all, one after another, over servers that are cold: thin and uneven. */
     @ParameterizedTest
     @ValueSource(ints = {2, 14, 100})
-    void poolersRestartedInARowPushNoColdServerOver(int poolers) throws IOException, Malformed {
+    void poolersRestartedInARowPushNoColdServerOver(int poolers) throws IOException, MalformedMessageException {
         for (long seed = 1; seed <= SEEDS; seed++) {
             double lenS = 10 + 17.0 * seed / SEEDS;
             World world = draw(
--- a/pooler/src/main/java/frostreel/config/Config.java
+++ b/pooler/src/main/java/frostreel/config/Config.java
@@ -1,8 +1,8 @@
 package frostreel.config;
 
 import frostreel.routing.Router;
-import frostreel.wire.Fields;
-import frostreel.wire.Malformed;
+import frostreel.wire.MalformedMessageException;
+import frostreel.wire.MessageFields;
 import frostreel.wire.SettingsReader;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -72,7 +72,7 @@
             return read(new JSONObject(text), environment);
         } catch (JSONException e) {
             throw new ConfigException("GW_CONFIG: not a JSON object: " + e.getMessage());
-        } catch (Malformed e) {
+        } catch (MalformedMessageException e) {
             throw new ConfigException("GW_CONFIG: " + e.getMessage());
         }
     }
@@ -102,25 +102,25 @@
         return discovery.equals(other.discovery) && zones.equals(other.zones) && kinds.equals(other.kinds);
     }
 
-    private static Config read(JSONObject source, Map<String, String> environment) throws Malformed {
-        Fields f = new Fields(source.toMap());
-        Fields limits = f.has("limits") ? f.object("limits") : new Fields(Map.of());
+    private static Config read(JSONObject source, Map<String, String> environment) throws MalformedMessageException {
+        MessageFields f = new MessageFields(source.toMap());
+        MessageFields limits = f.has("limits") ? f.object("limits") : new MessageFields(Map.of());
         int descriptors = (int) limits.whole("sockets", 2 * OWN_SOCKETS, 1 << 20, DEFAULT_SOCKETS);
         int sockets = descriptors - OWN_SOCKETS;
         int usual = descriptors / USUAL_PART;
         int maxServers = Math.max(sockets / SPARE_PART, sockets - usual - sockets / SPARE_PART);
-        Fields options = f.object("settings");
+        MessageFields options = f.object("settings");
         Router.Settings settings = SettingsReader.read(seed(f), options).onSockets(usual);
         List<Object> zones = options.has("zones") ? options.list("zones") : List.of();
         List<Object> kinds = options.has("machineTypes") ? options.list("machineTypes") : List.of();
-        Fields caps = options.object("caps");
+        MessageFields caps = options.object("caps");
         int maxOpen = (int) Math.min(caps.whole("maxOpen", 1, Integer.MAX_VALUE, DEFAULT_OPEN), DEFAULT_OPEN);
         HostList known = f.has("known")
                 ? HostList.read(f.object("known").map(), zones, kinds)
                 : new HostList(0, true, List.of());
         String inherited = environment.getOrDefault("GW_FD", "");
         if (!inherited.isEmpty() && !inherited.equals("0")) {
-            throw new Malformed("GW_FD is not 0, the one descriptor by which a socket is taken over");
+            throw new MalformedMessageException("GW_FD is not 0, the one descriptor by which a socket is taken over");
         }
         boolean inherits = !inherited.isEmpty();
         if (inherits) {
@@ -149,17 +149,17 @@
     }
 
     /** The environment's word goes first. */
-    private static String told(Fields f, String key, Map<String, String> environment, String variable)
-            throws Malformed {
+    private static String told(MessageFields f, String key, Map<String, String> environment, String variable)
+            throws MalformedMessageException {
         String value = environment.get(variable);
         return value != null && !value.isEmpty() ? value : f.text(key);
     }
 
-    private static long seed(Fields f) throws Malformed {
+    private static long seed(MessageFields f) throws MalformedMessageException {
         try {
             return f.has("seed") ? Long.parseUnsignedLong(f.text("seed"), 16) : 0;
         } catch (NumberFormatException e) {
-            throw new Malformed("field 'seed' is not hexadecimal");
+            throw new MalformedMessageException("field 'seed' is not hexadecimal");
         }
     }
 }
--- a/pooler/src/main/java/frostreel/config/HostList.java
+++ b/pooler/src/main/java/frostreel/config/HostList.java
@@ -1,8 +1,8 @@
 package frostreel.config;
 
 import frostreel.routing.Router;
-import frostreel.wire.Fields;
-import frostreel.wire.Malformed;
+import frostreel.wire.MalformedMessageException;
+import frostreel.wire.MessageFields;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
@@ -21,14 +21,15 @@
      * Zones and kinds are told by name, and known to the decisions by their place among the settings' names.
      */
     @SuppressWarnings("unchecked")
-    public static HostList read(Map<String, Object> json, List<Object> zones, List<Object> kinds) throws Malformed {
-        Fields list = new Fields(json);
+    public static HostList read(Map<String, Object> json, List<Object> zones, List<Object> kinds)
+            throws MalformedMessageException {
+        MessageFields list = new MessageFields(json);
         List<Host> hosts = new ArrayList<>();
         for (Object each : list.list("hosts")) {
             if (!(each instanceof Map)) {
-                throw new Malformed("field 'hosts' is not a list of objects");
+                throw new MalformedMessageException("field 'hosts' is not a list of objects");
             }
-            Fields h = new Fields((Map<String, Object>) each);
+            MessageFields h = new MessageFields((Map<String, Object>) each);
             Router.State state = new Router.State[] {Router.State.UP, Router.State.DRAINING, Router.State.GONE}
                     [h.oneOf("health", "Ready", "Terminating", "Gone")];
             Router.Member member = new Router.Member(
@@ -49,7 +50,7 @@
      * Reads {@code address:port}. The address must be a number: lists are read on the I/O thread, and a name
      * would be looked up there.
      */
-    public static InetSocketAddress address(String text, String key) throws Malformed {
+    public static InetSocketAddress address(String text, String key) throws MalformedMessageException {
         int colon = text.lastIndexOf(':');
         try {
             int port = Integer.parseInt(text.substring(colon + 1));
@@ -59,7 +60,7 @@
         } catch (NumberFormatException | UnknownHostException e) {
             // Told below.
         }
-        throw new Malformed("field '" + key + "' is not address:port");
+        throw new MalformedMessageException("field '" + key + "' is not address:port");
     }
 
     /** Four decimal octets, or what the JDK takes between brackets; neither is ever looked up. */
--- a/pooler/src/main/java/frostreel/discovery/Watch.java
+++ b/pooler/src/main/java/frostreel/discovery/Watch.java
@@ -3,7 +3,7 @@
 import frostreel.broker.Deadlines;
 import frostreel.config.HostList;
 import frostreel.net.Loop;
-import frostreel.wire.Malformed;
+import frostreel.wire.MalformedMessageException;
 import java.net.InetSocketAddress;
 import java.util.List;
 import java.util.function.Consumer;
@@ -156,7 +156,7 @@
                 throw new HttpResponse.HttpException("status " + response.status());
             }
             list = HostList.read(new JSONObject(response.body()).toMap(), zones, kinds);
-        } catch (HttpResponse.HttpException | Malformed | JSONException e) {
+        } catch (HttpResponse.HttpException | MalformedMessageException | JSONException e) {
             drop(on);
             again(e.getMessage());
             return;
