--- a/decisions/src/main/java/frostreel/operation/Door.java
+++ b/decisions/src/main/java/frostreel/operation/ServingLifecycle.java
@@ -8,9 +8,9 @@
  * <p>A connection is closed in one of three ways, each later one stricter: after its answer in hand, where
  * its client cannot have asked again yet; in a sweep of those that rest; and even before its first request.
  */
-public final class Door {
+public final class ServingLifecycle {
     /** What a front is told by the empty query, and operators by a call on the status. */
-    public enum Word {
+    public enum ReadinessStatus {
         YES,
         STARTING,
         EMPTIED,
@@ -48,12 +48,12 @@
      * {@code shared}: a successor accepts from the same socket, so that nobody is turned away by an end;
      * {@code longestUs}: the longest deadline of a request.
      */
-    public Door(boolean shared, long longestUs) {
+    public ServingLifecycle(boolean shared, long longestUs) {
         this(shared, longestUs, LINGER_US);
     }
 
     /** {@code lingerUs}: in place of {@link #LINGER_US}. */
-    public Door(boolean shared, long longestUs, long lingerUs) {
+    public ServingLifecycle(boolean shared, long longestUs, long lingerUs) {
         this.shared = shared;
         this.longestUs = longestUs;
         this.lingerUs = lingerUs;
@@ -97,10 +97,12 @@
     }
 
     /** What the status is: whether this process takes clients. */
-    public Word word() {
+    public ReadinessStatus word() {
         return endedUs != NEVER && shared
-                ? Word.STOPPING
-                : !ready ? Word.STARTING : emptiedUs != NEVER ? Word.EMPTIED : Word.YES;
+                ? ReadinessStatus.STOPPING
+                : !ready
+                        ? ReadinessStatus.STARTING
+                        : emptiedUs != NEVER ? ReadinessStatus.EMPTIED : ReadinessStatus.YES;
     }
 
     public boolean emptied() {
--- a/decisions/src/test/java/frostreel/operation/DoorTest.java
+++ b/decisions/src/test/java/frostreel/operation/ServingLifecycleTest.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The door over all sequences of events up to length 6, half a second apart, alone and with a successor. */
-class DoorTest {
+class ServingLifecycleTest {
     private enum Event {
         READY,
         EMPTY,
@@ -31,7 +31,7 @@
         }
     }
 
-    private static void apply(Door door, Event e, long now) {
+    private static void apply(ServingLifecycle door, Event e, long now) {
         switch (e) {
             case READY -> door.ready();
             case EMPTY -> door.empty(now);
@@ -44,7 +44,7 @@
     private int states;
 
     private void check(boolean shared, int depth, Event[] path) {
-        Door door = new Door(shared, LONGEST_US);
+        ServingLifecycle door = new ServingLifecycle(shared, LONGEST_US);
         Past past = new Past(false, -1, -1);
         long now = 0;
         for (int i = 0; i < depth; i++) {
@@ -62,10 +62,11 @@
         }
     }
 
-    private static void hold(Door d, Past p, long now, boolean shared) {
+    private static void hold(ServingLifecycle d, Past p, long now, boolean shared) {
         boolean ended = p.endedUs() >= 0;
         boolean emptied = p.emptiedUs() >= 0;
-        assertThat(d.word() == Door.Word.YES).isEqualTo(p.ready() && !emptied && !(shared && ended));
+        assertThat(d.word() == ServingLifecycle.ReadinessStatus.YES)
+                .isEqualTo(p.ready() && !emptied && !(shared && ended));
         if (!emptied && !ended) {
             assertThat(d.closesAnswered(now + STEP_US))
                     .as("nobody is closed in service")
@@ -105,10 +106,10 @@
 
     @Test
     void aloneItServesOnAsEverUntilTheKillIsNear() {
-        Door door = new Door(false, LONGEST_US);
+        ServingLifecycle door = new ServingLifecycle(false, LONGEST_US);
         door.ready();
         door.end(0);
-        assertThat(door.word()).isEqualTo(Door.Word.YES);
+        assertThat(door.word()).isEqualTo(ServingLifecycle.ReadinessStatus.YES);
         assertThat(door.closesAnswered(3_200_000)).isFalse();
         assertThat(door.accepts(3_200_000)).isTrue();
         assertThat(door.closesAll(3_300_000)).isTrue();
@@ -117,9 +118,10 @@
     /** The process ended in the very moment in which the last answer was due. */
     @Test
     void theEndIsWaitedForUntilWhatCameAtTheEndOfTheStayIsAnswered() {
-        Door door = new Door(false, LONGEST_US);
+        ServingLifecycle door = new ServingLifecycle(false, LONGEST_US);
         door.end(0);
-        assertThat(door.answerByUs(Door.STAY_US - 1)).isEqualTo(Long.MAX_VALUE);
-        assertThat(door.longUs()).isGreaterThanOrEqualTo(Door.STAY_US + LONGEST_US + Door.LINGER_US);
+        assertThat(door.answerByUs(ServingLifecycle.STAY_US - 1)).isEqualTo(Long.MAX_VALUE);
+        assertThat(door.longUs())
+                .isGreaterThanOrEqualTo(ServingLifecycle.STAY_US + LONGEST_US + ServingLifecycle.LINGER_US);
     }
 }
--- a/pooler/src/main/java/frostreel/Pooler.java
+++ b/pooler/src/main/java/frostreel/Pooler.java
@@ -15,7 +15,7 @@
 import frostreel.net.Loop;
 import frostreel.net.ServerPool;
 import frostreel.operation.ClassTable;
-import frostreel.operation.Door;
+import frostreel.operation.ServingLifecycle;
 import frostreel.routing.ChainRouter;
 import frostreel.routing.NearestZonePolicy;
 import frostreel.routing.Router;
@@ -56,7 +56,7 @@
     private final Loop loop;
     private final ServerPool pool;
     private final Broker broker;
-    private final Door door;
+    private final ServingLifecycle door;
     private final Listener listener;
     private final Operator operator;
     /** Null where operators may not call. */
@@ -91,7 +91,7 @@
 
     /** Serves by the platform's word and the operators'. */
     public Pooler(Config config, OperatorSettings operators) throws IOException {
-        this(config, operators, KNOWN_PATIENCE_US, Door.LINGER_US);
+        this(config, operators, KNOWN_PATIENCE_US, ServingLifecycle.LINGER_US);
     }
 
     /**
@@ -117,7 +117,7 @@
         inForce = config;
         attempts = config.settings().limits().maxAttempts();
         classes = new ClassTable(config.settings().classes());
-        door = new Door(config.inherits(), longest(config.settings()), lingerUs);
+        door = new ServingLifecycle(config.inherits(), longest(config.settings()), lingerUs);
         listener = new Listener(
                 loop,
                 broker,
@@ -341,7 +341,7 @@
 
     private void becomeReady() {
         boolean everything = serversKnown && ordersTaken && listening.getCount() == 0;
-        if (everything && door.word() == Door.Word.STARTING) {
+        if (everything && door.word() == ServingLifecycle.ReadinessStatus.STARTING) {
             takeKnown();
             door.ready();
             listener.sweep();
--- a/pooler/src/main/java/frostreel/control/Operator.java
+++ b/pooler/src/main/java/frostreel/control/Operator.java
@@ -4,9 +4,9 @@
 import frostreel.config.HostList;
 import frostreel.net.Loop;
 import frostreel.net.ServerPool;
-import frostreel.operation.Door;
 import frostreel.operation.Orders;
 import frostreel.operation.OutOfService;
+import frostreel.operation.ServingLifecycle;
 import frostreel.routing.Router;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -26,7 +26,7 @@
     private static final String CLIENTS = "clients";
 
     private final Loop loop;
-    private final Door door;
+    private final ServingLifecycle door;
     private final ServerPool pool;
     private final Broker broker;
     private final Runnable sweep;
@@ -41,7 +41,14 @@
      * {@code sweep}: looks through the clients, as the door then has it; {@code folder}: where orders outlast
      * an end, null for nowhere; {@code life}: this process's own name among those that keep orders there.
      */
-    public Operator(Loop loop, Door door, ServerPool pool, Broker broker, Runnable sweep, Path folder, String life) {
+    public Operator(
+            Loop loop,
+            ServingLifecycle door,
+            ServerPool pool,
+            Broker broker,
+            Runnable sweep,
+            Path folder,
+            String life) {
         this.loop = loop;
         this.door = door;
         this.pool = pool;
@@ -116,7 +123,7 @@
         String[] words = line.trim().split(" +");
         int before = given;
         String answer = switch (words.length == 1 ? words[0] : words.length == 2 ? words[0] + " ID" : "") {
-            case "STATUS" -> door.word() == Door.Word.YES ? "OK" : no(state());
+            case "STATUS" -> door.word() == ServingLifecycle.ReadinessStatus.YES ? "OK" : no(state());
             case "PAUSE" -> empty();
             case "RESUME" -> fill();
             case "SUSPEND ID" -> server(words[1], true);
@@ -155,7 +162,7 @@
     }
 
     private String fill() {
-        if (door.word() == Door.Word.STOPPING) {
+        if (door.word() == ServingLifecycle.ReadinessStatus.STOPPING) {
             return no("stopping");
         }
         return order(CLIENTS, false);
--- a/pooler/src/main/java/frostreel/net/ClientConnection.java
+++ b/pooler/src/main/java/frostreel/net/ClientConnection.java
@@ -6,7 +6,7 @@
 import frostreel.broker.Deadlines;
 import frostreel.broker.SlotTable;
 import frostreel.log.EventLog;
-import frostreel.operation.Door;
+import frostreel.operation.ServingLifecycle;
 import frostreel.pg.MessageReader;
 import frostreel.pg.Messages;
 import frostreel.pg.PgException;
@@ -293,9 +293,9 @@
     private void query(byte[] body) throws PgException {
         if (Statement.isEmpty(body)) {
             asked = true;
-            Door.Word word = listener.word();
+            ServingLifecycle.ReadinessStatus word = listener.word();
             answer(
-                    word == Door.Word.YES
+                    word == ServingLifecycle.ReadinessStatus.YES
                             ? Messages.emptyQueryResponse()
                             : Messages.error(
                                     false,
--- a/pooler/src/main/java/frostreel/net/Listener.java
+++ b/pooler/src/main/java/frostreel/net/Listener.java
@@ -3,7 +3,7 @@
 import frostreel.broker.Broker;
 import frostreel.broker.SlotTable;
 import frostreel.operation.ClassTable;
-import frostreel.operation.Door;
+import frostreel.operation.ServingLifecycle;
 import frostreel.pg.Statement;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -37,7 +37,7 @@
 
     private final Loop loop;
     private final Broker broker;
-    private final Door door;
+    private final ServingLifecycle door;
     private final ClassTable classes;
     private final Map<String, Supplier<String>> pages = new HashMap<>();
     private final int maxClients;
@@ -62,7 +62,13 @@
 
     /** Of the {@code usualClients} that come to ask, three quarters may stay without a bound on idle ones. */
     public Listener(
-            Loop loop, Broker broker, Door door, ClassTable classes, int maxClients, int usualClients, long seed) {
+            Loop loop,
+            Broker broker,
+            ServingLifecycle door,
+            ClassTable classes,
+            int maxClients,
+            int usualClients,
+            long seed) {
         this.loop = loop;
         secrets = new SplittableRandom(seed).split();
         this.broker = broker;
@@ -137,7 +143,7 @@
     }
 
     /** What the empty query is answered. */
-    Door.Word word() {
+    ServingLifecycle.ReadinessStatus word() {
         return door.word();
     }
 
--- a/pooler/src/test/java/frostreel/Stage.java
+++ b/pooler/src/test/java/frostreel/Stage.java
@@ -2,7 +2,7 @@
 
 import frostreel.config.Config;
 import frostreel.control.Operator;
-import frostreel.operation.Door;
+import frostreel.operation.ServingLifecycle;
 import frostreel.settings.OperatorSettings;
 import java.io.BufferedReader;
 import java.io.ByteArrayOutputStream;
@@ -216,7 +216,7 @@
     /** How long the list known from the start waits for discovery; a test of that wait makes it endless. */
     long knownPatienceUs = Pooler.KNOWN_PATIENCE_US;
     /** How long clients are waited for whose connections were ended; the same. */
-    long lingerUs = Door.LINGER_US;
+    long lingerUs = ServingLifecycle.LINGER_US;
     /** The settings of the pooler that is started. */
     String settings = SETTINGS;
 
