--- a/decisions/src/main/java/frostreel/operation/CommitBoard.java
+++ b/decisions/src/main/java/frostreel/operation/SharedCommitTable.java
@@ -17,7 +17,7 @@
  * every member has. A new life takes the place that was longest without a beat, and loses nothing of what is
  * in it: that goes on binding it, and its own marks are laid over it by maxima.
  */
-public final class CommitBoard implements CommitLog, Router.PeerCommits {
+public final class SharedCommitTable implements CommitLog, Router.PeerCommits {
     /** Where nothing can be known of the others, what counts as known may be theirs, at any time. */
     public static final Router.PeerCommits BLIND = (nowUs, session) -> nowUs - Router.KNOWN_AFTER_US;
     /** Commits are told in milliseconds. */
@@ -44,7 +44,7 @@
     /** So many longs it needs. */
     public static final int LONGS = PLACES * PLACE;
 
-    private final SharedLongs longs;
+    private final SharedMemoryLongs longs;
     private final long life;
     /** Where this life's place begins. */
     private int own;
@@ -59,7 +59,7 @@
     private final long[] doubtBefore = new long[SLOTS];
 
     /** {@code life}: a number other than 0 that no other life has or had. */
-    public CommitBoard(SharedLongs longs, long life, long nowUs) {
+    public SharedCommitTable(SharedMemoryLongs longs, long life, long nowUs) {
         this.longs = longs;
         this.life = life;
         claim(nowUs);
--- a/decisions/src/main/java/frostreel/operation/SharedLongs.java
+++ b/decisions/src/main/java/frostreel/operation/SharedMemoryLongs.java
@@ -5,7 +5,7 @@
  * them come in one order that every process sees. They begin as zeros, and may hold anything where someone
  * else wrote into them.
  */
-public interface SharedLongs {
+public interface SharedMemoryLongs {
     long get(int index);
 
     void set(int index, long value);
--- a/decisions/src/test/java/frostreel/operation/CommitBoardTest.java
+++ b/decisions/src/test/java/frostreel/operation/SharedCommitTableTest.java
@@ -8,12 +8,12 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-class CommitBoardTest {
+class SharedCommitTableTest {
     private static final long NOW = 1_000_000_000;
     private static final long DEADLINE = NOW + 3_000_000;
     private static final long SESSION = 7;
-    private final long[] file = new long[CommitBoard.LONGS];
-    private final SharedLongs longs = new SharedLongs() {
+    private final long[] file = new long[SharedCommitTable.LONGS];
+    private final SharedMemoryLongs longs = new SharedMemoryLongs() {
         @Override
         public long get(int index) {
             return file[index];
@@ -32,15 +32,15 @@
         }
     };
     private long lives;
-    private final CommitBoard before = begin(NOW);
-    private final CommitBoard after = begin(NOW);
+    private final SharedCommitTable before = begin(NOW);
+    private final SharedCommitTable after = begin(NOW);
 
-    private CommitBoard begin(long now) {
-        return new CommitBoard(longs, ++lives, now);
+    private SharedCommitTable begin(long now) {
+        return new SharedCommitTable(longs, ++lives, now);
     }
 
     /** A write that was sent now and has ended so much later. */
-    private static void write(CommitBoard by, long us, Outcome outcome, long commitUs) {
+    private static void write(SharedCommitTable by, long us, Outcome outcome, long commitUs) {
         by.sent(NOW, SESSION, DEADLINE);
         by.ended(NOW + us, SESSION, DEADLINE, outcome, commitUs);
     }
@@ -52,7 +52,7 @@
     @Test
     void oneThatIsAloneIsBoundByNothingItselfDid() {
         Arrays.fill(file, 0);
-        CommitBoard alone = begin(NOW);
+        SharedCommitTable alone = begin(NOW);
         write(alone, 10, Outcome.OK, NOW + 5);
         write(alone, 10, Outcome.TIMEOUT, 0);
         alone.sent(NOW, SESSION, DEADLINE);
@@ -96,8 +96,8 @@
     @Test
     void whatOneHadInHandThatWasKilledBindsUntilItsDeadlineAndForEveryLaterLife() {
         before.sent(NOW, SESSION, DEADLINE);
-        CommitBoard third = begin(NOW + 500_000);
-        for (CommitBoard other : new CommitBoard[] {after, third}) {
+        SharedCommitTable third = begin(NOW + 500_000);
+        for (SharedCommitTable other : new SharedCommitTable[] {after, third}) {
             assertThat(other.boundUs(NOW + 900_000, SESSION)).isEqualTo(known(NOW + 900_000));
             assertThat(other.boundUs(DEADLINE + 900_000, SESSION)).isEqualTo(DEADLINE);
         }
@@ -118,7 +118,7 @@
             after.beat(now);
             begin(now);
         }
-        CommitBoard last = begin(NOW + 20);
+        SharedCommitTable last = begin(NOW + 20);
         write(before, 30, Outcome.OK, NOW + 4_000);
         assertThat(last.boundUs(NOW + 10_000, SESSION)).isEqualTo(NOW + 5_000);
         assertThat(after.boundUs(NOW + 10_000, SESSION)).isEqualTo(NOW + 5_000);
@@ -130,11 +130,11 @@
     void aPlaceTakenOverLosesNothingOfWhatWasInIt() {
         write(before, 10, Outcome.OK, NOW - 4_000);
         before.sent(NOW, SESSION, DEADLINE);
-        CommitBoard[] later = new CommitBoard[CommitBoard.PLACES];
+        SharedCommitTable[] later = new SharedCommitTable[SharedCommitTable.PLACES];
         for (int i = 0; i < later.length; i++) {
             later[i] = begin(NOW + 1 + i);
         }
-        for (CommitBoard other : later) {
+        for (SharedCommitTable other : later) {
             assertThat(other.boundUs(NOW + 10, SESSION)).isEqualTo(NOW - 3_000);
             assertThat(other.boundUs(NOW + 900_000, SESSION)).isEqualTo(known(NOW + 900_000));
         }
@@ -143,16 +143,16 @@
     @Test
     void oneWhosePlaceWasTakenWhileItStoodStillTakesAnotherAndShowsWhatItHasOut() {
         before.sent(NOW, SESSION, DEADLINE);
-        CommitBoard[] later = new CommitBoard[CommitBoard.PLACES];
+        SharedCommitTable[] later = new SharedCommitTable[SharedCommitTable.PLACES];
         for (int i = 0; i < later.length; i++) {
             later[i] = begin(NOW + 1 + i);
         }
         before.beat(NOW + 100);
-        for (CommitBoard other : later) {
+        for (SharedCommitTable other : later) {
             assertThat(other.boundUs(NOW + 900_000, SESSION)).isEqualTo(known(NOW + 900_000));
         }
         before.ended(NOW + 900_000, SESSION, DEADLINE, Outcome.OK, NOW + 898_000);
-        for (CommitBoard other : later) {
+        for (SharedCommitTable other : later) {
             assertThat(other.boundUs(NOW + 990_000, SESSION)).isEqualTo(NOW + 899_000);
         }
     }
@@ -163,7 +163,7 @@
         write(before, 10, Outcome.OK, NOW + 9_000_000);
         assertThat(after.boundUs(NOW, SESSION)).isEqualTo(NOW);
         Arrays.setAll(file, i -> i % 3 == 0 ? 0 : draw.nextLong());
-        CommitBoard amid = begin(NOW);
+        SharedCommitTable amid = begin(NOW);
         amid.sent(NOW, SESSION, DEADLINE);
         amid.ended(NOW, SESSION, DEADLINE, Outcome.OK, NOW);
         for (long s = 0; s < 1000; s++) {
--- a/pooler/src/main/java/frostreel/control/CommitFile.java
+++ b/pooler/src/main/java/frostreel/control/CommitTableFile.java
@@ -1,7 +1,7 @@
 package frostreel.control;
 
-import frostreel.operation.CommitBoard;
-import frostreel.operation.SharedLongs;
+import frostreel.operation.SharedCommitTable;
+import frostreel.operation.SharedMemoryLongs;
 import java.io.IOException;
 import java.lang.invoke.MethodHandles;
 import java.lang.invoke.VarHandle;
@@ -15,20 +15,20 @@
 import java.nio.file.StandardOpenOption;
 
 /**
- * The memory of {@link CommitBoard}: a small file that all processes of one pooler map, with a word on its
+ * The memory of {@link SharedCommitTable}: a small file that all processes of one pooler map, with a word on its
  * layout in front. It outlasts no machine, and need not; nothing is ever forced.
  */
-final class CommitFile implements SharedLongs {
+final class CommitTableFile implements SharedMemoryLongs {
     static final String NAME = "commits";
     /** The layout, "frostre" and its version: another layout has another. */
     private static final long LAYOUT = 0x66726f7374726501L;
 
-    private static final int BYTES = (1 + CommitBoard.LONGS) * Long.BYTES;
+    private static final int BYTES = (1 + SharedCommitTable.LONGS) * Long.BYTES;
     private static final VarHandle LONGS = MethodHandles.byteBufferViewVarHandle(long[].class, ByteOrder.nativeOrder());
     private final ByteBuffer mapped;
     private final String replaced;
 
-    private CommitFile(ByteBuffer mapped, String replaced) {
+    private CommitTableFile(ByteBuffer mapped, String replaced) {
         this.mapped = mapped;
         this.replaced = replaced;
     }
@@ -39,7 +39,7 @@
      * to. One that is damaged or of another layout is replaced, for the lives to come; a process that goes on
      * with the old one neither sees nor shows this.
      */
-    static CommitFile open(Path folder) throws IOException {
+    static CommitTableFile open(Path folder) throws IOException {
         Files.createDirectories(folder);
         Path file = folder.resolve(NAME);
         if (Files.notExists(file)) {
@@ -56,7 +56,7 @@
         if (fault != null) {
             Files.move(fresh(folder), file, StandardCopyOption.ATOMIC_MOVE);
         }
-        return new CommitFile(map(file), fault);
+        return new CommitTableFile(map(file), fault);
     }
 
     private static Path fresh(Path folder) throws IOException {
--- a/pooler/src/main/java/frostreel/control/PeerProcessCommits.java
+++ b/pooler/src/main/java/frostreel/control/PeerProcessCommits.java
@@ -1,8 +1,8 @@
 package frostreel.control;
 
 import frostreel.config.Config;
-import frostreel.operation.CommitBoard;
 import frostreel.operation.CommitLog;
+import frostreel.operation.SharedCommitTable;
 import frostreel.routing.Router;
 import java.io.IOException;
 import java.util.SplittableRandom;
@@ -31,15 +31,15 @@
                 if (config.orders() == null) {
                     throw new IOException("there is no folder for it");
                 }
-                CommitFile file = CommitFile.open(config.orders());
+                CommitTableFile file = CommitTableFile.open(config.orders());
                 if (file.replaced() != null) {
                     warn(file.replaced());
                 }
-                CommitBoard board = new CommitBoard(file, new SplittableRandom().nextLong() | 1, nowUs);
-                return new PeerProcessCommits(board, file.replaced() == null ? board : CommitBoard.BLIND);
+                SharedCommitTable board = new SharedCommitTable(file, new SplittableRandom().nextLong() | 1, nowUs);
+                return new PeerProcessCommits(board, file.replaced() == null ? board : SharedCommitTable.BLIND);
             } catch (IOException | UnsupportedOperationException e) { // Such a file system has no links.
                 warn(e.toString());
-                return new PeerProcessCommits(CommitLog.NONE, CommitBoard.BLIND);
+                return new PeerProcessCommits(CommitLog.NONE, SharedCommitTable.BLIND);
             }
         }
 
--- a/pooler/src/test/java/frostreel/control/BeforeCommitsTest.java
+++ b/pooler/src/test/java/frostreel/control/BeforeCommitsTest.java
@@ -2,8 +2,8 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import frostreel.operation.CommitBoard;
 import frostreel.operation.Orders;
+import frostreel.operation.SharedCommitTable;
 import frostreel.routing.Router.Outcome;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -25,17 +25,17 @@
     @TempDir
     Path dir;
 
-    private CommitBoard board(long life) throws IOException {
-        CommitFile file = CommitFile.open(dir);
+    private SharedCommitTable board(long life) throws IOException {
+        CommitTableFile file = CommitTableFile.open(dir);
         assertThat(file.replaced()).isNull();
-        return new CommitBoard(file, life, NOW);
+        return new SharedCommitTable(file, life, NOW);
     }
 
     @Test
     void ordersGoBothWaysBesideTheFileAndTheOldOneDoesNotClearItAway() throws Exception {
         OrderFolder old = new OrderFolder(dir, "old");
         old.write(OUT);
-        CommitBoard successor = board(1);
+        SharedCommitTable successor = board(1);
         OrderFolder orders = new OrderFolder(dir, "new");
         assertThat(orders.read().orders()).isEqualTo(OUT);
         orders.write(BACK);
@@ -46,17 +46,17 @@
         successor.sent(NOW, 7, NOW + 1_000_000);
         successor.ended(NOW, 7, NOW + 1_000_000, Outcome.OK, NOW);
         old.clean();
-        assertThat(Files.size(dir.resolve(CommitFile.NAME))).isEqualTo((1 + CommitBoard.LONGS) * Long.BYTES);
+        assertThat(Files.size(dir.resolve(CommitTableFile.NAME))).isEqualTo((1 + SharedCommitTable.LONGS) * Long.BYTES);
         assertThat(board(2).boundUs(NOW + 50_000, 7)).isEqualTo(NOW + 1_000);
     }
 
     @Test
     void fromTheSuccessorOnEachLifeKnowsWhatTheOthersAnswered() throws Exception {
         new OrderFolder(dir, "old").write(OUT);
-        CommitBoard successor = board(1);
+        SharedCommitTable successor = board(1);
         successor.sent(NOW, 7, NOW + 1_000_000);
         successor.ended(NOW, 7, NOW + 1_000_000, Outcome.OK, NOW + 2_000);
-        CommitBoard third = board(2);
+        SharedCommitTable third = board(2);
         third.sent(NOW, 8, NOW + 1_000_000);
         third.ended(NOW, 8, NOW + 1_000_000, Outcome.OK, NOW + 4_000);
         assertThat(third.boundUs(NOW + 50_000, 7)).isEqualTo(NOW + 3_000);
