--- a/decisions/src/main/java/frostreel/operation/OutOfService.java
+++ b/decisions/src/main/java/frostreel/operation/MaintenanceOverlay.java
@@ -14,17 +14,17 @@
  * has a server taken out as draining, whatever discovery says meanwhile; the call back passes discovery's
  * last word on again. Owns discovery's last word on each server; the orders are handed in.
  */
-public final class OutOfService {
+public final class MaintenanceOverlay {
     /** So many servers that are gone are still known by name: their orders come late, or they come back. */
     private static final int GONE_KEPT = 256;
     /** Orders on servers have names of their own, beside those on other things. */
     private static final String SERVER = "server ";
 
-    private final Orders orders;
+    private final OperatorCommands orders;
     private final Map<String, Router.Member> told = new HashMap<>();
     private final Set<String> gone = new LinkedHashSet<>();
 
-    public OutOfService(Orders orders) {
+    public MaintenanceOverlay(OperatorCommands orders) {
         this.orders = orders;
     }
 
@@ -77,7 +77,7 @@
     public List<String> out() {
         return orders.all().keySet().stream()
                 .filter(t -> t.startsWith(SERVER) && orders.inForce(t))
-                .map(OutOfService::id)
+                .map(MaintenanceOverlay::id)
                 .toList();
     }
 
@@ -91,7 +91,7 @@
      * it tells of a start since the server was taken out, the call back counts as one.
      */
     private Router.Member show(Router.Member m) {
-        Orders.Order order = orders.of(thing(m.id()));
+        OperatorCommands.Command order = orders.of(thing(m.id()));
         if (order == null) {
             return m;
         }
--- a/decisions/src/test/java/frostreel/operation/OutOfServiceTest.java
+++ b/decisions/src/test/java/frostreel/operation/MaintenanceOverlayTest.java
@@ -10,9 +10,9 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-class OutOfServiceTest {
-    private final Orders orders = new Orders();
-    private final OutOfService out = new OutOfService(orders);
+class MaintenanceOverlayTest {
+    private final OperatorCommands orders = new OperatorCommands();
+    private final MaintenanceOverlay out = new MaintenanceOverlay(orders);
 
     private static Router.Member member(String id, State state, long startedUs) {
         return new Router.Member(id, 0, 0, 1, false, state, 1, startedUs);
@@ -21,7 +21,7 @@
     @Test
     void aServerTakenOutDrainsWhateverDiscoverySaysUntilTheCallBack() {
         out.told(true, List.of(member("a", State.UP, 0), member("b", State.UP, 0)));
-        orders.give(100, OutOfService.thing("a"), true);
+        orders.give(100, MaintenanceOverlay.thing("a"), true);
         assertThat(out.shown("a").state()).isEqualTo(State.DRAINING);
         assertThat(out.told(false, List.of(member("a", State.UP, 0))))
                 .extracting(Router.Member::state)
@@ -33,15 +33,15 @@
         assertThat(out.told(false, List.of(member("a", State.UP, 150))))
                 .extracting(Router.Member::state)
                 .containsExactly(State.DRAINING);
-        orders.give(200, OutOfService.thing("a"), false);
+        orders.give(200, MaintenanceOverlay.thing("a"), false);
         assertThat(out.shown("a").state()).isEqualTo(State.UP);
     }
 
     @Test
     void theCallBackCountsAsAStartUntilDiscoveryTellsOfOneSinceItWasTakenOut() {
         out.told(true, List.of(member("a", State.UP, 5)));
-        orders.give(100, OutOfService.thing("a"), true);
-        orders.give(200, OutOfService.thing("a"), false);
+        orders.give(100, MaintenanceOverlay.thing("a"), true);
+        orders.give(200, MaintenanceOverlay.thing("a"), false);
         assertThat(out.shown("a").startedUs()).isEqualTo(200);
         assertThat(out.told(false, List.of(member("a", State.UP, 5))))
                 .extracting(Router.Member::startedUs)
@@ -54,11 +54,11 @@
     @Test
     void oneCallBackIsEnoughForTwoCallsOutAndOneWithoutIsNoFault() {
         out.told(true, List.of(member("a", State.UP, 0)));
-        assertThat(orders.give(50, OutOfService.thing("a"), false)).isFalse();
+        assertThat(orders.give(50, MaintenanceOverlay.thing("a"), false)).isFalse();
         assertThat(out.shown("a").startedUs()).isZero();
-        orders.give(100, OutOfService.thing("a"), true);
-        assertThat(orders.give(110, OutOfService.thing("a"), true)).isFalse();
-        orders.give(200, OutOfService.thing("a"), false);
+        orders.give(100, MaintenanceOverlay.thing("a"), true);
+        assertThat(orders.give(110, MaintenanceOverlay.thing("a"), true)).isFalse();
+        orders.give(200, MaintenanceOverlay.thing("a"), false);
         assertThat(out.shown("a").state()).isEqualTo(State.UP);
         assertThat(out.out()).isEmpty();
     }
@@ -66,12 +66,12 @@
     @Test
     void aServerBroughtBackIsAsDiscoveryLastHadIt() {
         out.told(true, List.of(member("a", State.UP, 0), member("b", State.UP, 0)));
-        orders.give(100, OutOfService.thing("a"), true);
-        orders.give(100, OutOfService.thing("b"), true);
+        orders.give(100, MaintenanceOverlay.thing("a"), true);
+        orders.give(100, MaintenanceOverlay.thing("b"), true);
         out.told(false, List.of(member("a", State.DRAINING, 0)));
         out.told(true, List.of(member("a", State.DRAINING, 0)));
-        orders.give(200, OutOfService.thing("a"), false);
-        orders.give(200, OutOfService.thing("b"), false);
+        orders.give(200, MaintenanceOverlay.thing("a"), false);
+        orders.give(200, MaintenanceOverlay.thing("b"), false);
         assertThat(out.shown("a").state()).isEqualTo(State.DRAINING);
         assertThat(out.shown("b").state()).isEqualTo(State.GONE);
     }
@@ -92,16 +92,16 @@
     void ordersTakenOverInAnySequenceEndInTheSame() {
         Random random = new Random(7);
         for (int round = 0; round < 2000; round++) {
-            record Told(String thing, Orders.Order order) {}
+            record Told(String thing, OperatorCommands.Command order) {}
             List<Told> all = new ArrayList<>();
             for (int i = 0; i < 5; i++) {
                 long at = random.nextInt(4);
-                all.add(new Told("s" + random.nextInt(2), new Orders.Order(random.nextBoolean(), at, at)));
+                all.add(new Told("s" + random.nextInt(2), new OperatorCommands.Command(random.nextBoolean(), at, at)));
             }
-            Orders one = new Orders();
+            OperatorCommands one = new OperatorCommands();
             all.forEach(t -> one.take(t.thing(), t.order()));
             Collections.shuffle(all, random);
-            Orders other = new Orders();
+            OperatorCommands other = new OperatorCommands();
             all.forEach(t -> other.take(t.thing(), t.order()));
             assertThat(other.all()).isEqualTo(one.all());
         }
--- a/pooler/src/main/java/frostreel/Pooler.java
+++ b/pooler/src/main/java/frostreel/Pooler.java
@@ -4,9 +4,9 @@
 import frostreel.broker.Deadlines;
 import frostreel.config.Config;
 import frostreel.config.HostList;
-import frostreel.control.CallListener;
+import frostreel.control.AdminListener;
 import frostreel.control.ClockAnchor;
-import frostreel.control.Operator;
+import frostreel.control.CommandExecutor;
 import frostreel.control.PeerProcessCommits;
 import frostreel.discovery.Watch;
 import frostreel.fleet.Fellows;
@@ -58,9 +58,9 @@
     private final Broker broker;
     private final ServingLifecycle door;
     private final Listener listener;
-    private final Operator operator;
+    private final CommandExecutor operator;
     /** Null where operators may not call. */
-    private final CallListener calls;
+    private final AdminListener calls;
 
     private Watch watch;
     /** The watch on the discovery that a new configuration names, until it has answered; null for none. */
@@ -128,7 +128,7 @@
                 config.settings().seed());
         listener.page("stats", () -> loop.counters().toString());
         listener.page("health", this::health);
-        operator = new Operator(
+        operator = new CommandExecutor(
                 loop,
                 door,
                 pool,
@@ -137,7 +137,7 @@
                 config.orders(),
                 Long.toHexString(config.settings().seed()) + "x"
                         + Long.toHexString(loop.clock().now()));
-        calls = config.control() == null ? null : new CallListener(loop, operator);
+        calls = config.control() == null ? null : new AdminListener(loop, operator);
         if (calls != null) {
             listener.page("operation", operator::toString);
         }
--- a/pooler/src/main/java/frostreel/control/CallConnection.java
+++ b/pooler/src/main/java/frostreel/control/AdminConnection.java
@@ -8,7 +8,7 @@
 import org.xnio.StreamConnection;
 
 /** One operator's call: takes one line of bounded length, answers it with one, and ends. */
-final class CallConnection implements Stream.Handler {
+final class AdminConnection implements Stream.Handler {
     private static final int MOST_BYTES = 512;
     /** So long after connecting, a whole line must have come; some callers need four seconds and more. */
     private static final long PATIENCE_US = 10_000_000;
@@ -16,7 +16,7 @@
     private static final long LINGER_US = 500_000;
 
     private final Loop loop;
-    private final CallListener listener;
+    private final AdminListener listener;
     private final Stream stream;
     private final byte[] line = new byte[MOST_BYTES];
     private int length;
@@ -24,7 +24,7 @@
     private boolean closed;
     private Deadlines.Deadline patience;
 
-    CallConnection(Loop loop, CallListener listener, StreamConnection connection) {
+    AdminConnection(Loop loop, AdminListener listener, StreamConnection connection) {
         this.loop = loop;
         this.listener = listener;
         stream = new Stream(loop, connection, this);
--- a/pooler/src/main/java/frostreel/control/CallListener.java
+++ b/pooler/src/main/java/frostreel/control/AdminListener.java
@@ -14,17 +14,17 @@
  * Owns the socket at which operators call, and the callers' connections: places of their own, out of the
  * descriptors that are kept for the program itself, which neither clients nor silent callers can use up.
  */
-public final class CallListener {
+public final class AdminListener {
     /** So many callers at once; where there are more, the one that has been silent for longest is closed. */
     private static final int MOST_CALLERS = 24;
 
     private static final int BACKLOG = 256;
     private final Loop loop;
-    private final Operator operator;
-    private final Set<CallConnection> callers = new LinkedHashSet<>();
+    private final CommandExecutor operator;
+    private final Set<AdminConnection> callers = new LinkedHashSet<>();
     private final Acceptor acceptor;
 
-    public CallListener(Loop loop, Operator operator) {
+    public AdminListener(Loop loop, CommandExecutor operator) {
         this.loop = loop;
         this.operator = operator;
         acceptor = new Acceptor(loop, "a caller", this::accepted);
@@ -50,16 +50,16 @@
         if (callers.size() >= MOST_CALLERS) {
             callers.iterator().next().silent();
         }
-        CallConnection caller = new CallConnection(loop, this, c);
+        AdminConnection caller = new AdminConnection(loop, this, c);
         callers.add(caller);
         caller.begin();
     }
 
-    Operator operator() {
+    CommandExecutor operator() {
         return operator;
     }
 
-    void closed(CallConnection caller) {
+    void closed(AdminConnection caller) {
         callers.remove(caller);
     }
 }
--- a/pooler/src/main/java/frostreel/control/Operator.java
+++ b/pooler/src/main/java/frostreel/control/CommandExecutor.java
@@ -4,8 +4,8 @@
 import frostreel.config.HostList;
 import frostreel.net.Loop;
 import frostreel.net.ServerPool;
-import frostreel.operation.Orders;
-import frostreel.operation.OutOfService;
+import frostreel.operation.MaintenanceOverlay;
+import frostreel.operation.OperatorCommands;
 import frostreel.operation.ServingLifecycle;
 import frostreel.routing.Router;
 import java.nio.file.Path;
@@ -20,8 +20,8 @@
  * Carries operators' orders out, and lays those on servers over discovery's lists on their way in. An order
  * is carried out before its answer is given. Owned by the I/O thread.
  */
-public final class Operator {
-    private static final Logger LOG = Logger.getLogger(Operator.class.getName());
+public final class CommandExecutor {
+    private static final Logger LOG = Logger.getLogger(CommandExecutor.class.getName());
     /** The thing that an order to take no clients is on. */
     private static final String CLIENTS = "clients";
 
@@ -30,10 +30,10 @@
     private final ServerPool pool;
     private final Broker broker;
     private final Runnable sweep;
-    private final Orders orders = new Orders();
-    private final OutOfService outOfService = new OutOfService(orders);
+    private final OperatorCommands orders = new OperatorCommands();
+    private final MaintenanceOverlay outOfService = new MaintenanceOverlay(orders);
     /** Null where nothing outlasts an end. */
-    private final OrderKeeper keeper;
+    private final CommandReplicator keeper;
 
     private int given;
 
@@ -41,7 +41,7 @@
      * {@code sweep}: looks through the clients, as the door then has it; {@code folder}: where orders outlast
      * an end, null for nowhere; {@code life}: this process's own name among those that keep orders there.
      */
-    public Operator(
+    public CommandExecutor(
             Loop loop,
             ServingLifecycle door,
             ServerPool pool,
@@ -54,7 +54,7 @@
         this.pool = pool;
         this.broker = broker;
         this.sweep = sweep;
-        keeper = folder == null ? null : new OrderKeeper(loop, folder, life);
+        keeper = folder == null ? null : new CommandReplicator(loop, folder, life);
     }
 
     /**
@@ -75,7 +75,7 @@
         });
     }
 
-    private void taken(Map<String, Orders.Order> heard) {
+    private void taken(Map<String, OperatorCommands.Command> heard) {
         heard.forEach((thing, order) -> {
             if (orders.take(thing, order)) {
                 LOG.info("operators, by another process: " + thing + (order.inForce() ? " in force" : " ended"));
@@ -95,7 +95,7 @@
             }
             return;
         }
-        String id = OutOfService.id(thing);
+        String id = MaintenanceOverlay.id(thing);
         Router.Member shown = id == null ? null : outOfService.shown(id);
         if (shown != null) {
             pool.state(id, shown.state());
@@ -180,7 +180,7 @@
         if (!outOfService.knows(id)) {
             return no("no server has that id");
         }
-        return order(OutOfService.thing(id), out);
+        return order(MaintenanceOverlay.thing(id), out);
     }
 
     /** What is in force, for whoever asks by {@code SHOW operation}. */
--- a/pooler/src/main/java/frostreel/control/OrderKeeper.java
+++ b/pooler/src/main/java/frostreel/control/CommandReplicator.java
@@ -1,7 +1,7 @@
 package frostreel.control;
 
 import frostreel.net.Loop;
-import frostreel.operation.Orders;
+import frostreel.operation.OperatorCommands;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.HashMap;
@@ -16,7 +16,7 @@
  * The files are read and written on the worker's task thread, one task after another; what comes of it is
  * handed to the loop. What could not be written is written as soon as the disk takes it.
  */
-final class OrderKeeper {
+final class CommandReplicator {
     /** A part of the second within which the rule on drains counts an order as told. */
     private static final long LOOK_US = 150_000;
     /** From a failed writing to the next try. */
@@ -24,23 +24,23 @@
     /** What earlier lives left is waited for no longer than this where the disk does not give it. */
     static final long FIRST_PATIENCE_US = 3_000_000;
 
-    private static final Logger LOG = Logger.getLogger(OrderKeeper.class.getName());
+    private static final Logger LOG = Logger.getLogger(CommandReplicator.class.getName());
     private final Loop loop;
-    private final OrderFolder folder;
+    private final CommandStore folder;
     private boolean told;
     /** The orders that the last writing failed with, null where it went well; on the loop. */
-    private Map<String, Orders.Order> unwritten;
+    private Map<String, OperatorCommands.Command> unwritten;
 
-    OrderKeeper(Loop loop, Path folder, String life) {
+    CommandReplicator(Loop loop, Path folder, String life) {
         this.loop = loop;
-        this.folder = new OrderFolder(folder, life);
+        this.folder = new CommandStore(folder, life);
     }
 
     /**
      * Hands on what earlier lives left, then runs {@code then}: once all of it was read, or a part after
      * {@link #FIRST_PATIENCE_US}; the rest is found by {@link #watch}.
      */
-    void start(Consumer<Map<String, Orders.Order>> found, Runnable then) {
+    void start(Consumer<Map<String, OperatorCommands.Command>> found, Runnable then) {
         beside(
                 () -> {
                     clean();
@@ -49,7 +49,11 @@
                 first -> taken(first, found, then, loop.clock().now() + FIRST_PATIENCE_US));
     }
 
-    private void taken(OrderFolder.Found read, Consumer<Map<String, Orders.Order>> found, Runnable then, long untilUs) {
+    private void taken(
+            CommandStore.Found read,
+            Consumer<Map<String, OperatorCommands.Command>> found,
+            Runnable then,
+            long untilUs) {
         found.accept(read.orders());
         if (read.complete() || loop.clock().now() >= untilUs) {
             then.run();
@@ -66,12 +70,12 @@
         }
     }
 
-    private OrderFolder.Found look() {
-        OrderFolder.Found found;
+    private CommandStore.Found look() {
+        CommandStore.Found found;
         try {
             found = folder.read();
         } catch (IOException e) {
-            found = new OrderFolder.Found(new HashMap<>(), false);
+            found = new CommandStore.Found(new HashMap<>(), false);
         }
         if (!found.complete() && !told) {
             LOG.warning("orders of other processes cannot be read; tried again");
@@ -83,7 +87,7 @@
     }
 
     /** Looks on and on for what other processes heard. */
-    void watch(Consumer<Map<String, Orders.Order>> found) {
+    void watch(Consumer<Map<String, OperatorCommands.Command>> found) {
         loop.deadlines()
                 .after(
                         LOOK_US,
@@ -115,7 +119,7 @@
      * Keeps these, then tells: null, or why they would not outlast an end now. Where that fails, it is tried
      * again until it goes well, or newer orders come.
      */
-    void keep(Map<String, Orders.Order> orders, Consumer<String> done) {
+    void keep(Map<String, OperatorCommands.Command> orders, Consumer<String> done) {
         unwritten = orders;
         beside(() -> write(orders), failure -> {
             if (unwritten == orders) {
@@ -129,7 +133,7 @@
         });
     }
 
-    private void keepAgain(Map<String, Orders.Order> orders) {
+    private void keepAgain(Map<String, OperatorCommands.Command> orders) {
         if (unwritten == orders) {
             keep(orders, failure -> {
                 if (failure == null) {
@@ -139,7 +143,7 @@
         }
     }
 
-    private String write(Map<String, Orders.Order> orders) {
+    private String write(Map<String, OperatorCommands.Command> orders) {
         try {
             folder.write(orders);
             return null;
--- a/pooler/src/main/java/frostreel/control/OrderFolder.java
+++ b/pooler/src/main/java/frostreel/control/CommandStore.java
@@ -1,6 +1,6 @@
 package frostreel.control;
 
-import frostreel.operation.Orders;
+import frostreel.operation.OperatorCommands;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.channels.FileChannel;
@@ -27,7 +27,7 @@
  * of each life, whose name changes with each writing. Only a life's own process writes its file, so that two
  * never undo each other's orders. Used by one thread at a time, which may block.
  */
-final class OrderFolder {
+final class CommandStore {
     private static final int VERSION = 1;
     private static final String SUFFIX = ".orders";
     /** Far more than operators ever have in force; a longer file is none of ours. */
@@ -39,10 +39,10 @@
     /** No writing takes so long. */
     private static final long UNFINISHED_MS = 60_000;
 
-    private static final Logger LOG = Logger.getLogger(OrderFolder.class.getName());
+    private static final Logger LOG = Logger.getLogger(CommandStore.class.getName());
 
     /** What was found; {@code complete}: nothing was there that the disk would not give. */
-    record Found(Map<String, Orders.Order> orders, boolean complete) {}
+    record Found(Map<String, OperatorCommands.Command> orders, boolean complete) {}
 
     /** A file that is not what a life wrote: it will not get better. */
     private static final class DamagedException extends IOException {
@@ -60,13 +60,13 @@
     private int removed;
 
     /** {@code life}: this process's own name, which no other life has or had; plain letters and digits. */
-    OrderFolder(Path folder, String life) {
+    CommandStore(Path folder, String life) {
         this.folder = folder;
         this.life = life;
     }
 
     /** Puts these in the place of what this life wrote before; on its return they outlast an end. */
-    void write(Map<String, Orders.Order> orders) throws IOException {
+    void write(Map<String, OperatorCommands.Command> orders) throws IOException {
         Files.createDirectories(folder);
         JSONObject all = new JSONObject();
         orders.forEach((thing, o) -> all.put(
@@ -137,7 +137,7 @@
      */
     Found read() throws IOException {
         boolean complete = true;
-        Orders found = new Orders();
+        OperatorCommands found = new OperatorCommands();
         Set<String> there = new TreeSet<>();
         try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, "*" + SUFFIX)) {
             files.forEach(f -> there.add(f.getFileName().toString()));
@@ -162,7 +162,7 @@
         return new Found(found.all(), complete);
     }
 
-    private static Map<String, Orders.Order> orders(byte[] file) throws IOException {
+    private static Map<String, OperatorCommands.Command> orders(byte[] file) throws IOException {
         int end = 8;
         if (file.length > MOST_BYTES || file.length <= end || file[end] != '\n') {
             throw new DamagedException("a file of " + file.length + " bytes without its checksum");
@@ -176,11 +176,13 @@
         if (json.getInt("version") != VERSION) {
             throw new DamagedException("version " + json.getInt("version") + " is not known here");
         }
-        Map<String, Orders.Order> orders = new HashMap<>();
+        Map<String, OperatorCommands.Command> orders = new HashMap<>();
         JSONObject all = json.getJSONObject("orders");
         for (String thing : all.keySet()) {
             JSONObject o = all.getJSONObject(thing);
-            orders.put(thing, new Orders.Order(o.getBoolean("inForce"), o.getLong("sinceUs"), o.getLong("atUs")));
+            orders.put(
+                    thing,
+                    new OperatorCommands.Command(o.getBoolean("inForce"), o.getLong("sinceUs"), o.getLong("atUs")));
         }
         return orders;
     }
--- a/pooler/src/test/java/frostreel/OperatorsTest.java
+++ b/pooler/src/test/java/frostreel/OperatorCommandsTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What operators call for, over sockets. */
-class OperatorsTest extends Story {
+class OperatorCommandsTest extends Story {
     @BeforeEach
     void begin() throws Exception {
         start();
--- a/pooler/src/test/java/frostreel/Stage.java
+++ b/pooler/src/test/java/frostreel/Stage.java
@@ -1,7 +1,7 @@
 package frostreel;
 
 import frostreel.config.Config;
-import frostreel.control.Operator;
+import frostreel.control.CommandExecutor;
 import frostreel.operation.ServingLifecycle;
 import frostreel.settings.OperatorSettings;
 import java.io.BufferedReader;
@@ -345,7 +345,7 @@
      * or has come by then, it finds at once behind it.
      */
     void whileItStandsStill(Deed deed) throws Exception {
-        whileItStandsStill(Operator.class, () -> spawn(() -> call("STATUS")), deed); // That is logged.
+        whileItStandsStill(CommandExecutor.class, () -> spawn(() -> call("STATUS")), deed); // That is logged.
     }
 
     /** The same at what a class next logs, after this cause of it. */
--- a/pooler/src/test/java/frostreel/control/BeforeCommitsTest.java
+++ b/pooler/src/test/java/frostreel/control/BeforeCommitsTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import frostreel.operation.Orders;
+import frostreel.operation.OperatorCommands;
 import frostreel.operation.SharedCommitTable;
 import frostreel.routing.Router.Outcome;
 import java.io.IOException;
@@ -19,8 +19,10 @@
  */
 class BeforeCommitsTest {
     private static final long NOW = 1_000_000_000;
-    private static final Map<String, Orders.Order> OUT = Map.of("server a", new Orders.Order(true, 5, 5));
-    private static final Map<String, Orders.Order> BACK = Map.of("server a", new Orders.Order(false, 5, 9));
+    private static final Map<String, OperatorCommands.Command> OUT =
+            Map.of("server a", new OperatorCommands.Command(true, 5, 5));
+    private static final Map<String, OperatorCommands.Command> BACK =
+            Map.of("server a", new OperatorCommands.Command(false, 5, 9));
 
     @TempDir
     Path dir;
@@ -33,15 +35,15 @@
 
     @Test
     void ordersGoBothWaysBesideTheFileAndTheOldOneDoesNotClearItAway() throws Exception {
-        OrderFolder old = new OrderFolder(dir, "old");
+        CommandStore old = new CommandStore(dir, "old");
         old.write(OUT);
         SharedCommitTable successor = board(1);
-        OrderFolder orders = new OrderFolder(dir, "new");
+        CommandStore orders = new CommandStore(dir, "new");
         assertThat(orders.read().orders()).isEqualTo(OUT);
         orders.write(BACK);
         assertThat(old.read().orders()).isEqualTo(BACK);
         for (int i = 0; i < 40; i++) {
-            new OrderFolder(dir, "life" + i).write(OUT);
+            new CommandStore(dir, "life" + i).write(OUT);
         }
         successor.sent(NOW, 7, NOW + 1_000_000);
         successor.ended(NOW, 7, NOW + 1_000_000, Outcome.OK, NOW);
@@ -52,7 +54,7 @@
 
     @Test
     void fromTheSuccessorOnEachLifeKnowsWhatTheOthersAnswered() throws Exception {
-        new OrderFolder(dir, "old").write(OUT);
+        new CommandStore(dir, "old").write(OUT);
         SharedCommitTable successor = board(1);
         successor.sent(NOW, 7, NOW + 1_000_000);
         successor.ended(NOW, 7, NOW + 1_000_000, Outcome.OK, NOW + 2_000);
--- a/pooler/src/test/java/frostreel/control/OrderFolderTest.java
+++ b/pooler/src/test/java/frostreel/control/CommandStoreTest.java
@@ -4,7 +4,7 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import frostreel.net.Loop;
-import frostreel.operation.Orders;
+import frostreel.operation.OperatorCommands;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -17,14 +17,15 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-class OrderFolderTest {
-    private static final Map<String, Orders.Order> OUT = Map.of("server a", new Orders.Order(true, 5, 5));
+class CommandStoreTest {
+    private static final Map<String, OperatorCommands.Command> OUT =
+            Map.of("server a", new OperatorCommands.Command(true, 5, 5));
 
     @TempDir
     Path dir;
 
-    private OrderFolder life(String name) {
-        return new OrderFolder(dir.resolve("orders"), name);
+    private CommandStore life(String name) {
+        return new CommandStore(dir.resolve("orders"), name);
     }
 
     private List<Path> files() throws IOException {
@@ -35,16 +36,16 @@
 
     @Test
     void whatOneLifeWroteTheNextFindsAndItsOwnIsNotNews() throws Exception {
-        OrderFolder one = life("one");
+        CommandStore one = life("one");
         assertThat(one.read().orders()).as("nobody has written").isEmpty();
         one.write(OUT);
         one.write(OUT);
         assertThat(files()).as("one file a life").hasSize(1);
         assertThat(one.read().orders()).isEmpty();
-        OrderFolder two = life("two");
+        CommandStore two = life("two");
         assertThat(two.read().orders()).isEqualTo(OUT);
         assertThat(two.read().orders()).as("read once").isEmpty();
-        Map<String, Orders.Order> later = Map.of("server a", new Orders.Order(false, 5, 9));
+        Map<String, OperatorCommands.Command> later = Map.of("server a", new OperatorCommands.Command(false, 5, 9));
         two.write(later);
         assertThat(one.read().orders()).isEqualTo(later);
         assertThat(life("three").read().orders()).as("the later order holds").isEqualTo(later);
@@ -77,7 +78,7 @@
     /** A link to the device that takes no byte, where the file is written before it has its name. */
     @Test
     void aDiskThatIsFullFailsAndLeavesWhatWasThere() throws Exception {
-        OrderFolder one = life("one");
+        CommandStore one = life("one");
         one.write(OUT);
         Path half = Files.createSymbolicLink(dir.resolve("orders/one.new"), Path.of("/dev/full"));
         assertThatThrownBy(() -> one.write(Map.of()))
@@ -107,11 +108,11 @@
         byte[] whole = Files.readAllBytes(file);
         Files.delete(file);
         Files.createDirectory(file); // Reading it fails, and not for what it holds.
-        OrderFolder two = life("two");
+        CommandStore two = life("two");
         assertThat(two.read().complete()).isFalse();
         Files.delete(file);
         Files.write(file, whole);
-        OrderFolder.Found found = two.read();
+        CommandStore.Found found = two.read();
         assertThat(found.orders()).isEqualTo(OUT);
         assertThat(found.complete()).isTrue();
     }
@@ -132,13 +133,13 @@
     void whatADiskDidNotTakeIsWrittenOnceItDoes() throws Exception {
         Path inItsPlace = Files.writeString(dir.resolve("orders"), "a file in its place");
         Loop loop = new Loop();
-        OrderKeeper keeper = new OrderKeeper(loop, dir.resolve("orders"), "one");
+        CommandReplicator keeper = new CommandReplicator(loop, dir.resolve("orders"), "one");
         CompletableFuture<String> answer = new CompletableFuture<>();
         loop.thread().execute(() -> keeper.keep(OUT, failure -> answer.complete("" + failure)));
         assertThat(answer.get()).isEqualTo("cannot be kept for a successor");
         Files.delete(inItsPlace);
-        OrderFolder successor = life("two");
-        Map<String, Orders.Order> found = successor.read().orders();
+        CommandStore successor = life("two");
+        Map<String, OperatorCommands.Command> found = successor.read().orders();
         while (found.isEmpty()) {
             Thread.onSpinWait();
             found = successor.read().orders();
