--- a/decisions/src/main/java/frostreel/operation/ClassTable.java
+++ b/decisions/src/main/java/frostreel/operation/RequestClassRegistry.java
@@ -12,7 +12,7 @@
  * is new, or has other rules than before, gets the next number, and one that comes back as it was its old
  * one.
  */
-public final class ClassTable {
+public final class RequestClassRegistry {
     /** For so long after a change clients may still speak by the old settings. */
     public static final long CHANGE_US = 1_200_000;
 
@@ -21,7 +21,7 @@
     private Map<String, Integer> before = Map.of();
     private long changedUs = Long.MIN_VALUE / 2;
 
-    public ClassTable(List<RequestClass> classes) {
+    public RequestClassRegistry(List<RequestClass> classes) {
         current = numbered(classes);
     }
 
--- a/decisions/src/test/java/frostreel/operation/ClassTableTest.java
+++ b/decisions/src/test/java/frostreel/operation/RequestClassRegistryTest.java
@@ -9,9 +9,9 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class ClassTableTest {
-    private static final long SOON = ClassTable.CHANGE_US - 1;
-    private static final long LATER = ClassTable.CHANGE_US;
+class RequestClassRegistryTest {
+    private static final long SOON = RequestClassRegistry.CHANGE_US - 1;
+    private static final long LATER = RequestClassRegistry.CHANGE_US;
 
     private static RequestClass kind(String name, Access access, Idempotency repeat) {
         return new RequestClass(name, access, repeat, DeduplicationScope.GROUP, 3_000_000, 0, 100_000, 400_000, 1, 0);
@@ -19,7 +19,7 @@
 
     private final RequestClass read = kind("read", Access.ANY, Idempotency.SAFE);
     private final RequestClass post = kind("post", Access.WRITE, Idempotency.KEYED);
-    private final ClassTable table = new ClassTable(List.of(read, post));
+    private final RequestClassRegistry table = new RequestClassRegistry(List.of(read, post));
 
     @Test
     void aClassAddedIsServedAtOnceAndOneDroppedForAWhile() {
--- a/pooler/src/main/java/frostreel/Pooler.java
+++ b/pooler/src/main/java/frostreel/Pooler.java
@@ -14,7 +14,7 @@
 import frostreel.net.Listener;
 import frostreel.net.Loop;
 import frostreel.net.ServerPool;
-import frostreel.operation.ClassTable;
+import frostreel.operation.RequestClassRegistry;
 import frostreel.operation.ServingLifecycle;
 import frostreel.routing.ChainRouter;
 import frostreel.routing.NearestZonePolicy;
@@ -76,7 +76,7 @@
     private final OperatorSettings.Cluster cluster;
     private final CountDownLatch listening = new CountDownLatch(1);
     private final CountDownLatch ended = new CountDownLatch(1);
-    private final ClassTable classes;
+    private final RequestClassRegistry classes;
     private Config inForce;
     /** What clients wait for at the start: a list of servers, and the orders of earlier lives. */
     private boolean serversKnown;
@@ -116,7 +116,7 @@
                 beside.writes());
         inForce = config;
         attempts = config.settings().limits().maxAttempts();
-        classes = new ClassTable(config.settings().classes());
+        classes = new RequestClassRegistry(config.settings().classes());
         door = new ServingLifecycle(config.inherits(), longest(config.settings()), lingerUs);
         listener = new Listener(
                 loop,
@@ -274,7 +274,7 @@
         door.longest(longest(settings));
         loop.stopSendingUs(settings.rules().stopSendingUs());
         int change = ++changes;
-        loop.deadlines().after(ClassTable.CHANGE_US, () -> {
+        loop.deadlines().after(RequestClassRegistry.CHANGE_US, () -> {
             if (change == changes) {
                 attempts = whole.limits().maxAttempts();
                 broker.settings(whole);
--- a/pooler/src/main/java/frostreel/net/Listener.java
+++ b/pooler/src/main/java/frostreel/net/Listener.java
@@ -2,7 +2,7 @@
 
 import frostreel.broker.Broker;
 import frostreel.broker.SlotTable;
-import frostreel.operation.ClassTable;
+import frostreel.operation.RequestClassRegistry;
 import frostreel.operation.ServingLifecycle;
 import frostreel.pg.Statement;
 import java.io.IOException;
@@ -38,7 +38,7 @@
     private final Loop loop;
     private final Broker broker;
     private final ServingLifecycle door;
-    private final ClassTable classes;
+    private final RequestClassRegistry classes;
     private final Map<String, Supplier<String>> pages = new HashMap<>();
     private final int maxClients;
     /** Beyond so many clients that may ask, of which so many are idle, the longest idle is closed. */
@@ -65,7 +65,7 @@
             Loop loop,
             Broker broker,
             ServingLifecycle door,
-            ClassTable classes,
+            RequestClassRegistry classes,
             int maxClients,
             int usualClients,
             long seed) {
