--- a/cluster/src/main/java/frostreel/cluster/Membership.java
+++ b/cluster/src/main/java/frostreel/cluster/Membership.java
@@ -13,8 +13,8 @@
 
     /** Learns what happens in the group. */
     interface Listener {
-        /** Others came, went, or both; {@code before} is {@link View#NONE} at first. */
-        void changed(View view, View before);
+        /** Others came, went, or both; {@code before} is {@link MembershipView#NONE} at first. */
+        void changed(MembershipView view, MembershipView before);
 
         /**
          * A member of the view has gone silent; a view without it may follow, or it is heard again. Where
@@ -39,7 +39,7 @@
     Peer self();
 
     /** The newest view that the listener was told of. */
-    View view();
+    MembershipView view();
 
     /**
      * To one peer.
--- a/cluster/src/main/java/frostreel/cluster/MajorityLog.java
+++ b/cluster/src/main/java/frostreel/cluster/ReplicatedLog.java
@@ -5,7 +5,7 @@
  * 1 on without gaps, which no other entry ever gets, whatever crashes, cuts or restarts come between, as long
  * as the members keep their folders. Called, and told, on the thread of its owner.
  */
-public interface MajorityLog {
+public interface ReplicatedLog {
     /** Of one entry. */
     int MOST_BYTES = 8 * 1024;
     /** So many of the newest entries are kept for those that come late. */
--- a/cluster/src/main/java/frostreel/cluster/jgroups/ChosenEntries.java
+++ b/cluster/src/main/java/frostreel/cluster/jgroups/CommittedEntries.java
@@ -1,7 +1,7 @@
 package frostreel.cluster.jgroups;
 
-import frostreel.cluster.MajorityLog;
 import frostreel.cluster.Peer;
+import frostreel.cluster.ReplicatedLog;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.DataInput;
@@ -21,17 +21,17 @@
  * proposal that was sent again, as its first answer was lost, is told from a new one and gets no second
  * number. On the log's own thread.
  */
-final class ChosenEntries implements StateMachine {
+final class CommittedEntries implements StateMachine {
     /** A member's newest proposal that was chosen. */
     private record Last(long life, long place, long number) {}
 
-    private final MajorityLog.Listener listener;
+    private final ReplicatedLog.Listener listener;
     private final Map<String, Last> last = new HashMap<>();
     private final NavigableMap<Long, byte[]> kept = new TreeMap<>();
     private long number;
     private long told;
 
-    ChosenEntries(MajorityLog.Listener listener) {
+    CommittedEntries(ReplicatedLog.Listener listener) {
         this.listener = listener;
     }
 
@@ -67,7 +67,7 @@
         number++;
         last.put(name, mine);
         kept.put(number, in.readAllBytes());
-        if (kept.size() > MajorityLog.KEPT) {
+        if (kept.size() > ReplicatedLog.KEPT) {
             kept.pollFirstEntry();
         }
         tell();
--- a/cluster/src/main/java/frostreel/cluster/jgroups/GroupMembership.java
+++ b/cluster/src/main/java/frostreel/cluster/jgroups/GroupMembership.java
@@ -1,10 +1,10 @@
 package frostreel.cluster.jgroups;
 
 import frostreel.cluster.ClusterSettings;
-import frostreel.cluster.MajorityLog;
 import frostreel.cluster.Membership;
+import frostreel.cluster.MembershipView;
 import frostreel.cluster.Peer;
-import frostreel.cluster.View;
+import frostreel.cluster.ReplicatedLog;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -82,7 +82,7 @@
     private final LongAdder received = new LongAdder();
     private final LongAdder dropped = new LongAdder();
     private final LongAdder strangers = new LongAdder();
-    private View view = View.NONE; // With those below, the owner's thread's alone.
+    private MembershipView view = MembershipView.NONE; // With those below, the owner's thread's alone.
     private boolean left;
 
     /**
@@ -103,7 +103,7 @@
             Executor owner,
             Listener listener,
             Path folder,
-            MajorityLog.Listener chosen) {
+            ReplicatedLog.Listener chosen) {
         this.settings = settings;
         this.owner = owner;
         this.listener = listener;
@@ -173,7 +173,7 @@
         if (log != null) {
             stack.addAll(log.protocols());
         }
-        stack.add(new Suspicions(this::suspects));
+        stack.add(new SuspicionListener(this::suspects));
         return stack;
     }
 
@@ -197,7 +197,7 @@
     }
 
     /** The majority's log; null where it was not asked for. */
-    public MajorityLog log() {
+    public ReplicatedLog log() {
         return log;
     }
 
@@ -207,7 +207,7 @@
     }
 
     @Override
-    public View view() {
+    public MembershipView view() {
         return view;
     }
 
@@ -312,9 +312,9 @@
                     peers.add(p);
                 }
             }
-            View next = new View(v.getViewId().getId(), peers, v instanceof MergeView);
+            MembershipView next = new MembershipView(v.getViewId().getId(), peers, v instanceof MergeView);
             tell(() -> {
-                View before = view;
+                MembershipView before = view;
                 view = next;
                 listener.changed(next, before);
             });
--- a/cluster/src/main/java/frostreel/cluster/jgroups/RaftLog.java
+++ b/cluster/src/main/java/frostreel/cluster/jgroups/RaftLog.java
@@ -1,7 +1,7 @@
 package frostreel.cluster.jgroups;
 
-import frostreel.cluster.MajorityLog;
 import frostreel.cluster.Peer;
+import frostreel.cluster.ReplicatedLog;
 import java.nio.file.Path;
 import java.util.ArrayDeque;
 import java.util.Collection;
@@ -21,10 +21,10 @@
 
 /**
  * The majority's log by jgroups-raft, over the channel of {@link GroupMembership}. Proposals go one after
- * another, each again until it was answered or its time is over; {@link ChosenEntries} sees to it that none
+ * another, each again until it was answered or its time is over; {@link CommittedEntries} sees to it that none
  * counts twice. Fields are the owner's thread's alone.
  */
-final class RaftLog implements MajorityLog {
+final class RaftLog implements ReplicatedLog {
     /**
      * The leader sends a follower again what it lacks only once it has heard nothing new for so long;
      * proposals that come again sooner than that would keep a member that started again out for ever.
@@ -44,7 +44,7 @@
     private final Collection<String> members;
     private final Path folder;
     /** One over all tries to join: what it has been told once, it is not told again. */
-    private final ChosenEntries entries;
+    private final CommittedEntries entries;
 
     private volatile REDIRECT redirect;
     private final Queue<Proposal> waiting = new ArrayDeque<>();
@@ -58,7 +58,7 @@
         this.owner = owner;
         this.members = members;
         this.folder = folder;
-        entries = new ChosenEntries((number, entry) -> owner.execute(() -> listener.chosen(number, entry)));
+        entries = new CommittedEntries((number, entry) -> owner.execute(() -> listener.chosen(number, entry)));
     }
 
     /** What goes into a channel's stack, above all that carries messages; new for each channel. */
@@ -83,12 +83,12 @@
 
     @Override
     public void propose(byte[] entry, Outcome outcome) {
-        MajorityLog.check(entry);
+        ReplicatedLog.check(entry);
         if (waiting.size() >= MOST_WAITING) {
             outcome.unknown("too many proposals wait");
             return;
         }
-        waiting.add(new Proposal(ChosenEntries.proposal(self, ++places, entry), outcome));
+        waiting.add(new Proposal(CommittedEntries.proposal(self, ++places, entry), outcome));
         next();
     }
 
@@ -119,7 +119,7 @@
         }
         answer.orTimeout(AGAIN_MS, TimeUnit.MILLISECONDS).whenComplete((bytes, failure) -> {
             if (failure == null) {
-                owner.execute(() -> done(p, ChosenEntries.number(bytes), null));
+                owner.execute(() -> done(p, CommittedEntries.number(bytes), null));
             } else if (System.nanoTime() / 1_000_000 < endMs) {
                 CompletableFuture.delayedExecutor(AGAIN_MS / 2, TimeUnit.MILLISECONDS, owner)
                         .execute(() -> send(p, endMs));
--- a/cluster/src/main/java/frostreel/cluster/jgroups/Suspicions.java
+++ b/cluster/src/main/java/frostreel/cluster/jgroups/SuspicionListener.java
@@ -7,10 +7,10 @@
 import org.jgroups.stack.Protocol;
 
 /** The top of the stack: hears whom the layers below have come to suspect, which channels do not pass on. */
-final class Suspicions extends Protocol {
+final class SuspicionListener extends Protocol {
     private final Consumer<Collection<Address>> listener;
 
-    Suspicions(Consumer<Collection<Address>> listener) {
+    SuspicionListener(Consumer<Collection<Address>> listener) {
         this.listener = listener;
     }
 
--- a/cluster/src/test/java/frostreel/cluster/ClusterSettingsTest.java
+++ b/cluster/src/test/java/frostreel/cluster/ClusterSettingsTest.java
@@ -47,11 +47,11 @@
         Peer a = new Peer("a", 1);
         Peer b = new Peer("b", 1);
         Peer again = new Peer("b", 2);
-        View before = new View(1, List.of(b, a), false);
-        View after = new View(2, List.of(a, again), false);
+        MembershipView before = new MembershipView(1, List.of(b, a), false);
+        MembershipView after = new MembershipView(2, List.of(a, again), false);
         assertThat(before.members()).containsExactly(a, b);
         assertThat(after.joined(before)).containsExactly(again);
         assertThat(after.left(before)).containsExactly(b);
-        assertThat(before.joined(View.NONE)).containsExactly(a, b);
+        assertThat(before.joined(MembershipView.NONE)).containsExactly(a, b);
     }
 }
--- a/lab/src/main/java/frostreel/lab/virtual/VirtualGroup.java
+++ b/lab/src/main/java/frostreel/lab/virtual/VirtualGroup.java
@@ -1,9 +1,9 @@
 package frostreel.lab.virtual;
 
-import frostreel.cluster.MajorityLog;
 import frostreel.cluster.Membership;
+import frostreel.cluster.MembershipView;
 import frostreel.cluster.Peer;
-import frostreel.cluster.View;
+import frostreel.cluster.ReplicatedLog;
 import frostreel.lab.model.Kernel;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -59,11 +59,11 @@
         /** What came while it was paused. */
         private final Queue<Runnable> missed = new ArrayDeque<>();
 
-        private View view = View.NONE;
+        private MembershipView view = MembershipView.NONE;
         /** The newest view there is for it; it takes it only once it does not pause. */
-        private View given = View.NONE;
+        private MembershipView given = MembershipView.NONE;
         /** Null where it takes no part in the log. */
-        private MajorityLog.Listener chosen;
+        private ReplicatedLog.Listener chosen;
 
         private long toldNumber;
         private boolean lags;
@@ -82,7 +82,7 @@
         }
 
         @Override
-        public View view() {
+        public MembershipView view() {
             return view;
         }
 
@@ -124,8 +124,8 @@
             }
         }
 
-        private void takes(View next) {
-            View before = view;
+        private void takes(MembershipView next) {
+            MembershipView before = view;
             view = next;
             next.left(before).stream().filter(p -> !farewells.contains(p)).forEach(listener::suspected);
             listener.changed(next, before);
@@ -152,22 +152,22 @@
      * A member's part in the majority's log; {@code chosen} hears all there is, and what comes. What was
      * chosen outlasts every life, as if all kept their folders.
      */
-    public MajorityLog log(Membership member, MajorityLog.Listener chosen) {
+    public ReplicatedLog log(Membership member, ReplicatedLog.Listener chosen) {
         Member m = (Member) member;
         m.chosen = chosen;
         catchUp(m);
         return (entry, outcome) -> propose(m, entry, outcome);
     }
 
-    private void propose(Member m, byte[] entry, MajorityLog.Outcome outcome) {
-        MajorityLog.check(entry);
+    private void propose(Member m, byte[] entry, ReplicatedLog.Outcome outcome) {
+        ReplicatedLog.check(entry);
         byte[] copy = entry.clone();
         long untilUs = kernel.now() + PROPOSAL_US;
         kernel.after(2 * usualDelayUs, () -> attempt(m, copy, outcome, untilUs));
     }
 
     /** Goes on until a majority is there to choose it; its answer may be lost on the way back. */
-    private void attempt(Member m, byte[] entry, MajorityLog.Outcome outcome, long untilUs) {
+    private void attempt(Member m, byte[] entry, ReplicatedLog.Outcome outcome, long untilUs) {
         if (m.gone) {
             return;
         }
@@ -220,7 +220,7 @@
                 });
                 return;
             }
-            m.toldNumber = Math.max(m.toldNumber, entries.size() - MajorityLog.KEPT);
+            m.toldNumber = Math.max(m.toldNumber, entries.size() - ReplicatedLog.KEPT);
             while (m.toldNumber < entries.size()) {
                 long number = ++m.toldNumber;
                 m.hears(() -> m.chosen.chosen(number, entries.get((int) number - 1)));
@@ -324,12 +324,12 @@
         }
         long number = 1 + part.stream().mapToLong(m -> m.given.number()).max().orElse(0);
         boolean merged = part.stream()
-                        .filter(m -> m.given != View.NONE)
+                        .filter(m -> m.given != MembershipView.NONE)
                         .map(m -> m.given.members())
                         .distinct()
                         .count()
                 > 1;
-        View next = new View(number, peers, merged);
+        MembershipView next = new MembershipView(number, peers, merged);
         for (Member m : part) {
             m.given = next;
             m.hears(() -> m.takes(next));
--- a/lab/src/test/java/frostreel/lab/processes/FellowsTest.java
+++ b/lab/src/test/java/frostreel/lab/processes/ClusterMemberTest.java
@@ -17,7 +17,7 @@
 
 /** Processes of the program that see each other, and faults between them; waits are for what they show. */
 @Timeout(300)
-class FellowsTest {
+class ClusterMemberTest {
     private static final Path PROGRAM =
             Path.of("../pooler/target/frostreel.jar").toAbsolutePath();
     private static final long SILENT_MS = 800;
--- a/lab/src/test/java/frostreel/lab/processes/GroupRig.java
+++ b/lab/src/test/java/frostreel/lab/processes/GroupRig.java
@@ -3,10 +3,10 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import frostreel.cluster.ClusterSettings;
-import frostreel.cluster.MajorityLog;
 import frostreel.cluster.Membership;
+import frostreel.cluster.MembershipView;
 import frostreel.cluster.Peer;
-import frostreel.cluster.View;
+import frostreel.cluster.ReplicatedLog;
 import frostreel.cluster.jgroups.GroupMembership;
 import frostreel.net.Loop;
 import java.io.IOException;
@@ -39,14 +39,14 @@
     private PeerLinks links;
 
     /** One pooler's part, with what it learnt. */
-    final class Member implements Membership.Listener, MajorityLog.Listener {
+    final class Member implements Membership.Listener, ReplicatedLog.Listener {
         final BlockingQueue<String> chosen = new LinkedBlockingQueue<>();
-        final BlockingQueue<View> views = new LinkedBlockingQueue<>();
+        final BlockingQueue<MembershipView> views = new LinkedBlockingQueue<>();
         final BlockingQueue<String> heard = new LinkedBlockingQueue<>();
         final BlockingQueue<String> failures = new LinkedBlockingQueue<>();
         final ExecutorService owner = Executors.newSingleThreadExecutor();
         final GroupMembership group;
-        volatile View last = View.NONE;
+        volatile MembershipView last = MembershipView.NONE;
 
         /** {@code folder}: of its log, null for none. */
         Member(String name, int place, long life, Path folder) {
@@ -65,7 +65,7 @@
         }
 
         @Override
-        public void changed(View view, View before) {
+        public void changed(MembershipView view, MembershipView before) {
             assertThat(before).isEqualTo(last);
             assertThat(view.number()).isGreaterThan(before.number());
             last = view;
@@ -88,9 +88,9 @@
         }
 
         /** Waits for a view of these and nobody else, and returns it. */
-        View sees(String... names) throws InterruptedException {
+        MembershipView sees(String... names) throws InterruptedException {
             while (true) {
-                View v = views.poll(HANG_S, TimeUnit.SECONDS);
+                MembershipView v = views.poll(HANG_S, TimeUnit.SECONDS);
                 assertThat(v)
                         .as("a view of %s at %s", List.of(names), group.self())
                         .isNotNull();
--- a/lab/src/test/java/frostreel/lab/processes/MajorityLogTest.java
+++ b/lab/src/test/java/frostreel/lab/processes/ReplicatedLogTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import frostreel.cluster.MajorityLog;
+import frostreel.cluster.ReplicatedLog;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** What a majority chose has one number for ever, whatever is cut, ends or starts again. */
-class MajorityLogTest extends GroupRig {
+class ReplicatedLogTest extends GroupRig {
     private static final int MOST_TRIES = 6;
 
     @TempDir
@@ -38,7 +38,7 @@
 
     private static CompletableFuture<Long> propose(Member m, String entry) {
         CompletableFuture<Long> number = new CompletableFuture<>();
-        m.owner.execute(() -> m.group.log().propose(entry.getBytes(), new MajorityLog.Outcome() {
+        m.owner.execute(() -> m.group.log().propose(entry.getBytes(), new ReplicatedLog.Outcome() {
             @Override
             public void chosen(long n) {
                 number.complete(n);
@@ -99,7 +99,7 @@
         assertThat(order.get(29)).startsWith("30:");
         assertThat(hears(members.get(1), 30)).isEqualTo(order);
         assertThat(hears(members.get(2), 30)).isEqualTo(order);
-        assertThatThrownBy(() -> members.get(0).group.log().propose(new byte[MajorityLog.MOST_BYTES + 1], null))
+        assertThatThrownBy(() -> members.get(0).group.log().propose(new byte[ReplicatedLog.MOST_BYTES + 1], null))
                 .hasMessageContaining("at most");
     }
 
--- a/lab/src/test/java/frostreel/lab/virtual/VirtualGroupTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/VirtualGroupTest.java
@@ -3,10 +3,10 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import frostreel.cluster.MajorityLog;
 import frostreel.cluster.Membership;
+import frostreel.cluster.MembershipView;
 import frostreel.cluster.Peer;
-import frostreel.cluster.View;
+import frostreel.cluster.ReplicatedLog;
 import frostreel.lab.model.VirtualTime;
 import java.util.ArrayList;
 import java.util.List;
@@ -29,15 +29,15 @@
     private VirtualGroup group;
 
     private static final class Ears implements Membership.Listener {
-        final List<View> views = new ArrayList<>();
+        final List<MembershipView> views = new ArrayList<>();
         final List<String> heard = new ArrayList<>();
         final Set<String> suspects = new TreeSet<>();
         final List<String> failures = new ArrayList<>();
         Membership mine;
 
         @Override
-        public void changed(View view, View before) {
-            assertThat(before).isEqualTo(views.isEmpty() ? View.NONE : views.get(views.size() - 1));
+        public void changed(MembershipView view, MembershipView before) {
+            assertThat(before).isEqualTo(views.isEmpty() ? MembershipView.NONE : views.get(views.size() - 1));
             assertThat(view.number()).isGreaterThan(before.number());
             assertThat(view.members()).contains(mine.self());
             views.add(view);
@@ -219,7 +219,7 @@
             }
         }
         pass(SETTLED_US);
-        View last = ears.get(name(0)).mine.view();
+        MembershipView last = ears.get(name(0)).mine.view();
         assertThat(last.members()).hasSize(count);
         ears.values().forEach(e -> assertThat(e.mine.view()).isEqualTo(last));
     }
@@ -229,7 +229,7 @@
         final TreeMap<Long, String> told = new TreeMap<>();
         final Map<String, Long> answered = new TreeMap<>();
         final List<String> doubtful = new ArrayList<>();
-        final MajorityLog log;
+        final ReplicatedLog log;
 
         Scribe(String name) {
             log = group.log(ears.get(name).mine, (number, entry) -> {
@@ -239,7 +239,7 @@
         }
 
         void propose(String entry) {
-            log.propose(entry.getBytes(), new MajorityLog.Outcome() {
+            log.propose(entry.getBytes(), new ReplicatedLog.Outcome() {
                 @Override
                 public void chosen(long number) {
                     answered.put(entry, number);
@@ -269,7 +269,7 @@
         cut(false, 2, 5);
         pass(1_000_000);
         assertThat(small.told).isEqualTo(large.told);
-        assertThatThrownBy(() -> small.log.propose(new byte[MajorityLog.MOST_BYTES + 1], null))
+        assertThatThrownBy(() -> small.log.propose(new byte[ReplicatedLog.MOST_BYTES + 1], null))
                 .hasMessageContaining("at most");
     }
 
--- a/pooler/src/main/java/frostreel/Pooler.java
+++ b/pooler/src/main/java/frostreel/Pooler.java
@@ -9,7 +9,7 @@
 import frostreel.control.CommandExecutor;
 import frostreel.control.PeerProcessCommits;
 import frostreel.discovery.Watch;
-import frostreel.fleet.Fellows;
+import frostreel.fleet.ClusterMember;
 import frostreel.log.Logging;
 import frostreel.net.Listener;
 import frostreel.net.Loop;
@@ -71,7 +71,7 @@
     private ZoneFailoverPolicy advice;
     private final PeerProcessCommits beside;
     /** Null where no poolers see each other. */
-    private final Fellows fellows;
+    private final ClusterMember fellows;
 
     private final OperatorSettings.Cluster cluster;
     private final CountDownLatch listening = new CountDownLatch(1);
@@ -145,7 +145,7 @@
             listener.page("zones", advice::toString);
         }
         cluster = operators.cluster();
-        fellows = cluster == null ? null : new Fellows(cluster, config.name(), loop);
+        fellows = cluster == null ? null : new ClusterMember(cluster, config.name(), loop);
         if (fellows != null) {
             listener.page("fleet", fellows::toString);
         }
--- a/pooler/src/main/java/frostreel/fleet/Fellows.java
+++ b/pooler/src/main/java/frostreel/fleet/ClusterMember.java
@@ -2,8 +2,8 @@
 
 import frostreel.cluster.ClusterSettings;
 import frostreel.cluster.Membership;
+import frostreel.cluster.MembershipView;
 import frostreel.cluster.Peer;
-import frostreel.cluster.View;
 import frostreel.cluster.jgroups.GroupMembership;
 import frostreel.net.Loop;
 import frostreel.settings.OperatorSettings;
@@ -19,15 +19,15 @@
  * This pooler among its fellows: owns its membership, says in the log who comes and goes, and shows it. On
  * the loop's thread. Nothing that is served depends on it.
  */
-public final class Fellows implements Membership.Listener {
-    private static final Logger LOG = Logger.getLogger(Fellows.class.getName());
+public final class ClusterMember implements Membership.Listener {
+    private static final Logger LOG = Logger.getLogger(ClusterMember.class.getName());
     private final Set<String> named;
     private final Set<Peer> silent = new TreeSet<>();
     private final GroupMembership group;
     private String failure;
 
     /** Joins as {@code self}; its life is the time of its start, Unix milliseconds. */
-    public Fellows(OperatorSettings.Cluster cluster, String self, Loop loop) {
+    public ClusterMember(OperatorSettings.Cluster cluster, String self, Loop loop) {
         named = cluster.stations().keySet();
         Map<String, InetSocketAddress> members = new TreeMap<>();
         cluster.stations().forEach((name, station) -> members.put(name, station.at()));
@@ -40,7 +40,7 @@
     }
 
     @Override
-    public void changed(View view, View before) {
+    public void changed(MembershipView view, MembershipView before) {
         silent.retainAll(view.members());
         view.joined(before).stream()
                 .filter(p -> !p.equals(group.self()))
@@ -77,7 +77,7 @@
     /** For on-call staff: one line of its own, and one for each pooler named. */
     @Override
     public String toString() {
-        View view = group.view();
+        MembershipView view = group.view();
         Map<String, Long> lives = view.members().stream().collect(Collectors.toMap(Peer::name, Peer::life, Math::max));
         StringBuilder page = new StringBuilder("self=" + group.self() + " view=" + view.number() + " here="
                 + lives.size() + " named=" + named.size() + " " + group.counters()
