--- a/pooler/src/main/java/frostreel/Pooler.java
+++ b/pooler/src/main/java/frostreel/Pooler.java
@@ -3,12 +3,12 @@
 import frostreel.broker.Broker;
 import frostreel.broker.Deadlines;
 import frostreel.config.Config;
-import frostreel.config.HostList;
+import frostreel.config.EndpointList;
 import frostreel.control.AdminListener;
 import frostreel.control.ClockAnchor;
 import frostreel.control.CommandExecutor;
 import frostreel.control.PeerProcessCommits;
-import frostreel.discovery.Watch;
+import frostreel.discovery.DiscoveryWatch;
 import frostreel.fleet.ClusterMember;
 import frostreel.log.Logging;
 import frostreel.net.Listener;
@@ -62,11 +62,11 @@
     /** Null where operators may not call. */
     private final AdminListener calls;
 
-    private Watch watch;
+    private DiscoveryWatch watch;
     /** The watch on the discovery that a new configuration names, until it has answered; null for none. */
-    private Watch next;
+    private DiscoveryWatch next;
     /** The list known from the start; null once it is taken. */
-    private HostList known;
+    private EndpointList known;
 
     private ZoneFailoverPolicy advice;
     private final PeerProcessCommits beside;
@@ -231,8 +231,8 @@
         becomeReady();
     }
 
-    private Watch watch(Config config, long seq) {
-        return new Watch(loop, config.discovery(), config.zones(), config.kinds(), seq, this::listed);
+    private DiscoveryWatch watch(Config config, long seq) {
+        return new DiscoveryWatch(loop, config.discovery(), config.zones(), config.kinds(), seq, this::listed);
     }
 
     /**
@@ -249,7 +249,7 @@
                 if (next != null) {
                     next.stop();
                 }
-                Watch named = watch(config, -1);
+                DiscoveryWatch named = watch(config, -1);
                 named.onAnswer(() -> {
                     watch.stop();
                     watch = named;
@@ -306,7 +306,7 @@
                         }));
     }
 
-    private void listed(HostList list) {
+    private void listed(EndpointList list) {
         takeKnown();
         take(list, list.whole() ? Router.ListKind.FULL : Router.ListKind.CHANGES);
         serversAreKnown();
@@ -319,7 +319,7 @@
      */
     private void takeKnown() {
         if (known != null) {
-            HostList first = known;
+            EndpointList first = known;
             known = null;
             take(first, Router.ListKind.CACHED);
         }
@@ -335,7 +335,7 @@
                 + " log_lines_dropped=" + Logging.dropped();
     }
 
-    private void take(HostList list, Router.ListKind kind) {
+    private void take(EndpointList list, Router.ListKind kind) {
         operator.listed(list, kind);
     }
 
--- a/pooler/src/main/java/frostreel/config/Config.java
+++ b/pooler/src/main/java/frostreel/config/Config.java
@@ -29,7 +29,7 @@
         int usualClients,
         int maxServerConnections,
         int maxOpen,
-        HostList known,
+        EndpointList known,
         List<Object> zones,
         List<Object> kinds,
         Router.Settings settings,
@@ -90,7 +90,7 @@
 
     /** This, where it has every key of the one in force. */
     public Config inPlaceOf(Config inForce) throws ConfigException {
-        String missing = Shape.missing(inForce.source, source);
+        String missing = ReloadCompatibility.missing(inForce.source, source);
         if (missing != null) {
             throw new ConfigException("GW_CONFIG: field '" + missing + "' is missing, which the file in force has");
         }
@@ -115,9 +115,9 @@
         List<Object> kinds = options.has("machineTypes") ? options.list("machineTypes") : List.of();
         MessageFields caps = options.object("caps");
         int maxOpen = (int) Math.min(caps.whole("maxOpen", 1, Integer.MAX_VALUE, DEFAULT_OPEN), DEFAULT_OPEN);
-        HostList known = f.has("known")
-                ? HostList.read(f.object("known").map(), zones, kinds)
-                : new HostList(0, true, List.of());
+        EndpointList known = f.has("known")
+                ? EndpointList.read(f.object("known").map(), zones, kinds)
+                : new EndpointList(0, true, List.of());
         String inherited = environment.getOrDefault("GW_FD", "");
         if (!inherited.isEmpty() && !inherited.equals("0")) {
             throw new MalformedMessageException("GW_FD is not 0, the one descriptor by which a socket is taken over");
@@ -130,13 +130,13 @@
         boolean called = f.has("control") || control != null && !control.isEmpty();
         return new Config(
                 told(f, "name", environment, "GW_NAME"),
-                HostList.address(told(f, "listen", environment, "GW_LISTEN"), "listen"),
-                called ? HostList.address(told(f, "control", environment, "GW_CONTROL"), "control") : null,
+                EndpointList.address(told(f, "listen", environment, "GW_LISTEN"), "listen"),
+                called ? EndpointList.address(told(f, "control", environment, "GW_CONTROL"), "control") : null,
                 inherits,
                 called && environment.get("TMPDIR") != null
                         ? Path.of(environment.get("TMPDIR"), "frostreel-orders")
                         : null,
-                HostList.address(told(f, "discovery", environment, "GW_DISCOVERY"), "discovery"),
+                EndpointList.address(told(f, "discovery", environment, "GW_DISCOVERY"), "discovery"),
                 sockets - maxServers,
                 usual,
                 maxServers,
--- a/pooler/src/main/java/frostreel/config/HostList.java
+++ b/pooler/src/main/java/frostreel/config/EndpointList.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 
 /** A list of servers, whole or only what changed, in discovery's form. */
-public record HostList(long seq, boolean whole, List<Host> hosts) {
+public record EndpointList(long seq, boolean whole, List<Host> hosts) {
     /** A server as the decisions see it, and the address at which this machine reaches it. */
     public record Host(Router.Member member, InetSocketAddress dial) {}
 
@@ -21,7 +21,7 @@
      * Zones and kinds are told by name, and known to the decisions by their place among the settings' names.
      */
     @SuppressWarnings("unchecked")
-    public static HostList read(Map<String, Object> json, List<Object> zones, List<Object> kinds)
+    public static EndpointList read(Map<String, Object> json, List<Object> zones, List<Object> kinds)
             throws MalformedMessageException {
         MessageFields list = new MessageFields(json);
         List<Host> hosts = new ArrayList<>();
@@ -43,7 +43,7 @@
                     h.whole("born_ms", 0, Long.MAX_VALUE / 1000, 0) * 1000);
             hosts.add(new Host(member, address(h.text("dial"), "dial")));
         }
-        return new HostList(list.whole("seq", 0, Long.MAX_VALUE, 0), list.flag("whole"), List.copyOf(hosts));
+        return new EndpointList(list.whole("seq", 0, Long.MAX_VALUE, 0), list.flag("whole"), List.copyOf(hosts));
     }
 
     /**
--- a/pooler/src/main/java/frostreel/config/Shape.java
+++ b/pooler/src/main/java/frostreel/config/ReloadCompatibility.java
@@ -10,8 +10,8 @@
  * left out would get a default that nobody chose. Lists may change in length; of the objects in one, each has
  * to state what all of the old list's did.
  */
-final class Shape {
-    private Shape() {}
+final class ReloadCompatibility {
+    private ReloadCompatibility() {}
 
     /** The first key that is missing, with its way there; null where none is. */
     static String missing(JSONObject before, JSONObject now) {
--- a/pooler/src/main/java/frostreel/control/CommandExecutor.java
+++ b/pooler/src/main/java/frostreel/control/CommandExecutor.java
@@ -1,7 +1,7 @@
 package frostreel.control;
 
 import frostreel.broker.Broker;
-import frostreel.config.HostList;
+import frostreel.config.EndpointList;
 import frostreel.net.Loop;
 import frostreel.net.ServerPool;
 import frostreel.operation.MaintenanceOverlay;
@@ -105,13 +105,13 @@
     }
 
     /** Takes discovery's word, or the list known from the start; all members come through here. */
-    public void listed(HostList list, Router.ListKind kind) {
+    public void listed(EndpointList list, Router.ListKind kind) {
         boolean whole = kind != Router.ListKind.CHANGES;
         List<Router.Member> shown = outOfService.told(
-                whole, list.hosts().stream().map(HostList.Host::member).toList());
-        List<HostList.Host> hosts = new ArrayList<>(shown.size());
+                whole, list.hosts().stream().map(EndpointList.Host::member).toList());
+        List<EndpointList.Host> hosts = new ArrayList<>(shown.size());
         for (int i = 0; i < shown.size(); i++) {
-            hosts.add(new HostList.Host(shown.get(i), list.hosts().get(i).dial()));
+            hosts.add(new EndpointList.Host(shown.get(i), list.hosts().get(i).dial()));
         }
         pool.addresses(hosts, whole);
         broker.members(kind, shown);
--- a/pooler/src/main/java/frostreel/discovery/Watch.java
+++ b/pooler/src/main/java/frostreel/discovery/DiscoveryWatch.java
@@ -1,7 +1,7 @@
 package frostreel.discovery;
 
 import frostreel.broker.Deadlines;
-import frostreel.config.HostList;
+import frostreel.config.EndpointList;
 import frostreel.net.Loop;
 import frostreel.wire.MalformedMessageException;
 import java.net.InetSocketAddress;
@@ -27,7 +27,7 @@
  * longest first; to drop that one would put this pooler at the end of the line again, each time. There are
  * never more than two calls out.
  */
-public final class Watch implements AgentConnection.Owner {
+public final class DiscoveryWatch implements AgentConnection.Owner {
     static final long WAIT_MS = 2_500;
     /**
      * The first call, and the first after a failure, do not wait: the answer tells that the list in hand is
@@ -43,12 +43,12 @@
     static final long LATE_SILENT_US = 15_000_000;
 
     static final long LATE_MOST_US = 60_000_000;
-    private static final Logger LOG = Logger.getLogger(Watch.class.getName());
+    private static final Logger LOG = Logger.getLogger(DiscoveryWatch.class.getName());
     private final Loop loop;
     private final InetSocketAddress address;
     private final List<Object> zones;
     private final List<Object> kinds;
-    private final Consumer<HostList> listener;
+    private final Consumer<EndpointList> listener;
     /** The call in hand, or the connection that comes up for it; null between two. */
     private AgentConnection current;
     /** A call that is late, and may still be answered; null for none. */
@@ -68,13 +68,13 @@
     private long calls;
 
     /** {@code seq}: the version of the list in hand, or negative for none: the whole list is asked for. */
-    public Watch(
+    public DiscoveryWatch(
             Loop loop,
             InetSocketAddress address,
             List<Object> zones,
             List<Object> kinds,
             long seq,
-            Consumer<HostList> listener) {
+            Consumer<EndpointList> listener) {
         this.seq = seq;
         this.loop = loop;
         this.address = address;
@@ -150,12 +150,12 @@
 
     @Override
     public void responded(AgentConnection on, HttpResponse response) {
-        HostList list;
+        EndpointList list;
         try {
             if (response.status() != 200) {
                 throw new HttpResponse.HttpException("status " + response.status());
             }
-            list = HostList.read(new JSONObject(response.body()).toMap(), zones, kinds);
+            list = EndpointList.read(new JSONObject(response.body()).toMap(), zones, kinds);
         } catch (HttpResponse.HttpException | MalformedMessageException | JSONException e) {
             drop(on);
             again(e.getMessage());
@@ -178,7 +178,7 @@
     }
 
     /** Whether it adds to what is in hand; the answer to a late call may be older than that. */
-    private boolean isNews(long index, HostList list) {
+    private boolean isNews(long index, EndpointList list) {
         return index == seq || list.seq() >= seq;
     }
 
--- a/pooler/src/main/java/frostreel/net/ServerPool.java
+++ b/pooler/src/main/java/frostreel/net/ServerPool.java
@@ -4,7 +4,7 @@
 import frostreel.broker.Deadlines;
 import frostreel.broker.Payload;
 import frostreel.broker.SlotTable;
-import frostreel.config.HostList;
+import frostreel.config.EndpointList;
 import frostreel.pg.Messages;
 import frostreel.routing.Router;
 import frostreel.routing.Router.Outcome;
@@ -97,9 +97,9 @@
     }
 
     /** Takes the addresses of a list, and what wants nothing new; {@link #withdraw} has to follow. */
-    public void addresses(List<HostList.Host> hosts, boolean whole) {
+    public void addresses(List<EndpointList.Host> hosts, boolean whole) {
         Set<Server> listed = new HashSet<>();
-        for (HostList.Host h : hosts) {
+        for (EndpointList.Host h : hosts) {
             Server s = servers.computeIfAbsent(h.member().id(), id -> new Server());
             listed.add(s);
             s.address = h.dial();
--- a/pooler/src/test/java/frostreel/ClosesTest.java
+++ b/pooler/src/test/java/frostreel/ClosesTest.java
@@ -7,7 +7,7 @@
 import static frostreel.Stage.rows;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import frostreel.discovery.Watch;
+import frostreel.discovery.DiscoveryWatch;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
@@ -82,7 +82,7 @@
         List<Stage.Link> waits = new ArrayList<>();
         List<Thread> stop = new ArrayList<>();
         stage.whileItStandsStill(
-                Watch.class,
+                DiscoveryWatch.class,
                 () -> {
                     stop.add(stops()); // The door closes 3.3 s later.
                     stage.whileItStandsStill(() -> Stage.pass(System.nanoTime(), 3_500));
--- a/pooler/src/test/java/frostreel/discovery/ListLayoutTest.java
+++ b/pooler/src/test/java/frostreel/discovery/EndpointListLayoutTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import frostreel.config.HostList;
+import frostreel.config.EndpointList;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
@@ -10,12 +10,12 @@
 import org.junit.jupiter.api.Test;
 
 /** Lists as agents write them. */
-class ListLayoutTest {
+class EndpointListLayoutTest {
     private static final JSONObject LIST = new JSONObject("""
             {"seq":41,"whole":true,"hosts":[{"host":"a","dial":"127.0.0.1:9","site":"dc","class":"m",
             "block":2,"health":"Ready","share":1.0,"born_ms":0,"role":"primary"}]}""");
 
-    private static HostList inPiecesOfOneByte(String body) throws Exception {
+    private static EndpointList inPiecesOfOneByte(String body) throws Exception {
         HttpResponse response = new HttpResponse();
         byte[] bytes = ("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: " + body.length()
                         + "\r\n\r\n" + body)
@@ -25,12 +25,12 @@
             response.accept(ByteBuffer.wrap(bytes, i, 1));
         }
         assertThat(response.complete()).isTrue();
-        return HostList.read(new JSONObject(response.body()).toMap(), List.of("dc"), List.of("m"));
+        return EndpointList.read(new JSONObject(response.body()).toMap(), List.of("dc"), List.of("m"));
     }
 
     @Test
     void aListIsTheSameHoweverItIsIndentedAndCut() throws Exception {
-        HostList plain = inPiecesOfOneByte(LIST.toString());
+        EndpointList plain = inPiecesOfOneByte(LIST.toString());
         assertThat(plain.hosts()).singleElement().satisfies(h -> {
             assertThat(h.member().id()).isEqualTo("a");
             assertThat(h.member().primary()).isTrue();
