--- a/lab/src/main/java/frostreel/lab/processes/Fleet.java
+++ b/lab/src/main/java/frostreel/lab/processes/Fleet.java
@@ -8,7 +8,7 @@
 import frostreel.lab.standin.Discovery;
 import frostreel.lab.standin.RealTime;
 import frostreel.lab.virtual.Plan;
-import frostreel.net.Loop;
+import frostreel.net.EventLoop;
 import frostreel.pg.Statement;
 import frostreel.routing.Router;
 import java.io.IOException;
@@ -51,7 +51,7 @@
     private final Plan plan;
     private final boolean operated;
     private final Path folder;
-    private final Loop loop = new Loop();
+    private final EventLoop loop = new EventLoop();
     private final Kernel kernel = new RealTime(loop);
     private final SplittableRandom chance;
     private final RuleBook rules;
--- a/lab/src/main/java/frostreel/lab/processes/Link.java
+++ b/lab/src/main/java/frostreel/lab/processes/Link.java
@@ -1,8 +1,8 @@
 package frostreel.lab.processes;
 
 import frostreel.lab.standin.Port;
-import frostreel.net.Loop;
-import frostreel.net.Stream;
+import frostreel.net.EventLoop;
+import frostreel.net.SocketStream;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
@@ -34,7 +34,7 @@
         default void ended(boolean byIt) {}
     }
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Supplier<InetSocketAddress> far;
     private final boolean poolerIsNear;
     private final Supplier<Tap> taps;
@@ -51,7 +51,12 @@
      * {@code near}: where it listens, port 0 for a free one, or null where another listens for it;
      * {@code far}: where it goes on to.
      */
-    Link(Loop loop, InetSocketAddress near, Supplier<InetSocketAddress> far, boolean poolerIsNear, Supplier<Tap> taps)
+    Link(
+            EventLoop loop,
+            InetSocketAddress near,
+            Supplier<InetSocketAddress> far,
+            boolean poolerIsNear,
+            Supplier<Tap> taps)
             throws IOException {
         this.loop = loop;
         this.poolerIsNear = poolerIsNear;
@@ -163,8 +168,8 @@
         private final Tap tap = taps.get();
         private final Lane forth = new Lane(this, true);
         private final Lane back = new Lane(this, false);
-        private final Stream nearEnd;
-        private Stream farEnd;
+        private final SocketStream nearEnd;
+        private SocketStream farEnd;
         private boolean nearEnded;
         private boolean farEnded;
         private boolean closed;
@@ -172,7 +177,7 @@
 
         Pipe(StreamConnection connection) {
             pipes.add(this);
-            nearEnd = new Stream(loop, connection, new Stream.Handler() {
+            nearEnd = new SocketStream(loop, connection, new SocketStream.Handler() {
                 @Override
                 public void received(ByteBuffer in) {
                     forth.add(read(in, poolerIsNear));
@@ -202,7 +207,7 @@
                     new IoFuture.HandlingNotifier<StreamConnection, Void>() {
                         @Override
                         public void handleDone(StreamConnection connection, Void none) {
-                            farEnd = new Stream(loop, connection, new Stream.Handler() {
+                            farEnd = new SocketStream(loop, connection, new SocketStream.Handler() {
                                 @Override
                                 public void received(ByteBuffer in) {
                                     back.add(read(in, !poolerIsNear));
--- a/lab/src/main/java/frostreel/lab/processes/Load.java
+++ b/lab/src/main/java/frostreel/lab/processes/Load.java
@@ -1,8 +1,8 @@
 package frostreel.lab.processes;
 
 import frostreel.lab.virtual.Plan;
-import frostreel.net.Loop;
-import frostreel.net.Stream;
+import frostreel.net.EventLoop;
+import frostreel.net.SocketStream;
 import frostreel.pg.MessageReader;
 import frostreel.pg.Messages;
 import frostreel.pg.PgException;
@@ -49,7 +49,7 @@
         double worthGot;
     }
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final SplittableRandom chance;
     private final List<Door> doors;
     private final int groups;
@@ -125,7 +125,7 @@
     }
 
     Load(
-            Loop loop,
+            EventLoop loop,
             SplittableRandom chance,
             List<InetSocketAddress> poolers,
             int groups,
@@ -262,10 +262,10 @@
     }
 
     /** One connection of a client, with at most one query on it. */
-    private final class Client implements Stream.Handler {
+    private final class Client implements SocketStream.Handler {
         private final Door door;
         private final MessageReader reader = new MessageReader(type -> MOST_BYTES);
-        private Stream stream;
+        private SocketStream stream;
         private Request request;
         private boolean empty;
         private boolean welcomed;
@@ -301,7 +301,7 @@
                     new IoFuture.HandlingNotifier<StreamConnection, Void>() {
                         @Override
                         public void handleDone(StreamConnection connection, Void none) {
-                            stream = new Stream(loop, connection, Client.this);
+                            stream = new SocketStream(loop, connection, Client.this);
                             stream.write(Messages.startup());
                             stream.write(query);
                             stream.resumeReads();
--- a/lab/src/main/java/frostreel/lab/processes/PeerLinks.java
+++ b/lab/src/main/java/frostreel/lab/processes/PeerLinks.java
@@ -1,7 +1,7 @@
 package frostreel.lab.processes;
 
 import frostreel.lab.standin.Port;
-import frostreel.net.Loop;
+import frostreel.net.EventLoop;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -20,7 +20,7 @@
     private final List<Port> ports = new ArrayList<>();
 
     /** {@code binds}: where each pooler listens, on a host address of its own. On the loop's thread. */
-    PeerLinks(Loop loop, List<InetSocketAddress> binds) throws IOException {
+    PeerLinks(EventLoop loop, List<InetSocketAddress> binds) throws IOException {
         int n = binds.size();
         links = new Link[n][n];
         cut = new boolean[n][n];
--- a/lab/src/main/java/frostreel/lab/processes/StaffCall.java
+++ b/lab/src/main/java/frostreel/lab/processes/StaffCall.java
@@ -1,7 +1,7 @@
 package frostreel.lab.processes;
 
-import frostreel.net.Loop;
-import frostreel.net.Stream;
+import frostreel.net.EventLoop;
+import frostreel.net.SocketStream;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
@@ -12,7 +12,7 @@
 import org.xnio.StreamConnection;
 
 /** One call of an operator's: a line, and the line that answers it; empty where none comes. */
-final class StaffCall implements Stream.Handler {
+final class StaffCall implements SocketStream.Handler {
     private final Consumer<String> answer;
     private final StringBuilder heard = new StringBuilder();
     private boolean over;
@@ -21,14 +21,14 @@
         this.answer = answer;
     }
 
-    static void make(Loop loop, InetSocketAddress at, String line, Consumer<String> answer) {
+    static void make(EventLoop loop, InetSocketAddress at, String line, Consumer<String> answer) {
         StaffCall call = new StaffCall(answer);
         IoFuture<StreamConnection> to = loop.thread().openStreamConnection(at, null, OptionMap.EMPTY);
         to.addNotifier(
                 new IoFuture.HandlingNotifier<StreamConnection, Void>() {
                     @Override
                     public void handleDone(StreamConnection connection, Void none) {
-                        Stream stream = new Stream(loop, connection, call);
+                        SocketStream stream = new SocketStream(loop, connection, call);
                         stream.resumeReads();
                         stream.write((line + "\n").getBytes(StandardCharsets.US_ASCII));
                     }
--- a/lab/src/main/java/frostreel/lab/standin/Database.java
+++ b/lab/src/main/java/frostreel/lab/standin/Database.java
@@ -2,8 +2,8 @@
 
 import frostreel.lab.model.Kernel;
 import frostreel.lab.model.Server;
-import frostreel.net.Loop;
-import frostreel.net.Stream;
+import frostreel.net.EventLoop;
+import frostreel.net.SocketStream;
 import frostreel.pg.MessageReader;
 import frostreel.pg.Messages;
 import frostreel.pg.PgException;
@@ -35,7 +35,7 @@
 
     private static final int MOST_BYTES = 1 << 18;
     private static final byte[] SHOW_LOAD = "SHOW load\0".getBytes(StandardCharsets.US_ASCII);
-    private final Loop loop;
+    private final EventLoop loop;
     private final Kernel kernel;
     private final Server server;
     private final Orders orders;
@@ -44,7 +44,7 @@
     private final Port port;
 
     /** {@code fell} hears that the server was sent more than it could take while cold. */
-    public Database(Loop loop, Kernel kernel, Server server, Orders orders, Runnable fell, InetSocketAddress at)
+    public Database(EventLoop loop, Kernel kernel, Server server, Orders orders, Runnable fell, InetSocketAddress at)
             throws IOException {
         this.fell = fell;
         this.loop = loop;
@@ -69,14 +69,14 @@
     }
 
     /** One connection. */
-    private final class Session implements Stream.Handler {
-        private final Stream stream;
+    private final class Session implements SocketStream.Handler {
+        private final SocketStream stream;
         private final MessageReader reader = new MessageReader(type -> MOST_BYTES);
         private boolean welcomed;
         private Server.Job job;
 
         Session(StreamConnection connection) {
-            stream = new Stream(loop, connection, this);
+            stream = new SocketStream(loop, connection, this);
             if (!server.up() && !server.vanished()) {
                 stream.close(); // No process, no connection.
                 return;
--- a/lab/src/main/java/frostreel/lab/standin/Discovery.java
+++ b/lab/src/main/java/frostreel/lab/standin/Discovery.java
@@ -2,8 +2,8 @@
 
 import frostreel.lab.model.Cluster;
 import frostreel.lab.model.Kernel;
-import frostreel.net.Loop;
-import frostreel.net.Stream;
+import frostreel.net.EventLoop;
+import frostreel.net.SocketStream;
 import frostreel.routing.Router;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -24,7 +24,7 @@
 public final class Discovery {
     private static final Pattern CALL =
             Pattern.compile("GET /discovery/hosts(?:\\?index=(\\d+)&wait=(\\d+))? HTTP/1\\.1\r\n");
-    private final Loop loop;
+    private final EventLoop loop;
     private final Kernel kernel;
     private final Function<String, String> dial;
     private final Port port;
@@ -36,7 +36,8 @@
     private long seq;
 
     /** {@code dial}: the address, as text, at which this pooler reaches a server. */
-    public Discovery(Loop loop, Kernel kernel, Cluster cluster, Function<String, String> dial, InetSocketAddress at)
+    public Discovery(
+            EventLoop loop, Kernel kernel, Cluster cluster, Function<String, String> dial, InetSocketAddress at)
             throws IOException {
         this.loop = loop;
         this.kernel = kernel;
@@ -108,14 +109,14 @@
     }
 
     /** One connection, with at most one call on it. */
-    private final class Call implements Stream.Handler {
-        private final Stream stream;
+    private final class Call implements SocketStream.Handler {
+        private final SocketStream stream;
         private final StringBuilder head = new StringBuilder();
         private long index;
         private long number;
 
         Call(StreamConnection connection) {
-            stream = new Stream(loop, connection, this);
+            stream = new SocketStream(loop, connection, this);
             stream.resumeReads();
         }
 
--- a/lab/src/main/java/frostreel/lab/standin/Port.java
+++ b/lab/src/main/java/frostreel/lab/standin/Port.java
@@ -1,6 +1,6 @@
 package frostreel.lab.standin;
 
-import frostreel.net.Loop;
+import frostreel.net.EventLoop;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.function.Consumer;
@@ -16,7 +16,7 @@
     private final AcceptingChannel<StreamConnection> channel;
 
     /** Port 0 takes a free one. */
-    public Port(Loop loop, InetSocketAddress at, Consumer<StreamConnection> accepted) throws IOException {
+    public Port(EventLoop loop, InetSocketAddress at, Consumer<StreamConnection> accepted) throws IOException {
         channel = loop.worker()
                 .createStreamConnectionServer(
                         at,
--- a/lab/src/main/java/frostreel/lab/standin/RealTime.java
+++ b/lab/src/main/java/frostreel/lab/standin/RealTime.java
@@ -1,13 +1,13 @@
 package frostreel.lab.standin;
 
 import frostreel.lab.model.Kernel;
-import frostreel.net.Loop;
+import frostreel.net.EventLoop;
 
 /** The model's time on sockets: the loop's clock and deadlines, on the loop's one thread. */
 public final class RealTime implements Kernel {
-    private final Loop loop;
+    private final EventLoop loop;
 
-    public RealTime(Loop loop) {
+    public RealTime(EventLoop loop) {
         this.loop = loop;
     }
 
--- a/lab/src/test/java/frostreel/lab/processes/GroupRig.java
+++ b/lab/src/test/java/frostreel/lab/processes/GroupRig.java
@@ -8,7 +8,7 @@
 import frostreel.cluster.Peer;
 import frostreel.cluster.ReplicatedLog;
 import frostreel.cluster.jgroups.GroupMembership;
-import frostreel.net.Loop;
+import frostreel.net.EventLoop;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -31,7 +31,7 @@
 abstract class GroupRig {
     static final int HANG_S = 60;
     private static final long SILENT_MS = 800;
-    private Loop loop;
+    private EventLoop loop;
     final List<Member> members = new ArrayList<>();
     final List<InetSocketAddress> binds = new ArrayList<>();
     final Map<String, InetSocketAddress> addresses = new TreeMap<>();
@@ -112,7 +112,7 @@
 
     @BeforeEach
     void begin() throws IOException {
-        loop = new Loop();
+        loop = new EventLoop();
     }
 
     void network(int count) throws Exception {
--- a/lab/src/test/java/frostreel/lab/standin/StandInsTest.java
+++ b/lab/src/test/java/frostreel/lab/standin/StandInsTest.java
@@ -5,7 +5,7 @@
 import frostreel.lab.model.Cluster;
 import frostreel.lab.model.Kernel;
 import frostreel.lab.model.Server;
-import frostreel.net.Loop;
+import frostreel.net.EventLoop;
 import frostreel.pg.MessageReader;
 import frostreel.pg.Messages;
 import frostreel.pg.Reply;
@@ -31,7 +31,7 @@
 class StandInsTest {
     private static final InetSocketAddress ANY = new InetSocketAddress("127.0.0.1", 0);
     private final CountDownLatch fell = new CountDownLatch(1);
-    private Loop loop;
+    private EventLoop loop;
     private Kernel kernel;
     private Cluster cluster;
     private Server primary;
@@ -42,7 +42,7 @@
 
     @BeforeEach
     void raise() throws Exception {
-        loop = new Loop();
+        loop = new EventLoop();
         kernel = new RealTime(loop);
         onLoop(() -> {
             cluster = new Cluster(kernel, new SplittableRandom(1), 2, 1, 1, s -> agent.hears(Cluster.entry(s)));
--- a/pooler/src/main/java/frostreel/Pooler.java
+++ b/pooler/src/main/java/frostreel/Pooler.java
@@ -11,8 +11,8 @@
 import frostreel.discovery.DiscoveryWatch;
 import frostreel.fleet.ClusterMember;
 import frostreel.log.Logging;
+import frostreel.net.EventLoop;
 import frostreel.net.Listener;
-import frostreel.net.Loop;
 import frostreel.net.ServerPool;
 import frostreel.operation.RequestClassRegistry;
 import frostreel.operation.ServingLifecycle;
@@ -53,7 +53,7 @@
     private static final long LISTEN_AGAIN_US = 50_000;
     private static final long LEAVE_MS = 300;
     private static final Logger LOG = Logger.getLogger(Pooler.class.getName());
-    private final Loop loop;
+    private final EventLoop loop;
     private final ServerPool pool;
     private final Broker broker;
     private final ServingLifecycle door;
@@ -100,7 +100,7 @@
      */
     Pooler(Config config, OperatorSettings operators, long knownPatienceUs, long lingerUs) throws IOException {
         this.knownPatienceUs = knownPatienceUs;
-        loop = new Loop(ClockAnchor.clock(config.orders()));
+        loop = new EventLoop(ClockAnchor.clock(config.orders()));
         beside = PeerProcessCommits.of(config, loop.clock().now());
         loop.onBeat(beside.writes()::beat);
         pool = new ServerPool(loop, config.settings(), config.maxServerConnections());
--- a/pooler/src/main/java/frostreel/control/AdminConnection.java
+++ b/pooler/src/main/java/frostreel/control/AdminConnection.java
@@ -1,33 +1,33 @@
 package frostreel.control;
 
 import frostreel.broker.Deadlines;
-import frostreel.net.Loop;
-import frostreel.net.Stream;
+import frostreel.net.EventLoop;
+import frostreel.net.SocketStream;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import org.xnio.StreamConnection;
 
 /** One operator's call: takes one line of bounded length, answers it with one, and ends. */
-final class AdminConnection implements Stream.Handler {
+final class AdminConnection implements SocketStream.Handler {
     private static final int MOST_BYTES = 512;
     /** So long after connecting, a whole line must have come; some callers need four seconds and more. */
     private static final long PATIENCE_US = 10_000_000;
     /** So long the caller may take to close after its answer: to close with bytes unread may lose that. */
     private static final long LINGER_US = 500_000;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final AdminListener listener;
-    private final Stream stream;
+    private final SocketStream stream;
     private final byte[] line = new byte[MOST_BYTES];
     private int length;
     private boolean answered;
     private boolean closed;
     private Deadlines.Deadline patience;
 
-    AdminConnection(Loop loop, AdminListener listener, StreamConnection connection) {
+    AdminConnection(EventLoop loop, AdminListener listener, StreamConnection connection) {
         this.loop = loop;
         this.listener = listener;
-        stream = new Stream(loop, connection, this);
+        stream = new SocketStream(loop, connection, this);
     }
 
     void begin() {
--- a/pooler/src/main/java/frostreel/control/AdminListener.java
+++ b/pooler/src/main/java/frostreel/control/AdminListener.java
@@ -1,7 +1,7 @@
 package frostreel.control;
 
 import frostreel.net.Acceptor;
-import frostreel.net.Loop;
+import frostreel.net.EventLoop;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.LinkedHashSet;
@@ -19,12 +19,12 @@
     private static final int MOST_CALLERS = 24;
 
     private static final int BACKLOG = 256;
-    private final Loop loop;
+    private final EventLoop loop;
     private final CommandExecutor operator;
     private final Set<AdminConnection> callers = new LinkedHashSet<>();
     private final Acceptor acceptor;
 
-    public AdminListener(Loop loop, CommandExecutor operator) {
+    public AdminListener(EventLoop loop, CommandExecutor operator) {
         this.loop = loop;
         this.operator = operator;
         acceptor = new Acceptor(loop, "a caller", this::accepted);
--- a/pooler/src/main/java/frostreel/control/CommandExecutor.java
+++ b/pooler/src/main/java/frostreel/control/CommandExecutor.java
@@ -2,7 +2,7 @@
 
 import frostreel.broker.Broker;
 import frostreel.config.EndpointList;
-import frostreel.net.Loop;
+import frostreel.net.EventLoop;
 import frostreel.net.ServerPool;
 import frostreel.operation.MaintenanceOverlay;
 import frostreel.operation.OperatorCommands;
@@ -25,7 +25,7 @@
     /** The thing that an order to take no clients is on. */
     private static final String CLIENTS = "clients";
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final ServingLifecycle door;
     private final ServerPool pool;
     private final Broker broker;
@@ -42,7 +42,7 @@
      * an end, null for nowhere; {@code life}: this process's own name among those that keep orders there.
      */
     public CommandExecutor(
-            Loop loop,
+            EventLoop loop,
             ServingLifecycle door,
             ServerPool pool,
             Broker broker,
--- a/pooler/src/main/java/frostreel/control/CommandReplicator.java
+++ b/pooler/src/main/java/frostreel/control/CommandReplicator.java
@@ -1,6 +1,6 @@
 package frostreel.control;
 
-import frostreel.net.Loop;
+import frostreel.net.EventLoop;
 import frostreel.operation.OperatorCommands;
 import java.io.IOException;
 import java.nio.file.Path;
@@ -25,13 +25,13 @@
     static final long FIRST_PATIENCE_US = 3_000_000;
 
     private static final Logger LOG = Logger.getLogger(CommandReplicator.class.getName());
-    private final Loop loop;
+    private final EventLoop loop;
     private final CommandStore folder;
     private boolean told;
     /** The orders that the last writing failed with, null where it went well; on the loop. */
     private Map<String, OperatorCommands.Command> unwritten;
 
-    CommandReplicator(Loop loop, Path folder, String life) {
+    CommandReplicator(EventLoop loop, Path folder, String life) {
         this.loop = loop;
         this.folder = new CommandStore(folder, life);
     }
--- a/pooler/src/main/java/frostreel/discovery/AgentConnection.java
+++ b/pooler/src/main/java/frostreel/discovery/AgentConnection.java
@@ -1,8 +1,8 @@
 package frostreel.discovery;
 
 import frostreel.broker.Deadlines;
-import frostreel.net.Loop;
-import frostreel.net.Stream;
+import frostreel.net.EventLoop;
+import frostreel.net.SocketStream;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
@@ -17,7 +17,7 @@
  * One connection to discovery, with at most one call on it. It tells its owner, on the loop, what became of
  * it: each event at most once for a call, and none after {@link #close}.
  */
-final class AgentConnection implements Stream.Handler {
+final class AgentConnection implements SocketStream.Handler {
     /** Who is told; each time with the connection that it is about. */
     interface Owner {
         /** It is up, and may be called on. */
@@ -37,11 +37,11 @@
     private static final long ARRIVING_US = 500_000;
 
     private static final long ARRIVAL_MOST_US = 20_000_000;
-    private final Loop loop;
+    private final EventLoop loop;
     private final Owner owner;
     private final InetSocketAddress address;
     private final IoFuture<StreamConnection> connecting;
-    private Stream stream;
+    private SocketStream stream;
     private HttpResponse response = new HttpResponse();
     private Deadlines.Deadline patience;
     private long index;
@@ -50,7 +50,7 @@
     private boolean closed;
 
     /** Begins to connect; {@code patienceUs}: after so long without a connection it is late. */
-    AgentConnection(Loop loop, InetSocketAddress address, long patienceUs, Owner owner) {
+    AgentConnection(EventLoop loop, InetSocketAddress address, long patienceUs, Owner owner) {
         this.loop = loop;
         this.owner = owner;
         this.address = address;
@@ -70,7 +70,7 @@
                             IoUtils.safeClose(connection); // Given up on while it came up.
                             return;
                         }
-                        stream = new Stream(loop, connection, AgentConnection.this);
+                        stream = new SocketStream(loop, connection, AgentConnection.this);
                         stream.resumeReads();
                         owner.connected(AgentConnection.this);
                     }
--- a/pooler/src/main/java/frostreel/discovery/DiscoveryWatch.java
+++ b/pooler/src/main/java/frostreel/discovery/DiscoveryWatch.java
@@ -2,7 +2,7 @@
 
 import frostreel.broker.Deadlines;
 import frostreel.config.EndpointList;
-import frostreel.net.Loop;
+import frostreel.net.EventLoop;
 import frostreel.wire.MalformedMessageException;
 import java.net.InetSocketAddress;
 import java.util.List;
@@ -44,7 +44,7 @@
 
     static final long LATE_MOST_US = 60_000_000;
     private static final Logger LOG = Logger.getLogger(DiscoveryWatch.class.getName());
-    private final Loop loop;
+    private final EventLoop loop;
     private final InetSocketAddress address;
     private final List<Object> zones;
     private final List<Object> kinds;
@@ -69,7 +69,7 @@
 
     /** {@code seq}: the version of the list in hand, or negative for none: the whole list is asked for. */
     public DiscoveryWatch(
-            Loop loop,
+            EventLoop loop,
             InetSocketAddress address,
             List<Object> zones,
             List<Object> kinds,
--- a/pooler/src/main/java/frostreel/fleet/ClusterMember.java
+++ b/pooler/src/main/java/frostreel/fleet/ClusterMember.java
@@ -5,7 +5,7 @@
 import frostreel.cluster.MembershipView;
 import frostreel.cluster.Peer;
 import frostreel.cluster.jgroups.GroupMembership;
-import frostreel.net.Loop;
+import frostreel.net.EventLoop;
 import frostreel.settings.OperatorSettings;
 import java.net.InetSocketAddress;
 import java.util.Map;
@@ -27,7 +27,7 @@
     private String failure;
 
     /** Joins as {@code self}; its life is the time of its start, Unix milliseconds. */
-    public ClusterMember(OperatorSettings.Cluster cluster, String self, Loop loop) {
+    public ClusterMember(OperatorSettings.Cluster cluster, String self, EventLoop loop) {
         named = cluster.stations().keySet();
         Map<String, InetSocketAddress> members = new TreeMap<>();
         cluster.stations().forEach((name, station) -> members.put(name, station.at()));
@@ -69,7 +69,7 @@
     }
 
     /** Leaves, so that the others know at once; waits for that no longer than so many milliseconds. */
-    public void leave(Loop loop, long mostMs) throws InterruptedException {
+    public void leave(EventLoop loop, long mostMs) throws InterruptedException {
         loop.thread().execute(group::leave);
         group.awaitLeft(mostMs);
     }
--- a/pooler/src/main/java/frostreel/net/Acceptor.java
+++ b/pooler/src/main/java/frostreel/net/Acceptor.java
@@ -26,7 +26,7 @@
     static final long RETRY_MS = 20;
 
     private static final Logger LOG = Logger.getLogger(Acceptor.class.getName());
-    private final Loop loop;
+    private final EventLoop loop;
     private final String accepted;
     private final Consumer<StreamConnection> taker;
     private AcceptingChannel<StreamConnection> channel;
@@ -41,7 +41,7 @@
      * {@code accepted}: what connects, for the log; {@code taker}: owns each connection from then on, and
      * runs on the I/O thread.
      */
-    public Acceptor(Loop loop, String accepted, Consumer<StreamConnection> taker) {
+    public Acceptor(EventLoop loop, String accepted, Consumer<StreamConnection> taker) {
         this.loop = loop;
         this.accepted = accepted;
         this.taker = taker;
--- a/pooler/src/main/java/frostreel/net/ClientConnection.java
+++ b/pooler/src/main/java/frostreel/net/ClientConnection.java
@@ -20,7 +20,7 @@
  * One client's connection: takes its queries one after another, and writes each one's answer in their order.
  * One that does not come to ask is told so and closed, as it holds a place that others need.
  */
-final class ClientConnection implements Stream.Handler, Caller {
+final class ClientConnection implements SocketStream.Handler, Caller {
     private enum Phase {
         STARTUP,
         RUNNING,
@@ -53,9 +53,9 @@
     /** Between the client's sending, from which its patience counts, and our reading, and back again. */
     private static final long TRANSIT_US = 4_000;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Listener listener;
-    private final Stream stream;
+    private final SocketStream stream;
     private final MessageReader reader = new MessageReader(ClientConnection::longest);
     /** Of the key by which this client may cancel; the other half is its slot's number. */
     private final int secret;
@@ -88,11 +88,11 @@
     /** The source of the long answer that is being passed on, null for none. */
     private BackEnd.Flow flow;
 
-    ClientConnection(Loop loop, Listener listener, StreamConnection connection, int secret) {
+    ClientConnection(EventLoop loop, Listener listener, StreamConnection connection, int secret) {
         this.loop = loop;
         this.listener = listener;
         this.secret = secret;
-        stream = new Stream(loop, connection, this);
+        stream = new SocketStream(loop, connection, this);
     }
 
     private static int longest(byte type) {
--- a/pooler/src/main/java/frostreel/net/Loop.java
+++ b/pooler/src/main/java/frostreel/net/EventLoop.java
@@ -16,7 +16,7 @@
 import org.xnio.XnioWorker;
 
 /** Owns the one I/O thread on which all else runs, its clock, its deadlines and the buffer it reads into. */
-public final class Loop {
+public final class EventLoop {
     private static final int READ_BYTES = 1 << 16;
     /** A fourth of the heap: the rest is for statements, short answers, tables, and the collector. */
     private static final long MOST_HELD = Runtime.getRuntime().maxMemory() / 4;
@@ -35,7 +35,7 @@
     private static final long BEAT_US = 200_000;
 
     private static final long LATE_US = 2 * BEAT_US;
-    private final LoopWatchdog watchdog;
+    private final EventLoopWatchdog watchdog;
     private final EventLog events;
     private final XnioWorker worker;
     private final XnioIoThread thread;
@@ -54,12 +54,12 @@
     /** While the loop catches up: since when what it reads may have waited; else {@code Long.MAX_VALUE}. */
     private long lateSinceUs = Long.MAX_VALUE;
 
-    public Loop() throws IOException {
+    public EventLoop() throws IOException {
         this(Clock.system());
     }
 
     /** On a clock of the caller's. */
-    public Loop(Clock clock) throws IOException {
+    public EventLoop(Clock clock) throws IOException {
         this.clock = clock;
         deadlines = new Deadlines(clock, this::wakeAfter);
         lookedUs = clock.now();
@@ -73,7 +73,7 @@
                         .getMap());
         thread = worker.getIoThread();
         events = new EventLog(clock::now);
-        watchdog = new LoopWatchdog(thread);
+        watchdog = new EventLoopWatchdog(thread);
     }
 
     private void wakeAfter(long us) {
--- a/pooler/src/main/java/frostreel/net/LoopWatchdog.java
+++ b/pooler/src/main/java/frostreel/net/EventLoopWatchdog.java
@@ -8,7 +8,7 @@
  * where it stands, and again when it goes on; where it has ended, it ends the process, as a pooler without it
  * would take clients for nobody.
  */
-final class LoopWatchdog implements Runnable {
+final class EventLoopWatchdog implements Runnable {
     /** An I/O thread that has not come round for so long stands still; it does so five times a second. */
     static final long STILL_NANOS = TimeUnit.MILLISECONDS.toNanos(1_500);
 
@@ -18,7 +18,7 @@
 
     private static final int MOST_FRAMES = 12;
     private static final int EXIT_CODE = 1;
-    private static final Logger LOG = Logger.getLogger(LoopWatchdog.class.getName());
+    private static final Logger LOG = Logger.getLogger(EventLoopWatchdog.class.getName());
     private final Thread watched;
     private volatile long beatNanos = System.nanoTime();
     private volatile boolean ended;
@@ -26,7 +26,7 @@
     private long stillSinceNanos;
 
     /** {@code watched}: the I/O thread. */
-    LoopWatchdog(Thread watched) {
+    EventLoopWatchdog(Thread watched) {
         this.watched = watched;
     }
 
--- a/pooler/src/main/java/frostreel/net/Listener.java
+++ b/pooler/src/main/java/frostreel/net/Listener.java
@@ -35,7 +35,7 @@
     /** Nobody who has something to ask is silent for so long after connecting. */
     private static final long SILENT_US = 300_000;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Broker broker;
     private final ServingLifecycle door;
     private final RequestClassRegistry classes;
@@ -62,7 +62,7 @@
 
     /** Of the {@code usualClients} that come to ask, three quarters may stay without a bound on idle ones. */
     public Listener(
-            Loop loop,
+            EventLoop loop,
             Broker broker,
             ServingLifecycle door,
             RequestClassRegistry classes,
--- a/pooler/src/main/java/frostreel/net/ServerConnection.java
+++ b/pooler/src/main/java/frostreel/net/ServerConnection.java
@@ -18,7 +18,7 @@
 import org.xnio.StreamConnection;
 
 /** One connection to a server, with at most one attempt on it. */
-final class ServerConnection implements Stream.Handler, BackEnd.Flow {
+final class ServerConnection implements SocketStream.Handler, BackEnd.Flow {
     private enum Phase {
         CONNECTING,
         STARTUP,
@@ -34,12 +34,12 @@
     final ServerPool.Server server;
     final InetSocketAddress address;
     long handle;
-    private final Loop loop;
+    private final EventLoop loop;
     private final ServerPool pool;
     private final MessageReader reader = new MessageReader(Reply::longest);
     private Phase phase = Phase.CONNECTING;
     private IoFuture<StreamConnection> connecting;
-    private Stream stream;
+    private SocketStream stream;
     private Reply reply = Reply.toStartup();
     private ServerPool.Attempt attempt;
     private Deadlines.Deadline deadline;
@@ -49,7 +49,7 @@
     private int passing;
     private boolean moved;
 
-    ServerConnection(Loop loop, ServerPool pool, ServerPool.Server server) {
+    ServerConnection(EventLoop loop, ServerPool pool, ServerPool.Server server) {
         this.loop = loop;
         this.pool = pool;
         this.server = server;
@@ -86,7 +86,7 @@
     }
 
     private void connected(StreamConnection connection) {
-        stream = new Stream(loop, connection, this);
+        stream = new SocketStream(loop, connection, this);
         if (phase == Phase.CLOSED) {
             stream.close(); // It came up after the time-out.
             return;
--- a/pooler/src/main/java/frostreel/net/ServerPool.java
+++ b/pooler/src/main/java/frostreel/net/ServerPool.java
@@ -72,7 +72,7 @@
     private static final double IDLE_SHARE = 0.8;
 
     private static final byte[] SHOW_LOAD = Messages.query("SHOW load\0".getBytes(StandardCharsets.US_ASCII));
-    private final Loop loop;
+    private final EventLoop loop;
     private final boolean onlyDrainingBinds;
     private long connectTimeoutUs;
     private long idleUs;
@@ -83,7 +83,7 @@
 
     private final SlotTable<Attempt> attempts = new SlotTable<>(1 << 16);
 
-    public ServerPool(Loop loop, Router.Settings settings, int maxConnections) {
+    public ServerPool(EventLoop loop, Router.Settings settings, int maxConnections) {
         this.loop = loop;
         onlyDrainingBinds = settings.rules().onlyDrainingBinds();
         connections = new SlotTable<>(maxConnections);
--- a/pooler/src/main/java/frostreel/net/Stream.java
+++ b/pooler/src/main/java/frostreel/net/SocketStream.java
@@ -15,7 +15,7 @@
  * this
  * connection alone.
  */
-public final class Stream {
+public final class SocketStream {
     /** What is done with a connection's bytes. */
     public interface Handler {
         /** Bytes came; all are to be taken. */
@@ -40,8 +40,8 @@
     /** Reads in one go, so that one busy connection does not keep the others waiting. */
     private static final int READS_AT_ONCE = 4;
 
-    private static final Logger LOG = Logger.getLogger(Stream.class.getName());
-    private final Loop loop;
+    private static final Logger LOG = Logger.getLogger(SocketStream.class.getName());
+    private final EventLoop loop;
     private final StreamConnection connection;
     private final ConduitStreamSourceChannel source;
     private final ConduitStreamSinkChannel sink;
@@ -53,7 +53,7 @@
     private boolean reset;
     private boolean closed;
 
-    public Stream(Loop loop, StreamConnection connection, Handler handler) {
+    public SocketStream(EventLoop loop, StreamConnection connection, Handler handler) {
         this.loop = loop;
         this.connection = connection;
         this.handler = handler;
--- a/pooler/src/test/java/frostreel/control/CommandStoreTest.java
+++ b/pooler/src/test/java/frostreel/control/CommandStoreTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import frostreel.net.Loop;
+import frostreel.net.EventLoop;
 import frostreel.operation.OperatorCommands;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -132,7 +132,7 @@
     @Test
     void whatADiskDidNotTakeIsWrittenOnceItDoes() throws Exception {
         Path inItsPlace = Files.writeString(dir.resolve("orders"), "a file in its place");
-        Loop loop = new Loop();
+        EventLoop loop = new EventLoop();
         CommandReplicator keeper = new CommandReplicator(loop, dir.resolve("orders"), "one");
         CompletableFuture<String> answer = new CompletableFuture<>();
         loop.thread().execute(() -> keeper.keep(OUT, failure -> answer.complete("" + failure)));
--- a/pooler/src/test/java/frostreel/net/LoopTest.java
+++ b/pooler/src/test/java/frostreel/net/EventLoopTest.java
@@ -7,17 +7,17 @@
 import org.junit.jupiter.api.Test;
 
 /** When the loop looks for news, on a clock that tests move. */
-class LoopTest {
+class EventLoopTest {
     private static final long SECOND_US = 1_000_000;
     private static final long STEP_US = 1_000;
     private long nowUs;
     private int looks;
     private long lookedUs;
-    private Loop loop;
+    private EventLoop loop;
 
     @BeforeEach
     void begin() throws Exception {
-        loop = new Loop(() -> nowUs);
+        loop = new EventLoop(() -> nowUs);
         loop.onNews(() -> {
             looks++;
             lookedUs = nowUs;
--- a/pooler/src/test/java/frostreel/net/LoopTimersTest.java
+++ b/pooler/src/test/java/frostreel/net/EventLoopTimersTest.java
@@ -15,12 +15,12 @@
 import org.xnio.channels.AcceptingChannel;
 
 /** Timers beside sockets, on the one thread. */
-class LoopTimersTest {
+class EventLoopTimersTest {
     /** So often a timer is set again that is due in less than a millisecond. */
     private static final int TIMES = 2_000;
 
     private final CompletableFuture<Boolean> readInTime = new CompletableFuture<>();
-    private Loop loop;
+    private EventLoop loop;
     private boolean read;
 
     private void again(int left) {
@@ -33,7 +33,7 @@
 
     private void accept(AcceptingChannel<StreamConnection> from) {
         try {
-            Stream stream = new Stream(loop, from.accept(), new Stream.Handler() {
+            SocketStream stream = new SocketStream(loop, from.accept(), new SocketStream.Handler() {
                 @Override
                 public void received(ByteBuffer in) {
                     in.position(in.limit());
@@ -55,7 +55,7 @@
     @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
     @Test
     void timersThatAreDueSoonOneAfterAnotherKeepNoSocketWaiting() throws Exception {
-        loop = new Loop();
+        loop = new EventLoop();
         AcceptingChannel<StreamConnection> server = loop.worker()
                 .createStreamConnectionServer(
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), this::accept, OptionMap.EMPTY);
