--- a/lab/src/main/java/frostreel/lab/virtual/VirtualPooler.java
+++ b/lab/src/main/java/frostreel/lab/virtual/VirtualPooler.java
@@ -2,9 +2,9 @@
 
 import frostreel.broker.BackEnd;
 import frostreel.broker.Broker;
-import frostreel.broker.Caller;
 import frostreel.broker.Deadlines;
 import frostreel.broker.Payload;
+import frostreel.broker.ResponseHandler;
 import frostreel.broker.SlotTable;
 import frostreel.lab.model.Kernel;
 import frostreel.lab.model.Links;
@@ -44,7 +44,7 @@
     private final class Attempt {
         final Server server;
         final Order order;
-        final Sink sink;
+        final AttemptListener sink;
         long handle;
         boolean linked;
         boolean written;
@@ -56,7 +56,7 @@
         boolean held;
         Server.Job job;
 
-        Attempt(Server server, Order order, Sink sink) {
+        Attempt(Server server, Order order, AttemptListener sink) {
             this.server = server;
             this.order = order;
             this.sink = sink;
@@ -125,7 +125,7 @@
         broker = new Broker(kernel::now, deadlines[0], counters, this, settings, 1 << 16, maker);
     }
 
-    void submit(Broker.Ask ask, Order order, Caller caller) {
+    void submit(Broker.RequestAttributes ask, Order order, ResponseHandler caller) {
         broker.submit(ask, order, caller);
     }
 
@@ -162,7 +162,7 @@
     }
 
     @Override
-    public long start(String memberId, Payload payload, long patienceUs, Sink sink) {
+    public long start(String memberId, Payload payload, long patienceUs, AttemptListener sink) {
         Attempt a = new Attempt(servers.get(memberId), (Order) payload, sink);
         a.handle = attempts.add(a);
         sentTo[a.server.zone]++;
@@ -328,7 +328,7 @@
     }
 
     @Override
-    public void probe(String memberId, Sink sink) {
+    public void probe(String memberId, AttemptListener sink) {
         Attempt a = new Attempt(servers.get(memberId), null, sink);
         a.handle = attempts.add(a);
         kernel.after(connectTimeoutUs, () -> finish(a, Result.of(Outcome.TIMEOUT)));
--- a/lab/src/main/java/frostreel/lab/virtual/World.java
+++ b/lab/src/main/java/frostreel/lab/virtual/World.java
@@ -1,7 +1,7 @@
 package frostreel.lab.virtual;
 
 import frostreel.broker.Broker;
-import frostreel.broker.Caller;
+import frostreel.broker.ResponseHandler;
 import frostreel.lab.model.Cluster;
 import frostreel.lab.model.Server;
 import frostreel.lab.model.VirtualTime;
@@ -293,7 +293,7 @@
         boolean isLost = reads && !carried && cluster.lost(t.group, wroteUs);
         long ledUs = isLost ? ledUs(t.group) : 0;
         t.pooler.submit(
-                new Broker.Ask(
+                new Broker.RequestAttributes(
                         id,
                         t.cls,
                         t.session,
@@ -308,7 +308,7 @@
                         t.session,
                         c.access() == Router.Access.BOUNDED ? c.boundUs() : 0,
                         seesUs),
-                new Caller() {
+                new ResponseHandler() {
                     @Override
                     public void served(byte[] answer) {
                         tally.served++;
--- a/pooler/src/main/java/frostreel/broker/BackEnd.java
+++ b/pooler/src/main/java/frostreel/broker/BackEnd.java
@@ -14,19 +14,19 @@
     }
 
     /** The source of a long answer, which waits while the other side is slower. */
-    interface Flow {
+    interface ResponseSource {
         void pause();
 
         void resume();
     }
 
     /** Where a long answer goes, piece by piece. */
-    interface Passage {
+    interface ResponseStream {
         void part(byte[] bytes);
     }
 
     /** Where an attempt's or a probe's result goes. */
-    interface Sink {
+    interface AttemptListener {
         /** For a long answer, what is left of it behind the pieces. */
         void ended(Result result);
 
@@ -34,7 +34,7 @@
          * An answer too long to be held begins. It goes on as it comes, and from now on there is no time-out;
          * null where nobody wants it any more.
          */
-        default Passage begins(Flow from) {
+        default ResponseStream begins(ResponseSource from) {
             return null;
         }
 
@@ -48,7 +48,7 @@
     }
 
     /** Begins an attempt; the returned handle names it to {@link #abandon}. */
-    long start(String memberId, Payload payload, long patienceUs, Sink sink);
+    long start(String memberId, Payload payload, long patienceUs, AttemptListener sink);
 
     /** Whether a byte of the attempt may have been written; an attempt that has ended has begun. */
     boolean begun(long attempt);
@@ -57,5 +57,5 @@
     boolean abandon(long attempt);
 
     /** Asks a server for its report. */
-    void probe(String memberId, Sink sink);
+    void probe(String memberId, AttemptListener sink);
 }
--- a/pooler/src/main/java/frostreel/broker/Broker.java
+++ b/pooler/src/main/java/frostreel/broker/Broker.java
@@ -20,13 +20,13 @@
  */
 public final class Broker implements Router.Actions {
     /** What the decisions need of a request; {@code id} is its own name, as its sender gave it. */
-    public record Ask(
+    public record RequestAttributes(
             String id, int cls, long session, int group, long deadlineUs, long sinceWriteUs, boolean repeated) {}
 
-    private static final class Entry {
-        final Ask ask;
+    private static final class ActiveRequest {
+        final RequestAttributes ask;
         final Payload payload;
-        final Caller caller;
+        final ResponseHandler caller;
         long handle;
         String id;
         boolean answered;
@@ -47,7 +47,12 @@
         Deadlines.Deadline timeout;
         Deadlines.Deadline overdue;
 
-        Entry(Ask ask, Payload payload, Caller caller, Router.RequestClass rules, int mostAttempts) {
+        ActiveRequest(
+                RequestAttributes ask,
+                Payload payload,
+                ResponseHandler caller,
+                Router.RequestClass rules,
+                int mostAttempts) {
             this.rules = rules;
             this.mostAttempts = mostAttempts;
             this.ask = ask;
@@ -81,7 +86,7 @@
     private final Router router;
     private final CommitLog commits;
     private Router.Settings settings;
-    private final SlotTable<Entry> requests;
+    private final SlotTable<ActiveRequest> requests;
     private final Set<Integer> groups = new HashSet<>();
     private final Set<String> ids = new HashSet<>();
     private final ArrayDeque<Runnable> events = new ArrayDeque<>();
@@ -166,9 +171,9 @@
     }
 
     /** Takes a request; its caller may be answered before this returns. */
-    public long submit(Ask ask, Payload payload, Caller caller) {
+    public long submit(RequestAttributes ask, Payload payload, ResponseHandler caller) {
         counters.requests++;
-        Entry r = new Entry(
+        ActiveRequest r = new ActiveRequest(
                 ask,
                 payload,
                 caller,
@@ -202,7 +207,7 @@
     /** The caller went away; a stale handle does nothing. */
     public void gone(long handle) {
         event(() -> {
-            Entry r = requests.get(handle);
+            ActiveRequest r = requests.get(handle);
             if (r != null && r.passing) {
                 counters.longBroken++;
                 backEnd.abandon(r.inFlight);
@@ -214,7 +219,7 @@
         });
     }
 
-    private void left(Entry r) {
+    private void left(ActiveRequest r) {
         if (!r.answered) {
             counters.clientsGone++;
             log.tell(EventLog.Kind.REQUEST_WITHDRAWN, () -> story(r) + ": its client has gone");
@@ -228,7 +233,7 @@
      */
     public void cancelled(long handle) {
         event(() -> {
-            Entry r = requests.get(handle);
+            ActiveRequest r = requests.get(handle);
             if (r != null && !r.answered) {
                 counters.clientsCancelled++;
                 log.tell(EventLog.Kind.REQUEST_WITHDRAWN, () -> story(r) + ": cancelled by its client");
@@ -239,7 +244,7 @@
     }
 
     /** Nobody wants it any more: an attempt that has not begun never does, whatever the module may cancel. */
-    private void leave(Entry r) {
+    private void leave(ActiveRequest r) {
         close(r);
         router.onClientGone(clock.now(), r.id);
         if (r.inFlight != SlotTable.NONE && !backEnd.begun(r.inFlight)) {
@@ -261,7 +266,7 @@
     }
 
     /** What is known of a request, for the log: its own id, its attempts and its time. */
-    private String story(Entry r) {
+    private String story(ActiveRequest r) {
         return "request " + r.ask.id() + " of class " + r.rules.name() + ", attempts " + r.attempts
                 + (r.attempts == 0
                         ? ""
@@ -272,20 +277,20 @@
 
     // ---- What ends a request. ----
 
-    private void close(Entry r) {
+    private void close(ActiveRequest r) {
         r.answered = true;
         deadlines.cancel(r.overdue);
     }
 
     /** An answered request keeps its slot until its attempt has ended. */
-    private void release(Entry r) {
+    private void release(ActiveRequest r) {
         if (r.answered && r.inFlight == SlotTable.NONE) {
             requests.remove(r.handle);
             ids.remove(r.ask.id());
         }
     }
 
-    private void overdue(Entry r) {
+    private void overdue(ActiveRequest r) {
         if (!r.answered) {
             counters.overdue++;
             log.tell(EventLog.Kind.REQUEST_OVERDUE, () -> story(r) + ": left open by the decisions");
@@ -297,7 +302,7 @@
     }
 
     /** Looked at right before an attempt's first byte, as what its client did may stand unread until then. */
-    private boolean mayBegin(Entry r) {
+    private boolean mayBegin(ActiveRequest r) {
         if (r.answered || clock.now() >= r.beginByUs()) {
             return false;
         }
@@ -308,7 +313,7 @@
         return waits && !r.answered;
     }
 
-    private void ended(Entry r, int attempt, BackEnd.Result result) {
+    private void ended(ActiveRequest r, int attempt, BackEnd.Result result) {
         long now = clock.now();
         deadlines.cancel(r.timeout);
         r.inFlight = SlotTable.NONE;
@@ -351,14 +356,14 @@
     }
 
     /** Before the answer: its client may read through another process as soon as it has that. */
-    private void settle(long now, Entry r, Outcome outcome, long positionUs) {
+    private void settle(long now, ActiveRequest r, Outcome outcome, long positionUs) {
         if (r.rules.access() == Router.Access.WRITE) {
             commits.ended(now, r.ask.session(), r.ask.deadlineUs(), outcome, positionUs);
         }
     }
 
     /** An answer that has begun is the final one: the module hears of the time to its first bytes. */
-    private BackEnd.Passage begins(Entry r, int attempt, BackEnd.Flow from) {
+    private BackEnd.ResponseStream begins(ActiveRequest r, int attempt, BackEnd.ResponseSource from) {
         if (r.answered || attempt != r.attempts - 1) {
             return null;
         }
@@ -369,7 +374,7 @@
         counters.served++;
         counters.longAnswers++;
         settle(now, r, Outcome.OK, 0);
-        BackEnd.Passage passage = r.caller.begins(from);
+        BackEnd.ResponseStream passage = r.caller.begins(from);
         event(() -> router.onOutcome(
                 now, r.id, attempt, r.memberId, Outcome.OK, true, now - r.sentUs, Router.Role.UNKNOWN, 0, null));
         return passage;
@@ -377,13 +382,13 @@
 
     // ---- What the module asks for; on a slot that was freed or used again nothing is done. ----
 
-    private Entry entry(String requestId) {
+    private ActiveRequest entry(String requestId) {
         return requests.get(Long.parseLong(requestId));
     }
 
     @Override
     public void send(String requestId, String memberId, long timeoutUs) {
-        Entry r = entry(requestId);
+        ActiveRequest r = entry(requestId);
         if (r == null || r.answered) {
             return;
         }
@@ -403,14 +408,14 @@
         if (r.rules.access() == Router.Access.WRITE) {
             commits.sent(now, r.ask.session(), r.ask.deadlineUs());
         }
-        r.inFlight = backEnd.start(memberId, r.payload, left, new BackEnd.Sink() {
+        r.inFlight = backEnd.start(memberId, r.payload, left, new BackEnd.AttemptListener() {
             @Override
             public void ended(BackEnd.Result result) {
                 event(() -> Broker.this.ended(r, attempt, result));
             }
 
             @Override
-            public BackEnd.Passage begins(BackEnd.Flow from) {
+            public BackEnd.ResponseStream begins(BackEnd.ResponseSource from) {
                 return Broker.this.begins(r, attempt, from);
             }
 
@@ -433,7 +438,7 @@
     }
 
     /** An attempt that never reached its server is moot: that proves that it never ran. */
-    private void stop(Entry r, int attempt, Outcome outcome) {
+    private void stop(ActiveRequest r, int attempt, Outcome outcome) {
         if (r.inFlight != SlotTable.NONE && attempt == r.attempts - 1 && !r.passing) {
             boolean reached = backEnd.abandon(r.inFlight);
             ended(r, attempt, BackEnd.Result.of(reached ? outcome : Outcome.MOOT));
@@ -442,7 +447,7 @@
 
     @Override
     public void cancel(String requestId, int attempt) {
-        Entry r = entry(requestId);
+        ActiveRequest r = entry(requestId);
         if (r != null) {
             event(() -> stop(r, attempt, Outcome.CANCELLED));
         }
@@ -450,7 +455,7 @@
 
     @Override
     public void refuse(String requestId, long adviceUs) {
-        Entry r = entry(requestId);
+        ActiveRequest r = entry(requestId);
         if (r != null && !r.answered) {
             close(r);
             log.tell(EventLog.Kind.REQUEST_REFUSED, () -> story(r) + ": to come back in " + adviceUs / 1000 + " ms");
@@ -462,7 +467,7 @@
 
     @Override
     public void fail(String requestId) {
-        Entry r = entry(requestId);
+        ActiveRequest r = entry(requestId);
         if (r != null && !r.answered) {
             close(r);
             log.tell(EventLog.Kind.REQUEST_FAILED, () -> story(r));
--- a/pooler/src/main/java/frostreel/broker/Caller.java
+++ b/pooler/src/main/java/frostreel/broker/ResponseHandler.java
@@ -1,7 +1,7 @@
 package frostreel.broker;
 
 /** The side that handed in a request; it has exactly one answer, once, unless it went away before. */
-public interface Caller {
+public interface ResponseHandler {
     /** {@code answer}: as the back end gave it for this request. */
     void served(byte[] answer);
 
@@ -17,7 +17,7 @@
     boolean waits();
 
     /** A long answer begins: in pieces, then {@link #served} has the rest, or it is {@link #broken}. */
-    default BackEnd.Passage begins(BackEnd.Flow from) {
+    default BackEnd.ResponseStream begins(BackEnd.ResponseSource from) {
         throw new IllegalStateException("no long answers are taken here");
     }
 
--- a/pooler/src/main/java/frostreel/net/ClientConnection.java
+++ b/pooler/src/main/java/frostreel/net/ClientConnection.java
@@ -2,8 +2,8 @@
 
 import frostreel.broker.BackEnd;
 import frostreel.broker.Broker;
-import frostreel.broker.Caller;
 import frostreel.broker.Deadlines;
+import frostreel.broker.ResponseHandler;
 import frostreel.broker.SlotTable;
 import frostreel.log.EventLog;
 import frostreel.operation.ServingLifecycle;
@@ -20,7 +20,7 @@
  * One client's connection: takes its queries one after another, and writes each one's answer in their order.
  * One that does not come to ask is told so and closed, as it holds a place that others need.
  */
-final class ClientConnection implements SocketStream.Handler, Caller {
+final class ClientConnection implements SocketStream.Handler, ResponseHandler {
     private enum Phase {
         STARTUP,
         RUNNING,
@@ -86,7 +86,7 @@
     private Deadlines.Deadline patience;
     private long request = SlotTable.NONE;
     /** The source of the long answer that is being passed on, null for none. */
-    private BackEnd.Flow flow;
+    private BackEnd.ResponseSource flow;
 
     ClientConnection(EventLoop loop, Listener listener, StreamConnection connection, int secret) {
         this.loop = loop;
@@ -341,7 +341,7 @@
         listener.busy(this);
         long handle = listener.broker()
                 .submit(
-                        new Broker.Ask(
+                        new Broker.RequestAttributes(
                                 s.id(),
                                 cls,
                                 s.session(),
@@ -388,7 +388,7 @@
     }
 
     @Override
-    public BackEnd.Passage begins(BackEnd.Flow from) {
+    public BackEnd.ResponseStream begins(BackEnd.ResponseSource from) {
         flow = from;
         return piece -> {
             stream.write(piece);
--- a/pooler/src/main/java/frostreel/net/ServerConnection.java
+++ b/pooler/src/main/java/frostreel/net/ServerConnection.java
@@ -18,7 +18,7 @@
 import org.xnio.StreamConnection;
 
 /** One connection to a server, with at most one attempt on it. */
-final class ServerConnection implements SocketStream.Handler, BackEnd.Flow {
+final class ServerConnection implements SocketStream.Handler, BackEnd.ResponseSource {
     private enum Phase {
         CONNECTING,
         STARTUP,
@@ -44,7 +44,7 @@
     private ServerPool.Attempt attempt;
     private Deadlines.Deadline deadline;
     /** Where a long row goes, and how much of it is still to come. */
-    private BackEnd.Passage passage;
+    private BackEnd.ResponseStream passage;
 
     private int passing;
     private boolean moved;
--- a/pooler/src/main/java/frostreel/net/ServerPool.java
+++ b/pooler/src/main/java/frostreel/net/ServerPool.java
@@ -30,7 +30,7 @@
     static final class Attempt {
         final Server server;
         final boolean probe;
-        final Sink sink;
+        final AttemptListener sink;
         /** The request, null for a probe, and until when its server is waited for. */
         private final Payload payload;
 
@@ -39,7 +39,7 @@
         ServerConnection on;
         Deadlines.Deadline timeout;
 
-        private Attempt(Server server, Payload payload, long untilUs, Sink sink) {
+        private Attempt(Server server, Payload payload, long untilUs, AttemptListener sink) {
             this.server = server;
             this.payload = payload;
             this.untilUs = untilUs;
@@ -141,12 +141,12 @@
     }
 
     @Override
-    public long start(String memberId, Payload payload, long patienceUs, Sink sink) {
+    public long start(String memberId, Payload payload, long patienceUs, AttemptListener sink) {
         return begin(memberId, payload, loop.clock().now() + patienceUs, sink).handle;
     }
 
     @Override
-    public void probe(String memberId, Sink sink) {
+    public void probe(String memberId, AttemptListener sink) {
         Attempt a = begin(memberId, null, 0, sink);
         a.timeout = loop.deadlines().after(connectTimeoutUs, () -> {
             if (attempts.get(a.handle) != null) {
@@ -156,7 +156,7 @@
         });
     }
 
-    private Attempt begin(String memberId, Payload payload, long untilUs, Sink sink) {
+    private Attempt begin(String memberId, Payload payload, long untilUs, AttemptListener sink) {
         Server s = servers.get(memberId);
         Attempt a = new Attempt(s, payload, untilUs, sink);
         a.handle = attempts.add(a);
--- a/pooler/src/test/java/frostreel/broker/BrokerTest.java
+++ b/pooler/src/test/java/frostreel/broker/BrokerTest.java
@@ -50,7 +50,10 @@
     }
 
     private void ask(Broker broker, String id) {
-        broker.submit(new Broker.Ask(id, 0, 0, 2, DEADLINE_US, 0, false), patienceUs -> new byte[0], new Waiting(id));
+        broker.submit(
+                new Broker.RequestAttributes(id, 0, 0, 2, DEADLINE_US, 0, false),
+                patienceUs -> new byte[0],
+                new Waiting(id));
     }
 
     private void at(long us) {
@@ -86,7 +89,7 @@
         assertThat(failed).containsExactly("after", "before");
     }
 
-    private final class Waiting implements Caller {
+    private final class Waiting implements ResponseHandler {
         private final String id;
 
         Waiting(String id) {
