--- a/pooler/src/main/java/frostreel/cli/Rehearsal.java
+++ b/pooler/src/main/java/frostreel/cli/ClassArchiveTraining.java
@@ -24,7 +24,7 @@
  * server the pooler is its own: it takes the statement that it sends itself for a second copy, and turns it
  * away.
  */
-final class Rehearsal {
+final class ClassArchiveTraining {
     private static final String[] STATEMENTS = {
         "",
         "SHOW stats",
@@ -32,16 +32,16 @@
         "INSERT INTO records (k, v) VALUES ('a', '\\x00') RETURNING v /* id=2,c=post,d=300,k=1,cluster=1 */"
     };
 
-    private Rehearsal() {}
+    private ClassArchiveTraining() {}
 
     static void run() throws IOException, ConfigException, InterruptedException {
-        Hangup.handle(() -> {});
+        SighupHandler.handle(() -> {});
         String address;
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             address = "127.0.0.1:" + free.getLocalPort();
         }
-        Path file = Files.createTempFile("rehearsal", ".json");
-        try (InputStream in = Rehearsal.class.getResourceAsStream("/rehearsal.json")) {
+        Path file = Files.createTempFile("class-archive-training", ".json");
+        try (InputStream in = ClassArchiveTraining.class.getResourceAsStream("/class-archive-training.json")) {
             JSONObject host = new JSONObject(Map.of(
                     "host", "self", "dial", address, "site", "z", "class", "m", "block", 1, "health", "Ready", "share",
                     1.0, "role", "primary"));
--- a/pooler/src/main/java/frostreel/cli/Main.java
+++ b/pooler/src/main/java/frostreel/cli/Main.java
@@ -12,7 +12,7 @@
         mixinStandardHelpOptions = true,
         versionProvider = Main.Version.class,
         synopsisSubcommandLabel = "COMMAND",
-        subcommands = {Serve.class, SimHost.class, Rehearse.class, Check.class})
+        subcommands = {Serve.class, SimulatorHost.class, TrainArchive.class, Check.class})
 public final class Main {
     /** The version that the jar was built as. */
     static final class Version implements CommandLine.IVersionProvider {
--- a/pooler/src/main/java/frostreel/cli/Serve.java
+++ b/pooler/src/main/java/frostreel/cli/Serve.java
@@ -46,7 +46,7 @@
             inForce = config;
             Pooler pooler = new Pooler(config, operators);
             Runtime.getRuntime().addShutdownHook(new Thread(() -> end(pooler), "stop"));
-            if (!Hangup.handle(() -> reload(pooler))) {
+            if (!SighupHandler.handle(() -> reload(pooler))) {
                 LOG.warning("SIGHUP was ignored at the start and will not come: settings wait for a restart");
             }
             return GOES_ON;
--- a/pooler/src/main/java/frostreel/cli/Hangup.java
+++ b/pooler/src/main/java/frostreel/cli/SighupHandler.java
@@ -7,8 +7,8 @@
  * JDK's one class for this is reached by reflection: the compiler warns of its use, and a warning ends the
  * build.
  */
-final class Hangup {
-    private Hangup() {}
+final class SighupHandler {
+    private SighupHandler() {}
 
     /**
      * Whether the signal will come: a process that was started with it ignored, as by nohup, never gets it,
@@ -19,7 +19,7 @@
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
             Object own = Proxy.newProxyInstance(
-                    Hangup.class.getClassLoader(), new Class<?>[] {handler}, (proxy, method, args) -> {
+                    SighupHandler.class.getClassLoader(), new Class<?>[] {handler}, (proxy, method, args) -> {
                         task.run();
                         return null;
                     });
--- a/pooler/src/main/java/frostreel/cli/SimHost.java
+++ b/pooler/src/main/java/frostreel/cli/SimulatorHost.java
@@ -7,10 +7,10 @@
 
 /** The decisions alone, on the simulator's wire. */
 @Command(
-        name = "simhost",
+        name = "simulator",
         description = "Plays the decisions on the simulator's wire, by standard input and output.",
         mixinStandardHelpOptions = true)
-final class SimHost implements Callable<Integer> {
+final class SimulatorHost implements Callable<Integer> {
     @Override
     public Integer call() throws IOException {
         return WireAdapter.run(System.in, System.out, System.err);
--- a/pooler/src/main/java/frostreel/cli/Rehearse.java
+++ b/pooler/src/main/java/frostreel/cli/TrainArchive.java
@@ -7,17 +7,17 @@
 
 /** Goes through serving once, for the class archive that the build makes. */
 @Command(
-        name = "rehearse",
+        name = "train-archive",
         description = "Goes through serving once, against itself, and ends.",
         mixinStandardHelpOptions = true)
-final class Rehearse implements Callable<Integer> {
+final class TrainArchive implements Callable<Integer> {
     @Override
     public Integer call() throws IOException, InterruptedException {
         try {
-            Rehearsal.run();
+            ClassArchiveTraining.run();
             return 0;
         } catch (ConfigException e) {
-            System.err.println("frostreel: the rehearsal failed: " + e);
+            System.err.println("frostreel: training the class archive failed: " + e);
             return 1;
         }
     }
--- a/pooler/src/test/java/frostreel/cli/MainTest.java
+++ b/pooler/src/test/java/frostreel/cli/MainTest.java
@@ -45,7 +45,7 @@
     @Test
     void helpNamesEachCommandAndTheVersionIsShown() {
         assertThat(line.execute("--help")).isZero();
-        assertThat(out.toString()).contains("serve", "simhost", "rehearse");
+        assertThat(out.toString()).contains("serve", "simulator", "train-archive");
         assertThat(line.execute("--version")).isZero();
         assertThat(out.toString()).contains("frostreel ");
         assertThat(line.execute("serve", "--help")).isZero();
