--- a/lab/src/main/java/frostreel/lab/cli/Processes.java
+++ b/lab/src/main/java/frostreel/lab/cli/Processes.java
@@ -1,7 +1,7 @@
 package frostreel.lab.cli;
 
-import frostreel.lab.processes.Conductor;
 import frostreel.lab.processes.ProcessExperiment;
+import frostreel.lab.processes.ProcessExperimentRunner;
 import frostreel.settings.FaultyFileException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -51,7 +51,7 @@
         try {
             ProcessExperiment experiment = ProcessExperiment.read(file);
             boolean live = System.console() != null;
-            return new Conductor(spec.commandLine().getOut(), live)
+            return new ProcessExperimentRunner(spec.commandLine().getOut(), live)
                             .run(experiment, seed == null ? experiment.seed() : seed, program.toAbsolutePath(), folder)
                     ? 0
                     : 1;
--- a/lab/src/main/java/frostreel/lab/experiment/Experiment.java
+++ b/lab/src/main/java/frostreel/lab/experiment/Experiment.java
@@ -1,8 +1,8 @@
 package frostreel.lab.experiment;
 
-import frostreel.lab.virtual.Plan;
 import frostreel.lab.virtual.Policy;
-import frostreel.lab.virtual.World;
+import frostreel.lab.virtual.Simulation;
+import frostreel.lab.virtual.SimulationPlan;
 import frostreel.routing.Router;
 import frostreel.settings.Fault;
 import frostreel.settings.FaultyFileException;
@@ -30,7 +30,7 @@
     private final int durationS;
     private int firstLossS = -1;
     private final Map<String, XmlElement> policies = new LinkedHashMap<>();
-    private final List<Consumer<World>> faults = new ArrayList<>();
+    private final List<Consumer<Simulation>> faults = new ArrayList<>();
     private final List<Check> checks = new ArrayList<>();
 
     private Experiment(String file, XmlElement root, List<Fault> wrong) {
@@ -144,8 +144,8 @@
         return checks;
     }
 
-    Plan plan(long withSeed) {
-        return new Plan(
+    SimulationPlan plan(long withSeed) {
+        return new SimulationPlan(
                 withSeed,
                 (int) fleet.whole("zones"),
                 (int) fleet.whole("poolersPerZone"),
@@ -158,14 +158,14 @@
     }
 
     /** A world of one policy with the faults set, not yet run. */
-    World world(Plan plan, String policy) {
+    Simulation world(SimulationPlan plan, String policy) {
         XmlElement p = policies.get(policy);
         BiFunction<Router.Settings, Router.Actions, Router> maker = switch (p.name()) {
             case "plain" -> Policy.plain();
             case "allToNext" -> Policy.allToTheNext(plan);
             default -> Policy.tiers(plan, p.number("next"), p.number("rest"));
         };
-        World world = new World(plan, maker);
+        Simulation world = new Simulation(plan, maker);
         faults.forEach(f -> f.accept(world));
         return world;
     }
--- a/lab/src/main/java/frostreel/lab/experiment/Outcome.java
+++ b/lab/src/main/java/frostreel/lab/experiment/Outcome.java
@@ -1,8 +1,8 @@
 package frostreel.lab.experiment;
 
-import frostreel.lab.virtual.Bound;
-import frostreel.lab.virtual.Plan;
-import frostreel.lab.virtual.World;
+import frostreel.lab.virtual.OptimalBound;
+import frostreel.lab.virtual.Simulation;
+import frostreel.lab.virtual.SimulationPlan;
 import java.util.Arrays;
 
 /** What one policy showed over all seeds played: means, or the largest where that is what counts. */
@@ -35,7 +35,7 @@
 
     final double[] spiltBySecond;
 
-    Outcome(String policy, Plan plan) {
+    Outcome(String policy, SimulationPlan plan) {
         this.policy = policy;
         zones = plan.zones();
         worstByZone = new double[zones];
@@ -45,9 +45,9 @@
     }
 
     /** Plays one seed. */
-    void play(Experiment experiment, Plan plan) {
-        World world = experiment.world(plan, policy);
-        Bound limit = new Bound(plan, world);
+    void play(Experiment experiment, SimulationPlan plan) {
+        Simulation world = experiment.world(plan, policy);
+        OptimalBound limit = new OptimalBound(plan, world);
         long[][] sent = new long[worthBySecond.length + 1][2];
         for (int s = 1; s <= worthBySecond.length; s++) {
             int second = s;
@@ -77,7 +77,7 @@
         }
     }
 
-    private double backAfter(int lossS, World world, Bound limit) {
+    private double backAfter(int lossS, Simulation world, OptimalBound limit) {
         if (lossS < 0) {
             return 0;
         }
@@ -90,7 +90,7 @@
         return worthBySecond.length - lossS;
     }
 
-    private long[] sent(World world) {
+    private long[] sent(Simulation world) {
         long all = 0;
         long away = 0;
         for (int from = 0; from < zones; from++) {
--- a/lab/src/main/java/frostreel/lab/model/Cluster.java
+++ b/lab/src/main/java/frostreel/lab/model/Cluster.java
@@ -31,7 +31,7 @@
     private static final long HAND_OVER_US = 400_000;
 
     private static final long DRAIN_US = 3_000_000;
-    private final Kernel kernel;
+    private final Scheduler kernel;
     private final SplittableRandom chance;
     private final Consumer<Server> changed;
     private final int groups;
@@ -43,15 +43,16 @@
     /**
      * Each zone has one member of each group; {@code changed} hears of each server that the list has news of.
      */
-    public Cluster(Kernel kernel, SplittableRandom chance, int zones, int groups, int cores, Consumer<Server> changed) {
-        this(kernel, chance, Physics.USUAL, zones, 1, groups, cores, changed);
+    public Cluster(
+            Scheduler kernel, SplittableRandom chance, int zones, int groups, int cores, Consumer<Server> changed) {
+        this(kernel, chance, ServerParameters.USUAL, zones, 1, groups, cores, changed);
     }
 
     /** Each zone has {@code members} of each group. */
     public Cluster(
-            Kernel kernel,
+            Scheduler kernel,
             SplittableRandom chance,
-            Physics physics,
+            ServerParameters physics,
             int zones,
             int members,
             int groups,
--- a/lab/src/main/java/frostreel/lab/model/Kernel.java
+++ b/lab/src/main/java/frostreel/lab/model/Scheduler.java
@@ -1,7 +1,7 @@
 package frostreel.lab.model;
 
 /** The time on which the model runs: virtual, or that of the sockets it stands behind. One thread has it. */
-public interface Kernel {
+public interface Scheduler {
     /** Unix microseconds; never goes back. */
     long now();
 
--- a/lab/src/main/java/frostreel/lab/model/Server.java
+++ b/lab/src/main/java/frostreel/lab/model/Server.java
@@ -47,8 +47,8 @@
 
     private record Sent(long atUs, double work, boolean told) {}
 
-    private final Kernel kernel;
-    private final Physics physics;
+    private final Scheduler kernel;
+    private final ServerParameters physics;
     public final String id;
     public final int zone;
     public final int group;
@@ -87,7 +87,7 @@
     private double sentWork;
     private double largestMultiple;
 
-    public Server(Kernel kernel, Physics physics, String id, int zone, int group, int cores, double speed) {
+    public Server(Scheduler kernel, ServerParameters physics, String id, int zone, int group, int cores, double speed) {
         this.kernel = kernel;
         this.physics = physics;
         this.id = id;
--- a/lab/src/main/java/frostreel/lab/model/Physics.java
+++ b/lab/src/main/java/frostreel/lab/model/ServerParameters.java
@@ -13,7 +13,7 @@
  * @param replayRate seconds of the log that a replica applies in a second, over 1 where it can catch up
  * @param commitsWait whether a write is answered only once a replica has it, so that none is lost
  */
-public record Physics(
+public record ServerParameters(
         double coldFrom,
         long warmAfterUs,
         double fallMultiple,
@@ -25,5 +25,6 @@
         double slackUs,
         boolean cancels,
         boolean commitsWait) {
-    public static final Physics USUAL = new Physics(0.22, 15_000_000, 3, 2_000_000, 8_000, 1.8, 64, 0, 0, true, true);
+    public static final ServerParameters USUAL =
+            new ServerParameters(0.22, 15_000_000, 3, 2_000_000, 8_000, 1.8, 64, 0, 0, true, true);
 }
--- a/lab/src/main/java/frostreel/lab/processes/StaffCall.java
+++ b/lab/src/main/java/frostreel/lab/processes/AdminCall.java
@@ -12,17 +12,17 @@
 import org.xnio.StreamConnection;
 
 /** One call of an operator's: a line, and the line that answers it; empty where none comes. */
-final class StaffCall implements SocketStream.Handler {
+final class AdminCall implements SocketStream.Handler {
     private final Consumer<String> answer;
     private final StringBuilder heard = new StringBuilder();
     private boolean over;
 
-    private StaffCall(Consumer<String> answer) {
+    private AdminCall(Consumer<String> answer) {
         this.answer = answer;
     }
 
     static void make(EventLoop loop, InetSocketAddress at, String line, Consumer<String> answer) {
-        StaffCall call = new StaffCall(answer);
+        AdminCall call = new AdminCall(answer);
         IoFuture<StreamConnection> to = loop.thread().openStreamConnection(at, null, OptionMap.EMPTY);
         to.addNotifier(
                 new IoFuture.HandlingNotifier<StreamConnection, Void>() {
--- a/lab/src/main/java/frostreel/lab/processes/ClientTap.java
+++ b/lab/src/main/java/frostreel/lab/processes/ClientRecorder.java
@@ -1,8 +1,8 @@
 package frostreel.lab.processes;
 
 import frostreel.broker.Clock;
-import frostreel.lab.rules.Witness;
-import frostreel.lab.rules.Witness.Answer;
+import frostreel.lab.rules.RunListener;
+import frostreel.lab.rules.RunListener.Answer;
 import frostreel.pg.MessageReader;
 import frostreel.pg.PgException;
 import frostreel.pg.Statement;
@@ -13,12 +13,12 @@
 import java.util.Map;
 
 /** Tells of the requests on one connection of a client, as the pooler sees them: taken, and answered. */
-final class ClientTap implements Link.Tap {
+final class ClientRecorder implements FaultyRelay.TrafficRecorder {
     private static final int MOST_BYTES = 1 << 18;
     private final Clock clock;
     private final int pooler;
     private final Map<String, Router.RequestClass> classes;
-    private final Witness witness;
+    private final RunListener witness;
     private final MessageReader heard = new MessageReader(type -> MOST_BYTES);
     private final MessageReader said = new MessageReader(type -> MOST_BYTES);
     /** Queries not yet answered, by their ids; empty for what is none of a class. */
@@ -34,7 +34,8 @@
      * {@code mayCross}: poolers leave while clients ask, so that a request may cross the end of a connection
      * that was used before; it comes again on a new one, and is counted where the load has it.
      */
-    ClientTap(Clock clock, int pooler, Map<String, Router.RequestClass> classes, Witness witness, boolean mayCross) {
+    ClientRecorder(
+            Clock clock, int pooler, Map<String, Router.RequestClass> classes, RunListener witness, boolean mayCross) {
         this.mayCross = mayCross;
         this.clock = clock;
         this.pooler = pooler;
--- a/lab/src/main/java/frostreel/lab/processes/ListTap.java
+++ b/lab/src/main/java/frostreel/lab/processes/EndpointListRecorder.java
@@ -1,7 +1,7 @@
 package frostreel.lab.processes;
 
 import frostreel.broker.Clock;
-import frostreel.lab.rules.Witness;
+import frostreel.lab.rules.RunListener;
 import frostreel.routing.Router.State;
 import java.nio.charset.StandardCharsets;
 import java.util.regex.Matcher;
@@ -10,15 +10,15 @@
 import org.json.JSONObject;
 
 /** Tells what the list has come to say to a pooler, from the stand-in's responses as they reach it. */
-final class ListTap implements Link.Tap {
+final class EndpointListRecorder implements FaultyRelay.TrafficRecorder {
     private static final Pattern HEAD = Pattern.compile("(?s)^HTTP/1\\.1 200 OK.*?Content-Length: (\\d+)" + "\r\n\r\n");
     private final Clock clock;
     private final int pooler;
-    private final Witness witness;
+    private final RunListener witness;
     /** One byte a character: the stand-in writes ASCII. */
     private final StringBuilder text = new StringBuilder();
 
-    ListTap(Clock clock, int pooler, Witness witness) {
+    EndpointListRecorder(Clock clock, int pooler, RunListener witness) {
         this.clock = clock;
         this.pooler = pooler;
         this.witness = witness;
--- a/lab/src/main/java/frostreel/lab/processes/FaultCampaign.java
+++ b/lab/src/main/java/frostreel/lab/processes/FaultCampaign.java
@@ -106,7 +106,7 @@
             throws IOException, FaultyFileException, Exception {
         Path file = Files.writeString(folder.resolve(name + ".xml"), experiment(kind, phase, lasts));
         StringWriter told = new StringWriter();
-        boolean good = new Conductor(new PrintWriter(told), false)
+        boolean good = new ProcessExperimentRunner(new PrintWriter(told), false)
                 .run(ProcessExperiment.read(file), 1, jar, folder.resolve(name));
         String failed =
                 told.toString().lines().filter(l -> l.startsWith("fail:")).collect(Collectors.joining("; "));
--- a/lab/src/main/java/frostreel/lab/processes/Link.java
+++ b/lab/src/main/java/frostreel/lab/processes/FaultyRelay.java
@@ -21,9 +21,9 @@
  * befalls a network befalls them here. A cut is silent: bytes, ends of connections and new connections wait.
  * Once it has healed, connections on which something waited are reset, and the others go on.
  */
-final class Link {
+final class FaultyRelay {
     /** Sees one connection as the pooler at one of its ends does; all of it on the loop's thread. */
-    interface Tap {
+    interface TrafficRecorder {
         /** The pooler wrote. */
         default void says(byte[] bytes) {}
 
@@ -37,7 +37,7 @@
     private final EventLoop loop;
     private final Supplier<InetSocketAddress> far;
     private final boolean poolerIsNear;
-    private final Supplier<Tap> taps;
+    private final Supplier<TrafficRecorder> taps;
     /** Null where connections are handed in by {@link #carry}. */
     private final Port port;
 
@@ -51,12 +51,12 @@
      * {@code near}: where it listens, port 0 for a free one, or null where another listens for it;
      * {@code far}: where it goes on to.
      */
-    Link(
+    FaultyRelay(
             EventLoop loop,
             InetSocketAddress near,
             Supplier<InetSocketAddress> far,
             boolean poolerIsNear,
-            Supplier<Tap> taps)
+            Supplier<TrafficRecorder> taps)
             throws IOException {
         this.loop = loop;
         this.poolerIsNear = poolerIsNear;
@@ -165,7 +165,7 @@
 
     /** One connection: what comes in at one end goes out at the other. */
     private final class Pipe {
-        private final Tap tap = taps.get();
+        private final TrafficRecorder tap = taps.get();
         private final Lane forth = new Lane(this, true);
         private final Lane back = new Lane(this, false);
         private final SocketStream nearEnd;
--- a/lab/src/main/java/frostreel/lab/processes/Fleet.java
+++ b/lab/src/main/java/frostreel/lab/processes/Fleet.java
@@ -1,13 +1,13 @@
 package frostreel.lab.processes;
 
 import frostreel.lab.model.Cluster;
-import frostreel.lab.model.Kernel;
+import frostreel.lab.model.Scheduler;
 import frostreel.lab.model.Server;
-import frostreel.lab.rules.RuleBook;
+import frostreel.lab.rules.InvariantChecker;
 import frostreel.lab.standin.Database;
 import frostreel.lab.standin.Discovery;
 import frostreel.lab.standin.RealTime;
-import frostreel.lab.virtual.Plan;
+import frostreel.lab.virtual.SimulationPlan;
 import frostreel.net.EventLoop;
 import frostreel.pg.Statement;
 import frostreel.routing.Router;
@@ -48,13 +48,13 @@
     /** SIGKILL after SIGTERM: the longest deadline, counted as 3 s where it is longer, and 0.7 s. */
     private static final long KILL_US = 3_700_000;
 
-    private final Plan plan;
+    private final SimulationPlan plan;
     private final boolean operated;
     private final Path folder;
     private final EventLoop loop = new EventLoop();
-    private final Kernel kernel = new RealTime(loop);
+    private final Scheduler kernel = new RealTime(loop);
     private final SplittableRandom chance;
-    private final RuleBook rules;
+    private final InvariantChecker rules;
     private final Map<String, Router.RequestClass> classes = new HashMap<>();
     private final List<Pooler> poolers = new ArrayList<>();
     private final Map<String, Database> databases = new LinkedHashMap<>();
@@ -65,7 +65,7 @@
 
     private Path settings;
     private Cluster cluster;
-    private Load load;
+    private LoadGenerator load;
     private long beganUs;
     private long upgrades;
     private long killed;
@@ -78,7 +78,7 @@
     private final class Pooler {
         final PoolerProcess process;
         final Discovery agent;
-        final Map<Side, List<Link>> links = new HashMap<>();
+        final Map<Side, List<FaultyRelay>> links = new HashMap<>();
         final Map<String, String> dials = new HashMap<>();
         final long seed = chance.nextLong();
         /** The list as its last life held it; the next one starts with that. */
@@ -94,15 +94,15 @@
             process = operated
                     ? new PoolerProcess(number, new SharedSocket(host), jar, folder)
                     : new PoolerProcess(number, free(host), jar, folder);
-            List<Link> servers = new ArrayList<>();
+            List<FaultyRelay> servers = new ArrayList<>();
             SendOrder order = new SendOrder();
             for (Map.Entry<String, Database> d : databases.entrySet()) {
-                Link link = new Link(
+                FaultyRelay link = new FaultyRelay(
                         loop,
                         any,
                         d.getValue()::address,
                         true,
-                        () -> new StatementTap(loop.clock(), number, d.getKey(), classes, rules, order));
+                        () -> new StatementRecorder(loop.clock(), number, d.getKey(), classes, rules, order));
                 servers.add(link);
                 order.looksBy(link::readNow);
                 dials.put(d.getKey(), PoolerProcess.text(link.address()));
@@ -111,15 +111,20 @@
             links.put(Side.SERVERS, servers);
             links.put(
                     Side.DISCOVERY,
-                    List.of(new Link(loop, any, agent::address, true, () -> new ListTap(loop.clock(), number, rules))));
+                    List.of(new FaultyRelay(
+                            loop,
+                            any,
+                            agent::address,
+                            true,
+                            () -> new EndpointListRecorder(loop.clock(), number, rules))));
             links.put(
                     Side.CLIENTS,
-                    List.of(new Link(
+                    List.of(new FaultyRelay(
                             loop,
                             any,
                             () -> process.listen,
                             false,
-                            () -> new ClientTap(loop.clock(), number, classes, rules, operated))));
+                            () -> new ClientRecorder(loop.clock(), number, classes, rules, operated))));
         }
 
         /** What its agent has counts as told from its first moment: it would have been, had it asked. */
@@ -165,7 +170,14 @@
      * {@code silentAfterMs} is not 0, the poolers see each other, and notice silence after that time. Where
      * they are {@code operated}, operators call, and each has a listening socket that outlives it.
      */
-    Fleet(Plan plan, int poolerCount, long silentAfterMs, boolean operated, Path jar, Path folder, long slackUs)
+    Fleet(
+            SimulationPlan plan,
+            int poolerCount,
+            long silentAfterMs,
+            boolean operated,
+            Path jar,
+            Path folder,
+            long slackUs)
             throws Exception {
         this.plan = plan;
         this.operated = operated;
@@ -175,7 +187,7 @@
         Router.Settings told = plan.settings(0, 0);
         told.classes().forEach(c -> classes.put(c.name(), c));
         Router.Rules r = told.rules();
-        rules = new RuleBook(
+        rules = new InvariantChecker(
                 told.limits(),
                 new Router.Rules(
                         r.answerSlackUs() + slackUs,
@@ -224,7 +236,7 @@
         for (int i = 0; i < count; i++) {
             poolers.add(new Pooler(i, net + (FIRST_HOST + i), jar));
         }
-        load = new Load(
+        load = new LoadGenerator(
                 loop,
                 chance.split(),
                 poolers.stream()
@@ -268,7 +280,7 @@
         return new Database.Orders() {
             @Override
             public double workUs(Statement s) {
-                for (Plan.Kind k : Plan.KINDS) {
+                for (SimulationPlan.Kind k : SimulationPlan.KINDS) {
                     if (k.c().name().equals(s.requestClass())) {
                         return k.leastUs() + chance.nextDouble() * (k.mostUs() - k.leastUs());
                     }
@@ -445,7 +457,7 @@
     }
 
     private void awaitSuccessor(Pooler p) {
-        StaffCall.make(loop, p.process.control(), "STATUS", answer -> {
+        AdminCall.make(loop, p.process.control(), "STATUS", answer -> {
             if (ending) {
                 return;
             }
@@ -478,7 +490,7 @@
         if (call.equals("RESTORE")) {
             rules.takenOut(kernel.now(), pooler, id, false); // It may be used before the answer has come.
         }
-        StaffCall.make(loop, p.process.control(), id == null ? call : call + " " + id, answer -> {
+        AdminCall.make(loop, p.process.control(), id == null ? call : call + " " + id, answer -> {
             tell(p.process.name() + ": " + call + (id == null ? "" : " " + id) + ": " + answer);
             refusedCalls += answer.startsWith("OK") ? 0 : 1;
             if (call.equals("SUSPEND") && answer.startsWith("OK")) {
@@ -540,7 +552,7 @@
         links(pooler, side).forEach(l -> l.cut(near ? out : in, near ? in : out));
     }
 
-    private List<Link> links(int pooler, Side side) {
+    private List<FaultyRelay> links(int pooler, Side side) {
         return poolers.get(pooler).links.get(side);
     }
 
@@ -579,7 +591,7 @@
     /** Every connection ends. */
     void reset(int pooler, Side side) {
         tell("p" + pooler + " to " + side + ": reset");
-        links(pooler, side).forEach(Link::reset);
+        links(pooler, side).forEach(FaultyRelay::reset);
     }
 
     long seed() {
@@ -596,11 +608,11 @@
 
     // ---- What it showed. ----
 
-    Load load() {
+    LoadGenerator load() {
         return load;
     }
 
-    RuleBook rules() {
+    InvariantChecker rules() {
         return rules;
     }
 
@@ -635,7 +647,7 @@
         }
         onLoop(() -> {
             for (Pooler p : poolers) {
-                p.links.values().forEach(links -> links.forEach(Link::close));
+                p.links.values().forEach(links -> links.forEach(FaultyRelay::close));
                 p.agent.close();
             }
             databases.values().forEach(Database::close);
--- a/lab/src/main/java/frostreel/lab/processes/Load.java
+++ b/lab/src/main/java/frostreel/lab/processes/LoadGenerator.java
@@ -1,6 +1,6 @@
 package frostreel.lab.processes;
 
-import frostreel.lab.virtual.Plan;
+import frostreel.lab.virtual.SimulationPlan;
 import frostreel.net.EventLoop;
 import frostreel.net.SocketStream;
 import frostreel.pg.MessageReader;
@@ -29,7 +29,7 @@
  * again once where they are refused, and keep their connections. In front of them stands a front that knows
  * which pooler has answered an empty query since its start.
  */
-final class Load {
+final class LoadGenerator {
     private static final int SESSIONS = 500;
     private static final int MOST_BYTES = 1 << 18;
     private static final long ASK_AGAIN_US = 50_000;
@@ -124,7 +124,7 @@
         }
     }
 
-    Load(
+    LoadGenerator(
             EventLoop loop,
             SplittableRandom chance,
             List<InetSocketAddress> poolers,
@@ -192,8 +192,9 @@
     private int kind() {
         double draw = chance.nextDouble();
         int cls = 0;
-        while (cls < Plan.KINDS.size() - 1 && draw >= Plan.KINDS.get(cls).share()) {
-            draw -= Plan.KINDS.get(cls++).share();
+        while (cls < SimulationPlan.KINDS.size() - 1
+                && draw >= SimulationPlan.KINDS.get(cls).share()) {
+            draw -= SimulationPlan.KINDS.get(cls++).share();
         }
         return cls;
     }
@@ -218,7 +219,7 @@
             asked++;
             Second s = seconds[second(r.askedUs)];
             s.asked++;
-            s.worthAsked += Plan.KINDS.get(r.cls).c().worth();
+            s.worthAsked += SimulationPlan.KINDS.get(r.cls).c().worth();
         }
         place(r);
     }
@@ -238,7 +239,7 @@
     }
 
     private String statement(Request r) {
-        Router.RequestClass c = Plan.KINDS.get(r.cls).c();
+        Router.RequestClass c = SimulationPlan.KINDS.get(r.cls).c();
         r.id = Long.toString(++ids, 36);
         String key = "s" + r.session;
         StringBuilder names = new StringBuilder(" /* id=")
@@ -285,7 +286,7 @@
             empty = r == null;
             byte[] query = Messages.query((r == null ? "\0" : statement(r)).getBytes(StandardCharsets.US_ASCII));
             if (r != null) {
-                loop.deadlines().after(Plan.KINDS.get(r.cls).c().deadlineUs() + GIVE_UP_US, () -> {
+                loop.deadlines().after(SimulationPlan.KINDS.get(r.cls).c().deadlineUs() + GIVE_UP_US, () -> {
                     if (request == r) {
                         lost();
                     }
@@ -406,7 +407,7 @@
                     place(r);
                 } else {
                     unanswered++;
-                    Load.this.ended(1);
+                    LoadGenerator.this.ended(1);
                 }
             }
         }
@@ -415,7 +416,7 @@
             request = null;
             unanswered++;
             close();
-            Load.this.ended(1);
+            LoadGenerator.this.ended(1);
         }
 
         private void close() {
@@ -427,7 +428,7 @@
     }
 
     private void answered(Request r, byte[] value, byte[] error) {
-        if (error != null && ClientTap.refusal(error) && retry && !r.again) {
+        if (error != null && ClientRecorder.refusal(error) && retry && !r.again) {
             refused++;
             comeAgain(r, error);
             return;
@@ -449,10 +450,10 @@
 
     private void tally(Request r, byte[] value, byte[] error) {
         long now = loop.clock().now();
-        Router.RequestClass c = Plan.KINDS.get(r.cls).c();
+        Router.RequestClass c = SimulationPlan.KINDS.get(r.cls).c();
         if (error != null) {
-            refused += ClientTap.refusal(error) ? 1 : 0;
-            failed += ClientTap.refusal(error) ? 0 : 1;
+            refused += ClientRecorder.refusal(error) ? 1 : 0;
+            failed += ClientRecorder.refusal(error) ? 0 : 1;
             return;
         }
         if (value == null || !new String(value, StandardCharsets.US_ASCII).endsWith(r.id)) {
--- a/lab/src/main/java/frostreel/lab/processes/PeerLinks.java
+++ b/lab/src/main/java/frostreel/lab/processes/PeerLinks.java
@@ -15,19 +15,20 @@
  * opened them; a cut of what one says to another holds on those of either.
  */
 final class PeerLinks {
-    private final Link[][] links;
+    private final FaultyRelay[][] links;
     private final boolean[][] cut;
     private final List<Port> ports = new ArrayList<>();
 
     /** {@code binds}: where each pooler listens, on a host address of its own. On the loop's thread. */
     PeerLinks(EventLoop loop, List<InetSocketAddress> binds) throws IOException {
         int n = binds.size();
-        links = new Link[n][n];
+        links = new FaultyRelay[n][n];
         cut = new boolean[n][n];
         for (int to = 0; to < n; to++) {
             InetSocketAddress far = binds.get(to);
             for (int from = 0; from < n; from++) {
-                links[from][to] = new Link(loop, null, () -> far, true, () -> new Link.Tap() {});
+                links[from][to] =
+                        new FaultyRelay(loop, null, () -> far, true, () -> new FaultyRelay.TrafficRecorder() {});
             }
             int called = to;
             ports.add(new Port(loop, new InetSocketAddress(far.getAddress(), 0), c -> {
@@ -79,8 +80,8 @@
 
     void close() {
         ports.forEach(Port::close);
-        for (Link[] row : links) {
-            for (Link link : row) {
+        for (FaultyRelay[] row : links) {
+            for (FaultyRelay link : row) {
                 link.close();
             }
         }
--- a/lab/src/main/java/frostreel/lab/processes/ProcessExperiment.java
+++ b/lab/src/main/java/frostreel/lab/processes/ProcessExperiment.java
@@ -1,6 +1,6 @@
 package frostreel.lab.processes;
 
-import frostreel.lab.virtual.Plan;
+import frostreel.lab.virtual.SimulationPlan;
 import frostreel.settings.Fault;
 import frostreel.settings.FaultyFileException;
 import frostreel.settings.XmlElement;
@@ -262,9 +262,9 @@
     }
 
     /** Its load is in requests a second; there are as many poolers a zone as go round. */
-    Plan plan(long withSeed) {
+    SimulationPlan plan(long withSeed) {
         int zones = (int) fleet.whole("zones");
-        return new Plan(
+        return new SimulationPlan(
                 withSeed,
                 zones,
                 (poolers() + zones - 1) / zones,
--- a/lab/src/main/java/frostreel/lab/processes/Conductor.java
+++ b/lab/src/main/java/frostreel/lab/processes/ProcessExperimentRunner.java
@@ -19,13 +19,13 @@
 import org.json.JSONObject;
 
 /** Plays an experiment with processes, keeps what it showed, and says whether its checks hold. */
-public final class Conductor {
+public final class ProcessExperimentRunner {
     private static final List<String> COLUMNS = List.of("second", "asked", "served", "worth");
     private final PrintWriter out;
     private final boolean live;
 
     /** {@code live}: a line a second, for whoever watches. */
-    public Conductor(PrintWriter out, boolean live) {
+    public ProcessExperimentRunner(PrintWriter out, boolean live) {
         this.out = out;
         this.live = live;
     }
@@ -93,7 +93,7 @@
         fleet.end();
         List<String> verdicts = new ArrayList<>();
         boolean good = judge(experiment, fleet, crashed, faults(work), apart, blind, verdicts);
-        Load load = fleet.load();
+        LoadGenerator load = fleet.load();
         out.printf(
                 Locale.ROOT,
                 "asked %d, served %d, refused %d, failed %d, unanswered %d, unplaced %d, "
@@ -148,8 +148,8 @@
         }
     }
 
-    private static String line(Load load, int s) {
-        Load.Second second = load.seconds()[s];
+    private static String line(LoadGenerator load, int s) {
+        LoadGenerator.Second second = load.seconds()[s];
         return String.format(
                 Locale.ROOT,
                 "%4d s  asked %5d  served %5d  worth %.3f",
@@ -219,7 +219,7 @@
     private static void keep(
             ProcessExperiment experiment, long seed, Fleet fleet, Path folder, List<String> verdicts, boolean good)
             throws IOException {
-        Load load = fleet.load();
+        LoadGenerator load = fleet.load();
         JSONArray rules = new JSONArray();
         for (Rule r : fleet.rules().rules()) {
             rules.put(new JSONObject()
--- a/lab/src/main/java/frostreel/lab/processes/SendOrder.java
+++ b/lab/src/main/java/frostreel/lab/processes/SendOrder.java
@@ -9,7 +9,7 @@
  * is told of, all ends that its pooler brought about earlier are looked for; they have come by then.
  */
 final class SendOrder {
-    private final List<StatementTap> begun = new ArrayList<>();
+    private final List<StatementRecorder> begun = new ArrayList<>();
     private final List<Runnable> looks = new ArrayList<>();
     private boolean looking;
 
@@ -19,7 +19,7 @@
     }
 
     /** A statement has come whole; its tap tells of it once nothing earlier is left to find. */
-    void begins(StatementTap tap) {
+    void begins(StatementRecorder tap) {
         begun.add(tap);
         if (looking) {
             return;
@@ -31,8 +31,8 @@
             looks.forEach(Runnable::run);
         } while (begun.size() > found);
         looking = false;
-        List<StatementTap> all = List.copyOf(begun);
+        List<StatementRecorder> all = List.copyOf(begun);
         begun.clear();
-        all.forEach(StatementTap::tell);
+        all.forEach(StatementRecorder::tell);
     }
 }
--- a/lab/src/main/java/frostreel/lab/processes/StatementTap.java
+++ b/lab/src/main/java/frostreel/lab/processes/StatementRecorder.java
@@ -2,7 +2,7 @@
 
 import frostreel.broker.BackEnd;
 import frostreel.broker.Clock;
-import frostreel.lab.rules.Witness;
+import frostreel.lab.rules.RunListener;
 import frostreel.pg.MessageReader;
 import frostreel.pg.PgException;
 import frostreel.pg.Reply;
@@ -13,13 +13,13 @@
 import java.util.Map;
 
 /** Tells of the attempts on one connection from a pooler to a server, as that pooler sees them. */
-final class StatementTap implements Link.Tap {
+final class StatementRecorder implements FaultyRelay.TrafficRecorder {
     private static final int MOST_BYTES = 1 << 18;
     private final Clock clock;
     private final int pooler;
     private final String server;
     private final Map<String, Router.RequestClass> classes;
-    private final Witness witness;
+    private final RunListener witness;
     private final SendOrder order;
     private final MessageReader said = new MessageReader(type -> MOST_BYTES);
     private final MessageReader heard = new MessageReader(Reply::longest);
@@ -32,12 +32,12 @@
     private long firstUs;
     private long lastUs;
 
-    StatementTap(
+    StatementRecorder(
             Clock clock,
             int pooler,
             String server,
             Map<String, Router.RequestClass> classes,
-            Witness witness,
+            RunListener witness,
             SendOrder order) {
         this.order = order;
         this.clock = clock;
--- a/lab/src/main/java/frostreel/lab/rules/RuleBook.java
+++ b/lab/src/main/java/frostreel/lab/rules/InvariantChecker.java
@@ -15,7 +15,7 @@
 import java.util.Set;
 
 /** Every rule, fed with one run. A request's name is its own at all poolers. */
-public final class RuleBook implements Witness {
+public final class InvariantChecker implements RunListener {
     /** Exactly one answer, before the client gives up. */
     static final class OneAnswer extends Rule {
         private record Owed(int pooler, long deadlineUs) {}
@@ -248,7 +248,7 @@
     private final OneAnswer answers;
     private final List<Rule> rules = new ArrayList<>();
 
-    public RuleBook(Limits limits, Rules figures) {
+    public InvariantChecker(Limits limits, Rules figures) {
         answers = new OneAnswer(figures.answerSlackUs());
         rules.addAll(List.of(
                 answers,
--- a/lab/src/main/java/frostreel/lab/rules/Rule.java
+++ b/lab/src/main/java/frostreel/lab/rules/Rule.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /** A rule of the protocol page: it listens to a run, and keeps what broke it. */
-public abstract class Rule implements Witness {
+public abstract class Rule implements RunListener {
     private static final int MOST_KEPT = 20;
     private final String name;
     private final List<String> kept = new ArrayList<>();
--- a/lab/src/main/java/frostreel/lab/rules/Witness.java
+++ b/lab/src/main/java/frostreel/lab/rules/RunListener.java
@@ -5,7 +5,7 @@
 import frostreel.routing.Router.State;
 
 /** What a host tells of a run, in the order in which it happened; times are Unix microseconds. */
-public interface Witness {
+public interface RunListener {
     /** A pooler has taken a request. */
     default void asked(long nowUs, int pooler, String id, RequestClass c, long deadlineUs) {}
 
--- a/lab/src/main/java/frostreel/lab/standin/Database.java
+++ b/lab/src/main/java/frostreel/lab/standin/Database.java
@@ -1,6 +1,6 @@
 package frostreel.lab.standin;
 
-import frostreel.lab.model.Kernel;
+import frostreel.lab.model.Scheduler;
 import frostreel.lab.model.Server;
 import frostreel.net.EventLoop;
 import frostreel.net.SocketStream;
@@ -36,7 +36,7 @@
     private static final int MOST_BYTES = 1 << 18;
     private static final byte[] SHOW_LOAD = "SHOW load\0".getBytes(StandardCharsets.US_ASCII);
     private final EventLoop loop;
-    private final Kernel kernel;
+    private final Scheduler kernel;
     private final Server server;
     private final Orders orders;
     private final Runnable fell;
@@ -44,7 +44,7 @@
     private final Port port;
 
     /** {@code fell} hears that the server was sent more than it could take while cold. */
-    public Database(EventLoop loop, Kernel kernel, Server server, Orders orders, Runnable fell, InetSocketAddress at)
+    public Database(EventLoop loop, Scheduler kernel, Server server, Orders orders, Runnable fell, InetSocketAddress at)
             throws IOException {
         this.fell = fell;
         this.loop = loop;
--- a/lab/src/main/java/frostreel/lab/standin/Discovery.java
+++ b/lab/src/main/java/frostreel/lab/standin/Discovery.java
@@ -1,7 +1,7 @@
 package frostreel.lab.standin;
 
 import frostreel.lab.model.Cluster;
-import frostreel.lab.model.Kernel;
+import frostreel.lab.model.Scheduler;
 import frostreel.net.EventLoop;
 import frostreel.net.SocketStream;
 import frostreel.routing.Router;
@@ -25,7 +25,7 @@
     private static final Pattern CALL =
             Pattern.compile("GET /discovery/hosts(?:\\?index=(\\d+)&wait=(\\d+))? HTTP/1\\.1\r\n");
     private final EventLoop loop;
-    private final Kernel kernel;
+    private final Scheduler kernel;
     private final Function<String, String> dial;
     private final Port port;
     /** Every server as last told, with the number at which that was. */
@@ -37,7 +37,7 @@
 
     /** {@code dial}: the address, as text, at which this pooler reaches a server. */
     public Discovery(
-            EventLoop loop, Kernel kernel, Cluster cluster, Function<String, String> dial, InetSocketAddress at)
+            EventLoop loop, Scheduler kernel, Cluster cluster, Function<String, String> dial, InetSocketAddress at)
             throws IOException {
         this.loop = loop;
         this.kernel = kernel;
--- a/lab/src/main/java/frostreel/lab/standin/RealTime.java
+++ b/lab/src/main/java/frostreel/lab/standin/RealTime.java
@@ -1,10 +1,10 @@
 package frostreel.lab.standin;
 
-import frostreel.lab.model.Kernel;
+import frostreel.lab.model.Scheduler;
 import frostreel.net.EventLoop;
 
 /** The model's time on sockets: the loop's clock and deadlines, on the loop's one thread. */
-public final class RealTime implements Kernel {
+public final class RealTime implements Scheduler {
     private final EventLoop loop;
 
     public RealTime(EventLoop loop) {
--- a/lab/src/main/java/frostreel/lab/virtual/Bound.java
+++ b/lab/src/main/java/frostreel/lab/virtual/OptimalBound.java
@@ -9,18 +9,18 @@
  * with what is worth most for its work, loses nothing to queues or doubt, and holds a write exactly until its
  * group has a primary. No decisions can reach it; it is the measure that they are held against.
  */
-public final class Bound {
+public final class OptimalBound {
     private static final long SAMPLE_US = 100_000;
     private static final int SAMPLES = (int) (1_000_000 / SAMPLE_US);
     /** Of a class's time, what a client waits on the mean. */
     private static final double PATIENCE = 0.7;
 
-    private final Plan plan;
+    private final SimulationPlan plan;
     private final List<Double> capacities = new ArrayList<>();
     private final List<boolean[]> led = new ArrayList<>();
 
     /** Samples a world, from before its run on. */
-    public Bound(Plan plan, World world) {
+    public OptimalBound(SimulationPlan plan, Simulation world) {
         this.plan = plan;
         for (long at = 0; at < plan.durationUs(); at += SAMPLE_US) {
             world.at(at, () -> {
@@ -53,7 +53,7 @@
         List<Demand> demands = new ArrayList<>();
         double rate = plan.perPooler() * plan.poolersPerZone() * plan.zones();
         double asked = 0;
-        for (Plan.Kind k : Plan.KINDS) {
+        for (SimulationPlan.Kind k : SimulationPlan.KINDS) {
             double each = k.share() * rate;
             boolean write = k.c().access() == frostreel.routing.Router.Access.WRITE;
             double[] inTime = write ? writes(second, k) : new double[] {1, 1};
@@ -76,7 +76,7 @@
     }
 
     /** The share of a second's writes that are served at all, and their worth as a share. */
-    private double[] writes(int second, Plan.Kind k) {
+    private double[] writes(int second, SimulationPlan.Kind k) {
         double served = 0;
         double worth = 0;
         int n = 0;
--- a/lab/src/main/java/frostreel/lab/virtual/Policy.java
+++ b/lab/src/main/java/frostreel/lab/virtual/Policy.java
@@ -22,13 +22,13 @@
     }
 
     /** All that a lost zone leaves goes to the next one, without a bound. */
-    public static BiFunction<Router.Settings, Router.Actions, Router> allToTheNext(Plan plan) {
+    public static BiFunction<Router.Settings, Router.Actions, Router> allToTheNext(SimulationPlan plan) {
         return tiers(plan, UNBOUNDED, UNBOUNDED);
     }
 
     /** The next zone as the first tier behind the own one, all others as the second. */
     public static BiFunction<Router.Settings, Router.Actions, Router> tiers(
-            Plan plan, double nextSpill, double restSpill) {
+            SimulationPlan plan, double nextSpill, double restSpill) {
         return (settings, actions) -> {
             int own = settings.zone();
             int next = (own + 1) % plan.zones();
--- a/lab/src/main/java/frostreel/lab/virtual/Tally.java
+++ b/lab/src/main/java/frostreel/lab/virtual/RunStatistics.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 
 /** What a run was worth, by second of asking, by class, and by the zone of the pooler that was asked. */
-public final class Tally {
+public final class RunStatistics {
     private final double[][] asked;
     private final double[][] got;
     private final double[] askedOfClass;
@@ -14,7 +14,7 @@
     long refused;
     long failed;
 
-    Tally(int seconds, int zones, int classes) {
+    RunStatistics(int seconds, int zones, int classes) {
         asked = new double[seconds + 1][zones];
         got = new double[seconds + 1][zones];
         askedOfClass = new double[classes];
--- a/lab/src/main/java/frostreel/lab/virtual/World.java
+++ b/lab/src/main/java/frostreel/lab/virtual/Simulation.java
@@ -5,8 +5,8 @@
 import frostreel.lab.model.Cluster;
 import frostreel.lab.model.Server;
 import frostreel.lab.model.VirtualTime;
-import frostreel.lab.rules.RuleBook;
-import frostreel.lab.rules.Witness.Answer;
+import frostreel.lab.rules.InvariantChecker;
+import frostreel.lab.rules.RunListener.Answer;
 import frostreel.routing.Router;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -19,7 +19,7 @@
 import java.util.function.BiFunction;
 
 /** Poolers, servers, links, clients and a list that comes late, on virtual time: one seed, one run. */
-public final class World {
+public final class Simulation {
     /** Any time will do; this one can be told from a span of time. */
     private static final long START_US = 1_700_000_000_000_000L;
     /** What is asked near the end is still answered, so long after the longest time. */
@@ -29,7 +29,7 @@
 
     private static final long CLIENTS_AFTER_US = 100_000;
 
-    private final Plan plan;
+    private final SimulationPlan plan;
     private final VirtualTime kernel = new VirtualTime(START_US);
     private final Cluster cluster;
     /** Every life of every pooler, and the one that serves under each number, or null. */
@@ -42,8 +42,8 @@
     private final Set<String> firstPrimaries = new HashSet<>();
     private final BiFunction<Router.Settings, Router.Actions, Router> maker;
     private final SplittableRandom seeds;
-    private final Tally tally;
-    private final RuleBook rules;
+    private final RunStatistics tally;
+    private final InvariantChecker rules;
     private final SplittableRandom chance;
     private final SplittableRandom[] clients;
     /** When each session last had a write answered, as its client knows. */
@@ -61,17 +61,17 @@
      */
     record LostRead(int session, long ledUs, Answer answer) {}
 
-    public World(Plan plan, BiFunction<Router.Settings, Router.Actions, Router> maker) {
+    public Simulation(SimulationPlan plan, BiFunction<Router.Settings, Router.Actions, Router> maker) {
         this.plan = plan;
         this.maker = maker;
         seeds = new SplittableRandom(plan.seed());
         chance = seeds.split();
-        tally = new Tally(
+        tally = new RunStatistics(
                 (int) (plan.durationUs() / 1_000_000),
                 plan.zones(),
                 plan.site().kinds().size());
         Router.Settings told = plan.settings(0, 0);
-        rules = new RuleBook(told.limits(), told.rules());
+        rules = new InvariantChecker(told.limits(), told.rules());
         cluster = new Cluster(
                 kernel,
                 chance,
@@ -240,11 +240,11 @@
     private void ask(VirtualPooler p, SplittableRandom r) {
         double draw = r.nextDouble();
         int cls = 0;
-        List<Plan.Kind> kinds = plan.site().kinds();
+        List<SimulationPlan.Kind> kinds = plan.site().kinds();
         while (cls < kinds.size() - 1 && draw >= kinds.get(cls).share()) {
             draw -= kinds.get(cls++).share();
         }
-        Plan.Kind kind = kinds.get(cls);
+        SimulationPlan.Kind kind = kinds.get(cls);
         double work = kind.leastUs() + r.nextDouble() * (kind.mostUs() - kind.leastUs());
         int session = r.nextInt(lastWriteUs.length);
         double patience = 0.4 + 0.6 * r.nextDouble();
@@ -374,7 +374,7 @@
     // ---- The run, and what it showed. ----
 
     /** Plays to the end, and a little longer for what is still open. */
-    public World run() {
+    public Simulation run() {
         long longestUs = plan.site().kinds().stream()
                 .mapToLong(k -> k.c().deadlineUs())
                 .max()
@@ -384,11 +384,11 @@
         return this;
     }
 
-    public Tally tally() {
+    public RunStatistics tally() {
         return tally;
     }
 
-    public RuleBook rules() {
+    public InvariantChecker rules() {
         return rules;
     }
 
--- a/lab/src/main/java/frostreel/lab/virtual/Plan.java
+++ b/lab/src/main/java/frostreel/lab/virtual/SimulationPlan.java
@@ -12,7 +12,7 @@
  * @param durationUs how long clients ask
  * @param site what the deployment states
  */
-public record Plan(
+public record SimulationPlan(
         long seed,
         int zones,
         int poolersPerZone,
@@ -23,7 +23,7 @@
         long durationUs,
         boolean clientRetries,
         Site site) {
-    public Plan(
+    public SimulationPlan(
             long seed,
             int zones,
             int poolersPerZone,
--- a/lab/src/main/java/frostreel/lab/virtual/Site.java
+++ b/lab/src/main/java/frostreel/lab/virtual/Site.java
@@ -1,6 +1,6 @@
 package frostreel.lab.virtual;
 
-import frostreel.lab.model.Physics;
+import frostreel.lab.model.ServerParameters;
 import frostreel.routing.Router;
 import java.util.List;
 import java.util.Set;
@@ -15,21 +15,21 @@
  * @param sessions of all clients together
  */
 public record Site(
-        List<Plan.Kind> kinds,
+        List<SimulationPlan.Kind> kinds,
         Router.Settings settings,
-        Physics physics,
+        ServerParameters physics,
         Set<String> reports,
         int members,
         int sessions) {
     /** The site in service. */
     public static final Site USUAL = new Site(
-            Plan.KINDS,
+            SimulationPlan.KINDS,
             new Router.Settings(
                     0,
                     0,
                     0,
                     1_000,
-                    Plan.KINDS.stream().map(Plan.Kind::c).toList(),
+                    SimulationPlan.KINDS.stream().map(SimulationPlan.Kind::c).toList(),
                     Router.StalenessCheck.REFUSE,
                     Router.ListRole.LATE,
                     Router.SessionTracking.CARRIED,
@@ -37,7 +37,7 @@
                     new Router.Limits(
                             10, Router.Probes.REPORT, true, true, 2_000_000, false, 0, 250_000, 50_000, 30_000_000, 1),
                     new Router.Rules(20_000, 1_000_000, false, 0.22, 15_000_000, 3, 2_000_000)),
-            Physics.USUAL,
+            ServerParameters.USUAL,
             Set.of("x0", "x1", "load_share"),
             1,
             500);
--- a/lab/src/main/java/frostreel/lab/virtual/VirtualGroup.java
+++ b/lab/src/main/java/frostreel/lab/virtual/VirtualGroup.java
@@ -4,7 +4,7 @@
 import frostreel.cluster.MembershipView;
 import frostreel.cluster.Peer;
 import frostreel.cluster.ReplicatedLog;
-import frostreel.lab.model.Kernel;
+import frostreel.lab.model.Scheduler;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -28,7 +28,7 @@
 
     private static final long PROPOSAL_US = 10_000_000;
     private static final long AGAIN_US = 100_000;
-    private final Kernel kernel;
+    private final Scheduler kernel;
     private final SplittableRandom chance;
     private final Set<String> named;
     private final long silentUs;
@@ -44,7 +44,7 @@
     private final long usualDelayUs;
 
     /** {@code silentUs}: how long silence lasts until it counts; {@code delayUs}: a message's usual way. */
-    public VirtualGroup(Kernel kernel, SplittableRandom chance, Set<String> named, long silentUs, long delayUs) {
+    public VirtualGroup(Scheduler kernel, SplittableRandom chance, Set<String> named, long silentUs, long delayUs) {
         this.kernel = kernel;
         this.chance = chance;
         this.named = Set.copyOf(named);
--- a/lab/src/main/java/frostreel/lab/virtual/VirtualPooler.java
+++ b/lab/src/main/java/frostreel/lab/virtual/VirtualPooler.java
@@ -6,10 +6,10 @@
 import frostreel.broker.Payload;
 import frostreel.broker.ResponseHandler;
 import frostreel.broker.SlotTable;
-import frostreel.lab.model.Kernel;
 import frostreel.lab.model.Links;
+import frostreel.lab.model.Scheduler;
 import frostreel.lab.model.Server;
-import frostreel.lab.rules.Witness;
+import frostreel.lab.rules.RunListener;
 import frostreel.routing.Router;
 import frostreel.routing.Router.Outcome;
 import frostreel.routing.Router.Role;
@@ -74,10 +74,10 @@
     /** Attempts begun to each zone. */
     final long[] sentTo;
 
-    private final Kernel kernel;
+    private final Scheduler kernel;
     private final Links links;
     private final Map<String, Server> servers;
-    private final Witness witness;
+    private final RunListener witness;
     private final Router.Settings settings;
     private final long connectTimeoutUs;
     private final Set<String> reports;
@@ -96,10 +96,10 @@
             int number,
             int zone,
             int zones,
-            Kernel kernel,
+            Scheduler kernel,
             Links links,
             Map<String, Server> servers,
-            Witness witness,
+            RunListener witness,
             Set<String> reports,
             Router.Settings settings,
             BiFunction<Router.Settings, Router.Actions, Router> maker) {
--- a/lab/src/test/java/frostreel/lab/model/ServerTest.java
+++ b/lab/src/test/java/frostreel/lab/model/ServerTest.java
@@ -10,7 +10,7 @@
 class ServerTest {
     private static final long START_US = 1_000_000_000;
     private final VirtualTime kernel = new VirtualTime(START_US);
-    private final Server server = new Server(kernel, Physics.USUAL, "s", 0, 0, 2, 1);
+    private final Server server = new Server(kernel, ServerParameters.USUAL, "s", 0, 0, 2, 1);
     private final List<String> ended = new ArrayList<>();
 
     private Server.Job job(String name, double workUs, boolean write, long needUs) {
@@ -29,7 +29,7 @@
 
     @Test
     void coresWorkSideBySideTheRestWaitsAndBeyondTheQueueItIsTurnedAway() {
-        for (int i = 0; i < 2 + Physics.USUAL.queue() + 1; i++) {
+        for (int i = 0; i < 2 + ServerParameters.USUAL.queue() + 1; i++) {
             send("j" + i, 1000);
         }
         assertThat(ended).containsExactly("j66 FULL 0");
@@ -68,8 +68,8 @@
 
     @Test
     void whoSucceedsTellsTheEndOfItsLogAndWhoIsSucceededLosesWhatCameLater() {
-        Physics u = Physics.USUAL;
-        Physics lossy = new Physics(
+        ServerParameters u = ServerParameters.USUAL;
+        ServerParameters lossy = new ServerParameters(
                 u.coldFrom(),
                 u.warmAfterUs(),
                 u.fallMultiple(),
@@ -106,11 +106,11 @@
     void aColdServerIsSlowThenWarmAndFallsWhenPushed() {
         server.crash();
         server.start();
-        assertThat(server.capacity()).isEqualTo(2 * Physics.USUAL.coldFrom());
+        assertThat(server.capacity()).isEqualTo(2 * ServerParameters.USUAL.coldFrom());
         send("slow", 22_000);
         kernel.runUntil(START_US + 100_000);
         assertThat(ended).containsExactly("slow OK 100000");
-        double most = Physics.USUAL.fallMultiple() * server.capacity() * Physics.USUAL.fallUs();
+        double most = ServerParameters.USUAL.fallMultiple() * server.capacity() * ServerParameters.USUAL.fallUs();
         send("most", most - 23_000);
         assertThat(server.fallen()).isFalse();
         assertThat(server.largestMultiple()).isBetween(2.9, 3.0);
--- a/lab/src/test/java/frostreel/lab/processes/ClusterMemberTest.java
+++ b/lab/src/test/java/frostreel/lab/processes/ClusterMemberTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import frostreel.lab.virtual.Plan;
+import frostreel.lab.virtual.SimulationPlan;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.List;
@@ -30,7 +30,13 @@
     @BeforeEach
     void start() throws Exception {
         fleet = new Fleet(
-                new Plan(3, 3, 1, 2, 2, 30, 0, 600_000_000, true), 3, SILENT_MS, false, PROGRAM, dir, 20_000_000);
+                new SimulationPlan(3, 3, 1, 2, 2, 30, 0, 600_000_000, true),
+                3,
+                SILENT_MS,
+                false,
+                PROGRAM,
+                dir,
+                20_000_000);
         fleet.start();
         fleet.begin(List.of());
         await(0, "p0 here", "p1 here", "p2 here");
--- a/lab/src/test/java/frostreel/lab/processes/ProcessesTest.java
+++ b/lab/src/test/java/frostreel/lab/processes/ProcessesTest.java
@@ -28,7 +28,7 @@
                 <fleet poolers="%s" groups="2" listLagS="0"/><clients perSecond="60"/>
                 <faults>%s</faults>
                 <checks><rules slackMs="20000"/>%s</checks></processes>""".formatted(poolers, faults, checks));
-        return new Conductor(new PrintWriter(out), false)
+        return new ProcessExperimentRunner(new PrintWriter(out), false)
                 .run(ProcessExperiment.read(file), SEED, PROGRAM, dir.resolve("out"));
     }
 
--- a/lab/src/test/java/frostreel/lab/processes/TapsTest.java
+++ b/lab/src/test/java/frostreel/lab/processes/RecordersTest.java
@@ -2,9 +2,9 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import frostreel.lab.rules.InvariantChecker;
 import frostreel.lab.rules.Rule;
-import frostreel.lab.rules.RuleBook;
-import frostreel.lab.virtual.Plan;
+import frostreel.lab.virtual.SimulationPlan;
 import frostreel.pg.Messages;
 import frostreel.routing.Router;
 import java.io.ByteArrayOutputStream;
@@ -16,22 +16,23 @@
 import org.junit.jupiter.api.Test;
 
 /** What is seen of sockets convicts as what is seen in virtual time does; one case for each rule. */
-class TapsTest {
-    private static final Router.Settings SETTINGS = new Plan(1, 1, 1, 1, 1, 1, 0, 1_000_000, false).settings(0, 0);
+class RecordersTest {
+    private static final Router.Settings SETTINGS =
+            new SimulationPlan(1, 1, 1, 1, 1, 1, 0, 1_000_000, false).settings(0, 0);
     private static final Map<String, Router.RequestClass> CLASSES =
             SETTINGS.classes().stream().collect(Collectors.toMap(Router.RequestClass::name, c -> c));
     private static final byte[] REFUSED = with(Messages.error(false, "53300", "no", null));
     private long nowUs = 1_700_000_000_000_000L;
-    private final RuleBook book = new RuleBook(SETTINGS.limits(), SETTINGS.rules());
-    private final ClientTap client = new ClientTap(() -> nowUs, 0, CLASSES, book, false);
-    private final ListTap list = new ListTap(() -> nowUs, 0, book);
+    private final InvariantChecker book = new InvariantChecker(SETTINGS.limits(), SETTINGS.rules());
+    private final ClientRecorder client = new ClientRecorder(() -> nowUs, 0, CLASSES, book, false);
+    private final EndpointListRecorder list = new EndpointListRecorder(() -> nowUs, 0, book);
 
-    private StatementTap server(String id) {
+    private StatementRecorder server(String id) {
         return server(id, new SendOrder());
     }
 
-    private StatementTap server(String id, SendOrder order) {
-        StatementTap tap = new StatementTap(() -> nowUs, 0, id, CLASSES, book, order);
+    private StatementRecorder server(String id, SendOrder order) {
+        StatementRecorder tap = new StatementRecorder(() -> nowUs, 0, id, CLASSES, book, order);
         tap.says(Messages.startup());
         tap.hears(Messages.welcome(1, 1));
         return tap;
@@ -86,7 +87,7 @@
     @Test
     void aRequestServedInTimeBreaksNothing() {
         asks(read("1", "account-view", ""));
-        StatementTap s = server("a");
+        StatementRecorder s = server("a");
         byte[] query = read("1", "account-view", "");
         for (byte b : query) { // However the bytes are split.
             s.says(new byte[] {b});
@@ -115,12 +116,12 @@
     void whatAClientThatLeftOrAKilledPoolerOwesConvictsNobody() {
         asks(read("1", "account-view", ""));
         client.ended(false);
-        ClientTap second = new ClientTap(() -> nowUs, 1, CLASSES, book, false);
+        ClientRecorder second = new ClientRecorder(() -> nowUs, 1, CLASSES, book, false);
         second.hears(Messages.startup());
         second.hears(read("2", "account-view", ""));
         book.died(nowUs, 1);
         second.ended(true);
-        ClientTap third = new ClientTap(() -> nowUs, 2, CLASSES, book, false);
+        ClientRecorder third = new ClientRecorder(() -> nowUs, 2, CLASSES, book, false);
         third.hears(Messages.startup());
         third.says(Messages.welcome(1, 1));
         third.hears(read("3", "account-view", ""));
@@ -134,7 +135,7 @@
     @Test
     void whatCrossesTheEndOfAUsedConnectionIsExcusedWhereItMayAndElsewhereConvicts() {
         for (boolean mayCross : new boolean[] {true, false}) {
-            ClientTap tap = new ClientTap(() -> nowUs, 0, CLASSES, book, mayCross);
+            ClientRecorder tap = new ClientRecorder(() -> nowUs, 0, CLASSES, book, mayCross);
             tap.hears(Messages.startup());
             tap.says(Messages.welcome(1, 1));
             tap.hears(read("used" + mayCross, "account-view", ""));
@@ -144,7 +145,7 @@
             nowUs += 9_000_000;
             assertThat(broken().isEmpty()).isEqualTo(mayCross);
         }
-        ClientTap fresh = new ClientTap(() -> nowUs, 0, CLASSES, book, true);
+        ClientRecorder fresh = new ClientRecorder(() -> nowUs, 0, CLASSES, book, true);
         fresh.hears(Messages.startup());
         fresh.says(Messages.welcome(1, 1));
         fresh.hears(read("first", "account-view", ""));
@@ -166,8 +167,8 @@
     @Test
     void anAttemptWhoseEndIsFoundBehindTheNextOnesBytesConvictsNobody() {
         SendOrder order = new SendOrder();
-        StatementTap a = server("a", order);
-        StatementTap b = server("b", order);
+        StatementRecorder a = server("a", order);
+        StatementRecorder b = server("b", order);
         a.says(read("1", "account-view", ""));
         order.looksBy(() -> a.ended(true));
         b.says(read("1", "account-view", ""));
@@ -176,12 +177,12 @@
 
     @Test
     void aWriteSentAgainPastItsWindowConvictsAndWithinItDoesNot() {
-        StatementTap a = server("a");
+        StatementRecorder a = server("a");
         asks(write("1"));
         a.says(write("1"));
         a.ended(true);
         nowUs += 2_900_000;
-        StatementTap b = server("b");
+        StatementRecorder b = server("b");
         b.says(write("1"));
         b.ended(false);
         assertThat(broken()).isEmpty();
@@ -199,7 +200,7 @@
         list.hears(response);
         list.hears(body);
         nowUs += 900_000;
-        StatementTap a = server("a");
+        StatementRecorder a = server("a");
         a.says(read("1", "account-view", ""));
         a.hears(REFUSED);
         assertThat(broken()).isEmpty();
@@ -210,7 +211,7 @@
 
     @Test
     void aReadOlderThanItsClassOrItsSessionAllowsConvicts() {
-        StatementTap a = server("a");
+        StatementRecorder a = server("a");
         a.says(read("1", "account-view", ""));
         a.hears(row(790_000));
         a.says(read("2", "receipt-view", ",after=" + (nowUs / 1000 - 100)));
--- a/lab/src/test/java/frostreel/lab/processes/SystemFaultsTest.java
+++ b/lab/src/test/java/frostreel/lab/processes/SystemFaultsTest.java
@@ -32,7 +32,7 @@
                 <faults>%s</faults><checks><rules slackMs="20000"/><slowestStartS atMost="8"/>
                 <faultsInLogs atMost="0"/>%s</checks></processes>""".formatted(durationS, faults, checks));
         StringWriter out = new StringWriter();
-        boolean good = new Conductor(new PrintWriter(out), false)
+        boolean good = new ProcessExperimentRunner(new PrintWriter(out), false)
                 .run(ProcessExperiment.read(file), SEED, PROGRAM, dir.resolve("out"));
         assertThat(good).as(out.toString()).isTrue();
     }
--- a/lab/src/test/java/frostreel/lab/processes/UpgradesTest.java
+++ b/lab/src/test/java/frostreel/lab/processes/UpgradesTest.java
@@ -33,7 +33,7 @@
                 <faults>%s</faults>
                 <checks>%s%s</checks></processes>""".formatted(seconds, poolers, faults, CHECKS, checks));
         StringWriter out = new StringWriter();
-        boolean good = new Conductor(new PrintWriter(out), false)
+        boolean good = new ProcessExperimentRunner(new PrintWriter(out), false)
                 .run(ProcessExperiment.read(file), SEED, PROGRAM, dir.resolve("out"));
         String story = Files.readString(dir.resolve("out/story.txt"));
         assertThat(good).as("%s%n%s", out, story).isTrue();
--- a/lab/src/test/java/frostreel/lab/rules/RuleBookTest.java
+++ b/lab/src/test/java/frostreel/lab/rules/InvariantCheckerTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import frostreel.lab.rules.Witness.Answer;
+import frostreel.lab.rules.RunListener.Answer;
 import frostreel.routing.Router;
 import frostreel.routing.Router.Outcome;
 import frostreel.routing.Router.State;
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Each checker convicts what breaks its rule, and nothing that keeps it. */
-class RuleBookTest {
+class InvariantCheckerTest {
     private static final Router.Limits LIMITS =
             new Router.Limits(3, Router.Probes.REPORT, true, true, 2_000_000, false, 0, 250_000, 50_000, 30_000_000, 1);
     private static final Router.Rules FIGURES =
@@ -19,7 +19,7 @@
     private static final Router.RequestClass READ = requestClass(Router.Access.ANY, Router.Idempotency.SAFE);
     private static final Router.RequestClass KEYED = requestClass(Router.Access.WRITE, Router.Idempotency.KEYED);
     private static final Router.RequestClass UNSAFE = requestClass(Router.Access.WRITE, Router.Idempotency.UNSAFE);
-    private RuleBook book;
+    private InvariantChecker book;
 
     private static Router.RequestClass requestClass(Router.Access access, Router.Idempotency repeat) {
         return new Router.RequestClass(
@@ -28,7 +28,7 @@
 
     @BeforeEach
     void open() {
-        book = new RuleBook(LIMITS, FIGURES);
+        book = new InvariantChecker(LIMITS, FIGURES);
     }
 
     private List<String> broken() {
--- a/lab/src/test/java/frostreel/lab/standin/StandInsTest.java
+++ b/lab/src/test/java/frostreel/lab/standin/StandInsTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import frostreel.lab.model.Cluster;
-import frostreel.lab.model.Kernel;
+import frostreel.lab.model.Scheduler;
 import frostreel.lab.model.Server;
 import frostreel.net.EventLoop;
 import frostreel.pg.MessageReader;
@@ -32,7 +32,7 @@
     private static final InetSocketAddress ANY = new InetSocketAddress("127.0.0.1", 0);
     private final CountDownLatch fell = new CountDownLatch(1);
     private EventLoop loop;
-    private Kernel kernel;
+    private Scheduler kernel;
     private Cluster cluster;
     private Server primary;
     private Server replica;
--- a/lab/src/test/java/frostreel/lab/virtual/ColdFleetTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/ColdFleetTest.java
@@ -14,8 +14,10 @@
     private static final int ZONES = 2;
 
     /** A zone of small servers comes back at once while the other one's carry all that there is. */
-    private static World comesBack(int poolers, long seed, BiFunction<Router.Settings, Router.Actions, Router> maker) {
-        World world = new World(new Plan(seed, ZONES, poolers / ZONES, 4, 2, 0.6, 1_000_000, 16_000_000, true), maker);
+    private static Simulation comesBack(
+            int poolers, long seed, BiFunction<Router.Settings, Router.Actions, Router> maker) {
+        Simulation world = new Simulation(
+                new SimulationPlan(seed, ZONES, poolers / ZONES, 4, 2, 0.6, 1_000_000, 16_000_000, true), maker);
         world.uneven(8);
         world.at(4_000_000, () -> world.loseZone(1));
         world.at(9_000_000, () -> world.returnZone(1));
@@ -53,7 +55,7 @@
     void theSumOfAllPoolersPushesNoColdServerOver(int poolers) {
         int pushedByTheCareless = 0;
         for (long seed = 1; seed <= SEEDS; seed++) {
-            World world = comesBack(poolers, seed, ChainRouter::new);
+            Simulation world = comesBack(poolers, seed, ChainRouter::new);
             assertThat(world.fallen())
                     .as("seed %d, largest multiple %.2f", seed, world.largestMultiple())
                     .isZero();
--- a/lab/src/test/java/frostreel/lab/virtual/KnownSitesTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/KnownSitesTest.java
@@ -24,7 +24,7 @@
         }
     }
 
-    static Draw draw(JSONObject settings, int poolers, double load, long seed, JSONObject... events) {
+    static RandomScenario draw(JSONObject settings, int poolers, double load, long seed, JSONObject... events) {
         JSONArray kinds = new JSONArray("""
                 [{"share":42,"workMs":57},{"share":34,"workMs":57},{"share":2,"workMs":570},
                 {"share":22,"workMs":57}]""");
@@ -34,7 +34,7 @@
                 .put("poolersPerZone", poolers)
                 .put("load", load)
                 .put("kinds", kinds);
-        return new Draw(new JSONObject()
+        return new RandomScenario(new JSONObject()
                 .put("settings", settings.put("instances", poolers))
                 .put("fleet", fleet)
                 .put("seed", seed)
@@ -51,7 +51,7 @@
                 .put("size", size);
     }
 
-    static void keepsTheRules(World world) {
+    static void keepsTheRules(Simulation world) {
         assertThat(world.rules().rules())
                 .allSatisfy(r -> assertThat(r.broken())
                         .as("%s: %s", r.name(), r.convictions())
@@ -131,7 +131,7 @@
     void poolersRestartedInARowPushNoColdServerOver(int poolers) throws IOException, MalformedMessageException {
         for (long seed = 1; seed <= SEEDS; seed++) {
             double lenS = 10 + 17.0 * seed / SEEDS;
-            World world = draw(
+            Simulation world = draw(
                             settings("bsas-main"),
                             poolers,
                             0.15,
--- a/lab/src/test/java/frostreel/lab/virtual/LostCommitsTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/LostCommitsTest.java
@@ -3,7 +3,7 @@
 import static frostreel.lab.virtual.KnownSitesTest.event;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import frostreel.lab.rules.Witness.Answer;
+import frostreel.lab.rules.RunListener.Answer;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
@@ -19,8 +19,8 @@
     /** A new primary is found by then, and what had waited for it is done. */
     private static final long SETTLED_US = 2_000_000;
 
-    private static World play(String site, long seed) throws Exception {
-        Draw draw = KnownSitesTest.draw(
+    private static Simulation play(String site, long seed) throws Exception {
+        RandomScenario draw = KnownSitesTest.draw(
                 KnownSitesTest.settings(site),
                 2,
                 0.4,
@@ -36,12 +36,12 @@
     @Test
     void theRulesHoldAndReadsOfSessionsWhoseCommitIsLostAreServedAgain() throws Exception {
         for (long seed = 1; seed <= SEEDS; seed++) {
-            World world = play("bsas-main", seed);
+            Simulation world = play("bsas-main", seed);
             KnownSitesTest.keepsTheRules(world);
-            Tally t = world.tally();
+            RunStatistics t = world.tally();
             assertThat(t.served() + t.refused() + t.failed()).isEqualTo(t.requests() + t.retries);
             assertThat(world.cluster().lost()).as("seed %d", seed).isPositive();
-            List<World.LostRead> settled = world.lostReads().stream()
+            List<Simulation.LostRead> settled = world.lostReads().stream()
                     .filter(r -> r.ledUs() > SETTLED_US)
                     .toList();
             assertThat(settled)
--- a/lab/src/test/java/frostreel/lab/virtual/Draw.java
+++ b/lab/src/test/java/frostreel/lab/virtual/RandomScenario.java
@@ -1,8 +1,8 @@
 package frostreel.lab.virtual;
 
 import frostreel.lab.model.Cluster;
-import frostreel.lab.model.Physics;
 import frostreel.lab.model.Server;
+import frostreel.lab.model.ServerParameters;
 import frostreel.routing.ChainRouter;
 import frostreel.routing.Router;
 import frostreel.wire.MalformedMessageException;
@@ -17,15 +17,15 @@
 import org.json.JSONObject;
 
 /** A deployment as JSON: {@code settings} as the platform hands them over, a {@code fleet}, and events. */
-record Draw(JSONObject json) {
+record RandomScenario(JSONObject json) {
     private static final double US = 1e6;
     /** A draining server has ended by then. */
     private static final long DRAIN_US = 3_100_000;
 
     /** Plays it; the seed is the draw's own. */
-    World play() throws MalformedMessageException {
+    Simulation play() throws MalformedMessageException {
         JSONObject fleet = json.getJSONObject("fleet");
-        World world = new World(plan(fleet), ChainRouter::new);
+        Simulation world = new Simulation(plan(fleet), ChainRouter::new);
         world.uneven(fleet.getDouble("uneven"));
         for (Object e : json.getJSONArray("events")) {
             schedule(world, (JSONObject) e);
@@ -38,7 +38,7 @@
                 0, new MessageFields(json.getJSONObject("settings").toMap()));
     }
 
-    private Plan plan(JSONObject fleet) throws MalformedMessageException {
+    private SimulationPlan plan(JSONObject fleet) throws MalformedMessageException {
         Router.Settings s = settings();
         Router.Rules r = s.rules();
         double shares = 0;
@@ -46,12 +46,12 @@
         for (int i = 0; i < kinds.length(); i++) {
             shares += kinds.getJSONObject(i).getDouble("share");
         }
-        List<Plan.Kind> all = new ArrayList<>();
+        List<SimulationPlan.Kind> all = new ArrayList<>();
         double meanUs = 0;
         for (int i = 0; i < kinds.length(); i++) {
             double workUs = kinds.getJSONObject(i).getDouble("workMs") * 1e3;
             meanUs += workUs * kinds.getJSONObject(i).getDouble("share") / shares;
-            all.add(new Plan.Kind(
+            all.add(new SimulationPlan.Kind(
                     s.classes().get(i),
                     kinds.getJSONObject(i).getDouble("share") / shares,
                     0.7 * workUs,
@@ -59,7 +59,7 @@
         }
         boolean commitsWait =
                 json.getJSONObject("settings").getJSONObject("familyInfo").optBoolean("commitWaits", true);
-        Physics physics = new Physics(
+        ServerParameters physics = new ServerParameters(
                 r.coldFrom(),
                 r.warmAfterUs(),
                 r.fallMultiple(),
@@ -76,7 +76,7 @@
                 .getJSONObject("stats")
                 .getJSONArray("names")
                 .forEach(name -> reports.add((String) name));
-        return new Plan(
+        return new SimulationPlan(
                 json.getLong("seed"),
                 fleet.getInt("zones"),
                 fleet.getInt("poolersPerZone"),
@@ -103,7 +103,7 @@
         return some;
     }
 
-    private void schedule(World world, JSONObject e) {
+    private void schedule(Simulation world, JSONObject e) {
         long at = us(e, "atS");
         long len = us(e, "lenS");
         double size = e.getDouble("size");
@@ -172,7 +172,7 @@
     }
 
     private static void during(
-            World world, long at, long len, List<Server> servers, Consumer<Server> from, Consumer<Server> to) {
+            Simulation world, long at, long len, List<Server> servers, Consumer<Server> from, Consumer<Server> to) {
         world.at(at, () -> servers.forEach(from));
         world.at(at + len, () -> servers.forEach(to));
     }
--- a/lab/src/test/java/frostreel/lab/virtual/AgainstLuckTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/RandomSettingsTest.java
@@ -21,7 +21,7 @@
 import org.json.JSONObject;
 
 /** What serves the deployments we know must serve every other one whose settings the same page allows. */
-class AgainstLuckTest {
+class RandomSettingsTest {
     private static final int TRIES = 300;
     private static final int GENERATED_SIZE = 1_000;
     /** Requests of a draw, at the most: what keeps a try short. */
@@ -178,26 +178,26 @@
     }
 
     @Provide
-    Arbitrary<Draw> draws() {
+    Arbitrary<RandomScenario> draws() {
         return salted(Combinators.combine(
                         settings(),
                         fleet(),
                         requestClass().list().ofMinSize(2).ofMaxSize(6),
                         event().list().ofMaxSize(5),
                         Arbitraries.longs().between(0, 1_000_000))
-                .as(AgainstLuckTest::draw));
+                .as(RandomSettingsTest::draw));
     }
 
     /** Other draws than the build's, by {@code -Dfrostreel.draws=SEED}. */
-    private static Arbitrary<Draw> salted(Arbitrary<Draw> draws) {
+    private static Arbitrary<RandomScenario> salted(Arbitrary<RandomScenario> draws) {
         long salt = Long.getLong("frostreel.draws", 0);
-        RandomGenerator<Draw> generator = draws.generator(GENERATED_SIZE);
+        RandomGenerator<RandomScenario> generator = draws.generator(GENERATED_SIZE);
         return salt == 0
                 ? draws
                 : Arbitraries.fromGenerator(random -> generator.next(new Random(random.nextLong() ^ salt)));
     }
 
-    private static Draw draw(
+    private static RandomScenario draw(
             JSONObject settings,
             JSONObject drawnFleet,
             List<JSONObject> drawnClasses,
@@ -250,7 +250,7 @@
                 copy(all.getJSONObject("familyInfo"))
                         .put("freshness", freshness)
                         .put("lagAllowedS", bounds));
-        return new Draw(new JSONObject()
+        return new RandomScenario(new JSONObject()
                 .put("settings", all)
                 .put("fleet", fleet)
                 .put("seed", seed)
@@ -258,8 +258,8 @@
     }
 
     @Property(tries = TRIES, seed = "1", shrinking = ShrinkingMode.BOUNDED, afterFailure = AfterFailureMode.RANDOM_SEED)
-    void theRulesHoldOnEveryDraw(@ForAll("draws") Draw draw) throws MalformedMessageException {
-        World world = draw.play();
+    void theRulesHoldOnEveryDraw(@ForAll("draws") RandomScenario draw) throws MalformedMessageException {
+        Simulation world = draw.play();
         assertThat(world.rules().rules())
                 .allSatisfy(r -> assertThat(r.broken())
                         .as("%s: %s", r.name(), r.convictions())
--- a/lab/src/test/java/frostreel/lab/virtual/KeptDrawsTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/RegressionSeedsTest.java
@@ -11,16 +11,16 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Draws that once broke a rule, made small; each with ten seeds. */
-class KeptDrawsTest {
+class RegressionSeedsTest {
     private static final int SEEDS = 10;
 
     @ParameterizedTest
     @ValueSource(strings = {"cold-one-server", "cold-thin-fleet", "cold-busy-by-half"})
     void theRulesHold(String name) throws IOException, MalformedMessageException {
-        try (InputStream in = KeptDrawsTest.class.getResourceAsStream("/draws/" + name + ".json")) {
+        try (InputStream in = RegressionSeedsTest.class.getResourceAsStream("/draws/" + name + ".json")) {
             JSONObject kept = new JSONObject(new String(in.readAllBytes(), StandardCharsets.UTF_8));
             for (int seed = 1; seed <= SEEDS; seed++) {
-                World world = new Draw(new JSONObject(kept.toString()).put("seed", seed)).play();
+                Simulation world = new RandomScenario(new JSONObject(kept.toString()).put("seed", seed)).play();
                 assertThat(world.rules().rules())
                         .as("seed %d", seed)
                         .allSatisfy(r -> assertThat(r.broken())
--- a/lab/src/test/java/frostreel/lab/virtual/WorldTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/SimulationTest.java
@@ -8,19 +8,19 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class WorldTest {
-    private static Plan plan(long seed) {
-        return new Plan(seed, 3, 2, 6, 4, 0.5, 2_000_000, 25_000_000, true);
+class SimulationTest {
+    private static SimulationPlan plan(long seed) {
+        return new SimulationPlan(seed, 3, 2, 6, 4, 0.5, 2_000_000, 25_000_000, true);
     }
 
-    private static World lossAndReturn(long seed) {
-        World world = new World(plan(seed), ChainRouter::new);
+    private static Simulation lossAndReturn(long seed) {
+        Simulation world = new Simulation(plan(seed), ChainRouter::new);
         world.at(8_000_000, () -> world.loseZone(1));
         world.at(15_000_000, () -> world.returnZone(1));
         return world.run();
     }
 
-    private static void keepsTheRules(World world) {
+    private static void keepsTheRules(Simulation world) {
         assertThat(world.rules().rules())
                 .allSatisfy(r -> assertThat(r.broken())
                         .as("%s: %s", r.name(), r.convictions())
@@ -38,16 +38,16 @@
 
     @Test
     void aCalmRunIsServedNearlyWholeAndEveryRequestHasOneAnswer() {
-        World world = new World(plan(3), ChainRouter::new).run();
+        Simulation world = new Simulation(plan(3), ChainRouter::new).run();
         keepsTheRules(world);
         assertThat(world.tally().worth(5, 25, -1)).isGreaterThan(0.97);
-        Tally t = world.tally();
+        RunStatistics t = world.tally();
         assertThat(t.served() + t.refused() + t.failed()).isEqualTo(t.requests() + t.retries);
     }
 
     @Test
     void theRulesHoldThroughTheLossAndReturnOfAZone() {
-        World world = lossAndReturn(4);
+        Simulation world = lossAndReturn(4);
         keepsTheRules(world);
         assertThat(world.tally().worstTenSeconds(1)).isLessThan(world.tally().worth(0, 8, 1));
         assertThat(world.largestMultiple()).isPositive();
@@ -117,7 +117,7 @@
 
     @Test
     void decisionsThatIgnoreTheListAndTheColdAreConvicted() {
-        World world = new World(plan(5), Stubborn::new);
+        Simulation world = new Simulation(plan(5), Stubborn::new);
         world.at(8_000_000, () -> world.loseZone(0));
         world.at(12_000_000, () -> world.returnZone(0));
         world.run();
--- a/lab/src/test/java/frostreel/lab/virtual/ZoneLossTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/ZoneLossTest.java
@@ -10,8 +10,8 @@
 class ZoneLossTest {
     private static final long SECOND = 1_000_000;
 
-    private static World play(Plan plan, boolean tiers, Consumer<World> faults) {
-        World world = new World(plan, tiers ? Policy.tiers(plan, 1, 1) : Policy.plain());
+    private static Simulation play(SimulationPlan plan, boolean tiers, Consumer<Simulation> faults) {
+        Simulation world = new Simulation(plan, tiers ? Policy.tiers(plan, 1, 1) : Policy.plain());
         faults.accept(world);
         world.run();
         assertThat(world.rules().rules())
@@ -23,7 +23,7 @@
         return world;
     }
 
-    private static void lossAndReturn(World world) {
+    private static void lossAndReturn(Simulation world) {
         world.at(10 * SECOND, () -> world.loseZone(1));
         world.at(20 * SECOND, () -> world.returnZone(1));
     }
@@ -31,9 +31,9 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void aHundredPoolersSeeAColdZoneReturnWhileTheListSaysSoLate(long seed) {
-        Plan plan = new Plan(seed, 3, 34, 6, 4, 0.6, 5 * SECOND, 32 * SECOND, true);
-        World tiers = play(plan, true, ZoneLossTest::lossAndReturn);
-        World plain = play(plan, false, ZoneLossTest::lossAndReturn);
+        SimulationPlan plan = new SimulationPlan(seed, 3, 34, 6, 4, 0.6, 5 * SECOND, 32 * SECOND, true);
+        Simulation tiers = play(plan, true, ZoneLossTest::lossAndReturn);
+        Simulation plain = play(plan, false, ZoneLossTest::lossAndReturn);
         assertThat(tiers.largestMultiple()).isLessThan(plain.largestMultiple());
         assertThat(tiers.tally().worstTenSeconds(-1))
                 .isGreaterThan(plain.tally().worstTenSeconds(-1) + 0.05);
@@ -43,10 +43,10 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void theSurvivorsAtFourFifthsKeepTheirOwnClients(long seed) {
-        Plan plan = new Plan(seed, 4, 3, 12, 4, 0.8, 2 * SECOND, 30 * SECOND, true);
-        World tiers = play(plan, true, ZoneLossTest::lossAndReturn);
-        World plain = play(plan, false, ZoneLossTest::lossAndReturn);
-        World closed = new World(plan, Policy.tiers(plan, 0.01, 0.01));
+        SimulationPlan plan = new SimulationPlan(seed, 4, 3, 12, 4, 0.8, 2 * SECOND, 30 * SECOND, true);
+        Simulation tiers = play(plan, true, ZoneLossTest::lossAndReturn);
+        Simulation plain = play(plan, false, ZoneLossTest::lossAndReturn);
+        Simulation closed = new Simulation(plan, Policy.tiers(plan, 0.01, 0.01));
         lossAndReturn(closed);
         closed.run();
         for (int zone : new int[] {0, 2, 3}) {
@@ -60,14 +60,14 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void aZoneThatFlapsTwiceWithinAMinuteIsNotTakenInWithTheSameHaste(long seed) {
-        Plan plan = new Plan(seed, 3, 10, 6, 4, 0.6, 5 * SECOND, 45 * SECOND, true);
+        SimulationPlan plan = new SimulationPlan(seed, 3, 10, 6, 4, 0.6, 5 * SECOND, 45 * SECOND, true);
         long tiers = sentAfterTheSecondReturn(plan, true);
         long plain = sentAfterTheSecondReturn(plan, false);
         assertThat(tiers).isLessThan(plain / 2);
     }
 
     /** Attempts to the zone in the three seconds in which it is back and its list entry is not. */
-    private static long sentAfterTheSecondReturn(Plan plan, boolean tiers) {
+    private static long sentAfterTheSecondReturn(SimulationPlan plan, boolean tiers) {
         long[] sent = new long[2];
         play(plan, tiers, world -> {
             lossAndReturn(world);
@@ -81,16 +81,16 @@
         return sent[1] - sent[0];
     }
 
-    private static long sentTo(World world, int zone) {
+    private static long sentTo(Simulation world, int zone) {
         return world.sent(0, zone) + world.sent(1, zone) + world.sent(2, zone);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void aSlowZoneSpillsSomeAndNotAll(long seed) {
-        Plan plan = new Plan(seed, 3, 3, 6, 4, 0.6, 2 * SECOND, 25 * SECOND, true);
+        SimulationPlan plan = new SimulationPlan(seed, 3, 3, 6, 4, 0.6, 2 * SECOND, 25 * SECOND, true);
         long[] before = new long[2];
-        World world = play(plan, true, w -> {
+        Simulation world = play(plan, true, w -> {
             w.at(10 * SECOND, () -> {
                 w.slowZone(1, 2.5);
                 before[0] = w.sent(1, 1);
@@ -106,8 +106,8 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void aCutOfOneDirectionRepeatsNoWriteBeyondItsKeyAndEndsWithItsCause(long seed) {
-        Plan plan = new Plan(seed, 3, 3, 6, 4, 0.5, 2 * SECOND, 40 * SECOND, true);
-        World world = play(plan, true, w -> {
+        SimulationPlan plan = new SimulationPlan(seed, 3, 3, 6, 4, 0.5, 2 * SECOND, 40 * SECOND, true);
+        Simulation world = play(plan, true, w -> {
             for (int other : new int[] {0, 2}) { // Requests arrive there, and their answers are lost.
                 w.at(10 * SECOND, () -> w.cut(1, other, true));
                 w.at(20 * SECOND, () -> w.cut(1, other, false));
@@ -120,8 +120,8 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void readsThatMustBeFreshAreServedWhereOnlyAFarReplicaIs(long seed) {
-        Plan plan = new Plan(seed, 3, 2, 6, 4, 0.4, 2 * SECOND, 25 * SECOND, true);
-        World world = play(plan, true, w -> w.at(8 * SECOND, () -> w.replayZone(0, 0.2)));
+        SimulationPlan plan = new SimulationPlan(seed, 3, 2, 6, 4, 0.4, 2 * SECOND, 25 * SECOND, true);
+        Simulation world = play(plan, true, w -> w.at(8 * SECOND, () -> w.replayZone(0, 0.2)));
         assertThat(world.tally().worth(12, 25, 0)).isGreaterThan(0.8);
         assertThat(world.sent(0, 1) + world.sent(0, 2)).isPositive();
     }
--- a/pooler/src/test/java/frostreel/Story.java
+++ b/pooler/src/test/java/frostreel/ClientScript.java
@@ -1,7 +1,7 @@
 package frostreel;
 
-import static frostreel.Stage.host;
-import static frostreel.Stage.rows;
+import static frostreel.PoolerHarness.host;
+import static frostreel.PoolerHarness.rows;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.io.DataInputStream;
@@ -15,15 +15,15 @@
 /** A group of a primary and a replica, on a stage of its own for each story. */
 /* A read from a socket hears no interrupt, so the test must not run on the thread that waits for it. */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
-abstract class Story {
+abstract class ClientScript {
     private static final int CANCEL_REQUEST = 80877102;
-    Stage stage;
-    Stage.Peer primary;
-    Stage.Peer replica;
+    PoolerHarness stage;
+    PoolerHarness.Peer primary;
+    PoolerHarness.Peer replica;
 
     @BeforeEach
     void raise() throws Exception {
-        stage = new Stage();
+        stage = new PoolerHarness();
         primary = stage.server(rows("from-primary", "primary"));
         replica = stage.server(rows("from-replica", "replica"));
     }
@@ -44,13 +44,13 @@
 
     /** A client with the key that it was given. */
     final class Keyed implements AutoCloseable {
-        final Stage.Link link;
+        final PoolerHarness.Link link;
         int process;
         int secret;
 
         Keyed() throws Exception {
-            link = new Stage.Link(stage.connect());
-            link.send(Stage.startup());
+            link = new PoolerHarness.Link(stage.connect());
+            link.send(PoolerHarness.startup());
             DataInputStream in = link.in;
             for (int type = in.read(); type != 'Z'; type = in.read()) {
                 byte[] body = in.readNBytes(in.readInt() - Integer.BYTES);
@@ -65,7 +65,7 @@
 
         /** Its end tells that the pooler has done with it. */
         void cancel(int withSecret) throws Exception {
-            try (Stage.Link other = new Stage.Link(stage.connect())) {
+            try (PoolerHarness.Link other = new PoolerHarness.Link(stage.connect())) {
                 other.send(ByteBuffer.allocate(16)
                         .putInt(16)
                         .putInt(CANCEL_REQUEST)
--- a/pooler/src/test/java/frostreel/ClosesTest.java
+++ b/pooler/src/test/java/frostreel/ClosesTest.java
@@ -1,10 +1,10 @@
 package frostreel;
 
-import static frostreel.Stage.host;
-import static frostreel.Stage.look;
-import static frostreel.Stage.post;
-import static frostreel.Stage.query;
-import static frostreel.Stage.rows;
+import static frostreel.PoolerHarness.host;
+import static frostreel.PoolerHarness.look;
+import static frostreel.PoolerHarness.post;
+import static frostreel.PoolerHarness.query;
+import static frostreel.PoolerHarness.rows;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import frostreel.discovery.DiscoveryWatch;
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 
 /** However a client's connection ends, what was taken is answered, and what crosses the end is not lost. */
-class ClosesTest extends Story {
+class ClosesTest extends ClientScript {
     /** Tests of the wait for a client that was told to leave make it endless. */
     private void lingerWithoutEnd() {
         stage.lingerUs = Long.MAX_VALUE / 2;
@@ -26,7 +26,7 @@
     }
 
     /** Its end is seen, and then more is sent: a connection that was closed whole would be reset by that. */
-    private void whatCrossesTheEndResetsNothingAndIsNotSentOn(Stage.Link c) throws Exception {
+    private void whatCrossesTheEndResetsNothingAndIsNotSentOn(PoolerHarness.Link c) throws Exception {
         assertThat(c.endsNext()).isTrue();
         long before = requests();
         for (int i = 0; i < 3; i++) {
@@ -41,13 +41,13 @@
     void bytesThatCrossTheSparingOfAnIdleClientDoNotResetIt() throws Exception {
         lingerWithoutEnd();
         start();
-        List<Stage.Link> clients = new ArrayList<>();
-        for (int i = 0; i < Stage.USUAL_CLIENTS; i++) {
+        List<PoolerHarness.Link> clients = new ArrayList<>();
+        for (int i = 0; i < PoolerHarness.USUAL_CLIENTS; i++) {
             clients.add(stage.client());
             assertThat(value(clients.get(i).ask(look("c" + i, 9000)))).isEqualTo("from-replica");
         }
         whatCrossesTheEndResetsNothingAndIsNotSentOn(clients.get(0));
-        for (Stage.Link c : clients) {
+        for (PoolerHarness.Link c : clients) {
             c.close();
         }
     }
@@ -55,12 +55,12 @@
     @Test
     void bytesThatCrossTheSweepAtTheEndDoNotResetTheirConnection() throws Exception {
         lingerWithoutEnd();
-        stage.settings = Stage.SETTINGS
+        stage.settings = PoolerHarness.SETTINGS
                 .replace("\"deadlineS\":10", "\"deadlineS\":0.3")
                 .replace("\"onTimeS\":5", "\"onTimeS\":0.2"); // SIGKILL is due after 1 s, the sweep after 0.6 s.
         start();
-        try (Stage.Link asked = stage.client();
-                Stage.Link silent = stage.client()) {
+        try (PoolerHarness.Link asked = stage.client();
+                PoolerHarness.Link silent = stage.client()) {
             assertThat(value(asked.ask(look("1", 300)))).isEqualTo("from-replica");
             Thread stop = stops();
             whatCrossesTheEndResetsNothingAndIsNotSentOn(asked);
@@ -79,21 +79,21 @@
         stage.startSilent(host("a", primary, "primary", "Ready"));
         stage.discovery.next(); // A call that it gives up after 1.5 s, which it logs.
         stage.untilReady();
-        List<Stage.Link> waits = new ArrayList<>();
+        List<PoolerHarness.Link> waits = new ArrayList<>();
         List<Thread> stop = new ArrayList<>();
         stage.whileItStandsStill(
                 DiscoveryWatch.class,
                 () -> {
                     stop.add(stops()); // The door closes 3.3 s later.
-                    stage.whileItStandsStill(() -> Stage.pass(System.nanoTime(), 3_500));
+                    stage.whileItStandsStill(() -> PoolerHarness.pass(System.nanoTime(), 3_500));
                 },
                 () -> {
                     for (int i = 0; i < 3; i++) { // The first was let in even by the door that had closed.
-                        waits.add(new Stage.Link(stage.connect()));
-                        waits.get(i).send(Stage.startup(), query(look("" + i, 300)));
+                        waits.add(new PoolerHarness.Link(stage.connect()));
+                        waits.get(i).send(PoolerHarness.startup(), query(look("" + i, 300)));
                     }
                 });
-        for (Stage.Link c : waits) {
+        for (PoolerHarness.Link c : waits) {
             c.takeAnswer();
             assertThat(c.takeAnswer()).singleElement().asString().contains("|C53300|");
             c.close();
@@ -124,12 +124,12 @@
         replica.script = rows(large, "replica");
         start();
         int n = 300;
-        try (Stage.Link c = stage.client()) {
+        try (PoolerHarness.Link c = stage.client()) {
             for (int i = 0; i < n; i++) {
                 c.send(query(look("q" + i, 9000)));
             }
             for (int i = 0; i < 2; i++) {
-                try (Stage.Link silent = new Stage.Link(stage.connect())) {
+                try (PoolerHarness.Link silent = new PoolerHarness.Link(stage.connect())) {
                     assertThat(silent.take()).startsWith("E").contains("|C57P05|");
                     assertThat(silent.endsNext()).isTrue();
                 }
@@ -150,10 +150,10 @@
             } catch (InterruptedException e) {
                 throw new IOException(e);
             }
-            link.send(Stage.row("late", "primary"), Stage.READY);
+            link.send(PoolerHarness.row("late", "primary"), PoolerHarness.READY);
         };
         start();
-        try (Stage.Link c = stage.client()) {
+        try (PoolerHarness.Link c = stage.client()) {
             c.send(query(post("1", 9000))); // A write: a read would be tried elsewhere, and end too soon.
             byte[] much = query("x".repeat(100_000)); // No statement of either form: an error each.
             for (int i = 0; i < 14; i++) {
@@ -175,7 +175,7 @@
     /** An answer is whole or it is none, wherever its connection ends and however. */
     @Test
     void anAnswerCutAtAnyByteIsNeverServed() throws Exception {
-        byte[] whole = Stage.row("cut", "replica");
+        byte[] whole = PoolerHarness.row("cut", "replica");
         int every = 2; // With either kind of end, at each byte in turn.
         int calm = 5; // Each of them gives a fifth of a further attempt after doubt.
         List<String> hosts = new ArrayList<>(
@@ -183,7 +183,7 @@
         for (int i = 0; i < whole.length; i++) {
             int cut = i;
             boolean reset = i % every == 0;
-            Stage.Peer cutter = stage.server((text, link) -> {
+            PoolerHarness.Peer cutter = stage.server((text, link) -> {
                 link.send(java.util.Arrays.copyOf(whole, cut));
                 if (reset) {
                     link.socket.setSoLinger(true, 0);
@@ -195,7 +195,7 @@
             hosts.add(host("b" + i, cutter, "replica", "Ready").replace("\"block\":2", block));
         }
         stage.start(hosts.toArray(String[]::new));
-        try (Stage.Link c = stage.client()) {
+        try (PoolerHarness.Link c = stage.client()) {
             for (int i = 0; i < whole.length; i++) {
                 assertThat(value(c.ask(look("q" + i, 9000).replace("cluster=2", "cluster=" + (100 + i)))))
                         .as("cut at byte %d", i)
--- a/pooler/src/test/java/frostreel/CrowdedTest.java
+++ b/pooler/src/test/java/frostreel/CrowdedTest.java
@@ -1,7 +1,7 @@
 package frostreel;
 
-import static frostreel.Stage.look;
-import static frostreel.Stage.query;
+import static frostreel.PoolerHarness.look;
+import static frostreel.PoolerHarness.query;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.util.ArrayList;
@@ -9,8 +9,8 @@
 import org.junit.jupiter.api.Test;
 
 /** What a request that finds nearly all places taken is told of when to come back, as the settings allow. */
-class CrowdedTest extends Story {
-    private final List<Stage.Link> clients = new ArrayList<>();
+class CrowdedTest extends ClientScript {
+    private final List<PoolerHarness.Link> clients = new ArrayList<>();
 
     /** The answer to one that comes when the others hold all places but the last. */
     private String refusal() throws Exception {
@@ -18,7 +18,7 @@
         replica.script = (text, link) -> {};
         primary.script = replica.script;
         start();
-        int busy = Stage.MAX_CLIENTS - 16;
+        int busy = PoolerHarness.MAX_CLIENTS - 16;
         for (int i = 0; i < busy; i++) {
             clients.add(stage.client());
             clients.get(i).send(query(look("c" + i, 9000)));
@@ -35,7 +35,7 @@
     }
 
     private void leave() throws Exception {
-        for (Stage.Link c : clients) {
+        for (PoolerHarness.Link c : clients) {
             c.close();
         }
     }
@@ -48,16 +48,16 @@
 
     @Test
     void itIsNoLongerThanTheSettingsAllow() throws Exception {
-        stage.settings = Stage.SETTINGS.replace("\"maxRetryAfterS\":2", "\"maxRetryAfterS\":0.12");
+        stage.settings = PoolerHarness.SETTINGS.replace("\"maxRetryAfterS\":2", "\"maxRetryAfterS\":0.12");
         assertThat(refusal()).contains("|D120|");
         leave();
     }
 
     @Test
     void itIsNothingWhereTheSettingsAllowNoneAndNewSettingsCountAtOnce() throws Exception {
-        stage.settings = Stage.SETTINGS.replace("\"retryAfter\":true", "\"retryAfter\":false");
+        stage.settings = PoolerHarness.SETTINGS.replace("\"retryAfter\":true", "\"retryAfter\":false");
         assertThat(refusal()).doesNotContain("|D");
-        stage.settings = Stage.SETTINGS;
+        stage.settings = PoolerHarness.SETTINGS;
         stage.hangUp(stage.discovery);
         stage.shows("reloads=1");
         assertThat(nextRefusal("next")).contains("|D200|");
--- a/pooler/src/test/java/frostreel/DiscoveryTest.java
+++ b/pooler/src/test/java/frostreel/DiscoveryTest.java
@@ -1,10 +1,10 @@
 package frostreel;
 
-import static frostreel.Stage.host;
-import static frostreel.Stage.http;
-import static frostreel.Stage.list;
-import static frostreel.Stage.look;
-import static frostreel.Stage.query;
+import static frostreel.PoolerHarness.host;
+import static frostreel.PoolerHarness.http;
+import static frostreel.PoolerHarness.list;
+import static frostreel.PoolerHarness.look;
+import static frostreel.PoolerHarness.query;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.io.IOException;
@@ -16,17 +16,17 @@
 import org.junit.jupiter.api.Test;
 
 /** What an agent may do at each point of a call, and that what it tells afterwards counts at once. */
-class DiscoveryTest extends Story {
-    private static final Stage.Script SILENCE = (text, link) -> {};
-    private static final Stage.Script END = (text, link) -> link.close();
-    private static final Stage.Script RESET = (text, link) -> {
+class DiscoveryTest extends ClientScript {
+    private static final PoolerHarness.Script SILENCE = (text, link) -> {};
+    private static final PoolerHarness.Script END = (text, link) -> link.close();
+    private static final PoolerHarness.Script RESET = (text, link) -> {
         link.socket.setSoLinger(true, 0);
         link.close();
     };
     /** What the agent does with the calls that come, one after another. */
-    private final BlockingQueue<Stage.Script> deeds = new LinkedBlockingQueue<>();
+    private final BlockingQueue<PoolerHarness.Script> deeds = new LinkedBlockingQueue<>();
 
-    private static Stage.Script oneAfterAnother(BlockingQueue<Stage.Script> deeds) {
+    private static PoolerHarness.Script oneAfterAnother(BlockingQueue<PoolerHarness.Script> deeds) {
         return (text, link) -> {
             try {
                 deeds.take().answer(text, link);
@@ -44,7 +44,7 @@
         assertThat(stage.discovery.next()).contains("index=1&").doesNotContain("wait=1 ");
     }
 
-    private static Stage.Script answers(String list) {
+    private static PoolerHarness.Script answers(String list) {
         return (text, link) -> link.send(http(list));
     }
 
@@ -55,7 +55,7 @@
     /** A silence may cost no more than 6 s; a call that waits again after one would add to it. */
     @Test
     void afterEachKindOfFailureTheNextCallDoesNotWaitAndItsAnswerIsObeyed() throws Exception {
-        List<List<Stage.Script>> failures = List.of(
+        List<List<PoolerHarness.Script>> failures = List.of(
                 List.of(
                         SILENCE,
                         RESET,
@@ -69,14 +69,14 @@
                 List.of(END, SILENCE));
         play();
         int seq = 1;
-        for (List<Stage.Script> row : failures) {
-            for (Stage.Script failure : row) {
+        for (List<PoolerHarness.Script> row : failures) {
+            for (PoolerHarness.Script failure : row) {
                 deeds.add(failure);
                 assertThat(stage.discovery.next()).contains("index=" + seq + "&wait=1 ");
             }
             deeds.add(answers(told(++seq, seq % 2 == 0 ? "Terminating" : "Ready")));
             assertThat(stage.discovery.next()).contains("index=" + seq + "&").doesNotContain("wait=1 ");
-            try (Stage.Link c = stage.client()) {
+            try (PoolerHarness.Link c = stage.client()) {
                 assertThat(value(c.ask(look("q" + seq, 9000))))
                         .isEqualTo(seq % 2 == 0 ? "from-primary" : "from-replica");
             }
@@ -96,7 +96,7 @@
             RESET.answer(text, link);
         });
         assertThat(stage.discovery.next()).contains("index=2&wait=1 ");
-        try (Stage.Link c = stage.client()) {
+        try (PoolerHarness.Link c = stage.client()) {
             assertThat(value(c.ask(look("1", 9000)))).isEqualTo("from-primary");
         }
         assertThat(stage.pooler.counters()).contains(" discovery_failures=1 ");
@@ -106,14 +106,14 @@
     @Test
     void aWatchThatIsStoppedWhileItsConnectionIsPendingMakesNoFurtherOne() throws Exception {
         play();
-        Stage.Peer away = stage.agent(SILENCE);
+        PoolerHarness.Peer away = stage.agent(SILENCE);
         away.close(); // Refused: it fails, and is begun again after a while.
         stage.hangUp(away);
         while (stage.pooler.counters().contains(" discovery_failures=0 ")) {
             Thread.onSpinWait();
         }
-        BlockingQueue<Stage.Script> theirs = new LinkedBlockingQueue<>();
-        Stage.Peer there = stage.agent(oneAfterAnother(theirs));
+        BlockingQueue<PoolerHarness.Script> theirs = new LinkedBlockingQueue<>();
+        PoolerHarness.Peer there = stage.agent(oneAfterAnother(theirs));
         stage.hangUp(there);
         theirs.add(answers(list(5, true, host("a", primary, "primary", "Ready"))));
         assertThat(there.next()).startsWith("GET /discovery/hosts HTTP");
@@ -140,15 +140,15 @@
     @Test
     void untilTheNewDiscoveryHasAnsweredTheOldOneIsObeyed() throws Exception {
         play();
-        try (Stage.Link c = stage.client()) {
-            Stage.Peer silent = stage.agent(SILENCE);
+        try (PoolerHarness.Link c = stage.client()) {
+            PoolerHarness.Peer silent = stage.agent(SILENCE);
             stage.hangUp(silent);
             assertThat(silent.next()).startsWith("GET /discovery/hosts HTTP");
             deeds.add(answers(told(2, "Terminating")));
             assertThat(stage.discovery.next()).contains("index=2&");
             assertThat(value(c.ask(look("1", 9000)))).isEqualTo("from-primary");
 
-            Stage.Peer refusing = stage.agent(SILENCE);
+            PoolerHarness.Peer refusing = stage.agent(SILENCE);
             refusing.close();
             stage.hangUp(refusing);
             assertThat(silent.ended.take()).isEqualTo("ended");
@@ -156,8 +156,8 @@
             assertThat(stage.discovery.next()).contains("index=3&");
             assertThat(value(c.ask(look("2", 9000)))).isEqualTo("from-replica");
 
-            BlockingQueue<Stage.Script> theirs = new LinkedBlockingQueue<>();
-            Stage.Peer answering = stage.agent(oneAfterAnother(theirs));
+            BlockingQueue<PoolerHarness.Script> theirs = new LinkedBlockingQueue<>();
+            PoolerHarness.Peer answering = stage.agent(oneAfterAnother(theirs));
             stage.hangUp(answering);
             theirs.add(answers(list(
                     1, true, host("a", primary, "primary", "Ready"), host("b", replica, "replica", "Terminating"))));
@@ -169,20 +169,20 @@
     }
 
     private static final String STOP_SOON =
-            Stage.SETTINGS.replace("\"stopSendingWithinS\":1", "\"stopSendingWithinS\":0.25");
+            PoolerHarness.SETTINGS.replace("\"stopSendingWithinS\":1", "\"stopSendingWithinS\":0.25");
 
     /** The requests of many clients and the list are found in one turn, in an order that nobody chooses. */
     private void aShortPauseHidesNothingThatWasTold() throws Exception {
         CountDownLatch written = new CountDownLatch(1);
-        List<Stage.Link> clients = new ArrayList<>();
-        for (int i = 0; i < Stage.MOST_WAITING; i++) {
+        List<PoolerHarness.Link> clients = new ArrayList<>();
+        for (int i = 0; i < PoolerHarness.MOST_WAITING; i++) {
             clients.add(stage.client());
         }
         // A connection rests open there, on which the next could go at once.
         assertThat(value(clients.get(0).ask(look("first", 9000)))).isEqualTo("from-replica");
         stage.whileItStandsStill(() -> {
             long since = System.nanoTime();
-            for (Stage.Link c : clients) {
+            for (PoolerHarness.Link c : clients) {
                 c.send(query(look("q" + clients.indexOf(c), 9000)));
             }
             deeds.add((text, link) -> {
@@ -190,9 +190,9 @@
                 written.countDown();
             });
             written.await();
-            Stage.pass(since, 100); // Two fifths of the rule.
+            PoolerHarness.pass(since, 100); // Two fifths of the rule.
         });
-        for (Stage.Link c : clients) {
+        for (PoolerHarness.Link c : clients) {
             assertThat(value(c.takeAnswer())).isEqualTo("from-primary");
             c.close();
         }
@@ -219,12 +219,12 @@
     @Test
     void aLateAnswerCountsAndTheCallMadeBesideItIsGivenUp() throws Exception {
         play();
-        BlockingQueue<Stage.Link> late = new LinkedBlockingQueue<>();
+        BlockingQueue<PoolerHarness.Link> late = new LinkedBlockingQueue<>();
         deeds.add(END);
         assertThat(stage.discovery.next()).contains("index=1&wait=1 ");
         assertThat(stage.discovery.ended.take()).isEqualTo("ended");
         deeds.add((text, link) -> late.add(link));
-        Stage.Link first = late.take();
+        PoolerHarness.Link first = late.take();
         assertThat(stage.discovery.next()).as("beside the late one").contains("index=1&wait=1 ");
         deeds.add(SILENCE);
         first.send(http(told(2, "Terminating")));
@@ -235,7 +235,7 @@
         assertThat(stage.discovery.ended.take())
                 .as("the second call is given up")
                 .isEqualTo("ended");
-        try (Stage.Link c = stage.client()) {
+        try (PoolerHarness.Link c = stage.client()) {
             assertThat(value(c.ask(look("1", 9000)))).isEqualTo("from-primary");
         }
         assertThat(stage.discovery.links.get()).isEqualTo(3);
--- a/pooler/src/test/java/frostreel/GoneClientsTest.java
+++ b/pooler/src/test/java/frostreel/GoneClientsTest.java
@@ -1,11 +1,11 @@
 package frostreel;
 
-import static frostreel.Stage.errors;
-import static frostreel.Stage.look;
-import static frostreel.Stage.post;
-import static frostreel.Stage.query;
-import static frostreel.Stage.row;
-import static frostreel.Stage.rows;
+import static frostreel.PoolerHarness.errors;
+import static frostreel.PoolerHarness.look;
+import static frostreel.PoolerHarness.post;
+import static frostreel.PoolerHarness.query;
+import static frostreel.PoolerHarness.row;
+import static frostreel.PoolerHarness.rows;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.util.ArrayList;
@@ -18,26 +18,26 @@
 import org.junit.jupiter.api.Test;
 
 /** A client that closed its connection or cancelled its request has gone: nothing begins for it any more. */
-class GoneClientsTest extends Story {
-    private final BlockingQueue<Stage.Link> handshakes = new LinkedBlockingQueue<>();
+class GoneClientsTest extends ClientScript {
+    private final BlockingQueue<PoolerHarness.Link> handshakes = new LinkedBlockingQueue<>();
 
     /** From now on a connection to the replica comes up when the test lets it. */
     private void holdHandshakes() {
         replica.welcome = (text, link) -> handshakes.add(link);
     }
 
-    private static void welcome(Stage.Link link) throws Exception {
-        link.send(Stage.bytes('R', new byte[4]), Stage.READY);
+    private static void welcome(PoolerHarness.Link link) throws Exception {
+        link.send(PoolerHarness.bytes('R', new byte[4]), PoolerHarness.READY);
     }
 
     private void mayNotCancel() {
-        stage.settings = Stage.SETTINGS.replace("\"cancel\":true", "\"cancel\":false");
+        stage.settings = PoolerHarness.SETTINGS.replace("\"cancel\":true", "\"cancel\":false");
     }
 
     /** The next request is the first that the replica hears, on the connection that was opened before. */
-    private void nothingIsSentBeforeTheNextRequest(Stage.Link pending) throws Exception {
+    private void nothingIsSentBeforeTheNextRequest(PoolerHarness.Link pending) throws Exception {
         welcome(pending);
-        try (Stage.Link c = stage.client()) {
+        try (PoolerHarness.Link c = stage.client()) {
             assertThat(value(c.ask(look("next", 9000)))).isEqualTo("from-replica");
         }
         assertThat(replica.next()).contains("id=next,");
@@ -50,9 +50,9 @@
         mayNotCancel();
         holdHandshakes();
         start();
-        Stage.Link c = stage.client();
+        PoolerHarness.Link c = stage.client();
         c.send(query(look("gone", 9000)));
-        Stage.Link pending = handshakes.take();
+        PoolerHarness.Link pending = handshakes.take();
         c.close();
         stage.shows("clients_gone=1");
         nothingIsSentBeforeTheNextRequest(pending);
@@ -64,9 +64,9 @@
         mayNotCancel();
         holdHandshakes();
         start();
-        Stage.Link c = stage.client();
+        PoolerHarness.Link c = stage.client();
         c.send(query(look("gone", 9000)));
-        Stage.Link pending = handshakes.take();
+        PoolerHarness.Link pending = handshakes.take();
         c.send(new byte[1_500_000]);
         c.close();
         stage.shows("clients_gone=1");
@@ -79,14 +79,14 @@
      */
     @Test
     void whatIsLetOutInTheTurnInWhichItsClientsEndIsFoundIsNotSent() throws Exception {
-        BlockingQueue<Stage.Link> held = new LinkedBlockingQueue<>();
+        BlockingQueue<PoolerHarness.Link> held = new LinkedBlockingQueue<>();
         replica.script = (text, link) -> held.add(link);
         primary.script = replica.script;
         start();
-        Map<String, Stage.Link> clients = new HashMap<>();
-        int all = Stage.MOST_WAITING;
+        Map<String, PoolerHarness.Link> clients = new HashMap<>();
+        int all = PoolerHarness.MOST_WAITING;
         for (int i = 0; i < all; i++) {
-            Stage.Link c = stage.client();
+            PoolerHarness.Link c = stage.client();
             clients.put("q" + i, c);
             c.send(query(look("q" + i, 9000)));
         }
@@ -94,28 +94,28 @@
         int sent = Integer.parseInt(stage.pooler.counters().replaceAll(".* attempts=(\\d+) .*", "$1"));
         assertThat(sent).isBetween(1, all / 2); // The others wait for room.
         List<String> inHand = new ArrayList<>();
-        List<Stage.Link> servers = new ArrayList<>();
+        List<PoolerHarness.Link> servers = new ArrayList<>();
         for (int i = 0; i < sent; i++) {
             servers.add(held.take());
         }
-        for (Stage.Peer p : List.of(primary, replica)) {
+        for (PoolerHarness.Peer p : List.of(primary, replica)) {
             for (String text : p.heard) {
                 inHand.add(text.replaceAll(".*id=(\\w+),.*", "$1").replace("|", ""));
             }
         }
         stage.whileItStandsStill(() -> {
-            for (Map.Entry<String, Stage.Link> c : clients.entrySet()) {
+            for (Map.Entry<String, PoolerHarness.Link> c : clients.entrySet()) {
                 if (!inHand.contains(c.getKey())) {
                     c.getValue().close();
                 }
             }
-            for (Stage.Link s : servers) {
-                s.send(row("late", "replica"), Stage.READY);
+            for (PoolerHarness.Link s : servers) {
+                s.send(row("late", "replica"), PoolerHarness.READY);
             }
         });
         stage.shows("clients_gone=" + (all - sent));
         assertThat(stage.pooler.counters()).contains(" attempts=" + sent + " ");
-        for (Stage.Link c : clients.values()) {
+        for (PoolerHarness.Link c : clients.values()) {
             c.close();
         }
     }
@@ -129,7 +129,7 @@
         start();
         try (Keyed c = new Keyed()) {
             c.link.send(query(look("gone", 9000)));
-            Stage.Link pending = handshakes.take();
+            PoolerHarness.Link pending = handshakes.take();
             c.endsCancelled();
             nothingIsSentBeforeTheNextRequest(pending);
             assertThat(value(c.link.ask(look("2", 9000)))).isEqualTo("from-replica");
@@ -138,7 +138,7 @@
 
     @Test
     void aCancelledWriteThatIsHeldIsNotSentOnceThereIsAPrimary() throws Exception {
-        stage.settings = Stage.SETTINGS.replace("\"probes\":true", "\"probes\":false"); // Writes walk.
+        stage.settings = PoolerHarness.SETTINGS.replace("\"probes\":true", "\"probes\":false"); // Writes walk.
         primary.script = errors("25006", "replica");
         replica.script = errors("25006", "replica");
         start();
--- a/pooler/src/test/java/frostreel/HandoverTest.java
+++ b/pooler/src/test/java/frostreel/HandoverTest.java
@@ -20,7 +20,7 @@
 /** The file that the processes of one pooler share: two of them, each with a mapping of its own. */
 class HandoverTest {
     private static final long NOW = 1_000_000_000;
-    private static final String CARRIED = Stage.configuration("127.0.0.1:1");
+    private static final String CARRIED = PoolerHarness.configuration("127.0.0.1:1");
     private static final String REMEMBERED = CARRIED.replace("carried", "remembered");
 
     @TempDir
--- a/pooler/src/test/java/frostreel/LateConnectionsTest.java
+++ b/pooler/src/test/java/frostreel/LateConnectionsTest.java
@@ -1,12 +1,12 @@
 package frostreel;
 
-import static frostreel.Stage.host;
-import static frostreel.Stage.list;
-import static frostreel.Stage.look;
-import static frostreel.Stage.post;
-import static frostreel.Stage.query;
-import static frostreel.Stage.row;
-import static frostreel.Stage.rows;
+import static frostreel.PoolerHarness.host;
+import static frostreel.PoolerHarness.list;
+import static frostreel.PoolerHarness.look;
+import static frostreel.PoolerHarness.post;
+import static frostreel.PoolerHarness.query;
+import static frostreel.PoolerHarness.row;
+import static frostreel.PoolerHarness.rows;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.util.concurrent.BlockingQueue;
@@ -14,36 +14,36 @@
 import org.junit.jupiter.api.Test;
 
 /** Connections to servers that come up when what waited for them may not begin any more. */
-class LateConnectionsTest extends Story {
-    private final BlockingQueue<Stage.Link> handshakes = new LinkedBlockingQueue<>();
+class LateConnectionsTest extends ClientScript {
+    private final BlockingQueue<PoolerHarness.Link> handshakes = new LinkedBlockingQueue<>();
 
-    private static void welcome(Stage.Link link) throws Exception {
-        link.send(Stage.bytes('R', new byte[4]), Stage.READY);
+    private static void welcome(PoolerHarness.Link link) throws Exception {
+        link.send(PoolerHarness.bytes('R', new byte[4]), PoolerHarness.READY);
     }
 
     /** The repeat was decided upon in time; its connection took longer than the window. */
     @Test
     void aRepeatWhoseConnectionComesUpAfterItsWindowIsNotSent() throws Exception {
         long windowMs = 2_000;
-        BlockingQueue<Stage.Link> served = new LinkedBlockingQueue<>();
-        stage.settings = Stage.SETTINGS
+        BlockingQueue<PoolerHarness.Link> served = new LinkedBlockingQueue<>();
+        stage.settings = PoolerHarness.SETTINGS
                 .replace("\"repeatWindowS\":3", "\"repeatWindowS\":2")
                 .replace("\"probes\":true", "\"probes\":false"); // Which would wait for connections, too.
         primary.script = (text, link) -> {
             primary.script = (next, on) -> {
                 served.add(on);
-                on.send(row("second", "primary"), Stage.READY);
+                on.send(row("second", "primary"), PoolerHarness.READY);
             };
             primary.welcome = (none, next) -> handshakes.add(next);
             link.close(); // It may have run.
         };
         start();
-        try (Stage.Link c = stage.client()) {
+        try (PoolerHarness.Link c = stage.client()) {
             long sent = System.nanoTime();
             c.send(query(post("1", 9000)));
             assertThat(primary.next()).contains("id=1,");
-            Stage.Link late = handshakes.take();
-            Stage.pass(sent, windowMs + 500);
+            PoolerHarness.Link late = handshakes.take();
+            PoolerHarness.pass(sent, windowMs + 500);
             welcome(late);
             assertThat(c.takeAnswer()).singleElement().asString().contains("|C08007|");
             assertThat(value(c.ask(post("2", 9000)))).isEqualTo("second");
@@ -58,11 +58,11 @@
     void aConnectionThatComesUpAfterItsRequestHasEndedServesTheNextOne() throws Exception {
         replica.welcome = (text, link) -> handshakes.add(link);
         start();
-        try (Stage.Link c = stage.client()) {
+        try (PoolerHarness.Link c = stage.client()) {
             assertThat(c.ask(look("1", 300))).singleElement().asString().startsWith("E");
-            Stage.Link late = handshakes.take();
+            PoolerHarness.Link late = handshakes.take();
             c.send(query(look("2", 9000)));
-            Stage.Link itsOwn = handshakes.take();
+            PoolerHarness.Link itsOwn = handshakes.take();
             welcome(late);
             assertThat(value(c.takeAnswer())).isEqualTo("from-replica");
             assertThat(replica.next()).contains("id=2,");
@@ -78,23 +78,23 @@
     /** The old connection becomes free while a request waits for one to the new address. */
     @Test
     void whatWaitsForAServerThatMovedIsNotSentToWhereItWas() throws Exception {
-        Stage.Peer moved = stage.server(rows("from-moved", "replica"));
+        PoolerHarness.Peer moved = stage.server(rows("from-moved", "replica"));
         moved.welcome = (text, link) -> handshakes.add(link);
-        BlockingQueue<Stage.Link> held = new LinkedBlockingQueue<>();
+        BlockingQueue<PoolerHarness.Link> held = new LinkedBlockingQueue<>();
         replica.script = (text, link) -> held.add(link);
         start();
         stage.discovery.next();
         stage.discovery.next();
-        try (Stage.Link first = stage.client();
-                Stage.Link second = stage.client()) {
+        try (PoolerHarness.Link first = stage.client();
+                PoolerHarness.Link second = stage.client()) {
             first.send(query(look("1", 9000)));
-            Stage.Link old = held.take();
+            PoolerHarness.Link old = held.take();
             stage.lists.add(list(2, false, host("b", moved, "replica", "Ready")));
             assertThat(stage.discovery.next()).contains("index=2&");
             second.send(query(look("2", 9000)));
-            Stage.Link pending = handshakes.take();
+            PoolerHarness.Link pending = handshakes.take();
             replica.script = rows("from-replica", "replica");
-            old.send(row("old", "replica"), Stage.READY);
+            old.send(row("old", "replica"), PoolerHarness.READY);
             assertThat(value(first.takeAnswer())).isEqualTo("old");
             welcome(pending);
             assertThat(value(second.takeAnswer())).isEqualTo("from-moved");
@@ -107,11 +107,11 @@
     void theTimeThatAnAttemptTellsItsServerCountsFromItsSending() throws Exception {
         replica.welcome = (text, link) -> handshakes.add(link);
         start();
-        try (Stage.Link c = stage.client()) {
+        try (PoolerHarness.Link c = stage.client()) {
             long sent = System.nanoTime();
             c.send(query(look("1", 9000)));
-            Stage.Link late = handshakes.take();
-            Stage.pass(sent, 600);
+            PoolerHarness.Link late = handshakes.take();
+            PoolerHarness.pass(sent, 600);
             welcome(late);
             assertThat(value(c.takeAnswer())).isEqualTo("from-replica");
             int told = Integer.parseInt(replica.next().replaceAll(".*,d=(\\d+).*", "$1"));
--- a/pooler/src/test/java/frostreel/LongValuesTest.java
+++ b/pooler/src/test/java/frostreel/LongValuesTest.java
@@ -1,8 +1,8 @@
 package frostreel;
 
-import static frostreel.Stage.host;
-import static frostreel.Stage.look;
-import static frostreel.Stage.post;
+import static frostreel.PoolerHarness.host;
+import static frostreel.PoolerHarness.look;
+import static frostreel.PoolerHarness.post;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.io.BufferedReader;
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Values too long to be held go on as they come. */
-class LongValuesTest extends Story {
+class LongValuesTest extends ClientScript {
     private static final int LONG = 4 << 20;
     private static final byte[] VALUE = new byte[LONG];
 
@@ -36,7 +36,7 @@
     /** A row's description and its head; the value is to follow. */
     private static byte[] head(int rowLength, int valueLength) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        out.writeBytes(Stage.bytes('T', "\0\1v|" + "|".repeat(18)));
+        out.writeBytes(PoolerHarness.bytes('T', "\0\1v|" + "|".repeat(18)));
         out.write('D');
         out.writeBytes(ByteBuffer.allocate(10)
                 .putInt(rowLength + 10)
@@ -50,18 +50,18 @@
 
     private static byte[] tail() {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        out.writeBytes(Stage.bytes('C', "SELECT 1|"));
-        out.writeBytes(Stage.bytes('S', "role|replica|"));
-        out.writeBytes(Stage.READY);
+        out.writeBytes(PoolerHarness.bytes('C', "SELECT 1|"));
+        out.writeBytes(PoolerHarness.bytes('S', "role|replica|"));
+        out.writeBytes(PoolerHarness.READY);
         return out.toByteArray();
     }
 
-    private static Stage.Script whole(byte[] value) {
+    private static PoolerHarness.Script whole(byte[] value) {
         return (text, link) -> link.send(head(value.length, value.length), value, TAIL);
     }
 
     /** Reads an answer's description and the row's head, up to the value. */
-    private static void begin(Stage.Link c, int length) throws IOException {
+    private static void begin(PoolerHarness.Link c, int length) throws IOException {
         assertThat(c.take()).startsWith("T");
         assertThat(c.in.readUnsignedByte()).isEqualTo('D');
         assertThat(c.in.readInt()).isEqualTo(length + 10);
@@ -69,7 +69,7 @@
         assertThat(c.in.readInt()).isEqualTo(length);
     }
 
-    private static void end(Stage.Link c) throws IOException {
+    private static void end(PoolerHarness.Link c) throws IOException {
         assertThat(c.take()).startsWith("C");
         assertThat(c.take()).startsWith("Z");
     }
@@ -85,8 +85,8 @@
                 link.out.write(b);
             }
         };
-        try (Stage.Link c = stage.client()) {
-            c.send(Stage.query(look("1", 9000)), Stage.query(post("2", 9000)));
+        try (PoolerHarness.Link c = stage.client()) {
+            c.send(PoolerHarness.query(look("1", 9000)), PoolerHarness.query(post("2", 9000)));
             begin(c, LONG);
             assertThat(c.in.readNBytes(100)).isEqualTo(Arrays.copyOf(VALUE, 100));
             first.countDown();
@@ -94,7 +94,7 @@
             end(c);
             assertThat(c.takeAnswer().get(1)).endsWith("from-primary");
             replica.script = whole(VALUE);
-            c.send(Stage.query(look("3", 9000)));
+            c.send(PoolerHarness.query(look("3", 9000)));
             begin(c, LONG);
             assertThat(c.in.readNBytes(LONG)).isEqualTo(VALUE);
             end(c);
@@ -119,8 +119,8 @@
             link.send(head(LONG, LONG), Arrays.copyOf(VALUE, LONG / 2));
             link.close();
         };
-        try (Stage.Link c = stage.client()) {
-            c.send(Stage.query(look("1", 9000)));
+        try (PoolerHarness.Link c = stage.client()) {
+            c.send(PoolerHarness.query(look("1", 9000)));
             begin(c, LONG);
             assertThat(c.in.readNBytes(LONG).length).isLessThanOrEqualTo(LONG / 2);
             assertThat(c.endsNext()).isTrue();
@@ -132,9 +132,10 @@
 
     @Test
     void anErrorBehindAValueEndsTheClientsConnection() throws Exception {
-        replica.script = (text, link) -> link.send(head(LONG, LONG), VALUE, Stage.error("XX000"), Stage.READY);
-        try (Stage.Link c = stage.client()) {
-            c.send(Stage.query(look("1", 9000)));
+        replica.script =
+                (text, link) -> link.send(head(LONG, LONG), VALUE, PoolerHarness.error("XX000"), PoolerHarness.READY);
+        try (PoolerHarness.Link c = stage.client()) {
+            c.send(PoolerHarness.query(look("1", 9000)));
             begin(c, LONG);
             c.in.readNBytes(LONG);
             assertThat(c.endsNext()).isTrue();
@@ -148,13 +149,13 @@
             link.send(head(LONG, LONG), Arrays.copyOf(VALUE, LONG / 2));
             await(first);
         };
-        try (Stage.Link c = stage.client()) {
-            c.send(Stage.query(look("1", 9000)));
+        try (PoolerHarness.Link c = stage.client()) {
+            c.send(PoolerHarness.query(look("1", 9000)));
             begin(c, LONG);
         }
         first.countDown();
         replica.ended.take();
-        try (Stage.Link c = stage.client()) {
+        try (PoolerHarness.Link c = stage.client()) {
             assertThat(c.ask(post("2", 9000)).get(1)).endsWith("from-primary");
         }
     }
@@ -162,7 +163,7 @@
     @Test
     void aRowWhoseValueDoesNotFitItIsNotPassedOn() throws Exception {
         replica.script = (text, link) -> link.send(head(LONG, LONG - 1), VALUE, TAIL);
-        try (Stage.Link c = stage.client()) {
+        try (PoolerHarness.Link c = stage.client()) {
             assertThat(c.ask(look("1", 9000)).get(1)).endsWith("from-primary");
         }
     }
@@ -183,15 +184,15 @@
                 whole(VALUE).answer(text, link);
             }
         };
-        try (Stage.Link slow = stage.client();
-                Stage.Link drip = stage.client();
-                Stage.Link quick = stage.client()) {
-            slow.send(Stage.query(look("slow", 9000)));
-            drip.send(Stage.query(look("drip", 9000)));
+        try (PoolerHarness.Link slow = stage.client();
+                PoolerHarness.Link drip = stage.client();
+                PoolerHarness.Link quick = stage.client()) {
+            slow.send(PoolerHarness.query(look("slow", 9000)));
+            drip.send(PoolerHarness.query(look("drip", 9000)));
             begin(slow, LONG);
             begin(drip, LONG);
             for (int i = 0; i < 5; i++) {
-                quick.send(Stage.query(look("quick" + i, 9000)));
+                quick.send(PoolerHarness.query(look("quick" + i, 9000)));
                 begin(quick, LONG);
                 assertThat(quick.in.readNBytes(LONG)).isEqualTo(VALUE);
                 end(quick);
@@ -242,26 +243,26 @@
                         "serve")
                 .redirectErrorStream(true);
         builder.environment()
-                .putAll(Stage.environment(Stage.configuration(
+                .putAll(PoolerHarness.environment(PoolerHarness.configuration(
                                 stage.discovery.address(),
                                 host("a", primary, "primary", "Ready"),
                                 host("b", replica, "replica", "Ready"))
                         .replace("\"sockets\":128", "\"sockets\":512")));
         Process program = builder.start();
-        List<Stage.Link> all = new ArrayList<>();
+        List<PoolerHarness.Link> all = new ArrayList<>();
         try (BufferedReader log = program.inputReader()) {
             int port = port(log);
             for (int i = 0; i < clients; i++) {
-                Stage.Link c = new Stage.Link(new Socket("127.0.0.1", port));
+                PoolerHarness.Link c = new PoolerHarness.Link(new Socket("127.0.0.1", port));
                 all.add(c);
-                c.send(Stage.startup());
+                c.send(PoolerHarness.startup());
                 c.takeAnswer();
-                c.send(Stage.query(look("n" + i, 9000)));
+                c.send(PoolerHarness.query(look("n" + i, 9000)));
             }
-            for (Stage.Link c : all) {
+            for (PoolerHarness.Link c : all) {
                 begin(c, parts * part.length);
             }
-            for (Stage.Link c : all) {
+            for (PoolerHarness.Link c : all) {
                 for (int i = 0; i < parts; i++) {
                     assertThat(Arrays.equals(c.in.readNBytes(part.length), part))
                             .isTrue();
@@ -269,7 +270,7 @@
                 end(c);
             }
         } finally {
-            for (Stage.Link c : all) {
+            for (PoolerHarness.Link c : all) {
                 c.close();
             }
             program.destroyForcibly().waitFor();
--- a/pooler/src/test/java/frostreel/OperatorCommandsTest.java
+++ b/pooler/src/test/java/frostreel/OperatorCommandsTest.java
@@ -1,10 +1,10 @@
 package frostreel;
 
-import static frostreel.Stage.errors;
-import static frostreel.Stage.host;
-import static frostreel.Stage.list;
-import static frostreel.Stage.look;
-import static frostreel.Stage.post;
+import static frostreel.PoolerHarness.errors;
+import static frostreel.PoolerHarness.host;
+import static frostreel.PoolerHarness.list;
+import static frostreel.PoolerHarness.look;
+import static frostreel.PoolerHarness.post;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import frostreel.config.Config;
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What operators call for, over sockets. */
-class OperatorCommandsTest extends Story {
+class OperatorCommandsTest extends ClientScript {
     @BeforeEach
     void begin() throws Exception {
         start();
@@ -26,7 +26,7 @@
 
     @Test
     void aServerTakenOutGetsNothingNewThoughDiscoveryListsItUntilItIsCalledBack() throws Exception {
-        try (Stage.Link c = stage.client()) {
+        try (PoolerHarness.Link c = stage.client()) {
             assertThat(value(c.ask(look("1", 9000)))).isEqualTo("from-replica");
             assertThat(stage.call("SUSPEND b")).isEqualTo("OK\n");
             assertThat(value(c.ask(look("2", 9000)))).isEqualTo("from-primary");
@@ -49,9 +49,9 @@
 
     @Test
     void aWriteWhosePrimaryIsTakenOutIsRefusedAndNeverReachesIt() throws Exception {
-        replica.script = Stage.errors("25006", "replica");
+        replica.script = PoolerHarness.errors("25006", "replica");
         assertThat(stage.call("SUSPEND a")).isEqualTo("OK\n");
-        try (Stage.Link c = stage.client()) {
+        try (PoolerHarness.Link c = stage.client()) {
             assertThat(c.ask(post("1", 600))).singleElement().asString().contains("|C53300|");
             assertThat(primary.heard).isEmpty();
         }
@@ -86,13 +86,13 @@
 
     @Test
     void emptiedItSaysNoAndClosesItsClientsAfterTheirAnswersThenServesAgain() throws Exception {
-        try (Stage.Link kept = stage.client();
-                Stage.Link idle = stage.client()) {
+        try (PoolerHarness.Link kept = stage.client();
+                PoolerHarness.Link idle = stage.client()) {
             kept.ask(look("1", 9000));
             idle.ask(look("2", 9000));
             assertThat(stage.call("PAUSE")).isEqualTo("OK\n");
             assertThat(stage.call("STATUS")).startsWith("ERR ");
-            try (Stage.Link late = stage.client()) {
+            try (PoolerHarness.Link late = stage.client()) {
                 assertThat(value(late.ask(look("3", 9000))))
                         .as("still dealt out")
                         .isNotEmpty();
@@ -103,7 +103,7 @@
             assertThat(idle.endsNext()).isTrue();
             assertThat(stage.call("PAUSE")).isEqualTo("OK\n");
             assertThat(stage.call("RESUME")).isEqualTo("OK\n");
-            try (Stage.Link c = stage.client()) {
+            try (PoolerHarness.Link c = stage.client()) {
                 assertThat(c.ask("")).containsExactly("I");
                 assertThat(value(c.ask(look("4", 9000)))).isNotEmpty();
             }
@@ -112,7 +112,7 @@
 
     /** Other settings of the same pooler: the class "post" is dropped, "pay" may not be repeated. */
     private static String changed(String discovery) {
-        return Stage.configuration(discovery)
+        return PoolerHarness.configuration(discovery)
                 .replace("\"name\":\"post\"", "\"name\":\"pay\"")
                 .replace("\"dedup\"", "\"fragile\"")
                 .replace("\"maxAttempts\":4", "\"maxAttempts\":1");
@@ -129,13 +129,13 @@
             } catch (InterruptedException e) {
                 throw new java.io.IOException(e);
             }
-            link.send(Stage.error("XX000"), Stage.READY);
+            link.send(PoolerHarness.error("XX000"), PoolerHarness.READY);
         };
-        try (Stage.Link open = stage.client();
-                Stage.Link later = stage.client()) {
-            open.send(Stage.query(look("1", 9000)));
+        try (PoolerHarness.Link open = stage.client();
+                PoolerHarness.Link later = stage.client()) {
+            open.send(PoolerHarness.query(look("1", 9000)));
             asked.await();
-            stage.pooler.reload(Config.load(Stage.environment(changed(stage.discovery.address()))));
+            stage.pooler.reload(Config.load(PoolerHarness.environment(changed(stage.discovery.address()))));
             while (!stage.pooler.counters().contains("reloads=1 ")) {
                 Thread.onSpinWait(); // The reload waits its turn on the I/O thread.
             }
@@ -163,7 +163,7 @@
 
     @Test
     void withAllReplicasOutReadsGoToThePrimaryAndWithTheWholeGroupOutAreRefused() throws Exception {
-        try (Stage.Link c = stage.client()) {
+        try (PoolerHarness.Link c = stage.client()) {
             assertThat(stage.call("SUSPEND b")).isEqualTo("OK\n");
             assertThat(value(c.ask(look("1", 9000)))).isEqualTo("from-primary");
             assertThat(stage.call("SUSPEND a")).isEqualTo("OK\n");
@@ -186,8 +186,8 @@
                 throw new java.io.IOException(e);
             }
         };
-        try (Stage.Link c = stage.client()) {
-            c.send(Stage.query(look("1", 9000)));
+        try (PoolerHarness.Link c = stage.client()) {
+            c.send(PoolerHarness.query(look("1", 9000)));
             welcomed.await();
             assertThat(stage.call("SUSPEND b")).isEqualTo("OK\n");
             assertThat(value(c.takeAnswer())).isEqualTo("from-primary");
@@ -209,7 +209,7 @@
         for (int i = 0; i < 5; i++) {
             stage.told.take();
         }
-        try (Stage.Link c = stage.client()) {
+        try (PoolerHarness.Link c = stage.client()) {
             for (int i = 0; i < 20; i++) {
                 assertThat(value(c.ask(look("n" + i, 9000)))).isEqualTo("from-primary");
             }
--- a/pooler/src/test/java/frostreel/PartsTest.java
+++ b/pooler/src/test/java/frostreel/PartsTest.java
@@ -52,8 +52,8 @@
     @Test
     void whatUsualClientsLeaveServesConnectionsToServers() throws Exception {
         for (int sockets : new int[] {128, 256, 384, 1024}) {
-            Config c = Config.load(Stage.environment(
-                    Stage.configuration("127.0.0.1:1", SERVER).replace("\"sockets\":128", "\"sockets\":" + sockets)));
+            Config c = Config.load(PoolerHarness.environment(PoolerHarness.configuration("127.0.0.1:1", SERVER)
+                    .replace("\"sockets\":128", "\"sockets\":" + sockets)));
             int rest = sockets - 64;
             assertThat(c.maxClients() + c.maxServerConnections()).isEqualTo(rest);
             assertThat(c.maxServerConnections()).isGreaterThanOrEqualTo(rest / 4);
@@ -81,10 +81,10 @@
                 "known",
                 "{\"seq\":1,\"hosts\":[{\"host\":\"a\",\"health\":\"Odd\"}]}");
         for (Map.Entry<String, String> bad : faults.entrySet()) {
-            String faulty = new JSONObject(Stage.configuration("127.0.0.1:1", SERVER))
+            String faulty = new JSONObject(PoolerHarness.configuration("127.0.0.1:1", SERVER))
                     .put(bad.getKey(), new JSONTokener(bad.getValue()).nextValue())
                     .toString();
-            assertThatThrownBy(() -> Config.load(Stage.environment(faulty)))
+            assertThatThrownBy(() -> Config.load(PoolerHarness.environment(faulty)))
                     .isInstanceOf(ConfigException.class)
                     .hasMessageContaining(
                             bad.getKey().equals("settings")
@@ -99,13 +99,13 @@
 
     /** The file in force, and what becomes of one that is written in its place. */
     private static void reload(String fresh) throws Exception {
-        Config inForce = Config.parse(Stage.configuration("127.0.0.1:1", SERVER), Map.of());
+        Config inForce = Config.parse(PoolerHarness.configuration("127.0.0.1:1", SERVER), Map.of());
         Config.parse(fresh, Map.of()).inPlaceOf(inForce);
     }
 
     @Test
     void aFileCutAnywhereIsTurnedDown() throws Exception {
-        String whole = Stage.configuration("127.0.0.1:2", SERVER);
+        String whole = PoolerHarness.configuration("127.0.0.1:2", SERVER);
         reload(whole);
         for (int i = 0; i < whole.length(); i++) {
             String cut = whole.substring(0, i);
@@ -116,12 +116,12 @@
     @Test
     void aFileWithoutAKeyOfTheOneInForceIsTurnedDownWithTheKeyNamed() throws Exception {
         List<String> keys = new ArrayList<>();
-        keys(new JSONObject(Stage.configuration("127.0.0.1:2", SERVER)), "", keys);
+        keys(new JSONObject(PoolerHarness.configuration("127.0.0.1:2", SERVER)), "", keys);
         assertThat(keys)
                 .hasSizeGreaterThan(40)
                 .contains("settings/classes/0/worth", "settings/caps/probes", "known/hosts/0/role");
         for (String key : keys) {
-            JSONObject cut = new JSONObject(Stage.configuration("127.0.0.1:2", SERVER));
+            JSONObject cut = new JSONObject(PoolerHarness.configuration("127.0.0.1:2", SERVER));
             String[] way = key.split("/");
             Object at = cut;
             for (int i = 0; i < way.length - 1; i++) {
@@ -155,7 +155,7 @@
 
     @Test
     void aDeadlineOrANumberOfAttemptsThatIsNoNumberAboveZeroIsTurnedDown() {
-        String whole = Stage.configuration("127.0.0.1:2", SERVER);
+        String whole = PoolerHarness.configuration("127.0.0.1:2", SERVER);
         for (String wrong : List.of("0", "-5", "\"ten\"", "\"\"", "null", "true", "{}", "[]", "NaN")) {
             assertThatThrownBy(() -> reload(whole.replaceFirst("\"deadlineS\":10", "\"deadlineS\":" + wrong)))
                     .as(wrong)
--- a/pooler/src/test/java/frostreel/PipelineTest.java
+++ b/pooler/src/test/java/frostreel/PipelineTest.java
@@ -1,10 +1,10 @@
 package frostreel;
 
-import static frostreel.Stage.look;
-import static frostreel.Stage.post;
-import static frostreel.Stage.query;
-import static frostreel.Stage.row;
-import static frostreel.Stage.rows;
+import static frostreel.PoolerHarness.look;
+import static frostreel.PoolerHarness.post;
+import static frostreel.PoolerHarness.query;
+import static frostreel.PoolerHarness.row;
+import static frostreel.PoolerHarness.rows;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import frostreel.net.ArrivalTimes;
@@ -15,13 +15,13 @@
 import org.junit.jupiter.api.Test;
 
 /** What waits behind another request of its connection has its time from its own arrival, and its turn. */
-class PipelineTest extends Story {
+class PipelineTest extends ClientScript {
     private static final int PATIENCE_MS = 300;
-    private final BlockingQueue<Stage.Link> held = new LinkedBlockingQueue<>();
+    private final BlockingQueue<PoolerHarness.Link> held = new LinkedBlockingQueue<>();
 
     /** The primary answers the first request when the test lets it. */
     private void holdFirst() throws Exception {
-        Stage.Script usual = rows("from-primary", "primary");
+        PoolerHarness.Script usual = rows("from-primary", "primary");
         primary.script = (text, link) -> {
             if (text.contains("id=first,")) {
                 held.add(link);
@@ -37,18 +37,18 @@
     }
 
     /** Returns with the server's link once all that was sent has been read and short patience is over. */
-    private Stage.Link firstIsOutAndPatienceOver() throws Exception {
-        Stage.Link link = held.take();
-        try (Stage.Link other = stage.client()) { // Come later, it is read no earlier than in the same turn.
+    private PoolerHarness.Link firstIsOutAndPatienceOver() throws Exception {
+        PoolerHarness.Link link = held.take();
+        try (PoolerHarness.Link other = stage.client()) { // Come later, it is read no earlier than in the same turn.
             other.ask("");
             other.ask("");
         }
-        Stage.pass(System.nanoTime(), PATIENCE_MS);
+        PoolerHarness.pass(System.nanoTime(), PATIENCE_MS);
         return link;
     }
 
-    private static void answerFirst(Stage.Link link) throws Exception {
-        link.send(row("of-first", "primary"), Stage.READY);
+    private static void answerFirst(PoolerHarness.Link link) throws Exception {
+        link.send(row("of-first", "primary"), PoolerHarness.READY);
     }
 
     private static void isRefused(List<String> answer) {
@@ -67,7 +67,7 @@
     @Test
     void theTimeThatARequestWaitedBehindAnotherIsNotGivenTwice() throws Exception {
         holdFirst();
-        try (Stage.Link c = stage.client()) {
+        try (PoolerHarness.Link c = stage.client()) {
             c.send(first(), query(look("dead", PATIENCE_MS)), query(look("live", 9000)));
             answerFirst(firstIsOutAndPatienceOver());
             assertThat(value(c.takeAnswer())).isEqualTo("of-first");
@@ -97,10 +97,10 @@
     @Test
     void whatWaitsAtTheEndOfTheProgramIsAnsweredInItsOrderAndThenClosed() throws Exception {
         holdFirst();
-        try (Stage.Link c = stage.client()) {
+        try (PoolerHarness.Link c = stage.client()) {
             c.send(first(), query(look("dead", PATIENCE_MS)), query(look("live", 9000)));
-            Stage.Link link = firstIsOutAndPatienceOver();
-            Thread stop = Stage.spawn(stage.pooler::stop);
+            PoolerHarness.Link link = firstIsOutAndPatienceOver();
+            Thread stop = PoolerHarness.spawn(stage.pooler::stop);
             while (stop.getState() != Thread.State.TIMED_WAITING) {
                 Thread.onSpinWait();
             }
@@ -115,8 +115,8 @@
 
     @Test
     void twoHundredCommandsOfAllKindsHaveOneAnswerEachInTheirOrder() throws Exception {
-        replica.script = (text, link) ->
-                link.send(row(text.replaceAll(".*id=(\\w+),.*", "$1").replace("|", ""), "replica"), Stage.READY);
+        replica.script = (text, link) -> link.send(
+                row(text.replaceAll(".*id=(\\w+),.*", "$1").replace("|", ""), "replica"), PoolerHarness.READY);
         holdFirst();
         ByteArrayOutputStream all = new ByteArrayOutputStream();
         all.writeBytes(first());
@@ -129,7 +129,7 @@
                         default -> "";
                     }));
         }
-        try (Stage.Link c = stage.client()) {
+        try (PoolerHarness.Link c = stage.client()) {
             c.send(all.toByteArray());
             answerFirst(firstIsOutAndPatienceOver());
             assertThat(value(c.takeAnswer())).isEqualTo("of-first");
--- a/pooler/src/test/java/frostreel/Stage.java
+++ b/pooler/src/test/java/frostreel/PoolerHarness.java
@@ -31,7 +31,7 @@
 import java.util.logging.StreamHandler;
 
 /** A pooler between scripted peers on loopback; every wait is for an event, bounded only against a hang. */
-final class Stage {
+final class PoolerHarness {
     static final int PATIENCE_S = 20;
     /** Of 128 descriptors 64 are the program's own, and usual clients leave servers a quarter of the rest. */
     static final int MAX_CLIENTS = 48;
@@ -220,7 +220,7 @@
     /** The settings of the pooler that is started. */
     String settings = SETTINGS;
 
-    Stage() throws IOException {
+    PoolerHarness() throws IOException {
         discovery = discovery(lists);
     }
 
--- a/pooler/src/test/java/frostreel/ServingTest.java
+++ b/pooler/src/test/java/frostreel/ServingTest.java
@@ -1,13 +1,13 @@
 package frostreel;
 
-import static frostreel.Stage.errors;
-import static frostreel.Stage.host;
-import static frostreel.Stage.list;
-import static frostreel.Stage.look;
-import static frostreel.Stage.post;
-import static frostreel.Stage.query;
-import static frostreel.Stage.row;
-import static frostreel.Stage.rows;
+import static frostreel.PoolerHarness.errors;
+import static frostreel.PoolerHarness.host;
+import static frostreel.PoolerHarness.list;
+import static frostreel.PoolerHarness.look;
+import static frostreel.PoolerHarness.post;
+import static frostreel.PoolerHarness.query;
+import static frostreel.PoolerHarness.row;
+import static frostreel.PoolerHarness.rows;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import frostreel.log.Logging;
@@ -33,12 +33,12 @@
 import org.junit.jupiter.api.Test;
 
 /** One story for each failure that the pooler met, or must stand. */
-class ServingTest extends Story {
+class ServingTest extends ClientScript {
     @Test
     void startupAndQueriesMayComeTogetherOneByteAtATime() throws Exception {
         start();
-        try (Stage.Link c = new Stage.Link(stage.connect())) {
-            for (byte[] part : List.of(Stage.startup(), query(look("1", 9000)), query(post("2", 9000)))) {
+        try (PoolerHarness.Link c = new PoolerHarness.Link(stage.connect())) {
+            for (byte[] part : List.of(PoolerHarness.startup(), query(look("1", 9000)), query(post("2", 9000)))) {
                 for (byte b : part) {
                     c.out.write(b);
                 }
@@ -52,7 +52,7 @@
     @Test
     void aStatementGoesOnUnchangedButForTheTimeToWait() throws Exception {
         start();
-        try (Stage.Link c = stage.client()) {
+        try (PoolerHarness.Link c = stage.client()) {
             c.ask(post("7", 8000));
             String sent = primary.next();
             int d = Integer.parseInt(sent.replaceAll(".*,d=(\\d+),.*", "$1").replace("|", ""));
@@ -66,7 +66,7 @@
         primary.script = errors("25006", "replica");
         replica.script = rows("from-new-primary", "primary");
         start();
-        try (Stage.Link c = stage.client()) {
+        try (PoolerHarness.Link c = stage.client()) {
             assertThat(value(c.ask(post("1", 9000)))).isEqualTo("from-new-primary");
             assertThat(primary.heard).hasSize(1);
             assertThat(value(c.ask(post("2", 9000)))).isEqualTo("from-new-primary");
@@ -81,7 +81,7 @@
             link.close();
         };
         start();
-        try (Stage.Link c = stage.client()) {
+        try (PoolerHarness.Link c = stage.client()) {
             assertThat(value(c.ask(look("1", 9000)))).isEqualTo("from-primary");
         }
     }
@@ -90,7 +90,7 @@
     void aServerThatRefusesConnectionsIsPassedOver() throws Exception {
         start();
         replica.close();
-        try (Stage.Link c = stage.client()) {
+        try (PoolerHarness.Link c = stage.client()) {
             assertThat(value(c.ask(look("1", 9000)))).isEqualTo("from-primary");
         }
     }
@@ -99,7 +99,7 @@
     void anErrorOnARepeatableReadIsTriedElsewhereAndTheConnectionStaysClean() throws Exception {
         replica.script = errors("XX000", "replica");
         start();
-        try (Stage.Link c = stage.client()) {
+        try (PoolerHarness.Link c = stage.client()) {
             assertThat(value(c.ask(look("1", 9000)))).isEqualTo("from-primary");
             replica.script = rows("later", "replica");
             c.ask(look("2", 9000));
@@ -112,7 +112,7 @@
         replica.script = errors("53300", "replica");
         primary.script = errors("53300", "primary");
         start();
-        try (Stage.Link c = stage.client()) {
+        try (PoolerHarness.Link c = stage.client()) {
             List<String> answer = c.ask(look("1", 300));
             assertThat(answer).singleElement().asString().contains("|C53300|").containsPattern("\\|D\\d+\\|");
         }
@@ -120,11 +120,11 @@
 
     @Test
     void aTimeOutEndsTheServersConnectionAndTheClientGetsOneAnswer() throws Exception {
-        Stage.Script silence = (text, link) -> {};
+        PoolerHarness.Script silence = (text, link) -> {};
         replica.script = silence;
         primary.script = silence;
         start();
-        try (Stage.Link c = stage.client()) {
+        try (PoolerHarness.Link c = stage.client()) {
             assertThat(c.ask(look("1", 200))).singleElement().asString().startsWith("E");
             assertThat(replica.ended.take()).isEqualTo("ended");
             replica.script = rows("back", "replica");
@@ -141,7 +141,7 @@
     void aClientThatGoesAwayFreesItsServer() throws Exception {
         replica.script = (text, link) -> {};
         start();
-        try (Stage.Link c = stage.client()) {
+        try (PoolerHarness.Link c = stage.client()) {
             c.send(query(look("1", 9000)));
             assertThat(replica.next()).contains("id=1,");
         }
@@ -151,9 +151,9 @@
     @Test
     void malformedInputEndsItsOwnConnectionAlone() throws Exception {
         start();
-        try (Stage.Link good = stage.client();
-                Stage.Link bad = stage.client();
-                Stage.Link early = new Stage.Link(stage.connect())) {
+        try (PoolerHarness.Link good = stage.client();
+                PoolerHarness.Link bad = stage.client();
+                PoolerHarness.Link early = new PoolerHarness.Link(stage.connect())) {
             bad.send(new byte[] {'Q', 127, -1, -1, -1});
             assertThat(bad.take()).startsWith("E").contains("|C08P01|");
             assertThat(bad.endsNext()).isTrue();
@@ -173,7 +173,7 @@
     void aMalformedServerCostsItsConnectionAlone() throws Exception {
         replica.script = (text, link) -> link.send(new byte[] {'T', -1, 0, 0, 0});
         start();
-        try (Stage.Link c = stage.client()) {
+        try (PoolerHarness.Link c = stage.client()) {
             assertThat(value(c.ask(look("1", 9000)))).isEqualTo("from-primary");
         }
     }
@@ -182,11 +182,11 @@
     void whatComesBehindAnAnswerIsNeverTakenForTheNextOne() throws Exception {
         replica.script = (text, link) -> {
             byte[] row = row(text.replaceAll(".*id=(\\w+),.*", "$1").replace("|", ""), "replica");
-            link.send(row, Stage.READY, row, Stage.READY);
+            link.send(row, PoolerHarness.READY, row, PoolerHarness.READY);
         };
         primary.script = replica.script;
         start();
-        try (Stage.Link c = stage.client()) {
+        try (PoolerHarness.Link c = stage.client()) {
             for (int i = 0; i < 20; i++) {
                 assertThat(value(c.ask(look("id" + i, 9000)))).isEqualTo("id" + i);
             }
@@ -208,13 +208,13 @@
                 tooLong,
                 new byte[] {'D', 127, -1, -1, -1},
                 new byte[] {'%', 0, 0, 1, 0},
-                Stage.bytes('C', "SELECT 1|"),
-                Stage.bytes('E', "Cunended"),
-                Stage.bytes('Z', "II"));
+                PoolerHarness.bytes('C', "SELECT 1|"),
+                PoolerHarness.bytes('E', "Cunended"),
+                PoolerHarness.bytes('Z', "II"));
         start();
-        try (Stage.Link c = stage.client()) {
+        try (PoolerHarness.Link c = stage.client()) {
             for (byte[] answer : spoilt) {
-                replica.script = (text, link) -> link.send(answer, Stage.READY);
+                replica.script = (text, link) -> link.send(answer, PoolerHarness.READY);
                 List<String> got = c.ask(look("1", 9000));
                 assertThat(got).as("%s", new String(answer)).hasSize(3);
                 assertThat(value(got)).isEqualTo("from-primary");
@@ -227,12 +227,12 @@
     void aReportThatCannotBeReadIsDroppedAndTheValueServed() throws Exception {
         replica.script = (text, link) -> link.send(
                 row("good", "replica"),
-                Stage.bytes('S', "load|x0=,util=?|"),
-                Stage.bytes('S', "applied_ms|soon|"),
-                Stage.bytes('S', "unended"),
-                Stage.READY);
+                PoolerHarness.bytes('S', "load|x0=,util=?|"),
+                PoolerHarness.bytes('S', "applied_ms|soon|"),
+                PoolerHarness.bytes('S', "unended"),
+                PoolerHarness.READY);
         start();
-        try (Stage.Link c = stage.client()) {
+        try (PoolerHarness.Link c = stage.client()) {
             assertThat(value(c.ask(look("1", 9000)))).isEqualTo("good");
             assertThat(stage.pooler.counters()).contains("unread_reports=3 ").contains("malformed=0 ");
         }
@@ -244,7 +244,7 @@
         replica.script = rows(large, "replica");
         start();
         int n = 60;
-        try (Stage.Link c = stage.client()) {
+        try (PoolerHarness.Link c = stage.client()) {
             for (int i = 0; i < n; i++) {
                 c.send(query(look("q" + i, 9000)));
             }
@@ -258,30 +258,30 @@
     void atTheCapIdleClientsMakeRoomForNewOnes() throws Exception {
         stage.allMayWait = true;
         start();
-        try (Stage.Link leaver = stage.client()) {
-            leaver.send(Stage.bytes('X', "")); // One that has left must not be taken for an idle one.
+        try (PoolerHarness.Link leaver = stage.client()) {
+            leaver.send(PoolerHarness.bytes('X', "")); // One that has left must not be taken for an idle one.
             assertThat(leaver.endsNext()).isTrue();
         }
-        List<Stage.Link> clients = new ArrayList<>();
-        int idle = Stage.USUAL_CLIENTS / 3 - 1; // One more comes, and none is spared before it.
+        List<PoolerHarness.Link> clients = new ArrayList<>();
+        int idle = PoolerHarness.USUAL_CLIENTS / 3 - 1; // One more comes, and none is spared before it.
         for (int i = 0; i < idle; i++) {
             clients.add(stage.client());
             assertThat(value(clients.get(i).ask(look("c" + i, 9000)))).isEqualTo("from-replica");
         }
         replica.script = (text, link) -> {};
         primary.script = replica.script;
-        for (int i = idle; i < Stage.MAX_CLIENTS - 16; i++) { // These hold their places by a request in hand.
+        for (int i = idle; i < PoolerHarness.MAX_CLIENTS - 16; i++) { // These hold their places by a request in hand.
             clients.add(stage.client());
             clients.get(i).send(query(look("c" + i, 9000)));
         }
-        try (Stage.Link late = stage.client()) { // Once the first has been idle for long enough.
+        try (PoolerHarness.Link late = stage.client()) { // Once the first has been idle for long enough.
             assertThat(late.ask("")).containsExactly("I");
             assertThat(clients.get(0).endsNext()).isTrue();
         }
         while (!stage.pooler.counters().contains(" clients_evicted=1 clients_spared=0 ")) {
             Thread.onSpinWait(); // The client sees its end before the pooler counts it.
         }
-        for (Stage.Link c : clients) {
+        for (PoolerHarness.Link c : clients) {
             c.close();
         }
     }
@@ -289,20 +289,20 @@
     @Test
     void clientsThatAskOnceAndStayLeavePlacesForOthersAndInCalmAllStay() throws Exception {
         start();
-        try (Stage.Link leaver = stage.client()) { // The one that saw the pooler become ready has gone, too.
-            leaver.send(Stage.bytes('X', ""));
+        try (PoolerHarness.Link leaver = stage.client()) { // The one that saw the pooler become ready has gone, too.
+            leaver.send(PoolerHarness.bytes('X', ""));
             assertThat(leaver.endsNext()).isTrue();
         }
-        List<Stage.Link> clients = new ArrayList<>();
-        int calm = Stage.USUAL_CLIENTS * 3 / 4;
-        for (int i = 0; i < Stage.USUAL_CLIENTS; i++) {
+        List<PoolerHarness.Link> clients = new ArrayList<>();
+        int calm = PoolerHarness.USUAL_CLIENTS * 3 / 4;
+        for (int i = 0; i < PoolerHarness.USUAL_CLIENTS; i++) {
             clients.add(stage.client());
             assertThat(value(clients.get(i).ask(look("c" + i, 9000)))).isEqualTo("from-replica");
             if (i < calm) {
                 assertThat(stage.pooler.counters()).contains(" clients_spared=0 ");
             }
         }
-        int closed = Stage.USUAL_CLIENTS - calm;
+        int closed = PoolerHarness.USUAL_CLIENTS - calm;
         while (!stage.pooler.counters().contains(" clients_spared=" + closed + " ")) {
             Thread.onSpinWait(); // The last answer comes before the next is spared.
         }
@@ -312,7 +312,7 @@
         for (int i = closed; i < clients.size(); i++) {
             assertThat(value(clients.get(i).ask(look("d" + i, 9000)))).isEqualTo("from-replica");
         }
-        for (Stage.Link c : clients) {
+        for (PoolerHarness.Link c : clients) {
             c.close();
         }
     }
@@ -321,40 +321,40 @@
     void anIdleClientWhoseRequestWaitsUnreadIsNotClosedButAnswered() throws Exception {
         primary.script = (text, link) -> {
             if (!text.startsWith("QINSERT")) {
-                link.send(row("from-primary", "primary"), Stage.READY);
+                link.send(row("from-primary", "primary"), PoolerHarness.READY);
             }
         };
         start();
-        List<Stage.Link> idle = new ArrayList<>();
-        List<Stage.Link> others = new ArrayList<>();
-        for (int i = 0; i < Stage.USUAL_CLIENTS / 3; i++) {
+        List<PoolerHarness.Link> idle = new ArrayList<>();
+        List<PoolerHarness.Link> others = new ArrayList<>();
+        for (int i = 0; i < PoolerHarness.USUAL_CLIENTS / 3; i++) {
             idle.add(stage.client());
             assertThat(value(idle.get(i).ask(look("c" + i, 9000)))).isEqualTo("from-replica");
         }
-        for (int i = idle.size(); i < Stage.USUAL_CLIENTS * 3 / 4 - 1; i++) { // With a request, not idle.
+        for (int i = idle.size(); i < PoolerHarness.USUAL_CLIENTS * 3 / 4 - 1; i++) { // With a request, not idle.
             others.add(stage.client());
             others.get(others.size() - 1).send(query(post("p" + i, 9000)));
         }
-        List<Stage.Link> late = List.of(stage.client(), stage.client());
+        List<PoolerHarness.Link> late = List.of(stage.client(), stage.client());
         int longest = late.size() + 2; // So many are looked at, and more than those that might be closed.
         // The I/O thread stands still while all of them ask, the late ones what is answered at once.
         stage.whileItStandsStill(() -> {
-            for (Stage.Link c : late) {
+            for (PoolerHarness.Link c : late) {
                 c.send(query(""));
             }
             for (int i = 0; i < longest; i++) {
                 idle.get(i).send(query(look("d" + i, 9000)));
             }
         });
-        for (Stage.Link c : idle.subList(0, longest)) {
+        for (PoolerHarness.Link c : idle.subList(0, longest)) {
             assertThat(value(c.takeAnswer())).startsWith("from-");
         }
-        for (Stage.Link c : late) {
+        for (PoolerHarness.Link c : late) {
             assertThat(c.takeAnswer()).containsExactly("I");
         }
         others.addAll(idle);
         others.addAll(late);
-        for (Stage.Link c : others) {
+        for (PoolerHarness.Link c : others) {
             c.close();
         }
     }
@@ -362,19 +362,19 @@
     @Test
     void silentClientsKeepNobodyOutAndAreToldAndClosed() throws Exception {
         start();
-        List<Stage.Link> silent = new ArrayList<>();
-        for (int i = 0; i < 2 * Stage.MAX_CLIENTS; i++) {
-            silent.add(new Stage.Link(stage.connect()));
+        List<PoolerHarness.Link> silent = new ArrayList<>();
+        for (int i = 0; i < 2 * PoolerHarness.MAX_CLIENTS; i++) {
+            silent.add(new PoolerHarness.Link(stage.connect()));
         }
-        try (Stage.Link c = stage.client()) {
+        try (PoolerHarness.Link c = stage.client()) {
             assertThat(value(c.ask(look("1", 9000)))).isEqualTo("from-replica");
         }
-        Stage.Link last = silent.get(silent.size() - 1);
-        last.send(Stage.startup(), java.util.Arrays.copyOf(query(look("2", 9000)), 40));
+        PoolerHarness.Link last = silent.get(silent.size() - 1);
+        last.send(PoolerHarness.startup(), java.util.Arrays.copyOf(query(look("2", 9000)), 40));
         last.takeAnswer();
         assertThat(last.take()).startsWith("E").contains("|C57P05|");
         assertThat(last.endsNext()).isTrue();
-        for (Stage.Link c : silent) {
+        for (PoolerHarness.Link c : silent) {
             c.close();
         }
         assertThat(stage.pooler.counters()).contains(" requests=1 ");
@@ -384,8 +384,8 @@
     void theIdOfAnOpenRequestIsNotSentASecondTime() throws Exception {
         replica.script = (text, link) -> {};
         start();
-        try (Stage.Link c = stage.client();
-                Stage.Link thief = stage.client()) {
+        try (PoolerHarness.Link c = stage.client();
+                PoolerHarness.Link thief = stage.client()) {
             c.send(query(look("1", 9000)));
             assertThat(replica.next()).contains("id=1,");
             assertThat(thief.ask(look("1", 9000))).singleElement().asString().contains("|C22023|");
@@ -396,7 +396,7 @@
     @Test
     void aStatementInNeitherFormReachesNoServer() throws Exception {
         start();
-        try (Stage.Link c = stage.client()) {
+        try (PoolerHarness.Link c = stage.client()) {
             for (String bad : List.of(
                     look("1", 9000) + ";",
                     look("1", 9000).replace("records", "accounts"),
@@ -417,7 +417,7 @@
     @Test
     void theErrorArrivesThoughMuchIsStillUnread() throws Exception {
         start();
-        try (Stage.Link c = stage.client()) {
+        try (PoolerHarness.Link c = stage.client()) {
             c.send(new byte[] {'Q', 3, -1, -1, -1}, new byte[900_000]);
             assertThat(c.take()).startsWith("E").contains("|C08P01|");
             assertThat(c.endsNext()).isTrue();
@@ -430,8 +430,8 @@
         replica.script = (text, link) -> {};
         primary.script = replica.script;
         start();
-        List<Stage.Link> clients = new ArrayList<>();
-        int busy = Stage.MAX_CLIENTS - 16;
+        List<PoolerHarness.Link> clients = new ArrayList<>();
+        int busy = PoolerHarness.MAX_CLIENTS - 16;
         for (int i = 0; i < busy; i++) {
             clients.add(stage.client());
             clients.get(i).send(query(look("c" + i, 9000)));
@@ -443,7 +443,7 @@
         List<String> answer = clients.get(busy).ask(look("last", 9000));
         assertThat(answer).singleElement().asString().contains("|C53300|").containsPattern("\\|D\\d+\\|");
         assertThat(stage.pooler.counters()).contains(" crowded_out=1 ");
-        for (Stage.Link c : clients) {
+        for (PoolerHarness.Link c : clients) {
             c.close();
         }
     }
@@ -451,7 +451,7 @@
     @Test
     void countersAreShownOnRequest() throws Exception {
         start();
-        try (Stage.Link c = stage.client()) {
+        try (PoolerHarness.Link c = stage.client()) {
             c.ask(look("1", 9000));
             assertThat(value(c.ask("SHOW stats")))
                     .contains(" requests=1 ")
@@ -468,13 +468,14 @@
                 new OperatorSettings.Zones(List.of(new OperatorSettings.Tier(List.of(), 1)), 2),
                 null);
         start();
-        try (Stage.Link c = stage.client()) {
+        try (PoolerHarness.Link c = stage.client()) {
             assertThat(value(c.ask(look("1", 9000)))).isEqualTo("from-replica");
             assertThat(value(c.ask("SHOW zones")))
                     .contains("sent_by_tier=[1, 0]")
                     .contains("areas={0={UP=1}}");
             stage.pooler.reload(
-                    frostreel.config.Config.load(Stage.environment(Stage.configuration(stage.discovery.address()))),
+                    frostreel.config.Config.load(
+                            PoolerHarness.environment(PoolerHarness.configuration(stage.discovery.address()))),
                     stage.operators);
             while (!value(c.ask("SHOW zones")).contains("sent_by_tier=[0, 0]")) {
                 Thread.onSpinWait(); // The reload waits its turn on the I/O thread.
@@ -485,7 +486,7 @@
     @Test
     void readyOnlyOnceTheListIsKnown() throws Exception {
         stage.startSilent();
-        try (Stage.Link c = stage.client()) {
+        try (PoolerHarness.Link c = stage.client()) {
             assertThat(c.ask("")).singleElement().asString().contains("|C57P03|");
             stage.lists.add(list(1, true, host("a", primary, "primary", "Ready")));
             // The next call comes right after the list was taken.
@@ -503,9 +504,9 @@
     @Test
     void withAllServerConnectionsTakenTheLongestIdleMakesRoomWhoseverItIs() throws Exception {
         List<String> order = List.of("d", "c", "b", "a", "e"); // Not the order of any table of names.
-        Map<String, Stage.Peer> servers = new HashMap<>();
+        Map<String, PoolerHarness.Peer> servers = new HashMap<>();
         List<String> hosts = new ArrayList<>();
-        int atOnce = Stage.MAX_SERVERS / 4;
+        int atOnce = PoolerHarness.MAX_SERVERS / 4;
         for (String id : order) {
             CountDownLatch together = new CountDownLatch(id.equals("e") ? 1 : atOnce);
             servers.put(id, stage.server((text, link) -> {
@@ -515,26 +516,26 @@
                 } catch (InterruptedException ended) {
                     throw new IOException(ended);
                 }
-                link.send(row(id, "primary"), Stage.READY);
+                link.send(row(id, "primary"), PoolerHarness.READY);
             }));
             hosts.add(host(id, servers.get(id), "primary", "Ready")
                     .replace("\"block\":2", "\"block\":" + (int) id.charAt(0)));
         }
         stage.start(hosts.toArray(String[]::new));
         for (String id : order) {
-            List<Stage.Link> clients = new ArrayList<>();
+            List<PoolerHarness.Link> clients = new ArrayList<>();
             for (int i = 0; i < (id.equals("e") ? 1 : atOnce); i++) {
                 clients.add(stage.client());
                 clients.get(i).send(query(post(id + i, 9000).replace("cluster=2", "cluster=" + (int) id.charAt(0))));
             }
-            for (Stage.Link c : clients) {
+            for (PoolerHarness.Link c : clients) {
                 assertThat(value(c.takeAnswer())).isEqualTo(id);
                 c.close();
             }
         }
         assertThat(servers.get("d").ended.take()).isEqualTo("ended");
         assertThat(stage.pooler.counters())
-                .contains("server_connections=" + (Stage.MAX_SERVERS + 1) + " ")
+                .contains("server_connections=" + (PoolerHarness.MAX_SERVERS + 1) + " ")
                 .contains("server_connections_evicted=1 ");
         for (String id : List.of("c", "b", "a", "e")) {
             assertThat(servers.get(id).ended).as(id).isEmpty();
@@ -546,7 +547,7 @@
     void startedWithAListItServesWithoutDiscoveryAndAsksOnlyForWhatChanged() throws Exception {
         stage.startSilent(host("a", primary, "primary", "Ready"), host("b", replica, "replica", "Ready"));
         assertThat(stage.discovery.next()).startsWith("GET /discovery/hosts?index=0&wait=1 ");
-        try (Stage.Link c = stage.client()) {
+        try (PoolerHarness.Link c = stage.client()) {
             untilReady(c);
             assertThat(value(c.ask(look("1", 9000)))).isEqualTo("from-replica");
             stage.lists.add(list(7, false, host("b", replica, "replica", "Terminating")));
@@ -561,7 +562,7 @@
     void nothingIsSentByTheListFromTheStartBeforeDiscoveryToldWhatChangedSince() throws Exception {
         stage.knownPatienceUs = Long.MAX_VALUE / 8;
         stage.startSilent(host("a", primary, "primary", "Ready"), host("b", replica, "replica", "Ready"));
-        try (Stage.Link c = stage.client()) {
+        try (PoolerHarness.Link c = stage.client()) {
             assertThat(c.ask("")).singleElement().asString().contains("|C57P03|");
             assertThat(c.ask(look("1", 9000))).singleElement().asString().contains("|C53300|");
             stage.lists.add(list(7, false, host("b", replica, "replica", "Terminating")));
@@ -572,7 +573,7 @@
         assertThat(stage.pooler.counters()).contains(" attempts=1 ");
     }
 
-    private static void untilReady(Stage.Link c) throws IOException {
+    private static void untilReady(PoolerHarness.Link c) throws IOException {
         for (List<String> answer = c.ask(""); !answer.equals(List.of("I")); answer = c.ask("")) {
             assertThat(answer).singleElement().asString().contains("|C57P03|");
         }
@@ -591,7 +592,7 @@
     @Test
     void aServerThatDrainsGetsNothingNew() throws Exception {
         start();
-        try (Stage.Link c = stage.client()) {
+        try (PoolerHarness.Link c = stage.client()) {
             c.ask(look("1", 9000));
             assertThat(replica.heard).hasSize(1);
             stage.discovery.next();
@@ -607,12 +608,12 @@
     /** Its handshake may last longer than the rule on drains allows, and the request would follow it. */
     @Test
     void whatWaitsForAConnectionGoesElsewhereOnceItsServerDrainsOrMoves() throws Exception {
-        Stage.Peer moved = stage.server(rows("from-moved", "replica"));
+        PoolerHarness.Peer moved = stage.server(rows("from-moved", "replica"));
         replica.welcome = (text, link) -> replica.heard.add("a handshake that does not end");
         start();
         stage.discovery.next();
         stage.discovery.next();
-        try (Stage.Link c = stage.client()) {
+        try (PoolerHarness.Link c = stage.client()) {
             c.send(query(look("1", 9000)));
             assertThat(replica.next()).isEqualTo("a handshake that does not end");
             stage.lists.add(list(2, false, host("b", replica, "replica", "Terminating")));
@@ -635,11 +636,11 @@
     @Test
     void aServerThatEndsItsConnectionsBehindTheirHandshakeKeepsNoRequestWaiting() throws Exception {
         replica.welcome = (text, link) -> {
-            link.send(Stage.bytes('R', new byte[4]), Stage.READY);
+            link.send(PoolerHarness.bytes('R', new byte[4]), PoolerHarness.READY);
             link.close();
         };
         start();
-        try (Stage.Link c = stage.client()) {
+        try (PoolerHarness.Link c = stage.client()) {
             for (int i = 0; i < 50; i++) {
                 assertThat(value(c.ask(look("id" + i, 9000)))).isEqualTo("from-primary");
             }
@@ -655,7 +656,7 @@
         while (stage.pooler.counters().contains("discovery_failures=0 ")) {
             Thread.onSpinWait();
         }
-        try (Stage.Link c = stage.client()) {
+        try (PoolerHarness.Link c = stage.client()) {
             assertThat(value(c.ask(look("1", 9000)))).isEqualTo("from-replica");
         }
     }
@@ -663,29 +664,29 @@
     @Test
     void aHangupTakesTheNewDiscoveryAndNeverEndsTheProgram() throws Exception {
         BlockingQueue<String> lists = new LinkedBlockingQueue<>();
-        Stage.Peer next = stage.discovery(lists);
+        PoolerHarness.Peer next = stage.discovery(lists);
         Map<String, String> environment =
-                new HashMap<>(Stage.environment(Stage.configuration(stage.discovery.address())));
+                new HashMap<>(PoolerHarness.environment(PoolerHarness.configuration(stage.discovery.address())));
         Path file = Path.of(environment.get("GW_CONFIG"));
         environment.put("GW_DISCOVERY", stage.discovery.address()); // As old as the start: the file must win.
-        Process program = Stage.program(environment);
+        Process program = PoolerHarness.program(environment);
         try (BufferedReader log = program.errorReader()) {
             stage.lists.add(list(7, true));
-            Stage.await(log, "ready");
-            Files.writeString(file, Stage.configuration(next.address()).replace("\"n0\"", "7"));
-            Stage.hangUp(program);
-            Stage.await(log, "field 'name' is not text; the configuration in force is kept");
-            Files.writeString(file, Stage.configuration(next.address()));
-            Stage.hangUp(program);
+            PoolerHarness.await(log, "ready");
+            Files.writeString(file, PoolerHarness.configuration(next.address()).replace("\"n0\"", "7"));
+            PoolerHarness.hangUp(program);
+            PoolerHarness.await(log, "field 'name' is not text; the configuration in force is kept");
+            Files.writeString(file, PoolerHarness.configuration(next.address()));
+            PoolerHarness.hangUp(program);
             assertThat(next.next()).startsWith("GET /discovery/hosts HTTP"); // The whole list.
             lists.add(list(3, true));
             assertThat(next.next()).contains("index=3&");
             stage.lists.add(list(8, true)); // To a watch that went on, it would bring its next call.
             stage.discovery.ended.take(); // The old watch has really ended.
-            Stage.hangUp(program);
+            PoolerHarness.hangUp(program);
             program.toHandle().destroy(); // Its streams stay open.
-            Stage.hangUp(program);
-            Stage.await(log, "stopping");
+            PoolerHarness.hangUp(program);
+            PoolerHarness.await(log, "stopping");
             assertThat(program.waitFor()).isEqualTo(143); // By SIGTERM, after its end in order.
         } finally {
             program.destroyForcibly();
@@ -694,7 +695,8 @@
 
     @Test
     void aStartWithHangupsIgnoredIsToldOf() throws Exception {
-        Map<String, String> environment = Stage.environment(Stage.configuration(stage.discovery.address()));
+        Map<String, String> environment =
+                PoolerHarness.environment(PoolerHarness.configuration(stage.discovery.address()));
         ProcessBuilder builder = new ProcessBuilder(
                 "/bin/sh",
                 "-c",
@@ -708,7 +710,7 @@
         builder.environment().putAll(environment);
         Process program = builder.start();
         try (BufferedReader log = program.errorReader()) {
-            Stage.await(log, "SIGHUP was ignored at the start");
+            PoolerHarness.await(log, "SIGHUP was ignored at the start");
         } finally {
             program.destroyForcibly();
         }
@@ -719,17 +721,19 @@
         Path settings = Files.createTempFile("settings", ".xml");
         String good = "<frostreel xmlns=\"urn:frostreel:settings:1\"><log format=\"json\"/></frostreel>";
         Files.writeString(settings, good);
-        Process program = Stage.program(
-                Stage.environment(Stage.configuration(stage.discovery.address())), "--settings", settings.toString());
+        Process program = PoolerHarness.program(
+                PoolerHarness.environment(PoolerHarness.configuration(stage.discovery.address())),
+                "--settings",
+                settings.toString());
         try (BufferedReader log = program.errorReader()) {
             stage.lists.add(list(7, true));
-            Stage.await(log, "\"message\":\"ready\"");
+            PoolerHarness.await(log, "\"message\":\"ready\"");
             Files.writeString(settings, good.replace("json", "xml"));
-            Stage.hangUp(program);
-            Stage.await(log, "frostreel/log@format"); // Told in JSON still.
+            PoolerHarness.hangUp(program);
+            PoolerHarness.await(log, "frostreel/log@format"); // Told in JSON still.
             Files.writeString(settings, good.replace("json", "text"));
-            Stage.hangUp(program);
-            Stage.await(log, "INFO frostreel.cli.Serve: the settings of");
+            PoolerHarness.hangUp(program);
+            PoolerHarness.await(log, "INFO frostreel.cli.Serve: the settings of");
         } finally {
             program.destroyForcibly();
         }
@@ -743,21 +747,21 @@
     /** What comes first on its sockets is the request, then the list: the order that would mislead it. */
     @Test
     void aPausedProcessThatWakesKnowsWhatDiscoveryToldBeforeItSends() throws Exception {
-        Process program = Stage.program(Stage.environment(Stage.configuration(
+        Process program = PoolerHarness.program(PoolerHarness.environment(PoolerHarness.configuration(
                 stage.discovery.address(),
                 host("a", primary, "primary", "Ready"),
                 host("b", replica, "replica", "Ready"))));
         try (BufferedReader log = program.errorReader()) {
             stage.lists.add(list(1, false));
-            String listening = Stage.await(log, "listening on /127.0.0.1:");
-            Stage.await(log, "ready");
+            String listening = PoolerHarness.await(log, "listening on /127.0.0.1:");
+            PoolerHarness.await(log, "ready");
             assertThat(stage.told.take()).isEqualTo("told");
             int port = Integer.parseInt(listening.replaceAll(".*127.0.0.1:(\\d+) .*", "$1"));
-            try (Stage.Link c = new Stage.Link(new Socket("127.0.0.1", port))) {
-                c.send(Stage.startup());
+            try (PoolerHarness.Link c = new PoolerHarness.Link(new Socket("127.0.0.1", port))) {
+                c.send(PoolerHarness.startup());
                 c.takeAnswer();
                 assertThat(value(c.ask(look("1", 9000)))).isEqualTo("from-replica");
-                Stage.signal(program, "STOP");
+                PoolerHarness.signal(program, "STOP");
                 while (!Files.readString(stat(program)).contains(") T ")) {
                     Thread.onSpinWait();
                 }
@@ -765,8 +769,8 @@
                 c.send(query(look("2", 9000)));
                 stage.lists.add(list(2, false, host("b", replica, "replica", "Terminating")));
                 assertThat(stage.told.take()).isEqualTo("told");
-                Stage.pass(pausedAt, 300); // What a silence is.
-                Stage.signal(program, "CONT");
+                PoolerHarness.pass(pausedAt, 300); // What a silence is.
+                PoolerHarness.signal(program, "CONT");
                 assertThat(value(c.takeAnswer())).isEqualTo("from-primary");
                 assertThat(replica.heard).hasSize(1);
             }
@@ -779,27 +783,27 @@
     @Test
     void theTimeThatARequestWaitedForAPausedProcessIsNotGivenTwice() throws Exception {
         long pausedMs = 600;
-        Process program = Stage.program(Stage.environment(Stage.configuration(
+        Process program = PoolerHarness.program(PoolerHarness.environment(PoolerHarness.configuration(
                 stage.discovery.address(),
                 host("a", primary, "primary", "Ready"),
                 host("b", replica, "replica", "Ready"))));
         try (BufferedReader log = program.errorReader()) {
             stage.lists.add(list(1, false));
-            String listening = Stage.await(log, "listening on /127.0.0.1:");
-            Stage.await(log, "ready");
+            String listening = PoolerHarness.await(log, "listening on /127.0.0.1:");
+            PoolerHarness.await(log, "ready");
             int port = Integer.parseInt(listening.replaceAll(".*127.0.0.1:(\\d+) .*", "$1"));
-            try (Stage.Link c = new Stage.Link(new Socket("127.0.0.1", port));
-                    Stage.Link late = new Stage.Link(new Socket("127.0.0.1", port))) {
-                c.send(Stage.startup());
+            try (PoolerHarness.Link c = new PoolerHarness.Link(new Socket("127.0.0.1", port));
+                    PoolerHarness.Link late = new PoolerHarness.Link(new Socket("127.0.0.1", port))) {
+                c.send(PoolerHarness.startup());
                 c.takeAnswer();
-                Stage.signal(program, "STOP");
+                PoolerHarness.signal(program, "STOP");
                 while (!Files.readString(stat(program)).contains(") T ")) {
                     Thread.onSpinWait();
                 }
                 c.send(query(post("1", 9000)));
-                late.send(Stage.startup(), query(post("2", 300)));
-                Stage.pass(System.nanoTime(), pausedMs);
-                Stage.signal(program, "CONT");
+                late.send(PoolerHarness.startup(), query(post("2", 300)));
+                PoolerHarness.pass(System.nanoTime(), pausedMs);
+                PoolerHarness.signal(program, "CONT");
                 assertThat(value(c.takeAnswer())).isEqualTo("from-primary");
                 assertThat(Integer.parseInt(primary.next()
                                 .replaceAll(".*,d=(\\d+),.*", "$1")
@@ -836,11 +840,11 @@
             } catch (InterruptedException e) {
                 throw new java.io.IOException(e);
             }
-            link.send(row("late", "replica"), Stage.READY);
+            link.send(row("late", "replica"), PoolerHarness.READY);
         };
         start();
-        try (Stage.Link c = stage.client();
-                Stage.Link idle = stage.client()) {
+        try (PoolerHarness.Link c = stage.client();
+                PoolerHarness.Link idle = stage.client()) {
             c.send(query(look("1", 9000)));
             asked.await();
             Thread stop = new Thread(() -> {
@@ -872,7 +876,7 @@
     void aReplicaTooFarBehindIsAMiss() throws Exception {
         replica.script = errors("72000", "replica");
         start();
-        try (Stage.Link c = stage.client()) {
+        try (PoolerHarness.Link c = stage.client()) {
             assertThat(value(c.ask(look("1", 9000)))).isEqualTo("from-primary");
             assertThat(stage.pooler.counters()).contains("MISS=1");
         }
--- a/pooler/src/test/java/frostreel/ShutdownTest.java
+++ b/pooler/src/test/java/frostreel/ShutdownTest.java
@@ -1,9 +1,9 @@
 package frostreel;
 
-import static frostreel.Stage.host;
-import static frostreel.Stage.list;
-import static frostreel.Stage.look;
-import static frostreel.Stage.query;
+import static frostreel.PoolerHarness.host;
+import static frostreel.PoolerHarness.list;
+import static frostreel.PoolerHarness.look;
+import static frostreel.PoolerHarness.query;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.io.BufferedReader;
@@ -22,9 +22,10 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /** The program's end, with clients that send on every connection for as long as it stays open. */
-class ShutdownTest extends Story {
-    private static final String SHORT =
-            Stage.SETTINGS.replace("\"deadlineS\":10", "\"deadlineS\":0.3").replace("\"onTimeS\":5", "\"onTimeS\":0.2");
+class ShutdownTest extends ClientScript {
+    private static final String SHORT = PoolerHarness.SETTINGS
+            .replace("\"deadlineS\":10", "\"deadlineS\":0.3")
+            .replace("\"onTimeS\":5", "\"onTimeS\":0.2");
     private static final int CLIENTS = 8;
 
     /** What comes before the end, or with it. */
@@ -36,11 +37,11 @@
     }
 
     private Map<String, String> environment() throws IOException {
-        return Stage.environment(Stage.configuration(
+        return PoolerHarness.environment(PoolerHarness.configuration(
                         stage.discovery.address(),
                         host("a", primary, "primary", "Ready"),
                         host("b", replica, "replica", "Ready"))
-                .replace(Stage.SETTINGS, SHORT));
+                .replace(PoolerHarness.SETTINGS, SHORT));
     }
 
     private static int port(String line) {
@@ -49,8 +50,8 @@
 
     /** Asks until its connection ends; one that is sent when that has ended crosses the end, unanswered. */
     private static void asks(int port, String name, Set<String> answered) throws IOException {
-        try (Stage.Link c = new Stage.Link(new Socket("127.0.0.1", port))) {
-            c.send(Stage.startup());
+        try (PoolerHarness.Link c = new PoolerHarness.Link(new Socket("127.0.0.1", port))) {
+            c.send(PoolerHarness.startup());
             c.takeAnswer();
             for (int i = 0; true; i++) {
                 c.send(query(look(name + "x" + i, 300)));
@@ -65,21 +66,21 @@
     @ParameterizedTest
     @EnumSource
     void everyRequestThatReachedAServerIsAnsweredAndTheEndIsInOrder(Before before) throws Exception {
-        Process program = Stage.program(environment());
+        Process program = PoolerHarness.program(environment());
         try (BufferedReader log = program.errorReader()) {
             if (before != Before.NOT_READY) {
                 stage.lists.add(list(1, false));
             }
-            int port = port(Stage.await(log, "listening on /127.0.0.1:"));
-            int calls = port(Stage.await(log, "operators call at /127.0.0.1:"));
+            int port = port(PoolerHarness.await(log, "listening on /127.0.0.1:"));
+            int calls = port(PoolerHarness.await(log, "operators call at /127.0.0.1:"));
             if (before != Before.NOT_READY) {
-                Stage.await(log, "ready");
+                PoolerHarness.await(log, "ready");
             }
             Set<String> answered = ConcurrentHashMap.newKeySet();
             List<Thread> clients = new ArrayList<>();
             for (int i = 0; i < CLIENTS; i++) {
                 String name = "c" + i;
-                clients.add(Stage.spawn(() -> asks(port, name, answered)));
+                clients.add(PoolerHarness.spawn(() -> asks(port, name, answered)));
             }
             while (before != Before.NOT_READY && answered.size() < CLIENTS) {
                 Thread.onSpinWait();
@@ -90,16 +91,16 @@
                     assertThat(new String(s.getInputStream().readAllBytes())).startsWith("OK");
                 }
             }
-            Stage.signal(program, "TERM");
+            PoolerHarness.signal(program, "TERM");
             if (before == Before.ANOTHER_SIGTERM) {
-                Stage.signal(program, "TERM");
+                PoolerHarness.signal(program, "TERM");
             }
             assertThat(program.waitFor()).isEqualTo(143);
             for (Thread c : clients) {
                 c.join();
             }
             Set<String> reached = new HashSet<>();
-            for (Stage.Peer p : List.of(primary, replica)) {
+            for (PoolerHarness.Peer p : List.of(primary, replica)) {
                 p.heard.forEach(
                         t -> reached.add(t.replaceAll(".*id=(\\w+),.*", "$1").replace("|", "")));
             }
@@ -113,13 +114,13 @@
     /** Clients that asked and stay hold all places that are theirs; discovery goes away and comes back. */
     @Test
     void idleClientsKeepNeitherDiscoveryNorServersNorOtherClientsOut() throws Exception {
-        int many = 3 * Stage.MAX_CLIENTS;
-        Process program = Stage.program(environment());
-        List<Stage.Link> idle = new ArrayList<>();
+        int many = 3 * PoolerHarness.MAX_CLIENTS;
+        Process program = PoolerHarness.program(environment());
+        List<PoolerHarness.Link> idle = new ArrayList<>();
         try (BufferedReader log = program.errorReader()) {
             stage.lists.add(list(1, false));
-            int port = port(Stage.await(log, "listening on /127.0.0.1:"));
-            Stage.await(log, "ready");
+            int port = port(PoolerHarness.await(log, "listening on /127.0.0.1:"));
+            PoolerHarness.await(log, "ready");
             int descriptors = 128;
             new ProcessBuilder(
                             "prlimit",
@@ -130,25 +131,25 @@
                     .waitFor();
             stage.discovery.script = (text, link) -> {}; // From the next call on it is silent.
             stage.lists.add("no list");
-            Stage.await(log, "the last list is kept");
+            PoolerHarness.await(log, "the last list is kept");
             for (int i = 0; i < many; i++) {
-                Stage.Link c = new Stage.Link(new Socket("127.0.0.1", port));
+                PoolerHarness.Link c = new PoolerHarness.Link(new Socket("127.0.0.1", port));
                 idle.add(c);
-                c.send(Stage.startup(), query(look("i" + i, 300)));
+                c.send(PoolerHarness.startup(), query(look("i" + i, 300)));
                 c.takeAnswer();
                 assertThat(c.takeAnswer()).as("client %d", i).isNotEmpty();
             }
-            byte[] drains = Stage.http(list(2, false, host("b", replica, "replica", "Terminating")));
+            byte[] drains = PoolerHarness.http(list(2, false, host("b", replica, "replica", "Terminating")));
             stage.discovery.script = (text, link) -> link.send(drains);
-            Stage.await(log, "discovery answers again");
-            try (Stage.Link c = new Stage.Link(new Socket("127.0.0.1", port))) {
-                c.send(Stage.startup());
+            PoolerHarness.await(log, "discovery answers again");
+            try (PoolerHarness.Link c = new PoolerHarness.Link(new Socket("127.0.0.1", port))) {
+                c.send(PoolerHarness.startup());
                 c.takeAnswer();
                 assertThat(value(c.ask(look("late", 300)))).isEqualTo("from-primary");
             }
         } finally {
             program.destroyForcibly().waitFor();
-            for (Stage.Link c : idle) {
+            for (PoolerHarness.Link c : idle) {
                 c.close();
             }
         }
