--- a/decisions/src/jmh/java/frostreel/zones/LocalityPolicyBenchmark.java
+++ b/decisions/src/jmh/java/frostreel/zones/LocalityPolicyBenchmark.java
@@ -26,8 +26,8 @@
 public class LocalityPolicyBenchmark {
     private static final int GROUPS = 100;
     private static final double WORK = 40_000;
-    private final int[] seats = new int[3 * GROUPS];
-    private ZoneFailoverPolicy adviser;
+    private final int[] handles = new int[3 * GROUPS];
+    private ZoneFailoverPolicy policy;
     private long now = 1_000_000_000;
     private int at;
 
@@ -40,16 +40,16 @@
                 new Router.Limits(10, Router.Probes.REPORT, true, true, 1, false, 0,
                         250_000, 50_000, 30_000_000, 1),
                 new Router.Rules(20_000, 1_000_000, false, 0.2, 15_000_000, 3, 2_000_000));
-        adviser = new ZoneFailoverPolicy(settings, new ZoneSettings(0, List.of(
+        policy = new ZoneFailoverPolicy(settings, new ZoneSettings(0, List.of(
                 new ZoneSettings.Tier(List.of(1), 0.5), new ZoneSettings.Tier(List.of(), 0.5)), 10), 0.5);
-        for (int i = 0; i < seats.length; i++) {
-            seats[i] = adviser.seat(i / 3, i % 3);
-            adviser.ended(now, seats[i], Router.Outcome.OK, WORK);
+        for (int i = 0; i < handles.length; i++) {
+            handles[i] = policy.memberHandle(i / 3, i % 3);
+            policy.ended(now, handles[i], Router.Outcome.OK, WORK);
         }
-        for (int i = 0; i < 5 * seats.length; i++) {
+        for (int i = 0; i < 5 * handles.length; i++) {
             if (i % 3 == 0) {
                 now += 100_000;
-                adviser.ended(now, seats[i % seats.length], Router.Outcome.TIMEOUT, WORK);
+                policy.ended(now, handles[i % handles.length], Router.Outcome.TIMEOUT, WORK);
             }
         }
     }
@@ -60,9 +60,9 @@
         now += 10;
         double sum = 0;
         for (int z = 0; z < 3; z++) {
-            int seat = seats[3 * at + z];
-            double price = adviser.price(now, seat);
-            sum += price < Double.POSITIVE_INFINITY && adviser.permits(now, seat, 1) ? price : 0;
+            int handle = handles[3 * at + z];
+            double costFactor = policy.costFactor(now, handle);
+            sum += costFactor < Double.POSITIVE_INFINITY && policy.admits(now, handle, 1) ? costFactor : 0;
         }
         return sum;
     }
@@ -71,8 +71,8 @@
     @Benchmark public void attempt() {
         at = at == GROUPS - 1 ? 0 : at + 1;
         now += 10;
-        int seat = seats[3 * at + 1];
-        adviser.sent(now, seat, 1, WORK);
-        adviser.ended(now, seat, Router.Outcome.OK, WORK);
+        int handle = handles[3 * at + 1];
+        policy.sent(now, handle, 1, WORK);
+        policy.ended(now, handle, Router.Outcome.OK, WORK);
     }
 }
--- a/decisions/src/main/java/frostreel/routing/ChainRouter.java
+++ b/decisions/src/main/java/frostreel/routing/ChainRouter.java
@@ -60,7 +60,7 @@
     private final class MemberState {
         final String id;
         final GroupState group;
-        int zone, kind, seat; // The adviser's name for it.
+        int zone, kind, handle; // The locality policy's name for it.
         State state = State.UP;
         boolean drained;
         /** Listed from the start, or heard from: else it may be none of ours, whatever the list says. */
@@ -139,7 +139,7 @@
 
     private final SlowStart slow;
     private final Actions act;
-    private final LocalityPolicy advice;
+    private final LocalityPolicy localityPolicy;
     private final PeerCommits elsewhere;
     private final long sweepUs;
     private long keepUs;
@@ -167,13 +167,13 @@
         this(settings, actions, new NearestZonePolicy(settings.zone()));
     }
 
-    public ChainRouter(Settings settings, Actions actions, LocalityPolicy adviser) {
-        this(settings, actions, adviser, (now, session) -> 0);
+    public ChainRouter(Settings settings, Actions actions, LocalityPolicy localityPolicy) {
+        this(settings, actions, localityPolicy, (now, session) -> 0);
     }
 
-    public ChainRouter(Settings settings, Actions actions, LocalityPolicy adviser, PeerCommits elsewhere) {
+    public ChainRouter(Settings settings, Actions actions, LocalityPolicy localityPolicy, PeerCommits elsewhere) {
         act = actions;
-        advice = adviser;
+        this.localityPolicy = localityPolicy;
         this.elsewhere = elsewhere;
         sweepUs = Math.max(settings.tickUs(), WALK_US / 50);
         slow = new SlowStart(settings);
@@ -194,7 +194,7 @@
             expect[i] = i < known ? expect[i] : k.aimUs() / 5.0;
         }
         slow.settings(settings);
-        advice.settings(settings);
+        localityPolicy.settings(settings);
     }
 
     // ---- The chain: who heads a group, and by what evidence. ----
@@ -233,7 +233,7 @@
             GroupState g = groups.computeIfAbsent(m.group(), GroupState::new);
             n = new MemberState(m.id(), g, now);
             n.known = atStart;
-            n.seat = advice.seat(m.group(), m.zone());
+            n.handle = localityPolicy.memberHandle(m.group(), m.zone());
             n.progressAt = n.markedAt = now;
             nodes.put(m.id(), n);
             int at = 0;
@@ -267,7 +267,7 @@
     }
 
     private boolean forget(MemberState n) {
-        advice.left(n.seat);
+        localityPolicy.left(n.handle);
         slow.forget(n.start);
         return nodes.remove(n.id, n);
     }
@@ -378,7 +378,7 @@
         n.probing = false;
         n.group.probedAt = 0;
         n.known |= ok;
-        advice.probed(now, n.seat, ok);
+        localityPolicy.probed(now, n.handle, ok);
         if (ok && report != null) {
             learnReport(now, n, report);
         }
@@ -614,9 +614,9 @@
             if (n == g.head || !usable(n) || c.missed.contains(n) || stranger(now, n) || only != null && n != only) {
                 continue;
             }
-            double price = advice.price(now, n.seat);
-            if (price == Double.POSITIVE_INFINITY) {
-                if (!n.probing && advice.wantsProbe(now, n.seat)) {
+            double costFactor = localityPolicy.costFactor(now, n.handle);
+            if (costFactor == Double.POSITIVE_INFINITY) {
+                if (!n.probing && localityPolicy.healthCheckDue(now, n.handle)) {
                     probe(now, n);
                 }
                 continue;
@@ -628,12 +628,14 @@
                 waits = true;
                 continue;
             }
-            if (proven && !advice.permits(now, n.seat, c.q.cls())) {
+            if (proven && !localityPolicy.admits(now, n.handle, c.q.cls())) {
                 denied = true;
                 continue;
             }
-            double cost =
-                    cost(now, n) * price / leisure(c, n) * (linked(now, n) || g.sinceLink >= LINK_EVERY ? 1 : NEW_LINK);
+            double cost = cost(now, n)
+                    * costFactor
+                    / leisure(c, n)
+                    * (linked(now, n) || g.sinceLink >= LINK_EVERY ? 1 : NEW_LINK);
             if (proven && cost * EQUAL < bestCost) {
                 bestCost = cost;
                 best = n;
@@ -659,8 +661,8 @@
                 && !g.doubted
                 && !c.missed.contains(g.head)
                 && room(now, g.head, SPARED)
-                && advice.price(now, g.head.seat) < Double.POSITIVE_INFINITY
-                && advice.permits(now, g.head.seat, c.q.cls())
+                && localityPolicy.costFactor(now, g.head.handle) < Double.POSITIVE_INFINITY
+                && localityPolicy.admits(now, g.head.handle, c.q.cls())
                 && send(now, c, g.head, readTimeout(now, c, g.head))) {
             return;
         }
@@ -694,17 +696,17 @@
         MemberState best = null;
         double furthest = -1;
         for (MemberState n : c.g.chain) {
-            double price = advice.price(now, n.seat);
+            double costFactor = localityPolicy.costFactor(now, n.handle);
             if (n != c.g.head
                     && usable(n)
                     && n.known
                     && !c.missed.contains(n)
                     && now >= n.pausedUntil
                     && !silent(now, n)
-                    && price < Double.POSITIVE_INFINITY) {
+                    && costFactor < Double.POSITIVE_INFINITY) {
                 long behind = n.position == 0 ? 0 : now - n.position + (n == c.g.keeper ? 2 * WALK_US : 0);
-                best = behind / price > furthest ? n : best;
-                furthest = Math.max(furthest, behind / price);
+                best = behind / costFactor > furthest ? n : best;
+                furthest = Math.max(furthest, behind / costFactor);
             }
         }
         c.g.keeper = best != null ? best : c.g.keeper;
@@ -820,7 +822,7 @@
         c.crowded = outcome == Outcome.OK || outcome == Outcome.FULL || outcome == Outcome.TIMEOUT;
         n.out--;
         n.linkedAt = now;
-        advice.ended(now, n.seat, outcome, expect[c.q.cls()]);
+        localityPolicy.ended(now, n.handle, outcome, expect[c.q.cls()]);
         learnOutcome(now, c, n, outcome, tookUs, role, positionUs, report);
         if (!outcome.provesNotRun && !c.mayHaveRun) {
             c.mayHaveRun = true;
@@ -1039,7 +1041,7 @@
         n.out++;
         n.slowest = Math.max(n.slowest, Math.max(effort, expected(c, n, now)));
         if (!c.toHead) {
-            advice.sent(now, n.seat, c.q.cls(), effort);
+            localityPolicy.sent(now, n.handle, c.q.cls(), effort);
         }
         c.on = n;
         c.sentAt = now;
--- a/decisions/src/main/java/frostreel/routing/NearestZonePolicy.java
+++ b/decisions/src/main/java/frostreel/routing/NearestZonePolicy.java
@@ -15,34 +15,34 @@
     public void settings(Router.Settings settings) {}
 
     @Override
-    public int seat(int group, int zone) {
+    public int memberHandle(int group, int zone) {
         return zone;
     }
 
     @Override
-    public void left(int seat) {}
+    public void left(int handle) {}
 
     @Override
-    public void ended(long nowUs, int seat, Router.Outcome outcome, double workUs) {}
+    public void ended(long nowUs, int handle, Router.Outcome outcome, double workUs) {}
 
     @Override
-    public void probed(long nowUs, int seat, boolean ok) {}
+    public void probed(long nowUs, int handle, boolean ok) {}
 
     @Override
-    public void sent(long nowUs, int seat, int cls, double workUs) {}
+    public void sent(long nowUs, int handle, int cls, double workUs) {}
 
     @Override
-    public double price(long nowUs, int seat) {
-        return seat == own ? 1 : FAR;
+    public double costFactor(long nowUs, int handle) {
+        return handle == own ? 1 : FAR;
     }
 
     @Override
-    public boolean permits(long nowUs, int seat, int cls) {
+    public boolean admits(long nowUs, int handle, int cls) {
         return true;
     }
 
     @Override
-    public boolean wantsProbe(long nowUs, int seat) {
+    public boolean healthCheckDue(long nowUs, int handle) {
         return false;
     }
 }
--- a/decisions/src/main/java/frostreel/routing/Router.java
+++ b/decisions/src/main/java/frostreel/routing/Router.java
@@ -267,29 +267,29 @@
         void settings(Settings settings);
 
         /** A member newly met takes a seat, for good or until {@link #left}. */
-        int seat(int group, int zone);
+        int memberHandle(int group, int zone);
 
         /** A member was forgotten; its seat may be given again. */
-        void left(int seat);
+        void left(int handle);
 
         /** An attempt ended; {@code workUs}: what its class usually takes. */
-        void ended(long nowUs, int seat, Outcome outcome, double workUs);
+        void ended(long nowUs, int handle, Outcome outcome, double workUs);
 
-        void probed(long nowUs, int seat, boolean ok);
+        void probed(long nowUs, int handle, boolean ok);
 
         /** A read of that class was sent. */
-        void sent(long nowUs, int seat, int cls, double workUs);
+        void sent(long nowUs, int handle, int cls, double workUs);
 
         /** How much dearer it is than the nearest; infinite where nothing may go there now. */
-        double price(long nowUs, int seat);
+        double costFactor(long nowUs, int handle);
 
         /** Whether one more read of that class may go there now. */
-        boolean permits(long nowUs, int seat, int cls);
+        boolean admits(long nowUs, int handle, int cls);
 
         /**
          * Whether a probe of it is due, though nothing may go there; asked when one could be made at once.
          */
-        boolean wantsProbe(long nowUs, int seat);
+        boolean healthCheckDue(long nowUs, int handle);
     }
 
     /**
--- a/decisions/src/main/java/frostreel/zones/ZoneFailoverPolicy.java
+++ b/decisions/src/main/java/frostreel/zones/ZoneFailoverPolicy.java
@@ -42,11 +42,11 @@
     private final Map<Long, ZoneReplicas> areas = new HashMap<>();
     private final Map<Integer, ZoneReplicas.Group> groups = new HashMap<>();
     private final Map<Integer, ZoneReplicas.Zone> byZone = new HashMap<>();
-    private final List<ZoneReplicas> bySeat = new ArrayList<>();
+    private final List<ZoneReplicas> byHandle = new ArrayList<>();
     private final List<TokenBucket> ramps = new ArrayList<>();
     private final ArrayDeque<Integer> free = new ArrayDeque<>();
     private TokenBucket[] spills;
-    private double[] prices;
+    private double[] costFactors;
     /** For the overview: reads sent and turned down by tier, and what became of areas. */
     private long[] sent;
 
@@ -88,12 +88,12 @@
     public void configure(ZoneSettings settings) {
         zones = settings;
         spills = new TokenBucket[zones.tiers().size() + 1];
-        prices = new double[spills.length];
+        costFactors = new double[spills.length];
         sent = new long[spills.length];
         denied = new long[spills.length];
         for (int t = 0; t < spills.length; t++) {
             spills[t] = new TokenBucket();
-            prices[t] = Math.pow(FARTHER, t);
+            costFactors[t] = Math.pow(FARTHER, t);
         }
         groups.values().forEach(g -> g.nearest = Integer.MAX_VALUE);
         for (ZoneReplicas a : areas.values()) {
@@ -109,7 +109,7 @@
     // ---- Seats. ----
 
     @Override
-    public int seat(int group, int zone) {
+    public int memberHandle(int group, int zone) {
         ZoneReplicas area = areas.computeIfAbsent((long) group << 32 | zone, k -> {
             ZoneReplicas made = new ZoneReplicas(
                     groups.computeIfAbsent(group, g -> new ZoneReplicas.Group()),
@@ -118,31 +118,31 @@
             made.zone.areas.add(made);
             return made;
         });
-        area.seats++;
+        area.handles++;
         area.group.nearest = Math.min(area.group.nearest, area.tier);
-        Integer seat = free.poll();
-        if (seat == null) {
-            seat = bySeat.size();
-            bySeat.add(area);
+        Integer handle = free.poll();
+        if (handle == null) {
+            handle = byHandle.size();
+            byHandle.add(area);
             ramps.add(new TokenBucket());
         } else {
-            bySeat.set(seat, area);
-            ramps.set(seat, new TokenBucket());
+            byHandle.set(handle, area);
+            ramps.set(handle, new TokenBucket());
         }
-        return seat;
+        return handle;
     }
 
     @Override
-    public void left(int seat) {
-        bySeat.get(seat).seats--;
-        free.add(seat);
+    public void left(int handle) {
+        byHandle.get(handle).handles--;
+        free.add(handle);
     }
 
     // ---- Events. ----
 
     @Override
-    public void ended(long nowUs, int seat, Router.Outcome outcome, double workUs) {
-        ZoneReplicas a = bySeat.get(seat);
+    public void ended(long nowUs, int handle, Router.Outcome outcome, double workUs) {
+        ZoneReplicas a = byHandle.get(handle);
         switch (outcome) {
             case OK -> {
                 a.alive(nowUs);
@@ -159,8 +159,8 @@
     }
 
     @Override
-    public void probed(long nowUs, int seat, boolean ok) {
-        ZoneReplicas a = bySeat.get(seat);
+    public void probed(long nowUs, int handle, boolean ok) {
+        ZoneReplicas a = byHandle.get(handle);
         if (!ok) {
             failed(nowUs, a);
         } else if (a.answers(nowUs)) {
@@ -169,8 +169,8 @@
                 regained(nowUs, a);
                 return;
             }
-            for (int s = 0; s < bySeat.size(); s++) {
-                if (bySeat.get(s) == a) {
+            for (int s = 0; s < byHandle.size(); s++) {
+                if (byHandle.get(s) == a) {
                     // Poolers that see the return in the same moment must not send in the same moment.
                     ramps.get(s).reset(nowUs, -phase * anyWork);
                 }
@@ -209,8 +209,8 @@
     }
 
     @Override
-    public void sent(long nowUs, int seat, int cls, double workUs) {
-        ZoneReplicas a = bySeat.get(seat);
+    public void sent(long nowUs, int handle, int cls, double workUs) {
+        ZoneReplicas a = byHandle.get(handle);
         sent[a.tier]++;
         work[cls] += MEAN * (workUs - work[cls]);
         anyWork += MEAN * (workUs - anyWork);
@@ -219,7 +219,7 @@
             order();
         }
         if (a.health == ZoneReplicas.Health.RETURNING) {
-            ramps.get(seat).take(workUs);
+            ramps.get(handle).take(workUs);
         }
         if (!a.nearest()) {
             spills[a.tier].take(workUs);
@@ -244,15 +244,15 @@
     // ---- Answers. ----
 
     @Override
-    public double price(long nowUs, int seat) {
-        ZoneReplicas a = bySeat.get(seat);
-        return a.open() ? prices[a.tier] : Double.POSITIVE_INFINITY;
+    public double costFactor(long nowUs, int handle) {
+        ZoneReplicas a = byHandle.get(handle);
+        return a.open() ? costFactors[a.tier] : Double.POSITIVE_INFINITY;
     }
 
     @Override
-    public boolean permits(long nowUs, int seat, int cls) {
-        ZoneReplicas a = bySeat.get(seat);
-        if (!a.open() || a.health == ZoneReplicas.Health.RETURNING && !admits(nowUs, seat, a)) {
+    public boolean admits(long nowUs, int handle, int cls) {
+        ZoneReplicas a = byHandle.get(handle);
+        if (!a.open() || a.health == ZoneReplicas.Health.RETURNING && !admits(nowUs, handle, a)) {
             return false;
         }
         if (a.nearest() || !everServed) {
@@ -266,7 +266,7 @@
     }
 
     /** Whether a returning area may be sent one more, at its present share of what it served before. */
-    private boolean admits(long nowUs, int seat, ZoneReplicas a) {
+    private boolean admits(long nowUs, int handle, ZoneReplicas a) {
         double present = a.present(nowUs, set.rules().coldFrom(), set.rules().warmAfterUs());
         if (present >= 1) {
             regained(nowUs, a);
@@ -275,13 +275,15 @@
         }
         // One that served this pooler nothing may still be sent a little: a core's work, shared by all
         // poolers.
-        double perUs = HASTE * present * Math.max(a.usual(nowUs) / a.seats, 1.0 / zones.poolers());
-        return ramps.get(seat).level(nowUs, perUs, Math.max(perUs * set.rules().fallUs() / 2, anyWork)) > 0;
+        double perUs = HASTE * present * Math.max(a.usual(nowUs) / a.handles, 1.0 / zones.poolers());
+        return ramps.get(handle)
+                        .level(nowUs, perUs, Math.max(perUs * set.rules().fallUs() / 2, anyWork))
+                > 0;
     }
 
     @Override
-    public boolean wantsProbe(long nowUs, int seat) {
-        return bySeat.get(seat).probeDue(nowUs);
+    public boolean healthCheckDue(long nowUs, int handle) {
+        return byHandle.get(handle).probeDue(nowUs);
     }
 
     /** The overview: areas by zone and health, reads sent and turned down by tier, losses and returns. */
@@ -289,7 +291,7 @@
     public String toString() {
         Map<Integer, Map<ZoneReplicas.Health, Integer>> healths = new TreeMap<>();
         for (ZoneReplicas a : areas.values()) {
-            if (a.seats > 0) {
+            if (a.handles > 0) {
                 healths.computeIfAbsent(a.zone.number, z -> new EnumMap<>(ZoneReplicas.Health.class))
                         .merge(a.health, 1, Integer::sum);
             }
--- a/decisions/src/main/java/frostreel/zones/ZoneReplicas.java
+++ b/decisions/src/main/java/frostreel/zones/ZoneReplicas.java
@@ -76,7 +76,7 @@
     final Group group;
     final Zone zone;
     int tier;
-    int seats;
+    int handles;
     Health health = Health.UP;
     private final Rate served = new Rate(SERVED_SPAN_US);
     /** What it served this pooler before it was lost. */
