--- a/decisions/src/main/java/frostreel/routing/ChainRouter.java
+++ b/decisions/src/main/java/frostreel/routing/ChainRouter.java
@@ -819,7 +819,7 @@
             return;
         }
         c.on = null;
-        c.crowded = outcome == Outcome.OK || outcome == Outcome.FULL || outcome == Outcome.TIMEOUT;
+        c.crowded = outcome == Outcome.OK || outcome == Outcome.REJECTED || outcome == Outcome.TIMEOUT;
         n.out--;
         n.linkedAt = now;
         localityPolicy.ended(now, n.handle, outcome, expect[c.q.cls()]);
@@ -850,7 +850,7 @@
             Report report) {
         GroupState g = n.group;
         boolean write = c.k.access() == Access.WRITE;
-        if (o == Outcome.OK || o == Outcome.ERROR || o == Outcome.FULL || o == Outcome.MISS) {
+        if (o == Outcome.OK || o == Outcome.ERROR || o == Outcome.REJECTED || o == Outcome.WRONG_ROLE_OR_STALE) {
             n.progressAt = now;
             n.known |= o != Outcome.ERROR;
         }
@@ -881,7 +881,7 @@
             } else {
                 widen(n);
             }
-        } else if (o == Outcome.MISS) {
+        } else if (o == Outcome.WRONG_ROLE_OR_STALE) {
             if (write) {
                 noteRole(now, n, Role.REPLICA, now, true);
             } else {
@@ -890,10 +890,10 @@
                     probe(now, n);
                 }
             }
-        } else if (o == Outcome.FULL) {
+        } else if (o == Outcome.REJECTED) {
             narrow(now, n, expect[c.q.cls()]);
             pause(now, n, c);
-        } else if (o != Outcome.CANCELLED && o != Outcome.MOOT) {
+        } else if (o != Outcome.CANCELLED && o != Outcome.NOT_SENT) {
             n.links = o == Outcome.RESET || o == Outcome.CONNECT_FAILED ? n.out : n.links;
             mark(now, n, 0, true);
             if (o != Outcome.ERROR) { // That came in time: a spoilt answer is no sign of a queue.
@@ -911,7 +911,7 @@
 
     /** What becomes of a request whose attempt did not serve it. */
     private void again(long now, PendingRequest c, MemberState n, Outcome o) {
-        if (o != Outcome.FULL || !c.toHead) {
+        if (o != Outcome.REJECTED || !c.toHead) {
             c.missed.add(n);
         }
         if (spent(now, c) || !o.provesNotRun && (retryTokens < 1 && c.k.repeat() == Idempotency.SAFE)) {
@@ -925,7 +925,7 @@
             routeRead(now, c);
             return;
         }
-        if (o == Outcome.FULL || !o.provesNotRun) {
+        if (o == Outcome.REJECTED || !o.provesNotRun) {
             c.notBefore = now + (WALK_US / 20 << Math.min(c.attempts, 5));
         }
         boolean round = c.g.head == null && next(c) == null;
--- a/decisions/src/main/java/frostreel/routing/Router.java
+++ b/decisions/src/main/java/frostreel/routing/Router.java
@@ -88,13 +88,13 @@
     enum Outcome {
         OK(false),
         ERROR(false),
-        FULL(true),
+        REJECTED(true),
         TIMEOUT(false),
         CONNECT_FAILED(true),
         RESET(false),
         CANCELLED(false),
-        MOOT(true),
-        MISS(true);
+        NOT_SENT(true),
+        WRONG_ROLE_OR_STALE(true);
 
         public final boolean provesNotRun;
 
@@ -325,7 +325,7 @@
 
     /**
      * Asked right before the first byte of an attempt that had to wait for its connection: whether its member
-     * still is new enough for it. Where not, the attempt ends as MOOT.
+     * still is new enough for it. Where not, the attempt ends as NOT_SENT.
      */
     boolean stands(long nowUs, String requestId);
 
--- a/decisions/src/main/java/frostreel/simulator/WireAdapter.java
+++ b/decisions/src/main/java/frostreel/simulator/WireAdapter.java
@@ -302,13 +302,13 @@
         return switch ((int) f.whole("outcome", 0, 1000, 0)) {
             case 0 -> Outcome.OK;
             case 13 -> Outcome.ERROR;
-            case 8 -> Outcome.FULL;
+            case 8 -> Outcome.REJECTED;
             case 4 -> Outcome.TIMEOUT;
             case 14 -> Outcome.CONNECT_FAILED;
             case 10 -> Outcome.RESET;
             case 1 -> Outcome.CANCELLED;
-            case 9 -> Outcome.MOOT;
-            case 5 -> Outcome.MISS;
+            case 9 -> Outcome.NOT_SENT;
+            case 5 -> Outcome.WRONG_ROLE_OR_STALE;
             default -> throw new MalformedMessageException("field 'outcome' is not a known outcome");
         };
     }
--- a/decisions/src/main/java/frostreel/zones/ZoneFailoverPolicy.java
+++ b/decisions/src/main/java/frostreel/zones/ZoneFailoverPolicy.java
@@ -152,7 +152,7 @@
                     everServed = true;
                 }
             }
-            case MISS, FULL, ERROR -> a.alive(nowUs);
+            case WRONG_ROLE_OR_STALE, REJECTED, ERROR -> a.alive(nowUs);
             case TIMEOUT, RESET, CONNECT_FAILED -> failed(nowUs, a);
             default -> {}
         }
--- a/decisions/src/test/java/frostreel/operation/SharedCommitTableTest.java
+++ b/decisions/src/test/java/frostreel/operation/SharedCommitTableTest.java
@@ -79,7 +79,7 @@
         assertThat(after.boundUs(NOW + 150_000, SESSION)).isEqualTo(NOW + 50_000);
         before.ended(NOW + 160_000, SESSION, DEADLINE, Outcome.CONNECT_FAILED, 0);
         assertThat(after.boundUs(NOW + 170_000, SESSION)).isEqualTo(NOW + 70_000);
-        before.ended(NOW + 180_000, SESSION, DEADLINE, Outcome.MISS, 0);
+        before.ended(NOW + 180_000, SESSION, DEADLINE, Outcome.WRONG_ROLE_OR_STALE, 0);
         assertThat(after.boundUs(NOW + 190_000, SESSION)).isZero();
     }
 
--- a/decisions/src/test/java/frostreel/routing/ChainRouterTest.java
+++ b/decisions/src/test/java/frostreel/routing/ChainRouterTest.java
@@ -43,9 +43,9 @@
         Recorder r = trio();
         r.ask("w", UNSAFE);
         assertEquals("a", r.last("w").member());
-        r.end("w", Outcome.MISS, Role.REPLICA, 0);
+        r.end("w", Outcome.WRONG_ROLE_OR_STALE, Role.REPLICA, 0);
         assertEquals("b", r.last("w").member());
-        r.end("w", Outcome.MISS, Role.REPLICA, 0);
+        r.end("w", Outcome.WRONG_ROLE_OR_STALE, Role.REPLICA, 0);
         assertEquals("c", r.last("w").member());
     }
 
@@ -53,7 +53,7 @@
     void anAnswerAsPrimaryFixesTheHeadAndALateListDoesNotPullItBack() {
         Recorder r = trio();
         r.ask("w", KEYED);
-        r.end("w", Outcome.MISS, Role.REPLICA, 0);
+        r.end("w", Outcome.WRONG_ROLE_OR_STALE, Role.REPLICA, 0);
         r.end("w", Outcome.OK, Role.PRIMARY, 0);
         r.pass(20_000);
         r.list(ListKind.FULL, up("a", 0, true), up("b", 0, false), up("c", 1, false));
@@ -65,7 +65,7 @@
     void anOldReportDoesNotPullTheHeadBack() {
         Recorder r = trio();
         r.ask("w", KEYED);
-        r.end("w", Outcome.MISS, Role.REPLICA, 0);
+        r.end("w", Outcome.WRONG_ROLE_OR_STALE, Role.REPLICA, 0);
         r.end("w", Outcome.OK, Role.PRIMARY, 0);
         r.probeOk("a", Role.PRIMARY, r.now - 300_000);
         r.ask("x", KEYED);
@@ -77,7 +77,7 @@
         Recorder r = trio();
         r.ask("w", UNSAFE);
         for (int i = 0; i < 3; i++) {
-            r.end("w", Outcome.MISS, Role.REPLICA, 0);
+            r.end("w", Outcome.WRONG_ROLE_OR_STALE, Role.REPLICA, 0);
         }
         r.ask("x", UNSAFE);
         assertEquals(3, r.count("w"));
@@ -98,7 +98,7 @@
         Recorder r = s.start(up("a", 0, true), up("b", 0, false), up("c", 1, false));
         r.ask("w", UNSAFE);
         for (int i = 0; i < 3; i++) {
-            r.end("w", Outcome.MISS, Role.REPLICA, 0);
+            r.end("w", Outcome.WRONG_ROLE_OR_STALE, Role.REPLICA, 0);
         }
         r.ask("x", UNSAFE);
         r.pass(100_000);
@@ -111,7 +111,7 @@
         Recorder r = trio();
         r.ask("w0", UNSAFE);
         for (int i = 0; i < 3; i++) {
-            r.end("w0", Outcome.MISS, Role.REPLICA, 0);
+            r.end("w0", Outcome.WRONG_ROLE_OR_STALE, Role.REPLICA, 0);
         }
         for (int i = 1; i < 50; i++) {
             r.ask("w" + i, UNSAFE);
@@ -140,7 +140,7 @@
         Recorder r = trio();
         r.ask("w", UNSAFE, 0, 2_000_000);
         for (int i = 0; i < 3; i++) {
-            r.end("w", Outcome.MISS, Role.REPLICA, 0);
+            r.end("w", Outcome.WRONG_ROLE_OR_STALE, Role.REPLICA, 0);
         }
         r.pass(2_000_000);
         assertEquals(List.of("w"), r.refused);
@@ -335,7 +335,7 @@
                             && r.last("q" + i) != null
                             && !r.last("q" + i).member().equals("c");
                     j++) {
-                r.end("q" + i, Outcome.FULL, Role.REPLICA, r.now);
+                r.end("q" + i, Outcome.REJECTED, Role.REPLICA, r.now);
             }
             r.pass(5_000);
         }
@@ -413,13 +413,19 @@
         assertEquals(true, r.router.stands(r.now, "q"));
         r.end("w", Outcome.OK, Role.PRIMARY, r.now - 5_000);
         assertEquals(false, r.router.stands(r.now, "q"));
-        r.end("q", Outcome.MOOT);
+        r.end("q", Outcome.NOT_SENT);
         assertEquals("a", r.last("q").member());
     }
 
     /** Where it ran a zone's members drop it by its key; those of another zone would run it again. */
     @ParameterizedTest
-    @CsvSource({"TIMEOUT, b, true", "TIMEOUT, c, false", "ERROR, c, false", "RESET, c, false", "MISS, b, true"})
+    @CsvSource({
+        "TIMEOUT, b, true",
+        "TIMEOUT, c, false",
+        "ERROR, c, false",
+        "RESET, c, false",
+        "WRONG_ROLE_OR_STALE, b, true"
+    })
     void aKeyThatOneZoneKnowsIsRepeatedThereAlone(Outcome first, String primary, boolean again) {
         Recorder r = trio(); // a and b are in one zone, c is in another.
         r.ask("w", KEYED_IN_ZONE);
@@ -441,7 +447,7 @@
         assertEquals("b", r.last("q").member());
         r.router.onMembers(r.now, ListKind.CHANGES, List.of(with(up("b", 0, false), State.UP, r.now)));
         assertEquals(false, r.router.stands(r.now, "q"));
-        r.end("q", Outcome.MOOT);
+        r.end("q", Outcome.NOT_SENT);
         assertEquals("a", r.last("q").member());
     }
 
@@ -525,9 +531,9 @@
     void aDemotedPrimaryIsNoLongerTrustedWithReads() {
         Recorder r = trio();
         r.ask("w", UNSAFE);
-        r.end("w", Outcome.MISS, Role.REPLICA, 0);
-        r.end("w", Outcome.MISS, Role.REPLICA, 0);
-        r.end("w", Outcome.MISS, Role.REPLICA, 0);
+        r.end("w", Outcome.WRONG_ROLE_OR_STALE, Role.REPLICA, 0);
+        r.end("w", Outcome.WRONG_ROLE_OR_STALE, Role.REPLICA, 0);
+        r.end("w", Outcome.WRONG_ROLE_OR_STALE, Role.REPLICA, 0);
         r.ask("q", SAFE_READ);
         r.pass(300_000);
         assertNull(r.last("q"), "no member is proven fresh enough");
@@ -540,7 +546,7 @@
         Recorder r = s.start(up("a", 0, true), up("b", 0, false));
         r.ask("q", SAFE_READ);
         assertEquals("b", r.last("q").member());
-        r.end("q", Outcome.MISS, Role.REPLICA, 0);
+        r.end("q", Outcome.WRONG_ROLE_OR_STALE, Role.REPLICA, 0);
         assertEquals("a", r.last("q").member());
     }
 
@@ -568,13 +574,13 @@
     @ParameterizedTest
     @EnumSource(
             value = Outcome.class,
-            names = {"FULL", "CONNECT_FAILED"})
+            names = {"REJECTED", "CONNECT_FAILED"})
     void aFullOrUnreachableMemberIsLeftAloneForAWhile(Outcome outcome) {
         Recorder r = new Setup().start(up("a", 0, true), up("b", 0, false));
         for (int i = 0; i < 100; i++) {
             r.ask("q" + i, ANY);
             for (int j = 0; j < 2 && r.last("q" + i) != null; j++) {
-                r.end("q" + i, Outcome.FULL, r.last("q" + i).member().equals("a") ? Role.PRIMARY : Role.REPLICA, 0);
+                r.end("q" + i, Outcome.REJECTED, r.last("q" + i).member().equals("a") ? Role.PRIMARY : Role.REPLICA, 0);
             }
             r.pass(1_000);
         }
@@ -863,7 +869,7 @@
         r.ask("w", UNSAFE);
         assertEquals("c", r.last("q").member());
         assertEquals(List.of("a"), r.probed);
-        r.end("w", Outcome.MISS, Role.REPLICA, 0);
+        r.end("w", Outcome.WRONG_ROLE_OR_STALE, Role.REPLICA, 0);
         assertEquals("c", r.last("w").member(), "a stranger is the last of the chain");
         r.router.onProbe(r.now, "a", false, 1_000, null);
         r.ask("q2", ANY);
@@ -883,7 +889,7 @@
         r.list(ListKind.FULL, up("b", 0, true));
         r.list(ListKind.FULL, up("b", 0, true));
         r.ask("w", UNSAFE);
-        r.end("w", Outcome.MISS, Role.REPLICA, 0);
+        r.end("w", Outcome.WRONG_ROLE_OR_STALE, Role.REPLICA, 0);
         r.pass(1_000_000);
         assertEquals(0, r.countTo("a"));
         assertFalse(r.probed.contains("a"));
@@ -1030,11 +1036,11 @@
                 1,
                 0));
         r.router.onSettings(setup.settings().with(classes, 1));
-        r.end("open", Outcome.MISS, Role.REPLICA, 0);
+        r.end("open", Outcome.WRONG_ROLE_OR_STALE, Role.REPLICA, 0);
         assertEquals("b", r.last("open").member());
-        r.end("open", Outcome.MISS, Role.PRIMARY, 0);
+        r.end("open", Outcome.WRONG_ROLE_OR_STALE, Role.PRIMARY, 0);
         r.ask("later", UNSAFE);
-        r.end("later", Outcome.MISS, Role.REPLICA, 0);
+        r.end("later", Outcome.WRONG_ROLE_OR_STALE, Role.REPLICA, 0);
         assertEquals(List.of("later"), r.refused);
         r.ask("of the new class", classes.size() - 1);
         r.end("of the new class", Outcome.RESET);
@@ -1046,7 +1052,7 @@
         Recorder r = new Setup().start(up("a", 0, true), up("b", 0, false));
         r.list(ListKind.FULL, with(up("a", 0, true), State.DRAINING, 0), up("b", 0, false));
         r.ask("first", KEYED, 0, 2_000_000);
-        r.end("first", Outcome.MISS, Role.REPLICA, 0);
+        r.end("first", Outcome.WRONG_ROLE_OR_STALE, Role.REPLICA, 0);
         r.ask("w", KEYED, 0, 2_000_000);
         r.pass(800_000);
         assertEquals(List.of(), r.refused);
--- a/decisions/src/test/java/frostreel/routing/FleetTest.java
+++ b/decisions/src/test/java/frostreel/routing/FleetTest.java
@@ -124,7 +124,7 @@
         Recorder r = s.start(up("a", 0, true), up("b", 0, false));
         r.ask("q", SAFE_READ);
         assertThat(r.last("q").member()).isEqualTo("b");
-        r.end("q", Outcome.MISS, Role.REPLICA, r.now - 3_000_000);
+        r.end("q", Outcome.WRONG_ROLE_OR_STALE, Role.REPLICA, r.now - 3_000_000);
         assertThat(r.probed).isEmpty();
     }
 
@@ -145,7 +145,16 @@
             for (int i = 0; i < r.sent.size(); i++) { // Each miss sends it on, until the round is full.
                 Recorder.Sent s = r.sent.get(i);
                 r.router.onOutcome(
-                        r.now, s.request(), s.attempt(), s.member(), Outcome.MISS, false, 1_000, Role.REPLICA, 0, null);
+                        r.now,
+                        s.request(),
+                        s.attempt(),
+                        s.member(),
+                        Outcome.WRONG_ROLE_OR_STALE,
+                        false,
+                        1_000,
+                        Role.REPLICA,
+                        0,
+                        null);
             }
             for (int i = 0; i < 20; i++) {
                 int before = r.probed.size();
--- a/decisions/src/test/java/frostreel/routing/PromotionTest.java
+++ b/decisions/src/test/java/frostreel/routing/PromotionTest.java
@@ -102,9 +102,9 @@
         assertThat(read("waits for its connection")).isEqualTo("b");
         assertThat(r.router.stands(r.now, "waits for its connection")).isTrue();
         write("turned away");
-        r.end("turned away", Outcome.MISS, Role.REPLICA, 0);
+        r.end("turned away", Outcome.WRONG_ROLE_OR_STALE, Role.REPLICA, 0);
         assertThat(r.router.stands(r.now, "waits for its connection")).isFalse();
-        r.end("waits for its connection", Outcome.MOOT);
+        r.end("waits for its connection", Outcome.NOT_SENT);
         assertThat(read("later")).isEqualTo("nobody");
         r.pass(100_000);
         assertThat(r.last("later")).isNull();
--- a/decisions/src/test/java/frostreel/routing/SessionCommitsTest.java
+++ b/decisions/src/test/java/frostreel/routing/SessionCommitsTest.java
@@ -25,7 +25,7 @@
         commits.sent(T, 1);
         assertThat(commits.need(T + 100 * MS, 1)).isZero();
         assertThat(commits.need(T + 150 * MS, 1)).isEqualTo(T + 50 * MS);
-        commits.ended(T + 200 * MS, 1, T + 3_000 * MS, Outcome.MISS, 0, KEEP); // It never ran.
+        commits.ended(T + 200 * MS, 1, T + 3_000 * MS, Outcome.WRONG_ROLE_OR_STALE, 0, KEEP); // It never ran.
         assertThat(commits.need(T + 250 * MS, 1)).isZero();
     }
 
@@ -33,7 +33,7 @@
     void ofTwoWritesAtOnceTheOldestBindsUntilBothHaveEnded() {
         commits.sent(T, 1);
         commits.sent(T + 500 * MS, 1);
-        commits.ended(T + 510 * MS, 1, T + 3_000 * MS, Outcome.FULL, 0, KEEP);
+        commits.ended(T + 510 * MS, 1, T + 3_000 * MS, Outcome.REJECTED, 0, KEEP);
         assertThat(commits.need(T + 520 * MS, 1)).isEqualTo(T + 420 * MS);
         commits.ended(T + 530 * MS, 1, T + 3_000 * MS, Outcome.OK, T + 5 * MS, KEEP);
         assertThat(commits.need(T + 540 * MS, 1)).isEqualTo(T + 6 * MS);
@@ -72,7 +72,7 @@
         for (int i = 0; i <= SessionCommits.MOST + 1; i++) {
             commits.sent(T, i);
         }
-        commits.ended(T, 7, T + MS, Outcome.MISS, 0, KEEP);
+        commits.ended(T, 7, T + MS, Outcome.WRONG_ROLE_OR_STALE, 0, KEEP);
         assertThat(commits.size()).isLessThanOrEqualTo(SessionCommits.MOST);
         assertThat(commits.need(T + 500 * MS, 0)).isEqualTo(T + 500 * MS);
     }
--- a/decisions/src/test/java/frostreel/zones/ZoneFailoverPolicyTest.java
+++ b/decisions/src/test/java/frostreel/zones/ZoneFailoverPolicyTest.java
@@ -109,7 +109,7 @@
     void oneFailureIsNoLossAndAnAnswerBetweenThemStartsAnew() {
         calm();
         fail(handles[0][0], 2);
-        policy.ended(now, handles[0][0], Outcome.MISS, WORK);
+        policy.ended(now, handles[0][0], Outcome.WRONG_ROLE_OR_STALE, WORK);
         fail(handles[0][0], 2);
         assertThat(open(handles[0][0])).isTrue();
         fail(handles[0][0], 1);
--- a/lab/src/main/java/frostreel/lab/model/Server.java
+++ b/lab/src/main/java/frostreel/lab/model/Server.java
@@ -287,7 +287,7 @@
             return;
         }
         if (draining) {
-            end(job, Outcome.FULL);
+            end(job, Outcome.REJECTED);
             return;
         }
         if (stalledUntilUs > kernel.now()) {
@@ -309,11 +309,11 @@
             owedFailures--;
             end(job, Outcome.ERROR);
         } else if (job.write && !primary || job.needUs > applied()) {
-            end(job, Outcome.MISS);
+            end(job, Outcome.WRONG_ROLE_OR_STALE);
         } else if (running < cores) {
             begin(job);
         } else if (queue.size() >= physics.queue()) {
-            end(job, Outcome.FULL);
+            end(job, Outcome.REJECTED);
         } else {
             queue.add(job);
         }
--- a/lab/src/main/java/frostreel/lab/standin/Database.java
+++ b/lab/src/main/java/frostreel/lab/standin/Database.java
@@ -140,12 +140,12 @@
                             parameter("role", role == Role.PRIMARY ? "primary" : "replica"),
                             parameter("applied_ms", Long.toString(positionUs / 1000)),
                             parameter("load", load()));
-                case MISS ->
+                case WRONG_ROLE_OR_STALE ->
                     answer(
                             Messages.error(false, s.write() ? "25006" : "72000", "not here", null),
                             parameter("role", role == Role.PRIMARY ? "primary" : "replica"),
                             parameter("applied_ms", Long.toString(positionUs / 1000)));
-                case FULL -> answer(Messages.error(false, Messages.REFUSED, "no room", null));
+                case REJECTED -> answer(Messages.error(false, Messages.REFUSED, "no room", null));
                 case ERROR -> answer(Messages.error(false, "XX000", "it failed here", null));
                 default -> close();
             }
--- a/lab/src/main/java/frostreel/lab/virtual/VirtualPooler.java
+++ b/lab/src/main/java/frostreel/lab/virtual/VirtualPooler.java
@@ -195,7 +195,7 @@
             } else if (out(a) && a.sink.mayBegin()) {
                 then.run();
             } else {
-                finish(a, Result.of(Outcome.MOOT));
+                finish(a, Result.of(Outcome.NOT_SENT));
             }
         });
     }
@@ -320,7 +320,7 @@
         if (a == null) {
             return false;
         }
-        witness.ended(kernel.now(), number, a.order.id, a.written ? Outcome.TIMEOUT : Outcome.MOOT, a.written);
+        witness.ended(kernel.now(), number, a.order.id, a.written ? Outcome.TIMEOUT : Outcome.NOT_SENT, a.written);
         if (a.job != null && links.open(zone, a.server.zone)) {
             kernel.after(links.delayUs(zone, a.server.zone), () -> a.server.cancel(a.job));
         }
--- a/lab/src/test/java/frostreel/lab/model/ServerTest.java
+++ b/lab/src/test/java/frostreel/lab/model/ServerTest.java
@@ -32,7 +32,7 @@
         for (int i = 0; i < 2 + ServerParameters.USUAL.queue() + 1; i++) {
             send("j" + i, 1000);
         }
-        assertThat(ended).containsExactly("j66 FULL 0");
+        assertThat(ended).containsExactly("j66 REJECTED 0");
         kernel.runUntil(START_US + 2000);
         assertThat(ended.subList(1, 5)).containsExactly("j0 OK 1000", "j1 OK 1000", "j2 OK 2000", "j3 OK 2000");
     }
@@ -57,7 +57,9 @@
         kernel.runUntil(START_US + 1_000_000);
         server.arrive(job("behind", 1000, false, START_US + 600_000));
         server.arrive(job("near", 1000, false, START_US + 400_000));
-        assertThat(ended).containsExactly("w MISS 0", "r MISS 0", "behind MISS 1000000");
+        assertThat(ended)
+                .containsExactly(
+                        "w WRONG_ROLE_OR_STALE 0", "r WRONG_ROLE_OR_STALE 0", "behind WRONG_ROLE_OR_STALE 1000000");
         server.feed(false);
         long stood = server.applied();
         kernel.runUntil(START_US + 2_000_000);
--- a/lab/src/test/java/frostreel/lab/rules/InvariantCheckerTest.java
+++ b/lab/src/test/java/frostreel/lab/rules/InvariantCheckerTest.java
@@ -91,7 +91,7 @@
         book.sent(2, 1, "a", "t");
         assertThat(book.broken()).isEqualTo(1);
         for (int i = 0; i < 2; i++) {
-            book.ended(3, 1, "a", Outcome.MISS, false);
+            book.ended(3, 1, "a", Outcome.WRONG_ROLE_OR_STALE, false);
             book.sent(4, 1, "a", "s");
         }
         assertThat(broken()).containsExactly("one attempt at a time, 3 at most");
--- a/pooler/src/main/java/frostreel/broker/Broker.java
+++ b/pooler/src/main/java/frostreel/broker/Broker.java
@@ -399,7 +399,16 @@
         // client that has gone, whatever is asked for.
         if (r.inFlight != SlotTable.NONE || attempt >= r.mostAttempts || left <= 0 || !mayBegin(r)) {
             event(() -> router.onOutcome(
-                    clock.now(), r.id, attempt, memberId, Outcome.MOOT, r.answered, 0, Router.Role.UNKNOWN, 0, null));
+                    clock.now(),
+                    r.id,
+                    attempt,
+                    memberId,
+                    Outcome.NOT_SENT,
+                    r.answered,
+                    0,
+                    Router.Role.UNKNOWN,
+                    0,
+                    null));
             return;
         }
         counters.attempts++;
@@ -441,7 +450,7 @@
     private void stop(ActiveRequest r, int attempt, Outcome outcome) {
         if (r.inFlight != SlotTable.NONE && attempt == r.attempts - 1 && !r.passing) {
             boolean reached = backEnd.abandon(r.inFlight);
-            ended(r, attempt, BackEnd.Result.of(reached ? outcome : Outcome.MOOT));
+            ended(r, attempt, BackEnd.Result.of(reached ? outcome : Outcome.NOT_SENT));
         }
     }
 
--- a/pooler/src/main/java/frostreel/net/ServerConnection.java
+++ b/pooler/src/main/java/frostreel/net/ServerConnection.java
@@ -212,7 +212,7 @@
             loop.counters().strayBytes++;
         }
         if (phase == Phase.STARTUP && (whole.errorCode() != null || !clean)) {
-            fail(whole.result(false).outcome() == Outcome.FULL ? Outcome.FULL : Outcome.CONNECT_FAILED);
+            fail(whole.result(false).outcome() == Outcome.REJECTED ? Outcome.REJECTED : Outcome.CONNECT_FAILED);
         } else if (!clean) {
             end(result(whole, !whole.ready()));
         } else if (phase == Phase.STARTUP) {
--- a/pooler/src/main/java/frostreel/net/ServerPool.java
+++ b/pooler/src/main/java/frostreel/net/ServerPool.java
@@ -135,7 +135,7 @@
             unwanted.removeIf(c -> s.usable && c.address.equals(s.address));
             unwanted.forEach(ServerConnection::close);
             for (int more = s.waiting.size() - s.opening.size(); more > 0; more--) {
-                finish(s.waiting.pollFirst(), Result.of(Outcome.MOOT));
+                finish(s.waiting.pollFirst(), Result.of(Outcome.NOT_SENT));
             }
         }
     }
@@ -161,7 +161,7 @@
         Attempt a = new Attempt(s, payload, untilUs, sink);
         a.handle = attempts.add(a);
         if (s == null || !s.usable) {
-            finish(a, Result.of(s == null ? Outcome.CONNECT_FAILED : Outcome.MOOT));
+            finish(a, Result.of(s == null ? Outcome.CONNECT_FAILED : Outcome.NOT_SENT));
             return a;
         }
         for (ServerConnection c = s.idle.pollFirst(); c != null; c = s.idle.pollFirst()) {
@@ -177,7 +177,7 @@
         if (connections.full()) {
             // At our own cap of connections: as with a full server, the module lets it rest a little.
             s.waiting.remove(a);
-            finish(a, Result.of(Outcome.FULL));
+            finish(a, Result.of(Outcome.REJECTED));
             return a;
         }
         ServerConnection opened = new ServerConnection(loop, this, s);
@@ -241,7 +241,7 @@
         Attempt next = s.waiting.peekFirst();
         while (next != null && !next.sink.mayBegin()) { // Which may end other attempts that wait.
             s.waiting.remove(next);
-            finish(next, Result.of(Outcome.MOOT));
+            finish(next, Result.of(Outcome.NOT_SENT));
             next = s.waiting.peekFirst();
         }
         if (!s.usable || !c.address.equals(s.address)) {
--- a/pooler/src/main/java/frostreel/pg/Reply.java
+++ b/pooler/src/main/java/frostreel/pg/Reply.java
@@ -208,8 +208,8 @@
             outcome = !errorAlone
                     ? Outcome.ERROR
                     : switch (errorCode) {
-                        case "53300" -> Outcome.FULL;
-                        case "25006", "72000" -> Outcome.MISS;
+                        case "53300" -> Outcome.REJECTED;
+                        case "25006", "72000" -> Outcome.WRONG_ROLE_OR_STALE;
                         default -> Outcome.ERROR;
                     };
         } else {
--- a/pooler/src/test/java/frostreel/GoneClientsTest.java
+++ b/pooler/src/test/java/frostreel/GoneClientsTest.java
@@ -144,7 +144,7 @@
         start();
         try (Keyed c = new Keyed()) {
             c.link.send(query(post("gone", 9000)));
-            while (!stage.pooler.counters().contains("MISS=2")) {
+            while (!stage.pooler.counters().contains("WRONG_ROLE_OR_STALE=2")) {
                 Thread.onSpinWait(); // A full round: it is held.
             }
             c.endsCancelled();
--- a/pooler/src/test/java/frostreel/LateConnectionsTest.java
+++ b/pooler/src/test/java/frostreel/LateConnectionsTest.java
@@ -71,7 +71,7 @@
                 assertThat(value(c.ask(look("" + i, 9000)))).isEqualTo("from-replica");
             }
             assertThat(replica.links.get()).isEqualTo(2);
-            assertThat(stage.pooler.counters()).contains("outcomes={OK=7, MOOT=1}");
+            assertThat(stage.pooler.counters()).contains("outcomes={OK=7, NOT_SENT=1}");
         }
     }
 
--- a/pooler/src/test/java/frostreel/ServingTest.java
+++ b/pooler/src/test/java/frostreel/ServingTest.java
@@ -630,7 +630,7 @@
             assertThat(replica.ended.take()).isEqualTo("ended");
             assertThat(value(c.ask(look("3", 9000)))).isEqualTo("from-moved");
         }
-        assertThat(stage.pooler.counters()).contains("outcomes={OK=3, MOOT=2}");
+        assertThat(stage.pooler.counters()).contains("outcomes={OK=3, NOT_SENT=2}");
     }
 
     @Test
@@ -645,7 +645,7 @@
                 assertThat(value(c.ask(look("id" + i, 9000)))).isEqualTo("from-primary");
             }
         }
-        assertThat(stage.pooler.counters()).doesNotContain("MOOT").doesNotContain("TIMEOUT");
+        assertThat(stage.pooler.counters()).doesNotContain("NOT_SENT").doesNotContain("TIMEOUT");
     }
 
     @Test
@@ -878,7 +878,7 @@
         start();
         try (PoolerHarness.Link c = stage.client()) {
             assertThat(value(c.ask(look("1", 9000)))).isEqualTo("from-primary");
-            assertThat(stage.pooler.counters()).contains("MISS=1");
+            assertThat(stage.pooler.counters()).contains("WRONG_ROLE_OR_STALE=1");
         }
     }
 }
