--- a/decisions/src/jmh/java/frostreel/zones/LocalityPolicyBenchmark.java
+++ b/decisions/src/jmh/java/frostreel/zones/LocalityPolicyBenchmark.java
@@ -33,7 +33,7 @@
 
     /** A hundred groups over three zones, one of them lost. */
     @Setup public void raise() {
-        Router.RequestClass read = new Router.RequestClass("look", Router.Access.ANY, Router.Idempotency.SAFE,
+        Router.RequestClass read = new Router.RequestClass("look", Router.Access.ANY, Router.Idempotency.IDEMPOTENT,
                 Router.DeduplicationScope.GROUP, 0, 0, 200_000, 1_000_000, 1, 0);
         Router.Settings settings = new Router.Settings(1, 0, 0, 1000, List.of(read, read), Router.StalenessCheck.REFUSE,
                 Router.ListRole.LATE, Router.SessionTracking.CARRIED, true,
--- a/decisions/src/main/java/frostreel/operation/RequestClassRegistry.java
+++ b/decisions/src/main/java/frostreel/operation/RequestClassRegistry.java
@@ -62,8 +62,9 @@
         }
         RequestClass a = all.get(now);
         RequestClass b = all.get(then);
-        boolean looser =
-                a.repeat().ordinal() < b.repeat().ordinal() || a.windowUs() > b.windowUs() || a.boundUs() > b.boundUs();
+        boolean looser = a.idempotency().ordinal() < b.idempotency().ordinal()
+                || a.windowUs() > b.windowUs()
+                || a.boundUs() > b.boundUs();
         return looser ? then : now;
     }
 
@@ -73,7 +74,7 @@
         }
         RequestClass c = all.get(number);
         boolean fits =
-                write == (c.access() == Router.Access.WRITE) && (keyed || c.repeat() != Router.Idempotency.KEYED);
+                write == (c.access() == Router.Access.WRITE) && (keyed || c.idempotency() != Router.Idempotency.KEYED);
         return fits ? number : null;
     }
 }
--- a/decisions/src/main/java/frostreel/routing/ChainRouter.java
+++ b/decisions/src/main/java/frostreel/routing/ChainRouter.java
@@ -191,7 +191,7 @@
         for (int i = 0; i < expect.length; i++) {
             RequestClass k = settings.classes().get(i);
             keepUs = Math.max(keepUs, KEEP * k.deadlineUs());
-            expect[i] = i < known ? expect[i] : k.aimUs() / 5.0;
+            expect[i] = i < known ? expect[i] : k.latencyObjectiveUs() / 5.0;
         }
         slow.settings(settings);
         localityPolicy.settings(settings);
@@ -411,7 +411,8 @@
         } else {
             route(now, c);
         }
-        if (set.limits().places() > 0 && calls.size() > OPEN * set.limits().places()) {
+        if (set.limits().concurrentRequestLimit() > 0
+                && calls.size() > OPEN * set.limits().concurrentRequestLimit()) {
             waiting.values().stream()
                     .flatMap(w -> Stream.concat(w.held.stream(), w.parked.stream()))
                     .min(Comparator.comparingLong(w -> w.arrivedUs))
@@ -464,8 +465,9 @@
         return now + 2 * sweepUs >= c.q.deadlineUs()
                 || c.attempts >= c.mostAttempts
                 || c.mayHaveRun
-                        && (c.k.repeat() == Idempotency.UNSAFE
-                                || c.k.repeat() == Idempotency.KEYED && now + sweepUs > c.firstMaybe + c.k.windowUs());
+                        && (c.k.idempotency() == Idempotency.NON_IDEMPOTENT
+                                || c.k.idempotency() == Idempotency.KEYED
+                                        && now + sweepUs > c.firstMaybe + c.k.windowUs());
     }
 
     /** Lets out what waits: held writes as the head's window allows, then parked reads. Newest first: oldest
@@ -478,7 +480,7 @@
             if (g.holding || g.head != null && !g.doubted && !room(now, g.head, 1)) {
                 break;
             }
-            if (now < c.notBefore || g.doubted && (!canary || c.k.repeat() == Idempotency.UNSAFE)) {
+            if (now < c.notBefore || g.doubted && (!canary || c.k.idempotency() == Idempotency.NON_IDEMPOTENT)) {
                 continue;
             }
             MemberState to = g.head != null ? g.head : next(c);
@@ -507,12 +509,12 @@
     private long writeTimeout(long now, PendingRequest c, MemberState n) {
         long left = c.q.deadlineUs() - now;
         double util = slow.util(n.start);
-        if (c.k.repeat() == Idempotency.UNSAFE || util >= FULL || util < 0 && n.window < FIRST_WINDOW) {
+        if (c.k.idempotency() == Idempotency.NON_IDEMPOTENT || util >= FULL || util < 0 && n.window < FIRST_WINDOW) {
             return left;
         }
-        long t = (long) Math.max(c.k.aimUs(), SILENCE * expected(c, n, now));
+        long t = (long) Math.max(c.k.latencyObjectiveUs(), SILENCE * expected(c, n, now));
         boolean again = c.attempts + 1 < c.mostAttempts
-                && (c.k.repeat() == Idempotency.SAFE
+                && (c.k.idempotency() == Idempotency.IDEMPOTENT
                         || now + t + sweepUs < (c.mayHaveRun ? c.firstMaybe : now) + c.k.windowUs());
         return again ? Math.min(left, t) : left;
     }
@@ -521,14 +523,14 @@
 
     /** Whether sessions' writes are remembered here, and this is one. */
     private boolean marks(PendingRequest c) {
-        return c.k.access() == Access.WRITE && set.marks() == SessionTracking.REMEMBERED;
+        return c.k.access() == Access.WRITE && set.sessionTracking() == SessionTracking.REMEMBERED;
     }
 
     private long need(long now, PendingRequest c) {
         return switch (c.k.access()) {
             case BOUNDED -> now - c.k.boundUs() + 2000;
             case SESSION -> {
-                if (set.marks() == SessionTracking.CARRIED) {
+                if (set.sessionTracking() == SessionTracking.CARRIED) {
                     yield c.q.sinceWriteUs() <= 0 ? 0 : c.arrivedUs - c.q.sinceWriteUs() + 2000;
                 }
                 yield Math.max(commits.need(now, c.q.session()), elsewhere.boundUs(now, c.q.session()));
@@ -540,7 +542,7 @@
 
     /** Whether a member checks and nothing says that it is too far behind; the baseline is report age. */
     private boolean likely(long now, MemberState n, long need) {
-        return set.checks() != StalenessCheck.SILENT
+        return set.stalenessCheck() != StalenessCheck.SILENT
                 && now - n.missAt > WALK_US
                 && now - need + set.limits().holdsForUs() >= n.lag - Math.min(baseLag, n.lag);
     }
@@ -567,7 +569,7 @@
     /** Whether to wait for a probe that is out and may tell a position, a tenth of the aim at most. */
     private boolean asks(long now, PendingRequest c) {
         if (c.patienceUs == 0) {
-            c.patienceUs = now + Math.max(2 * set.tickUs(), c.k.aimUs() / 10);
+            c.patienceUs = now + Math.max(2 * set.tickUs(), c.k.latencyObjectiveUs() / 10);
         }
         boolean any = false;
         for (MemberState n : c.g.chain) {
@@ -595,7 +597,7 @@
             return;
         }
         long need = need(now, c);
-        boolean canary = g.doubted && now - g.canaryAt >= WALK_US && c.k.repeat() == Idempotency.SAFE;
+        boolean canary = g.doubted && now - g.canaryAt >= WALK_US && c.k.idempotency() == Idempotency.IDEMPOTENT;
         if (canary && !c.missed.contains(g.head) && send(now, c, g.head, readTimeout(now, c, g.head))) {
             g.canaryAt = now;
             return;
@@ -607,7 +609,7 @@
         boolean waits = false, denied = false;
         boolean longer = lengthy(c);
         double part = c.k.access() == Access.ANY && !longer ? LEAVE : 1;
-        MemberState only = longer && now - c.arrivedUs < PATIENT * c.k.aimUs() ? keeper(now, c) : null;
+        MemberState only = longer && now - c.arrivedUs < PATIENT * c.k.latencyObjectiveUs() ? keeper(now, c) : null;
         int size = g.chain.size();
         for (int i = 0; i < size; i++) {
             MemberState n = g.chain.get((turnSeed + g.turn + i) % size);
@@ -652,7 +654,7 @@
             g.probedAt = now;
             probe(now, unproven);
         }
-        if (set.checks() == StalenessCheck.SILENT && asks(now, c)) {
+        if (set.stalenessCheck() == StalenessCheck.SILENT && asks(now, c)) {
             park(c);
             return;
         }
@@ -680,7 +682,7 @@
     /** Whether an open connection is free: a new one costs the member work and the request time, and hundreds
      * of routers that each rotate over all members would fill their tables. */
     private boolean linked(long now, MemberState n) {
-        return n.out < n.links * set.limits().perLink()
+        return n.out < n.links * set.limits().requestsPerConnection()
                 && now - n.linkedAt < set.limits().idleCloseUs();
     }
 
@@ -735,14 +737,16 @@
 
     /** Until when an answer is worth anything: the deadline, or the aim where lateness earns nothing. */
     private static long until(PendingRequest c) {
-        return c.k.lateWorth() > 0 ? c.q.deadlineUs() : Math.min(c.q.deadlineUs(), c.arrivedUs + c.k.aimUs());
+        return c.k.lateWeight() > 0
+                ? c.q.deadlineUs()
+                : Math.min(c.q.deadlineUs(), c.arrivedUs + c.k.latencyObjectiveUs());
     }
 
     /** Where no window bounds a member's queue, a time-out takes out of it what is past its use. */
     private long readTimeout(long now, PendingRequest c, MemberState n) {
         long left = (n.window <= 1 ? until(c) : c.q.deadlineUs()) - now;
         double mean = expected(c, n, now);
-        double spare = c.arrivedUs + c.k.aimUs() - now - 1.5 * mean;
+        double spare = c.arrivedUs + c.k.latencyObjectiveUs() - now - 1.5 * mean;
         return spare > SILENCE * mean && retryTokens >= 1 ? (long) Math.min(left, spare) : left;
     }
 
@@ -827,10 +831,12 @@
         if (!outcome.provesNotRun && !c.mayHaveRun) {
             c.mayHaveRun = true;
             c.firstMaybe = c.sentAt;
-            c.keyZone = c.k.repeat() == Idempotency.KEYED && c.k.scope() == DeduplicationScope.ZONE ? n.zone : -1;
+            c.keyZone = c.k.idempotency() == Idempotency.KEYED && c.k.deduplicationScope() == DeduplicationScope.ZONE
+                    ? n.zone
+                    : -1;
         }
         if (closed || c.ended || outcome == Outcome.OK) {
-            double worth = now - c.arrivedUs <= c.k.aimUs() ? 1 : c.k.lateWorth();
+            double worth = now - c.arrivedUs <= c.k.latencyObjectiveUs() ? 1 : c.k.lateWeight();
             conclude(now, c, outcome == Outcome.OK ? worth : 0);
             calls.remove(requestId);
         } else {
@@ -876,7 +882,8 @@
                 g.doubted = false;
             }
             slow.served(now, n.start, c.q.cls(), tookUs);
-            if (tookUs > c.k.aimUs() || !lengthy(c) && expected(c, n, now) > TARGET * c.k.aimUs()) {
+            if (tookUs > c.k.latencyObjectiveUs()
+                    || !lengthy(c) && expected(c, n, now) > TARGET * c.k.latencyObjectiveUs()) {
                 narrow(now, n, expect[c.q.cls()]);
             } else {
                 widen(n);
@@ -914,7 +921,7 @@
         if (o != Outcome.REJECTED || !c.toHead) {
             c.missed.add(n);
         }
-        if (spent(now, c) || !o.provesNotRun && (retryTokens < 1 && c.k.repeat() == Idempotency.SAFE)) {
+        if (spent(now, c) || !o.provesNotRun && (retryTokens < 1 && c.k.idempotency() == Idempotency.IDEMPOTENT)) {
             giveUp(now, c);
             return;
         }
@@ -969,7 +976,7 @@
     }
 
     @Override
-    public void onClientGone(long now, String requestId) {
+    public void onClientDisconnected(long now, String requestId) {
         PendingRequest c = calls.get(requestId);
         if (c == null || c.ended) {
             return;
@@ -989,7 +996,7 @@
     /** Whether it is new enough for a read, by its own word; the head is excused until it is heard as a
      * replica, or another as primary. */
     private boolean fresh(long now, PendingRequest c, MemberState n) {
-        return set.checks() != StalenessCheck.SILENT
+        return set.stalenessCheck() != StalenessCheck.SILENT
                 || c.k.access() == Access.WRITE
                 || n.position >= need(now, c)
                 || n == n.group.head && n.primaryAt > n.replicaAt;
@@ -997,7 +1004,7 @@
 
     /** Also whether its member was told to have started meanwhile: then it goes as one that is sent now. */
     @Override
-    public boolean stands(long now, String requestId) {
+    public boolean mayStillBegin(long now, String requestId) {
         PendingRequest c = calls.get(requestId);
         if (c == null || c.on == null || c.startedUs == c.on.start.startedUs()) {
             return c == null || c.on == null || fresh(now, c, c.on);
@@ -1036,7 +1043,7 @@
             n.progressAt = now;
         }
         n.group.sinceLink = linked(now, n) ? n.group.sinceLink + 1 : 0;
-        n.links = linked(now, n) ? n.links : n.out / set.limits().perLink() + 1;
+        n.links = linked(now, n) ? n.links : n.out / set.limits().requestsPerConnection() + 1;
         n.linkedAt = now;
         n.out++;
         n.slowest = Math.max(n.slowest, Math.max(effort, expected(c, n, now)));
@@ -1056,12 +1063,14 @@
         conclude(now, c, 0);
         calls.remove(c.q.id());
         boolean harmless = !c.mayHaveRun
-                || c.k.repeat() == Idempotency.SAFE
-                || c.k.repeat() == Idempotency.KEYED && c.k.scope() == DeduplicationScope.ALL;
+                || c.k.idempotency() == Idempotency.IDEMPOTENT
+                || c.k.idempotency() == Idempotency.KEYED && c.k.deduplicationScope() == DeduplicationScope.ALL;
         if (harmless) {
-            act.refuse(
+            act.reject(
                     c.q.id(),
-                    set.limits().retryAdvice() ? Math.min(WALK_US, set.limits().maxAdviceUs()) : 0);
+                    set.limits().retryAfterAllowed()
+                            ? Math.min(WALK_US, set.limits().maxRetryAfterUs())
+                            : 0);
         } else {
             act.fail(c.q.id());
         }
--- a/decisions/src/main/java/frostreel/routing/Router.java
+++ b/decisions/src/main/java/frostreel/routing/Router.java
@@ -26,9 +26,9 @@
 
     /** Whether a request may be repeated after an attempt that may have run. */
     enum Idempotency {
-        SAFE,
+        IDEMPOTENT,
         KEYED,
-        UNSAFE
+        NON_IDEMPOTENT
     }
 
     /** Which members drop a keyed request's repeats. */
@@ -107,56 +107,56 @@
     record RequestClass(
             String name,
             Access access,
-            Idempotency repeat,
-            DeduplicationScope scope,
+            Idempotency idempotency,
+            DeduplicationScope deduplicationScope,
             long windowUs,
             long boundUs,
-            long aimUs,
+            long latencyObjectiveUs,
             long deadlineUs,
-            double worth,
-            double lateWorth) {}
+            double priorityWeight,
+            double lateWeight) {}
 
     /**
      * What the deployment permits; an idle connection closes by itself, and carries so many at once;
-     * {@code places}: how many requests clients may have open here at once, 0 where nothing bounds them.
+     * {@code concurrentRequestLimit}: how many requests clients may have open here at once, 0 where nothing bounds them.
      */
     record Limits(
             int maxAttempts,
             Probes probes,
             boolean cancel,
-            boolean retryAdvice,
-            long maxAdviceUs,
+            boolean retryAfterAllowed,
+            long maxRetryAfterUs,
             boolean subscribe,
             long askWithinUs,
             long connectTimeoutUs,
             long holdsForUs,
             long idleCloseUs,
-            int perLink,
-            int places) {
+            int requestsPerConnection,
+            int concurrentRequestLimit) {
         public Limits(
                 int maxAttempts,
                 Probes probes,
                 boolean cancel,
-                boolean retryAdvice,
-                long maxAdviceUs,
+                boolean retryAfterAllowed,
+                long maxRetryAfterUs,
                 boolean subscribe,
                 long askWithinUs,
                 long connectTimeoutUs,
                 long holdsForUs,
                 long idleCloseUs,
-                int perLink) {
+                int requestsPerConnection) {
             this(
                     maxAttempts,
                     probes,
                     cancel,
-                    retryAdvice,
-                    maxAdviceUs,
+                    retryAfterAllowed,
+                    maxRetryAfterUs,
                     subscribe,
                     askWithinUs,
                     connectTimeoutUs,
                     holdsForUs,
                     idleCloseUs,
-                    perLink,
+                    requestsPerConnection,
                     0);
         }
 
@@ -166,8 +166,8 @@
                     maxAttempts,
                     probes,
                     cancel,
-                    retryAdvice,
-                    maxAdviceUs,
+                    retryAfterAllowed,
+                    maxRetryAfterUs,
                     subscribe,
                     askWithinUs,
                     connectTimeoutUs,
@@ -204,9 +204,9 @@
             int zone,
             long tickUs,
             List<RequestClass> classes,
-            StalenessCheck checks,
+            StalenessCheck stalenessCheck,
             ListRole listRole,
-            SessionTracking marks,
+            SessionTracking sessionTracking,
             boolean positions,
             Limits limits,
             Rules rules) {
@@ -216,31 +216,42 @@
                     maxAttempts,
                     limits.probes,
                     limits.cancel,
-                    limits.retryAdvice,
-                    limits.maxAdviceUs,
+                    limits.retryAfterAllowed,
+                    limits.maxRetryAfterUs,
                     limits.subscribe,
                     limits.askWithinUs,
                     limits.connectTimeoutUs,
                     limits.holdsForUs,
                     limits.idleCloseUs,
-                    limits.perLink,
-                    limits.places);
-            return new Settings(seed, instances, zone, tickUs, other, checks, listRole, marks, positions, l, rules);
+                    limits.requestsPerConnection,
+                    limits.concurrentRequestLimit);
+            return new Settings(
+                    seed,
+                    instances,
+                    zone,
+                    tickUs,
+                    other,
+                    stalenessCheck,
+                    listRole,
+                    sessionTracking,
+                    positions,
+                    l,
+                    rules);
         }
 
         /** The same but for the places of clients. */
-        public Settings onSockets(int places) {
+        public Settings onSockets(int concurrentRequestLimit) {
             return new Settings(
                     seed,
                     instances,
                     zone,
                     tickUs,
                     classes,
-                    checks,
+                    stalenessCheck,
                     listRole,
-                    marks,
+                    sessionTracking,
                     positions,
-                    limits.onSockets(places),
+                    limits.onSockets(concurrentRequestLimit),
                     rules);
         }
     }
@@ -327,7 +338,7 @@
      * Asked right before the first byte of an attempt that had to wait for its connection: whether its member
      * still is new enough for it. Where not, the attempt ends as NOT_SENT.
      */
-    boolean stands(long nowUs, String requestId);
+    boolean mayStillBegin(long nowUs, String requestId);
 
     void onMembers(long nowUs, ListKind kind, List<Member> members);
 
@@ -335,7 +346,7 @@
 
     void onTimer(long nowUs, String name);
 
-    void onClientGone(long nowUs, String requestId);
+    void onClientDisconnected(long nowUs, String requestId);
 
     /** What the router asks of the proxy that embeds it. */
     interface Actions {
@@ -343,7 +354,7 @@
         void send(String requestId, String memberId, long timeoutUs);
 
         /** Final answer: nothing ran, or trying again is harmless; with advice on when to come back. */
-        void refuse(String requestId, long adviceUs);
+        void reject(String requestId, long retryAfterUs);
 
         /** Final answer that promises nothing. */
         void fail(String requestId);
--- a/decisions/src/main/java/frostreel/routing/SlowStart.java
+++ b/decisions/src/main/java/frostreel/routing/SlowStart.java
@@ -135,7 +135,7 @@
 
     /** Until the first answer of a class: by as much of its aim as the others' answers are of theirs. */
     private double guessUs(int cls) {
-        return set.classes().get(cls).aimUs() / 5.0;
+        return set.classes().get(cls).latencyObjectiveUs() / 5.0;
     }
 
     /** A request of this class goes to it. */
--- a/decisions/src/main/java/frostreel/simulator/WireAdapter.java
+++ b/decisions/src/main/java/frostreel/simulator/WireAdapter.java
@@ -77,10 +77,10 @@
         }
 
         @Override
-        public void refuse(String requestId, long adviceUs) {
+        public void reject(String requestId, long retryAfterUs) {
             begin("OverloadReply")
                     .text("xid", requestId)
-                    .seconds("coolDownS", adviceUs)
+                    .seconds("coolDownS", retryAfterUs)
                     .end();
         }
 
@@ -287,7 +287,7 @@
                 to.router.onProbe(
                         now, f.text("member"), outcome(f) == Outcome.OK, f.micros("waitTimeS", 0), report(f, to));
             case "Fired" -> to.router.onTimer(now, f.text("ctx"));
-            case "ClientGone" -> to.router.onClientGone(now, f.text("xid"));
+            case "ClientGone" -> to.router.onClientDisconnected(now, f.text("xid"));
             case "Down" -> instances.remove(to.name);
             case "Accepted", "Datagram" -> {}
             default -> throw new MalformedMessageException("field 't': unknown message " + type);
--- a/decisions/src/main/java/frostreel/zones/ZoneFailoverPolicy.java
+++ b/decisions/src/main/java/frostreel/zones/ZoneFailoverPolicy.java
@@ -78,7 +78,7 @@
         work = Arrays.copyOf(work, settings.classes().size());
         reserve = Arrays.copyOf(reserve, work.length);
         for (int c = known; c < work.length; c++) {
-            work[c] = settings.classes().get(c).aimUs() / 5.0;
+            work[c] = settings.classes().get(c).latencyObjectiveUs() / 5.0;
         }
         anyWork = Arrays.stream(work).min().orElse(1);
         order();
@@ -238,7 +238,7 @@
     }
 
     private double density(int cls) {
-        return set.classes().get(cls).worth() / work[cls];
+        return set.classes().get(cls).priorityWeight() / work[cls];
     }
 
     // ---- Answers. ----
--- a/decisions/src/test/java/example/Embedding.java
+++ b/decisions/src/test/java/example/Embedding.java
@@ -10,7 +10,7 @@
         Router.RequestClass post = new Router.RequestClass(
                 "post",
                 Router.Access.WRITE,
-                Router.Idempotency.UNSAFE,
+                Router.Idempotency.NON_IDEMPOTENT,
                 Router.DeduplicationScope.GROUP,
                 0,
                 0,
@@ -21,7 +21,7 @@
         Router.RequestClass view = new Router.RequestClass(
                 "view",
                 Router.Access.BOUNDED,
-                Router.Idempotency.SAFE,
+                Router.Idempotency.IDEMPOTENT,
                 Router.DeduplicationScope.GROUP,
                 0,
                 800_000,
@@ -72,8 +72,8 @@
     }
 
     @Override
-    public void refuse(String requestId, long adviceUs) {
-        System.out.println(requestId + " refused, come back in " + adviceUs + " us");
+    public void reject(String requestId, long retryAfterUs) {
+        System.out.println(requestId + " refused, come back in " + retryAfterUs + " us");
     }
 
     @Override
--- a/decisions/src/test/java/frostreel/routing/ChainRouterTest.java
+++ b/decisions/src/test/java/frostreel/routing/ChainRouterTest.java
@@ -367,7 +367,7 @@
     @Test
     void rememberedCommitsBindTheSessionsReads() {
         Setup s = new Setup();
-        s.marks = SessionTracking.REMEMBERED;
+        s.sessionTracking = SessionTracking.REMEMBERED;
         Recorder r = s.start(up("a", 0, true), up("b", 0, false));
         r.probeOk("b", Role.REPLICA, r.now - 100_000);
         r.ask("w", UNSAFE);
@@ -385,7 +385,7 @@
     @Test
     void aWriteInDoubtBindsTheSessionsReads() {
         Setup s = new Setup();
-        s.marks = SessionTracking.REMEMBERED;
+        s.sessionTracking = SessionTracking.REMEMBERED;
         Recorder r = s.start(up("a", 0, true), up("b", 0, false));
         r.probeOk("b", Role.REPLICA, r.now - 10_000);
         r.ask("w", UNSAFE);
@@ -404,15 +404,15 @@
     @Test
     void whatWaitsForItsConnectionStandsOnlyWhileItsMemberIsNewEnough() {
         Setup s = new Setup();
-        s.marks = SessionTracking.REMEMBERED;
+        s.sessionTracking = SessionTracking.REMEMBERED;
         Recorder r = s.start(up("a", 0, true), up("b", 0, false));
         r.probeOk("b", Role.REPLICA, r.now - 100_000);
         r.ask("w", UNSAFE);
         r.ask("q", SESSION);
         assertEquals("b", r.last("q").member());
-        assertEquals(true, r.router.stands(r.now, "q"));
+        assertEquals(true, r.router.mayStillBegin(r.now, "q"));
         r.end("w", Outcome.OK, Role.PRIMARY, r.now - 5_000);
-        assertEquals(false, r.router.stands(r.now, "q"));
+        assertEquals(false, r.router.mayStillBegin(r.now, "q"));
         r.end("q", Outcome.NOT_SENT);
         assertEquals("a", r.last("q").member());
     }
@@ -446,7 +446,7 @@
         r.ask("q", ANY);
         assertEquals("b", r.last("q").member());
         r.router.onMembers(r.now, ListKind.CHANGES, List.of(with(up("b", 0, false), State.UP, r.now)));
-        assertEquals(false, r.router.stands(r.now, "q"));
+        assertEquals(false, r.router.mayStillBegin(r.now, "q"));
         r.end("q", Outcome.NOT_SENT);
         assertEquals("a", r.last("q").member());
     }
@@ -495,7 +495,7 @@
     @Test
     void beyondTheirPartOfClientsPlacesTheLongestWaitingMakesRoom() {
         Setup s = new Setup();
-        s.places = 6; // Two may be open.
+        s.concurrentRequestLimit = 6; // Two may be open.
         Recorder r = s.start(up("a", 0, true), up("b", 0, false));
         r.list(ListKind.CHANGES, with(up("a", 0, true), State.GONE, 0));
         r.list(ListKind.CHANGES, with(up("b", 0, false), State.GONE, 0));
@@ -512,7 +512,7 @@
     @Test
     void commitsThatAreForgottenStillBind() {
         Setup s = new Setup();
-        s.marks = SessionTracking.REMEMBERED;
+        s.sessionTracking = SessionTracking.REMEMBERED;
         Recorder r = s.start(up("a", 0, true), up("b", 0, false));
         r.ask("w", UNSAFE);
         long commit = r.now;
@@ -542,7 +542,7 @@
     @Test
     void aCheckingReplicaMayBeTriedUnproven() {
         Setup s = new Setup();
-        s.checks = StalenessCheck.WAIT;
+        s.stalenessCheck = StalenessCheck.WAIT;
         Recorder r = s.start(up("a", 0, true), up("b", 0, false));
         r.ask("q", SAFE_READ);
         assertEquals("b", r.last("q").member());
@@ -986,8 +986,8 @@
     void aClientThatLeftIsForgottenAndItsAttemptCalledOff() {
         Recorder r = trio();
         r.ask("w", KEYED);
-        r.router.onClientGone(r.now, "w");
-        r.router.onClientGone(r.now, "never seen");
+        r.router.onClientDisconnected(r.now, "w");
+        r.router.onClientDisconnected(r.now, "never seen");
         assertEquals(List.of("w/0"), r.cancelled);
         r.end("w", Outcome.CANCELLED);
         r.pass(5_000_000);
@@ -1027,11 +1027,11 @@
         classes.add(new Router.RequestClass(
                 "new",
                 Router.Access.WRITE,
-                Router.Idempotency.UNSAFE,
-                old.scope(),
+                Router.Idempotency.NON_IDEMPOTENT,
+                old.deduplicationScope(),
                 0,
                 0,
-                old.aimUs(),
+                old.latencyObjectiveUs(),
                 old.deadlineUs(),
                 1,
                 0));
--- a/decisions/src/test/java/frostreel/routing/FleetTest.java
+++ b/decisions/src/test/java/frostreel/routing/FleetTest.java
@@ -120,7 +120,7 @@
     @Test
     void aMissThatTellsThePositionNeedsNoProbeToTellItAgain() {
         Setup s = new Setup();
-        s.checks = Router.StalenessCheck.WAIT;
+        s.stalenessCheck = Router.StalenessCheck.WAIT;
         Recorder r = s.start(up("a", 0, true), up("b", 0, false));
         r.ask("q", SAFE_READ);
         assertThat(r.last("q").member()).isEqualTo("b");
--- a/decisions/src/test/java/frostreel/routing/PromotionTest.java
+++ b/decisions/src/test/java/frostreel/routing/PromotionTest.java
@@ -34,7 +34,7 @@
     void sessionWritesAndItsPrimaryDies() {
         Setup s = new Setup();
         s.listRole = ListRole.START;
-        s.marks = SessionTracking.REMEMBERED;
+        s.sessionTracking = SessionTracking.REMEMBERED;
         s.probes = Probes.LIVENESS;
         r = s.start(up("a", 0, true), up("b", 0, false), up("c", 0, false));
         commitUs = r.now;
@@ -100,10 +100,10 @@
     void deposedByItsOwnWordItIsExcusedNoMore() {
         promoteB();
         assertThat(read("waits for its connection")).isEqualTo("b");
-        assertThat(r.router.stands(r.now, "waits for its connection")).isTrue();
+        assertThat(r.router.mayStillBegin(r.now, "waits for its connection")).isTrue();
         write("turned away");
         r.end("turned away", Outcome.WRONG_ROLE_OR_STALE, Role.REPLICA, 0);
-        assertThat(r.router.stands(r.now, "waits for its connection")).isFalse();
+        assertThat(r.router.mayStillBegin(r.now, "waits for its connection")).isFalse();
         r.end("waits for its connection", Outcome.NOT_SENT);
         assertThat(read("later")).isEqualTo("nobody");
         r.pass(100_000);
@@ -141,6 +141,6 @@
         r.pass(1_000);
         assertThat(r.last("cut off").member()).isEqualTo("c");
         r.end("cut off", Outcome.OK, Role.PRIMARY, r.now);
-        assertThat(r.router.stands(r.now, "waits for its connection")).isFalse();
+        assertThat(r.router.mayStillBegin(r.now, "waits for its connection")).isFalse();
     }
 }
--- a/decisions/src/test/java/frostreel/routing/Recorder.java
+++ b/decisions/src/test/java/frostreel/routing/Recorder.java
@@ -46,9 +46,9 @@
 
     /** The settings a test may vary. */
     static final class Setup {
-        StalenessCheck checks = StalenessCheck.SILENT;
+        StalenessCheck stalenessCheck = StalenessCheck.SILENT;
         ListRole listRole = ListRole.LATE;
-        SessionTracking marks = SessionTracking.CARRIED;
+        SessionTracking sessionTracking = SessionTracking.CARRIED;
         Router.Probes probes = Router.Probes.REPORT;
         boolean cancel = true;
         boolean advice = true;
@@ -58,7 +58,7 @@
         long seed = 7;
         int zone;
         int instances;
-        int places;
+        int concurrentRequestLimit;
 
         Recorder start(Member... members) {
             Recorder r = new Recorder();
@@ -69,12 +69,12 @@
 
         Router.Settings settings() {
             List<RequestClass> classes = List.of(
-                    kind("bounded", Access.BOUNDED, Idempotency.SAFE, DeduplicationScope.GROUP, 0),
-                    kind("session", Access.SESSION, Idempotency.SAFE, DeduplicationScope.GROUP, 0),
-                    kind("fresh", Access.FRESH, Idempotency.SAFE, DeduplicationScope.GROUP, 0),
+                    kind("bounded", Access.BOUNDED, Idempotency.IDEMPOTENT, DeduplicationScope.GROUP, 0),
+                    kind("session", Access.SESSION, Idempotency.IDEMPOTENT, DeduplicationScope.GROUP, 0),
+                    kind("fresh", Access.FRESH, Idempotency.IDEMPOTENT, DeduplicationScope.GROUP, 0),
                     kind("keyed", Access.WRITE, Idempotency.KEYED, DeduplicationScope.GROUP, 0.5),
-                    kind("unsafe", Access.WRITE, Idempotency.UNSAFE, DeduplicationScope.GROUP, 0.5),
-                    kind("any", Access.ANY, Idempotency.SAFE, DeduplicationScope.GROUP, 0),
+                    kind("unsafe", Access.WRITE, Idempotency.NON_IDEMPOTENT, DeduplicationScope.GROUP, 0.5),
+                    kind("any", Access.ANY, Idempotency.IDEMPOTENT, DeduplicationScope.GROUP, 0),
                     kind("keyed anywhere", Access.WRITE, Idempotency.KEYED, DeduplicationScope.ALL, 0.5),
                     kind("keyed in its zone", Access.WRITE, Idempotency.KEYED, DeduplicationScope.ZONE, 0.5));
             return new Router.Settings(
@@ -83,9 +83,9 @@
                     zone,
                     5_000,
                     classes,
-                    checks,
+                    stalenessCheck,
                     listRole,
-                    marks,
+                    sessionTracking,
                     true,
                     new Router.Limits(
                             maxAttempts,
@@ -99,7 +99,7 @@
                             50_000,
                             30_000_000,
                             1,
-                            places),
+                            concurrentRequestLimit),
                     new Router.Rules(20_000, 500_000, onlyDraining, 0.2, 18_000_000, 3, 2_000_000));
         }
 
@@ -193,9 +193,9 @@
     }
 
     @Override
-    public void refuse(String requestId, long adviceUs) {
+    public void reject(String requestId, long retryAfterUs) {
         refused.add(requestId);
-        advice.add(adviceUs);
+        advice.add(retryAfterUs);
     }
 
     @Override
--- a/decisions/src/test/java/frostreel/zones/ZoneFailoverPolicyTest.java
+++ b/decisions/src/test/java/frostreel/zones/ZoneFailoverPolicyTest.java
@@ -48,7 +48,7 @@
         return new Router.RequestClass(
                 name,
                 Router.Access.ANY,
-                Router.Idempotency.SAFE,
+                Router.Idempotency.IDEMPOTENT,
                 Router.DeduplicationScope.GROUP,
                 0,
                 0,
--- a/lab/src/main/java/frostreel/lab/processes/LoadGenerator.java
+++ b/lab/src/main/java/frostreel/lab/processes/LoadGenerator.java
@@ -219,7 +219,7 @@
             asked++;
             Second s = seconds[second(r.askedUs)];
             s.asked++;
-            s.worthAsked += SimulationPlan.KINDS.get(r.cls).c().worth();
+            s.worthAsked += SimulationPlan.KINDS.get(r.cls).c().priorityWeight();
         }
         place(r);
     }
@@ -248,7 +248,7 @@
                 .append(c.name())
                 .append(",d=")
                 .append(c.deadlineUs() / 1000);
-        if (c.repeat() == Router.Idempotency.KEYED) {
+        if (c.idempotency() == Router.Idempotency.KEYED) {
             names.append(",k=").append(r.id);
         }
         names.append(",cluster=").append(r.session % groups);
@@ -440,9 +440,9 @@
     /** As long after the refusal as it says; the request stays open until then. */
     private void comeAgain(Request r, byte[] error) {
         Matcher detail = DETAIL.matcher(new String(error, StandardCharsets.UTF_8));
-        long adviceUs = detail.find() ? Long.parseLong(detail.group(1)) * 1000 : 0;
+        long retryAfterUs = detail.find() ? Long.parseLong(detail.group(1)) * 1000 : 0;
         retries++;
-        loop.deadlines().after(Math.max(LEAST_ADVICE_US, adviceUs), () -> {
+        loop.deadlines().after(Math.max(LEAST_ADVICE_US, retryAfterUs), () -> {
             open--;
             ask(new Request(r.cls, r.session, r.askedUs, true));
         });
@@ -464,7 +464,7 @@
         served.recordValue(Math.min(tookUs, served.getHighestTrackableValue()));
         Second s = seconds[second(r.askedUs)];
         s.served++;
-        s.worthGot += c.worth() * (tookUs <= c.aimUs() ? 1 : c.lateWorth());
+        s.worthGot += c.priorityWeight() * (tookUs <= c.latencyObjectiveUs() ? 1 : c.lateWeight());
         if (c.access() == Router.Access.WRITE) {
             lastWriteMs[r.session] = now / 1000;
         }
--- a/lab/src/main/java/frostreel/lab/processes/PlatformConfig.java
+++ b/lab/src/main/java/frostreel/lab/processes/PlatformConfig.java
@@ -17,20 +17,20 @@
             classes.put(new JSONObject()
                     .put("name", c.name())
                     .put("deadlineS", seconds(c.deadlineUs()))
-                    .put("onTimeS", seconds(c.aimUs()))
-                    .put("worth", c.worth())
-                    .put("lateWorth", c.lateWorth())
+                    .put("onTimeS", seconds(c.latencyObjectiveUs()))
+                    .put("worth", c.priorityWeight())
+                    .put("lateWorth", c.lateWeight())
                     .put("repeatWindowS", seconds(c.windowUs()))
                     .put(
                             "repeat",
-                            switch (c.repeat()) {
-                                case SAFE -> "retryable";
+                            switch (c.idempotency()) {
+                                case IDEMPOTENT -> "retryable";
                                 case KEYED -> "dedup";
-                                case UNSAFE -> "fragile";
+                                case NON_IDEMPOTENT -> "fragile";
                             })
                     .put(
                             "group",
-                            switch (c.scope()) {
+                            switch (c.deduplicationScope()) {
                                 case ALL -> "all";
                                 case ZONE -> "zone";
                                 case GROUP -> "cell";
@@ -57,11 +57,11 @@
                                 .put("maxAttempts", limits.maxAttempts())
                                 .put("probes", limits.probes() != Router.Probes.NONE)
                                 .put("cancel", limits.cancel())
-                                .put("retryAfter", limits.retryAdvice())
-                                .put("maxRetryAfterS", seconds(limits.maxAdviceUs()))
+                                .put("retryAfter", limits.retryAfterAllowed())
+                                .put("maxRetryAfterS", seconds(limits.maxRetryAfterUs()))
                                 .put("connectTimeoutS", seconds(limits.connectTimeoutUs()))
                                 .put("idleCloseS", seconds(limits.idleCloseUs()))
-                                .put("streamsPerConn", limits.perLink()))
+                                .put("streamsPerConn", limits.requestsPerConnection()))
                 .put(
                         "rules",
                         new JSONObject()
@@ -79,9 +79,9 @@
                                 .put("lagAllowedS", bounds)
                                 .put("holdsForS", seconds(limits.holdsForUs()))
                                 .put("positions", s.positions())
-                                .put("serverChecks", s.checks().name().toLowerCase(Locale.ROOT))
+                                .put("serverChecks", s.stalenessCheck().name().toLowerCase(Locale.ROOT))
                                 .put("listRole", s.listRole().name().toLowerCase(Locale.ROOT))
-                                .put("writeMarks", s.marks().name().toLowerCase(Locale.ROOT)));
+                                .put("writeMarks", s.sessionTracking().name().toLowerCase(Locale.ROOT)));
         return new JSONObject()
                 .put("seed", Long.toHexString(s.seed()))
                 .put("known", known)
--- a/lab/src/main/java/frostreel/lab/rules/InvariantChecker.java
+++ b/lab/src/main/java/frostreel/lab/rules/InvariantChecker.java
@@ -142,8 +142,8 @@
             RequestClass c = classes.get(id);
             if (since != null
                     && c != null
-                    && c.repeat() != Idempotency.SAFE
-                    && (c.repeat() == Idempotency.UNSAFE || nowUs > since + c.windowUs())) {
+                    && c.idempotency() != Idempotency.IDEMPOTENT
+                    && (c.idempotency() == Idempotency.NON_IDEMPOTENT || nowUs > since + c.windowUs())) {
                 convict(nowUs, id + " may have run, and was sent again to " + server);
             }
             begun.put(id, nowUs);
@@ -161,8 +161,8 @@
         public void answered(long nowUs, int pooler, String id, Answer answer) {
             RequestClass c = classes.remove(id);
             boolean harmless = c == null
-                    || c.repeat() == Idempotency.SAFE
-                    || c.repeat() == Idempotency.KEYED && c.scope() == DeduplicationScope.ALL;
+                    || c.idempotency() == Idempotency.IDEMPOTENT
+                    || c.idempotency() == Idempotency.KEYED && c.deduplicationScope() == DeduplicationScope.ALL;
             if (doubted.remove(id) != null && answer == Answer.REFUSED && !harmless) {
                 convict(nowUs, id + " may have run, and was refused");
             }
--- a/lab/src/main/java/frostreel/lab/virtual/OptimalBound.java
+++ b/lab/src/main/java/frostreel/lab/virtual/OptimalBound.java
@@ -58,8 +58,10 @@
             boolean write = k.c().access() == frostreel.routing.Router.Access.WRITE;
             double[] inTime = write ? writes(second, k) : new double[] {1, 1};
             demands.add(new Demand(
-                    each * inTime[0] * k.meanUs() / 1e6, each * inTime[1] * k.c().worth(), each * k.c().worth()));
-            asked += each * k.c().worth();
+                    each * inTime[0] * k.meanUs() / 1e6,
+                    each * inTime[1] * k.c().priorityWeight(),
+                    each * k.c().priorityWeight()));
+            asked += each * k.c().priorityWeight();
         }
         demands.sort(Comparator.comparingDouble(d -> d.work == 0 ? 0 : -d.worth / d.work));
         double left = 0;
@@ -87,12 +89,12 @@
                     j++;
                 }
                 long waitUs = (j - i) * SAMPLE_US;
-                if (waitUs <= k.c().aimUs()) {
+                if (waitUs <= k.c().latencyObjectiveUs()) {
                     served++;
                     worth++;
                 } else if (waitUs <= k.c().deadlineUs() * PATIENCE) {
                     served++;
-                    worth += k.c().lateWorth();
+                    worth += k.c().lateWeight();
                 }
             }
         }
--- a/lab/src/main/java/frostreel/lab/virtual/Simulation.java
+++ b/lab/src/main/java/frostreel/lab/virtual/Simulation.java
@@ -249,7 +249,7 @@
         int session = r.nextInt(lastWriteUs.length);
         double patience = 0.4 + 0.6 * r.nextDouble();
         tally.requests++;
-        tally.asked(second(), p.zone, cls, kind.c().worth());
+        tally.asked(second(), p.zone, cls, kind.c().priorityWeight());
         submit(
                 new Try(
                         p,
@@ -285,7 +285,7 @@
         String id = Long.toString(++ids, 36);
         long now = kernel.now();
         long deadlineUs = now + (long) (c.deadlineUs() * t.patience);
-        boolean carried = plan.site().settings().marks() == Router.SessionTracking.CARRIED;
+        boolean carried = plan.site().settings().sessionTracking() == Router.SessionTracking.CARRIED;
         long wroteUs = carried ? lastWriteUs[t.session] : t.pooler.commit(t.session);
         boolean reads = c.access() == Router.Access.SESSION;
         long seesUs = reads ? wroteUs : c.access() == Router.Access.FRESH ? now : 0;
@@ -314,19 +314,23 @@
                         tally.served++;
                         answered(Answer.SERVED);
                         long took = kernel.now() - t.askedUs;
-                        tally.got(t.second, t.pooler.zone, t.cls, c.worth() * (took <= c.aimUs() ? 1 : c.lateWorth()));
+                        tally.got(
+                                t.second,
+                                t.pooler.zone,
+                                t.cls,
+                                c.priorityWeight() * (took <= c.latencyObjectiveUs() ? 1 : c.lateWeight()));
                         if (c.access() == Router.Access.WRITE) {
                             lastWriteUs[t.session] = kernel.now();
                         }
                     }
 
                     @Override
-                    public void refused(long adviceUs) {
+                    public void refused(long retryAfterUs) {
                         tally.refused++;
                         answered(Answer.REFUSED);
                         if (t.mayRetry && !again) {
                             tally.retries++;
-                            kernel.after(Math.max(adviceUs, 50_000), () -> comeBack(t));
+                            kernel.after(Math.max(retryAfterUs, 50_000), () -> comeBack(t));
                         }
                     }
 
--- a/lab/src/main/java/frostreel/lab/virtual/SimulationPlan.java
+++ b/lab/src/main/java/frostreel/lab/virtual/SimulationPlan.java
@@ -66,7 +66,7 @@
                 new Router.RequestClass(
                         name,
                         access,
-                        write ? Router.Idempotency.KEYED : Router.Idempotency.SAFE,
+                        write ? Router.Idempotency.KEYED : Router.Idempotency.IDEMPOTENT,
                         Router.DeduplicationScope.GROUP,
                         write ? 3_000_000 : 0,
                         access == Router.Access.BOUNDED ? 800_000 : 0,
@@ -88,9 +88,9 @@
                 zone,
                 s.tickUs(),
                 s.classes(),
-                s.checks(),
+                s.stalenessCheck(),
                 s.listRole(),
-                s.marks(),
+                s.sessionTracking(),
                 s.positions(),
                 s.limits(),
                 s.rules());
--- a/lab/src/main/java/frostreel/lab/virtual/VirtualPooler.java
+++ b/lab/src/main/java/frostreel/lab/virtual/VirtualPooler.java
@@ -215,12 +215,12 @@
         if (!out(a)) {
             return;
         }
-        if (settings.checks() == Router.StalenessCheck.WAIT && !a.held && needUs > a.server.applied()) {
+        if (settings.stalenessCheck() == Router.StalenessCheck.WAIT && !a.held && needUs > a.server.applied()) {
             a.held = true;
             kernel.after(settings.limits().holdsForUs(), () -> arrive(a, needUs));
             return;
         }
-        long checkedUs = settings.checks() == Router.StalenessCheck.SILENT ? 0 : needUs;
+        long checkedUs = settings.stalenessCheck() == Router.StalenessCheck.SILENT ? 0 : needUs;
         a.job = new Server.Job(a.order.workUs, a.order.write, checkedUs, a.told, (outcome, role, positionUs, util) -> {
             if (links.open(a.server.zone, zone)) {
                 if (outcome == Outcome.OK && a.order.write) {
--- a/lab/src/test/java/frostreel/lab/rules/InvariantCheckerTest.java
+++ b/lab/src/test/java/frostreel/lab/rules/InvariantCheckerTest.java
@@ -16,9 +16,10 @@
             new Router.Limits(3, Router.Probes.REPORT, true, true, 2_000_000, false, 0, 250_000, 50_000, 30_000_000, 1);
     private static final Router.Rules FIGURES =
             new Router.Rules(20_000, 1_000_000, false, 0.22, 15_000_000, 3, 2_000_000);
-    private static final Router.RequestClass READ = requestClass(Router.Access.ANY, Router.Idempotency.SAFE);
+    private static final Router.RequestClass READ = requestClass(Router.Access.ANY, Router.Idempotency.IDEMPOTENT);
     private static final Router.RequestClass KEYED = requestClass(Router.Access.WRITE, Router.Idempotency.KEYED);
-    private static final Router.RequestClass UNSAFE = requestClass(Router.Access.WRITE, Router.Idempotency.UNSAFE);
+    private static final Router.RequestClass UNSAFE =
+            requestClass(Router.Access.WRITE, Router.Idempotency.NON_IDEMPOTENT);
     private InvariantChecker book;
 
     private static Router.RequestClass requestClass(Router.Access access, Router.Idempotency repeat) {
--- a/lab/src/test/java/frostreel/lab/virtual/ColdFleetTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/ColdFleetTest.java
@@ -34,9 +34,9 @@
                         s.zone(),
                         s.tickUs(),
                         s.classes(),
-                        s.checks(),
+                        s.stalenessCheck(),
                         s.listRole(),
-                        s.marks(),
+                        s.sessionTracking(),
                         s.positions(),
                         s.limits(),
                         new Router.Rules(
--- a/lab/src/test/java/frostreel/lab/virtual/KnownSitesTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/KnownSitesTest.java
@@ -65,8 +65,8 @@
         assertThat(kamloops.classes())
                 .extracting(Router.RequestClass::access)
                 .containsExactly(Router.Access.BOUNDED, Router.Access.ANY, Router.Access.ANY, Router.Access.WRITE);
-        assertThat(kamloops.checks()).isEqualTo(Router.StalenessCheck.WAIT);
-        assertThat(kamloops.marks()).isEqualTo(Router.SessionTracking.CARRIED);
+        assertThat(kamloops.stalenessCheck()).isEqualTo(Router.StalenessCheck.WAIT);
+        assertThat(kamloops.sessionTracking()).isEqualTo(Router.SessionTracking.CARRIED);
         assertThat(kamloops.rules())
                 .isEqualTo(new Router.Rules(20_000, 1_000_000, false, 0.22, 15_000_000, 3, 2_000_000));
         Router.Settings bsas = draw(settings("bsas-main"), 2, 0.3, 1).settings();
@@ -85,9 +85,9 @@
                         3_000_000,
                         6,
                         0.7));
-        assertThat(bsas.checks()).isEqualTo(Router.StalenessCheck.SILENT);
+        assertThat(bsas.stalenessCheck()).isEqualTo(Router.StalenessCheck.SILENT);
         assertThat(bsas.listRole()).isEqualTo(Router.ListRole.START);
-        assertThat(bsas.marks()).isEqualTo(Router.SessionTracking.REMEMBERED);
+        assertThat(bsas.sessionTracking()).isEqualTo(Router.SessionTracking.REMEMBERED);
         assertThat(bsas.positions()).isTrue();
         assertThat(bsas.limits())
                 .isEqualTo(new Router.Limits(
--- a/lab/src/test/java/frostreel/lab/virtual/SimulationTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/SimulationTest.java
@@ -79,7 +79,7 @@
         }
 
         @Override
-        public boolean stands(long nowUs, String requestId) {
+        public boolean mayStillBegin(long nowUs, String requestId) {
             return true;
         }
 
@@ -112,7 +112,7 @@
         public void onTimer(long nowUs, String name) {}
 
         @Override
-        public void onClientGone(long nowUs, String requestId) {}
+        public void onClientDisconnected(long nowUs, String requestId) {}
     }
 
     @Test
--- a/pooler/src/main/java/frostreel/broker/Broker.java
+++ b/pooler/src/main/java/frostreel/broker/Broker.java
@@ -62,10 +62,10 @@
 
         /** From when on no attempt of it may begin: its deadline, or the end of what may be repeated. */
         long beginByUs() {
-            if (maybeRanUs == Long.MAX_VALUE || rules.repeat() == Router.Idempotency.SAFE) {
+            if (maybeRanUs == Long.MAX_VALUE || rules.idempotency() == Router.Idempotency.IDEMPOTENT) {
                 return ask.deadlineUs();
             }
-            return rules.repeat() == Router.Idempotency.UNSAFE
+            return rules.idempotency() == Router.Idempotency.NON_IDEMPOTENT
                     ? maybeRanUs
                     : Math.min(ask.deadlineUs(), maybeRanUs + rules.windowUs());
         }
@@ -162,7 +162,7 @@
     /** When to come back, as a refusal may tell it: the settings' most at most, 0 where they allow none. */
     public long retryAfterUs(long us) {
         Router.Limits limits = settings.limits();
-        return limits.retryAdvice() ? Math.min(us, limits.maxAdviceUs()) : 0;
+        return limits.retryAfterAllowed() ? Math.min(us, limits.maxRetryAfterUs()) : 0;
     }
 
     /** Whether a request of that name is open, or an attempt of it still out: another would be a second. */
@@ -246,7 +246,7 @@
     /** Nobody wants it any more: an attempt that has not begun never does, whatever the module may cancel. */
     private void leave(ActiveRequest r) {
         close(r);
-        router.onClientGone(clock.now(), r.id);
+        router.onClientDisconnected(clock.now(), r.id);
         if (r.inFlight != SlotTable.NONE && !backEnd.begun(r.inFlight)) {
             stop(r, r.attempts - 1, Outcome.CANCELLED);
         }
@@ -296,7 +296,7 @@
             log.tell(EventLog.Kind.REQUEST_OVERDUE, () -> story(r) + ": left open by the decisions");
             close(r);
             r.caller.failed();
-            router.onClientGone(clock.now(), r.id);
+            router.onClientDisconnected(clock.now(), r.id);
             release(r);
         }
     }
@@ -430,7 +430,7 @@
 
             @Override
             public boolean mayBegin() {
-                return router.stands(clock.now(), r.id) && Broker.this.mayBegin(r);
+                return router.mayStillBegin(clock.now(), r.id) && Broker.this.mayBegin(r);
             }
         });
         long beginsIn = Math.min(left, r.beginByUs() - now);
@@ -463,13 +463,14 @@
     }
 
     @Override
-    public void refuse(String requestId, long adviceUs) {
+    public void reject(String requestId, long retryAfterUs) {
         ActiveRequest r = entry(requestId);
         if (r != null && !r.answered) {
             close(r);
-            log.tell(EventLog.Kind.REQUEST_REFUSED, () -> story(r) + ": to come back in " + adviceUs / 1000 + " ms");
+            log.tell(
+                    EventLog.Kind.REQUEST_REFUSED, () -> story(r) + ": to come back in " + retryAfterUs / 1000 + " ms");
             counters.refused++;
-            r.caller.refused(adviceUs);
+            r.caller.refused(retryAfterUs);
             release(r);
         }
     }
--- a/pooler/src/main/java/frostreel/broker/ResponseHandler.java
+++ b/pooler/src/main/java/frostreel/broker/ResponseHandler.java
@@ -5,8 +5,8 @@
     /** {@code answer}: as the back end gave it for this request. */
     void served(byte[] answer);
 
-    /** Trying again is harmless; {@code adviceUs} is when to come back, 0 for no advice. */
-    void refused(long adviceUs);
+    /** Trying again is harmless; {@code retryAfterUs} is when to come back, 0 for no advice. */
+    void refused(long retryAfterUs);
 
     void failed();
 
--- a/pooler/src/main/java/frostreel/control/PeerProcessCommits.java
+++ b/pooler/src/main/java/frostreel/control/PeerProcessCommits.java
@@ -18,7 +18,7 @@
 
     /** Opens the file, if there is to be one; blocks for that, so before the loop has anything to do. */
     public static PeerProcessCommits of(Config config, long nowUs) {
-        if (!config.inherits() || config.settings().marks() != Router.SessionTracking.REMEMBERED) {
+        if (!config.inherits() || config.settings().sessionTracking() != Router.SessionTracking.REMEMBERED) {
             return new PeerProcessCommits(CommitLog.NONE, (now, session) -> 0);
         }
         return Joined.of(config, nowUs);
--- a/pooler/src/main/java/frostreel/net/ClientConnection.java
+++ b/pooler/src/main/java/frostreel/net/ClientConnection.java
@@ -404,16 +404,16 @@
     }
 
     @Override
-    public void refused(long adviceUs) {
-        settle(refusal(adviceUs));
+    public void refused(long retryAfterUs) {
+        settle(refusal(retryAfterUs));
     }
 
-    private static byte[] refusal(long adviceUs) {
+    private static byte[] refusal(long retryAfterUs) {
         return Messages.error(
                 false,
                 Messages.REFUSED,
                 "refused: trying again is harmless",
-                adviceUs <= 0 ? null : Long.toString((adviceUs + 999) / 1000));
+                retryAfterUs <= 0 ? null : Long.toString((retryAfterUs + 999) / 1000));
     }
 
     @Override
--- a/pooler/src/test/java/frostreel/broker/BrokerTest.java
+++ b/pooler/src/test/java/frostreel/broker/BrokerTest.java
@@ -19,7 +19,7 @@
         Router.RequestClass read = new Router.RequestClass(
                 "look",
                 Router.Access.ANY,
-                Router.Idempotency.SAFE,
+                Router.Idempotency.IDEMPOTENT,
                 Router.DeduplicationScope.GROUP,
                 0,
                 0,
@@ -102,7 +102,7 @@
         }
 
         @Override
-        public void refused(long adviceUs) {
+        public void refused(long retryAfterUs) {
             throw new AssertionError(id);
         }
 
@@ -143,7 +143,7 @@
                 Report report) {}
 
         @Override
-        public boolean stands(long nowUs, String requestId) {
+        public boolean mayStillBegin(long nowUs, String requestId) {
             return true;
         }
 
@@ -157,6 +157,6 @@
         public void onTimer(long nowUs, String name) {}
 
         @Override
-        public void onClientGone(long nowUs, String requestId) {}
+        public void onClientDisconnected(long nowUs, String requestId) {}
     }
 }
