--- a/decisions/src/main/java/frostreel/simulator/WireAdapter.java
+++ b/decisions/src/main/java/frostreel/simulator/WireAdapter.java
@@ -24,7 +24,7 @@
 import org.json.JSONParserConfiguration;
 import org.json.JSONTokener;
 
-/** Translates the bench's wire to and from {@link Router}; one Brain an instance. It decides nothing. */
+/** Translates the bench's wire to and from {@link Router}; one ChainRouter an instance. It decides nothing. */
 public final class WireAdapter {
     /** One instance: its module, and the actions it takes while an event is handed in. */
     private static final class Instance implements Router.Actions {
