--- a/decisions/src/main/java/frostreel/operation/ServingLifecycle.java
+++ b/decisions/src/main/java/frostreel/operation/ServingLifecycle.java
@@ -9,24 +9,16 @@
  * its client cannot have asked again yet; in a sweep of those that rest; and even before its first request.
  */
 public final class ServingLifecycle {
-    /** What a front is told by the empty query, and operators by a call on the status. */
-    public enum ReadinessStatus {
-        YES,
-        STARTING,
-        EMPTIED,
-        STOPPING
-    }
-
     /** A front asks every 0.1 s, and deals out new connections for 0.2 s after the first no. */
-    static final long DEALT_US = 400_000;
+    static final long LOAD_BALANCER_DELAY_US = 400_000;
     /** Emptying, whoever has not asked again for so long after the call is between requests for good. */
-    static final long EMPTY_SWEEP_US = 1_400_000;
+    static final long PAUSE_IDLE_CLOSE_DELAY_US = 1_400_000;
     /** Handing over, the same: the longer, the fewer closes cross a request; SIGKILL comes at 3.7 s. */
-    static final long HAND_SWEEP_US = 2_000_000;
+    static final long HANDOVER_IDLE_CLOSE_DELAY_US = 2_000_000;
     /** After SIGTERM clients still come for a while; for so long they are served as ever. */
-    public static final long STAY_US = 700_000;
+    public static final long SHUTDOWN_GRACE_US = 700_000;
     /** SIGKILL comes no sooner than the longest deadline, or this where that is longer, and the stay. */
-    private static final long KILL_MOST_US = 3_000_000;
+    private static final long KILL_DEADLINE_CAP_US = 3_000_000;
     /** So long before SIGKILL is due, all that was taken after the stay is answered. */
     private static final long KILL_MARGIN_US = 400_000;
     /**
@@ -36,26 +28,26 @@
      */
     public static final long LINGER_US = 300_000;
 
-    private static final long NEVER = Long.MAX_VALUE;
-    private final boolean shared;
+    private static final long NEVER_US = Long.MAX_VALUE;
+    private final boolean hasSuccessor;
     private final long lingerUs;
-    private volatile long longestUs;
+    private volatile long longestDeadlineUs;
     private boolean ready;
-    private long emptiedUs = NEVER;
-    private long endedUs = NEVER;
+    private long pausedAtUs = NEVER_US;
+    private long terminatedAtUs = NEVER_US;
 
     /**
-     * {@code shared}: a successor accepts from the same socket, so that nobody is turned away by an end;
-     * {@code longestUs}: the longest deadline of a request.
+     * {@code hasSuccessor}: a successor accepts from the same socket, so that nobody is turned away by an end;
+     * {@code longestDeadlineUs}: the longest deadline of a request.
      */
-    public ServingLifecycle(boolean shared, long longestUs) {
-        this(shared, longestUs, LINGER_US);
+    public ServingLifecycle(boolean hasSuccessor, long longestDeadlineUs) {
+        this(hasSuccessor, longestDeadlineUs, LINGER_US);
     }
 
     /** {@code lingerUs}: in place of {@link #LINGER_US}. */
-    public ServingLifecycle(boolean shared, long longestUs, long lingerUs) {
-        this.shared = shared;
-        this.longestUs = longestUs;
+    public ServingLifecycle(boolean hasSuccessor, long longestDeadlineUs, long lingerUs) {
+        this.hasSuccessor = hasSuccessor;
+        this.longestDeadlineUs = longestDeadlineUs;
         this.lingerUs = lingerUs;
     }
 
@@ -65,84 +57,82 @@
     }
 
     /** Other settings have another longest deadline of a request. */
-    public void longest(long us) {
-        longestUs = us;
+    public void setLongestDeadlineUs(long deadlineUs) {
+        longestDeadlineUs = deadlineUs;
     }
 
     /**
      * For so long at the most an end is waited for; from any thread. What came at the end of the stay has its
      * whole time, and its answer has to be on its way before the process ends.
      */
-    public long longUs() {
-        return longestUs + STAY_US + KILL_MARGIN_US;
+    public long shutdownTimeoutUs() {
+        return longestDeadlineUs + SHUTDOWN_GRACE_US + KILL_MARGIN_US;
     }
 
     /** Servers are known: serving may begin. */
-    public void ready() {
+    public void markReady() {
         ready = true;
     }
 
     /** The operators empty the program; a second call changes nothing. */
-    public void empty(long nowUs) {
-        emptiedUs = Math.min(emptiedUs, nowUs);
+    public void pause(long nowUs) {
+        pausedAtUs = Math.min(pausedAtUs, nowUs);
     }
 
-    public void fill() {
-        emptiedUs = NEVER;
+    public void resume() {
+        pausedAtUs = NEVER_US;
     }
 
     /** SIGTERM. */
-    public void end(long nowUs) {
-        endedUs = Math.min(endedUs, nowUs);
+    public void terminate(long nowUs) {
+        terminatedAtUs = Math.min(terminatedAtUs, nowUs);
     }
 
     /** What the status is: whether this process takes clients. */
-    public ReadinessStatus word() {
-        return endedUs != NEVER && shared
+    public ReadinessStatus status() {
+        return terminatedAtUs != NEVER_US && hasSuccessor
                 ? ReadinessStatus.STOPPING
-                : !ready
-                        ? ReadinessStatus.STARTING
-                        : emptiedUs != NEVER ? ReadinessStatus.EMPTIED : ReadinessStatus.YES;
+                : !ready ? ReadinessStatus.STARTING : pausedAtUs != NEVER_US ? ReadinessStatus.DRAINING : ReadinessStatus.READY;
     }
 
-    public boolean emptied() {
-        return emptiedUs != NEVER;
+    public boolean isPaused() {
+        return pausedAtUs != NEVER_US;
     }
 
     /** Whether to accept: from a shared socket, only what the other process would not serve better. */
     public boolean accepts(long nowUs) {
-        return shared ? ready && endedUs == NEVER : nowUs < lastUs();
+        return hasSuccessor ? ready && terminatedAtUs == NEVER_US : nowUs < lastResponseUs();
     }
 
     /** Whether a connection is closed with its answer. */
-    public boolean closesAnswered(long nowUs) {
-        return emptiedUs != NEVER && nowUs - emptiedUs >= DEALT_US || shared && endedUs != NEVER || nowUs >= lastUs();
+    public boolean closesAfterResponse(long nowUs) {
+        return pausedAtUs != NEVER_US && nowUs - pausedAtUs >= LOAD_BALANCER_DELAY_US || hasSuccessor && terminatedAtUs != NEVER_US || nowUs >= lastResponseUs();
     }
 
     /** From when on those that rest are closed, {@code Long.MAX_VALUE} for never. */
-    public long sweepUs() {
-        long emptying = emptiedUs == NEVER ? NEVER : emptiedUs + EMPTY_SWEEP_US;
-        long ending = endedUs == NEVER ? NEVER : shared ? Math.min(endedUs + HAND_SWEEP_US, lastUs()) : lastUs();
+    public long closeIdleAtUs() {
+        long emptying = pausedAtUs == NEVER_US ? NEVER_US : pausedAtUs + PAUSE_IDLE_CLOSE_DELAY_US;
+        long ending = terminatedAtUs == NEVER_US ? NEVER_US : hasSuccessor ? Math.min(terminatedAtUs + HANDOVER_IDLE_CLOSE_DELAY_US, lastResponseUs()) : lastResponseUs();
         return Math.min(emptying, ending);
     }
 
     /** Whether even those are closed that have yet to ask for the first time. */
-    public boolean closesAll(long nowUs) {
-        return nowUs >= lastUs();
+    public boolean closesUnused(long nowUs) {
+        return nowUs >= lastResponseUs();
     }
 
     /** No request that comes after the stay may be in hand any more at this time. */
-    public long lastUs() {
-        return endedUs == NEVER ? NEVER : endedUs + Math.min(longestUs, KILL_MOST_US) + STAY_US - KILL_MARGIN_US;
+    public long lastResponseUs() {
+        return terminatedAtUs == NEVER_US ? NEVER_US : terminatedAtUs + Math.min(longestDeadlineUs, KILL_DEADLINE_CAP_US) + SHUTDOWN_GRACE_US - KILL_MARGIN_US;
     }
 
     /** By when a request that comes now has to be answered; {@code Long.MAX_VALUE} for no such bound. */
-    public long answerByUs(long nowUs) {
-        return endedUs != NEVER && nowUs >= endedUs + STAY_US ? lastUs() : NEVER;
+    public long responseDueUs(long nowUs) {
+        return terminatedAtUs != NEVER_US && nowUs >= terminatedAtUs + SHUTDOWN_GRACE_US ? lastResponseUs() : NEVER_US;
     }
 
     /** Whether nothing keeps the process any longer. */
-    public boolean mayEnd(long nowUs, int clients, int requests) {
-        return endedUs != NEVER && clients == 0 && requests == 0 && (shared || nowUs >= endedUs + STAY_US);
+    public boolean mayExit(long nowUs, int openClients, int openRequests) {
+        return terminatedAtUs != NEVER_US && openClients == 0 && openRequests == 0 && (hasSuccessor || nowUs >= terminatedAtUs + SHUTDOWN_GRACE_US);
     }
 }
--- a/decisions/src/test/java/frostreel/operation/ServingLifecycleTest.java
+++ b/decisions/src/test/java/frostreel/operation/ServingLifecycleTest.java
@@ -4,124 +4,152 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The door over all sequences of events up to length 6, half a second apart, alone and with a successor. */
+/** All sequences of events up to length 6, half a second apart, with a successor and without, and a few by name. */
 class ServingLifecycleTest {
     private enum Event {
         READY,
-        EMPTY,
-        FILL,
-        END,
-        TIME
+        PAUSE,
+        RESUME,
+        TERMINATE,
+        NOTHING
     }
 
     private static final long STEP_US = 500_000;
-    private static final long LONGEST_US = 8_000_000;
-    private static final long KILL_US = 3_700_000;
+    private static final long LONGEST_DEADLINE_US = 8_000_000;
+    private static final long KILL_DELAY_US = 3_700_000;
+    private static final long NEVER_HAPPENED = -1;
 
     /** What has happened, by plain reading of the events. */
-    private record Past(boolean ready, long emptiedUs, long endedUs) {
-        Past then(Event e, long now) {
-            return switch (e) {
-                case READY -> new Past(true, emptiedUs, endedUs);
-                case EMPTY -> new Past(ready, emptiedUs < 0 ? now : emptiedUs, endedUs);
-                case FILL -> new Past(ready, -1, endedUs);
-                case END -> new Past(ready, emptiedUs, endedUs < 0 ? now : endedUs);
-                case TIME -> this;
+    private record History(boolean ready, long pausedAtUs, long terminatedAtUs) {
+        History then(Event event, long nowUs) {
+            return switch (event) {
+                case READY -> new History(true, pausedAtUs, terminatedAtUs);
+                case PAUSE -> new History(ready, isPaused() ? pausedAtUs : nowUs, terminatedAtUs);
+                case RESUME -> new History(ready, NEVER_HAPPENED, terminatedAtUs);
+                case TERMINATE -> new History(ready, pausedAtUs, isTerminated() ? terminatedAtUs : nowUs);
+                case NOTHING -> this;
             };
         }
+
+        boolean isPaused() {
+            return pausedAtUs != NEVER_HAPPENED;
+        }
+
+        boolean isTerminated() {
+            return terminatedAtUs != NEVER_HAPPENED;
+        }
     }
 
-    private static void apply(ServingLifecycle door, Event e, long now) {
-        switch (e) {
-            case READY -> door.ready();
-            case EMPTY -> door.empty(now);
-            case FILL -> door.fill();
-            case END -> door.end(now);
+    private static void apply(ServingLifecycle lifecycle, Event event, long nowUs) {
+        switch (event) {
+            case READY -> lifecycle.markReady();
+            case PAUSE -> lifecycle.pause(nowUs);
+            case RESUME -> lifecycle.resume();
+            case TERMINATE -> lifecycle.terminate(nowUs);
             default -> {}
         }
     }
 
-    private int states;
+    private int checkedSequences;
 
-    private void check(boolean shared, int depth, Event[] path) {
-        ServingLifecycle door = new ServingLifecycle(shared, LONGEST_US);
-        Past past = new Past(false, -1, -1);
-        long now = 0;
-        for (int i = 0; i < depth; i++) {
-            now += STEP_US;
-            apply(door, path[i], now);
-            past = past.then(path[i], now);
+    private void checkAllFrom(boolean hasSuccessor, int length, Event[] sequence) {
+        ServingLifecycle lifecycle = new ServingLifecycle(hasSuccessor, LONGEST_DEADLINE_US);
+        History history = new History(false, NEVER_HAPPENED, NEVER_HAPPENED);
+        long nowUs = 0;
+        for (int i = 0; i < length; i++) {
+            nowUs += STEP_US;
+            apply(lifecycle, sequence[i], nowUs);
+            history = history.then(sequence[i], nowUs);
         }
-        states++;
-        hold(door, past, now, shared);
-        if (depth < path.length) {
-            for (Event e : Event.values()) {
-                path[depth] = e;
-                check(shared, depth + 1, path);
+        checkedSequences++;
+        check(lifecycle, history, nowUs, hasSuccessor);
+        if (length < sequence.length) {
+            for (Event event : Event.values()) {
+                sequence[length] = event;
+                checkAllFrom(hasSuccessor, length + 1, sequence);
             }
         }
     }
 
-    private static void hold(ServingLifecycle d, Past p, long now, boolean shared) {
-        boolean ended = p.endedUs() >= 0;
-        boolean emptied = p.emptiedUs() >= 0;
-        assertThat(d.word() == ServingLifecycle.ReadinessStatus.YES)
-                .isEqualTo(p.ready() && !emptied && !(shared && ended));
-        if (!emptied && !ended) {
-            assertThat(d.closesAnswered(now + STEP_US))
-                    .as("nobody is closed in service")
-                    .isFalse();
-            assertThat(d.sweepUs()).isEqualTo(Long.MAX_VALUE);
-            assertThat(d.accepts(now)).isEqualTo(!shared || p.ready());
+    private static void check(ServingLifecycle lifecycle, History history, long nowUs, boolean hasSuccessor) {
+        boolean terminated = history.isTerminated();
+        boolean paused = history.isPaused();
+        boolean handingOver = hasSuccessor && terminated;
+        assertThat(lifecycle.status() == ReadinessStatus.READY)
+                .isEqualTo(history.ready() && !paused && !handingOver);
+        if (!paused && !terminated) {
+            checkServing(lifecycle, nowUs);
+            assertThat(lifecycle.accepts(nowUs)).isEqualTo(!hasSuccessor || history.ready());
         }
-        if (emptied) {
-            assertThat(d.closesAnswered(p.emptiedUs() + 300_000))
-                    .as("the front still deals clients out")
-                    .isEqualTo(ended && (shared || p.emptiedUs() + 300_000 >= d.lastUs()));
-            assertThat(d.closesAnswered(p.emptiedUs() + 2_000_000)).isTrue();
-            assertThat(d.sweepUs())
-                    .as("none has a request of the last 2 s after 4 s")
-                    .isLessThan(p.emptiedUs() + 2_000_000);
+        if (paused) {
+            checkPaused(lifecycle, history, hasSuccessor);
         }
-        if (ended) {
-            assertThat(d.lastUs()).isLessThan(p.endedUs() + KILL_US);
-            assertThat(d.sweepUs()).isLessThanOrEqualTo(d.lastUs());
-            assertThat(d.answerByUs(p.endedUs() + 700_000)).isEqualTo(d.lastUs());
-            assertThat(d.answerByUs(p.endedUs() + 600_000)).isEqualTo(Long.MAX_VALUE);
-            assertThat(d.accepts(now)).isEqualTo(!shared && now < d.lastUs());
-            assertThat(d.mayEnd(d.lastUs(), 0, 0)).isTrue();
+        if (terminated) {
+            checkTerminated(lifecycle, history.terminatedAtUs());
+            assertThat(lifecycle.accepts(nowUs)).isEqualTo(!hasSuccessor && nowUs < lifecycle.lastResponseUs());
         }
-        assertThat(d.mayEnd(now + KILL_US, 1, 0)).isFalse();
-        assertThat(d.mayEnd(now + KILL_US, 0, 1)).isFalse();
-        assertThat(d.mayEnd(now + KILL_US, 0, 0)).isEqualTo(ended);
-        assertThat(d.closesAll(now)).isEqualTo(ended && now >= d.lastUs());
+        long afterKillUs = nowUs + KILL_DELAY_US;
+        assertThat(lifecycle.mayExit(afterKillUs, 1, 0)).isFalse();
+        assertThat(lifecycle.mayExit(afterKillUs, 0, 1)).isFalse();
+        assertThat(lifecycle.mayExit(afterKillUs, 0, 0)).isEqualTo(terminated);
+        assertThat(lifecycle.closesUnused(nowUs)).isEqualTo(terminated && nowUs >= lifecycle.lastResponseUs());
+    }
+
+    private static void checkServing(ServingLifecycle lifecycle, long nowUs) {
+        assertThat(lifecycle.closesAfterResponse(nowUs + STEP_US))
+                .as("nobody is closed in service")
+                .isFalse();
+        assertThat(lifecycle.closeIdleAtUs()).isEqualTo(Long.MAX_VALUE);
+    }
+
+    private static void checkPaused(ServingLifecycle lifecycle, History history, boolean hasSuccessor) {
+        long earlyUs = history.pausedAtUs() + 300_000;
+        boolean terminated = history.isTerminated();
+        assertThat(lifecycle.closesAfterResponse(earlyUs))
+                .as("the load balancer still assigns clients")
+                .isEqualTo(terminated && (hasSuccessor || earlyUs >= lifecycle.lastResponseUs()));
+        assertThat(lifecycle.closesAfterResponse(history.pausedAtUs() + 2_000_000))
+                .isTrue();
+        assertThat(lifecycle.closeIdleAtUs())
+                .as("no client has a request of the last 2 s after 4 s")
+                .isLessThan(history.pausedAtUs() + 2_000_000);
+    }
+
+    private static void checkTerminated(ServingLifecycle lifecycle, long terminatedAtUs) {
+        assertThat(lifecycle.lastResponseUs()).isLessThan(terminatedAtUs + KILL_DELAY_US);
+        assertThat(lifecycle.closeIdleAtUs()).isLessThanOrEqualTo(lifecycle.lastResponseUs());
+        assertThat(lifecycle.responseDueUs(terminatedAtUs + 700_000)).isEqualTo(lifecycle.lastResponseUs());
+        assertThat(lifecycle.responseDueUs(terminatedAtUs + 600_000)).isEqualTo(Long.MAX_VALUE);
+        assertThat(lifecycle.mayExit(lifecycle.lastResponseUs(), 0, 0)).isTrue();
     }
 
     @Test
-    void noSequenceOfEventsSaysYesWrongfullyOrLosesAClient() {
-        check(false, 0, new Event[6]);
-        check(true, 0, new Event[6]);
-        assertThat(states).isEqualTo(2 * (1 + 5 + 25 + 125 + 625 + 3125 + 15625));
+    void noSequenceOfEventsReportsReadyWronglyOrLosesAClient() {
+        checkAllFrom(false, 0, new Event[6]);
+        checkAllFrom(true, 0, new Event[6]);
+        assertThat(checkedSequences).isEqualTo(2 * (1 + 5 + 25 + 125 + 625 + 3125 + 15625));
     }
 
     @Test
-    void aloneItServesOnAsEverUntilTheKillIsNear() {
-        ServingLifecycle door = new ServingLifecycle(false, LONGEST_US);
-        door.ready();
-        door.end(0);
-        assertThat(door.word()).isEqualTo(ServingLifecycle.ReadinessStatus.YES);
-        assertThat(door.closesAnswered(3_200_000)).isFalse();
-        assertThat(door.accepts(3_200_000)).isTrue();
-        assertThat(door.closesAll(3_300_000)).isTrue();
+    void withoutASuccessorItServesAsBeforeUntilShortlyBeforeTheKill() {
+        ServingLifecycle lifecycle = new ServingLifecycle(false, LONGEST_DEADLINE_US);
+        lifecycle.markReady();
+        lifecycle.terminate(0);
+        assertThat(lifecycle.status()).isEqualTo(ReadinessStatus.READY);
+        assertThat(lifecycle.closesAfterResponse(3_200_000)).isFalse();
+        assertThat(lifecycle.accepts(3_200_000)).isTrue();
+        assertThat(lifecycle.closesUnused(3_300_000)).isTrue();
     }
 
-    /** The process ended in the very moment in which the last answer was due. */
+    /** The process once exited at the very moment at which the last response was due. */
     @Test
-    void theEndIsWaitedForUntilWhatCameAtTheEndOfTheStayIsAnswered() {
-        ServingLifecycle door = new ServingLifecycle(false, LONGEST_US);
-        door.end(0);
-        assertThat(door.answerByUs(ServingLifecycle.STAY_US - 1)).isEqualTo(Long.MAX_VALUE);
-        assertThat(door.longUs())
-                .isGreaterThanOrEqualTo(ServingLifecycle.STAY_US + LONGEST_US + ServingLifecycle.LINGER_US);
+    void theShutdownTimeoutLastsUntilRequestsOfTheGracePeriodAreAnswered() {
+        ServingLifecycle lifecycle = new ServingLifecycle(false, LONGEST_DEADLINE_US);
+        lifecycle.terminate(0);
+        assertThat(lifecycle.responseDueUs(ServingLifecycle.SHUTDOWN_GRACE_US - 1))
+                .isEqualTo(Long.MAX_VALUE);
+        assertThat(lifecycle.shutdownTimeoutUs())
+                .isGreaterThanOrEqualTo(
+                        ServingLifecycle.SHUTDOWN_GRACE_US + LONGEST_DEADLINE_US + ServingLifecycle.LINGER_US);
     }
 }
--- a/pooler/src/main/java/frostreel/Pooler.java
+++ b/pooler/src/main/java/frostreel/Pooler.java
@@ -15,6 +15,7 @@
 import frostreel.net.Listener;
 import frostreel.net.ServerPool;
 import frostreel.operation.RequestClassRegistry;
+import frostreel.operation.ReadinessStatus;
 import frostreel.operation.ServingLifecycle;
 import frostreel.routing.ChainRouter;
 import frostreel.routing.NearestZonePolicy;
@@ -24,7 +25,6 @@
 import java.io.IOException;
 import java.net.BindException;
 import java.net.InetSocketAddress;
-import java.util.Locale;
 import java.util.Objects;
 import java.util.SplittableRandom;
 import java.util.concurrent.CountDownLatch;
@@ -56,7 +56,7 @@
     private final EventLoop loop;
     private final ServerPool pool;
     private final Broker broker;
-    private final ServingLifecycle door;
+    private final ServingLifecycle lifecycle;
     private final Listener listener;
     private final CommandExecutor operator;
     /** Null where operators may not call. */
@@ -117,11 +117,11 @@
         inForce = config;
         attempts = config.settings().limits().maxAttempts();
         classes = new RequestClassRegistry(config.settings().classes());
-        door = new ServingLifecycle(config.inherits(), longest(config.settings()), lingerUs);
+        lifecycle = new ServingLifecycle(config.inherits(), longest(config.settings()), lingerUs);
         listener = new Listener(
                 loop,
                 broker,
-                door,
+                lifecycle,
                 classes,
                 config.maxClients(),
                 config.usualClients(),
@@ -130,7 +130,7 @@
         listener.page("health", this::health);
         operator = new CommandExecutor(
                 loop,
-                door,
+                lifecycle,
                 pool,
                 broker,
                 listener::sweep,
@@ -271,7 +271,7 @@
         pool.settings(whole);
         attempts = Math.min(attempts, whole.limits().maxAttempts());
         broker.settings(settings.with(classes.all(), attempts));
-        door.longest(longest(settings));
+        lifecycle.setLongestDeadlineUs(longest(settings));
         loop.stopSendingUs(settings.rules().stopSendingUs());
         int change = ++changes;
         loop.deadlines().after(RequestClassRegistry.CHANGE_US, () -> {
@@ -329,7 +329,7 @@
     private String health() {
         String missing =
                 !serversKnown ? "servers" : !ordersTaken ? "orders" : listening.getCount() > 0 ? "sockets" : "nothing";
-        return "clients=" + door.word().name().toLowerCase(Locale.ROOT) + " missing=" + missing + " " + watch
+        return "clients=" + lifecycle.status().wireName() + " missing=" + missing + " " + watch
                 + " next_discovery=" + (next == null ? "none" : "unanswered") + " open_requests="
                 + broker.open() + " open_clients=" + listener.open() + " loop_late_ms=" + loop.lateUs() / 1000
                 + " log_lines_dropped=" + Logging.dropped();
@@ -341,9 +341,9 @@
 
     private void becomeReady() {
         boolean everything = serversKnown && ordersTaken && listening.getCount() == 0;
-        if (everything && door.word() == ServingLifecycle.ReadinessStatus.STARTING) {
+        if (everything && lifecycle.status() == ReadinessStatus.STARTING) {
             takeKnown();
-            door.ready();
+            lifecycle.markReady();
             listener.sweep();
             LOG.info("ready");
         }
@@ -368,14 +368,14 @@
      */
     public boolean stop() throws InterruptedException {
         loop.thread().execute(() -> {
-            door.end(loop.clock().now());
+            lifecycle.terminate(loop.clock().now());
             listener.sweep();
-            loop.deadlines().at(door.sweepUs(), listener::sweep);
-            loop.deadlines().at(door.lastUs(), listener::sweep);
+            loop.deadlines().at(lifecycle.closeIdleAtUs(), listener::sweep);
+            loop.deadlines().at(lifecycle.lastResponseUs(), listener::sweep);
             awaitEnd();
         });
         // A client that neither finishes a message nor goes away must not keep the process past SIGKILL.
-        boolean clean = ended.await(door.longUs(), TimeUnit.MICROSECONDS);
+        boolean clean = ended.await(lifecycle.shutdownTimeoutUs(), TimeUnit.MICROSECONDS);
         if (fellows != null) {
             fellows.leave(loop, LEAVE_MS);
         }
@@ -388,7 +388,7 @@
     }
 
     private void awaitEnd() {
-        if (door.mayEnd(loop.clock().now(), listener.open(), broker.open())) {
+        if (lifecycle.mayExit(loop.clock().now(), listener.open(), broker.open())) {
             ended.countDown();
         } else {
             loop.deadlines().after(CHECK_US, this::awaitEnd);
--- a/pooler/src/main/java/frostreel/control/CommandExecutor.java
+++ b/pooler/src/main/java/frostreel/control/CommandExecutor.java
@@ -4,6 +4,9 @@
 import frostreel.config.EndpointList;
 import frostreel.net.EventLoop;
 import frostreel.net.ServerPool;
+import frostreel.operation.ReadinessStatus;
+import frostreel.operation.ServingLifecycle;
+import frostreel.operation.OperatorCommands;
 import frostreel.operation.MaintenanceOverlay;
 import frostreel.operation.OperatorCommands;
 import frostreel.operation.ServingLifecycle;
@@ -11,7 +14,6 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
 import java.util.function.Consumer;
 import java.util.logging.Logger;
@@ -26,7 +28,7 @@
     private static final String CLIENTS = "clients";
 
     private final EventLoop loop;
-    private final ServingLifecycle door;
+    private final ServingLifecycle lifecycle;
     private final ServerPool pool;
     private final Broker broker;
     private final Runnable sweep;
@@ -38,19 +40,12 @@
     private int given;
 
     /**
-     * {@code sweep}: looks through the clients, as the door then has it; {@code folder}: where orders outlast
+     * {@code sweep}: looks through the clients, as the lifecycle then has it; {@code folder}: where orders outlast
      * an end, null for nowhere; {@code life}: this process's own name among those that keep orders there.
      */
-    public CommandExecutor(
-            EventLoop loop,
-            ServingLifecycle door,
-            ServerPool pool,
-            Broker broker,
-            Runnable sweep,
-            Path folder,
-            String life) {
+    public CommandExecutor(EventLoop loop, ServingLifecycle lifecycle, ServerPool pool, Broker broker, Runnable sweep, Path folder, String life) {
         this.loop = loop;
-        this.door = door;
+        this.lifecycle = lifecycle;
         this.pool = pool;
         this.broker = broker;
         this.sweep = sweep;
@@ -88,10 +83,10 @@
     private void carryOut(String thing) {
         if (thing.equals(CLIENTS)) {
             if (orders.inForce(thing)) {
-                door.empty(loop.clock().now());
-                loop.deadlines().at(door.sweepUs(), sweep);
+                lifecycle.pause(loop.clock().now());
+                loop.deadlines().at(lifecycle.closeIdleAtUs(), sweep);
             } else {
-                door.fill();
+                lifecycle.resume();
             }
             return;
         }
@@ -123,7 +118,7 @@
         String[] words = line.trim().split(" +");
         int before = given;
         String answer = switch (words.length == 1 ? words[0] : words.length == 2 ? words[0] + " ID" : "") {
-            case "STATUS" -> door.word() == ServingLifecycle.ReadinessStatus.YES ? "OK" : no(state());
+            case "STATUS" -> lifecycle.status() == ReadinessStatus.READY ? "OK" : no(state());
             case "PAUSE" -> empty();
             case "RESUME" -> fill();
             case "SUSPEND ID" -> server(words[1], true);
@@ -150,7 +145,7 @@
     }
 
     private String state() {
-        return door.word().name().toLowerCase(Locale.ROOT);
+        return lifecycle.status().wireName();
     }
 
     private static String no(String why) {
@@ -162,7 +157,7 @@
     }
 
     private String fill() {
-        if (door.word() == ServingLifecycle.ReadinessStatus.STOPPING) {
+        if (lifecycle.status() == ReadinessStatus.STOPPING) {
             return no("stopping");
         }
         return order(CLIENTS, false);
--- a/pooler/src/main/java/frostreel/net/ClientConnection.java
+++ b/pooler/src/main/java/frostreel/net/ClientConnection.java
@@ -6,13 +6,12 @@
 import frostreel.broker.ResponseHandler;
 import frostreel.broker.SlotTable;
 import frostreel.log.EventLog;
-import frostreel.operation.ServingLifecycle;
+import frostreel.operation.ReadinessStatus;
 import frostreel.pg.MessageReader;
 import frostreel.pg.Messages;
 import frostreel.pg.PgException;
 import frostreel.pg.Statement;
 import java.nio.ByteBuffer;
-import java.util.Locale;
 import java.util.function.Supplier;
 import org.xnio.StreamConnection;
 
@@ -293,14 +292,14 @@
     private void query(byte[] body) throws PgException {
         if (Statement.isEmpty(body)) {
             asked = true;
-            ServingLifecycle.ReadinessStatus word = listener.word();
+            ReadinessStatus status = listener.status();
             answer(
-                    word == ServingLifecycle.ReadinessStatus.YES
+                    status == ReadinessStatus.READY
                             ? Messages.emptyQueryResponse()
                             : Messages.error(
                                     false,
                                     Messages.STARTING,
-                                    "takes no clients: " + word.name().toLowerCase(Locale.ROOT),
+                                    "takes no clients: " + status.wireName(),
                                     null));
             return;
         }
--- a/pooler/src/main/java/frostreel/net/Listener.java
+++ b/pooler/src/main/java/frostreel/net/Listener.java
@@ -3,6 +3,7 @@
 import frostreel.broker.Broker;
 import frostreel.broker.SlotTable;
 import frostreel.operation.RequestClassRegistry;
+import frostreel.operation.ReadinessStatus;
 import frostreel.operation.ServingLifecycle;
 import frostreel.pg.Statement;
 import java.io.IOException;
@@ -37,7 +38,7 @@
 
     private final EventLoop loop;
     private final Broker broker;
-    private final ServingLifecycle door;
+    private final ServingLifecycle lifecycle;
     private final RequestClassRegistry classes;
     private final Map<String, Supplier<String>> pages = new HashMap<>();
     private final int maxClients;
@@ -62,17 +63,11 @@
 
     /** Of the {@code usualClients} that come to ask, three quarters may stay without a bound on idle ones. */
     public Listener(
-            EventLoop loop,
-            Broker broker,
-            ServingLifecycle door,
-            RequestClassRegistry classes,
-            int maxClients,
-            int usualClients,
-            long seed) {
+            EventLoop loop, Broker broker, ServingLifecycle lifecycle, RequestClassRegistry classes, int maxClients, int usualClients, long seed) {
         this.loop = loop;
         secrets = new SplittableRandom(seed).split();
         this.broker = broker;
-        this.door = door;
+        this.lifecycle = lifecycle;
         this.classes = classes;
         this.maxClients = maxClients;
         usualBound = usualClients * 3 / 4;
@@ -84,7 +79,7 @@
     /**
      * Listens; past the cap of connections no more are accepted until some have closed. A socket that was
      * inherited is listened on by another process as well, so nothing is accepted until {@link #sweep} finds
-     * the door open.
+     * that the lifecycle accepts clients.
      */
     public void open(InetSocketAddress address, boolean inherits) throws IOException {
         OptionMap options = OptionMap.builder()
@@ -96,7 +91,7 @@
                 .getMap();
         inherited = inherits;
         acceptor.open(address, inherits, options);
-        if (door.accepts(loop.clock().now())) {
+        if (lifecycle.accepts(loop.clock().now())) {
             acceptor.resume();
         }
     }
@@ -134,17 +129,17 @@
 
     /** Whether those that have yet to ask are closed, too. */
     boolean closing() {
-        return door.closesAll(loop.clock().now());
+        return lifecycle.closesUnused(loop.clock().now());
     }
 
     /** For how long a client is waited for whose connection we ended. */
     long lingerUs() {
-        return door.lingerUs();
+        return lifecycle.lingerUs();
     }
 
     /** What the empty query is answered. */
-    ServingLifecycle.ReadinessStatus word() {
-        return door.word();
+    ReadinessStatus status() {
+        return lifecycle.status();
     }
 
     Broker broker() {
@@ -161,7 +156,7 @@
         if (c.restsBetweenRequests()) {
             owing.remove(c);
             idle.remove(c); // It has asked again, and is no longer the longest idle.
-            if (door.closesAnswered(loop.clock().now())) {
+            if (lifecycle.closesAfterResponse(loop.clock().now())) {
                 c.leaveUnlessAsking();
             } else {
                 idle.add(c);
@@ -259,23 +254,23 @@
 
     /** By when a request that comes now has to be answered: the process may not live longer. */
     long answerBy() {
-        return door.answerByUs(loop.clock().now());
+        return lifecycle.responseDueUs(loop.clock().now());
     }
 
-    /** Closes whoever is between requests, as the door has it, and accepts no more where that is closed. */
+    /** Closes whoever is between requests, as the lifecycle has it, and accepts no more once that does not. */
     public void sweep() {
         long now = loop.clock().now();
-        if (door.accepts(now)) {
+        if (lifecycle.accepts(now)) {
             acceptor.resume();
         } else if (inherited) {
             acceptor.suspend(); // What waits there is the other process's.
         } else {
             acceptor.close();
         }
-        if (now < door.sweepUs()) {
+        if (now < lifecycle.closeIdleAtUs()) {
             return;
         }
-        if (door.closesAll(now)) {
+        if (lifecycle.closesUnused(now)) {
             clients.forEach(this::rested);
         } else {
             List.copyOf(idle).forEach(this::rested);
