--- a/decisions/src/main/java/frostreel/operation/ServingLifecycle.java
+++ b/decisions/src/main/java/frostreel/operation/ServingLifecycle.java
@@ -1,138 +1,283 @@
 package frostreel.operation;
 
+import java.util.EnumMap;
+import java.util.EnumSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+
 /**
- * Who may come in, and when those who are in have to leave: one state for a start, serving, emptying by the
- * operators, handing over to a successor, and an end. It is told events and the time, and answers questions.
- * Times are microseconds on one clock that only advances.
+ * The life of this process as one state machine: starting, serving, draining, handing over, stopping.
+ *
+ * <p>Callers report events with their time and ask whether to accept a connection, when to close one, and when
+ * the process may exit. The class holds no sockets and reads no clock. Times are microseconds on one clock that
+ * only advances; {@link #NEVER_US} is the instant that does not come. Confined to the event loop, except where
+ * a method says otherwise.
  *
- * <p>A connection is closed in one of three ways, each later one stricter: after its answer in hand, where
- * its client cannot have asked again yet; in a sweep of those that rest; and even before its first request.
+ * <p>Closing connections escalates: first after a response, when the client cannot have asked again yet
+ * ({@link #closesAfterResponse}); then all idle ones at once ({@link #closeIdleAtUs}); last even those that
+ * have not sent a request yet ({@link #closesUnused}).
  */
 public final class ServingLifecycle {
-    /** A front asks every 0.1 s, and deals out new connections for 0.2 s after the first no. */
+    /** The instant that does not come. */
+    public static final long NEVER_US = Long.MAX_VALUE;
+    /** How long an exit is delayed after SIGTERM, as clients keep connecting for a while: served as before. */
+    public static final long SHUTDOWN_GRACE_US = 700_000;
+    /**
+     * How long a client whose connection was ended may take to end its side. Its bytes are read and dropped
+     * meanwhile: closing with bytes unread would reset the connection, and could lose its last response.
+     * Shorter than {@link #KILL_MARGIN_US}, so that the final close completes in order.
+     */
+    public static final long LINGER_US = 300_000;
+
+    /**
+     * From PAUSE until clients may be closed: a load balancer polls the readiness every 0.1 s and goes on
+     * assigning new connections for 0.2 s after the first negative answer.
+     */
     static final long LOAD_BALANCER_DELAY_US = 400_000;
-    /** Emptying, whoever has not asked again for so long after the call is between requests for good. */
+    /** From PAUSE until idle connections are closed; a client that has not asked by then is done asking. */
     static final long PAUSE_IDLE_CLOSE_DELAY_US = 1_400_000;
-    /** Handing over, the same: the longer, the fewer closes cross a request; SIGKILL comes at 3.7 s. */
+    /**
+     * The same from SIGTERM when a successor takes over. The longer, the fewer closes cross a request on its
+     * way; SIGKILL comes at 3.7 s.
+     */
     static final long HANDOVER_IDLE_CLOSE_DELAY_US = 2_000_000;
-    /** After SIGTERM clients still come for a while; for so long they are served as ever. */
-    public static final long SHUTDOWN_GRACE_US = 700_000;
-    /** SIGKILL comes no sooner than the longest deadline, or this where that is longer, and the stay. */
+    /** SIGKILL follows after the grace period and the longest deadline of a request, the latter capped at this. */
     private static final long KILL_DEADLINE_CAP_US = 3_000_000;
-    /** So long before SIGKILL is due, all that was taken after the stay is answered. */
+    /** How long before SIGKILL every request must be answered that came after the grace period. */
     private static final long KILL_MARGIN_US = 400_000;
+
     /**
-     * A client whose connection was ended is waited for so long to end it too. What it had sent before it
-     * knew is read and dropped meanwhile: to close over it would reset the connection, and its last answer
-     * might be lost. Less than the margin before SIGKILL, so that a sweep ends in order.
+     * Where the process stands. Operators may pause it in any state: clients are then asked to leave. Only a
+     * paused process that would otherwise be serving is called draining.
      */
-    public static final long LINGER_US = 300_000;
+    enum State {
+        STARTING(ReadinessStatus.STARTING),
+        STARTING_PAUSED(ReadinessStatus.STARTING),
+        SERVING(ReadinessStatus.READY),
+        DRAINING(ReadinessStatus.DRAINING),
+        /** After SIGTERM, when a successor accepts from the same socket. */
+        HANDING_OVER(ReadinessStatus.STOPPING),
+        HANDING_OVER_PAUSED(ReadinessStatus.STOPPING),
+        /** After SIGTERM without a successor: it goes on as it was for the grace period. */
+        STOPPING(ReadinessStatus.READY),
+        STOPPING_PAUSED(ReadinessStatus.DRAINING),
+        STOPPING_UNREADY(ReadinessStatus.STARTING),
+        STOPPING_UNREADY_PAUSED(ReadinessStatus.STARTING);
+
+        private final ReadinessStatus status;
+
+        State(ReadinessStatus status) {
+            this.status = status;
+        }
+    }
+
+    /** The states in which clients are asked to leave. */
+    private static final Set<State> PAUSED = EnumSet.of(
+            State.STARTING_PAUSED,
+            State.DRAINING,
+            State.HANDING_OVER_PAUSED,
+            State.STOPPING_PAUSED,
+            State.STOPPING_UNREADY_PAUSED);
+    /** The states after SIGTERM. */
+    private static final Set<State> TERMINATED = EnumSet.range(State.HANDING_OVER, State.STOPPING_UNREADY_PAUSED);
+
+    /** What can happen to the process. */
+    enum Event {
+        /** Servers, commands and sockets are there: serving may begin. */
+        READY,
+        /** Operators ask clients to leave. */
+        PAUSE,
+        RESUME,
+        /** SIGTERM without a successor. */
+        STOP,
+        /** SIGTERM while a successor accepts from the same socket. */
+        HAND_OVER
+    }
+
+    private record Transition(State from, Event event, State to) {}
+
+    /** The state machine, whole: an event that is not listed for a state leaves it as it is. */
+    private static final List<Transition> TRANSITIONS = List.of(
+            new Transition(State.STARTING, Event.READY, State.SERVING),
+            new Transition(State.STARTING, Event.PAUSE, State.STARTING_PAUSED),
+            new Transition(State.STARTING, Event.STOP, State.STOPPING_UNREADY),
+            new Transition(State.STARTING, Event.HAND_OVER, State.HANDING_OVER),
+            new Transition(State.STARTING_PAUSED, Event.READY, State.DRAINING),
+            new Transition(State.STARTING_PAUSED, Event.RESUME, State.STARTING),
+            new Transition(State.STARTING_PAUSED, Event.STOP, State.STOPPING_UNREADY_PAUSED),
+            new Transition(State.STARTING_PAUSED, Event.HAND_OVER, State.HANDING_OVER_PAUSED),
+            new Transition(State.SERVING, Event.PAUSE, State.DRAINING),
+            new Transition(State.SERVING, Event.STOP, State.STOPPING),
+            new Transition(State.SERVING, Event.HAND_OVER, State.HANDING_OVER),
+            new Transition(State.DRAINING, Event.RESUME, State.SERVING),
+            new Transition(State.DRAINING, Event.STOP, State.STOPPING_PAUSED),
+            new Transition(State.DRAINING, Event.HAND_OVER, State.HANDING_OVER_PAUSED),
+            new Transition(State.HANDING_OVER, Event.PAUSE, State.HANDING_OVER_PAUSED),
+            new Transition(State.HANDING_OVER_PAUSED, Event.RESUME, State.HANDING_OVER),
+            new Transition(State.STOPPING, Event.PAUSE, State.STOPPING_PAUSED),
+            new Transition(State.STOPPING_PAUSED, Event.RESUME, State.STOPPING),
+            new Transition(State.STOPPING_UNREADY, Event.READY, State.STOPPING),
+            new Transition(State.STOPPING_UNREADY, Event.PAUSE, State.STOPPING_UNREADY_PAUSED),
+            new Transition(State.STOPPING_UNREADY_PAUSED, Event.READY, State.STOPPING_PAUSED),
+            new Transition(State.STOPPING_UNREADY_PAUSED, Event.RESUME, State.STOPPING_UNREADY));
+
+    private static final Map<State, Map<Event, State>> NEXT_STATE = byStateAndEvent();
+
+    private static Map<State, Map<Event, State>> byStateAndEvent() {
+        Map<State, Map<Event, State>> nextState = new EnumMap<>(State.class);
+        for (State state : State.values()) {
+            nextState.put(state, new EnumMap<>(Event.class));
+        }
+        for (Transition transition : TRANSITIONS) {
+            nextState.get(transition.from()).put(transition.event(), transition.to());
+        }
+        return nextState;
+    }
 
-    private static final long NEVER_US = Long.MAX_VALUE;
     private final boolean hasSuccessor;
     private final long lingerUs;
+    /** Also read by the thread that waits for the exit. */
     private volatile long longestDeadlineUs;
-    private boolean ready;
-    private long pausedAtUs = NEVER_US;
-    private long terminatedAtUs = NEVER_US;
+
+    private State state = State.STARTING;
+    /** When operators paused the process; meaningless in a state that is not paused. */
+    private long pausedAtUs;
+    /** When SIGTERM came; meaningless before that. */
+    private long terminatedAtUs;
 
     /**
-     * {@code hasSuccessor}: a successor accepts from the same socket, so that nobody is turned away by an end;
-     * {@code longestDeadlineUs}: the longest deadline of a request.
+     * @param hasSuccessor whether another process accepts from the same socket when this one ends, so that no
+     *     client is rejected meanwhile
+     * @param longestDeadlineUs the longest deadline that a request may have
      */
     public ServingLifecycle(boolean hasSuccessor, long longestDeadlineUs) {
         this(hasSuccessor, longestDeadlineUs, LINGER_US);
     }
 
-    /** {@code lingerUs}: in place of {@link #LINGER_US}. */
+    /**
+     * As {@link #ServingLifecycle(boolean, long)}, with another linger time than {@link #LINGER_US}.
+     *
+     * @param lingerUs how long a client whose connection was ended may take to end its side
+     */
     public ServingLifecycle(boolean hasSuccessor, long longestDeadlineUs, long lingerUs) {
         this.hasSuccessor = hasSuccessor;
         this.longestDeadlineUs = longestDeadlineUs;
         this.lingerUs = lingerUs;
     }
 
-    /** For how long a client is waited for whose connection was ended. */
-    public long lingerUs() {
-        return lingerUs;
-    }
-
-    /** Other settings have another longest deadline of a request. */
-    public void setLongestDeadlineUs(long deadlineUs) {
-        longestDeadlineUs = deadlineUs;
-    }
-
-    /**
-     * For so long at the most an end is waited for; from any thread. What came at the end of the stay has its
-     * whole time, and its answer has to be on its way before the process ends.
-     */
-    public long shutdownTimeoutUs() {
-        return longestDeadlineUs + SHUTDOWN_GRACE_US + KILL_MARGIN_US;
+    private void handle(Event event) {
+        state = NEXT_STATE.get(state).getOrDefault(event, state);
     }
 
-    /** Servers are known: serving may begin. */
+    /** Reports that servers, commands and sockets are there: serving may begin. */
     public void markReady() {
-        ready = true;
+        handle(Event.READY);
     }
 
-    /** The operators empty the program; a second call changes nothing. */
+    /** Reports that operators ask clients to leave; repeated, it changes nothing. */
     public void pause(long nowUs) {
-        pausedAtUs = Math.min(pausedAtUs, nowUs);
+        if (!isPaused()) {
+            pausedAtUs = nowUs;
+        }
+        handle(Event.PAUSE);
     }
 
+    /** Reports that operators take clients again. */
     public void resume() {
-        pausedAtUs = NEVER_US;
+        handle(Event.RESUME);
     }
 
-    /** SIGTERM. */
+    /** Reports SIGTERM; repeated, it changes nothing. */
     public void terminate(long nowUs) {
-        terminatedAtUs = Math.min(terminatedAtUs, nowUs);
+        if (!isTerminated()) {
+            terminatedAtUs = nowUs;
+        }
+        handle(hasSuccessor ? Event.HAND_OVER : Event.STOP);
+    }
+
+    /** The longest deadline that a request may have, as of new settings. */
+    public void setLongestDeadlineUs(long longestDeadlineUs) {
+        this.longestDeadlineUs = longestDeadlineUs;
+    }
+
+    /** The state of the process. */
+    State state() {
+        return state;
     }
 
-    /** What the status is: whether this process takes clients. */
+    /** What load balancers and operators are told about this process. */
     public ReadinessStatus status() {
-        return terminatedAtUs != NEVER_US && hasSuccessor
-                ? ReadinessStatus.STOPPING
-                : !ready ? ReadinessStatus.STARTING : pausedAtUs != NEVER_US ? ReadinessStatus.DRAINING : ReadinessStatus.READY;
+        return state.status;
     }
 
-    public boolean isPaused() {
-        return pausedAtUs != NEVER_US;
+    /** How long a client whose connection was ended may take to end its side. */
+    public long lingerUs() {
+        return lingerUs;
+    }
+
+    /**
+     * How long a shutdown may take at most: a request that came at the end of the grace period has its whole
+     * deadline, and its response must be on its way before the process exits. May be called from any thread.
+     */
+    public long shutdownTimeoutUs() {
+        return longestDeadlineUs + SHUTDOWN_GRACE_US + KILL_MARGIN_US;
     }
 
-    /** Whether to accept: from a shared socket, only what the other process would not serve better. */
+    /** Whether to accept connections; from a shared socket only while the other process would not serve better. */
     public boolean accepts(long nowUs) {
-        return hasSuccessor ? ready && terminatedAtUs == NEVER_US : nowUs < lastResponseUs();
+        return hasSuccessor ? state == State.SERVING || state == State.DRAINING : nowUs < lastResponseUs();
     }
 
-    /** Whether a connection is closed with its answer. */
+    /** Whether to close a connection as soon as it has its response. */
     public boolean closesAfterResponse(long nowUs) {
-        return pausedAtUs != NEVER_US && nowUs - pausedAtUs >= LOAD_BALANCER_DELAY_US || hasSuccessor && terminatedAtUs != NEVER_US || nowUs >= lastResponseUs();
+        boolean pausedLongEnough = isPaused() && nowUs - pausedAtUs >= LOAD_BALANCER_DELAY_US;
+        return pausedLongEnough || isHandingOver() || nowUs >= lastResponseUs();
     }
 
-    /** From when on those that rest are closed, {@code Long.MAX_VALUE} for never. */
+    /** When to close all idle connections, {@link #NEVER_US} if that is not planned. */
     public long closeIdleAtUs() {
-        long emptying = pausedAtUs == NEVER_US ? NEVER_US : pausedAtUs + PAUSE_IDLE_CLOSE_DELAY_US;
-        long ending = terminatedAtUs == NEVER_US ? NEVER_US : hasSuccessor ? Math.min(terminatedAtUs + HANDOVER_IDLE_CLOSE_DELAY_US, lastResponseUs()) : lastResponseUs();
-        return Math.min(emptying, ending);
+        long pauseUs = isPaused() ? pausedAtUs + PAUSE_IDLE_CLOSE_DELAY_US : NEVER_US;
+        long handoverUs = isHandingOver() ? terminatedAtUs + HANDOVER_IDLE_CLOSE_DELAY_US : NEVER_US;
+        return Math.min(lastResponseUs(), Math.min(pauseUs, handoverUs));
     }
 
-    /** Whether even those are closed that have yet to ask for the first time. */
+    /** Whether to close even connections that have not sent a request yet. */
     public boolean closesUnused(long nowUs) {
         return nowUs >= lastResponseUs();
     }
 
-    /** No request that comes after the stay may be in hand any more at this time. */
+    /** By when all requests that came after the grace period must be answered; {@link #NEVER_US} before SIGTERM. */
     public long lastResponseUs() {
-        return terminatedAtUs == NEVER_US ? NEVER_US : terminatedAtUs + Math.min(longestDeadlineUs, KILL_DEADLINE_CAP_US) + SHUTDOWN_GRACE_US - KILL_MARGIN_US;
+        if (!isTerminated()) {
+            return NEVER_US;
+        }
+        long killDelayUs = Math.min(longestDeadlineUs, KILL_DEADLINE_CAP_US) + SHUTDOWN_GRACE_US;
+        return terminatedAtUs + killDelayUs - KILL_MARGIN_US;
     }
 
-    /** By when a request that comes now has to be answered; {@code Long.MAX_VALUE} for no such bound. */
+    /** By when a request that comes now must be answered, {@link #NEVER_US} if the process sets no bound. */
     public long responseDueUs(long nowUs) {
-        return terminatedAtUs != NEVER_US && nowUs >= terminatedAtUs + SHUTDOWN_GRACE_US ? lastResponseUs() : NEVER_US;
+        return isTerminated() && nowUs >= terminatedAtUs + SHUTDOWN_GRACE_US ? lastResponseUs() : NEVER_US;
     }
 
-    /** Whether nothing keeps the process any longer. */
+    /** Whether nothing keeps the process from exiting. */
     public boolean mayExit(long nowUs, int openClients, int openRequests) {
-        return terminatedAtUs != NEVER_US && openClients == 0 && openRequests == 0 && (hasSuccessor || nowUs >= terminatedAtUs + SHUTDOWN_GRACE_US);
+        if (!isTerminated() || openClients > 0 || openRequests > 0) {
+            return false;
+        }
+        return isHandingOver() || nowUs >= terminatedAtUs + SHUTDOWN_GRACE_US;
+    }
+
+    private boolean isPaused() {
+        return PAUSED.contains(state);
+    }
+
+    private boolean isTerminated() {
+        return TERMINATED.contains(state);
+    }
+
+    private boolean isHandingOver() {
+        return state == State.HANDING_OVER || state == State.HANDING_OVER_PAUSED;
     }
 }
--- a/decisions/src/test/java/frostreel/operation/ServingLifecycleTest.java
+++ b/decisions/src/test/java/frostreel/operation/ServingLifecycleTest.java
@@ -2,9 +2,13 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import frostreel.operation.ServingLifecycle.State;
 import org.junit.jupiter.api.Test;
 
-/** All sequences of events up to length 6, half a second apart, with a successor and without, and a few by name. */
+/**
+ * All sequences of events up to length 6, half a second apart, with a successor and without, against what follows
+ * from a plain reading of the events; and a few sequences by name.
+ */
 class ServingLifecycleTest {
     private enum Event {
         READY,
@@ -75,6 +79,8 @@
         boolean terminated = history.isTerminated();
         boolean paused = history.isPaused();
         boolean handingOver = hasSuccessor && terminated;
+        assertThat(lifecycle.state()).isEqualTo(expectedState(history, hasSuccessor));
+        assertThat(lifecycle.status()).isEqualTo(expectedStatus(history, hasSuccessor));
         assertThat(lifecycle.status() == ReadinessStatus.READY)
                 .isEqualTo(history.ready() && !paused && !handingOver);
         if (!paused && !terminated) {
@@ -95,6 +101,31 @@
         assertThat(lifecycle.closesUnused(nowUs)).isEqualTo(terminated && nowUs >= lifecycle.lastResponseUs());
     }
 
+    private static State expectedState(History history, boolean hasSuccessor) {
+        boolean paused = history.isPaused();
+        if (!history.isTerminated()) {
+            State running = paused ? State.DRAINING : State.SERVING;
+            State starting = paused ? State.STARTING_PAUSED : State.STARTING;
+            return history.ready() ? running : starting;
+        }
+        if (hasSuccessor) {
+            return paused ? State.HANDING_OVER_PAUSED : State.HANDING_OVER;
+        }
+        State stopping = paused ? State.STOPPING_PAUSED : State.STOPPING;
+        State stoppingUnready = paused ? State.STOPPING_UNREADY_PAUSED : State.STOPPING_UNREADY;
+        return history.ready() ? stopping : stoppingUnready;
+    }
+
+    private static ReadinessStatus expectedStatus(History history, boolean hasSuccessor) {
+        if (hasSuccessor && history.isTerminated()) {
+            return ReadinessStatus.STOPPING;
+        }
+        if (!history.ready()) {
+            return ReadinessStatus.STARTING;
+        }
+        return history.isPaused() ? ReadinessStatus.DRAINING : ReadinessStatus.READY;
+    }
+
     private static void checkServing(ServingLifecycle lifecycle, long nowUs) {
         assertThat(lifecycle.closesAfterResponse(nowUs + STEP_US))
                 .as("nobody is closed in service")
