--- a/decisions/src/main/java/frostreel/operation/RequestClassRegistry.java
+++ b/decisions/src/main/java/frostreel/operation/RequestClassRegistry.java
@@ -1,80 +1,93 @@
 package frostreel.operation;
 
-import frostreel.routing.Router;
 import frostreel.routing.Router.RequestClass;
+import frostreel.routing.Router;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 
 /**
- * The classes of requests under numbers that never change their meaning, though settings change: a class that
- * is new, or has other rules than before, gets the next number, and one that comes back as it was its old
- * one.
+ * Numbers the classes of requests such that a number keeps its meaning when settings change. A class that is
+ * new, or whose rules have changed, gets the next number; one that returns unchanged gets its former number.
+ * Not thread-safe.
  */
 public final class RequestClassRegistry {
-    /** For so long after a change clients may still speak by the old settings. */
-    public static final long CHANGE_US = 1_200_000;
+    /** How long clients may still follow the previous settings after a change. */
+    public static final long TRANSITION_US = 1_200_000;
 
-    private final List<RequestClass> all = new ArrayList<>();
+    /** The instant of a change that never was; far enough back for any interval, and no overflow. */
+    private static final long LONG_AGO_US = Long.MIN_VALUE / 2;
+
+    private final List<RequestClass> classes = new ArrayList<>();
     private Map<String, Integer> current;
-    private Map<String, Integer> before = Map.of();
-    private long changedUs = Long.MIN_VALUE / 2;
+    private Map<String, Integer> previous = Map.of();
+    private long changedAtUs = LONG_AGO_US;
 
-    public RequestClassRegistry(List<RequestClass> classes) {
-        current = numbered(classes);
+    public RequestClassRegistry(List<RequestClass> initial) {
+        current = numbersByName(initial);
     }
 
-    private Map<String, Integer> numbered(List<RequestClass> classes) {
+    private Map<String, Integer> numbersByName(List<RequestClass> named) {
         Map<String, Integer> numbers = new HashMap<>();
-        for (RequestClass c : classes) {
-            int number = all.indexOf(c);
-            if (number < 0) {
-                number = all.size();
-                all.add(c);
-            }
-            numbers.put(c.name(), number);
+        for (RequestClass requestClass : named) {
+            numbers.put(requestClass.name(), numberFor(requestClass));
         }
         return numbers;
     }
 
-    /** Goes over to other classes. */
-    public void change(long nowUs, List<RequestClass> classes) {
-        before = current;
-        current = numbered(classes);
-        changedUs = nowUs;
+    private int numberFor(RequestClass requestClass) {
+        int known = classes.indexOf(requestClass);
+        if (known >= 0) {
+            return known;
+        }
+        classes.add(requestClass);
+        return classes.size() - 1;
+    }
+
+    /** Replaces the classes in force. */
+    public void change(long nowUs, List<RequestClass> replacement) {
+        previous = current;
+        current = numbersByName(replacement);
+        changedAtUs = nowUs;
     }
 
-    /** All that have a number, by it; what is returned never changes. */
+    /** An immutable copy of all classes that have a number, each at the index of that number. */
     public List<RequestClass> all() {
-        return List.copyOf(all);
+        return List.copyOf(classes);
     }
 
     /**
-     * The class under which a request comes in, null where there is none that it fits. Shortly after a change
-     * that is the old one where only that fits, and where both do, the one that permits less.
+     * The number of the class that a request belongs to. Within {@link #TRANSITION_US} of a change a request
+     * may fit the class of that name in the previous settings, in the current ones, or in both; in the last
+     * case the stricter of the two is chosen.
+     *
+     * @return null if no class of that name fits
      */
     public Integer number(long nowUs, String name, boolean write, boolean keyed) {
-        Integer now = fitting(current.get(name), write, keyed);
-        Integer then = nowUs - changedUs >= CHANGE_US ? null : fitting(before.get(name), write, keyed);
-        if (now == null || then == null) {
-            return now == null ? then : now;
+        Integer now = ifFitting(current.get(name), write, keyed);
+        boolean inTransition = nowUs - changedAtUs < TRANSITION_US;
+        Integer before = inTransition ? ifFitting(previous.get(name), write, keyed) : null;
+        if (now == null || before == null) {
+            return now == null ? before : now;
         }
-        RequestClass a = all.get(now);
-        RequestClass b = all.get(then);
-        boolean looser = a.idempotency().ordinal() < b.idempotency().ordinal()
-                || a.windowUs() > b.windowUs()
-                || a.boundUs() > b.boundUs();
-        return looser ? then : now;
+        return isLooser(classes.get(now), classes.get(before)) ? before : now;
+    }
+
+    /** Relies on the order of {@link Router.Idempotency}: what may be retried most freely comes first. */
+    private static boolean isLooser(RequestClass one, RequestClass other) {
+        return one.idempotency().compareTo(other.idempotency()) < 0
+                || one.windowUs() > other.windowUs()
+                || one.boundUs() > other.boundUs();
     }
 
-    private Integer fitting(Integer number, boolean write, boolean keyed) {
+    private Integer ifFitting(Integer number, boolean write, boolean keyed) {
         if (number == null) {
             return null;
         }
-        RequestClass c = all.get(number);
-        boolean fits =
-                write == (c.access() == Router.Access.WRITE) && (keyed || c.idempotency() != Router.Idempotency.KEYED);
-        return fits ? number : null;
+        RequestClass requestClass = classes.get(number);
+        boolean accessFits = write == (requestClass.access() == Router.Access.WRITE);
+        boolean keyFits = keyed || requestClass.idempotency() != Router.Idempotency.KEYED;
+        return accessFits && keyFits ? number : null;
     }
 }
--- a/decisions/src/test/java/frostreel/operation/RequestClassRegistryTest.java
+++ b/decisions/src/test/java/frostreel/operation/RequestClassRegistryTest.java
@@ -10,58 +10,58 @@
 import org.junit.jupiter.api.Test;
 
 class RequestClassRegistryTest {
-    private static final long SOON = RequestClassRegistry.CHANGE_US - 1;
-    private static final long LATER = RequestClassRegistry.CHANGE_US;
+    private static final long IN_TRANSITION_US = RequestClassRegistry.TRANSITION_US - 1;
+    private static final long AFTER_TRANSITION_US = RequestClassRegistry.TRANSITION_US;
 
-    private static RequestClass kind(String name, Access access, Idempotency repeat) {
-        return new RequestClass(name, access, repeat, DeduplicationScope.GROUP, 3_000_000, 0, 100_000, 400_000, 1, 0);
+    private static RequestClass requestClass(String name, Access access, Idempotency idempotency) {
+        return new RequestClass(name, access, idempotency, DeduplicationScope.GROUP, 3_000_000, 0, 100_000, 400_000, 1, 0);
     }
 
-    private final RequestClass read = kind("read", Access.ANY, Idempotency.IDEMPOTENT);
-    private final RequestClass post = kind("post", Access.WRITE, Idempotency.KEYED);
-    private final RequestClassRegistry table = new RequestClassRegistry(List.of(read, post));
+    private final RequestClass read = requestClass("read", Access.ANY, Idempotency.IDEMPOTENT);
+    private final RequestClass post = requestClass("post", Access.WRITE, Idempotency.KEYED);
+    private final RequestClassRegistry registry = new RequestClassRegistry(List.of(read, post));
 
     @Test
-    void aClassAddedIsServedAtOnceAndOneDroppedForAWhile() {
-        table.change(0, List.of(post, kind("new", Access.WRITE, Idempotency.NON_IDEMPOTENT)));
-        assertThat(table.number(0, "new", true, false)).isEqualTo(2);
-        assertThat(table.number(0, "post", true, true))
+    void anAddedClassIsServedAtOnceAndADroppedOneDuringTheTransition() {
+        registry.change(0, List.of(post, requestClass("new", Access.WRITE, Idempotency.NON_IDEMPOTENT)));
+        assertThat(registry.number(0, "new", true, false)).isEqualTo(2);
+        assertThat(registry.number(0, "post", true, true))
                 .as("unchanged, it keeps its number")
                 .isEqualTo(1);
-        assertThat(table.number(SOON, "read", false, false)).isZero();
-        assertThat(table.number(LATER, "read", false, false)).isNull();
-        assertThat(table.all()).hasSize(3);
+        assertThat(registry.number(IN_TRANSITION_US, "read", false, false)).isZero();
+        assertThat(registry.number(AFTER_TRANSITION_US, "read", false, false)).isNull();
+        assertThat(registry.all()).hasSize(3);
     }
 
     @Test
-    void ofTwoClassesOfOneNameTheStricterHoldsUntilClientsSpeakByTheNew() {
-        table.change(0, List.of(read, kind("post", Access.WRITE, Idempotency.IDEMPOTENT)));
-        assertThat(table.number(SOON, "post", true, true))
+    void ofTwoClassesOfOneNameTheStricterIsChosenDuringTheTransition() {
+        registry.change(0, List.of(read, requestClass("post", Access.WRITE, Idempotency.IDEMPOTENT)));
+        assertThat(registry.number(IN_TRANSITION_US, "post", true, true))
                 .as("keyed is stricter")
                 .isEqualTo(1);
-        assertThat(table.number(SOON, "post", true, false))
+        assertThat(registry.number(IN_TRANSITION_US, "post", true, false))
                 .as("only the new fits")
                 .isEqualTo(2);
-        assertThat(table.number(LATER, "post", true, true)).isEqualTo(2);
-        table.change(LATER, List.of(read, kind("post", Access.WRITE, Idempotency.NON_IDEMPOTENT)));
-        assertThat(table.number(LATER, "post", true, false)).isEqualTo(3);
+        assertThat(registry.number(AFTER_TRANSITION_US, "post", true, true)).isEqualTo(2);
+        registry.change(AFTER_TRANSITION_US, List.of(read, requestClass("post", Access.WRITE, Idempotency.NON_IDEMPOTENT)));
+        assertThat(registry.number(AFTER_TRANSITION_US, "post", true, false)).isEqualTo(3);
     }
 
     @Test
-    void aReadThatBecomesAWriteIsEitherByItsStatement() {
-        table.change(0, List.of(kind("read", Access.WRITE, Idempotency.NON_IDEMPOTENT), post));
-        assertThat(table.number(SOON, "read", false, false)).isZero();
-        assertThat(table.number(SOON, "read", true, false)).isEqualTo(2);
-        assertThat(table.number(LATER, "read", false, false)).isNull();
+    void aReadThatBecomesAWriteIsToldApartByItsStatement() {
+        registry.change(0, List.of(requestClass("read", Access.WRITE, Idempotency.NON_IDEMPOTENT), post));
+        assertThat(registry.number(IN_TRANSITION_US, "read", false, false)).isZero();
+        assertThat(registry.number(IN_TRANSITION_US, "read", true, false)).isEqualTo(2);
+        assertThat(registry.number(AFTER_TRANSITION_US, "read", false, false)).isNull();
     }
 
     @Test
-    void whatComesBackAsItWasHasItsOldNumberSoThatTheTableDoesNotGrow() {
+    void aClassThatReturnsUnchangedGetsItsFormerNumberSoThatTheRegistryDoesNotGrow() {
         for (int i = 0; i < 100; i++) {
-            Idempotency repeat = i % 2 == 0 ? Idempotency.NON_IDEMPOTENT : Idempotency.IDEMPOTENT;
-            table.change(i, List.of(kind("read", Access.ANY, repeat), post));
+            Idempotency idempotency = i % 2 == 0 ? Idempotency.NON_IDEMPOTENT : Idempotency.IDEMPOTENT;
+            registry.change(i, List.of(requestClass("read", Access.ANY, idempotency), post));
         }
-        assertThat(table.all()).hasSize(3);
-        assertThat(table.number(99 + LATER, "read", false, false)).isZero();
+        assertThat(registry.all()).hasSize(3);
+        assertThat(registry.number(99 + AFTER_TRANSITION_US, "read", false, false)).isZero();
     }
 }
--- a/pooler/src/main/java/frostreel/Pooler.java
+++ b/pooler/src/main/java/frostreel/Pooler.java
@@ -274,7 +274,7 @@
         lifecycle.setLongestDeadlineUs(longest(settings));
         loop.stopSendingUs(settings.rules().stopSendingUs());
         int change = ++changes;
-        loop.deadlines().after(RequestClassRegistry.CHANGE_US, () -> {
+        loop.deadlines().after(RequestClassRegistry.TRANSITION_US, () -> {
             if (change == changes) {
                 attempts = whole.limits().maxAttempts();
                 broker.settings(whole);
