--- a/decisions/src/main/java/frostreel/operation/SharedCommitTable.java
+++ b/decisions/src/main/java/frostreel/operation/SharedCommitTable.java
@@ -17,13 +17,13 @@
  * every member has. A new life takes the place that was longest without a beat, and loses nothing of what is
  * in it: that goes on binding it, and its own marks are laid over it by maxima.
  */
-public final class SharedCommitTable implements CommitLog, Router.PeerCommits {
+public final class SharedCommitTable implements WriteObserver, Router.PeerCommits {
     /** Where nothing can be known of the others, what counts as known may be theirs, at any time. */
-    public static final Router.PeerCommits BLIND = (nowUs, session) -> nowUs - Router.KNOWN_AFTER_US;
+    public static final Router.PeerCommits UNKNOWN_PEERS = (nowUs, session) -> nowUs - Router.KNOWN_AFTER_US;
     /** Commits are told in milliseconds. */
-    private static final long ROUNDING_US = 1_000;
+    private static final long COMMIT_ROUNDING_US = 1_000;
 
-    static final int PLACES = 4;
+    static final int REGIONS = 4;
     private static final int SLOT_BITS = 9;
     private static final int SLOTS = 1 << SLOT_BITS;
     /** Spreads sessions over slots, whatever their pattern: 2^64 over the golden ratio. */
@@ -42,7 +42,7 @@
     private static final int SLOT = 4;
     private static final int PLACE = HEAD + SLOTS * SLOT;
     /** So many longs it needs. */
-    public static final int LONGS = PLACES * PLACE;
+    public static final int LONGS = REGIONS * PLACE;
 
     private final SharedMemoryLongs longs;
     private final long life;
@@ -74,7 +74,7 @@
             }
             before = longs.get(own + LIFE);
             longs.set(own + BEAT, now);
-        } while (!longs.swap(own + LIFE, before, life));
+        } while (!longs.compareAndSet(own + LIFE, before, life));
         for (int slot = 0; slot < SLOTS; slot++) {
             int at = own + HEAD + slot * SLOT;
             raise(at + DOUBT_UNTIL, longs.get(at + OUT_SINCE) > 0 ? longs.get(at + OUT_UNTIL) : 0);
@@ -98,13 +98,13 @@
 
     private void raise(int index, long to) {
         long from = longs.get(index);
-        while (from < to && !longs.swap(index, from, to)) {
+        while (from < to && !longs.compareAndSet(index, from, to)) {
             from = longs.get(index);
         }
     }
 
     @Override
-    public void sent(long nowUs, long session, long deadlineUs) {
+    public void onSent(long nowUs, long session, long deadlineUs) {
         hold(nowUs);
         int slot = slot(session);
         int at = own + HEAD + slot * SLOT;
@@ -118,7 +118,7 @@
 
     /** What a write leaves is written before it stops being out, and read after. */
     @Override
-    public void ended(long nowUs, long session, long deadlineUs, Router.Outcome outcome, long positionUs) {
+    public void onEnded(long nowUs, long session, long deadlineUs, Router.Outcome outcome, long positionUs) {
         hold(nowUs);
         int slot = slot(session);
         int at = own + HEAD + slot * SLOT;
@@ -134,7 +134,7 @@
     }
 
     @Override
-    public void beat(long nowUs) {
+    public void onHeartbeat(long nowUs) {
         hold(nowUs);
         longs.set(own + BEAT, nowUs);
     }
@@ -164,7 +164,7 @@
     /** What a slot binds to; never to more than now, though its marks be of a clock that went back since. */
     private static long bound(long now, long answered, long doubtUntil, long outSince, long outUntil) {
         long known = now - Router.KNOWN_AFTER_US;
-        long commit = answered > 0 ? Math.min(answered + ROUNDING_US, now) : 0;
+        long commit = answered > 0 ? Math.min(answered + COMMIT_ROUNDING_US, now) : 0;
         long doubt = Math.min(doubtUntil, known);
         long inHand = outSince < known ? Math.min(outUntil, known) : 0;
         return Math.max(Math.max(commit, doubt), inHand);
--- a/decisions/src/main/java/frostreel/operation/SharedMemoryLongs.java
+++ b/decisions/src/main/java/frostreel/operation/SharedMemoryLongs.java
@@ -11,5 +11,5 @@
     void set(int index, long value);
 
     /** Sets it where it still has that value; whether it had. */
-    boolean swap(int index, long from, long to);
+    boolean compareAndSet(int index, long from, long to);
 }
--- a/decisions/src/test/java/frostreel/operation/SharedCommitTableTest.java
+++ b/decisions/src/test/java/frostreel/operation/SharedCommitTableTest.java
@@ -2,172 +2,172 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import frostreel.routing.Router;
 import frostreel.routing.Router.Outcome;
+import frostreel.routing.Router;
 import java.util.Arrays;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
 class SharedCommitTableTest {
-    private static final long NOW = 1_000_000_000;
-    private static final long DEADLINE = NOW + 3_000_000;
+    private static final long NOW_US = 1_000_000_000;
+    private static final long DEADLINE_US = NOW_US + 3_000_000;
     private static final long SESSION = 7;
-    private final long[] file = new long[SharedCommitTable.LONGS];
-    private final SharedMemoryLongs longs = new SharedMemoryLongs() {
+    private final long[] values = new long[SharedCommitTable.LONGS];
+    private final SharedMemoryLongs memory = new SharedMemoryLongs() {
         @Override
         public long get(int index) {
-            return file[index];
+            return values[index];
         }
 
         @Override
         public void set(int index, long value) {
-            file[index] = value;
+            values[index] = value;
         }
 
         @Override
-        public boolean swap(int index, long from, long to) {
-            boolean same = file[index] == from;
-            file[index] = same ? to : from;
+        public boolean compareAndSet(int index, long expected, long newValue) {
+            boolean same = values[index] == expected;
+            values[index] = same ? newValue : expected;
             return same;
         }
     };
-    private long lives;
-    private final SharedCommitTable before = begin(NOW);
-    private final SharedCommitTable after = begin(NOW);
+    private long lastIncarnation;
+    private final SharedCommitTable before = startProcess(NOW_US);
+    private final SharedCommitTable after = startProcess(NOW_US);
 
-    private SharedCommitTable begin(long now) {
-        return new SharedCommitTable(longs, ++lives, now);
+    private SharedCommitTable startProcess(long nowUs) {
+        return new SharedCommitTable(memory, ++lastIncarnation, nowUs);
     }
 
-    /** A write that was sent now and has ended so much later. */
-    private static void write(SharedCommitTable by, long us, Outcome outcome, long commitUs) {
-        by.sent(NOW, SESSION, DEADLINE);
-        by.ended(NOW + us, SESSION, DEADLINE, outcome, commitUs);
+    /** A write that is sent now and ends that much later. */
+    private static void write(SharedCommitTable process, long afterUs, Outcome outcome, long commitUs) {
+        process.onSent(NOW_US, SESSION, DEADLINE_US);
+        process.onEnded(NOW_US + afterUs, SESSION, DEADLINE_US, outcome, commitUs);
     }
 
-    private static long known(long now) {
-        return now - Router.KNOWN_AFTER_US;
+    private static long knownUs(long nowUs) {
+        return nowUs - Router.KNOWN_AFTER_US;
     }
 
     @Test
-    void oneThatIsAloneIsBoundByNothingItselfDid() {
-        Arrays.fill(file, 0);
-        SharedCommitTable alone = begin(NOW);
-        write(alone, 10, Outcome.OK, NOW + 5);
+    void aProcessIsNotBoundByItsOwnWrites() {
+        Arrays.fill(values, 0);
+        SharedCommitTable alone = startProcess(NOW_US);
+        write(alone, 10, Outcome.OK, NOW_US + 5);
         write(alone, 10, Outcome.TIMEOUT, 0);
-        alone.sent(NOW, SESSION, DEADLINE);
-        assertThat(alone.boundUs(NOW + 2_000_000, SESSION)).isZero();
+        alone.onSent(NOW_US, SESSION, DEADLINE_US);
+        assertThat(alone.boundUs(NOW_US + 2_000_000, SESSION)).isZero();
     }
 
     @Test
-    void whatOneAnsweredBindsTheOtherBothWaysAndOfNoOtherSession() {
-        write(before, 10, Outcome.OK, NOW - 4_000);
-        assertThat(after.boundUs(NOW + 10, SESSION)).as("in milliseconds").isEqualTo(NOW - 3_000);
-        assertThat(before.boundUs(NOW + 10, SESSION)).isZero();
-        assertThat(after.boundUs(NOW + 10, SESSION + 1)).isZero();
+    void anAnsweredCommitBindsTheOtherProcessBothWaysAndNoOtherSession() {
+        write(before, 10, Outcome.OK, NOW_US - 4_000);
+        assertThat(after.boundUs(NOW_US + 10, SESSION)).as("rounded up to milliseconds").isEqualTo(NOW_US - 3_000);
+        assertThat(before.boundUs(NOW_US + 10, SESSION)).isZero();
+        assertThat(after.boundUs(NOW_US + 10, SESSION + 1)).isZero();
         write(after, 20, Outcome.OK, 0);
-        assertThat(before.boundUs(NOW + 2_000, SESSION)).as("not told").isEqualTo(NOW + 1_020);
-        write(before, 30, Outcome.OK, NOW - 6_000);
-        assertThat(after.boundUs(NOW + 10, SESSION)).as("an older one after it").isEqualTo(NOW - 3_000);
+        assertThat(before.boundUs(NOW_US + 2_000, SESSION)).as("the server stated no position").isEqualTo(NOW_US + 1_020);
+        write(before, 30, Outcome.OK, NOW_US - 6_000);
+        assertThat(after.boundUs(NOW_US + 10, SESSION)).as("an older one after it").isEqualTo(NOW_US - 3_000);
     }
 
     @Test
-    void whatIsOutBindsOnceItsAnswerMayCountAsKnown() {
-        before.sent(NOW, SESSION, DEADLINE);
-        before.sent(NOW + 50_000, SESSION, DEADLINE);
-        assertThat(after.boundUs(NOW + 100_000, SESSION)).isZero();
-        assertThat(after.boundUs(NOW + 150_000, SESSION)).isEqualTo(NOW + 50_000);
-        before.ended(NOW + 160_000, SESSION, DEADLINE, Outcome.CONNECT_FAILED, 0);
-        assertThat(after.boundUs(NOW + 170_000, SESSION)).isEqualTo(NOW + 70_000);
-        before.ended(NOW + 180_000, SESSION, DEADLINE, Outcome.WRONG_ROLE_OR_STALE, 0);
-        assertThat(after.boundUs(NOW + 190_000, SESSION)).isZero();
+    void aWriteInFlightBindsOnceItsResponseMayCountAsKnown() {
+        before.onSent(NOW_US, SESSION, DEADLINE_US);
+        before.onSent(NOW_US + 50_000, SESSION, DEADLINE_US);
+        assertThat(after.boundUs(NOW_US + 100_000, SESSION)).isZero();
+        assertThat(after.boundUs(NOW_US + 150_000, SESSION)).isEqualTo(NOW_US + 50_000);
+        before.onEnded(NOW_US + 160_000, SESSION, DEADLINE_US, Outcome.CONNECT_FAILED, 0);
+        assertThat(after.boundUs(NOW_US + 170_000, SESSION)).isEqualTo(NOW_US + 70_000);
+        before.onEnded(NOW_US + 180_000, SESSION, DEADLINE_US, Outcome.WRONG_ROLE_OR_STALE, 0);
+        assertThat(after.boundUs(NOW_US + 190_000, SESSION)).isZero();
     }
 
     @Test
-    void anEndWithoutAWordBindsForAsLongAsItMayBeAnswered() {
+    void aWriteOfUnknownOutcomeBindsForAsLongAsItMayCommit() {
         write(before, 10, Outcome.RESET, 0);
-        assertThat(after.boundUs(NOW + 10_000, SESSION)).isEqualTo(known(NOW + 10_000));
-        assertThat(after.boundUs(NOW + 900_000, SESSION)).isEqualTo(NOW + 10);
+        assertThat(after.boundUs(NOW_US + 10_000, SESSION)).isEqualTo(knownUs(NOW_US + 10_000));
+        assertThat(after.boundUs(NOW_US + 900_000, SESSION)).isEqualTo(NOW_US + 10);
         write(before, 20, Outcome.TIMEOUT, 0);
-        assertThat(after.boundUs(NOW + 900_000, SESSION)).isEqualTo(known(NOW + 900_000));
-        assertThat(after.boundUs(DEADLINE + 900_000, SESSION)).isEqualTo(DEADLINE);
+        assertThat(after.boundUs(NOW_US + 900_000, SESSION)).isEqualTo(knownUs(NOW_US + 900_000));
+        assertThat(after.boundUs(DEADLINE_US + 900_000, SESSION)).isEqualTo(DEADLINE_US);
     }
 
     @Test
-    void whatOneHadInHandThatWasKilledBindsUntilItsDeadlineAndForEveryLaterLife() {
-        before.sent(NOW, SESSION, DEADLINE);
-        SharedCommitTable third = begin(NOW + 500_000);
-        for (SharedCommitTable other : new SharedCommitTable[] {after, third}) {
-            assertThat(other.boundUs(NOW + 900_000, SESSION)).isEqualTo(known(NOW + 900_000));
-            assertThat(other.boundUs(DEADLINE + 900_000, SESSION)).isEqualTo(DEADLINE);
+    void writesInFlightOfAKilledProcessBindUntilTheirDeadlineAndEveryLaterProcess() {
+        before.onSent(NOW_US, SESSION, DEADLINE_US);
+        SharedCommitTable laterProcess = startProcess(NOW_US + 500_000);
+        for (SharedCommitTable other : new SharedCommitTable[] {after, laterProcess}) {
+            assertThat(other.boundUs(NOW_US + 900_000, SESSION)).isEqualTo(knownUs(NOW_US + 900_000));
+            assertThat(other.boundUs(DEADLINE_US + 900_000, SESSION)).isEqualTo(DEADLINE_US);
         }
     }
 
     @Test
-    void oneThatStoodStillPastItsDeadlinesIsBelievedAgainWhenItGoesOn() {
-        before.sent(NOW, SESSION, DEADLINE);
-        before.ended(DEADLINE + 1_000_000, SESSION, DEADLINE, Outcome.OK, DEADLINE + 40_000);
-        assertThat(after.boundUs(DEADLINE + 2_000_000, SESSION)).isEqualTo(DEADLINE + 41_000);
+    void aProcessSuspendedPastItsDeadlinesBindsAgainOnceResumed() {
+        before.onSent(NOW_US, SESSION, DEADLINE_US);
+        before.onEnded(DEADLINE_US + 1_000_000, SESSION, DEADLINE_US, Outcome.OK, DEADLINE_US + 40_000);
+        assertThat(after.boundUs(DEADLINE_US + 2_000_000, SESSION)).isEqualTo(DEADLINE_US + 41_000);
     }
 
     @Test
-    void livesThatEndAtTheirStartTakeNobodysPlaceWhoLives() {
-        write(after, 10, Outcome.OK, NOW);
-        for (long now = NOW; now < NOW + 20; now++) {
-            before.beat(now);
-            after.beat(now);
-            begin(now);
+    void processesThatExitAtOnceDoNotTakeRegionsOfLivingOnes() {
+        write(after, 10, Outcome.OK, NOW_US);
+        for (long nowUs = NOW_US; nowUs < NOW_US + 20; nowUs++) {
+            before.onHeartbeat(nowUs);
+            after.onHeartbeat(nowUs);
+            startProcess(nowUs);
         }
-        SharedCommitTable last = begin(NOW + 20);
-        write(before, 30, Outcome.OK, NOW + 4_000);
-        assertThat(last.boundUs(NOW + 10_000, SESSION)).isEqualTo(NOW + 5_000);
-        assertThat(after.boundUs(NOW + 10_000, SESSION)).isEqualTo(NOW + 5_000);
-        write(last, 40, Outcome.OK, NOW + 6_000);
-        assertThat(before.boundUs(NOW + 10_000, SESSION)).isEqualTo(NOW + 7_000);
+        SharedCommitTable last = startProcess(NOW_US + 20);
+        write(before, 30, Outcome.OK, NOW_US + 4_000);
+        assertThat(last.boundUs(NOW_US + 10_000, SESSION)).isEqualTo(NOW_US + 5_000);
+        assertThat(after.boundUs(NOW_US + 10_000, SESSION)).isEqualTo(NOW_US + 5_000);
+        write(last, 40, Outcome.OK, NOW_US + 6_000);
+        assertThat(before.boundUs(NOW_US + 10_000, SESSION)).isEqualTo(NOW_US + 7_000);
     }
 
     @Test
-    void aPlaceTakenOverLosesNothingOfWhatWasInIt() {
-        write(before, 10, Outcome.OK, NOW - 4_000);
-        before.sent(NOW, SESSION, DEADLINE);
-        SharedCommitTable[] later = new SharedCommitTable[SharedCommitTable.PLACES];
+    void aRegionTakenOverKeepsWhatWasInIt() {
+        write(before, 10, Outcome.OK, NOW_US - 4_000);
+        before.onSent(NOW_US, SESSION, DEADLINE_US);
+        SharedCommitTable[] later = new SharedCommitTable[SharedCommitTable.REGIONS];
         for (int i = 0; i < later.length; i++) {
-            later[i] = begin(NOW + 1 + i);
+            later[i] = startProcess(NOW_US + 1 + i);
         }
         for (SharedCommitTable other : later) {
-            assertThat(other.boundUs(NOW + 10, SESSION)).isEqualTo(NOW - 3_000);
-            assertThat(other.boundUs(NOW + 900_000, SESSION)).isEqualTo(known(NOW + 900_000));
+            assertThat(other.boundUs(NOW_US + 10, SESSION)).isEqualTo(NOW_US - 3_000);
+            assertThat(other.boundUs(NOW_US + 900_000, SESSION)).isEqualTo(knownUs(NOW_US + 900_000));
         }
     }
 
     @Test
-    void oneWhosePlaceWasTakenWhileItStoodStillTakesAnotherAndShowsWhatItHasOut() {
-        before.sent(NOW, SESSION, DEADLINE);
-        SharedCommitTable[] later = new SharedCommitTable[SharedCommitTable.PLACES];
+    void aSuspendedProcessThatLostItsRegionClaimsAnotherAndShowsItsWritesInFlight() {
+        before.onSent(NOW_US, SESSION, DEADLINE_US);
+        SharedCommitTable[] later = new SharedCommitTable[SharedCommitTable.REGIONS];
         for (int i = 0; i < later.length; i++) {
-            later[i] = begin(NOW + 1 + i);
+            later[i] = startProcess(NOW_US + 1 + i);
         }
-        before.beat(NOW + 100);
+        before.onHeartbeat(NOW_US + 100);
         for (SharedCommitTable other : later) {
-            assertThat(other.boundUs(NOW + 900_000, SESSION)).isEqualTo(known(NOW + 900_000));
+            assertThat(other.boundUs(NOW_US + 900_000, SESSION)).isEqualTo(knownUs(NOW_US + 900_000));
         }
-        before.ended(NOW + 900_000, SESSION, DEADLINE, Outcome.OK, NOW + 898_000);
+        before.onEnded(NOW_US + 900_000, SESSION, DEADLINE_US, Outcome.OK, NOW_US + 898_000);
         for (SharedCommitTable other : later) {
-            assertThat(other.boundUs(NOW + 990_000, SESSION)).isEqualTo(NOW + 899_000);
+            assertThat(other.boundUs(NOW_US + 990_000, SESSION)).isEqualTo(NOW_US + 899_000);
         }
     }
 
     @Test
-    void marksOfAClockThatWasAheadAndWhateverElseIsThereBindToNowAtMost() {
-        SplittableRandom draw = new SplittableRandom(7);
-        write(before, 10, Outcome.OK, NOW + 9_000_000);
-        assertThat(after.boundUs(NOW, SESSION)).isEqualTo(NOW);
-        Arrays.setAll(file, i -> i % 3 == 0 ? 0 : draw.nextLong());
-        SharedCommitTable amid = begin(NOW);
-        amid.sent(NOW, SESSION, DEADLINE);
-        amid.ended(NOW, SESSION, DEADLINE, Outcome.OK, NOW);
-        for (long s = 0; s < 1000; s++) {
-            assertThat(amid.boundUs(NOW, s)).isBetween(0L, NOW);
+    void valuesOfAClockThatWasAheadOrOfDamagedMemoryBindToNowAtMost() {
+        SplittableRandom random = new SplittableRandom(7);
+        write(before, 10, Outcome.OK, NOW_US + 9_000_000);
+        assertThat(after.boundUs(NOW_US, SESSION)).isEqualTo(NOW_US);
+        Arrays.setAll(values, i -> i % 3 == 0 ? 0 : random.nextLong());
+        SharedCommitTable amidDamage = startProcess(NOW_US);
+        amidDamage.onSent(NOW_US, SESSION, DEADLINE_US);
+        amidDamage.onEnded(NOW_US, SESSION, DEADLINE_US, Outcome.OK, NOW_US);
+        for (long session = 0; session < 1000; session++) {
+            assertThat(amidDamage.boundUs(NOW_US, session)).isBetween(0L, NOW_US);
         }
     }
 }
--- a/pooler/src/main/java/frostreel/Pooler.java
+++ b/pooler/src/main/java/frostreel/Pooler.java
@@ -69,7 +69,7 @@
     private EndpointList known;
 
     private ZoneFailoverPolicy advice;
-    private final PeerProcessCommits beside;
+    private final PeerProcessCommits peerProcesses;
     /** Null where no poolers see each other. */
     private final ClusterMember fellows;
 
@@ -101,8 +101,8 @@
     Pooler(Config config, OperatorSettings operators, long knownPatienceUs, long lingerUs) throws IOException {
         this.knownPatienceUs = knownPatienceUs;
         loop = new EventLoop(ClockAnchor.clock(config.orders()));
-        beside = PeerProcessCommits.of(config, loop.clock().now());
-        loop.onBeat(beside.writes()::beat);
+        peerProcesses = PeerProcessCommits.open(config, loop.clock().now());
+        loop.onBeat(peerProcesses.writeObserver()::onHeartbeat);
         pool = new ServerPool(loop, config.settings(), config.maxServerConnections());
         broker = new Broker(
                 loop.clock(),
@@ -113,7 +113,7 @@
                 config.settings(),
                 config.maxOpen(),
                 (settings, actions) -> router(config, operators, settings, actions),
-                beside.writes());
+                peerProcesses.writeObserver());
         inForce = config;
         attempts = config.settings().limits().maxAttempts();
         classes = new RequestClassRegistry(config.settings().classes());
@@ -159,13 +159,13 @@
     /** Where no tiers are stated, nothing of zones is so much as loaded. */
     private Router router(Config config, OperatorSettings operators, Router.Settings settings, Router.Actions actions) {
         if (operators.zones() == null) {
-            return new ChainRouter(settings, actions, new NearestZonePolicy(settings.zone()), beside.elsewhere());
+            return new ChainRouter(settings, actions, new NearestZonePolicy(settings.zone()), peerProcesses.peerCommits());
         }
         advice = new ZoneFailoverPolicy(
                 settings,
                 operators.zonesFor(settings.zone(), config.zones()).orElseThrow(),
                 new SplittableRandom(settings.seed()).nextDouble());
-        return new ChainRouter(settings, actions, advice, beside.elsewhere());
+        return new ChainRouter(settings, actions, advice, peerProcesses.peerCommits());
     }
 
     private void readNews() {
--- a/pooler/src/main/java/frostreel/broker/Broker.java
+++ b/pooler/src/main/java/frostreel/broker/Broker.java
@@ -1,7 +1,7 @@
 package frostreel.broker;
 
 import frostreel.log.EventLog;
-import frostreel.operation.CommitLog;
+import frostreel.operation.WriteObserver;
 import frostreel.routing.Router;
 import frostreel.routing.Router.Outcome;
 import frostreel.stats.Counters;
@@ -84,7 +84,7 @@
     private final EventLog log;
     private final BackEnd backEnd;
     private final Router router;
-    private final CommitLog commits;
+    private final WriteObserver writeObserver;
     private Router.Settings settings;
     private final SlotTable<ActiveRequest> requests;
     private final Set<Integer> groups = new HashSet<>();
@@ -100,10 +100,10 @@
             Router.Settings settings,
             int maxOpen,
             BiFunction<Router.Settings, Router.Actions, Router> maker) {
-        this(clock, deadlines, counters, EventLog.silent(), backEnd, settings, maxOpen, maker, CommitLog.NONE);
+        this(clock, deadlines, counters, EventLog.silent(), backEnd, settings, maxOpen, maker, WriteObserver.NONE);
     }
 
-    /** {@code commits}: hears of the writes, for the processes that serve beside this one. */
+    /** {@code writeObserver}: is notified of the writes, for the processes that serve beside this one. */
     public Broker(
             Clock clock,
             Deadlines deadlines,
@@ -113,8 +113,8 @@
             Router.Settings settings,
             int maxOpen,
             BiFunction<Router.Settings, Router.Actions, Router> maker,
-            CommitLog commits) {
-        this.commits = commits;
+            WriteObserver writeObserver) {
+        this.writeObserver = writeObserver;
         this.clock = clock;
         this.deadlines = deadlines;
         this.counters = counters;
@@ -358,7 +358,7 @@
     /** Before the answer: its client may read through another process as soon as it has that. */
     private void settle(long now, ActiveRequest r, Outcome outcome, long positionUs) {
         if (r.rules.access() == Router.Access.WRITE) {
-            commits.ended(now, r.ask.session(), r.ask.deadlineUs(), outcome, positionUs);
+            writeObserver.onEnded(now, r.ask.session(), r.ask.deadlineUs(), outcome, positionUs);
         }
     }
 
@@ -415,7 +415,7 @@
         r.memberId = memberId;
         r.sentUs = now;
         if (r.rules.access() == Router.Access.WRITE) {
-            commits.sent(now, r.ask.session(), r.ask.deadlineUs());
+            writeObserver.onSent(now, r.ask.session(), r.ask.deadlineUs());
         }
         r.inFlight = backEnd.start(memberId, r.payload, left, new BackEnd.AttemptListener() {
             @Override
--- a/pooler/src/main/java/frostreel/control/CommitTableFile.java
+++ b/pooler/src/main/java/frostreel/control/CommitTableFile.java
@@ -110,7 +110,7 @@
     }
 
     @Override
-    public boolean swap(int index, long from, long to) {
+    public boolean compareAndSet(int index, long from, long to) {
         return LONGS.compareAndSet(mapped, offset(index), from, to);
     }
 }
--- a/pooler/src/main/java/frostreel/control/PeerProcessCommits.java
+++ b/pooler/src/main/java/frostreel/control/PeerProcessCommits.java
@@ -1,9 +1,8 @@
 package frostreel.control;
 
 import frostreel.config.Config;
-import frostreel.operation.CommitLog;
 import frostreel.operation.SharedCommitTable;
-import frostreel.routing.Router;
+import frostreel.operation.WriteObserver;
 import java.io.IOException;
 import java.util.SplittableRandom;
 import java.util.logging.Logger;
@@ -13,20 +12,20 @@
  * of theirs: by a file that all of them map, where there may be others and settings have sessions' commits
  * remembered. Where that file is of no use, the others' writes bind as soon as they count as known.
  */
-public record PeerProcessCommits(CommitLog writes, Router.PeerCommits elsewhere) {
+public record PeerProcessCommits(WriteObserver writeObserver, Router.PeerCommits peerCommits) {
     private static final Logger LOG = Logger.getLogger(PeerProcessCommits.class.getName());
 
     /** Opens the file, if there is to be one; blocks for that, so before the loop has anything to do. */
-    public static PeerProcessCommits of(Config config, long nowUs) {
+    public static PeerProcessCommits open(Config config, long nowUs) {
         if (!config.inherits() || config.settings().sessionTracking() != Router.SessionTracking.REMEMBERED) {
-            return new PeerProcessCommits(CommitLog.NONE, (now, session) -> 0);
+            return new PeerProcessCommits(WriteObserver.NONE, (now, session) -> 0);
         }
-        return Joined.of(config, nowUs);
+        return Joined.open(config, nowUs);
     }
 
     /** Apart, so that a process which has none beside it loads nothing of all this. */
     private static final class Joined {
-        static PeerProcessCommits of(Config config, long nowUs) {
+        static PeerProcessCommits open(Config config, long nowUs) {
             try {
                 if (config.orders() == null) {
                     throw new IOException("there is no folder for it");
@@ -36,10 +35,10 @@
                     warn(file.replaced());
                 }
                 SharedCommitTable board = new SharedCommitTable(file, new SplittableRandom().nextLong() | 1, nowUs);
-                return new PeerProcessCommits(board, file.replaced() == null ? board : SharedCommitTable.BLIND);
+                return new PeerProcessCommits(board, file.replaced() == null ? board : SharedCommitTable.UNKNOWN_PEERS);
             } catch (IOException | UnsupportedOperationException e) { // Such a file system has no links.
                 warn(e.toString());
-                return new PeerProcessCommits(CommitLog.NONE, SharedCommitTable.BLIND);
+                return new PeerProcessCommits(WriteObserver.NONE, SharedCommitTable.UNKNOWN_PEERS);
             }
         }
 
--- a/pooler/src/test/java/frostreel/HandoverTest.java
+++ b/pooler/src/test/java/frostreel/HandoverTest.java
@@ -27,7 +27,7 @@
     Path dir;
 
     private PeerProcessCommits begin(String config, String descriptor) throws Exception {
-        return PeerProcessCommits.of(Config.parse(config, Map.of("GW_FD", descriptor, "TMPDIR", dir.toString())), NOW);
+        return PeerProcessCommits.open(Config.parse(config, Map.of("GW_FD", descriptor, "TMPDIR", dir.toString())), NOW);
     }
 
     private PeerProcessCommits begin() throws Exception {
@@ -39,13 +39,13 @@
     }
 
     private static void write(PeerProcessCommits by, long commitUs) {
-        by.writes().sent(NOW, 7, NOW + 1_000_000);
-        by.writes().ended(NOW, 7, NOW + 1_000_000, Outcome.OK, commitUs);
+        by.writeObserver().onSent(NOW, 7, NOW + 1_000_000);
+        by.writeObserver().onEnded(NOW, 7, NOW + 1_000_000, Outcome.OK, commitUs);
     }
 
     /** What a read of that session must see at that time. */
     private static long bound(PeerProcessCommits at) {
-        return at.elsewhere().boundUs(NOW + 50_000, 7);
+        return at.peerCommits().boundUs(NOW + 50_000, 7);
     }
 
     private void blind(PeerProcessCommits at) {
@@ -117,6 +117,6 @@
         Files.delete(folder());
         Files.createFile(folder());
         blind(begin());
-        blind(PeerProcessCommits.of(Config.parse(REMEMBERED, Map.of("GW_FD", "0")), NOW));
+        blind(PeerProcessCommits.open(Config.parse(REMEMBERED, Map.of("GW_FD", "0")), NOW));
     }
 }
--- a/pooler/src/test/java/frostreel/control/BeforeCommitsTest.java
+++ b/pooler/src/test/java/frostreel/control/BeforeCommitsTest.java
@@ -45,8 +45,8 @@
         for (int i = 0; i < 40; i++) {
             new CommandStore(dir, "life" + i).write(OUT);
         }
-        successor.sent(NOW, 7, NOW + 1_000_000);
-        successor.ended(NOW, 7, NOW + 1_000_000, Outcome.OK, NOW);
+        successor.onSent(NOW, 7, NOW + 1_000_000);
+        successor.onEnded(NOW, 7, NOW + 1_000_000, Outcome.OK, NOW);
         old.clean();
         assertThat(Files.size(dir.resolve(CommitTableFile.NAME))).isEqualTo((1 + SharedCommitTable.LONGS) * Long.BYTES);
         assertThat(board(2).boundUs(NOW + 50_000, 7)).isEqualTo(NOW + 1_000);
@@ -56,11 +56,11 @@
     void fromTheSuccessorOnEachLifeKnowsWhatTheOthersAnswered() throws Exception {
         new CommandStore(dir, "old").write(OUT);
         SharedCommitTable successor = board(1);
-        successor.sent(NOW, 7, NOW + 1_000_000);
-        successor.ended(NOW, 7, NOW + 1_000_000, Outcome.OK, NOW + 2_000);
+        successor.onSent(NOW, 7, NOW + 1_000_000);
+        successor.onEnded(NOW, 7, NOW + 1_000_000, Outcome.OK, NOW + 2_000);
         SharedCommitTable third = board(2);
-        third.sent(NOW, 8, NOW + 1_000_000);
-        third.ended(NOW, 8, NOW + 1_000_000, Outcome.OK, NOW + 4_000);
+        third.onSent(NOW, 8, NOW + 1_000_000);
+        third.onEnded(NOW, 8, NOW + 1_000_000, Outcome.OK, NOW + 4_000);
         assertThat(third.boundUs(NOW + 50_000, 7)).isEqualTo(NOW + 3_000);
         assertThat(successor.boundUs(NOW + 50_000, 8)).isEqualTo(NOW + 5_000);
     }
