--- a/decisions/src/main/java/frostreel/operation/SharedCommitTable.java
+++ b/decisions/src/main/java/frostreel/operation/SharedCommitTable.java
@@ -3,170 +3,210 @@
 import frostreel.routing.Router;
 
 /**
- * What the processes that serve beside each other as one pooler, or after each other, tell each other of the
- * writes that they carry, in memory that all of them map. Owned by the loop of its process.
+ * A table of recent writes in memory that all processes of one pooler map, so that a session's read in one of
+ * them sees the commits that the session had through another. Processes serve beside each other during an
+ * upgrade, and one after the other. Each process has a table object of its own, confined to its event loop.
  *
- * <p>Each process has a place there, in which it alone writes, and a place has slots for sessions by their
- * numbers; those that share one only bind each other too. A slot holds the latest commit that was answered,
- * until when a write that ended without a word may be answered, since when a write is out, and until when
- * such a one may be answered. A place is written before an attempt's first byte and before its answer's, so
- * it is true at every moment, also of a process that was killed or stands still: what that had in hand binds
- * until the deadlines of those writes. Own writes bind nothing here: they are known where they were sent.
+ * <h2>Layout</h2>
  *
- * <p>What earlier lives left is as good as what others that live say: a commit of long ago binds to what
- * every member has. A new life takes the place that was longest without a beat, and loses nothing of what is
- * in it: that goes on binding it, and its own marks are laid over it by maxima.
+ * The memory is divided into regions, one a process, in which only that process writes. A region has a header
+ * and slots; a session has a slot by its number, and sessions that share one only bind each other needlessly.
+ * A slot holds the latest commit that was answered, until when a write that ended without a known outcome may
+ * still commit, since when a write is in flight, and until when that one may commit. Commits of the process
+ * itself are not looked up here, as the router that sent them knows them.
+ *
+ * <h2>Crashes and restarts</h2>
+ *
+ * A slot is written before the first byte of an attempt and before that of its response. It is therefore true
+ * at any moment, also for a process that was killed or is suspended: its writes in flight bind the others
+ * until their deadlines. What former processes left is as good as what living ones write, since an old commit
+ * binds to nothing that every member does not have already. A new process takes over the region whose
+ * heartbeat is oldest and keeps what is in it: that goes on to bind, and new values only ever raise it.
  */
 public final class SharedCommitTable implements WriteObserver, Router.PeerCommits {
-    /** Where nothing can be known of the others, what counts as known may be theirs, at any time. */
+    /**
+     * For a process that cannot see the others' writes: any session may have had a commit at any time, and it
+     * binds as soon as it counts as known.
+     */
     public static final Router.PeerCommits UNKNOWN_PEERS = (nowUs, session) -> nowUs - Router.KNOWN_AFTER_US;
-    /** Commits are told in milliseconds. */
+    /** Servers state commits in milliseconds, rounded down. */
     private static final long COMMIT_ROUNDING_US = 1_000;
 
     static final int REGIONS = 4;
     private static final int SLOT_BITS = 9;
     private static final int SLOTS = 1 << SLOT_BITS;
-    /** Spreads sessions over slots, whatever their pattern: 2^64 over the golden ratio. */
-    private static final long SPREAD = 0x9E3779B97F4A7C15L;
-    /** A place begins with these; its slots follow. */
-    private static final int LIFE = 0;
-
-    private static final int BEAT = 1;
-    private static final int HEAD = 2;
-    /** What a slot holds. */
-    private static final int ANSWERED = 0;
-
-    private static final int DOUBT_UNTIL = 1;
-    private static final int OUT_SINCE = 2;
-    private static final int OUT_UNTIL = 3;
-    private static final int SLOT = 4;
-    private static final int PLACE = HEAD + SLOTS * SLOT;
-    /** So many longs it needs. */
-    public static final int LONGS = REGIONS * PLACE;
-
-    private final SharedMemoryLongs longs;
-    private final long life;
-    /** Where this life's place begins. */
-    private int own;
-    /** How many writes of each slot are out here, since when there is one, and their latest deadline. */
-    private final int[] out = new int[SLOTS];
-
-    private final long[] outSince = new long[SLOTS];
-    private final long[] outUntil = new long[SLOTS];
-    /** What others had written into this life's place before; they are in no other. */
-    private final long[] answeredBefore = new long[SLOTS];
-
-    private final long[] doubtBefore = new long[SLOTS];
-
-    /** {@code life}: a number other than 0 that no other life has or had. */
-    public SharedCommitTable(SharedMemoryLongs longs, long life, long nowUs) {
-        this.longs = longs;
-        this.life = life;
-        claim(nowUs);
+    /** Spreads sessions over slots whatever the pattern of their numbers: 2^64 divided by the golden ratio. */
+    private static final long FIBONACCI_HASH = 0x9E3779B97F4A7C15L;
+
+    /** The header of a region, by offset: the incarnation of the process that owns it, and its heartbeat. */
+    private static final int OWNER = 0;
+
+    private static final int HEARTBEAT_US = 1;
+    private static final int HEADER_LONGS = 2;
+    /** A slot, by offset: instants in microseconds, 0 for none. */
+    private static final int LATEST_COMMIT_US = 0;
+
+    private static final int UNCERTAIN_UNTIL_US = 1;
+    private static final int IN_FLIGHT_SINCE_US = 2;
+    private static final int IN_FLIGHT_UNTIL_US = 3;
+    private static final int SLOT_LONGS = 4;
+    private static final int REGION_LONGS = HEADER_LONGS + SLOTS * SLOT_LONGS;
+    /** The size of the shared memory. */
+    public static final int LONGS = REGIONS * REGION_LONGS;
+
+    /** The owner of a region that was never used. */
+    private static final long NO_OWNER = 0;
+
+    private final SharedMemoryLongs memory;
+    private final long incarnation;
+    /** The index at which the region of this process begins. */
+    private int ownRegion;
+    /** The writes of this process in flight, by slot: how many, since when, and their latest deadline. */
+    private final int[] inFlight = new int[SLOTS];
+
+    private final long[] inFlightSinceUs = new long[SLOTS];
+    private final long[] inFlightUntilUs = new long[SLOTS];
+    /** What former owners left in the region of this process, by slot; it stands in no other region. */
+    private final long[] inheritedCommitUs = new long[SLOTS];
+
+    private final long[] inheritedUncertainUntilUs = new long[SLOTS];
+
+    /**
+     * Takes over a region of the memory.
+     *
+     * @param incarnation a number other than 0 that no other process of this pooler has or had
+     */
+    public SharedCommitTable(SharedMemoryLongs memory, long incarnation, long nowUs) {
+        this.memory = memory;
+        this.incarnation = incarnation;
+        claimRegion(nowUs);
     }
 
-    private void claim(long now) {
-        long before;
+    private void claimRegion(long nowUs) {
+        long previousOwner;
         do {
-            own = 0;
-            for (int place = 0; place < LONGS; place += PLACE) {
-                own = longs.get(place + BEAT) < longs.get(own + BEAT) ? place : own;
-            }
-            before = longs.get(own + LIFE);
-            longs.set(own + BEAT, now);
-        } while (!longs.compareAndSet(own + LIFE, before, life));
+            ownRegion = regionWithOldestHeartbeat();
+            previousOwner = memory.get(ownRegion + OWNER);
+            memory.set(ownRegion + HEARTBEAT_US, nowUs);
+        } while (!memory.compareAndSet(ownRegion + OWNER, previousOwner, incarnation));
         for (int slot = 0; slot < SLOTS; slot++) {
-            int at = own + HEAD + slot * SLOT;
-            raise(at + DOUBT_UNTIL, longs.get(at + OUT_SINCE) > 0 ? longs.get(at + OUT_UNTIL) : 0);
-            answeredBefore[slot] = Math.max(answeredBefore[slot], longs.get(at + ANSWERED));
-            doubtBefore[slot] = Math.max(doubtBefore[slot], longs.get(at + DOUBT_UNTIL));
-            raise(at + OUT_UNTIL, outUntil[slot]);
-            longs.set(at + OUT_SINCE, out[slot] > 0 ? outSince[slot] : 0);
+            inheritSlot(slot);
         }
     }
 
-    /** One that stood still while many others began may find its place taken: it takes another. */
-    private void hold(long now) {
-        if (longs.get(own + LIFE) != life) {
-            claim(now);
+    private int regionWithOldestHeartbeat() {
+        int oldest = 0;
+        for (int region = 0; region < LONGS; region += REGION_LONGS) {
+            if (memory.get(region + HEARTBEAT_US) < memory.get(oldest + HEARTBEAT_US)) {
+                oldest = region;
+            }
         }
+        return oldest;
     }
 
-    private static int slot(long session) {
-        return (int) (session * SPREAD >>> Long.SIZE - SLOT_BITS);
+    /** Keeps what the former owner left, its writes in flight as uncertain ones, and adds this process's own. */
+    private void inheritSlot(int slot) {
+        int at = slotIndex(ownRegion, slot);
+        boolean leftInFlight = memory.get(at + IN_FLIGHT_SINCE_US) > 0;
+        raise(at + UNCERTAIN_UNTIL_US, leftInFlight ? memory.get(at + IN_FLIGHT_UNTIL_US) : 0);
+        inheritedCommitUs[slot] = Math.max(inheritedCommitUs[slot], memory.get(at + LATEST_COMMIT_US));
+        inheritedUncertainUntilUs[slot] =
+                Math.max(inheritedUncertainUntilUs[slot], memory.get(at + UNCERTAIN_UNTIL_US));
+        raise(at + IN_FLIGHT_UNTIL_US, inFlightUntilUs[slot]);
+        memory.set(at + IN_FLIGHT_SINCE_US, inFlight[slot] > 0 ? inFlightSinceUs[slot] : 0);
     }
 
-    private void raise(int index, long to) {
-        long from = longs.get(index);
-        while (from < to && !longs.compareAndSet(index, from, to)) {
-            from = longs.get(index);
+    /** A process that was suspended while many others started may have lost its region: it claims another. */
+    private void ensureRegion(long nowUs) {
+        if (memory.get(ownRegion + OWNER) != incarnation) {
+            claimRegion(nowUs);
+        }
+    }
+
+    private static int slotOf(long session) {
+        return (int) (session * FIBONACCI_HASH >>> Long.SIZE - SLOT_BITS);
+    }
+
+    private static int slotIndex(int region, int slot) {
+        return region + HEADER_LONGS + slot * SLOT_LONGS;
+    }
+
+    /** Sets a value to the given one unless it is greater already. */
+    private void raise(int index, long toAtLeast) {
+        long present = memory.get(index);
+        while (present < toAtLeast && !memory.compareAndSet(index, present, toAtLeast)) {
+            present = memory.get(index);
         }
     }
 
     @Override
     public void onSent(long nowUs, long session, long deadlineUs) {
-        hold(nowUs);
-        int slot = slot(session);
-        int at = own + HEAD + slot * SLOT;
-        outUntil[slot] = Math.max(outUntil[slot], deadlineUs);
-        raise(at + OUT_UNTIL, outUntil[slot]);
-        if (out[slot]++ == 0) {
-            outSince[slot] = nowUs;
-            longs.set(at + OUT_SINCE, nowUs);
+        ensureRegion(nowUs);
+        int slot = slotOf(session);
+        int at = slotIndex(ownRegion, slot);
+        inFlightUntilUs[slot] = Math.max(inFlightUntilUs[slot], deadlineUs);
+        raise(at + IN_FLIGHT_UNTIL_US, inFlightUntilUs[slot]);
+        if (inFlight[slot]++ == 0) {
+            inFlightSinceUs[slot] = nowUs;
+            memory.set(at + IN_FLIGHT_SINCE_US, nowUs);
         }
     }
 
-    /** What a write leaves is written before it stops being out, and read after. */
+    /** {@inheritDoc} What the write leaves is stored before it stops being in flight, so readers see either. */
     @Override
     public void onEnded(long nowUs, long session, long deadlineUs, Router.Outcome outcome, long positionUs) {
-        hold(nowUs);
-        int slot = slot(session);
-        int at = own + HEAD + slot * SLOT;
+        ensureRegion(nowUs);
+        int slot = slotOf(session);
+        int at = slotIndex(ownRegion, slot);
         if (outcome == Router.Outcome.OK) {
-            raise(at + ANSWERED, positionUs > 0 ? positionUs : nowUs);
+            raise(at + LATEST_COMMIT_US, positionUs > 0 ? positionUs : nowUs);
         } else if (!outcome.provesNotRun) {
-            boolean runsOn = outcome == Router.Outcome.TIMEOUT || outcome == Router.Outcome.CANCELLED;
-            raise(at + DOUBT_UNTIL, runsOn ? Math.max(nowUs, deadlineUs) : nowUs);
+            raise(at + UNCERTAIN_UNTIL_US, mayStillRun(outcome) ? Math.max(nowUs, deadlineUs) : nowUs);
         }
-        if (--out[slot] == 0) {
-            longs.set(at + OUT_SINCE, 0);
+        if (--inFlight[slot] == 0) {
+            memory.set(at + IN_FLIGHT_SINCE_US, 0);
         }
     }
 
+    private static boolean mayStillRun(Router.Outcome outcome) {
+        return outcome == Router.Outcome.TIMEOUT || outcome == Router.Outcome.CANCELLED;
+    }
+
     @Override
     public void onHeartbeat(long nowUs) {
-        hold(nowUs);
-        longs.set(own + BEAT, nowUs);
+        ensureRegion(nowUs);
+        memory.set(ownRegion + HEARTBEAT_US, nowUs);
     }
 
     @Override
     public long boundUs(long nowUs, long session) {
-        int slot = slot(session);
-        long bound = bound(nowUs, answeredBefore[slot], doubtBefore[slot], 0, 0);
-        for (int place = 0; place < LONGS; place += PLACE) {
-            long writer = longs.get(place + LIFE);
-            if (writer != 0 && writer != life) {
-                int at = place + HEAD + slot * SLOT;
-                long since = longs.get(at + OUT_SINCE);
-                bound = Math.max(
-                        bound,
-                        bound(
-                                nowUs,
-                                longs.get(at + ANSWERED),
-                                longs.get(at + DOUBT_UNTIL),
-                                since,
-                                since > 0 ? longs.get(at + OUT_UNTIL) : 0));
+        int slot = slotOf(session);
+        long bound = boundUs(nowUs, inheritedCommitUs[slot], inheritedUncertainUntilUs[slot], 0, 0);
+        for (int region = 0; region < LONGS; region += REGION_LONGS) {
+            long owner = memory.get(region + OWNER);
+            if (owner != NO_OWNER && owner != incarnation) {
+                bound = Math.max(bound, boundOfSlotUs(nowUs, slotIndex(region, slot)));
             }
         }
         return bound;
     }
 
-    /** What a slot binds to; never to more than now, though its marks be of a clock that went back since. */
-    private static long bound(long now, long answered, long doubtUntil, long outSince, long outUntil) {
-        long known = now - Router.KNOWN_AFTER_US;
-        long commit = answered > 0 ? Math.min(answered + COMMIT_ROUNDING_US, now) : 0;
-        long doubt = Math.min(doubtUntil, known);
-        long inHand = outSince < known ? Math.min(outUntil, known) : 0;
-        return Math.max(Math.max(commit, doubt), inHand);
+    /** Reads the write in flight first: one that ends meanwhile has stored what it leaves by then. */
+    private long boundOfSlotUs(long nowUs, int at) {
+        long sinceUs = memory.get(at + IN_FLIGHT_SINCE_US);
+        long commitUs = memory.get(at + LATEST_COMMIT_US);
+        long uncertainUntilUs = memory.get(at + UNCERTAIN_UNTIL_US);
+        long untilUs = sinceUs > 0 ? memory.get(at + IN_FLIGHT_UNTIL_US) : 0;
+        return boundUs(nowUs, commitUs, uncertainUntilUs, sinceUs, untilUs);
+    }
+
+    /** The position that a slot's values bind a read to; never later than now, should the clock have gone back. */
+    private static long boundUs(
+            long nowUs, long latestCommitUs, long uncertainUntilUs, long inFlightSinceUs, long inFlightUntilUs) {
+        long knownUs = nowUs - Router.KNOWN_AFTER_US;
+        long commitUs = latestCommitUs > 0 ? Math.min(latestCommitUs + COMMIT_ROUNDING_US, nowUs) : 0;
+        long uncertainUs = Math.min(uncertainUntilUs, knownUs);
+        long inFlightUs = inFlightSinceUs < knownUs ? Math.min(inFlightUntilUs, knownUs) : 0;
+        return Math.max(Math.max(commitUs, uncertainUs), inFlightUs);
     }
 }
--- a/decisions/src/main/java/frostreel/operation/SharedMemoryLongs.java
+++ b/decisions/src/main/java/frostreel/operation/SharedMemoryLongs.java
@@ -1,15 +1,20 @@
 package frostreel.operation;
 
 /**
- * Longs that the processes of one pooler read and write at the same time. Each access is whole, and all of
- * them come in one order that every process sees. They begin as zeros, and may hold anything where someone
- * else wrote into them.
+ * An array of longs in memory that several processes share. Every access is atomic and volatile: all processes
+ * see all accesses in one order. The values are zero at first, and anything at all if the memory was damaged.
  */
 public interface SharedMemoryLongs {
+    /** Reads the value at the index. */
     long get(int index);
 
+    /** Writes the value at the index. */
     void set(int index, long value);
 
-    /** Sets it where it still has that value; whether it had. */
-    boolean compareAndSet(int index, long from, long to);
+    /**
+     * Writes the new value if the present one is as expected.
+     *
+     * @return whether it was
+     */
+    boolean compareAndSet(int index, long expected, long newValue);
 }
--- a/decisions/src/main/java/frostreel/operation/WriteObserver.java
+++ b/decisions/src/main/java/frostreel/operation/WriteObserver.java
@@ -3,11 +3,12 @@
 import frostreel.routing.Router;
 
 /**
- * Hears of the attempts of writes that this process carries, for the others of the same pooler. Times are
- * microseconds on the pooler's clock. Told on the loop, with each write: a few memory accesses, no I/O.
+ * Is notified of the write attempts that this process sends, on behalf of the other processes of the same
+ * pooler. Called on the event loop with each write, so implementations do a few memory accesses and no I/O.
+ * Times are microseconds on the pooler's clock.
  */
 public interface WriteObserver {
-    /** Where no other process ever serves beside this one. */
+    /** For a pooler that never has a second process. */
     WriteObserver NONE = new WriteObserver() {
         @Override
         public void onSent(long nowUs, long session, long deadlineUs) {}
@@ -19,12 +20,16 @@
         public void onHeartbeat(long nowUs) {}
     };
 
-    /** An attempt of a write goes out, before its first byte, of that session. */
+    /** An attempt of a write of that session is about to be sent; called before its first byte. */
     void onSent(long nowUs, long session, long deadlineUs);
 
-    /** It has ended, before its client is told anything; {@code positionUs}: its commit, 0 where not told. */
+    /**
+     * An attempt of a write has ended; called before its client learns of it.
+     *
+     * @param positionUs the commit's position, 0 if the server did not state it
+     */
     void onEnded(long nowUs, long session, long deadlineUs, Router.Outcome outcome, long positionUs);
 
-    /** This process runs; told several times a second. */
+    /** This process is alive; called several times a second. */
     void onHeartbeat(long nowUs);
 }
--- a/pooler/src/main/java/frostreel/control/ClockAnchor.java
+++ b/pooler/src/main/java/frostreel/control/ClockAnchor.java
@@ -7,31 +7,38 @@
 import java.nio.file.Files;
 import java.nio.file.NoSuchFileException;
 import java.nio.file.Path;
+import java.util.OptionalLong;
 import java.util.logging.Logger;
 
 /**
- * The clock that all processes of one pooler share. Each process anchors its clock to the wall clock once; a
- * wall clock that is stepped between two of them would put their times apart, and what one tells the other
- * of commits and orders by its time would be of the future or of long ago. So the first one leaves its anchor
- * in the folder that they share, and those after it take that, as far as the machine has not started anew:
- * the monotonic clock is the machine's. Blocks for a small file, so before the loop has anything to do.
+ * The clock that all processes of one pooler share: the machine's monotonic clock plus an offset that makes Unix
+ * time of it. If each process took the offset from the wall clock at its start, a wall clock that is stepped
+ * between two starts would put their times apart, and what one process tells the other about commits and
+ * commands would seem to be of the future or of long ago. So the first process stores its offset in the shared
+ * folder, and later ones take that, as long as the machine has not rebooted.
  */
 public final class ClockAnchor {
-    private static final String NAME = "clock";
-    private static final Path BOOT = Path.of("/proc/sys/kernel/random/boot_id");
+    private static final String FILE_NAME = "clock";
+    private static final String UNFINISHED_SUFFIX = ".new";
+    private static final Path BOOT_ID_FILE = Path.of("/proc/sys/kernel/random/boot_id");
+    private static final long NANOS_PER_MICRO = 1_000;
     private static final Logger LOG = Logger.getLogger(ClockAnchor.class.getName());
 
     private ClockAnchor() {}
 
-    /** The clock of this process; {@code folder} is null where it shares with nobody. */
+    /**
+     * The clock of this process. Blocks for a small file, so call it before the event loop has work to do.
+     *
+     * @param folder the folder that the processes of this pooler share, null if there are no others
+     */
     public static Clock clock(Path folder) {
         Clock own = Clock.system();
         if (folder == null) {
             return own;
         }
         try {
-            String boot = Files.readString(BOOT).strip();
-            long offsetUs = shared(folder, boot, own.now() - monotonicUs());
+            String bootId = Files.readString(BOOT_ID_FILE).strip();
+            long offsetUs = sharedOffsetUs(folder, bootId, own.now() - monotonicUs());
             return () -> offsetUs + monotonicUs();
         } catch (IOException e) {
             LOG.warning("the clock is not shared with other processes: " + e);
@@ -40,39 +47,41 @@
     }
 
     private static long monotonicUs() {
-        return System.nanoTime() / 1000;
+        return System.nanoTime() / NANOS_PER_MICRO;
     }
 
-    /** From the monotonic clock to Unix time, as the first process of this boot had it. */
-    private static long shared(Path folder, String boot, long ownOffsetUs) throws IOException {
+    /** The offset that the first process of this boot stored, which this process does if it is that one. */
+    private static long sharedOffsetUs(Path folder, String bootId, long ownOffsetUs) throws IOException {
         Files.createDirectories(folder);
-        Path file = folder.resolve(NAME);
-        Long known = read(file, boot);
-        if (known != null) {
-            return known;
-        }
-        Path fresh = Files.createTempFile(folder, NAME, ".new");
+        Path file = folder.resolve(FILE_NAME);
+        OptionalLong stored = storedOffsetUs(file, bootId);
+        return stored.isPresent() ? stored.getAsLong() : store(file, bootId, ownOffsetUs);
+    }
+
+    /** Stores an offset, and returns it or the one that another process stored at the same time. */
+    private static long store(Path file, String bootId, long ownOffsetUs) throws IOException {
+        Path unfinished = Files.createTempFile(file.getParent(), FILE_NAME, UNFINISHED_SUFFIX);
         try {
-            Files.writeString(fresh, boot + " " + ownOffsetUs + "\n", StandardCharsets.US_ASCII);
-            Files.deleteIfExists(file); // It is damaged, or of a life before the machine's last start.
-            Files.createLink(file, fresh);
+            Files.writeString(unfinished, bootId + " " + ownOffsetUs + "\n", StandardCharsets.US_ASCII);
+            Files.deleteIfExists(file); // It is damaged, or from before the last reboot.
+            Files.createLink(file, unfinished);
             return ownOffsetUs;
         } catch (FileAlreadyExistsException e) {
-            Long theirs = read(file, boot); // Another process was faster.
-            return theirs == null ? ownOffsetUs : theirs;
+            return storedOffsetUs(file, bootId).orElse(ownOffsetUs);
         } finally {
-            Files.deleteIfExists(fresh);
+            Files.deleteIfExists(unfinished);
         }
     }
 
-    /** What the file holds, null where that is nothing of this boot. */
-    private static Long read(Path file, String boot) throws IOException {
+    /** The offset in the file, empty if there is none of this boot. */
+    private static OptionalLong storedOffsetUs(Path file, String bootId) throws IOException {
         try {
             String[] words =
                     Files.readString(file, StandardCharsets.US_ASCII).strip().split(" ");
-            return words.length == 2 && words[0].equals(boot) ? Long.valueOf(words[1]) : null;
+            boolean ofThisBoot = words.length == 2 && words[0].equals(bootId);
+            return ofThisBoot ? OptionalLong.of(Long.parseLong(words[1])) : OptionalLong.empty();
         } catch (NoSuchFileException | NumberFormatException e) {
-            return null;
+            return OptionalLong.empty();
         }
     }
 }
--- a/pooler/src/main/java/frostreel/control/CommitTableFile.java
+++ b/pooler/src/main/java/frostreel/control/CommitTableFile.java
@@ -13,104 +13,111 @@
 import java.nio.file.Path;
 import java.nio.file.StandardCopyOption;
 import java.nio.file.StandardOpenOption;
+import java.util.Optional;
 
 /**
- * The memory of {@link SharedCommitTable}: a small file that all processes of one pooler map, with a word on its
- * layout in front. It outlasts no machine, and need not; nothing is ever forced.
+ * The memory of a {@link SharedCommitTable}: a small file that all processes of one pooler map, a header with
+ * its layout followed by the table. It does not outlast the machine, so it is never synced to the disk.
  */
 final class CommitTableFile implements SharedMemoryLongs {
     static final String NAME = "commits";
-    /** The layout, "frostre" and its version: another layout has another. */
+    private static final String UNFINISHED_SUFFIX = ".new";
+    /** The header: "frostre" and the version of the layout, which changes whenever the layout does. */
     private static final long LAYOUT = 0x66726f7374726501L;
 
-    private static final int BYTES = (1 + SharedCommitTable.LONGS) * Long.BYTES;
+    private static final int HEADER_LONGS = 1;
+    private static final int BYTES = (HEADER_LONGS + SharedCommitTable.LONGS) * Long.BYTES;
     private static final VarHandle LONGS = MethodHandles.byteBufferViewVarHandle(long[].class, ByteOrder.nativeOrder());
     private final ByteBuffer mapped;
-    private final String replaced;
+    private final String replacementReason;
 
-    private CommitTableFile(ByteBuffer mapped, String replaced) {
+    private CommitTableFile(ByteBuffer mapped, String replacementReason) {
         this.mapped = mapped;
-        this.replaced = replaced;
+        this.replacementReason = replacementReason;
     }
 
     /**
-     * Maps the folder's file, and makes it where it is missing: whole before it has its name, so that nobody
-     * finds half of one, and with every block of it, as a disk that is full shows when a mapping is written
-     * to. One that is damaged or of another layout is replaced, for the lives to come; a process that goes on
-     * with the old one neither sees nor shows this.
+     * Maps the folder's file, which is created if missing. A file that is damaged or of another layout is
+     * replaced, for the processes to come; one that still has the old file mapped is not seen any more, and
+     * does not see others.
      */
     static CommitTableFile open(Path folder) throws IOException {
         Files.createDirectories(folder);
         Path file = folder.resolve(NAME);
-        if (Files.notExists(file)) {
-            Path fresh = fresh(folder);
-            try {
-                Files.createLink(file, fresh);
-            } catch (FileAlreadyExistsException e) {
-                return open(folder); // Another process was faster.
-            } finally {
-                Files.delete(fresh);
-            }
+        while (Files.notExists(file)) {
+            createUnlessPresent(folder, file);
+        }
+        boolean usable = isUsable(file);
+        if (!usable) {
+            Files.move(writeEmpty(folder), file, StandardCopyOption.ATOMIC_MOVE);
         }
-        String fault = fault(file);
-        if (fault != null) {
-            Files.move(fresh(folder), file, StandardCopyOption.ATOMIC_MOVE);
+        return new CommitTableFile(map(file), usable ? null : file + " is damaged or of another version, and replaced");
+    }
+
+    /** Gives the file its name when it is complete, so that no other process finds part of one. */
+    private static void createUnlessPresent(Path folder, Path file) throws IOException {
+        Path complete = writeEmpty(folder);
+        try {
+            Files.createLink(file, complete);
+        } catch (FileAlreadyExistsException e) {
+            // Another process was faster, and its file is as good.
+        } finally {
+            Files.delete(complete);
         }
-        return new CommitTableFile(map(file), fault);
     }
 
-    private static Path fresh(Path folder) throws IOException {
-        Path fresh = Files.createTempFile(folder, NAME, ".new");
-        try (FileChannel out = FileChannel.open(fresh, StandardOpenOption.WRITE)) {
-            ByteBuffer bytes =
+    /** Writes every block, as a full disk would otherwise show only when the mapping is written to. */
+    private static Path writeEmpty(Path folder) throws IOException {
+        Path file = Files.createTempFile(folder, NAME, UNFINISHED_SUFFIX);
+        try (FileChannel out = FileChannel.open(file, StandardOpenOption.WRITE)) {
+            ByteBuffer content =
                     ByteBuffer.allocate(BYTES).order(ByteOrder.nativeOrder()).putLong(0, LAYOUT);
-            while (bytes.hasRemaining()) {
-                out.write(bytes);
+            while (content.hasRemaining()) {
+                out.write(content);
             }
         } catch (IOException e) {
-            Files.deleteIfExists(fresh);
+            Files.deleteIfExists(file);
             throw e;
         }
-        return fresh;
+        return file;
     }
 
-    /** What keeps it from being used, null for nothing; a shorter one must not so much as be mapped. */
-    private static String fault(Path file) throws IOException {
+    /** Whether the file has the layout of today. A shorter one must not be mapped: access past its end is fatal. */
+    private static boolean isUsable(Path file) throws IOException {
         try (FileChannel in = FileChannel.open(file, StandardOpenOption.READ)) {
-            ByteBuffer head = ByteBuffer.allocate(Long.BYTES).order(ByteOrder.nativeOrder());
-            in.read(head);
-            boolean good = in.size() == BYTES && !head.hasRemaining() && head.getLong(0) == LAYOUT;
-            return good ? null : file + " is damaged or of another version, and replaced";
+            ByteBuffer header = ByteBuffer.allocate(HEADER_LONGS * Long.BYTES).order(ByteOrder.nativeOrder());
+            in.read(header);
+            return in.size() == BYTES && !header.hasRemaining() && header.getLong(0) == LAYOUT;
         }
     }
 
     private static ByteBuffer map(Path file) throws IOException {
-        try (FileChannel all = FileChannel.open(file, StandardOpenOption.READ, StandardOpenOption.WRITE)) {
-            return all.map(FileChannel.MapMode.READ_WRITE, 0, BYTES);
+        try (FileChannel channel = FileChannel.open(file, StandardOpenOption.READ, StandardOpenOption.WRITE)) {
+            return channel.map(FileChannel.MapMode.READ_WRITE, 0, BYTES);
         }
     }
 
-    /** Why this is not the file that was there, and what others wrote is not known; null where it is. */
-    String replaced() {
-        return replaced;
+    /** Why this file replaces another, so that what others wrote there is not known; empty if it does not. */
+    Optional<String> replacementReason() {
+        return Optional.ofNullable(replacementReason);
     }
 
-    private static int offset(int index) {
-        return (1 + index) * Long.BYTES;
+    private static int byteOffset(int index) {
+        return (HEADER_LONGS + index) * Long.BYTES;
     }
 
     @Override
     public long get(int index) {
-        return (long) LONGS.getVolatile(mapped, offset(index));
+        return (long) LONGS.getVolatile(mapped, byteOffset(index));
     }
 
     @Override
     public void set(int index, long value) {
-        LONGS.setVolatile(mapped, offset(index), value);
+        LONGS.setVolatile(mapped, byteOffset(index), value);
     }
 
     @Override
-    public boolean compareAndSet(int index, long from, long to) {
-        return LONGS.compareAndSet(mapped, offset(index), from, to);
+    public boolean compareAndSet(int index, long expected, long newValue) {
+        return LONGS.compareAndSet(mapped, byteOffset(index), expected, newValue);
     }
 }
--- a/pooler/src/main/java/frostreel/control/PeerProcessCommits.java
+++ b/pooler/src/main/java/frostreel/control/PeerProcessCommits.java
@@ -3,47 +3,56 @@
 import frostreel.config.Config;
 import frostreel.operation.SharedCommitTable;
 import frostreel.operation.WriteObserver;
+import frostreel.routing.Router;
 import java.io.IOException;
 import java.util.SplittableRandom;
 import java.util.logging.Logger;
 
 /**
- * What this process tells of its writes to those that serve beside it as the same pooler, and what it knows
- * of theirs: by a file that all of them map, where there may be others and settings have sessions' commits
- * remembered. Where that file is of no use, the others' writes bind as soon as they count as known.
+ * The exchange of sessions' commits with the other processes of the same pooler, by a file that all of them map.
+ * There is one only where a second process may serve beside this one and settings have sessions' commits
+ * remembered. If the file cannot be used, any commit of the others is assumed as soon as it counts as known.
+ *
+ * @param writeObserver learns of the writes of this process, for the others
+ * @param peerCommits knows the commits of the others
  */
 public record PeerProcessCommits(WriteObserver writeObserver, Router.PeerCommits peerCommits) {
     private static final Logger LOG = Logger.getLogger(PeerProcessCommits.class.getName());
+    private static final Router.PeerCommits NO_PEERS = (nowUs, session) -> 0;
 
-    /** Opens the file, if there is to be one; blocks for that, so before the loop has anything to do. */
+    /** Opens the file if there is to be one. Blocks, so call it before the event loop has work to do. */
     public static PeerProcessCommits open(Config config, long nowUs) {
         if (!config.inherits() || config.settings().sessionTracking() != Router.SessionTracking.REMEMBERED) {
-            return new PeerProcessCommits(WriteObserver.NONE, (now, session) -> 0);
+            return new PeerProcessCommits(WriteObserver.NONE, NO_PEERS);
         }
-        return Joined.open(config, nowUs);
+        return SharedFile.open(config, nowUs);
     }
 
-    /** Apart, so that a process which has none beside it loads nothing of all this. */
-    private static final class Joined {
+    /** Apart, so that a process without peers does not load the classes behind it. */
+    private static final class SharedFile {
         static PeerProcessCommits open(Config config, long nowUs) {
             try {
                 if (config.orders() == null) {
                     throw new IOException("there is no folder for it");
                 }
                 CommitTableFile file = CommitTableFile.open(config.orders());
-                if (file.replaced() != null) {
-                    warn(file.replaced());
-                }
-                SharedCommitTable board = new SharedCommitTable(file, new SplittableRandom().nextLong() | 1, nowUs);
-                return new PeerProcessCommits(board, file.replaced() == null ? board : SharedCommitTable.UNKNOWN_PEERS);
-            } catch (IOException | UnsupportedOperationException e) { // Such a file system has no links.
+                SharedCommitTable table = new SharedCommitTable(file, newIncarnation(), nowUs);
+                file.replacementReason().ifPresent(SharedFile::warn);
+                boolean peersKnown = file.replacementReason().isEmpty();
+                return new PeerProcessCommits(table, peersKnown ? table : SharedCommitTable.UNKNOWN_PEERS);
+            } catch (IOException | UnsupportedOperationException e) { // The latter: a file system without links.
                 warn(e.toString());
                 return new PeerProcessCommits(WriteObserver.NONE, SharedCommitTable.UNKNOWN_PEERS);
             }
         }
 
-        private static void warn(String why) {
-            LOG.warning("commits of other processes are not known: " + why);
+        /** Any number but 0 will do, if no other process has it. */
+        private static long newIncarnation() {
+            return new SplittableRandom().nextLong() | 1;
+        }
+
+        private static void warn(String reason) {
+            LOG.warning("commits of other processes are not known: " + reason);
         }
     }
 }
--- a/pooler/src/test/java/frostreel/control/BeforeCommitsTest.java
+++ b/pooler/src/test/java/frostreel/control/BeforeCommitsTest.java
@@ -29,7 +29,7 @@
 
     private SharedCommitTable board(long life) throws IOException {
         CommitTableFile file = CommitTableFile.open(dir);
-        assertThat(file.replaced()).isNull();
+        assertThat(file.replacementReason()).isEmpty();
         return new SharedCommitTable(file, life, NOW);
     }
 
