--- a/decisions/src/main/java/frostreel/operation/OperatorCommands.java
+++ b/decisions/src/main/java/frostreel/operation/OperatorCommands.java
@@ -5,53 +5,53 @@
 import java.util.TreeMap;
 
 /**
- * What operators ordered last of each thing. Two processes that serve as one each keep their own and take
- * over the other's: of two orders on the same thing the later one holds, whoever heard it, so that they end
+ * What operators ordered last of each target. Two processes that serve as one each keep their own and take
+ * over the other's: of two orders on the same target the later one holds, whoever heard it, so that they end
  * in the same however they are taken over. Times are Unix microseconds of the machine's one clock.
  */
 public final class OperatorCommands {
-    /** Where the thing is in force, since when it is; else when it was in force last, and when it ended. */
-    public record Command(boolean inForce, long sinceUs, long atUs) {
-        /** Of two orders of the same moment the one in force holds: it is the more careful one. */
-        boolean after(Command other) {
-            return other == null || atUs > other.atUs || atUs == other.atUs && inForce && !other.inForce;
+    /** Where the target is in force, since when it is; else when it was in force last, and when it ended. */
+    public record CommandState(boolean inForce, long inForceSinceUs, long changedAtUs) {
+        /** Of two commands of the same moment the one in force holds: it is the more careful one. */
+        boolean supersedes(CommandState other) {
+            return other == null || changedAtUs > other.changedAtUs || changedAtUs == other.changedAtUs && inForce && !other.inForce;
         }
     }
 
-    private final Map<String, Command> orders = new TreeMap<>();
+    private final Map<String, CommandState> commands = new TreeMap<>();
 
     /** Gives an order; whether anything changed by it. */
-    public boolean give(long nowUs, String thing, boolean inForce) {
-        Command before = orders.get(thing);
-        if (before == null ? !inForce : before.inForce() == inForce) {
+    public boolean issue(long nowUs, String target, boolean inForce) {
+        CommandState previous = commands.get(target);
+        if (previous == null ? !inForce : previous.inForce() == inForce) {
             return false;
         }
-        long atUs = before == null ? nowUs : Math.max(nowUs, before.atUs() + 1); // A clock may stand still.
-        orders.put(thing, new Command(inForce, inForce ? atUs : before.sinceUs(), atUs));
+        long changedAtUs = previous == null ? nowUs : Math.max(nowUs, previous.changedAtUs() + 1); // A clock may stand still.
+        commands.put(target, new CommandState(inForce, inForce ? changedAtUs : previous.inForceSinceUs(), changedAtUs));
         return true;
     }
 
     /** Takes over what another process heard; whether it held anything later than what is known here. */
-    public boolean take(String thing, Command order) {
-        boolean later = order.after(orders.get(thing));
-        if (later) {
-            orders.put(thing, order);
+    public boolean merge(String target, CommandState state) {
+        boolean supersedes = state.supersedes(commands.get(target));
+        if (supersedes) {
+            commands.put(target, state);
         }
-        return later;
+        return supersedes;
     }
 
-    /** The last order on a thing, null where there was none. */
-    public Command of(String thing) {
-        return orders.get(thing);
+    /** The last order on a target, null where there was none. */
+    public CommandState latest(String target) {
+        return commands.get(target);
     }
 
-    public boolean inForce(String thing) {
-        Command order = orders.get(thing);
-        return order != null && order.inForce();
+    public boolean isInForce(String target) {
+        CommandState state = commands.get(target);
+        return state != null && state.inForce();
     }
 
-    /** All of them, by thing. */
-    public Map<String, Command> all() {
-        return Collections.unmodifiableMap(orders);
+    /** All of them, by target. */
+    public Map<String, CommandState> all() {
+        return Collections.unmodifiableMap(commands);
     }
 }
--- a/decisions/src/test/java/frostreel/operation/MaintenanceOverlayTest.java
+++ b/decisions/src/test/java/frostreel/operation/MaintenanceOverlayTest.java
@@ -11,98 +11,98 @@
 import org.junit.jupiter.api.Test;
 
 class MaintenanceOverlayTest {
-    private final OperatorCommands orders = new OperatorCommands();
-    private final MaintenanceOverlay out = new MaintenanceOverlay(orders);
+    private final OperatorCommands commands = new OperatorCommands();
+    private final MaintenanceOverlay overlay = new MaintenanceOverlay(commands);
 
     private static Router.Member member(String id, State state, long startedUs) {
         return new Router.Member(id, 0, 0, 1, false, state, 1, startedUs);
     }
 
     @Test
-    void aServerTakenOutDrainsWhateverDiscoverySaysUntilTheCallBack() {
-        out.told(true, List.of(member("a", State.UP, 0), member("b", State.UP, 0)));
-        orders.give(100, MaintenanceOverlay.thing("a"), true);
-        assertThat(out.shown("a").state()).isEqualTo(State.DRAINING);
-        assertThat(out.told(false, List.of(member("a", State.UP, 0))))
+    void aSuspendedServerDrainsWhateverDiscoveryListsUntilItIsRestored() {
+        overlay.apply(true, List.of(member("a", State.UP, 0), member("b", State.UP, 0)));
+        commands.issue(100, MaintenanceOverlay.target("a"), true);
+        assertThat(overlay.effective("a").state()).isEqualTo(State.DRAINING);
+        assertThat(overlay.apply(false, List.of(member("a", State.UP, 0))))
                 .extracting(Router.Member::state)
                 .containsExactly(State.DRAINING);
-        assertThat(out.told(true, List.of(member("a", State.UP, 0), member("b", State.UP, 0))))
+        assertThat(overlay.apply(true, List.of(member("a", State.UP, 0), member("b", State.UP, 0))))
                 .extracting(Router.Member::state)
                 .containsExactly(State.DRAINING, State.UP);
-        out.told(false, List.of(member("a", State.GONE, 0)));
-        assertThat(out.told(false, List.of(member("a", State.UP, 150))))
+        overlay.apply(false, List.of(member("a", State.GONE, 0)));
+        assertThat(overlay.apply(false, List.of(member("a", State.UP, 150))))
                 .extracting(Router.Member::state)
                 .containsExactly(State.DRAINING);
-        orders.give(200, MaintenanceOverlay.thing("a"), false);
-        assertThat(out.shown("a").state()).isEqualTo(State.UP);
+        commands.issue(200, MaintenanceOverlay.target("a"), false);
+        assertThat(overlay.effective("a").state()).isEqualTo(State.UP);
     }
 
     @Test
-    void theCallBackCountsAsAStartUntilDiscoveryTellsOfOneSinceItWasTakenOut() {
-        out.told(true, List.of(member("a", State.UP, 5)));
-        orders.give(100, MaintenanceOverlay.thing("a"), true);
-        orders.give(200, MaintenanceOverlay.thing("a"), false);
-        assertThat(out.shown("a").startedUs()).isEqualTo(200);
-        assertThat(out.told(false, List.of(member("a", State.UP, 5))))
+    void restoringCountsAsAStartUntilDiscoveryReportsOneSinceTheSuspension() {
+        overlay.apply(true, List.of(member("a", State.UP, 5)));
+        commands.issue(100, MaintenanceOverlay.target("a"), true);
+        commands.issue(200, MaintenanceOverlay.target("a"), false);
+        assertThat(overlay.effective("a").startedUs()).isEqualTo(200);
+        assertThat(overlay.apply(false, List.of(member("a", State.UP, 5))))
                 .extracting(Router.Member::startedUs)
                 .containsExactly(200L);
-        assertThat(out.told(false, List.of(member("a", State.UP, 150))))
+        assertThat(overlay.apply(false, List.of(member("a", State.UP, 150))))
                 .extracting(Router.Member::startedUs)
                 .containsExactly(150L);
     }
 
     @Test
-    void oneCallBackIsEnoughForTwoCallsOutAndOneWithoutIsNoFault() {
-        out.told(true, List.of(member("a", State.UP, 0)));
-        assertThat(orders.give(50, MaintenanceOverlay.thing("a"), false)).isFalse();
-        assertThat(out.shown("a").startedUs()).isZero();
-        orders.give(100, MaintenanceOverlay.thing("a"), true);
-        assertThat(orders.give(110, MaintenanceOverlay.thing("a"), true)).isFalse();
-        orders.give(200, MaintenanceOverlay.thing("a"), false);
-        assertThat(out.shown("a").state()).isEqualTo(State.UP);
-        assertThat(out.out()).isEmpty();
+    void restoringOnceUndoesTwoSuspensionsAndRestoringWithoutOneIsHarmless() {
+        overlay.apply(true, List.of(member("a", State.UP, 0)));
+        assertThat(commands.issue(50, MaintenanceOverlay.target("a"), false)).isFalse();
+        assertThat(overlay.effective("a").startedUs()).isZero();
+        commands.issue(100, MaintenanceOverlay.target("a"), true);
+        assertThat(commands.issue(110, MaintenanceOverlay.target("a"), true)).isFalse();
+        commands.issue(200, MaintenanceOverlay.target("a"), false);
+        assertThat(overlay.effective("a").state()).isEqualTo(State.UP);
+        assertThat(overlay.outOfService()).isEmpty();
     }
 
     @Test
-    void aServerBroughtBackIsAsDiscoveryLastHadIt() {
-        out.told(true, List.of(member("a", State.UP, 0), member("b", State.UP, 0)));
-        orders.give(100, MaintenanceOverlay.thing("a"), true);
-        orders.give(100, MaintenanceOverlay.thing("b"), true);
-        out.told(false, List.of(member("a", State.DRAINING, 0)));
-        out.told(true, List.of(member("a", State.DRAINING, 0)));
-        orders.give(200, MaintenanceOverlay.thing("a"), false);
-        orders.give(200, MaintenanceOverlay.thing("b"), false);
-        assertThat(out.shown("a").state()).isEqualTo(State.DRAINING);
-        assertThat(out.shown("b").state()).isEqualTo(State.GONE);
+    void aRestoredServerIsAsDiscoveryLastListedIt() {
+        overlay.apply(true, List.of(member("a", State.UP, 0), member("b", State.UP, 0)));
+        commands.issue(100, MaintenanceOverlay.target("a"), true);
+        commands.issue(100, MaintenanceOverlay.target("b"), true);
+        overlay.apply(false, List.of(member("a", State.DRAINING, 0)));
+        overlay.apply(true, List.of(member("a", State.DRAINING, 0)));
+        commands.issue(200, MaintenanceOverlay.target("a"), false);
+        commands.issue(200, MaintenanceOverlay.target("b"), false);
+        assertThat(overlay.effective("a").state()).isEqualTo(State.DRAINING);
+        assertThat(overlay.effective("b").state()).isEqualTo(State.GONE);
     }
 
     @Test
-    void idsThatNobodyHasAreNotKnownAndThoseGoneAreForgottenInTheEnd() {
-        assertThat(out.knows("a")).isFalse();
-        out.told(true, List.of(member("a", State.UP, 0)));
-        out.told(true, List.of());
-        assertThat(out.knows("a")).as("it may come back").isTrue();
+    void unlistedServersAreUnknownAndDepartedOnesAreForgottenInTheEnd() {
+        assertThat(overlay.knows("a")).isFalse();
+        overlay.apply(true, List.of(member("a", State.UP, 0)));
+        overlay.apply(true, List.of());
+        assertThat(overlay.knows("a")).as("it may come back").isTrue();
         for (int i = 0; i < 300; i++) {
-            out.told(false, List.of(member("x" + i, State.GONE, 0)));
+            overlay.apply(false, List.of(member("x" + i, State.GONE, 0)));
         }
-        assertThat(out.knows("a")).isFalse();
+        assertThat(overlay.knows("a")).isFalse();
     }
 
     @Test
-    void ordersTakenOverInAnySequenceEndInTheSame() {
+    void commandsMergedInAnyOrderConverge() {
         Random random = new Random(7);
         for (int round = 0; round < 2000; round++) {
-            record Told(String thing, OperatorCommands.Command order) {}
-            List<Told> all = new ArrayList<>();
+            record Recorded(String target, OperatorCommands.CommandState state) {}
+            List<Recorded> all = new ArrayList<>();
             for (int i = 0; i < 5; i++) {
-                long at = random.nextInt(4);
-                all.add(new Told("s" + random.nextInt(2), new OperatorCommands.Command(random.nextBoolean(), at, at)));
+                long atUs = random.nextInt(4);
+                all.add(new Recorded("s" + random.nextInt(2), new OperatorCommands.CommandState(random.nextBoolean(), atUs, atUs)));
             }
             OperatorCommands one = new OperatorCommands();
-            all.forEach(t -> one.take(t.thing(), t.order()));
+            all.forEach(recorded -> one.merge(recorded.target(), recorded.state()));
             Collections.shuffle(all, random);
             OperatorCommands other = new OperatorCommands();
-            all.forEach(t -> other.take(t.thing(), t.order()));
+            all.forEach(recorded -> other.merge(recorded.target(), recorded.state()));
             assertThat(other.all()).isEqualTo(one.all());
         }
     }
--- a/pooler/src/main/java/frostreel/Pooler.java
+++ b/pooler/src/main/java/frostreel/Pooler.java
@@ -14,8 +14,8 @@
 import frostreel.net.EventLoop;
 import frostreel.net.Listener;
 import frostreel.net.ServerPool;
-import frostreel.operation.RequestClassRegistry;
 import frostreel.operation.ReadinessStatus;
+import frostreel.operation.RequestClassRegistry;
 import frostreel.operation.ServingLifecycle;
 import frostreel.routing.ChainRouter;
 import frostreel.routing.NearestZonePolicy;
@@ -58,7 +58,7 @@
     private final Broker broker;
     private final ServingLifecycle lifecycle;
     private final Listener listener;
-    private final CommandExecutor operator;
+    private final CommandExecutor commands;
     /** Null where operators may not call. */
     private final AdminListener calls;
 
@@ -128,7 +128,7 @@
                 config.settings().seed());
         listener.page("stats", () -> loop.counters().toString());
         listener.page("health", this::health);
-        operator = new CommandExecutor(
+        commands = new CommandExecutor(
                 loop,
                 lifecycle,
                 pool,
@@ -137,9 +137,9 @@
                 config.orders(),
                 Long.toHexString(config.settings().seed()) + "x"
                         + Long.toHexString(loop.clock().now()));
-        calls = config.control() == null ? null : new AdminListener(loop, operator);
+        calls = config.control() == null ? null : new AdminListener(loop, commands);
         if (calls != null) {
-            listener.page("operation", operator::toString);
+            listener.page("operation", commands::statusPage);
         }
         if (advice != null) {
             listener.page("zones", advice::toString);
@@ -177,7 +177,7 @@
 
     private void start(Config config) {
         loop.begin();
-        operator.start(() -> {
+        commands.start(() -> {
             ordersTaken = true;
             becomeReady();
         });
@@ -336,7 +336,7 @@
     }
 
     private void take(EndpointList list, Router.ListKind kind) {
-        operator.listed(list, kind);
+        commands.onEndpointList(list, kind);
     }
 
     private void becomeReady() {
--- a/pooler/src/main/java/frostreel/control/AdminConnection.java
+++ b/pooler/src/main/java/frostreel/control/AdminConnection.java
@@ -9,20 +9,20 @@
 
 /** One operator's call: takes one line of bounded length, answers it with one, and ends. */
 final class AdminConnection implements SocketStream.Handler {
-    private static final int MOST_BYTES = 512;
+    private static final int MAX_LINE_BYTES = 512;
     /** So long after connecting, a whole line must have come; some callers need four seconds and more. */
-    private static final long PATIENCE_US = 10_000_000;
+    private static final long REQUEST_TIMEOUT_US = 10_000_000;
     /** So long the caller may take to close after its answer: to close with bytes unread may lose that. */
     private static final long LINGER_US = 500_000;
 
     private final EventLoop loop;
     private final AdminListener listener;
     private final SocketStream stream;
-    private final byte[] line = new byte[MOST_BYTES];
-    private int length;
-    private boolean answered;
+    private final byte[] line = new byte[MAX_LINE_BYTES];
+    private int lineLength;
+    private boolean requestRead;
     private boolean closed;
-    private Deadlines.Deadline patience;
+    private Deadlines.Deadline timeout;
 
     AdminConnection(EventLoop loop, AdminListener listener, StreamConnection connection) {
         this.loop = loop;
@@ -31,13 +31,13 @@
     }
 
     void begin() {
-        patience = loop.deadlines().after(PATIENCE_US, this::silent);
+        timeout = loop.deadlines().after(REQUEST_TIMEOUT_US, this::closeSilent);
         stream.resumeReads();
     }
 
     /** It has said nothing whole for too long, or others need its place. */
-    void silent() {
-        if (!answered) {
+    void closeSilent() {
+        if (!requestRead) {
             loop.counters().callersSilent++;
         }
         close();
@@ -45,27 +45,27 @@
 
     @Override
     public void received(ByteBuffer in) {
-        while (in.hasRemaining() && !answered) {
-            byte b = in.get();
-            if (b == '\n') {
-                answered = true;
-                listener.operator().call(new String(line, 0, length, StandardCharsets.US_ASCII), this::answer);
-            } else if (length == MOST_BYTES) {
+        while (in.hasRemaining() && !requestRead) {
+            byte next = in.get();
+            if (next == '\n') {
+                requestRead = true;
+                listener.commands().execute(new String(line, 0, lineLength, StandardCharsets.US_ASCII), this::reply);
+            } else if (lineLength == MAX_LINE_BYTES) {
                 loop.counters().callsRefused++;
-                answered = true;
-                answer("ERR a line of more than " + MOST_BYTES + " bytes");
+                requestRead = true;
+                reply("ERR a line of more than " + MAX_LINE_BYTES + " bytes");
             } else {
-                line[length++] = b;
+                line[lineLength++] = next;
             }
         }
     }
 
-    private void answer(String text) {
+    private void reply(String text) {
         stream.write((text + "\n").getBytes(StandardCharsets.US_ASCII));
         stream.end();
         if (!closed) {
-            loop.deadlines().cancel(patience);
-            patience = loop.deadlines().after(LINGER_US, this::close);
+            loop.deadlines().cancel(timeout);
+            timeout = loop.deadlines().after(LINGER_US, this::close);
         }
     }
 
@@ -77,9 +77,9 @@
     private void close() {
         if (!closed) {
             closed = true;
-            loop.deadlines().cancel(patience);
+            loop.deadlines().cancel(timeout);
             stream.close();
-            listener.closed(this);
+            listener.onClosed(this);
         }
     }
 }
--- a/pooler/src/main/java/frostreel/control/AdminListener.java
+++ b/pooler/src/main/java/frostreel/control/AdminListener.java
@@ -16,18 +16,18 @@
  */
 public final class AdminListener {
     /** So many callers at once; where there are more, the one that has been silent for longest is closed. */
-    private static final int MOST_CALLERS = 24;
+    private static final int MAX_CALLERS = 24;
 
     private static final int BACKLOG = 256;
     private final EventLoop loop;
-    private final CommandExecutor operator;
+    private final CommandExecutor commands;
     private final Set<AdminConnection> callers = new LinkedHashSet<>();
     private final Acceptor acceptor;
 
-    public AdminListener(EventLoop loop, CommandExecutor operator) {
+    public AdminListener(EventLoop loop, CommandExecutor commands) {
         this.loop = loop;
-        this.operator = operator;
-        acceptor = new Acceptor(loop, "a caller", this::accepted);
+        this.commands = commands;
+        acceptor = new Acceptor(loop, "a caller", this::onAccepted);
     }
 
     public void open(InetSocketAddress address) throws IOException {
@@ -46,20 +46,20 @@
         return acceptor.address();
     }
 
-    private void accepted(StreamConnection c) {
-        if (callers.size() >= MOST_CALLERS) {
-            callers.iterator().next().silent();
+    private void onAccepted(StreamConnection connection) {
+        if (callers.size() >= MAX_CALLERS) {
+            callers.iterator().next().closeSilent();
         }
-        AdminConnection caller = new AdminConnection(loop, this, c);
+        AdminConnection caller = new AdminConnection(loop, this, connection);
         callers.add(caller);
         caller.begin();
     }
 
-    CommandExecutor operator() {
-        return operator;
+    CommandExecutor commands() {
+        return commands;
     }
 
-    void closed(AdminConnection caller) {
+    void onClosed(AdminConnection caller) {
         callers.remove(caller);
     }
 }
--- a/pooler/src/main/java/frostreel/control/CommandReplicator.java
+++ b/pooler/src/main/java/frostreel/control/CommandReplicator.java
@@ -18,89 +18,85 @@
  */
 final class CommandReplicator {
     /** A part of the second within which the rule on drains counts an order as told. */
-    private static final long LOOK_US = 150_000;
+    private static final long POLL_INTERVAL_US = 150_000;
     /** From a failed writing to the next try. */
-    private static final long WRITE_AGAIN_US = 500_000;
+    private static final long WRITE_RETRY_DELAY_US = 500_000;
     /** What earlier lives left is waited for no longer than this where the disk does not give it. */
-    static final long FIRST_PATIENCE_US = 3_000_000;
+    static final long RESTORE_TIMEOUT_US = 3_000_000;
 
     private static final Logger LOG = Logger.getLogger(CommandReplicator.class.getName());
     private final EventLoop loop;
-    private final CommandStore folder;
-    private boolean told;
+    private final CommandStore store;
+    private boolean readFailing;
     /** The orders that the last writing failed with, null where it went well; on the loop. */
-    private Map<String, OperatorCommands.Command> unwritten;
+    private Map<String, OperatorCommands.CommandState> unwritten;
 
-    CommandReplicator(EventLoop loop, Path folder, String life) {
+    CommandReplicator(EventLoop loop, Path folder, String incarnation) {
         this.loop = loop;
-        this.folder = new CommandStore(folder, life);
+        store = new CommandStore(folder, incarnation);
     }
 
     /**
      * Hands on what earlier lives left, then runs {@code then}: once all of it was read, or a part after
-     * {@link #FIRST_PATIENCE_US}; the rest is found by {@link #watch}.
+     * {@link #RESTORE_TIMEOUT_US}; the rest is found by {@link #watch}.
      */
-    void start(Consumer<Map<String, OperatorCommands.Command>> found, Runnable then) {
-        beside(
+    void restore(Consumer<Map<String, OperatorCommands.CommandState>> found, Runnable then) {
+        runTask(
                 () -> {
-                    clean();
-                    return look();
+                    removeStale();
+                    return read();
                 },
-                first -> taken(first, found, then, loop.clock().now() + FIRST_PATIENCE_US));
+                first -> continueRestore(first, found, then, loop.clock().now() + RESTORE_TIMEOUT_US));
     }
 
-    private void taken(
-            CommandStore.Found read,
-            Consumer<Map<String, OperatorCommands.Command>> found,
-            Runnable then,
-            long untilUs) {
-        found.accept(read.orders());
+    private void continueRestore(CommandStore.ReadResult read, Consumer<Map<String, OperatorCommands.CommandState>> found, Runnable then, long untilUs) {
+        found.accept(read.commands());
         if (read.complete() || loop.clock().now() >= untilUs) {
             then.run();
         } else {
-            loop.deadlines().after(LOOK_US, () -> beside(this::look, next -> taken(next, found, then, untilUs)));
+            loop.deadlines().after(POLL_INTERVAL_US, () -> runTask(this::read, next -> continueRestore(next, found, then, untilUs)));
         }
     }
 
-    private void clean() {
+    private void removeStale() {
         try {
-            folder.clean();
+            store.removeStale();
         } catch (IOException e) {
             LOG.warning("orders of earlier lives are not cleared away: " + e);
         }
     }
 
-    private CommandStore.Found look() {
-        CommandStore.Found found;
+    private CommandStore.ReadResult read() {
+        CommandStore.ReadResult found;
         try {
-            found = folder.read();
+            found = store.readOthers();
         } catch (IOException e) {
-            found = new CommandStore.Found(new HashMap<>(), false);
+            found = new CommandStore.ReadResult(new HashMap<>(), false);
         }
-        if (!found.complete() && !told) {
+        if (!found.complete() && !readFailing) {
             LOG.warning("orders of other processes cannot be read; tried again");
-        } else if (found.complete() && told) {
+        } else if (found.complete() && readFailing) {
             LOG.info("orders of other processes are read again");
         }
-        told = !found.complete();
+        readFailing = !found.complete();
         return found;
     }
 
     /** Looks on and on for what other processes heard. */
-    void watch(Consumer<Map<String, OperatorCommands.Command>> found) {
+    void watch(Consumer<Map<String, OperatorCommands.CommandState>> found) {
         loop.deadlines()
                 .after(
-                        LOOK_US,
-                        () -> beside(this::look, heard -> {
-                            if (!heard.orders().isEmpty()) {
-                                found.accept(heard.orders());
+                        POLL_INTERVAL_US,
+                        () -> runTask(this::read, heard -> {
+                            if (!heard.commands().isEmpty()) {
+                                found.accept(heard.commands());
                             }
                             watch(found);
                         }));
     }
 
     /** Runs what may block on the task thread, and hands what comes of it to the loop. */
-    private <T> void beside(Supplier<T> task, Consumer<T> then) {
+    private <T> void runTask(Supplier<T> task, Consumer<T> then) {
         try {
             loop.worker().execute(() -> {
                 T result = task.get();
@@ -119,23 +115,23 @@
      * Keeps these, then tells: null, or why they would not outlast an end now. Where that fails, it is tried
      * again until it goes well, or newer orders come.
      */
-    void keep(Map<String, OperatorCommands.Command> orders, Consumer<String> done) {
-        unwritten = orders;
-        beside(() -> write(orders), failure -> {
-            if (unwritten == orders) {
+    void publish(Map<String, OperatorCommands.CommandState> commands, Consumer<String> done) {
+        unwritten = commands;
+        runTask(() -> write(commands), failure -> {
+            if (unwritten == commands) {
                 if (failure == null) {
                     unwritten = null;
                 } else {
-                    loop.deadlines().after(WRITE_AGAIN_US, () -> keepAgain(orders));
+                    loop.deadlines().after(WRITE_RETRY_DELAY_US, () -> publishAgain(commands));
                 }
             }
             done.accept(failure);
         });
     }
 
-    private void keepAgain(Map<String, OperatorCommands.Command> orders) {
-        if (unwritten == orders) {
-            keep(orders, failure -> {
+    private void publishAgain(Map<String, OperatorCommands.CommandState> commands) {
+        if (unwritten == commands) {
+            publish(commands, failure -> {
                 if (failure == null) {
                     LOG.info("orders are kept for a successor again");
                 }
@@ -143,9 +139,9 @@
         }
     }
 
-    private String write(Map<String, OperatorCommands.Command> orders) {
+    private String write(Map<String, OperatorCommands.CommandState> commands) {
         try {
-            folder.write(orders);
+            store.write(commands);
             return null;
         } catch (IOException e) {
             LOG.warning("orders cannot be kept for a successor: " + e + "; tried again");
--- a/pooler/src/main/java/frostreel/control/CommandStore.java
+++ b/pooler/src/main/java/frostreel/control/CommandStore.java
@@ -31,58 +31,58 @@
     private static final int VERSION = 1;
     private static final String SUFFIX = ".orders";
     /** Far more than operators ever have in force; a longer file is none of ours. */
-    private static final int MOST_BYTES = 1 << 18;
+    private static final int MAX_BYTES = 1 << 18;
     /** Files of so many lives are kept; the rest were taken over long ago. */
-    private static final int MOST_LIVES = 16;
+    private static final int MAX_INCARNATIONS = 16;
 
-    private static final String UNFINISHED = ".new";
+    private static final String UNFINISHED_SUFFIX = ".new";
     /** No writing takes so long. */
-    private static final long UNFINISHED_MS = 60_000;
+    private static final long MAX_WRITE_MS = 60_000;
 
     private static final Logger LOG = Logger.getLogger(CommandStore.class.getName());
 
     /** What was found; {@code complete}: nothing was there that the disk would not give. */
-    record Found(Map<String, OperatorCommands.Command> orders, boolean complete) {}
+    record ReadResult(Map<String, OperatorCommands.CommandState> commands, boolean complete) {}
 
     /** A file that is not what a life wrote: it will not get better. */
-    private static final class DamagedException extends IOException {
-        DamagedException(String why) {
+    private static final class CorruptCommandFileException extends IOException {
+        CorruptCommandFileException(String why) {
             super(why);
         }
     }
 
     private final Path folder;
-    private final String life;
-    private final Set<String> seen = new HashSet<>();
+    private final String incarnation;
+    private final Set<String> processed = new HashSet<>();
     /** The number of this life's newest file, and of the newest that is gone. */
-    private int written;
+    private int lastWritten;
 
-    private int removed;
+    private int lastDeleted;
 
     /** {@code life}: this process's own name, which no other life has or had; plain letters and digits. */
-    CommandStore(Path folder, String life) {
+    CommandStore(Path folder, String incarnation) {
         this.folder = folder;
-        this.life = life;
+        this.incarnation = incarnation;
     }
 
     /** Puts these in the place of what this life wrote before; on its return they outlast an end. */
-    void write(Map<String, OperatorCommands.Command> orders) throws IOException {
+    void write(Map<String, OperatorCommands.CommandState> commands) throws IOException {
         Files.createDirectories(folder);
         JSONObject all = new JSONObject();
-        orders.forEach((thing, o) -> all.put(
-                thing,
+        commands.forEach((target, o) -> all.put(
+                target,
                 new JSONObject()
                         .put("inForce", o.inForce())
-                        .put("sinceUs", o.sinceUs())
-                        .put("atUs", o.atUs())));
+                        .put("sinceUs", o.inForceSinceUs())
+                        .put("atUs", o.changedAtUs())));
         byte[] text = new JSONObject()
                 .put("version", VERSION)
-                .put("life", life)
+                .put("life", incarnation)
                 .put("orders", all)
                 .toString()
                 .getBytes(StandardCharsets.UTF_8);
         byte[] head = (checksum(text) + "\n").getBytes(StandardCharsets.US_ASCII);
-        Path fresh = folder.resolve(life + UNFINISHED);
+        Path fresh = folder.resolve(incarnation + UNFINISHED_SUFFIX);
         try {
             writeWhole(fresh, head, text);
         } catch (IOException e) {
@@ -90,19 +90,19 @@
             throw e;
         }
         // A name of its own each time, also where the steps after it fail: others look at names alone.
-        String name = name(++written);
+        String name = name(++lastWritten);
         Files.move(fresh, folder.resolve(name), StandardCopyOption.ATOMIC_MOVE);
-        seen.add(name);
+        processed.add(name);
         try (FileChannel f = FileChannel.open(folder, StandardOpenOption.READ)) {
             f.force(true);
         }
-        removeOlder(written);
+        removeOlder(lastWritten);
     }
 
     private void removeOlder(int newest) throws IOException {
-        for (int number = removed + 1; number < newest; number++) {
+        for (int number = lastDeleted + 1; number < newest; number++) {
             Files.deleteIfExists(folder.resolve(name(number)));
-            removed = number;
+            lastDeleted = number;
         }
     }
 
@@ -121,7 +121,7 @@
     }
 
     private String name(int number) {
-        return String.format("%s-%08d%s", life, number, SUFFIX);
+        return String.format("%s-%08d%s", incarnation, number, SUFFIX);
     }
 
     private static String checksum(byte[] text) {
@@ -131,67 +131,65 @@
     }
 
     /**
-     * What other lives have written since the last call, the later order on each thing. A file that is
+     * What other lives have written since the last call, the later order on each target. A file that is
      * damaged or of another version is named in the log once, and left out; one that cannot be read now is
      * looked at again at the next call.
      */
-    Found read() throws IOException {
+    ReadResult readOthers() throws IOException {
         boolean complete = true;
         OperatorCommands found = new OperatorCommands();
-        Set<String> there = new TreeSet<>();
+        Set<String> present = new TreeSet<>();
         try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, "*" + SUFFIX)) {
-            files.forEach(f -> there.add(f.getFileName().toString()));
+            files.forEach(f -> present.add(f.getFileName().toString()));
         } catch (NoSuchFileException e) {
-            return new Found(Map.of(), true); // Nobody has written yet.
+            return new ReadResult(Map.of(), true); // Nobody has written yet.
         }
-        seen.retainAll(there);
-        for (String name : there) {
-            if (seen.add(name)) {
+        processed.retainAll(present);
+        for (String name : present) {
+            if (processed.add(name)) {
                 try {
-                    orders(Files.readAllBytes(folder.resolve(name))).forEach(found::take);
+                    commands(Files.readAllBytes(folder.resolve(name))).forEach(found::merge);
                 } catch (NoSuchFileException e) {
-                    seen.remove(name); // Its writer has put another in its place: that is read next time.
-                } catch (DamagedException | JSONException e) {
+                    processed.remove(name); // Its writer has put another in its place: that is read next time.
+                } catch (CorruptCommandFileException | JSONException e) {
                     LOG.warning("orders in " + name + " are left out: " + e.getMessage());
                 } catch (IOException e) {
-                    seen.remove(name);
+                    processed.remove(name);
                     complete = false;
                 }
             }
         }
-        return new Found(found.all(), complete);
+        return new ReadResult(found.all(), complete);
     }
 
-    private static Map<String, OperatorCommands.Command> orders(byte[] file) throws IOException {
+    private static Map<String, OperatorCommands.CommandState> commands(byte[] file) throws IOException {
         int end = 8;
-        if (file.length > MOST_BYTES || file.length <= end || file[end] != '\n') {
-            throw new DamagedException("a file of " + file.length + " bytes without its checksum");
+        if (file.length > MAX_BYTES || file.length <= end || file[end] != '\n') {
+            throw new CorruptCommandFileException("a file of " + file.length + " bytes without its checksum");
         }
         byte[] text = new byte[file.length - end - 1];
         System.arraycopy(file, end + 1, text, 0, text.length);
         if (!checksum(text).equals(new String(file, 0, end, StandardCharsets.US_ASCII))) {
-            throw new DamagedException("its checksum does not fit");
+            throw new CorruptCommandFileException("its checksum does not fit");
         }
         JSONObject json = new JSONObject(new String(text, StandardCharsets.UTF_8));
         if (json.getInt("version") != VERSION) {
-            throw new DamagedException("version " + json.getInt("version") + " is not known here");
+            throw new CorruptCommandFileException("version " + json.getInt("version") + " is not known here");
         }
-        Map<String, OperatorCommands.Command> orders = new HashMap<>();
+        Map<String, OperatorCommands.CommandState> commands = new HashMap<>();
         JSONObject all = json.getJSONObject("orders");
-        for (String thing : all.keySet()) {
-            JSONObject o = all.getJSONObject(thing);
-            orders.put(
-                    thing,
-                    new OperatorCommands.Command(o.getBoolean("inForce"), o.getLong("sinceUs"), o.getLong("atUs")));
+        for (String target : all.keySet()) {
+            JSONObject o = all.getJSONObject(target);
+            commands.put(target, new OperatorCommands.CommandState(o.getBoolean("inForce"), o.getLong("sinceUs"), o.getLong("atUs")));
         }
-        return orders;
+        return commands;
     }
 
     /**
      * Removes what the oldest lives left, as what they held has been taken over by a life since, and what
      * lives that were killed while they wrote left unfinished.
      */
-    void clean() throws IOException {
+    void removeStale() throws IOException {
         TreeMap<Long, Path> byAge = new TreeMap<>();
         removeUnfinished();
         try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, "*" + SUFFIX)) {
@@ -201,18 +199,18 @@
         } catch (NoSuchFileException e) {
             return;
         }
-        while (byAge.size() > MOST_LIVES) {
+        while (byAge.size() > MAX_INCARNATIONS) {
             Files.deleteIfExists(byAge.pollFirstEntry().getValue());
         }
     }
 
     /** Only old ones: a life beside this one may be writing. */
     private void removeUnfinished() throws IOException {
-        try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, "*" + UNFINISHED)) {
+        try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, "*" + UNFINISHED_SUFFIX)) {
             for (Path f : files) {
                 long ageMs = System.currentTimeMillis()
                         - Files.getLastModifiedTime(f).toMillis();
-                if (ageMs > UNFINISHED_MS) {
+                if (ageMs > MAX_WRITE_MS) {
                     Files.deleteIfExists(f);
                 }
             }
--- a/pooler/src/test/java/frostreel/control/ClockAnchorTest.java
+++ b/pooler/src/test/java/frostreel/control/ClockAnchorTest.java
@@ -8,43 +8,43 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Processes of one pooler read one clock, though the wall clock be stepped between their starts. */
+/** Processes of one pooler share one clock even if the wall clock is stepped between their starts. */
 class ClockAnchorTest {
     private static final long HOUR_US = 3_600_000_000L;
 
     @TempDir
     Path dir;
 
-    /** How far a clock read now is ahead of another read before. */
-    private static long ahead(Clock clock, long ofUs) {
-        return clock.now() - ofUs;
+    /** How far a clock is ahead of what another one showed earlier. */
+    private static long aheadUs(Clock clock, long earlierUs) {
+        return clock.now() - earlierUs;
     }
 
     @Test
-    void theFirstAnchorHoldsForThoseThatStartAfterAStepOfTheWallClock() throws Exception {
-        long before = Clock.system().now();
+    void theFirstOffsetHoldsForProcessesStartedAfterAStepOfTheWallClock() throws Exception {
+        long earlierUs = Clock.system().now();
         ClockAnchor.clock(dir);
         String[] words = Files.readString(dir.resolve("clock")).strip().split(" ");
-        // As if the first had started with a wall clock an hour ahead.
+        // As if the first process had started with a wall clock that was an hour ahead.
         Files.writeString(dir.resolve("clock"), words[0] + " " + (Long.parseLong(words[1]) + HOUR_US));
-        assertThat(ahead(ClockAnchor.clock(dir), before)).isBetween(HOUR_US, HOUR_US + 60_000_000);
+        assertThat(aheadUs(ClockAnchor.clock(dir), earlierUs)).isBetween(HOUR_US, HOUR_US + 60_000_000);
     }
 
     @Test
-    void anAnchorOfAnotherBootOrADamagedOneIsReplaced() throws Exception {
-        for (String old : new String[] {"another-boot 12", "", "no number", "a b c"}) {
-            Files.writeString(dir.resolve("clock"), old);
-            long before = Clock.system().now();
-            assertThat(ahead(ClockAnchor.clock(dir), before)).isBetween(-1_000L, 60_000_000L);
-            assertThat(ahead(ClockAnchor.clock(dir), before)).isBetween(-1_000L, 60_000_000L);
+    void anOffsetOfAnotherBootOrADamagedOneIsReplaced() throws Exception {
+        for (String content : new String[] {"another-boot 12", "", "no number", "a b c"}) {
+            Files.writeString(dir.resolve("clock"), content);
+            long earlierUs = Clock.system().now();
+            assertThat(aheadUs(ClockAnchor.clock(dir), earlierUs)).isBetween(-1_000L, 60_000_000L);
+            assertThat(aheadUs(ClockAnchor.clock(dir), earlierUs)).isBetween(-1_000L, 60_000_000L);
         }
     }
 
     @Test
-    void aFolderThatTakesNothingLeavesTheProcessItsOwnClock() throws Exception {
+    void withoutAUsableFolderTheProcessHasAClockOfItsOwn() throws Exception {
         Path file = Files.writeString(dir.resolve("taken"), "a file in its place");
-        long before = Clock.system().now();
-        assertThat(ahead(ClockAnchor.clock(file), before)).isBetween(0L, 60_000_000L);
-        assertThat(ahead(ClockAnchor.clock(null), before)).isBetween(0L, 60_000_000L);
+        long earlierUs = Clock.system().now();
+        assertThat(aheadUs(ClockAnchor.clock(file), earlierUs)).isBetween(0L, 60_000_000L);
+        assertThat(aheadUs(ClockAnchor.clock(null), earlierUs)).isBetween(0L, 60_000_000L);
     }
 }
--- /dev/null
+++ b/pooler/src/test/java/frostreel/control/ProcessWithoutCommitTableTest.java
@@ -0,0 +1,65 @@
+package frostreel.control;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import frostreel.operation.OperatorCommands;
+import frostreel.operation.SharedCommitTable;
+import frostreel.routing.Router.Outcome;
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+
+/**
+ * A process from before there was the table of commits serves in the same folder. Commands go both ways as they
+ * always did, and from its successor on each process knows the commits of the others. Commits through the old
+ * process itself are not known (docs/REMAINS.md).
+ */
+class ProcessWithoutCommitTableTest {
+    private static final long NOW_US = 1_000_000_000;
+    private static final Map<String, OperatorCommands.CommandState> SUSPENDED = Map.of("server a", new OperatorCommands.CommandState(true, 5, 5));
+    private static final Map<String, OperatorCommands.CommandState> RESTORED = Map.of("server a", new OperatorCommands.CommandState(false, 5, 9));
+
+    @TempDir
+    Path dir;
+
+    private SharedCommitTable table(long incarnation) throws IOException {
+        CommitTableFile file = CommitTableFile.open(dir);
+        assertThat(file.replacementReason()).isEmpty();
+        return new SharedCommitTable(file, incarnation, NOW_US);
+    }
+
+    @Test
+    void commandsGoBothWaysBesideTheCommitTableAndTheOldProcessDoesNotRemoveIt() throws Exception {
+        CommandStore oldStore = new CommandStore(dir, "old");
+        oldStore.write(SUSPENDED);
+        SharedCommitTable successor = table(1);
+        CommandStore newStore = new CommandStore(dir, "new");
+        assertThat(newStore.readOthers().commands()).isEqualTo(SUSPENDED);
+        newStore.write(RESTORED);
+        assertThat(oldStore.readOthers().commands()).isEqualTo(RESTORED);
+        for (int i = 0; i < 40; i++) {
+            new CommandStore(dir, "life" + i).write(SUSPENDED);
+        }
+        successor.onSent(NOW_US, 7, NOW_US + 1_000_000);
+        successor.onEnded(NOW_US, 7, NOW_US + 1_000_000, Outcome.OK, NOW_US);
+        oldStore.removeStale();
+        assertThat(Files.size(dir.resolve(CommitTableFile.NAME))).isEqualTo((1 + SharedCommitTable.LONGS) * Long.BYTES);
+        assertThat(table(2).boundUs(NOW_US + 50_000, 7)).isEqualTo(NOW_US + 1_000);
+    }
+
+    @Test
+    void fromTheSuccessorOnEachProcessKnowsTheCommitsOfTheOthers() throws Exception {
+        new CommandStore(dir, "old").write(SUSPENDED);
+        SharedCommitTable successor = table(1);
+        successor.onSent(NOW_US, 7, NOW_US + 1_000_000);
+        successor.onEnded(NOW_US, 7, NOW_US + 1_000_000, Outcome.OK, NOW_US + 2_000);
+        SharedCommitTable third = table(2);
+        third.onSent(NOW_US, 8, NOW_US + 1_000_000);
+        third.onEnded(NOW_US, 8, NOW_US + 1_000_000, Outcome.OK, NOW_US + 4_000);
+        assertThat(third.boundUs(NOW_US + 50_000, 7)).isEqualTo(NOW_US + 3_000);
+        assertThat(successor.boundUs(NOW_US + 50_000, 8)).isEqualTo(NOW_US + 5_000);
+    }
+}
