--- a/decisions/src/main/java/frostreel/operation/MaintenanceOverlay.java
+++ b/decisions/src/main/java/frostreel/operation/MaintenanceOverlay.java
@@ -7,34 +7,36 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 
 /**
- * Lays the operators' word on servers over discovery's. What goes on to the decisions and to the connections
- * has a server taken out as draining, whatever discovery says meanwhile; the call back passes discovery's
- * last word on again. Owns discovery's last word on each server; the orders are handed in.
+ * Overlays the operators' commands on discovery's endpoint list: a server that is out of service appears as
+ * draining, whatever discovery says meanwhile, and as discovery last listed it once the command is revoked.
+ *
+ * <p>Owns the last entry that discovery listed for each server; the commands belong to the caller.
  */
 public final class MaintenanceOverlay {
-    /** So many servers that are gone are still known by name: their orders come late, or they come back. */
+    /** How many departed servers are remembered, as they may come back or commands on them may come late. */
     private static final int MAX_DEPARTED = 256;
-    /** Orders on servers have names of their own, beside those on other things. */
-    private static final String SERVER_PREFIX = "server ";
 
     private final OperatorCommands commands;
     private final Map<String, Router.Member> listed = new HashMap<>();
+    /** Ids of listed servers that are gone, the one that left first first. */
     private final Set<String> departed = new LinkedHashSet<>();
 
     public MaintenanceOverlay(OperatorCommands commands) {
         this.commands = commands;
     }
 
-    /** Takes a list of discovery's, whole or changes; what is to be passed on instead, in its order. */
+    /**
+     * Takes in an endpoint list and returns the members to pass on in place of it, in the same order.
+     *
+     * @param complete whether the list names all servers, so that those it lacks are gone
+     */
     public List<Router.Member> apply(boolean complete, List<Router.Member> members) {
         if (complete) {
-            Set<String> unlisted = new HashSet<>(listed.keySet());
-            members.forEach(member -> unlisted.remove(member.id()));
-            unlisted.forEach(id ->
-                    remember(with(listed.get(id), Router.State.GONE, listed.get(id).startedUs())));
+            markUnlistedAsGone(members);
         }
         List<Router.Member> effective = new ArrayList<>(members.size());
         for (Router.Member member : members) {
@@ -44,64 +46,82 @@
         return effective;
     }
 
+    private void markUnlistedAsGone(List<Router.Member> members) {
+        Set<String> unlisted = new HashSet<>(listed.keySet());
+        members.forEach(member -> unlisted.remove(member.id()));
+        for (String id : unlisted) {
+            Router.Member last = listed.get(id);
+            remember(with(last, Router.State.GONE, last.startedUs()));
+        }
+    }
+
     private void remember(Router.Member member) {
         listed.put(member.id(), member);
         departed.remove(member.id());
         if (member.state() == Router.State.GONE) {
             departed.add(member.id());
-            if (departed.size() > MAX_DEPARTED) {
-                String oldest = departed.iterator().next();
-                departed.remove(oldest);
-                listed.remove(oldest);
-            }
+            forgetOldestDeparted();
         }
     }
 
-    /** The target that an order on a server is on. */
-    public static String target(String id) {
-        return SERVER_PREFIX + id;
+    private void forgetOldestDeparted() {
+        if (departed.size() > MAX_DEPARTED) {
+            String oldest = departed.iterator().next();
+            departed.remove(oldest);
+            listed.remove(oldest);
+        }
     }
 
-    /** Whether discovery has named a server of that id, or an order has. */
-    public boolean knows(String id) {
-        return listed.containsKey(id) || commands.latest(target(id)) != null;
+    /** Whether discovery has listed a server of that id, or operators have given a command on one. */
+    public boolean knows(String serverId) {
+        return listed.containsKey(serverId)
+                || commands.latest(CommandTarget.server(serverId)).isPresent();
     }
 
-    /** What is to be passed on of a server now, null where discovery has not named it. */
-    public Router.Member effective(String id) {
-        Router.Member member = listed.get(id);
-        return member == null ? null : effective(member);
+    /** The member to pass on for a server now, empty if discovery has not listed it. */
+    public Optional<Router.Member> effective(String serverId) {
+        return Optional.ofNullable(listed.get(serverId)).map(this::effective);
     }
 
-    /** The ids of the servers taken out. */
+    /** The ids of the servers that are out of service. */
     public List<String> outOfService() {
-        return commands.all().keySet().stream()
-                .filter(target -> target.startsWith(SERVER_PREFIX) && commands.isInForce(target))
-                .map(MaintenanceOverlay::serverId)
-                .toList();
-    }
-
-    /** The id of the server that an order is on, null where it is on none. */
-    public static String serverId(String target) {
-        return target.startsWith(SERVER_PREFIX) ? target.substring(SERVER_PREFIX.length()) : null;
+        List<String> serverIds = new ArrayList<>();
+        commands.all().forEach((target, state) -> {
+            if (state.inForce()) {
+                target.serverId().ifPresent(serverIds::add);
+            }
+        });
+        return serverIds;
     }
 
     /**
-     * Operators restart a server that is out, and discovery may tell of it seconds after the call back: until
-     * it tells of a start since the server was taken out, the call back counts as one.
+     * The listed member as the commands on it have it. Operators restart a server that is out of service, and
+     * discovery may report that seconds after the command is revoked: until it reports a start since the
+     * server went out of service, the revocation counts as the start.
      */
     private Router.Member effective(Router.Member member) {
-        OperatorCommands.CommandState state = commands.latest(target(member.id()));
+        CommandState state =
+                commands.latest(CommandTarget.server(member.id())).orElse(null);
         if (state == null) {
             return member;
         }
         if (state.inForce()) {
-            return member.state() == Router.State.GONE ? member : with(member, Router.State.DRAINING, member.startedUs());
+            boolean gone = member.state() == Router.State.GONE;
+            return gone ? member : with(member, Router.State.DRAINING, member.startedUs());
         }
-        return with(member, member.state(), member.startedUs() >= state.inForceSinceUs() ? member.startedUs() : state.changedAtUs());
+        boolean restarted = member.startedUs() >= state.inForceSinceUs();
+        return with(member, member.state(), restarted ? member.startedUs() : state.changedAtUs());
     }
 
     private static Router.Member with(Router.Member member, Router.State state, long startedUs) {
-        return new Router.Member(member.id(), member.zone(), member.kind(), member.group(), member.primary(), state, member.weight(), startedUs);
+        return new Router.Member(
+                member.id(),
+                member.zone(),
+                member.kind(),
+                member.group(),
+                member.primary(),
+                state,
+                member.weight(),
+                startedUs);
     }
 }
--- a/decisions/src/main/java/frostreel/operation/OperatorCommands.java
+++ b/decisions/src/main/java/frostreel/operation/OperatorCommands.java
@@ -2,56 +2,66 @@
 
 import java.util.Collections;
 import java.util.Map;
+import java.util.Optional;
 import java.util.TreeMap;
 
 /**
- * What operators ordered last of each target. Two processes that serve as one each keep their own and take
- * over the other's: of two orders on the same target the later one holds, whoever heard it, so that they end
- * in the same however they are taken over. Times are Unix microseconds of the machine's one clock.
+ * The operators' commands: for each target the state that the last command left it in.
+ *
+ * <p>Each process of one pooler keeps a copy of its own and merges those of the others. The last change of a
+ * target wins, whichever process recorded it, so that all copies converge in whatever order they are merged.
+ * Times are Unix microseconds of the machine's shared clock. Not thread-safe.
  */
 public final class OperatorCommands {
-    /** Where the target is in force, since when it is; else when it was in force last, and when it ended. */
-    public record CommandState(boolean inForce, long inForceSinceUs, long changedAtUs) {
-        /** Of two commands of the same moment the one in force holds: it is the more careful one. */
-        boolean supersedes(CommandState other) {
-            return other == null || changedAtUs > other.changedAtUs || changedAtUs == other.changedAtUs && inForce && !other.inForce;
-        }
-    }
+    private final Map<CommandTarget, CommandState> commands = new TreeMap<>();
 
-    private final Map<String, CommandState> commands = new TreeMap<>();
-
-    /** Gives an order; whether anything changed by it. */
-    public boolean issue(long nowUs, String target, boolean inForce) {
-        CommandState previous = commands.get(target);
-        if (previous == null ? !inForce : previous.inForce() == inForce) {
+    /**
+     * Records a command that this process was given.
+     *
+     * @return whether it changed anything; a command that is in force already, or revoked already, does not
+     */
+    public boolean issue(long nowUs, CommandTarget target, boolean inForce) {
+        if (isInForce(target) == inForce) {
             return false;
         }
-        long changedAtUs = previous == null ? nowUs : Math.max(nowUs, previous.changedAtUs() + 1); // A clock may stand still.
-        commands.put(target, new CommandState(inForce, inForce ? changedAtUs : previous.inForceSinceUs(), changedAtUs));
+        CommandState previous = commands.get(target);
+        if (previous == null) {
+            commands.put(target, new CommandState(inForce, nowUs, nowUs));
+            return true;
+        }
+        long changedAtUs = Math.max(nowUs, previous.changedAtUs() + 1); // The clock may not have advanced since.
+        long inForceSinceUs = inForce ? changedAtUs : previous.inForceSinceUs();
+        commands.put(target, new CommandState(inForce, inForceSinceUs, changedAtUs));
         return true;
     }
 
-    /** Takes over what another process heard; whether it held anything later than what is known here. */
-    public boolean merge(String target, CommandState state) {
-        boolean supersedes = state.supersedes(commands.get(target));
-        if (supersedes) {
-            commands.put(target, state);
+    /**
+     * Merges what another process recorded.
+     *
+     * @return whether it supersedes what was known here
+     */
+    public boolean merge(CommandTarget target, CommandState recorded) {
+        CommandState known = commands.get(target);
+        if (known != null && !recorded.supersedes(known)) {
+            return false;
         }
-        return supersedes;
+        commands.put(target, recorded);
+        return true;
     }
 
-    /** The last order on a target, null where there was none. */
-    public CommandState latest(String target) {
-        return commands.get(target);
+    /** The state that the last command left the target in, empty if there was none. */
+    public Optional<CommandState> latest(CommandTarget target) {
+        return Optional.ofNullable(commands.get(target));
     }
 
-    public boolean isInForce(String target) {
+    /** Whether a command on the target is in force. */
+    public boolean isInForce(CommandTarget target) {
         CommandState state = commands.get(target);
         return state != null && state.inForce();
     }
 
-    /** All of them, by target. */
-    public Map<String, CommandState> all() {
+    /** A read-only view of all commands, ordered by their targets' keys. */
+    public Map<CommandTarget, CommandState> all() {
         return Collections.unmodifiableMap(commands);
     }
 }
--- a/decisions/src/test/java/frostreel/operation/MaintenanceOverlayTest.java
+++ b/decisions/src/test/java/frostreel/operation/MaintenanceOverlayTest.java
@@ -18,11 +18,15 @@
         return new Router.Member(id, 0, 0, 1, false, state, 1, startedUs);
     }
 
+    private Router.Member effective(String serverId) {
+        return overlay.effective(serverId).orElseThrow();
+    }
+
     @Test
     void aSuspendedServerDrainsWhateverDiscoveryListsUntilItIsRestored() {
         overlay.apply(true, List.of(member("a", State.UP, 0), member("b", State.UP, 0)));
-        commands.issue(100, MaintenanceOverlay.target("a"), true);
-        assertThat(overlay.effective("a").state()).isEqualTo(State.DRAINING);
+        commands.issue(100, CommandTarget.server("a"), true);
+        assertThat(effective("a").state()).isEqualTo(State.DRAINING);
         assertThat(overlay.apply(false, List.of(member("a", State.UP, 0))))
                 .extracting(Router.Member::state)
                 .containsExactly(State.DRAINING);
@@ -33,16 +37,16 @@
         assertThat(overlay.apply(false, List.of(member("a", State.UP, 150))))
                 .extracting(Router.Member::state)
                 .containsExactly(State.DRAINING);
-        commands.issue(200, MaintenanceOverlay.target("a"), false);
-        assertThat(overlay.effective("a").state()).isEqualTo(State.UP);
+        commands.issue(200, CommandTarget.server("a"), false);
+        assertThat(effective("a").state()).isEqualTo(State.UP);
     }
 
     @Test
     void restoringCountsAsAStartUntilDiscoveryReportsOneSinceTheSuspension() {
         overlay.apply(true, List.of(member("a", State.UP, 5)));
-        commands.issue(100, MaintenanceOverlay.target("a"), true);
-        commands.issue(200, MaintenanceOverlay.target("a"), false);
-        assertThat(overlay.effective("a").startedUs()).isEqualTo(200);
+        commands.issue(100, CommandTarget.server("a"), true);
+        commands.issue(200, CommandTarget.server("a"), false);
+        assertThat(effective("a").startedUs()).isEqualTo(200);
         assertThat(overlay.apply(false, List.of(member("a", State.UP, 5))))
                 .extracting(Router.Member::startedUs)
                 .containsExactly(200L);
@@ -54,26 +58,26 @@
     @Test
     void restoringOnceUndoesTwoSuspensionsAndRestoringWithoutOneIsHarmless() {
         overlay.apply(true, List.of(member("a", State.UP, 0)));
-        assertThat(commands.issue(50, MaintenanceOverlay.target("a"), false)).isFalse();
-        assertThat(overlay.effective("a").startedUs()).isZero();
-        commands.issue(100, MaintenanceOverlay.target("a"), true);
-        assertThat(commands.issue(110, MaintenanceOverlay.target("a"), true)).isFalse();
-        commands.issue(200, MaintenanceOverlay.target("a"), false);
-        assertThat(overlay.effective("a").state()).isEqualTo(State.UP);
+        assertThat(commands.issue(50, CommandTarget.server("a"), false)).isFalse();
+        assertThat(effective("a").startedUs()).isZero();
+        commands.issue(100, CommandTarget.server("a"), true);
+        assertThat(commands.issue(110, CommandTarget.server("a"), true)).isFalse();
+        commands.issue(200, CommandTarget.server("a"), false);
+        assertThat(effective("a").state()).isEqualTo(State.UP);
         assertThat(overlay.outOfService()).isEmpty();
     }
 
     @Test
     void aRestoredServerIsAsDiscoveryLastListedIt() {
         overlay.apply(true, List.of(member("a", State.UP, 0), member("b", State.UP, 0)));
-        commands.issue(100, MaintenanceOverlay.target("a"), true);
-        commands.issue(100, MaintenanceOverlay.target("b"), true);
+        commands.issue(100, CommandTarget.server("a"), true);
+        commands.issue(100, CommandTarget.server("b"), true);
         overlay.apply(false, List.of(member("a", State.DRAINING, 0)));
         overlay.apply(true, List.of(member("a", State.DRAINING, 0)));
-        commands.issue(200, MaintenanceOverlay.target("a"), false);
-        commands.issue(200, MaintenanceOverlay.target("b"), false);
-        assertThat(overlay.effective("a").state()).isEqualTo(State.DRAINING);
-        assertThat(overlay.effective("b").state()).isEqualTo(State.GONE);
+        commands.issue(200, CommandTarget.server("a"), false);
+        commands.issue(200, CommandTarget.server("b"), false);
+        assertThat(effective("a").state()).isEqualTo(State.DRAINING);
+        assertThat(effective("b").state()).isEqualTo(State.GONE);
     }
 
     @Test
@@ -92,11 +96,11 @@
     void commandsMergedInAnyOrderConverge() {
         Random random = new Random(7);
         for (int round = 0; round < 2000; round++) {
-            record Recorded(String target, OperatorCommands.CommandState state) {}
+            record Recorded(CommandTarget target, CommandState state) {}
             List<Recorded> all = new ArrayList<>();
             for (int i = 0; i < 5; i++) {
                 long atUs = random.nextInt(4);
-                all.add(new Recorded("s" + random.nextInt(2), new OperatorCommands.CommandState(random.nextBoolean(), atUs, atUs)));
+                all.add(new Recorded(CommandTarget.server("s" + random.nextInt(2)), new CommandState(random.nextBoolean(), atUs, atUs)));
             }
             OperatorCommands one = new OperatorCommands();
             all.forEach(recorded -> one.merge(recorded.target(), recorded.state()));
--- a/pooler/src/main/java/frostreel/control/AdminConnection.java
+++ b/pooler/src/main/java/frostreel/control/AdminConnection.java
@@ -7,12 +7,13 @@
 import java.nio.charset.StandardCharsets;
 import org.xnio.StreamConnection;
 
-/** One operator's call: takes one line of bounded length, answers it with one, and ends. */
+/** One operator's connection: reads one line of bounded length, answers it with one line, and closes. */
 final class AdminConnection implements SocketStream.Handler {
-    private static final int MAX_LINE_BYTES = 512;
-    /** So long after connecting, a whole line must have come; some callers need four seconds and more. */
+    /** The longest line that is accepted, without its line feed. */
+    static final int MAX_LINE_BYTES = 512;
+    /** How long after connecting a whole line must have come; some callers need four seconds and more. */
     private static final long REQUEST_TIMEOUT_US = 10_000_000;
-    /** So long the caller may take to close after its answer: to close with bytes unread may lose that. */
+    /** How long the caller may take to close after its reply: closing with bytes unread could lose that. */
     private static final long LINGER_US = 500_000;
 
     private final EventLoop loop;
@@ -30,12 +31,13 @@
         stream = new SocketStream(loop, connection, this);
     }
 
+    /** Starts to read. */
     void begin() {
         timeout = loop.deadlines().after(REQUEST_TIMEOUT_US, this::closeSilent);
         stream.resumeReads();
     }
 
-    /** It has said nothing whole for too long, or others need its place. */
+    /** Closes a connection that has not sent a whole line in time, or whose place another caller needs. */
     void closeSilent() {
         if (!requestRead) {
             loop.counters().callersSilent++;
@@ -49,19 +51,20 @@
             byte next = in.get();
             if (next == '\n') {
                 requestRead = true;
-                listener.commands().execute(new String(line, 0, lineLength, StandardCharsets.US_ASCII), this::reply);
+                String request = new String(line, 0, lineLength, StandardCharsets.US_ASCII);
+                listener.commands().execute(request, this::reply);
             } else if (lineLength == MAX_LINE_BYTES) {
-                loop.counters().callsRefused++;
                 requestRead = true;
-                reply("ERR a line of more than " + MAX_LINE_BYTES + " bytes");
+                loop.counters().callsRefused++;
+                reply(AdminReply.LINE_TOO_LONG);
             } else {
                 line[lineLength++] = next;
             }
         }
     }
 
-    private void reply(String text) {
-        stream.write((text + "\n").getBytes(StandardCharsets.US_ASCII));
+    private void reply(AdminReply reply) {
+        stream.write((reply.line() + "\n").getBytes(StandardCharsets.US_ASCII));
         stream.end();
         if (!closed) {
             loop.deadlines().cancel(timeout);
--- a/pooler/src/main/java/frostreel/control/AdminListener.java
+++ b/pooler/src/main/java/frostreel/control/AdminListener.java
@@ -11,17 +11,20 @@
 import org.xnio.StreamConnection;
 
 /**
- * Owns the socket at which operators call, and the callers' connections: places of their own, out of the
- * descriptors that are kept for the program itself, which neither clients nor silent callers can use up.
+ * The admin endpoint: owns the socket at which operators call, and their connections. These have places of
+ * their own, taken from the descriptors reserved for the program itself, so that neither clients nor silent
+ * callers can keep an operator out.
  */
 public final class AdminListener {
-    /** So many callers at once; where there are more, the one that has been silent for longest is closed. */
+    /** The most callers at once; one more closes the connection that has been silent for longest. */
     private static final int MAX_CALLERS = 24;
 
     private static final int BACKLOG = 256;
     private final EventLoop loop;
     private final CommandExecutor commands;
+    /** The caller that connected first comes first. */
     private final Set<AdminConnection> callers = new LinkedHashSet<>();
+
     private final Acceptor acceptor;
 
     public AdminListener(EventLoop loop, CommandExecutor commands) {
@@ -30,18 +33,18 @@
         acceptor = new Acceptor(loop, "a caller", this::onAccepted);
     }
 
+    /** Listens at the address, and accepts from then on. */
     public void open(InetSocketAddress address) throws IOException {
-        acceptor.open(
-                address,
-                false,
-                OptionMap.builder()
-                        .set(Options.TCP_NODELAY, true)
-                        .set(Options.REUSE_ADDRESSES, true)
-                        .set(Options.BACKLOG, BACKLOG)
-                        .getMap());
+        OptionMap options = OptionMap.builder()
+                .set(Options.TCP_NODELAY, true)
+                .set(Options.REUSE_ADDRESSES, true)
+                .set(Options.BACKLOG, BACKLOG)
+                .getMap();
+        acceptor.open(address, false, options);
         acceptor.resume();
     }
 
+    /** Where it listens. */
     public InetSocketAddress address() {
         return acceptor.address();
     }
--- /dev/null
+++ b/pooler/src/main/java/frostreel/control/AdminReply.java
@@ -0,0 +1,44 @@
+package frostreel.control;
+
+import frostreel.operation.ReadinessStatus;
+
+/** The replies of the operators' protocol. */
+enum AdminReply {
+    DONE(true, "OK"),
+    /** Applied here, but a successor of this process would not know of it yet. */
+    DONE_NOT_DURABLE(true, "OK but cannot be kept for a successor"),
+    STARTING(false, "ERR starting"),
+    DRAINING(false, "ERR emptied"),
+    STOPPING(false, "ERR stopping"),
+    UNKNOWN_SERVER(false, "ERR no server has that id"),
+    UNKNOWN_COMMAND(false, "ERR no such call: STATUS, SUSPEND ID, RESTORE ID, PAUSE, RESUME"),
+    LINE_TOO_LONG(false, "ERR a line of more than " + AdminConnection.MAX_LINE_BYTES + " bytes");
+
+    private final boolean success;
+    private final String line;
+
+    AdminReply(boolean success, String line) {
+        this.success = success;
+        this.line = line;
+    }
+
+    /** Whether the request was carried out. */
+    boolean isSuccess() {
+        return success;
+    }
+
+    /** The reply as it is sent, without its line feed. */
+    String line() {
+        return line;
+    }
+
+    /** The reply to a question on the status. */
+    static AdminReply of(ReadinessStatus status) {
+        return switch (status) {
+            case READY -> DONE;
+            case STARTING -> STARTING;
+            case DRAINING -> DRAINING;
+            case STOPPING -> STOPPING;
+        };
+    }
+}
--- a/pooler/src/main/java/frostreel/control/CommandExecutor.java
+++ b/pooler/src/main/java/frostreel/control/CommandExecutor.java
@@ -4,180 +4,164 @@
 import frostreel.config.EndpointList;
 import frostreel.net.EventLoop;
 import frostreel.net.ServerPool;
+import frostreel.operation.CommandState;
+import frostreel.operation.CommandTarget;
 import frostreel.operation.MaintenanceOverlay;
 import frostreel.operation.OperatorCommands;
 import frostreel.operation.ReadinessStatus;
 import frostreel.operation.ServingLifecycle;
 import frostreel.routing.Router;
 import java.nio.file.Path;
-import java.util.ArrayList;
-import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
 import java.util.logging.Logger;
 
 /**
- * Carries operators' orders out, and lays those on servers over discovery's lists on their way in. An order
- * is carried out before its answer is given. Owned by the I/O thread.
+ * Applies operators' commands, given to this process or replicated from another one, to the serving lifecycle
+ * and to the endpoints. A command has taken effect before it is answered. Confined to the event loop.
  */
 public final class CommandExecutor {
     private static final Logger LOG = Logger.getLogger(CommandExecutor.class.getName());
-    /** The target that an order to take no clients is on. */
-    private static final String CLIENTS = "clients";
+    private static final String UNPRINTABLE = "[^ -~]";
 
     private final EventLoop loop;
     private final ServingLifecycle lifecycle;
-    private final ServerPool pool;
-    private final Broker broker;
     private final Runnable sweepClients;
     private final OperatorCommands commands = new OperatorCommands();
     private final MaintenanceOverlay overlay = new MaintenanceOverlay(commands);
-    /** Null where nothing outlasts an end. */
+    private final EndpointPublisher endpoints;
     private final CommandReplicator replicator;
 
-    private int changes;
-
     /**
-     * {@code sweep}: looks through the clients, as the lifecycle then has it; {@code folder}: where orders outlast
-     * an end, null for nowhere; {@code life}: this process's own name among those that keep orders there.
+     * @param sweepClients closes the clients that the lifecycle no longer lets stay
+     * @param folder where commands outlast this process, null if they do not
+     * @param incarnation the name of this process among all that use the folder
      */
-    public CommandExecutor(EventLoop loop, ServingLifecycle lifecycle, ServerPool pool, Broker broker, Runnable sweepClients, Path folder, String incarnation) {
+    public CommandExecutor(
+            EventLoop loop,
+            ServingLifecycle lifecycle,
+            ServerPool pool,
+            Broker broker,
+            Runnable sweepClients,
+            Path folder,
+            String incarnation) {
         this.loop = loop;
         this.lifecycle = lifecycle;
-        this.pool = pool;
-        this.broker = broker;
         this.sweepClients = sweepClients;
-        replicator = folder == null ? null : new CommandReplicator(loop, folder, incarnation);
+        endpoints = new EndpointPublisher(overlay, pool, broker);
+        replicator = folder == null ? CommandReplicator.NONE : new FileCommandReplicator(loop, folder, incarnation);
     }
 
     /**
-     * Takes over what other lives left, and from then on what others hear. {@code then} runs once the first
-     * is done, within seconds whatever the disk does: until then no client may be served.
+     * Restores the commands of earlier processes, and follows those of others from then on.
+     *
+     * @param whenRestored runs once commands are restored, within seconds even if the disk fails; no client may
+     *     be served before
      */
-    public void start(Runnable then) {
-        if (replicator == null) {
-            then.run();
-            return;
-        }
+    public void start(Runnable whenRestored) {
         replicator.restore(this::merge, () -> {
-            if (!commands.all().isEmpty()) { // The files of older lives do not stay for good.
-                replicator.publish(Map.copyOf(commands.all()), failure -> {});
+            if (!commands.all().isEmpty()) { // Files of old incarnations are removed in time: keep a copy.
+                replicator.publish(snapshot(), durability -> {});
             }
             replicator.watch(this::merge);
-            then.run();
+            whenRestored.run();
         });
     }
 
-    private void merge(Map<String, OperatorCommands.CommandState> heard) {
-        heard.forEach((target, order) -> {
-            if (commands.merge(target, order)) {
-                LOG.info("operators, by another process: " + target + (order.inForce() ? " in force" : " ended"));
-                takeEffect(target);
-            }
-        });
+    /** Takes an endpoint list, of discovery's or the one cached from before the start. */
+    public void onEndpointList(EndpointList list, Router.ListKind kind) {
+        endpoints.publish(list, kind);
     }
 
-    /** Brings what an order is on into the state that it is in now. */
-    private void takeEffect(String target) {
-        if (target.equals(CLIENTS)) {
-            if (commands.isInForce(target)) {
-                lifecycle.pause(loop.clock().now());
-                loop.deadlines().at(lifecycle.closeIdleAtUs(), sweepClients);
-            } else {
-                lifecycle.resume();
-            }
+    /** The commands in force, as shown by {@code SHOW operation}. */
+    public String statusPage() {
+        return "clients=" + lifecycle.status().wireName() + " out=" + overlay.outOfService();
+    }
+
+    /** Carries out one line of the operators' protocol; it is answered once all that it asks for is done. */
+    void execute(String line, Consumer<AdminReply> replyTo) {
+        Effect effect = apply(AdminRequestParser.parse(line));
+        if (!effect.changedCommands()) {
+            complete(line, effect.reply(), replyTo);
             return;
         }
-        String id = MaintenanceOverlay.serverId(target);
-        Router.Member effective = id == null ? null : overlay.effective(id);
-        if (effective != null) {
-            pool.state(id, effective.state());
-            broker.members(Router.ListKind.CHANGES, List.of(effective));
-            pool.withdraw();
-        }
+        replicator.publish(snapshot(), durability -> {
+            boolean durable = durability == Durability.DURABLE;
+            complete(line, durable ? effect.reply() : AdminReply.DONE_NOT_DURABLE, replyTo);
+        });
     }
 
-    /** Takes discovery's word, or the list known from the start; all members come through here. */
-    public void onEndpointList(EndpointList list, Router.ListKind kind) {
-        boolean complete = kind != Router.ListKind.CHANGES;
-        List<Router.Member> effective = overlay.apply(
-                complete, list.hosts().stream().map(EndpointList.Host::member).toList());
-        List<EndpointList.Host> hosts = new ArrayList<>(effective.size());
-        for (int i = 0; i < effective.size(); i++) {
-            hosts.add(new EndpointList.Host(effective.get(i), list.hosts().get(i).dial()));
+    private record Effect(AdminReply reply, boolean changedCommands) {
+        static Effect none(AdminReply reply) {
+            return new Effect(reply, false);
         }
-        pool.addresses(hosts, complete);
-        broker.members(kind, effective);
-        pool.withdraw();
     }
 
-    /** Answers one call by a line that begins with OK or with ERR, once that is true. */
-    void execute(String line, Consumer<String> replyTo) {
-        String[] words = line.trim().split(" +");
-        int changesBefore = changes;
-        String answer = switch (words.length == 1 ? words[0] : words.length == 2 ? words[0] + " ID" : "") {
-            case "STATUS" -> lifecycle.status() == ReadinessStatus.READY ? "OK" : no(state());
-            case "PAUSE" -> pause();
-            case "RESUME" -> resume();
-            case "SUSPEND ID" -> server(words[1], true);
-            case "RESTORE ID" -> server(words[1], false);
-            default -> no("no such call: STATUS, SUSPEND ID, RESTORE ID, PAUSE, RESUME");
+    private Effect apply(AdminRequest request) {
+        return switch (request.verb()) {
+            case STATUS -> Effect.none(AdminReply.of(lifecycle.status()));
+            case PAUSE -> issue(CommandTarget.CLIENTS, true);
+            case RESUME -> resume();
+            case SUSPEND -> issueOnServer(request.serverId(), true);
+            case RESTORE -> issueOnServer(request.serverId(), false);
+            case UNKNOWN -> Effect.none(AdminReply.UNKNOWN_COMMAND);
         };
-        if (changes == changesBefore || replicator == null) {
-            answer(line, answer, replyTo);
-        } else {
-            replicator.publish(
-                    Map.copyOf(commands.all()),
-                    failure -> answer(line, failure == null ? answer : answer + " but " + failure, replyTo));
-        }
     }
 
-    private void answer(String line, String answer, Consumer<String> replyTo) {
-        if (answer.startsWith("OK")) {
-            loop.counters().callsDone++;
-        } else {
-            loop.counters().callsRefused++;
+    private Effect resume() {
+        if (lifecycle.status() == ReadinessStatus.STOPPING) {
+            return Effect.none(AdminReply.STOPPING);
         }
-        LOG.info("operators: " + line.replaceAll("[^ -~]", "?") + ": " + answer);
-        replyTo.accept(answer);
+        return issue(CommandTarget.CLIENTS, false);
     }
 
-    private String state() {
-        return lifecycle.status().wireName();
+    private Effect issueOnServer(String serverId, boolean inForce) {
+        if (!overlay.knows(serverId)) {
+            return Effect.none(AdminReply.UNKNOWN_SERVER);
+        }
+        return issue(CommandTarget.server(serverId), inForce);
     }
 
-    private static String no(String why) {
-        return "ERR " + why;
+    private Effect issue(CommandTarget target, boolean inForce) {
+        boolean changed = commands.issue(loop.clock().now(), target, inForce);
+        if (changed) {
+            takeEffect(target);
+        }
+        return new Effect(AdminReply.DONE, changed);
     }
 
-    private String pause() {
-        return issue(CLIENTS, true);
+    private void merge(Map<CommandTarget, CommandState> recorded) {
+        recorded.forEach((target, state) -> {
+            if (commands.merge(target, state)) {
+                LOG.info("operators, by another process: " + target + (state.inForce() ? " in force" : " ended"));
+                takeEffect(target);
+            }
+        });
     }
 
-    private String resume() {
-        if (lifecycle.status() == ReadinessStatus.STOPPING) {
-            return no("stopping");
+    /** Brings the target into the state that its last command leaves it in. */
+    private void takeEffect(CommandTarget target) {
+        if (!target.equals(CommandTarget.CLIENTS)) {
+            target.serverId().ifPresent(endpoints::republish);
+        } else if (commands.isInForce(target)) {
+            lifecycle.pause(loop.clock().now());
+            loop.deadlines().at(lifecycle.closeIdleAtUs(), sweepClients);
+        } else {
+            lifecycle.resume();
         }
-        return issue(CLIENTS, false);
     }
 
-    private String issue(String target, boolean inForce) {
-        if (commands.issue(loop.clock().now(), target, inForce)) {
-            changes++;
-            takeEffect(target);
-        }
-        return "OK";
+    private Map<CommandTarget, CommandState> snapshot() {
+        return Map.copyOf(commands.all());
     }
 
-    private String server(String id, boolean out) {
-        if (!overlay.knows(id)) {
-            return no("no server has that id");
+    private void complete(String line, AdminReply reply, Consumer<AdminReply> replyTo) {
+        if (reply.isSuccess()) {
+            loop.counters().callsDone++;
+        } else {
+            loop.counters().callsRefused++;
         }
-        return issue(MaintenanceOverlay.target(id), out);
-    }
-
-    /** What is in force, for whoever asks by {@code SHOW operation}. */
-    public String statusPage() {
-        return "clients=" + state() + " out=" + overlay.outOfService();
+        LOG.info("operators: " + line.replaceAll(UNPRINTABLE, "?") + ": " + reply.line());
+        replyTo.accept(reply);
     }
 }
--- /dev/null
+++ b/pooler/src/main/java/frostreel/control/CommandFileFormat.java
@@ -0,0 +1,105 @@
+package frostreel.control;
+
+import frostreel.operation.CommandState;
+import frostreel.operation.CommandTarget;
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
+import java.util.Arrays;
+import java.util.HashMap;
+import java.util.Map;
+import java.util.zip.CRC32C;
+import org.json.JSONException;
+import org.json.JSONObject;
+
+/**
+ * The form of a file of operators' commands: a line with the checksum of the rest in hexadecimal, then a JSON
+ * object. Processes of older and newer versions read these files, so the form and its keys are fixed.
+ */
+final class CommandFileFormat {
+    private static final int VERSION = 1;
+    private static final int CHECKSUM_CHARS = 8;
+    /** The checksum and its line feed. */
+    private static final int HEADER_BYTES = CHECKSUM_CHARS + 1;
+    /** Far more than the commands that operators ever have in force: a longer file is not of this form. */
+    private static final int MAX_BYTES = 1 << 18;
+
+    private static final String KEY_VERSION = "version";
+    private static final String KEY_INCARNATION = "life";
+    private static final String KEY_COMMANDS = "orders";
+    private static final String KEY_IN_FORCE = "inForce";
+    private static final String KEY_IN_FORCE_SINCE_US = "sinceUs";
+    private static final String KEY_CHANGED_AT_US = "atUs";
+
+    private CommandFileFormat() {}
+
+    /** The bytes of a file with these commands. */
+    static byte[] encode(String incarnation, Map<CommandTarget, CommandState> commands) {
+        JSONObject states = new JSONObject();
+        commands.forEach((target, state) -> states.put(target.key(), encode(state)));
+        byte[] body = new JSONObject()
+                .put(KEY_VERSION, VERSION)
+                .put(KEY_INCARNATION, incarnation)
+                .put(KEY_COMMANDS, states)
+                .toString()
+                .getBytes(StandardCharsets.UTF_8);
+        byte[] header = (checksum(body) + "\n").getBytes(StandardCharsets.US_ASCII);
+        return ByteBuffer.allocate(header.length + body.length)
+                .put(header)
+                .put(body)
+                .array();
+    }
+
+    private static JSONObject encode(CommandState state) {
+        return new JSONObject()
+                .put(KEY_IN_FORCE, state.inForce())
+                .put(KEY_IN_FORCE_SINCE_US, state.inForceSinceUs())
+                .put(KEY_CHANGED_AT_US, state.changedAtUs());
+    }
+
+    /** The commands that a file holds. */
+    static Map<CommandTarget, CommandState> decode(byte[] file) throws CorruptCommandFileException {
+        byte[] body = verifiedBody(file);
+        try {
+            return decode(new JSONObject(new String(body, StandardCharsets.UTF_8)));
+        } catch (JSONException e) {
+            throw new CorruptCommandFileException(e.getMessage(), e);
+        }
+    }
+
+    private static byte[] verifiedBody(byte[] file) throws CorruptCommandFileException {
+        if (file.length > MAX_BYTES || file.length < HEADER_BYTES || file[CHECKSUM_CHARS] != '\n') {
+            throw new CorruptCommandFileException("a file of " + file.length + " bytes without its checksum");
+        }
+        byte[] body = Arrays.copyOfRange(file, HEADER_BYTES, file.length);
+        String expected = new String(file, 0, CHECKSUM_CHARS, StandardCharsets.US_ASCII);
+        if (!checksum(body).equals(expected)) {
+            throw new CorruptCommandFileException("its checksum does not fit");
+        }
+        return body;
+    }
+
+    private static String checksum(byte[] body) {
+        CRC32C crc = new CRC32C();
+        crc.update(body);
+        return String.format("%08x", crc.getValue());
+    }
+
+    private static Map<CommandTarget, CommandState> decode(JSONObject json) throws CorruptCommandFileException {
+        int version = json.getInt(KEY_VERSION);
+        if (version != VERSION) {
+            throw new CorruptCommandFileException("version " + version + " is not known here");
+        }
+        Map<CommandTarget, CommandState> commands = new HashMap<>();
+        JSONObject states = json.getJSONObject(KEY_COMMANDS);
+        for (String key : states.keySet()) {
+            JSONObject state = states.getJSONObject(key);
+            commands.put(
+                    new CommandTarget(key),
+                    new CommandState(
+                            state.getBoolean(KEY_IN_FORCE),
+                            state.getLong(KEY_IN_FORCE_SINCE_US),
+                            state.getLong(KEY_CHANGED_AT_US)));
+        }
+        return commands;
+    }
+}
--- /dev/null
+++ b/pooler/src/main/java/frostreel/control/EndpointPublisher.java
@@ -0,0 +1,53 @@
+package frostreel.control;
+
+import frostreel.broker.Broker;
+import frostreel.config.EndpointList;
+import frostreel.net.ServerPool;
+import frostreel.operation.MaintenanceOverlay;
+import frostreel.routing.Router;
+import java.util.ArrayList;
+import java.util.List;
+
+/**
+ * Passes discovered servers on to the server pool and the router, as the operators' commands have them. Every
+ * endpoint list comes through here. Confined to the event loop.
+ */
+final class EndpointPublisher {
+    private final MaintenanceOverlay overlay;
+    private final ServerPool pool;
+    private final Broker broker;
+
+    EndpointPublisher(MaintenanceOverlay overlay, ServerPool pool, Broker broker) {
+        this.overlay = overlay;
+        this.pool = pool;
+        this.broker = broker;
+    }
+
+    /** Publishes an endpoint list. */
+    void publish(EndpointList list, Router.ListKind kind) {
+        boolean complete = kind != Router.ListKind.CHANGES;
+        List<Router.Member> listed =
+                list.hosts().stream().map(EndpointList.Host::member).toList();
+        List<Router.Member> effective = overlay.apply(complete, listed);
+        pool.addresses(withAddressesOf(list, effective), complete);
+        broker.members(kind, effective);
+        pool.withdraw();
+    }
+
+    private static List<EndpointList.Host> withAddressesOf(EndpointList list, List<Router.Member> members) {
+        List<EndpointList.Host> hosts = new ArrayList<>(members.size());
+        for (int i = 0; i < members.size(); i++) {
+            hosts.add(new EndpointList.Host(members.get(i), list.hosts().get(i).dial()));
+        }
+        return hosts;
+    }
+
+    /** Publishes one server anew, after a command on it; does nothing if discovery has not listed it. */
+    void republish(String serverId) {
+        overlay.effective(serverId).ifPresent(member -> {
+            pool.state(serverId, member.state());
+            broker.members(Router.ListKind.CHANGES, List.of(member));
+            pool.withdraw();
+        });
+    }
+}
--- a/pooler/src/test/java/frostreel/control/CommandStoreTest.java
+++ b/pooler/src/test/java/frostreel/control/CommandStoreTest.java
@@ -4,7 +4,8 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import frostreel.net.EventLoop;
-import frostreel.operation.OperatorCommands;
+import frostreel.operation.CommandState;
+import frostreel.operation.CommandTarget;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -18,7 +19,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 class CommandStoreTest {
-    private static final Map<String, OperatorCommands.CommandState> SUSPENDED = Map.of("server a", new OperatorCommands.CommandState(true, 5, 5));
+    private static final Map<CommandTarget, CommandState> SUSPENDED = Map.of(CommandTarget.server("a"), new CommandState(true, 5, 5));
 
     @TempDir
     Path dir;
@@ -44,7 +45,7 @@
         CommandStore two = store("two");
         assertThat(two.readOthers().commands()).isEqualTo(SUSPENDED);
         assertThat(two.readOthers().commands()).as("read once").isEmpty();
-        Map<String, OperatorCommands.CommandState> later = Map.of("server a", new OperatorCommands.CommandState(false, 5, 9));
+        Map<CommandTarget, CommandState> later = Map.of(CommandTarget.server("a"), new CommandState(false, 5, 9));
         two.write(later);
         assertThat(one.readOthers().commands()).isEqualTo(later);
         assertThat(store("three").readOthers().commands()).as("the last command wins").isEqualTo(later);
@@ -132,13 +133,13 @@
     void aFailedWriteIsRetriedUntilTheDiskTakesIt() throws Exception {
         Path inItsPlace = Files.writeString(dir.resolve("orders"), "a file in its place");
         EventLoop loop = new EventLoop();
-        CommandReplicator replicator = new CommandReplicator(loop, dir.resolve("orders"), "one");
-        CompletableFuture<String> answer = new CompletableFuture<>();
-        loop.thread().execute(() -> replicator.publish(SUSPENDED, failure -> answer.complete("" + failure)));
-        assertThat(answer.get()).isEqualTo("cannot be kept for a successor");
+        CommandReplicator replicator = new FileCommandReplicator(loop, dir.resolve("orders"), "one");
+        CompletableFuture<Durability> durability = new CompletableFuture<>();
+        loop.thread().execute(() -> replicator.publish(SUSPENDED, durability::complete));
+        assertThat(durability.get()).isEqualTo(Durability.NOT_DURABLE);
         Files.delete(inItsPlace);
         CommandStore successor = store("two");
-        Map<String, OperatorCommands.CommandState> found = successor.readOthers().commands();
+        Map<CommandTarget, CommandState> found = successor.readOthers().commands();
         while (found.isEmpty()) {
             Thread.onSpinWait();
             found = successor.readOthers().commands();
--- a/pooler/src/test/java/frostreel/control/ProcessWithoutCommitTableTest.java
+++ b/pooler/src/test/java/frostreel/control/ProcessWithoutCommitTableTest.java
@@ -2,7 +2,8 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import frostreel.operation.OperatorCommands;
+import frostreel.operation.CommandState;
+import frostreel.operation.CommandTarget;
 import frostreel.operation.SharedCommitTable;
 import frostreel.routing.Router.Outcome;
 import java.io.IOException;
@@ -19,8 +20,8 @@
  */
 class ProcessWithoutCommitTableTest {
     private static final long NOW_US = 1_000_000_000;
-    private static final Map<String, OperatorCommands.CommandState> SUSPENDED = Map.of("server a", new OperatorCommands.CommandState(true, 5, 5));
-    private static final Map<String, OperatorCommands.CommandState> RESTORED = Map.of("server a", new OperatorCommands.CommandState(false, 5, 9));
+    private static final Map<CommandTarget, CommandState> SUSPENDED = Map.of(CommandTarget.server("a"), new CommandState(true, 5, 5));
+    private static final Map<CommandTarget, CommandState> RESTORED = Map.of(CommandTarget.server("a"), new CommandState(false, 5, 9));
 
     @TempDir
     Path dir;
