--- a/decisions/src/test/java/frostreel/operation/MaintenanceOverlayTest.java
+++ b/decisions/src/test/java/frostreel/operation/MaintenanceOverlayTest.java
@@ -4,10 +4,7 @@
 
 import frostreel.routing.Router;
 import frostreel.routing.Router.State;
-import java.util.ArrayList;
-import java.util.Collections;
 import java.util.List;
-import java.util.Random;
 import org.junit.jupiter.api.Test;
 
 class MaintenanceOverlayTest {
@@ -93,21 +90,13 @@
     }
 
     @Test
-    void commandsMergedInAnyOrderConverge() {
-        Random random = new Random(7);
-        for (int round = 0; round < 2000; round++) {
-            record Recorded(CommandTarget target, CommandState state) {}
-            List<Recorded> all = new ArrayList<>();
-            for (int i = 0; i < 5; i++) {
-                long atUs = random.nextInt(4);
-                all.add(new Recorded(CommandTarget.server("s" + random.nextInt(2)), new CommandState(random.nextBoolean(), atUs, atUs)));
-            }
-            OperatorCommands one = new OperatorCommands();
-            all.forEach(recorded -> one.merge(recorded.target(), recorded.state()));
-            Collections.shuffle(all, random);
-            OperatorCommands other = new OperatorCommands();
-            all.forEach(recorded -> other.merge(recorded.target(), recorded.state()));
-            assertThat(other.all()).isEqualTo(one.all());
-        }
+    void commandsOnTargetsOfAnotherKindAreKeptWithoutEffect() {
+        CommandTarget unknown = new CommandTarget("zone a");
+        overlay.apply(true, List.of(member("a", State.UP, 0)));
+        commands.merge(unknown, new CommandState(true, 5, 5));
+        commands.merge(CommandTarget.CLIENTS, new CommandState(true, 5, 5));
+        assertThat(overlay.outOfService()).isEmpty();
+        assertThat(effective("a").state()).isEqualTo(State.UP);
+        assertThat(commands.all()).containsKey(unknown);
     }
 }
--- /dev/null
+++ b/decisions/src/test/java/frostreel/operation/OperatorCommandsTest.java
@@ -0,0 +1,74 @@
+package frostreel.operation;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.List;
+import java.util.Random;
+import org.junit.jupiter.api.Test;
+
+class OperatorCommandsTest {
+    private static final CommandTarget SERVER = CommandTarget.server("a");
+    private final OperatorCommands commands = new OperatorCommands();
+
+    private CommandState state() {
+        return commands.latest(SERVER).orElseThrow();
+    }
+
+    @Test
+    void aCommandThatChangesNothingIsNotRecorded() {
+        assertThat(commands.issue(5, SERVER, false)).as("never in force").isFalse();
+        assertThat(commands.latest(SERVER)).isEmpty();
+        assertThat(commands.issue(10, SERVER, true)).isTrue();
+        assertThat(commands.issue(20, SERVER, true)).isFalse();
+        assertThat(state()).isEqualTo(new CommandState(true, 10, 10));
+    }
+
+    @Test
+    void aRevokedCommandSaysWhenItCameIntoForceLast() {
+        commands.issue(10, SERVER, true);
+        commands.issue(30, SERVER, false);
+        assertThat(state()).isEqualTo(new CommandState(false, 10, 30));
+        assertThat(commands.isInForce(SERVER)).isFalse();
+        commands.issue(40, SERVER, true);
+        assertThat(state()).isEqualTo(new CommandState(true, 40, 40));
+    }
+
+    @Test
+    void aLaterCommandHasALaterTimeThoughTheClockDidNotAdvance() {
+        commands.issue(10, SERVER, true);
+        commands.issue(10, SERVER, false);
+        assertThat(state()).isEqualTo(new CommandState(false, 10, 11));
+        commands.issue(3, SERVER, true);
+        assertThat(state()).isEqualTo(new CommandState(true, 12, 12));
+    }
+
+    @Test
+    void ofTwoChangesAtOneInstantTheOneInForceWins() {
+        assertThat(commands.merge(SERVER, new CommandState(false, 5, 10))).isTrue();
+        assertThat(commands.merge(SERVER, new CommandState(true, 10, 10))).isTrue();
+        assertThat(commands.merge(SERVER, new CommandState(false, 5, 10))).isFalse();
+        assertThat(commands.isInForce(SERVER)).isTrue();
+    }
+
+    @Test
+    void commandsMergedInAnyOrderConverge() {
+        record Recorded(CommandTarget target, CommandState state) {}
+        Random random = new Random(7);
+        for (int round = 0; round < 2000; round++) {
+            List<Recorded> all = new ArrayList<>();
+            for (int i = 0; i < 5; i++) {
+                long atUs = random.nextInt(4);
+                CommandTarget target = CommandTarget.server("s" + random.nextInt(2));
+                all.add(new Recorded(target, new CommandState(random.nextBoolean(), atUs, atUs)));
+            }
+            OperatorCommands one = new OperatorCommands();
+            all.forEach(recorded -> one.merge(recorded.target(), recorded.state()));
+            Collections.shuffle(all, random);
+            OperatorCommands other = new OperatorCommands();
+            all.forEach(recorded -> other.merge(recorded.target(), recorded.state()));
+            assertThat(other.all()).isEqualTo(one.all());
+        }
+    }
+}
