--- a/pooler/src/main/java/frostreel/control/CommandExecutor.java
+++ b/pooler/src/main/java/frostreel/control/CommandExecutor.java
@@ -133,7 +133,7 @@
     private void merge(Map<CommandTarget, CommandState> recorded) {
         recorded.forEach((target, state) -> {
             if (commands.merge(target, state)) {
-                LOG.info("operators, by another process: " + target + (state.inForce() ? " in force" : " ended"));
+                LOG.info("operator command from another process: " + target + (state.inForce() ? " in force" : " ended"));
                 takeEffect(target);
             }
         });
@@ -161,7 +161,7 @@
         } else {
             loop.counters().callsRefused++;
         }
-        LOG.info("operators: " + line.replaceAll(UNPRINTABLE, "?") + ": " + reply.line());
+        LOG.info("operator command: " + line.replaceAll(UNPRINTABLE, "?") + ": " + reply.line());
         replyTo.accept(reply);
     }
 }
--- a/pooler/src/main/java/frostreel/control/CommandStore.java
+++ b/pooler/src/main/java/frostreel/control/CommandStore.java
@@ -139,7 +139,7 @@
             processed.remove(name); // Its writer has replaced it by a newer one, which the next call reads.
             return true;
         } catch (CorruptCommandFileException e) {
-            LOG.warning("orders in " + name + " are left out: " + e.getMessage());
+            LOG.warning("skipping command file " + name + ": " + e.getMessage());
             return true;
         } catch (IOException e) {
             processed.remove(name);
--- a/pooler/src/main/java/frostreel/control/FileCommandReplicator.java
+++ b/pooler/src/main/java/frostreel/control/FileCommandReplicator.java
@@ -96,7 +96,7 @@
         }
         publish(commands, durability -> {
             if (durability == Durability.DURABLE) {
-                LOG.info("orders are kept for a successor again");
+                LOG.info("storing commands recovered");
             }
         });
     }
@@ -121,7 +121,7 @@
         try {
             store.removeStale();
         } catch (IOException e) {
-            LOG.warning("orders of earlier lives are not cleared away: " + e);
+            LOG.warning("cannot remove stale command files: " + e);
         }
     }
 
@@ -133,9 +133,9 @@
             result = CommandStore.ReadResult.UNREADABLE;
         }
         if (!result.complete() && !readFailing) {
-            LOG.warning("orders of other processes cannot be read; tried again");
+            LOG.warning("cannot read commands of other processes; retrying");
         } else if (result.complete() && readFailing) {
-            LOG.info("orders of other processes are read again");
+            LOG.info("reading commands of other processes recovered");
         }
         readFailing = !result.complete();
         return result;
@@ -146,7 +146,7 @@
             store.write(commands);
             return Durability.DURABLE;
         } catch (IOException e) {
-            LOG.warning("orders cannot be kept for a successor: " + e + "; tried again");
+            LOG.warning("cannot store commands: " + e + "; retrying");
             return Durability.NOT_DURABLE;
         }
     }
--- a/pooler/src/main/java/frostreel/control/PeerProcessCommits.java
+++ b/pooler/src/main/java/frostreel/control/PeerProcessCommits.java
@@ -52,7 +52,7 @@
         }
 
         private static void warn(String reason) {
-            LOG.warning("commits of other processes are not known: " + reason);
+            LOG.warning("commits of peer processes unknown: " + reason);
         }
     }
 }
