--- /dev/null
+++ b/pooler/src/test/java/frostreel/control/StoredFilesOf223cd4eTest.java
@@ -0,0 +1,203 @@
+package frostreel.control;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import frostreel.broker.Clock;
+import frostreel.operation.CommandState;
+import frostreel.operation.CommandTarget;
+import frostreel.operation.SharedCommitTable;
+import frostreel.routing.Router.Outcome;
+import java.io.IOException;
+import java.net.URISyntaxException;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.nio.file.StandardCopyOption;
+import java.security.MessageDigest;
+import java.security.NoSuchAlgorithmException;
+import java.util.Arrays;
+import java.util.HashMap;
+import java.util.HexFormat;
+import java.util.List;
+import java.util.Map;
+import java.util.stream.Stream;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+
+/**
+ * Files that the build of 223cd4e wrote are read as that build reads them, whole and cut short. They stand in the
+ * test resources as it wrote them, with {@code expected.tsv}: what its own classes read from them.
+ */
+class StoredFilesOf223cd4eTest {
+    private static final String RESOURCES = "stored-by-223cd4e";
+    private static final String TAB = "\t";
+    /** The instants that the old build was given when it wrote and read the table of commits. */
+    private static final long WRITTEN_US = 1_764_682_200_000_000L;
+
+    private static final long SECOND_US = 1_000_000;
+    private static final long READ_US = WRITTEN_US + 5 * SECOND_US;
+    private static final long READER_INCARNATION = 0x0123_4567_89ab_cdefL;
+
+    @TempDir
+    Path folder;
+
+    private static Path stored() {
+        try {
+            return Path.of(StoredFilesOf223cd4eTest.class.getResource(RESOURCES).toURI());
+        } catch (URISyntaxException e) {
+            throw new IllegalStateException(e);
+        }
+    }
+
+    private static List<Path> storedCommandFiles() throws IOException {
+        try (Stream<Path> all = Files.list(stored())) {
+            return all.filter(file -> file.toString().endsWith(".orders")).toList();
+        }
+    }
+
+    /** The rows of what the old build read that begin with that word, each without it. */
+    private static List<String[]> expected(String kind) throws IOException {
+        List<String[]> rows = Files.readAllLines(stored().resolve("expected.tsv"), StandardCharsets.UTF_8).stream()
+                .filter(line -> line.startsWith(kind + TAB))
+                .map(line -> line.substring(kind.length() + 1).split(TAB))
+                .toList();
+        assertThat(rows).as(kind).isNotEmpty();
+        return rows;
+    }
+
+    private void copyOfStored(Path file) throws IOException {
+        Files.copy(file, folder.resolve(file.getFileName()), StandardCopyOption.REPLACE_EXISTING);
+    }
+
+    private static String sha256(Path file) throws IOException, NoSuchAlgorithmException {
+        byte[] digest = MessageDigest.getInstance("SHA-256").digest(Files.readAllBytes(file));
+        return HexFormat.of().formatHex(digest);
+    }
+
+    @Test
+    void commandsAreReadAlike() throws Exception {
+        for (Path file : storedCommandFiles()) {
+            copyOfStored(file);
+        }
+        Map<CommandTarget, CommandState> expected = new HashMap<>();
+        for (String[] row : expected("command")) {
+            CommandState state =
+                    new CommandState(Boolean.parseBoolean(row[1]), Long.parseLong(row[2]), Long.parseLong(row[3]));
+            expected.put(new CommandTarget(row[0]), state);
+        }
+        CommandStore.ReadResult result = new CommandStore(folder, "reader").readOthers();
+        assertThat(result.commands()).isEqualTo(expected);
+        assertThat(result.complete())
+                .isEqualTo(Boolean.parseBoolean(expected("commands-complete").get(0)[0]));
+    }
+
+    @Test
+    void commandsAreWrittenToTheSameBytes() throws Exception {
+        for (Path file : storedCommandFiles()) {
+            byte[] whole = Files.readAllBytes(file);
+            String name = file.getFileName().toString();
+            String incarnation = name.substring(0, name.indexOf('-'));
+            assertThat(CommandFileFormat.encode(incarnation, CommandFileFormat.decode(whole)))
+                    .as(name)
+                    .isEqualTo(whole);
+        }
+    }
+
+    @Test
+    void commandsCutShortAreReadAlike() throws Exception {
+        List<String[]> expected = expected("cut-commands");
+        assertThat(expected).hasSameSizeAs(storedCommandFiles());
+        for (String[] row : expected) {
+            byte[] whole = Files.readAllBytes(stored().resolve(row[0]));
+            assertThat(whole).hasSize(Integer.parseInt(row[1]));
+            int nonEmpty = 0;
+            int incomplete = 0;
+            for (int length = 0; length < whole.length; length++) {
+                Files.write(folder.resolve(row[0]), Arrays.copyOf(whole, length));
+                CommandStore.ReadResult result = new CommandStore(folder, "reader").readOthers();
+                nonEmpty += result.commands().isEmpty() ? 0 : 1;
+                incomplete += result.complete() ? 0 : 1;
+            }
+            assertThat(nonEmpty).as(row[0]).isEqualTo(Integer.parseInt(row[2]));
+            assertThat(incomplete).as(row[0]).isEqualTo(Integer.parseInt(row[3]));
+            Files.delete(folder.resolve(row[0]));
+        }
+    }
+
+    @Test
+    void commitsAreReadAndWrittenAlike() throws Exception {
+        copyOfStored(stored().resolve("commits"));
+        CommitTableFile file = CommitTableFile.open(folder);
+        assertThat(file.replacementReason().isPresent())
+                .isEqualTo(Boolean.parseBoolean(expected("commits-replaced").get(0)[0]));
+        SharedCommitTable table = new SharedCommitTable(file, READER_INCARNATION, READ_US);
+        assertThat(sha256(folder.resolve("commits")))
+                .isEqualTo(expected("commits-claimed").get(0)[0]);
+        for (String[] row : expected("bound")) {
+            long nowUs = Long.parseLong(row[0]);
+            long session = Long.parseLong(row[1]);
+            assertThat(table.boundUs(nowUs, session)).as("session %d", session).isEqualTo(Long.parseLong(row[2]));
+        }
+        write(table, 7, Outcome.OK, READ_US + 7_000);
+        write(table, 20, Outcome.TIMEOUT, 0);
+        table.onSent(READ_US + SECOND_US, 21, READ_US + 4 * SECOND_US);
+        table.onHeartbeat(READ_US + SECOND_US + 1);
+        assertThat(sha256(folder.resolve("commits")))
+                .isEqualTo(expected("commits-written").get(0)[0]);
+    }
+
+    private static void write(SharedCommitTable table, long session, Outcome outcome, long positionUs) {
+        long deadlineUs = READ_US + 3 * SECOND_US;
+        table.onSent(READ_US, session, deadlineUs);
+        table.onEnded(READ_US + 8_000, session, deadlineUs, outcome, positionUs);
+    }
+
+    @Test
+    void commitsCutShortAreReplacedAlike() throws Exception {
+        byte[] whole = Files.readAllBytes(stored().resolve("commits"));
+        Path file = folder.resolve("commits");
+        for (String[] row : expected("cut-commits")) {
+            Files.write(file, Arrays.copyOf(whole, Integer.parseInt(row[0])));
+            boolean replaced = CommitTableFile.open(folder).replacementReason().isPresent();
+            assertThat(replaced).as("cut to %s", row[0]).isEqualTo(Boolean.parseBoolean(row[1]));
+            assertThat(sha256(file)).as("cut to %s", row[0]).isEqualTo(row[2]);
+        }
+    }
+
+    /** The boot id in the file is that of the machine that wrote it; this machine's is put in its place. */
+    @Test
+    void theClockWholeAndCutShortIsReadAlike() throws Exception {
+        String written = Files.readString(stored().resolve("clock"), StandardCharsets.US_ASCII);
+        String bootId =
+                Files.readString(Path.of("/proc/sys/kernel/random/boot_id")).strip();
+        String whole = bootId + written.substring(bootId.length());
+        Path file = folder.resolve("clock");
+        for (String[] row : expected("clock")) {
+            String content = whole.substring(0, Integer.parseInt(row[0]));
+            Files.writeString(file, content, StandardCharsets.US_ASCII);
+            Clock clock = ClockAnchor.clock(folder);
+            long earliestUs = System.nanoTime() / 1_000;
+            long nowUs = clock.now();
+            long latestUs = System.nanoTime() / 1_000;
+            if (row[1].equals("replaced")) {
+                assertThat(Files.readString(file))
+                        .as(content)
+                        .isNotEqualTo(content)
+                        .startsWith(bootId + " ");
+            } else {
+                assertThat(Files.readString(file)).as(content).isEqualTo(content);
+                assertThat(nowUs - Long.parseLong(row[1])).as(content).isBetween(earliestUs, latestUs);
+            }
+        }
+    }
+
+    @Test
+    void theClockOfAnotherBootIsReplaced() throws Exception {
+        String written = Files.readString(stored().resolve("clock"), StandardCharsets.US_ASCII);
+        String ofAnotherBoot = "0".repeat(written.indexOf(' ')) + written.substring(written.indexOf(' '));
+        Files.writeString(folder.resolve("clock"), ofAnotherBoot, StandardCharsets.US_ASCII);
+        long beforeUs = Clock.system().now();
+        assertThat(ClockAnchor.clock(folder).now() - beforeUs).isBetween(-1_000L, 60 * SECOND_US);
+        assertThat(Files.readString(folder.resolve("clock"))).isNotEqualTo(ofAnotherBoot);
+    }
+}
