--- a/decisions/src/main/java/frostreel/operation/MaintenanceOverlay.java
+++ b/decisions/src/main/java/frostreel/operation/MaintenanceOverlay.java
@@ -100,8 +100,7 @@
      * server went out of service, the revocation counts as the start.
      */
     private Router.Member effective(Router.Member member) {
-        CommandState state =
-                commands.latest(CommandTarget.server(member.id())).orElse(null);
+        CommandState state = commands.latest(CommandTarget.server(member.id())).orElse(null);
         if (state == null) {
             return member;
         }
--- a/decisions/src/main/java/frostreel/operation/RequestClassRegistry.java
+++ b/decisions/src/main/java/frostreel/operation/RequestClassRegistry.java
@@ -1,7 +1,7 @@
 package frostreel.operation;
 
-import frostreel.routing.Router.RequestClass;
 import frostreel.routing.Router;
+import frostreel.routing.Router.RequestClass;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
--- a/decisions/src/test/java/frostreel/operation/CommandTargetTest.java
+++ b/decisions/src/test/java/frostreel/operation/CommandTargetTest.java
@@ -17,7 +17,9 @@
         assertThat(CommandTarget.server("a b").serverId()).contains("a b");
         assertThat(new CommandTarget("server a").serverId()).contains("a");
         assertThat(CommandTarget.CLIENTS.serverId()).isEmpty();
-        assertThat(new CommandTarget("zone a").serverId()).as("of another version").isEmpty();
+        assertThat(new CommandTarget("zone a").serverId())
+                .as("of another version")
+                .isEmpty();
     }
 
     @Test
--- a/decisions/src/test/java/frostreel/operation/RequestClassRegistryTest.java
+++ b/decisions/src/test/java/frostreel/operation/RequestClassRegistryTest.java
@@ -14,7 +14,8 @@
     private static final long AFTER_TRANSITION_US = RequestClassRegistry.TRANSITION_US;
 
     private static RequestClass requestClass(String name, Access access, Idempotency idempotency) {
-        return new RequestClass(name, access, idempotency, DeduplicationScope.GROUP, 3_000_000, 0, 100_000, 400_000, 1, 0);
+        return new RequestClass(
+                name, access, idempotency, DeduplicationScope.GROUP, 3_000_000, 0, 100_000, 400_000, 1, 0);
     }
 
     private final RequestClass read = requestClass("read", Access.ANY, Idempotency.IDEMPOTENT);
@@ -43,7 +44,8 @@
                 .as("only the new fits")
                 .isEqualTo(2);
         assertThat(registry.number(AFTER_TRANSITION_US, "post", true, true)).isEqualTo(2);
-        registry.change(AFTER_TRANSITION_US, List.of(read, requestClass("post", Access.WRITE, Idempotency.NON_IDEMPOTENT)));
+        registry.change(
+                AFTER_TRANSITION_US, List.of(read, requestClass("post", Access.WRITE, Idempotency.NON_IDEMPOTENT)));
         assertThat(registry.number(AFTER_TRANSITION_US, "post", true, false)).isEqualTo(3);
     }
 
@@ -62,6 +64,7 @@
             registry.change(i, List.of(requestClass("read", Access.ANY, idempotency), post));
         }
         assertThat(registry.all()).hasSize(3);
-        assertThat(registry.number(99 + AFTER_TRANSITION_US, "read", false, false)).isZero();
+        assertThat(registry.number(99 + AFTER_TRANSITION_US, "read", false, false))
+                .isZero();
     }
 }
--- a/decisions/src/test/java/frostreel/operation/ServingLifecycleTest.java
+++ b/decisions/src/test/java/frostreel/operation/ServingLifecycleTest.java
@@ -81,8 +81,7 @@
         boolean handingOver = hasSuccessor && terminated;
         assertThat(lifecycle.state()).isEqualTo(expectedState(history, hasSuccessor));
         assertThat(lifecycle.status()).isEqualTo(expectedStatus(history, hasSuccessor));
-        assertThat(lifecycle.status() == ReadinessStatus.READY)
-                .isEqualTo(history.ready() && !paused && !handingOver);
+        assertThat(lifecycle.status() == ReadinessStatus.READY).isEqualTo(history.ready() && !paused && !handingOver);
         if (!paused && !terminated) {
             checkServing(lifecycle, nowUs);
             assertThat(lifecycle.accepts(nowUs)).isEqualTo(!hasSuccessor || history.ready());
--- a/decisions/src/test/java/frostreel/operation/SharedCommitTableTest.java
+++ b/decisions/src/test/java/frostreel/operation/SharedCommitTableTest.java
@@ -2,8 +2,8 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import frostreel.routing.Router.Outcome;
 import frostreel.routing.Router;
+import frostreel.routing.Router.Outcome;
 import java.util.Arrays;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
@@ -62,13 +62,19 @@
     @Test
     void anAnsweredCommitBindsTheOtherProcessBothWaysAndNoOtherSession() {
         write(before, 10, Outcome.OK, NOW_US - 4_000);
-        assertThat(after.boundUs(NOW_US + 10, SESSION)).as("rounded up to milliseconds").isEqualTo(NOW_US - 3_000);
+        assertThat(after.boundUs(NOW_US + 10, SESSION))
+                .as("rounded up to milliseconds")
+                .isEqualTo(NOW_US - 3_000);
         assertThat(before.boundUs(NOW_US + 10, SESSION)).isZero();
         assertThat(after.boundUs(NOW_US + 10, SESSION + 1)).isZero();
         write(after, 20, Outcome.OK, 0);
-        assertThat(before.boundUs(NOW_US + 2_000, SESSION)).as("the server stated no position").isEqualTo(NOW_US + 1_020);
+        assertThat(before.boundUs(NOW_US + 2_000, SESSION))
+                .as("the server stated no position")
+                .isEqualTo(NOW_US + 1_020);
         write(before, 30, Outcome.OK, NOW_US - 6_000);
-        assertThat(after.boundUs(NOW_US + 10, SESSION)).as("an older one after it").isEqualTo(NOW_US - 3_000);
+        assertThat(after.boundUs(NOW_US + 10, SESSION))
+                .as("an older one after it")
+                .isEqualTo(NOW_US - 3_000);
     }
 
     @Test
--- a/lab/src/test/java/frostreel/lab/processes/UpgradesTest.java
+++ b/lab/src/test/java/frostreel/lab/processes/UpgradesTest.java
@@ -94,7 +94,8 @@
                 <call pooler="1" atS="0.9" line="RESTORE" on="1"/>
                 <upgrade pooler="0" atS="1"/>
                 <upgrade pooler="1" atS="1"/>""", ALL_ANSWERED + "<upgrades atLeast=\"2\"/>");
-        assertThat(log("p0-2")).contains("skipping command file spoilt-00000001.orders", "from another process: server");
+        assertThat(log("p0-2"))
+                .contains("skipping command file spoilt-00000001.orders", "from another process: server");
         assertThat(log("p1-1")).contains("OK but cannot be kept");
     }
 
--- a/pooler/src/main/java/frostreel/Pooler.java
+++ b/pooler/src/main/java/frostreel/Pooler.java
@@ -159,7 +159,8 @@
     /** Where no tiers are stated, nothing of zones is so much as loaded. */
     private Router router(Config config, OperatorSettings operators, Router.Settings settings, Router.Actions actions) {
         if (operators.zones() == null) {
-            return new ChainRouter(settings, actions, new NearestZonePolicy(settings.zone()), peerProcesses.peerCommits());
+            return new ChainRouter(
+                    settings, actions, new NearestZonePolicy(settings.zone()), peerProcesses.peerCommits());
         }
         advice = new ZoneFailoverPolicy(
                 settings,
--- a/pooler/src/main/java/frostreel/control/CommandExecutor.java
+++ b/pooler/src/main/java/frostreel/control/CommandExecutor.java
@@ -133,7 +133,8 @@
     private void merge(Map<CommandTarget, CommandState> recorded) {
         recorded.forEach((target, state) -> {
             if (commands.merge(target, state)) {
-                LOG.info("operator command from another process: " + target + (state.inForce() ? " in force" : " ended"));
+                LOG.info("operator command from another process: " + target
+                        + (state.inForce() ? " in force" : " ended"));
                 takeEffect(target);
             }
         });
--- a/pooler/src/main/java/frostreel/control/FileCommandReplicator.java
+++ b/pooler/src/main/java/frostreel/control/FileCommandReplicator.java
@@ -63,12 +63,15 @@
 
     @Override
     public void watch(Receiver receiver) {
-        loop.deadlines().after(POLL_INTERVAL_US, () -> runTask(this::read, result -> {
-            if (!result.commands().isEmpty()) {
-                receiver.accept(result.commands());
-            }
-            watch(receiver);
-        }));
+        loop.deadlines()
+                .after(
+                        POLL_INTERVAL_US,
+                        () -> runTask(this::read, result -> {
+                            if (!result.commands().isEmpty()) {
+                                receiver.accept(result.commands());
+                            }
+                            watch(receiver);
+                        }));
     }
 
     @Override
--- a/pooler/src/main/java/frostreel/net/ClientConnection.java
+++ b/pooler/src/main/java/frostreel/net/ClientConnection.java
@@ -296,11 +296,7 @@
             answer(
                     status == ReadinessStatus.READY
                             ? Messages.emptyQueryResponse()
-                            : Messages.error(
-                                    false,
-                                    Messages.STARTING,
-                                    "takes no clients: " + status.wireName(),
-                                    null));
+                            : Messages.error(false, Messages.STARTING, "takes no clients: " + status.wireName(), null));
             return;
         }
         Supplier<String> page = listener.page(body);
--- a/pooler/src/main/java/frostreel/net/Listener.java
+++ b/pooler/src/main/java/frostreel/net/Listener.java
@@ -2,8 +2,8 @@
 
 import frostreel.broker.Broker;
 import frostreel.broker.SlotTable;
-import frostreel.operation.RequestClassRegistry;
 import frostreel.operation.ReadinessStatus;
+import frostreel.operation.RequestClassRegistry;
 import frostreel.operation.ServingLifecycle;
 import frostreel.pg.Statement;
 import java.io.IOException;
@@ -63,7 +63,13 @@
 
     /** Of the {@code usualClients} that come to ask, three quarters may stay without a bound on idle ones. */
     public Listener(
-            EventLoop loop, Broker broker, ServingLifecycle lifecycle, RequestClassRegistry classes, int maxClients, int usualClients, long seed) {
+            EventLoop loop,
+            Broker broker,
+            ServingLifecycle lifecycle,
+            RequestClassRegistry classes,
+            int maxClients,
+            int usualClients,
+            long seed) {
         this.loop = loop;
         secrets = new SplittableRandom(seed).split();
         this.broker = broker;
--- a/pooler/src/test/java/frostreel/control/AdminReplyTest.java
+++ b/pooler/src/test/java/frostreel/control/AdminReplyTest.java
@@ -30,15 +30,17 @@
     @Test
     void successIsWhatBeginsWithOk() {
         for (AdminReply reply : AdminReply.values()) {
-            assertThat(reply.isSuccess()).as(reply.line()).isEqualTo(reply.line().startsWith("OK"));
+            assertThat(reply.isSuccess())
+                    .as(reply.line())
+                    .isEqualTo(reply.line().startsWith("OK"));
         }
     }
 
     @Test
     void aStatusIsAnsweredByItsWord() {
         assertThat(AdminReply.of(ReadinessStatus.READY)).isEqualTo(AdminReply.DONE);
-        for (ReadinessStatus status : List.of(
-                ReadinessStatus.STARTING, ReadinessStatus.DRAINING, ReadinessStatus.STOPPING)) {
+        for (ReadinessStatus status :
+                List.of(ReadinessStatus.STARTING, ReadinessStatus.DRAINING, ReadinessStatus.STOPPING)) {
             assertThat(AdminReply.of(status).line()).isEqualTo("ERR " + status.wireName());
         }
     }
--- a/pooler/src/test/java/frostreel/control/AdminRequestParserTest.java
+++ b/pooler/src/test/java/frostreel/control/AdminRequestParserTest.java
@@ -28,7 +28,8 @@
 
     @Test
     void allElseIsUnknown() {
-        for (String line : List.of("", " ", "SUSPEND", "RESTORE", "STATUS a", "PAUSE a b", "status", "UNKNOWN", "SUSPEND\ta")) {
+        for (String line :
+                List.of("", " ", "SUSPEND", "RESTORE", "STATUS a", "PAUSE a b", "status", "UNKNOWN", "SUSPEND\ta")) {
             assertThat(AdminRequestParser.parse(line).verb()).as(line).isEqualTo(Verb.UNKNOWN);
         }
     }
--- a/pooler/src/test/java/frostreel/control/CommandStoreTest.java
+++ b/pooler/src/test/java/frostreel/control/CommandStoreTest.java
@@ -19,7 +19,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 class CommandStoreTest {
-    private static final Map<CommandTarget, CommandState> SUSPENDED = Map.of(CommandTarget.server("a"), new CommandState(true, 5, 5));
+    private static final Map<CommandTarget, CommandState> SUSPENDED =
+            Map.of(CommandTarget.server("a"), new CommandState(true, 5, 5));
 
     @TempDir
     Path dir;
@@ -48,7 +49,9 @@
         Map<CommandTarget, CommandState> later = Map.of(CommandTarget.server("a"), new CommandState(false, 5, 9));
         two.write(later);
         assertThat(one.readOthers().commands()).isEqualTo(later);
-        assertThat(store("three").readOthers().commands()).as("the last command wins").isEqualTo(later);
+        assertThat(store("three").readOthers().commands())
+                .as("the last command wins")
+                .isEqualTo(later);
     }
 
     @Test
@@ -62,7 +65,9 @@
             byte[] changed = whole.clone();
             changed[i] ^= 4;
             Files.write(file, changed);
-            assertThat(store("two").readOthers().commands()).as("changed at %d", i).isEmpty();
+            assertThat(store("two").readOthers().commands())
+                    .as("changed at %d", i)
+                    .isEmpty();
         }
         Files.write(file, whole);
         assertThat(store("two").readOthers().commands()).isEqualTo(SUSPENDED);
--- a/pooler/src/test/java/frostreel/control/ProcessWithoutCommitTableTest.java
+++ b/pooler/src/test/java/frostreel/control/ProcessWithoutCommitTableTest.java
@@ -20,8 +20,10 @@
  */
 class ProcessWithoutCommitTableTest {
     private static final long NOW_US = 1_000_000_000;
-    private static final Map<CommandTarget, CommandState> SUSPENDED = Map.of(CommandTarget.server("a"), new CommandState(true, 5, 5));
-    private static final Map<CommandTarget, CommandState> RESTORED = Map.of(CommandTarget.server("a"), new CommandState(false, 5, 9));
+    private static final Map<CommandTarget, CommandState> SUSPENDED =
+            Map.of(CommandTarget.server("a"), new CommandState(true, 5, 5));
+    private static final Map<CommandTarget, CommandState> RESTORED =
+            Map.of(CommandTarget.server("a"), new CommandState(false, 5, 9));
 
     @TempDir
     Path dir;
