--- a/lab/src/test/java/frostreel/lab/virtual/RandomScenario.java
+++ b/lab/src/test/java/frostreel/lab/virtual/RandomScenario.java
@@ -12,6 +12,7 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
+import java.util.function.BiFunction;
 import java.util.function.Consumer;
 import org.json.JSONArray;
 import org.json.JSONObject;
@@ -24,8 +25,13 @@
 
     /** Plays it; the seed is the draw's own. */
     Simulation play() throws MalformedMessageException {
+        return play(ChainRouter::new);
+    }
+
+    /** Plays it with other routers. */
+    Simulation play(BiFunction<Router.Settings, Router.Actions, Router> maker) throws MalformedMessageException {
         JSONObject fleet = json.getJSONObject("fleet");
-        Simulation world = new Simulation(plan(fleet), ChainRouter::new);
+        Simulation world = new Simulation(plan(fleet), maker);
         world.uneven(fleet.getDouble("uneven"));
         for (Object e : json.getJSONArray("events")) {
             schedule(world, (JSONObject) e);
