--- a/pooler/src/main/java/frostreel/Pooler.java
+++ b/pooler/src/main/java/frostreel/Pooler.java
@@ -208,7 +208,7 @@
             }
             if (calls != null) {
                 calls.open(config.control());
-                LOG.info("operators call at " + calls.address());
+                LOG.info("admin endpoint listening on " + calls.address());
             }
             listening.countDown();
             becomeReady();
@@ -261,7 +261,7 @@
                 named.start();
             }
             inForce = config;
-            LOG.info("the new configuration holds");
+            LOG.info("configuration reloaded");
         });
     }
 
--- a/pooler/src/main/java/frostreel/fleet/ClusterMember.java
+++ b/pooler/src/main/java/frostreel/fleet/ClusterMember.java
@@ -47,7 +47,7 @@
                 .forEach(p -> LOG.info("fleet: " + p.name() + " is here, life " + p.life()));
         view.left(before).forEach(p -> LOG.warning("GW_FLEET: " + p.name() + " is gone, life " + p.life()));
         if (view.merged()) {
-            LOG.info("fleet: parts that were apart are one again");
+            LOG.info("fleet: cluster partition healed");
         }
     }
 
--- a/pooler/src/main/java/frostreel/net/Acceptor.java
+++ b/pooler/src/main/java/frostreel/net/Acceptor.java
@@ -162,7 +162,7 @@
     private void recovered() {
         if (failingSinceUs != 0) {
             long ms = (loop.clock().now() - failingSinceUs) / 1000;
-            LOG.info("accepting " + accepted + " goes on after " + ms + " ms, " + failures + " failures");
+            LOG.info("accept recovered after " + ms + " ms, " + failures + " failures (" + accepted + ")");
             failingSinceUs = 0;
             failures = 0;
         }
--- a/pooler/src/test/java/frostreel/LongValuesTest.java
+++ b/pooler/src/test/java/frostreel/LongValuesTest.java
@@ -210,7 +210,7 @@
     private static int port(BufferedReader log) throws IOException {
         int port = 0;
         for (String line = log.readLine(); line != null; line = log.readLine()) {
-            if (line.contains("listening on /127.0.0.1:")) {
+            if (line.contains(": listening on /127.0.0.1:")) {
                 port = Integer.parseInt(line.replaceAll(".*127.0.0.1:(\\d+) as .*", "$1"));
             } else if (line.endsWith(" ready")) {
                 return port;
--- a/pooler/src/test/java/frostreel/ServingTest.java
+++ b/pooler/src/test/java/frostreel/ServingTest.java
@@ -753,7 +753,7 @@
                 host("b", replica, "replica", "Ready"))));
         try (BufferedReader log = program.errorReader()) {
             stage.lists.add(list(1, false));
-            String listening = PoolerHarness.await(log, "listening on /127.0.0.1:");
+            String listening = PoolerHarness.await(log, ": listening on /127.0.0.1:");
             PoolerHarness.await(log, "ready");
             assertThat(stage.told.take()).isEqualTo("told");
             int port = Integer.parseInt(listening.replaceAll(".*127.0.0.1:(\\d+) .*", "$1"));
@@ -789,7 +789,7 @@
                 host("b", replica, "replica", "Ready"))));
         try (BufferedReader log = program.errorReader()) {
             stage.lists.add(list(1, false));
-            String listening = PoolerHarness.await(log, "listening on /127.0.0.1:");
+            String listening = PoolerHarness.await(log, ": listening on /127.0.0.1:");
             PoolerHarness.await(log, "ready");
             int port = Integer.parseInt(listening.replaceAll(".*127.0.0.1:(\\d+) .*", "$1"));
             try (PoolerHarness.Link c = new PoolerHarness.Link(new Socket("127.0.0.1", port));
--- a/pooler/src/test/java/frostreel/ShutdownTest.java
+++ b/pooler/src/test/java/frostreel/ShutdownTest.java
@@ -71,8 +71,8 @@
             if (before != Before.NOT_READY) {
                 stage.lists.add(list(1, false));
             }
-            int port = port(PoolerHarness.await(log, "listening on /127.0.0.1:"));
-            int calls = port(PoolerHarness.await(log, "operators call at /127.0.0.1:"));
+            int port = port(PoolerHarness.await(log, ": listening on /127.0.0.1:"));
+            int calls = port(PoolerHarness.await(log, "admin endpoint listening on /127.0.0.1:"));
             if (before != Before.NOT_READY) {
                 PoolerHarness.await(log, "ready");
             }
@@ -119,7 +119,7 @@
         List<PoolerHarness.Link> idle = new ArrayList<>();
         try (BufferedReader log = program.errorReader()) {
             stage.lists.add(list(1, false));
-            int port = port(PoolerHarness.await(log, "listening on /127.0.0.1:"));
+            int port = port(PoolerHarness.await(log, ": listening on /127.0.0.1:"));
             PoolerHarness.await(log, "ready");
             int descriptors = 128;
             new ProcessBuilder(
