--- /dev/null
+++ b/pooler/src/main/java/frostreel/ServingSockets.java
@@ -0,0 +1,93 @@
+package frostreel;
+
+import frostreel.config.Config;
+import frostreel.control.AdminListener;
+import frostreel.net.Listener;
+import frostreel.net.EventLoop;
+import java.io.IOException;
+import java.net.BindException;
+import java.net.InetSocketAddress;
+import java.util.concurrent.CountDownLatch;
+import java.util.logging.Level;
+import java.util.logging.Logger;
+
+/**
+ * Opens the listening sockets at the start, for clients first. An address that is in use or not local ends
+ * the process; a socket that the system refuses for want of descriptors or buffers is retried for a while.
+ */
+final class ServingSockets {
+    private static final long RETRY_FOR_US = 20_000_000;
+    private static final long RETRY_INTERVAL_US = 50_000;
+    private static final Logger LOG = Logger.getLogger(ServingSockets.class.getName());
+
+    private final EventLoop loop;
+    private final Config config;
+    private final Listener clients;
+    /** Null where the configuration has no admin endpoint. */
+    private final AdminListener admin;
+
+    private final Readiness readiness;
+    private final CountDownLatch open = new CountDownLatch(1);
+    private boolean clientsOpen;
+
+    ServingSockets(EventLoop loop, Config config, Listener clients, AdminListener admin, Readiness readiness) {
+        this.loop = loop;
+        this.config = config;
+        this.clients = clients;
+        this.admin = admin;
+        this.readiness = readiness;
+    }
+
+    /** Opens all sockets, now or by retries; on the I/O thread. */
+    void open() {
+        open(loop.clock().now() + RETRY_FOR_US);
+    }
+
+    private void open(long retryUntilUs) {
+        try {
+            openClients();
+            openAdmin();
+            open.countDown();
+            readiness.socketsOpen();
+        } catch (IOException e) {
+            if (e instanceof BindException || loop.clock().now() >= retryUntilUs) {
+                LOG.log(Level.SEVERE, "GW_LISTEN, GW_CONTROL: cannot listen on " + addresses(), e);
+                new Thread(() -> System.exit(1), "exit").start();
+            } else {
+                LOG.warning("cannot listen yet: " + e + "; tried again");
+                loop.deadlines().after(RETRY_INTERVAL_US, () -> open(retryUntilUs));
+            }
+        }
+    }
+
+    private void openClients() throws IOException {
+        if (!clientsOpen) {
+            clients.open(config.listen(), config.inherits());
+            clientsOpen = true;
+            LOG.info("listening on " + clients.address() + " as " + config.name());
+        }
+    }
+
+    private void openAdmin() throws IOException {
+        if (admin != null) {
+            admin.open(config.control());
+            LOG.info("admin endpoint listening on " + admin.address());
+        }
+    }
+
+    private String addresses() {
+        return config.listen() + (admin == null ? "" : " and " + config.control());
+    }
+
+    /** Waits for the sockets and returns the address for clients; not for the I/O thread. */
+    InetSocketAddress clientAddress() throws InterruptedException {
+        open.await();
+        return clients.address();
+    }
+
+    /** Waits for the sockets and returns the admin endpoint, null for none; not for the I/O thread. */
+    InetSocketAddress adminAddress() throws InterruptedException {
+        open.await();
+        return admin == null ? null : admin.address();
+    }
+}
--- a/pooler/src/test/java/frostreel/PoolerHarness.java
+++ b/pooler/src/test/java/frostreel/PoolerHarness.java
@@ -214,7 +214,7 @@
     Pooler pooler;
     OperatorSettings operators = OperatorSettings.DEFAULT;
     /** How long the list known from the start waits for discovery; a test of that wait makes it endless. */
-    long knownPatienceUs = Pooler.KNOWN_PATIENCE_US;
+    long knownPatienceUs = EndpointSource.CONFIGURED_LIST_PATIENCE_US;
     /** How long clients are waited for whose connections were ended; the same. */
     long lingerUs = ServingLifecycle.LINGER_US;
     /** The settings of the pooler that is started. */
