--- a/pooler/src/test/java/frostreel/ClientScript.java
+++ b/pooler/src/test/java/frostreel/ClientScript.java
@@ -37,6 +37,22 @@
         stage.start(host("a", primary, "primary", "Ready"), host("b", replica, "replica", "Ready"));
     }
 
+    /** Stops the pooler on a thread of its own; the I/O thread takes that up before any task given to it later. */
+    Thread stopPooler() {
+        Thread stop = new Thread(() -> {
+            try {
+                stage.pooler.stop();
+            } catch (InterruptedException e) {
+                Thread.currentThread().interrupt();
+            }
+        });
+        stop.start();
+        while (stop.getState() != Thread.State.TIMED_WAITING && stop.isAlive()) {
+            Thread.onSpinWait();
+        }
+        return stop;
+    }
+
     static String value(List<String> answer) {
         assertThat(answer).as("%s", answer).extracting(m -> m.charAt(0)).containsExactly('T', 'D', 'C');
         return answer.get(1).substring(7);
--- a/pooler/src/test/java/frostreel/ClosesTest.java
+++ b/pooler/src/test/java/frostreel/ClosesTest.java
@@ -62,7 +62,7 @@
         try (PoolerHarness.Link asked = stage.client();
                 PoolerHarness.Link silent = stage.client()) {
             assertThat(value(asked.ask(look("1", 300)))).isEqualTo("from-replica");
-            Thread stop = stops();
+            Thread stop = stopPooler();
             whatCrossesTheEndResetsNothingAndIsNotSentOn(asked);
             whatCrossesTheEndResetsNothingAndIsNotSentOn(silent);
             stop.join();
@@ -84,7 +84,7 @@
         stage.whileItStandsStill(
                 DiscoveryWatch.class,
                 () -> {
-                    stop.add(stops()); // The door closes 3.3 s later.
+                    stop.add(stopPooler()); // The door closes 3.3 s later.
                     stage.whileItStandsStill(() -> PoolerHarness.pass(System.nanoTime(), 3_500));
                 },
                 () -> {
@@ -101,22 +101,6 @@
         stop.get(0).join();
     }
 
-    /** From its return on, the I/O thread ends before anything else that is handed to it. */
-    private Thread stops() {
-        Thread stop = new Thread(() -> {
-            try {
-                stage.pooler.stop();
-            } catch (InterruptedException e) {
-                Thread.currentThread().interrupt();
-            }
-        });
-        stop.start();
-        while (stop.getState() != Thread.State.TIMED_WAITING && stop.isAlive()) {
-            Thread.onSpinWait();
-        }
-        return stop;
-    }
-
     /** Two silent clients, one after the other, show that a whole message was long owed. */
     @Test
     void aReaderThatTakesItsTimeIsNotTakenForAClientThatOwesSomething() throws Exception {
--- a/pooler/src/test/java/frostreel/PipelineTest.java
+++ b/pooler/src/test/java/frostreel/PipelineTest.java
@@ -100,10 +100,7 @@
         try (PoolerHarness.Link c = stage.client()) {
             c.send(first(), query(look("dead", PATIENCE_MS)), query(look("live", 9000)));
             PoolerHarness.Link link = firstIsOutAndPatienceOver();
-            Thread stop = PoolerHarness.spawn(stage.pooler::stop);
-            while (stop.getState() != Thread.State.TIMED_WAITING) {
-                Thread.onSpinWait();
-            }
+            stopPooler();
             answerFirst(link);
             assertThat(value(c.takeAnswer())).isEqualTo("of-first");
             isRefused(c.takeAnswer());
--- a/pooler/src/test/java/frostreel/ServingTest.java
+++ b/pooler/src/test/java/frostreel/ServingTest.java
@@ -847,14 +847,7 @@
                 PoolerHarness.Link idle = stage.client()) {
             c.send(query(look("1", 9000)));
             asked.await();
-            Thread stop = new Thread(() -> {
-                try {
-                    stage.pooler.stop();
-                } catch (InterruptedException e) {
-                    Thread.currentThread().interrupt();
-                }
-            });
-            stop.start();
+            Thread stop = stopPooler();
             String last = "";
             for (int i = 0; !last.matches(".*d=(3[0-2]|[12]?.)..,.*"); i++) { // Until SIGKILL, not 9 s.
                 assertThat(value(idle.ask(post("s" + i, 9000)))).isEqualTo("from-primary");
