--- a/pooler/src/test/java/frostreel/GoneClientsTest.java
+++ b/pooler/src/test/java/frostreel/GoneClientsTest.java
@@ -45,32 +45,29 @@
         assertThat(replica.links.get()).isEqualTo(1);
     }
 
-    @Test
-    void whatWaitsForAConnectionIsNotSentOnceItsClientHasGoneThoughNothingMayBeCancelled() throws Exception {
+    /** A client disconnects while its request waits for a connection, with {@code pipelined} unread behind that. */
+    private void disconnectBehind(byte[] pipelined) throws Exception {
         mayNotCancel();
         holdHandshakes();
         start();
-        PoolerHarness.Link c = stage.client();
-        c.send(query(look("gone", 9000)));
+        PoolerHarness.Link client = stage.client();
+        client.send(query(look("gone", 9000)));
         PoolerHarness.Link pending = handshakes.take();
-        c.close();
+        client.send(pipelined);
+        client.close();
         stage.shows("clients_gone=1");
         nothingIsSentBeforeTheNextRequest(pending);
     }
 
-    /** More than a connection's buffers hold behind the request that waits; its end comes after all that. */
+    @Test
+    void whatWaitsForAConnectionIsNotSentOnceItsClientHasGoneThoughNothingMayBeCancelled() throws Exception {
+        disconnectBehind(new byte[0]);
+    }
+
+    /** More than a connection's buffers hold: the end of the connection comes after all that. */
     @Test
     void theEndOfAClientThatSentMuchBehindItsRequestIsSeen() throws Exception {
-        mayNotCancel();
-        holdHandshakes();
-        start();
-        PoolerHarness.Link c = stage.client();
-        c.send(query(look("gone", 9000)));
-        PoolerHarness.Link pending = handshakes.take();
-        c.send(new byte[1_500_000]);
-        c.close();
-        stage.shows("clients_gone=1");
-        nothingIsSentBeforeTheNextRequest(pending);
+        disconnectBehind(new byte[1_500_000]);
     }
 
     /**
