--- a/pooler/src/test/java/frostreel/ClientScript.java
+++ b/pooler/src/test/java/frostreel/ClientScript.java
@@ -37,6 +37,14 @@
         stage.start(host("a", primary, "primary", "Ready"), host("b", replica, "replica", "Ready"));
     }
 
+    /** The configuration of a pooler that knows both members from the start. */
+    String configuration() {
+        return PoolerHarness.configuration(
+                stage.discovery.address(),
+                host("a", primary, "primary", "Ready"),
+                host("b", replica, "replica", "Ready"));
+    }
+
     /** Stops the pooler on a thread of its own; the I/O thread takes that up before any task given to it later. */
     Thread stopPooler() {
         Thread stop = new Thread(() -> {
--- a/pooler/src/test/java/frostreel/LongValuesTest.java
+++ b/pooler/src/test/java/frostreel/LongValuesTest.java
@@ -1,14 +1,11 @@
 package frostreel;
 
-import static frostreel.PoolerHarness.host;
 import static frostreel.PoolerHarness.look;
 import static frostreel.PoolerHarness.post;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import java.io.BufferedReader;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
-import java.net.Socket;
 import java.net.SocketException;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
@@ -206,19 +203,6 @@
         }
     }
 
-    /** Where a program listens, once it is ready. */
-    private static int port(BufferedReader log) throws IOException {
-        int port = 0;
-        for (String line = log.readLine(); line != null; line = log.readLine()) {
-            if (line.contains(": listening on /127.0.0.1:")) {
-                port = Integer.parseInt(line.replaceAll(".*127.0.0.1:(\\d+) as .*", "$1"));
-            } else if (line.endsWith(" ready")) {
-                return port;
-            }
-        }
-        throw new IOException("the program has ended");
-    }
-
     /** Twenty rows of 15 MiB that nobody reads until all have begun: held whole, they are 300 MB. */
     @Test
     void moreAtOnceThanMemoryHoldsWaitsWithItsServers() throws Exception {
@@ -233,30 +217,15 @@
             link.send(TAIL);
         };
         primary.script = replica.script; // While the replica's window is full, reads go there.
-        ProcessBuilder builder = new ProcessBuilder(
-                        ProcessHandle.current().info().command().orElseThrow(),
-                        "-Xmx32m",
-                        "-XX:+ExitOnOutOfMemoryError",
-                        "-cp",
-                        System.getProperty("java.class.path"),
-                        "frostreel.cli.Main",
-                        "serve")
-                .redirectErrorStream(true);
-        builder.environment()
-                .putAll(PoolerHarness.environment(PoolerHarness.configuration(
-                                stage.discovery.address(),
-                                host("a", primary, "primary", "Ready"),
-                                host("b", replica, "replica", "Ready"))
-                        .replace("\"sockets\":128", "\"sockets\":512")));
-        Process program = builder.start();
+        String configuration = configuration().replace("\"sockets\":128", "\"sockets\":512");
         List<PoolerHarness.Link> all = new ArrayList<>();
-        try (BufferedReader log = program.inputReader()) {
-            int port = port(log);
+        try (ServeProcess process = ServeProcess.startWithJvmOptions(
+                List.of("-Xmx32m", "-XX:+ExitOnOutOfMemoryError"), PoolerHarness.environment(configuration))) {
+            int port = process.awaitPort();
+            process.awaitReady();
             for (int i = 0; i < clients; i++) {
-                PoolerHarness.Link c = new PoolerHarness.Link(new Socket("127.0.0.1", port));
+                PoolerHarness.Link c = PoolerHarness.client(port);
                 all.add(c);
-                c.send(PoolerHarness.startup());
-                c.takeAnswer();
                 c.send(PoolerHarness.query(look("n" + i, 9000)));
             }
             for (PoolerHarness.Link c : all) {
@@ -273,7 +242,6 @@
             for (PoolerHarness.Link c : all) {
                 c.close();
             }
-            program.destroyForcibly().waitFor();
         }
     }
 }
--- a/pooler/src/test/java/frostreel/PoolerHarness.java
+++ b/pooler/src/test/java/frostreel/PoolerHarness.java
@@ -4,7 +4,6 @@
 import frostreel.control.CommandExecutor;
 import frostreel.operation.ServingLifecycle;
 import frostreel.settings.OperatorSettings;
-import java.io.BufferedReader;
 import java.io.ByteArrayOutputStream;
 import java.io.DataInputStream;
 import java.io.DataOutputStream;
@@ -403,6 +402,19 @@
         return c;
     }
 
+    /** A connection to a process that listens at this port. */
+    static Link connect(int port) throws IOException {
+        return new Link(new Socket("127.0.0.1", port));
+    }
+
+    /** A client, past its startup, of a process that listens at this port. */
+    static Link client(int port) throws IOException {
+        Link client = connect(port);
+        client.send(startup());
+        client.takeAnswer();
+        return client;
+    }
+
     Socket connect() throws Exception {
         InetSocketAddress at = pooler.address();
         return new Socket(at.getAddress(), at.getPort());
@@ -476,38 +488,6 @@
         return (text, link) -> link.send(error(code), bytes('S', "role|" + role + "|"), READY);
     }
 
-    /** The program as its own process, with these options of {@code serve}. */
-    static Process program(Map<String, String> environment, String... options) throws Exception {
-        List<String> command = new ArrayList<>(List.of(
-                ProcessHandle.current().info().command().orElseThrow(),
-                "-cp",
-                System.getProperty("java.class.path"),
-                "frostreel.cli.Main",
-                "serve"));
-        command.addAll(List.of(options));
-        ProcessBuilder builder = new ProcessBuilder(command);
-        builder.environment().putAll(environment);
-        return builder.start();
-    }
-
-    static void hangUp(Process program) throws Exception {
-        signal(program, "HUP");
-    }
-
-    static void signal(Process program, String name) throws Exception {
-        new ProcessBuilder("kill", "-" + name, Long.toString(program.pid()))
-                .start()
-                .waitFor();
-    }
-
-    static String await(BufferedReader log, String text) throws Exception {
-        String line = log.readLine();
-        while (!line.contains(text)) {
-            line = log.readLine();
-        }
-        return line;
-    }
-
     void strike() throws Exception {
         for (Peer p : peers) {
             p.close();
--- a/pooler/src/test/java/frostreel/ShutdownTest.java
+++ b/pooler/src/test/java/frostreel/ShutdownTest.java
@@ -8,7 +8,6 @@
 import static frostreel.PoolerHarness.row;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import java.io.BufferedReader;
 import java.io.EOFException;
 import java.io.IOException;
 import java.net.Socket;
@@ -46,22 +45,12 @@
     }
 
     private Map<String, String> environment() throws IOException {
-        return PoolerHarness.environment(PoolerHarness.configuration(
-                        stage.discovery.address(),
-                        host("a", primary, "primary", "Ready"),
-                        host("b", replica, "replica", "Ready"))
-                .replace(PoolerHarness.SETTINGS, SHORT));
-    }
-
-    private static int port(String line) {
-        return Integer.parseInt(line.replaceAll(".*127.0.0.1:(\\d+).*", "$1"));
+        return PoolerHarness.environment(configuration().replace(PoolerHarness.SETTINGS, SHORT));
     }
 
     /** Asks until its connection ends; one that is sent when that has ended crosses the end, unanswered. */
     private static void asks(int port, String name, Set<String> answered) throws IOException {
-        try (PoolerHarness.Link c = new PoolerHarness.Link(new Socket("127.0.0.1", port))) {
-            c.send(PoolerHarness.startup());
-            c.takeAnswer();
+        try (PoolerHarness.Link c = PoolerHarness.client(port)) {
             for (int i = 0; true; i++) {
                 c.send(query(look(name + "x" + i, 300)));
                 c.takeAnswer();
@@ -75,15 +64,14 @@
     @ParameterizedTest
     @EnumSource
     void everyRequestThatReachedAServerIsAnsweredAndTheEndIsInOrder(Before before) throws Exception {
-        Process program = PoolerHarness.program(environment());
-        try (BufferedReader log = program.errorReader()) {
+        try (ServeProcess process = ServeProcess.start(environment())) {
             if (before != Before.NOT_READY) {
                 stage.lists.add(list(1, false));
             }
-            int port = port(PoolerHarness.await(log, ": listening on /127.0.0.1:"));
-            int calls = port(PoolerHarness.await(log, "admin endpoint listening on /127.0.0.1:"));
+            int port = process.awaitPort();
+            int calls = process.awaitAdminPort();
             if (before != Before.NOT_READY) {
-                PoolerHarness.await(log, "ready");
+                process.awaitReady();
             }
             Set<String> answered = ConcurrentHashMap.newKeySet();
             List<Thread> clients = new ArrayList<>();
@@ -100,11 +88,11 @@
                     assertThat(new String(s.getInputStream().readAllBytes())).startsWith("OK");
                 }
             }
-            PoolerHarness.signal(program, "TERM");
+            process.signal("TERM");
             if (before == Before.ANOTHER_SIGTERM) {
-                PoolerHarness.signal(program, "TERM");
+                process.signal("TERM");
             }
-            assertThat(program.waitFor()).isEqualTo(143);
+            assertThat(process.awaitExit()).isEqualTo(143);
             for (Thread c : clients) {
                 c.join();
             }
@@ -115,8 +103,6 @@
             }
             reached.removeAll(answered);
             assertThat(reached).isEmpty();
-        } finally {
-            program.destroyForcibly().waitFor();
         }
     }
 
@@ -124,25 +110,24 @@
     @Test
     void idleClientsKeepNeitherDiscoveryNorServersNorOtherClientsOut() throws Exception {
         int many = 3 * PoolerHarness.MAX_CLIENTS;
-        Process program = PoolerHarness.program(environment());
         List<PoolerHarness.Link> idle = new ArrayList<>();
-        try (BufferedReader log = program.errorReader()) {
+        try (ServeProcess process = ServeProcess.start(environment())) {
             stage.lists.add(list(1, false));
-            int port = port(PoolerHarness.await(log, ": listening on /127.0.0.1:"));
-            PoolerHarness.await(log, "ready");
+            int port = process.awaitPort();
+            process.awaitReady();
             int descriptors = 128;
             new ProcessBuilder(
                             "prlimit",
                             "--pid",
-                            Long.toString(program.pid()),
+                            Long.toString(process.pid()),
                             "--nofile=" + descriptors + ":" + descriptors)
                     .start()
                     .waitFor();
             stage.discovery.script = (text, link) -> {}; // From the next call on it is silent.
             stage.lists.add("no list");
-            PoolerHarness.await(log, "the last list is kept");
+            process.awaitLog("the last list is kept");
             for (int i = 0; i < many; i++) {
-                PoolerHarness.Link c = new PoolerHarness.Link(new Socket("127.0.0.1", port));
+                PoolerHarness.Link c = PoolerHarness.connect(port);
                 idle.add(c);
                 c.send(PoolerHarness.startup(), query(look("i" + i, 300)));
                 c.takeAnswer();
@@ -150,14 +135,11 @@
             }
             byte[] drains = PoolerHarness.http(list(2, false, host("b", replica, "replica", "Terminating")));
             stage.discovery.script = (text, link) -> link.send(drains);
-            PoolerHarness.await(log, "discovery answers again");
-            try (PoolerHarness.Link c = new PoolerHarness.Link(new Socket("127.0.0.1", port))) {
-                c.send(PoolerHarness.startup());
-                c.takeAnswer();
+            process.awaitLog("discovery answers again");
+            try (PoolerHarness.Link c = PoolerHarness.client(port)) {
                 assertThat(value(c.ask(look("late", 300)))).isEqualTo("from-primary");
             }
         } finally {
-            program.destroyForcibly().waitFor();
             for (PoolerHarness.Link c : idle) {
                 c.close();
             }
--- a/pooler/src/test/java/frostreel/SighupTest.java
+++ b/pooler/src/test/java/frostreel/SighupTest.java
@@ -3,7 +3,6 @@
 import static frostreel.PoolerHarness.list;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import java.io.BufferedReader;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.HashMap;
@@ -22,49 +21,32 @@
                 new HashMap<>(PoolerHarness.environment(PoolerHarness.configuration(stage.discovery.address())));
         Path file = Path.of(environment.get("GW_CONFIG"));
         environment.put("GW_DISCOVERY", stage.discovery.address()); // As old as the start: the file must win.
-        Process program = PoolerHarness.program(environment);
-        try (BufferedReader log = program.errorReader()) {
+        try (ServeProcess process = ServeProcess.start(environment)) {
             stage.lists.add(list(7, true));
-            PoolerHarness.await(log, "ready");
+            process.awaitReady();
             Files.writeString(file, PoolerHarness.configuration(next.address()).replace("\"n0\"", "7"));
-            PoolerHarness.hangUp(program);
-            PoolerHarness.await(log, "field 'name' is not text; the configuration in force is kept");
+            process.signal("HUP");
+            process.awaitLog("field 'name' is not text; the configuration in force is kept");
             Files.writeString(file, PoolerHarness.configuration(next.address()));
-            PoolerHarness.hangUp(program);
+            process.signal("HUP");
             assertThat(next.next()).startsWith("GET /discovery/hosts HTTP"); // The whole list.
             lists.add(list(3, true));
             assertThat(next.next()).contains("index=3&");
             stage.lists.add(list(8, true)); // To a watch that went on, it would bring its next call.
             stage.discovery.ended.take(); // The old watch has really ended.
-            PoolerHarness.hangUp(program);
-            program.toHandle().destroy(); // Its streams stay open.
-            PoolerHarness.hangUp(program);
-            PoolerHarness.await(log, "stopping");
-            assertThat(program.waitFor()).isEqualTo(143); // By SIGTERM, after its end in order.
-        } finally {
-            program.destroyForcibly();
+            process.signal("HUP");
+            process.signal("TERM");
+            process.signal("HUP");
+            process.awaitLog("stopping");
+            assertThat(process.awaitExit()).isEqualTo(143); // By SIGTERM, after its end in order.
         }
     }
 
     @Test
     void aStartWithHangupsIgnoredIsToldOf() throws Exception {
         Map<String, String> environment = PoolerHarness.environment(PoolerHarness.configuration(stage.discovery.address()));
-        ProcessBuilder builder = new ProcessBuilder(
-                "/bin/sh",
-                "-c",
-                "trap '' HUP; exec \"$@\"",
-                "sh",
-                ProcessHandle.current().info().command().orElseThrow(),
-                "-cp",
-                System.getProperty("java.class.path"),
-                "frostreel.cli.Main",
-                "serve");
-        builder.environment().putAll(environment);
-        Process program = builder.start();
-        try (BufferedReader log = program.errorReader()) {
-            PoolerHarness.await(log, "SIGHUP was ignored at the start");
-        } finally {
-            program.destroyForcibly();
+        try (ServeProcess process = ServeProcess.startWithSighupIgnored(environment)) {
+            process.awaitLog("SIGHUP was ignored at the start");
         }
     }
 
@@ -73,19 +55,17 @@
         Path settings = Files.createTempFile("settings", ".xml");
         String good = "<frostreel xmlns=\"urn:frostreel:settings:1\"><log format=\"json\"/></frostreel>";
         Files.writeString(settings, good);
-        Process program = PoolerHarness.program(
-                PoolerHarness.environment(PoolerHarness.configuration(stage.discovery.address())), "--settings", settings.toString());
-        try (BufferedReader log = program.errorReader()) {
+        Map<String, String> environment =
+                PoolerHarness.environment(PoolerHarness.configuration(stage.discovery.address()));
+        try (ServeProcess process = ServeProcess.start(environment, "--settings", settings.toString())) {
             stage.lists.add(list(7, true));
-            PoolerHarness.await(log, "\"message\":\"ready\"");
+            process.awaitLog("\"message\":\"ready\"");
             Files.writeString(settings, good.replace("json", "xml"));
-            PoolerHarness.hangUp(program);
-            PoolerHarness.await(log, "frostreel/log@format"); // Told in JSON still.
+            process.signal("HUP");
+            process.awaitLog("frostreel/log@format"); // Told in JSON still.
             Files.writeString(settings, good.replace("json", "text"));
-            PoolerHarness.hangUp(program);
-            PoolerHarness.await(log, "INFO frostreel.cli.Serve: the settings of");
-        } finally {
-            program.destroyForcibly();
+            process.signal("HUP");
+            process.awaitLog("INFO frostreel.cli.Serve: the settings of");
         }
         Files.delete(settings);
     }
