--- a/pooler/src/test/java/frostreel/ClosesTest.java
+++ b/pooler/src/test/java/frostreel/ClosesTest.java
@@ -8,7 +8,6 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import frostreel.discovery.DiscoveryWatch;
-import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
@@ -129,11 +128,7 @@
     void muchTooMuchBehindARequestEndsItsClientAfterTheLastAnswerThatIsOwed() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
         primary.script = (text, link) -> {
-            try {
-                answer.await();
-            } catch (InterruptedException e) {
-                throw new IOException(e);
-            }
+            PoolerHarness.await(answer);
             link.send(PoolerHarness.row("late", "primary"), PoolerHarness.READY);
         };
         start();
--- a/pooler/src/test/java/frostreel/LongValuesTest.java
+++ b/pooler/src/test/java/frostreel/LongValuesTest.java
@@ -76,7 +76,7 @@
         CountDownLatch first = new CountDownLatch(1);
         replica.script = (text, link) -> {
             link.send(head(LONG, LONG), Arrays.copyOf(VALUE, 100));
-            await(first);
+            PoolerHarness.await(first);
             link.send(Arrays.copyOfRange(VALUE, 100, LONG));
             for (byte b : TAIL) {
                 link.out.write(b);
@@ -102,14 +102,6 @@
         }
     }
 
-    private static void await(CountDownLatch latch) throws IOException {
-        try {
-            latch.await();
-        } catch (InterruptedException e) {
-            throw new IOException(e);
-        }
-    }
-
     @Test
     void aValueThatBreaksOffEndsTheClientsConnectionAndIsAskedForNowhereElse() throws Exception {
         replica.script = (text, link) -> {
@@ -144,7 +136,7 @@
         CountDownLatch first = new CountDownLatch(1);
         replica.script = (text, link) -> {
             link.send(head(LONG, LONG), Arrays.copyOf(VALUE, LONG / 2));
-            await(first);
+            PoolerHarness.await(first);
         };
         try (PoolerHarness.Link c = stage.client()) {
             c.send(PoolerHarness.query(look("1", 9000)));
@@ -172,7 +164,7 @@
         replica.script = (text, link) -> {
             if (text.contains("id=drip,")) {
                 link.send(head(LONG, LONG), Arrays.copyOf(VALUE, 1));
-                await(go);
+                PoolerHarness.await(go);
                 for (int i = 1; i < 40; i++) {
                     link.out.write(VALUE[i]);
                 }
--- a/pooler/src/test/java/frostreel/OperatorCommandsTest.java
+++ b/pooler/src/test/java/frostreel/OperatorCommandsTest.java
@@ -124,11 +124,7 @@
         CountDownLatch reloaded = new CountDownLatch(1);
         replica.script = (text, link) -> {
             asked.countDown();
-            try {
-                reloaded.await();
-            } catch (InterruptedException e) {
-                throw new java.io.IOException(e);
-            }
+            PoolerHarness.await(reloaded);
             link.send(PoolerHarness.error("XX000"), PoolerHarness.READY);
         };
         try (PoolerHarness.Link open = stage.client();
@@ -180,11 +176,7 @@
         CountDownLatch over = new CountDownLatch(1);
         replica.welcome = (text, link) -> {
             welcomed.countDown();
-            try {
-                over.await();
-            } catch (InterruptedException e) {
-                throw new java.io.IOException(e);
-            }
+            PoolerHarness.await(over);
         };
         try (PoolerHarness.Link c = stage.client()) {
             c.send(PoolerHarness.query(look("1", 9000)));
--- a/pooler/src/test/java/frostreel/PoolerHarness.java
+++ b/pooler/src/test/java/frostreel/PoolerHarness.java
@@ -250,6 +250,15 @@
         return t;
     }
 
+    /** Waits in a peer's script. */
+    static void await(CountDownLatch latch) throws IOException {
+        try {
+            latch.await();
+        } catch (InterruptedException e) {
+            throw new IOException(e);
+        }
+    }
+
     Peer server(Script script) throws IOException {
         Peer p = new Peer(true, script);
         peers.add(p);
--- a/pooler/src/test/java/frostreel/ServerConnectionsTest.java
+++ b/pooler/src/test/java/frostreel/ServerConnectionsTest.java
@@ -7,7 +7,6 @@
 import static frostreel.PoolerHarness.row;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import java.io.IOException;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -39,11 +38,7 @@
             CountDownLatch together = new CountDownLatch(id.equals("e") ? 1 : atOnce);
             servers.put(id, stage.server((text, link) -> {
                 together.countDown();
-                try {
-                    together.await();
-                } catch (InterruptedException ended) {
-                    throw new IOException(ended);
-                }
+                PoolerHarness.await(together);
                 link.send(row(id, "primary"), PoolerHarness.READY);
             }));
             hosts.add(host(id, servers.get(id), "primary", "Ready")
--- a/pooler/src/test/java/frostreel/ShutdownTest.java
+++ b/pooler/src/test/java/frostreel/ShutdownTest.java
@@ -163,11 +163,7 @@
         CountDownLatch answer = new CountDownLatch(1);
         replica.script = (text, link) -> {
             asked.countDown();
-            try {
-                answer.await();
-            } catch (InterruptedException e) {
-                throw new java.io.IOException(e);
-            }
+            PoolerHarness.await(answer);
             link.send(row("late", "replica"), PoolerHarness.READY);
         };
         start();
