--- a/pooler/src/test/java/frostreel/ClientProtocolTest.java
+++ b/pooler/src/test/java/frostreel/ClientProtocolTest.java
@@ -32,7 +32,7 @@
         try (PoolerHarness.Link c = stage.client()) {
             c.ask(post("7", 8000));
             String sent = primary.next();
-            int d = Integer.parseInt(sent.replaceAll(".*,d=(\\d+),.*", "$1").replace("|", ""));
+            int d = PoolerHarness.remainingMs(sent);
             assertThat(d).isBetween(1, 8000);
             assertThat(sent).isEqualTo("Q" + post("7", d) + "|");
         }
--- a/pooler/src/test/java/frostreel/ClosesTest.java
+++ b/pooler/src/test/java/frostreel/ClosesTest.java
@@ -20,20 +20,16 @@
         stage.lingerUs = Long.MAX_VALUE / 2;
     }
 
-    private long requests() {
-        return Long.parseLong(stage.pooler.counters().replaceAll(".* requests=(\\d+) .*", "$1"));
-    }
-
     /** Its end is seen, and then more is sent: a connection that was closed whole would be reset by that. */
     private void whatCrossesTheEndResetsNothingAndIsNotSentOn(PoolerHarness.Link c) throws Exception {
         assertThat(c.endsNext()).isTrue();
-        long before = requests();
+        long before = stage.counter("requests");
         for (int i = 0; i < 3; i++) {
             c.send(query(look("crossed" + i, 9000)));
         }
         assertThat(c.endsNext()).isTrue();
         c.close();
-        assertThat(requests()).isEqualTo(before);
+        assertThat(stage.counter("requests")).isEqualTo(before);
     }
 
     @Test
--- a/pooler/src/test/java/frostreel/DiscoveryTest.java
+++ b/pooler/src/test/java/frostreel/DiscoveryTest.java
@@ -119,10 +119,10 @@
         assertThat(there.next()).startsWith("GET /discovery/hosts HTTP");
         assertThat(there.next()).contains("index=5&");
         theOldOneHasEnded();
-        int failures = failures();
+        long failures = stage.counter("discovery_failures");
         theirs.add(answers(list(6, false)));
         assertThat(there.next()).contains("index=6&"); // The watch that is in force goes on, alone.
-        assertThat(failures()).isEqualTo(failures);
+        assertThat(stage.counter("discovery_failures")).isEqualTo(failures);
         assertThat(there.links.get()).isEqualTo(1);
     }
 
@@ -132,10 +132,6 @@
         assertThat(stage.discovery.ended.take()).isEqualTo("ended");
     }
 
-    private int failures() {
-        return Integer.parseInt(stage.pooler.counters().replaceAll(".* discovery_failures=(\\d+) .*", "$1"));
-    }
-
     /** The list in hand must not age while the agent that a new file names says nothing. */
     @Test
     void untilTheNewDiscoveryHasAnsweredTheOldOneIsObeyed() throws Exception {
--- a/pooler/src/test/java/frostreel/GoneClientsTest.java
+++ b/pooler/src/test/java/frostreel/GoneClientsTest.java
@@ -88,7 +88,7 @@
             c.send(query(look("q" + i, 9000)));
         }
         stage.shows("requests=" + all);
-        int sent = Integer.parseInt(stage.pooler.counters().replaceAll(".* attempts=(\\d+) .*", "$1"));
+        int sent = (int) stage.counter("attempts");
         assertThat(sent).isBetween(1, all / 2); // The others wait for room.
         List<String> inHand = new ArrayList<>();
         List<PoolerHarness.Link> servers = new ArrayList<>();
@@ -97,7 +97,7 @@
         }
         for (PoolerHarness.Peer p : List.of(primary, replica)) {
             for (String text : p.heard) {
-                inHand.add(text.replaceAll(".*id=(\\w+),.*", "$1").replace("|", ""));
+                inHand.add(PoolerHarness.requestId(text));
             }
         }
         stage.whileItStandsStill(() -> {
--- a/pooler/src/test/java/frostreel/LateConnectionsTest.java
+++ b/pooler/src/test/java/frostreel/LateConnectionsTest.java
@@ -114,7 +114,7 @@
             PoolerHarness.pass(sent, 600);
             welcome(late);
             assertThat(value(c.takeAnswer())).isEqualTo("from-replica");
-            int told = Integer.parseInt(replica.next().replaceAll(".*,d=(\\d+).*", "$1"));
+            int told = PoolerHarness.remainingMs(replica.next());
             assertThat(told).isPositive().isLessThanOrEqualTo(8400);
         }
     }
--- a/pooler/src/test/java/frostreel/PausedProcessTest.java
+++ b/pooler/src/test/java/frostreel/PausedProcessTest.java
@@ -50,9 +50,7 @@
                 PoolerHarness.pass(System.nanoTime(), pausedMs);
                 process.resume();
                 assertThat(value(c.takeAnswer())).isEqualTo("from-primary");
-                assertThat(Integer.parseInt(primary.next()
-                                .replaceAll(".*,d=(\\d+),.*", "$1")
-                                .replace("|", "")))
+                assertThat(PoolerHarness.remainingMs(primary.next()))
                         .isLessThanOrEqualTo((int) (9000 - pausedMs));
                 late.takeAnswer();
                 assertThat(late.takeAnswer()).singleElement().asString().contains("|C53300|");
--- a/pooler/src/test/java/frostreel/PipelineTest.java
+++ b/pooler/src/test/java/frostreel/PipelineTest.java
@@ -73,10 +73,9 @@
             assertThat(value(c.takeAnswer())).isEqualTo("of-first");
             isRefused(c.takeAnswer());
             assertThat(value(c.takeAnswer())).isEqualTo("from-replica");
-            assertThat(Integer.parseInt(replica.next()
-                            .replaceAll(".*id=live,.*,d=(\\d+),.*", "$1")
-                            .replace("|", "")))
-                    .isLessThanOrEqualTo(9000 - PATIENCE_MS);
+            String sent = replica.next();
+            assertThat(PoolerHarness.requestId(sent)).isEqualTo("live");
+            assertThat(PoolerHarness.remainingMs(sent)).isLessThanOrEqualTo(9000 - PATIENCE_MS);
             countsTwoAttemptsAndOneRefusal();
         }
     }
@@ -112,8 +111,8 @@
 
     @Test
     void twoHundredCommandsOfAllKindsHaveOneAnswerEachInTheirOrder() throws Exception {
-        replica.script = (text, link) -> link.send(
-                row(text.replaceAll(".*id=(\\w+),.*", "$1").replace("|", ""), "replica"), PoolerHarness.READY);
+        replica.script = (text, link) ->
+                link.send(row(PoolerHarness.requestId(text), "replica"), PoolerHarness.READY);
         holdFirst();
         ByteArrayOutputStream all = new ByteArrayOutputStream();
         all.writeBytes(first());
--- a/pooler/src/test/java/frostreel/PoolerHarness.java
+++ b/pooler/src/test/java/frostreel/PoolerHarness.java
@@ -280,6 +280,21 @@
         return http("Content-Length: " + body.length() + "\r\n", body);
     }
 
+    /** The id of the request that a peer received; a text without one stands for itself. */
+    static String requestId(String received) {
+        return received.replaceAll(".*id=(\\w+),.*", "$1").replace("|", "");
+    }
+
+    /** The time left, in milliseconds, that the request which a peer received states. */
+    static int remainingMs(String received) {
+        return Integer.parseInt(received.replaceAll(".*,d=(\\d+),.*", "$1").replace("|", ""));
+    }
+
+    /** The value of a counter. */
+    long counter(String name) {
+        return Long.parseLong(pooler.counters().replaceAll(".* " + name + "=(\\d+) .*", "$1"));
+    }
+
     /** Waits until the counters show this. */
     void shows(String counter) {
         while (!pooler.counters().contains(" " + counter + " ")) {
--- a/pooler/src/test/java/frostreel/ServerProtocolTest.java
+++ b/pooler/src/test/java/frostreel/ServerProtocolTest.java
@@ -21,7 +21,7 @@
     @Test
     void whatComesBehindAnAnswerIsNeverTakenForTheNextOne() throws Exception {
         replica.script = (text, link) -> {
-            byte[] row = row(text.replaceAll(".*id=(\\w+),.*", "$1").replace("|", ""), "replica");
+            byte[] row = row(PoolerHarness.requestId(text), "replica");
             link.send(row, PoolerHarness.READY, row, PoolerHarness.READY);
         };
         primary.script = replica.script;
--- a/pooler/src/test/java/frostreel/ShutdownTest.java
+++ b/pooler/src/test/java/frostreel/ShutdownTest.java
@@ -99,7 +99,7 @@
             Set<String> reached = new HashSet<>();
             for (PoolerHarness.Peer p : List.of(primary, replica)) {
                 p.heard.forEach(
-                        t -> reached.add(t.replaceAll(".*id=(\\w+),.*", "$1").replace("|", "")));
+                        t -> reached.add(PoolerHarness.requestId(t)));
             }
             reached.removeAll(answered);
             assertThat(reached).isEmpty();
