--- a/pooler/src/test/java/frostreel/ClientCapacityTest.java
+++ b/pooler/src/test/java/frostreel/ClientCapacityTest.java
@@ -13,7 +13,7 @@
 /** The limit on client connections: who is closed to make room, and who is rejected. */
 class ClientCapacityTest extends ClientScript {
     @Test
-    void atTheCapIdleClientsMakeRoomForNewOnes() throws Exception {
+    void idleClientsAreClosedForNewOnesAtTheLimit() throws Exception {
         stage.allMayWait = true;
         start();
         try (PoolerHarness.Link leaver = stage.client()) {
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void clientsThatAskOnceAndStayLeavePlacesForOthersAndInCalmAllStay() throws Exception {
+    void longestIdleClientsAreClosedOnlyAboveTheUsualCount() throws Exception {
         start();
         try (PoolerHarness.Link leaver = stage.client()) { // The one that saw the pooler become ready has gone, too.
             leaver.send(PoolerHarness.bytes('X', ""));
@@ -76,7 +76,7 @@
     }
 
     @Test
-    void anIdleClientWhoseRequestWaitsUnreadIsNotClosedButAnswered() throws Exception {
+    void idleClientWithUnreadRequestIsAnsweredNotClosed() throws Exception {
         primary.script = (text, link) -> {
             if (!text.startsWith("QINSERT")) {
                 link.send(row("from-primary", "primary"), PoolerHarness.READY);
@@ -118,7 +118,7 @@
     }
 
     @Test
-    void silentClientsKeepNobodyOutAndAreToldAndClosed() throws Exception {
+    void silentClientsAreNotifiedAndClosedAndBlockNobody() throws Exception {
         start();
         List<PoolerHarness.Link> silent = new ArrayList<>();
         for (int i = 0; i < 2 * PoolerHarness.MAX_CLIENTS; i++) {
@@ -139,7 +139,7 @@
     }
 
     @Test
-    void withNearlyAllPlacesTakenARequestIsRefusedAtOnce() throws Exception {
+    void requestIsRejectedAtOnceNearTheConnectionLimit() throws Exception {
         stage.allMayWait = true;
         replica.script = (text, link) -> {};
         primary.script = replica.script;
--- a/pooler/src/test/java/frostreel/ClientProtocolTest.java
+++ b/pooler/src/test/java/frostreel/ClientProtocolTest.java
@@ -12,7 +12,7 @@
 /** What clients send, byte by byte: statements, malformed input, and answers that are read slowly. */
 class ClientProtocolTest extends ClientScript {
     @Test
-    void startupAndQueriesMayComeTogetherOneByteAtATime() throws Exception {
+    void acceptsStartupAndQueriesOneByteAtATime() throws Exception {
         start();
         try (PoolerHarness.Link c = new PoolerHarness.Link(stage.connect())) {
             for (byte[] part : List.of(PoolerHarness.startup(), query(look("1", 9000)), query(post("2", 9000)))) {
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void aStatementGoesOnUnchangedButForTheTimeToWait() throws Exception {
+    void forwardsStatementUnchangedExceptForTheTimeLeft() throws Exception {
         start();
         try (PoolerHarness.Link c = stage.client()) {
             c.ask(post("7", 8000));
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void malformedInputEndsItsOwnConnectionAlone() throws Exception {
+    void malformedInputClosesOnlyItsOwnConnection() throws Exception {
         start();
         try (PoolerHarness.Link good = stage.client();
                 PoolerHarness.Link bad = stage.client();
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void aSlowReaderGetsEveryValueWholeAndInOrder() throws Exception {
+    void slowReaderReceivesEveryValueCompleteAndInOrder() throws Exception {
         String large = "x".repeat(60_000);
         replica.script = rows(large, "replica");
         start();
@@ -76,7 +76,7 @@
     }
 
     @Test
-    void theIdOfAnOpenRequestIsNotSentASecondTime() throws Exception {
+    void rejectsRequestWhoseIdIsInFlight() throws Exception {
         replica.script = (text, link) -> {};
         start();
         try (PoolerHarness.Link c = stage.client();
@@ -89,7 +89,7 @@
     }
 
     @Test
-    void aStatementInNeitherFormReachesNoServer() throws Exception {
+    void rejectsStatementsOfUnknownForm() throws Exception {
         start();
         try (PoolerHarness.Link c = stage.client()) {
             for (String bad : List.of(
@@ -110,7 +110,7 @@
     }
 
     @Test
-    void theErrorArrivesThoughMuchIsStillUnread() throws Exception {
+    void errorReachesClientWhoseInputIsStillUnread() throws Exception {
         start();
         try (PoolerHarness.Link c = stage.client()) {
             c.send(new byte[] {'Q', 3, -1, -1, -1}, new byte[900_000]);
--- a/pooler/src/test/java/frostreel/ClosesTest.java
+++ b/pooler/src/test/java/frostreel/ClosesTest.java
@@ -21,7 +21,7 @@
     }
 
     /** Its end is seen, and then more is sent: a connection that was closed whole would be reset by that. */
-    private void whatCrossesTheEndResetsNothingAndIsNotSentOn(PoolerHarness.Link c) throws Exception {
+    private void assertBytesAfterCloseAreDroppedWithoutReset(PoolerHarness.Link c) throws Exception {
         assertThat(c.endsNext()).isTrue();
         long before = stage.counter("requests");
         for (int i = 0; i < 3; i++) {
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void bytesThatCrossTheSparingOfAnIdleClientDoNotResetIt() throws Exception {
+    void bytesSentWhileIdleClientIsClosedDoNotResetIt() throws Exception {
         lingerWithoutEnd();
         start();
         List<PoolerHarness.Link> clients = new ArrayList<>();
@@ -41,14 +41,14 @@
             clients.add(stage.client());
             assertThat(value(clients.get(i).ask(look("c" + i, 9000)))).isEqualTo("from-replica");
         }
-        whatCrossesTheEndResetsNothingAndIsNotSentOn(clients.get(0));
+        assertBytesAfterCloseAreDroppedWithoutReset(clients.get(0));
         for (PoolerHarness.Link c : clients) {
             c.close();
         }
     }
 
     @Test
-    void bytesThatCrossTheSweepAtTheEndDoNotResetTheirConnection() throws Exception {
+    void bytesSentDuringShutdownSweepDoNotResetTheConnection() throws Exception {
         lingerWithoutEnd();
         stage.settings = PoolerHarness.SETTINGS
                 .replace("\"deadlineS\":10", "\"deadlineS\":0.3")
@@ -58,8 +58,8 @@
                 PoolerHarness.Link silent = stage.client()) {
             assertThat(value(asked.ask(look("1", 300)))).isEqualTo("from-replica");
             Thread stop = stopPooler();
-            whatCrossesTheEndResetsNothingAndIsNotSentOn(asked);
-            whatCrossesTheEndResetsNothingAndIsNotSentOn(silent);
+            assertBytesAfterCloseAreDroppedWithoutReset(asked);
+            assertBytesAfterCloseAreDroppedWithoutReset(silent);
             stop.join();
         }
     }
@@ -70,7 +70,7 @@
      * sockets: both were due while the thread stood still before.
      */
     @Test
-    void whoWaitsAtTheDoorInTheTurnInWhichItClosesIsAnswered() throws Exception {
+    void clientInBacklogWhenAcceptingEndsIsAnswered() throws Exception {
         stage.startSilent(host("a", primary, "primary", "Ready"));
         stage.discovery.next(); // A call that it gives up after 1.5 s, which it logs.
         stage.untilReady();
@@ -98,7 +98,7 @@
 
     /** Two silent clients, one after the other, show that a whole message was long owed. */
     @Test
-    void aReaderThatTakesItsTimeIsNotTakenForAClientThatOwesSomething() throws Exception {
+    void slowReaderIsNotTakenForASilentClient() throws Exception {
         String large = "x".repeat(60_000);
         replica.script = rows(large, "replica");
         start();
@@ -121,7 +121,7 @@
 
     /** What is held behind a request is bounded: it was not, behind an answer that waited for its reader. */
     @Test
-    void muchTooMuchBehindARequestEndsItsClientAfterTheLastAnswerThatIsOwed() throws Exception {
+    void excessivePipeliningClosesClientAfterItsLastResponse() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
         primary.script = (text, link) -> {
             PoolerHarness.await(answer);
@@ -149,7 +149,7 @@
 
     /** An answer is whole or it is none, wherever its connection ends and however. */
     @Test
-    void anAnswerCutAtAnyByteIsNeverServed() throws Exception {
+    void responseTruncatedAtAnyByteIsNeverServed() throws Exception {
         byte[] whole = PoolerHarness.row("cut", "replica");
         int every = 2; // With either kind of end, at each byte in turn.
         int calm = 5; // Each of them gives a fifth of a further attempt after doubt.
--- a/pooler/src/test/java/frostreel/CrowdedTest.java
+++ b/pooler/src/test/java/frostreel/CrowdedTest.java
@@ -41,20 +41,20 @@
     }
 
     @Test
-    void itIsTheUsualTimeWhereThatIsAllowed() throws Exception {
+    void defaultRetryAfterIsUsedWhereAllowed() throws Exception {
         assertThat(refusal()).contains("|D200|");
         leave();
     }
 
     @Test
-    void itIsNoLongerThanTheSettingsAllow() throws Exception {
+    void retryAfterIsCappedByTheSettings() throws Exception {
         stage.settings = PoolerHarness.SETTINGS.replace("\"maxRetryAfterS\":2", "\"maxRetryAfterS\":0.12");
         assertThat(refusal()).contains("|D120|");
         leave();
     }
 
     @Test
-    void itIsNothingWhereTheSettingsAllowNoneAndNewSettingsCountAtOnce() throws Exception {
+    void noRetryAfterWhereDisabledAndReloadAppliesAtOnce() throws Exception {
         stage.settings = PoolerHarness.SETTINGS.replace("\"retryAfter\":true", "\"retryAfter\":false");
         assertThat(refusal()).doesNotContain("|D");
         stage.settings = PoolerHarness.SETTINGS;
--- a/pooler/src/test/java/frostreel/DiscoveryTest.java
+++ b/pooler/src/test/java/frostreel/DiscoveryTest.java
@@ -54,7 +54,7 @@
 
     /** A silence may cost no more than 6 s; a call that waits again after one would add to it. */
     @Test
-    void afterEachKindOfFailureTheNextCallDoesNotWaitAndItsAnswerIsObeyed() throws Exception {
+    void afterAnyFailureTheNextPollDoesNotWaitAndItsListIsApplied() throws Exception {
         List<List<PoolerHarness.Script>> failures = List.of(
                 List.of(
                         SILENCE,
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void aListWithoutALengthIsWholeAtItsEndAndNotAfterAReset() throws Exception {
+    void listWithoutLengthIsCompleteAtItsEndButNotAfterReset() throws Exception {
         play();
         deeds.add((text, link) -> {
             link.send(http("", told(2, "Terminating")));
@@ -104,7 +104,7 @@
 
     /** A connect that is given up while it is pending must not come back as a second watch. */
     @Test
-    void aWatchThatIsStoppedWhileItsConnectionIsPendingMakesNoFurtherOne() throws Exception {
+    void watchStoppedWhileConnectingMakesNoFurtherConnection() throws Exception {
         play();
         PoolerHarness.Peer away = stage.agent(SILENCE);
         away.close(); // Refused: it fails, and is begun again after a while.
@@ -118,7 +118,7 @@
         theirs.add(answers(list(5, true, host("a", primary, "primary", "Ready"))));
         assertThat(there.next()).startsWith("GET /discovery/hosts HTTP");
         assertThat(there.next()).contains("index=5&");
-        theOldOneHasEnded();
+        assertPreviousWatchHasEnded();
         long failures = stage.counter("discovery_failures");
         theirs.add(answers(list(6, false)));
         assertThat(there.next()).contains("index=6&"); // The watch that is in force goes on, alone.
@@ -127,14 +127,14 @@
     }
 
     /** To a watch that goes on, an answer would bring its next call; an ended one is seen by it. */
-    private void theOldOneHasEnded() throws Exception {
+    private void assertPreviousWatchHasEnded() throws Exception {
         deeds.add(answers(list(99, false)));
         assertThat(stage.discovery.ended.take()).isEqualTo("ended");
     }
 
     /** The list in hand must not age while the agent that a new file names says nothing. */
     @Test
-    void untilTheNewDiscoveryHasAnsweredTheOldOneIsObeyed() throws Exception {
+    void previousDiscoveryStaysInUseUntilTheNewOneAnswers() throws Exception {
         play();
         try (PoolerHarness.Link c = stage.client()) {
             PoolerHarness.Peer silent = stage.agent(SILENCE);
@@ -159,7 +159,7 @@
                     1, true, host("a", primary, "primary", "Ready"), host("b", replica, "replica", "Terminating"))));
             assertThat(answering.next()).startsWith("GET /discovery/hosts HTTP");
             assertThat(answering.next()).contains("index=1&");
-            theOldOneHasEnded();
+            assertPreviousWatchHasEnded();
             assertThat(value(c.ask(look("3", 9000)))).isEqualTo("from-primary");
         }
     }
@@ -168,7 +168,7 @@
             PoolerHarness.SETTINGS.replace("\"stopSendingWithinS\":1", "\"stopSendingWithinS\":0.25");
 
     /** The requests of many clients and the list are found in one turn, in an order that nobody chooses. */
-    private void aShortPauseHidesNothingThatWasTold() throws Exception {
+    private void assertWatchEventsAreAppliedFirstAfterAShortPause() throws Exception {
         CountDownLatch written = new CountDownLatch(1);
         List<PoolerHarness.Link> clients = new ArrayList<>();
         for (int i = 0; i < PoolerHarness.MOST_WAITING; i++) {
@@ -196,24 +196,24 @@
     }
 
     @Test
-    void afterAPauseThatIsShortButLongForTheRuleWhatWasToldGoesFirst() throws Exception {
+    void watchEventsAreAppliedFirstAfterAShortPause() throws Exception {
         stage.settings = STOP_SOON;
         play();
-        aShortPauseHidesNothingThatWasTold();
+        assertWatchEventsAreAppliedFirstAfterAShortPause();
     }
 
     @Test
-    void newSettingsSayWhatALongPauseIs() throws Exception {
+    void reloadChangesWhatCountsAsAPause() throws Exception {
         play();
         stage.settings = STOP_SOON;
         stage.hangUp(stage.discovery);
         stage.shows("reloads=1");
-        aShortPauseHidesNothingThatWasTold();
+        assertWatchEventsAreAppliedFirstAfterAShortPause();
     }
 
     /** An agent that takes longer than the pooler's patience for each answer is heard all the same. */
     @Test
-    void aLateAnswerCountsAndTheCallMadeBesideItIsGivenUp() throws Exception {
+    void lateResponseIsAppliedAndTheSecondPollCancelled() throws Exception {
         play();
         BlockingQueue<PoolerHarness.Link> late = new LinkedBlockingQueue<>();
         deeds.add(END);
--- a/pooler/src/test/java/frostreel/EndpointListTest.java
+++ b/pooler/src/test/java/frostreel/EndpointListTest.java
@@ -12,7 +12,7 @@
 /** Changes of the endpoint list while requests are served. */
 class EndpointListTest extends ClientScript {
     @Test
-    void aListWhoseNumbersWentBackIsAskedForWhole() throws Exception {
+    void listWhoseVersionWentBackIsRequestedInFull() throws Exception {
         stage.startSilent(host("a", primary, "primary", "Ready"));
         stage.lists.add(list(9, false));
         stage.lists.add(list(3, false));
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void aServerThatDrainsGetsNothingNew() throws Exception {
+    void drainingServerReceivesNoNewRequest() throws Exception {
         start();
         try (PoolerHarness.Link c = stage.client()) {
             c.ask(look("1", 9000));
@@ -39,7 +39,7 @@
 
     /** Its handshake may last longer than the rule on drains allows, and the request would follow it. */
     @Test
-    void whatWaitsForAConnectionGoesElsewhereOnceItsServerDrainsOrMoves() throws Exception {
+    void requestWaitingForConnectionMovesWhenItsServerDrainsOrMoves() throws Exception {
         PoolerHarness.Peer moved = stage.server(rows("from-moved", "replica"));
         replica.welcome = (text, link) -> replica.heard.add("a handshake that does not end");
         start();
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void theListStaysWhileDiscoveryIsAway() throws Exception {
+    void lastListStaysInUseWhileDiscoveryIsDown() throws Exception {
         start();
         stage.discovery.close();
         stage.lists.add("not a list");
--- a/pooler/src/test/java/frostreel/FailoverTest.java
+++ b/pooler/src/test/java/frostreel/FailoverTest.java
@@ -13,7 +13,7 @@
 /** Retries on other members after errors, wrong roles, timeouts and broken connections. */
 class FailoverTest extends ClientScript {
     @Test
-    void aWriteMovesOnAfterAMissAndIsNeverAtTwoServers() throws Exception {
+    void writeIsRetriedOnNextMemberAfterWrongRoleAndPrimaryIsRemembered() throws Exception {
         primary.script = errors("25006", "replica");
         replica.script = rows("from-new-primary", "primary");
         start();
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void aReadMovesOnWhenItsConnectionBreaksInTheMiddleOfTheRow() throws Exception {
+    void readIsRetriedWhenItsConnectionBreaksWithinTheRow() throws Exception {
         replica.script = (text, link) -> {
             link.send(java.util.Arrays.copyOf(row("half", "replica"), 30));
             link.close();
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void aServerThatRefusesConnectionsIsPassedOver() throws Exception {
+    void serverThatRefusesConnectionsIsSkipped() throws Exception {
         start();
         replica.close();
         try (PoolerHarness.Link c = stage.client()) {
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void anErrorOnARepeatableReadIsTriedElsewhereAndTheConnectionStaysClean() throws Exception {
+    void idempotentReadIsRetriedAfterErrorAndConnectionIsReused() throws Exception {
         replica.script = errors("XX000", "replica");
         start();
         try (PoolerHarness.Link c = stage.client()) {
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void aRequestGivenUpOnIsRefusedWithTheTimeToComeBack() throws Exception {
+    void rejectionStatesRetryAfter() throws Exception {
         replica.script = errors("53300", "replica");
         primary.script = errors("53300", "primary");
         start();
@@ -70,7 +70,7 @@
     }
 
     @Test
-    void aTimeOutEndsTheServersConnectionAndTheClientGetsOneAnswer() throws Exception {
+    void timeoutClosesServerConnectionAndAnswersTheClientOnce() throws Exception {
         PoolerHarness.Script silence = (text, link) -> {};
         replica.script = silence;
         primary.script = silence;
@@ -89,7 +89,7 @@
     }
 
     @Test
-    void aReplicaTooFarBehindIsAMiss() throws Exception {
+    void readTooStaleAtItsReplicaIsRetriedOnThePrimary() throws Exception {
         replica.script = errors("72000", "replica");
         start();
         try (PoolerHarness.Link c = stage.client()) {
--- a/pooler/src/test/java/frostreel/GoneClientsTest.java
+++ b/pooler/src/test/java/frostreel/GoneClientsTest.java
@@ -35,7 +35,7 @@
     }
 
     /** The next request is the first that the replica hears, on the connection that was opened before. */
-    private void nothingIsSentBeforeTheNextRequest(PoolerHarness.Link pending) throws Exception {
+    private void assertNothingIsSentBeforeTheNextRequest(PoolerHarness.Link pending) throws Exception {
         welcome(pending);
         try (PoolerHarness.Link c = stage.client()) {
             assertThat(value(c.ask(look("next", 9000)))).isEqualTo("from-replica");
@@ -56,17 +56,17 @@
         client.send(pipelined);
         client.close();
         stage.shows("clients_gone=1");
-        nothingIsSentBeforeTheNextRequest(pending);
+        assertNothingIsSentBeforeTheNextRequest(pending);
     }
 
     @Test
-    void whatWaitsForAConnectionIsNotSentOnceItsClientHasGoneThoughNothingMayBeCancelled() throws Exception {
+    void waitingRequestIsNotSentAfterItsClientDisconnects() throws Exception {
         disconnectBehind(new byte[0]);
     }
 
     /** More than a connection's buffers hold: the end of the connection comes after all that. */
     @Test
-    void theEndOfAClientThatSentMuchBehindItsRequestIsSeen() throws Exception {
+    void disconnectIsDetectedBehindPipelinedBytes() throws Exception {
         disconnectBehind(new byte[1_500_000]);
     }
 
@@ -75,7 +75,7 @@
      * ends stand unread behind it, for all orders but one of some thousand.
      */
     @Test
-    void whatIsLetOutInTheTurnInWhichItsClientsEndIsFoundIsNotSent() throws Exception {
+    void queuedRequestIsNotSentInTheTurnThatFindsItsClientGone() throws Exception {
         BlockingQueue<PoolerHarness.Link> held = new LinkedBlockingQueue<>();
         replica.script = (text, link) -> held.add(link);
         primary.script = replica.script;
@@ -120,7 +120,7 @@
     // ---- Cancelling. ----
 
     @Test
-    void aCancelledRequestThatWaitsForAConnectionIsNeverSent() throws Exception {
+    void cancelledRequestWaitingForConnectionIsNeverSent() throws Exception {
         mayNotCancel();
         holdHandshakes();
         start();
@@ -128,13 +128,13 @@
             c.link.send(query(look("gone", 9000)));
             PoolerHarness.Link pending = handshakes.take();
             c.endsCancelled();
-            nothingIsSentBeforeTheNextRequest(pending);
+            assertNothingIsSentBeforeTheNextRequest(pending);
             assertThat(value(c.link.ask(look("2", 9000)))).isEqualTo("from-replica");
         }
     }
 
     @Test
-    void aCancelledWriteThatIsHeldIsNotSentOnceThereIsAPrimary() throws Exception {
+    void cancelledQueuedWriteIsNotSentOnceThereIsAPrimary() throws Exception {
         stage.settings = PoolerHarness.SETTINGS.replace("\"probes\":true", "\"probes\":false"); // Writes walk.
         primary.script = errors("25006", "replica");
         replica.script = errors("25006", "replica");
@@ -160,7 +160,7 @@
     }
 
     @Test
-    void aCancelledRequestInFlightHasOneAnswerAndNoFurtherAttempt() throws Exception {
+    void cancelledRequestInFlightHasOneResponseAndNoRetry() throws Exception {
         replica.script = (text, link) -> {};
         start();
         try (Keyed c = new Keyed()) {
--- a/pooler/src/test/java/frostreel/HandoverTest.java
+++ b/pooler/src/test/java/frostreel/HandoverTest.java
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void whatOneProcessAnsweredBindsTheOtherBothWays() throws Exception {
+    void commitsOfEachProcessBindTheOther() throws Exception {
         PeerProcessCommits before = begin();
         PeerProcessCommits after = begin();
         assertThat(List.of(bound(before), bound(after))).containsOnly(0L);
@@ -67,7 +67,7 @@
     }
 
     @Test
-    void whereNobodyIsBesideOrNothingIsRememberedThereIsNoFile() throws Exception {
+    void noFileWithoutPeerProcessOrSessionTracking() throws Exception {
         for (PeerProcessCommits alone : List.of(begin(REMEMBERED, ""), begin(CARRIED, "0"))) {
             write(alone, NOW);
             assertThat(bound(alone)).isZero();
@@ -89,7 +89,7 @@
     }
 
     @Test
-    void afterAFileThatIsDamagedOrOfAnotherVersionOneIsBlindAndTheNextIsNot() throws Exception {
+    void damagedFileBlindsOneProcessAndIsReplacedForTheNext() throws Exception {
         for (String how : List.of("empty", "cut short", "longer", "of another version")) {
             Files.deleteIfExists(folder().resolve("commits"));
             begin();
@@ -109,7 +109,7 @@
     }
 
     @Test
-    void whereThereCanBeNoFileItServesBlind() throws Exception {
+    void servesBlindWhereTheFileCannotBeCreated() throws Exception {
         Files.createDirectories(folder().resolve("commits")); // Read as root may read and write any.
         PeerProcessCommits before = begin();
         write(before, NOW);
--- a/pooler/src/test/java/frostreel/LateConnectionsTest.java
+++ b/pooler/src/test/java/frostreel/LateConnectionsTest.java
@@ -23,7 +23,7 @@
 
     /** The repeat was decided upon in time; its connection took longer than the window. */
     @Test
-    void aRepeatWhoseConnectionComesUpAfterItsWindowIsNotSent() throws Exception {
+    void retryWhoseConnectionOpensAfterItsIdempotencyWindowIsNotSent() throws Exception {
         long windowMs = 2_000;
         BlockingQueue<PoolerHarness.Link> served = new LinkedBlockingQueue<>();
         stage.settings = PoolerHarness.SETTINGS
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void aConnectionThatComesUpAfterItsRequestHasEndedServesTheNextOne() throws Exception {
+    void connectionOpenedAfterItsRequestEndedServesTheNextOne() throws Exception {
         replica.welcome = (text, link) -> handshakes.add(link);
         start();
         try (PoolerHarness.Link c = stage.client()) {
@@ -77,7 +77,7 @@
 
     /** The old connection becomes free while a request waits for one to the new address. */
     @Test
-    void whatWaitsForAServerThatMovedIsNotSentToWhereItWas() throws Exception {
+    void requestWaitingForMovedServerIsNotSentToItsOldAddress() throws Exception {
         PoolerHarness.Peer moved = stage.server(rows("from-moved", "replica"));
         moved.welcome = (text, link) -> handshakes.add(link);
         BlockingQueue<PoolerHarness.Link> held = new LinkedBlockingQueue<>();
@@ -104,7 +104,7 @@
 
     /** Its server is waited for until the client's deadline, which is nearer by the time of the handshake. */
     @Test
-    void theTimeThatAnAttemptTellsItsServerCountsFromItsSending() throws Exception {
+    void timeLeftIsComputedWhenTheAttemptIsSent() throws Exception {
         replica.welcome = (text, link) -> handshakes.add(link);
         start();
         try (PoolerHarness.Link c = stage.client()) {
--- a/pooler/src/test/java/frostreel/LongValuesTest.java
+++ b/pooler/src/test/java/frostreel/LongValuesTest.java
@@ -72,7 +72,7 @@
     }
 
     @Test
-    void theFirstBytesGoOnBeforeTheLastHaveComeAndTheConnectionServesOn() throws Exception {
+    void longValueIsStreamedAndItsConnectionReused() throws Exception {
         CountDownLatch first = new CountDownLatch(1);
         replica.script = (text, link) -> {
             link.send(head(LONG, LONG), Arrays.copyOf(VALUE, 100));
@@ -103,7 +103,7 @@
     }
 
     @Test
-    void aValueThatBreaksOffEndsTheClientsConnectionAndIsAskedForNowhereElse() throws Exception {
+    void truncatedLongValueClosesTheClientAndIsNotRetried() throws Exception {
         replica.script = (text, link) -> {
             link.send(head(LONG, LONG), Arrays.copyOf(VALUE, LONG / 2));
             link.close();
@@ -120,9 +120,8 @@
     }
 
     @Test
-    void anErrorBehindAValueEndsTheClientsConnection() throws Exception {
-        replica.script =
-                (text, link) -> link.send(head(LONG, LONG), VALUE, PoolerHarness.error("XX000"), PoolerHarness.READY);
+    void errorAfterLongValueClosesTheClient() throws Exception {
+        replica.script = (text, link) -> link.send(head(LONG, LONG), VALUE, PoolerHarness.error("XX000"), PoolerHarness.READY);
         try (PoolerHarness.Link c = stage.client()) {
             c.send(PoolerHarness.query(look("1", 9000)));
             begin(c, LONG);
@@ -132,7 +131,7 @@
     }
 
     @Test
-    void aClientThatLeavesInTheMiddleEndsTheServersSending() throws Exception {
+    void clientDisconnectWithinLongValueStopsTheServer() throws Exception {
         CountDownLatch first = new CountDownLatch(1);
         replica.script = (text, link) -> {
             link.send(head(LONG, LONG), Arrays.copyOf(VALUE, LONG / 2));
@@ -150,7 +149,7 @@
     }
 
     @Test
-    void aRowWhoseValueDoesNotFitItIsNotPassedOn() throws Exception {
+    void rowWithInconsistentLengthIsNotForwarded() throws Exception {
         replica.script = (text, link) -> link.send(head(LONG, LONG - 1), VALUE, TAIL);
         try (PoolerHarness.Link c = stage.client()) {
             assertThat(c.ask(look("1", 9000)).get(1)).endsWith("from-primary");
@@ -159,7 +158,7 @@
 
     /** A client that takes its time, and a server that gives a byte now and then, hold nobody up. */
     @Test
-    void slowPeersKeepTheOthersFromNothing() throws Exception {
+    void slowPeersDoNotDelayOthers() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
         replica.script = (text, link) -> {
             if (text.contains("id=drip,")) {
@@ -197,7 +196,7 @@
 
     /** Twenty rows of 15 MiB that nobody reads until all have begun: held whole, they are 300 MB. */
     @Test
-    void moreAtOnceThanMemoryHoldsWaitsWithItsServers() throws Exception {
+    void valuesBeyondMemoryWaitAtTheirServers() throws Exception {
         byte[] part = Arrays.copyOf(VALUE, 3 << 20);
         int parts = 5;
         int clients = 20;
--- a/pooler/src/test/java/frostreel/OperatorCommandsTest.java
+++ b/pooler/src/test/java/frostreel/OperatorCommandsTest.java
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void aServerTakenOutGetsNothingNewThoughDiscoveryListsItUntilItIsCalledBack() throws Exception {
+    void suspendedServerReceivesNothingUntilRestored() throws Exception {
         try (PoolerHarness.Link c = stage.client()) {
             assertThat(value(c.ask(look("1", 9000)))).isEqualTo("from-replica");
             assertThat(stage.call("SUSPEND b")).isEqualTo("OK\n");
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void aWriteWhosePrimaryIsTakenOutIsRefusedAndNeverReachesIt() throws Exception {
+    void writeToSuspendedPrimaryIsRejectedUnsent() throws Exception {
         replica.script = PoolerHarness.errors("25006", "replica");
         assertThat(stage.call("SUSPEND a")).isEqualTo("OK\n");
         try (PoolerHarness.Link c = stage.client()) {
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void whatNoOneHasOrCanReadIsAnsweredNo() throws Exception {
+    void unknownServersAndCommandsAreRejected() throws Exception {
         assertThat(stage.call("SUSPEND nobody")).startsWith("ERR ");
         assertThat(stage.call("RESTORE nobody")).startsWith("ERR ");
         assertThat(stage.call("RESTORE a")).isEqualTo("OK\n");
@@ -69,7 +69,7 @@
     }
 
     @Test
-    void silentCallersAndLongLinesKeepNobodyFromCalling() throws Exception {
+    void silentCallersAndLongLinesBlockNobody() throws Exception {
         InetSocketAddress at = stage.pooler.callsAt();
         List<Socket> silent = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
@@ -85,7 +85,7 @@
     }
 
     @Test
-    void emptiedItSaysNoAndClosesItsClientsAfterTheirAnswersThenServesAgain() throws Exception {
+    void pauseDrainsClientsAndResumeServesAgain() throws Exception {
         try (PoolerHarness.Link kept = stage.client();
                 PoolerHarness.Link idle = stage.client()) {
             kept.ask(look("1", 9000));
@@ -119,7 +119,7 @@
     }
 
     @Test
-    void aRequestInFlightKeepsItsRulesAndANewClassIsServedByItsOwn() throws Exception {
+    void reloadKeepsRulesOfRequestsInFlightAndServesNewClasses() throws Exception {
         CountDownLatch asked = new CountDownLatch(1);
         CountDownLatch reloaded = new CountDownLatch(1);
         replica.script = (text, link) -> {
@@ -158,7 +158,7 @@
     }
 
     @Test
-    void withAllReplicasOutReadsGoToThePrimaryAndWithTheWholeGroupOutAreRefused() throws Exception {
+    void readsGoToPrimaryWithoutReplicasAndAreRejectedWithoutMembers() throws Exception {
         try (PoolerHarness.Link c = stage.client()) {
             assertThat(stage.call("SUSPEND b")).isEqualTo("OK\n");
             assertThat(value(c.ask(look("1", 9000)))).isEqualTo("from-primary");
@@ -171,7 +171,7 @@
 
     /** The attempt waits for a connection that never comes up; the call must not wait for it. */
     @Test
-    void whatWaitsForAConnectionToAServerTakenOutGoesElsewhereAtOnce() throws Exception {
+    void requestWaitingForSuspendedServerMovesAtOnce() throws Exception {
         CountDownLatch welcomed = new CountDownLatch(1);
         CountDownLatch over = new CountDownLatch(1);
         replica.welcome = (text, link) -> {
@@ -189,7 +189,7 @@
     }
 
     @Test
-    void aServerThatGoesAndComesBackInTheListsWhileItIsOutStaysOut() throws Exception {
+    void suspendedServerStaysOutWhenItIsListedAgain() throws Exception {
         assertThat(stage.call("SUSPEND b")).isEqualTo("OK\n");
         String up = host("b", replica, "replica", "Ready");
         int seq = 2;
--- a/pooler/src/test/java/frostreel/PartsTest.java
+++ b/pooler/src/test/java/frostreel/PartsTest.java
@@ -19,7 +19,7 @@
 /** The parts that need no sockets. */
 class PartsTest {
     @Test
-    void aStaleHandleFindsNothing() {
+    void staleHandleFindsNothing() {
         SlotTable<String> table = new SlotTable<>(2);
         long a = table.add("a");
         table.add("b");
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void deadlinesRunInOrderAndOneFaultSparesTheRest() {
+    void deadlinesRunInOrderAndOneFailureSparesTheOthers() {
         List<Long> wakes = new ArrayList<>();
         List<String> ran = new ArrayList<>();
         Deadlines deadlines = new Deadlines(Clock.system(), wakes::add);
@@ -50,7 +50,7 @@
 
     /** With 60 servers and 80 connections, every other request opened one. */
     @Test
-    void whatUsualClientsLeaveServesConnectionsToServers() throws Exception {
+    void descriptorsAreSharedBetweenClientsAndServers() throws Exception {
         for (int sockets : new int[] {128, 256, 384, 1024}) {
             Config c = Config.load(PoolerHarness.environment(PoolerHarness.configuration("127.0.0.1:1", SERVER)
                     .replace("\"sockets\":128", "\"sockets\":" + sockets)));
@@ -104,7 +104,7 @@
     }
 
     @Test
-    void aFileCutAnywhereIsTurnedDown() throws Exception {
+    void configurationTruncatedAnywhereIsRejected() throws Exception {
         String whole = PoolerHarness.configuration("127.0.0.1:2", SERVER);
         reload(whole);
         for (int i = 0; i < whole.length(); i++) {
@@ -114,7 +114,7 @@
     }
 
     @Test
-    void aFileWithoutAKeyOfTheOneInForceIsTurnedDownWithTheKeyNamed() throws Exception {
+    void reloadWithoutAKeyInForceIsRejectedNamingIt() throws Exception {
         List<String> keys = new ArrayList<>();
         keys(new JSONObject(PoolerHarness.configuration("127.0.0.1:2", SERVER)), "", keys);
         assertThat(keys)
@@ -154,7 +154,7 @@
     }
 
     @Test
-    void aDeadlineOrANumberOfAttemptsThatIsNoNumberAboveZeroIsTurnedDown() {
+    void nonPositiveDeadlinesAndAttemptsAreRejected() {
         String whole = PoolerHarness.configuration("127.0.0.1:2", SERVER);
         for (String wrong : List.of("0", "-5", "\"ten\"", "\"\"", "null", "true", "{}", "[]", "NaN")) {
             assertThatThrownBy(() -> reload(whole.replaceFirst("\"deadlineS\":10", "\"deadlineS\":" + wrong)))
--- a/pooler/src/test/java/frostreel/PausedProcessTest.java
+++ b/pooler/src/test/java/frostreel/PausedProcessTest.java
@@ -13,7 +13,7 @@
 class PausedProcessTest extends ClientScript {
     /** What comes first on its sockets is the request, then the list: the order that would mislead it. */
     @Test
-    void aPausedProcessThatWakesKnowsWhatDiscoveryToldBeforeItSends() throws Exception {
+    void resumedProcessAppliesWatchEventsBeforeItSends() throws Exception {
         try (ServeProcess process = ServeProcess.start(PoolerHarness.environment(configuration()))) {
             stage.lists.add(list(1, false));
             int port = process.awaitPort();
@@ -36,7 +36,7 @@
 
     /** What waited while the process did has no more time than its client: the time began at the sending. */
     @Test
-    void theTimeThatARequestWaitedForAPausedProcessIsNotGivenTwice() throws Exception {
+    void timeSpentInPausedProcessCountsAgainstTheDeadline() throws Exception {
         long pausedMs = 600;
         try (ServeProcess process = ServeProcess.start(PoolerHarness.environment(configuration()))) {
             stage.lists.add(list(1, false));
--- a/pooler/src/test/java/frostreel/PipelineTest.java
+++ b/pooler/src/test/java/frostreel/PipelineTest.java
@@ -37,7 +37,7 @@
     }
 
     /** Returns with the server's link once all that was sent has been read and short patience is over. */
-    private PoolerHarness.Link firstIsOutAndPatienceOver() throws Exception {
+    private PoolerHarness.Link awaitFirstSentAndPatienceOver() throws Exception {
         PoolerHarness.Link link = held.take();
         try (PoolerHarness.Link other = stage.client()) { // Come later, it is read no earlier than in the same turn.
             other.ask("");
@@ -51,11 +51,11 @@
         link.send(row("of-first", "primary"), PoolerHarness.READY);
     }
 
-    private static void isRefused(List<String> answer) {
+    private static void assertRejected(List<String> answer) {
         assertThat(answer).singleElement().asString().contains("|C53300|");
     }
 
-    private void countsTwoAttemptsAndOneRefusal() {
+    private void assertTwoAttemptsAndOneRejection() {
         assertThat(stage.pooler.counters())
                 .contains(" requests=3 ")
                 .contains(" refused=1 ")
@@ -65,52 +65,52 @@
     }
 
     @Test
-    void theTimeThatARequestWaitedBehindAnotherIsNotGivenTwice() throws Exception {
+    void timeSpentInPipelineCountsAgainstTheDeadline() throws Exception {
         holdFirst();
         try (PoolerHarness.Link c = stage.client()) {
             c.send(first(), query(look("dead", PATIENCE_MS)), query(look("live", 9000)));
-            answerFirst(firstIsOutAndPatienceOver());
+            answerFirst(awaitFirstSentAndPatienceOver());
             assertThat(value(c.takeAnswer())).isEqualTo("of-first");
-            isRefused(c.takeAnswer());
+            assertRejected(c.takeAnswer());
             assertThat(value(c.takeAnswer())).isEqualTo("from-replica");
             String sent = replica.next();
             assertThat(PoolerHarness.requestId(sent)).isEqualTo("live");
             assertThat(PoolerHarness.remainingMs(sent)).isLessThanOrEqualTo(9000 - PATIENCE_MS);
-            countsTwoAttemptsAndOneRefusal();
+            assertTwoAttemptsAndOneRejection();
         }
     }
 
     @Test
-    void behindARequestThatIsCancelledEachHasItsOwnTime() throws Exception {
+    void requestsBehindCancelledOneKeepTheirOwnDeadlines() throws Exception {
         holdFirst();
         try (Keyed c = new Keyed()) {
             c.link.send(first(), query(look("dead", PATIENCE_MS)), query(look("live", 9000)));
-            firstIsOutAndPatienceOver();
+            awaitFirstSentAndPatienceOver();
             c.endsCancelled();
-            isRefused(c.link.takeAnswer());
+            assertRejected(c.link.takeAnswer());
             assertThat(value(c.link.takeAnswer())).isEqualTo("from-replica");
-            countsTwoAttemptsAndOneRefusal();
+            assertTwoAttemptsAndOneRejection();
         }
     }
 
     @Test
-    void whatWaitsAtTheEndOfTheProgramIsAnsweredInItsOrderAndThenClosed() throws Exception {
+    void pipelinedRequestsAreAnsweredInOrderAtShutdown() throws Exception {
         holdFirst();
         try (PoolerHarness.Link c = stage.client()) {
             c.send(first(), query(look("dead", PATIENCE_MS)), query(look("live", 9000)));
-            PoolerHarness.Link link = firstIsOutAndPatienceOver();
+            PoolerHarness.Link link = awaitFirstSentAndPatienceOver();
             stopPooler();
             answerFirst(link);
             assertThat(value(c.takeAnswer())).isEqualTo("of-first");
-            isRefused(c.takeAnswer());
+            assertRejected(c.takeAnswer());
             assertThat(value(c.takeAnswer())).isEqualTo("from-replica");
             assertThat(c.endsNext()).isTrue();
-            countsTwoAttemptsAndOneRefusal();
+            assertTwoAttemptsAndOneRejection();
         }
     }
 
     @Test
-    void twoHundredCommandsOfAllKindsHaveOneAnswerEachInTheirOrder() throws Exception {
+    void everyPipelinedMessageHasOneResponseInOrder() throws Exception {
         replica.script = (text, link) ->
                 link.send(row(PoolerHarness.requestId(text), "replica"), PoolerHarness.READY);
         holdFirst();
@@ -127,13 +127,13 @@
         }
         try (PoolerHarness.Link c = stage.client()) {
             c.send(all.toByteArray());
-            answerFirst(firstIsOutAndPatienceOver());
+            answerFirst(awaitFirstSentAndPatienceOver());
             assertThat(value(c.takeAnswer())).isEqualTo("of-first");
             for (int i = 1; i < 200; i++) {
                 List<String> answer = c.takeAnswer();
                 switch (i % 4) {
                     case 0 -> assertThat(value(answer)).isEqualTo("live" + i);
-                    case 1 -> isRefused(answer);
+                    case 1 -> assertRejected(answer);
                     case 2 -> assertThat(answer).singleElement().asString().contains("|C22023|");
                     default -> assertThat(answer).containsExactly("I");
                 }
@@ -150,7 +150,7 @@
     }
 
     @Test
-    void eachPieceHasTheTimeOfItsOwnLastByte() {
+    void eachMessageHasTheArrivalTimeOfItsLastByte() {
         ArrivalTimes times = new ArrivalTimes();
         times.add(10, 100_000);
         times.add(10, 200_000);
@@ -165,7 +165,7 @@
     }
 
     @Test
-    void aByteAtATimeTakesNoMoreMemoryAndHasAHardlyEarlierTime() {
+    void singleByteArrivalsUseBoundedMemoryAndKeepTheirTimes() {
         ArrivalTimes times = new ArrivalTimes();
         int idle = times.memory();
         int n = 100_000;
--- a/pooler/src/test/java/frostreel/ServerConnectionsTest.java
+++ b/pooler/src/test/java/frostreel/ServerConnectionsTest.java
@@ -17,7 +17,7 @@
 /** Connections to servers: their limit, their eviction, and their end. */
 class ServerConnectionsTest extends ClientScript {
     @Test
-    void aClientThatGoesAwayFreesItsServer() throws Exception {
+    void clientDisconnectClosesItsServerConnection() throws Exception {
         replica.script = (text, link) -> {};
         start();
         try (PoolerHarness.Link c = stage.client()) {
@@ -29,7 +29,7 @@
 
     /** Fourteen poolers that each closed the first server's cost that server 45 handshakes a second. */
     @Test
-    void withAllServerConnectionsTakenTheLongestIdleMakesRoomWhoseverItIs() throws Exception {
+    void longestIdleServerConnectionIsEvictedAtTheLimit() throws Exception {
         List<String> order = List.of("d", "c", "b", "a", "e"); // Not the order of any table of names.
         Map<String, PoolerHarness.Peer> servers = new HashMap<>();
         List<String> hosts = new ArrayList<>();
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void aServerThatEndsItsConnectionsBehindTheirHandshakeKeepsNoRequestWaiting() throws Exception {
+    void serverClosingConnectionsAfterHandshakeDelaysNoRequest() throws Exception {
         replica.welcome = (text, link) -> {
             link.send(PoolerHarness.bytes('R', new byte[4]), PoolerHarness.READY);
             link.close();
--- a/pooler/src/test/java/frostreel/ServerProtocolTest.java
+++ b/pooler/src/test/java/frostreel/ServerProtocolTest.java
@@ -10,7 +10,7 @@
 /** Malformed, surplus and unreadable bytes from servers. */
 class ServerProtocolTest extends ClientScript {
     @Test
-    void aMalformedServerCostsItsConnectionAlone() throws Exception {
+    void malformedServerResponseClosesItsConnectionAndIsRetried() throws Exception {
         replica.script = (text, link) -> link.send(new byte[] {'T', -1, 0, 0, 0});
         start();
         try (PoolerHarness.Link c = stage.client()) {
@@ -19,7 +19,7 @@
     }
 
     @Test
-    void whatComesBehindAnAnswerIsNeverTakenForTheNextOne() throws Exception {
+    void surplusBytesAreNeverTakenForTheNextResponse() throws Exception {
         replica.script = (text, link) -> {
             byte[] row = row(PoolerHarness.requestId(text), "replica");
             link.send(row, PoolerHarness.READY, row, PoolerHarness.READY);
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void aSpoiltAnswerHasFailedAndIsTriedElsewhereAtOnce() throws Exception {
+    void corruptResponseFailsItsAttemptAndIsRetriedAtOnce() throws Exception {
         byte[] good = row("spoilt", "replica");
         byte[] twoColumns = good.clone();
         twoColumns[6] = 2;
@@ -64,7 +64,7 @@
     }
 
     @Test
-    void aReportThatCannotBeReadIsDroppedAndTheValueServed() throws Exception {
+    void unreadableLoadReportIsDroppedAndTheValueServed() throws Exception {
         replica.script = (text, link) -> link.send(
                 row("good", "replica"),
                 PoolerHarness.bytes('S', "load|x0=,util=?|"),
--- a/pooler/src/test/java/frostreel/ShutdownTest.java
+++ b/pooler/src/test/java/frostreel/ShutdownTest.java
@@ -63,7 +63,7 @@
 
     @ParameterizedTest
     @EnumSource
-    void everyRequestThatReachedAServerIsAnsweredAndTheEndIsInOrder(Before before) throws Exception {
+    void everyRequestThatReachedAServerIsAnsweredBeforeOrderlyExit(Before before) throws Exception {
         try (ServeProcess process = ServeProcess.start(environment())) {
             if (before != Before.NOT_READY) {
                 stage.lists.add(list(1, false));
@@ -108,7 +108,7 @@
 
     /** Clients that asked and stay hold all places that are theirs; discovery goes away and comes back. */
     @Test
-    void idleClientsKeepNeitherDiscoveryNorServersNorOtherClientsOut() throws Exception {
+    void idleClientsDoNotStarveDiscoveryServersOrNewClients() throws Exception {
         int many = 3 * PoolerHarness.MAX_CLIENTS;
         List<PoolerHarness.Link> idle = new ArrayList<>();
         try (ServeProcess process = ServeProcess.start(environment())) {
@@ -147,7 +147,7 @@
     }
 
     @Test
-    void aStopAnswersWhatWasTakenAndThenClosesItsClients() throws Exception {
+    void shutdownAnswersRequestsInFlightThenClosesClients() throws Exception {
         List<String> faults = new CopyOnWriteArrayList<>();
         Handler handler = new StreamHandler() {
             @Override
--- a/pooler/src/test/java/frostreel/SighupTest.java
+++ b/pooler/src/test/java/frostreel/SighupTest.java
@@ -14,7 +14,7 @@
 /** Configuration reload by SIGHUP, in a process of its own. */
 class SighupTest extends ClientScript {
     @Test
-    void aHangupTakesTheNewDiscoveryAndNeverEndsTheProgram() throws Exception {
+    void sighupSwitchesDiscoveryAndNeverEndsTheProcess() throws Exception {
         BlockingQueue<String> lists = new LinkedBlockingQueue<>();
         PoolerHarness.Peer next = stage.discovery(lists);
         Map<String, String> environment =
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void aStartWithHangupsIgnoredIsToldOf() throws Exception {
+    void warnsWhenStartedWithSighupIgnored() throws Exception {
         Map<String, String> environment = PoolerHarness.environment(PoolerHarness.configuration(stage.discovery.address()));
         try (ServeProcess process = ServeProcess.startWithSighupIgnored(environment)) {
             process.awaitLog("SIGHUP was ignored at the start");
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void aHangupTakesNewSettingsAndAFaultyFileNeverReplacesThem() throws Exception {
+    void sighupAppliesNewSettingsAndRejectsFaultyFile() throws Exception {
         Path settings = Files.createTempFile("settings", ".xml");
         String good = "<frostreel xmlns=\"urn:frostreel:settings:1\"><log format=\"json\"/></frostreel>";
         Files.writeString(settings, good);
--- a/pooler/src/test/java/frostreel/StartupReadinessTest.java
+++ b/pooler/src/test/java/frostreel/StartupReadinessTest.java
@@ -12,7 +12,7 @@
 /** Readiness at the start, with and without a list of endpoints in the configuration. */
 class StartupReadinessTest extends ClientScript {
     @Test
-    void readyOnlyOnceTheListIsKnown() throws Exception {
+    void notReadyBeforeTheFirstEndpointList() throws Exception {
         stage.startSilent();
         try (PoolerHarness.Link c = stage.client()) {
             assertThat(c.ask("")).singleElement().asString().contains("|C57P03|");
@@ -30,7 +30,7 @@
 
     /** Many that start at once and each ask for the whole list keep discovery from answering any of them. */
     @Test
-    void startedWithAListItServesWithoutDiscoveryAndAsksOnlyForWhatChanged() throws Exception {
+    void configuredListServesWithoutDiscoveryAndOnlyChangesAreRequested() throws Exception {
         stage.startSilent(host("a", primary, "primary", "Ready"), host("b", replica, "replica", "Ready"));
         assertThat(stage.discovery.next()).startsWith("GET /discovery/hosts?index=0&wait=1 ");
         try (PoolerHarness.Link c = stage.client()) {
@@ -45,7 +45,7 @@
 
     /** A start may take longer than the rule on drains allows; what drained meanwhile counts as told. */
     @Test
-    void nothingIsSentByTheListFromTheStartBeforeDiscoveryToldWhatChangedSince() throws Exception {
+    void configuredListIsNotUsedBeforeDiscoveryReportedChanges() throws Exception {
         stage.knownPatienceUs = Long.MAX_VALUE / 8;
         stage.startSilent(host("a", primary, "primary", "Ready"), host("b", replica, "replica", "Ready"));
         try (PoolerHarness.Link c = stage.client()) {
--- a/pooler/src/test/java/frostreel/StatusPagesTest.java
+++ b/pooler/src/test/java/frostreel/StatusPagesTest.java
@@ -12,7 +12,7 @@
 /** The {@code SHOW} pages of a serving pooler. */
 class StatusPagesTest extends ClientScript {
     @Test
-    void countersAreShownOnRequest() throws Exception {
+    void showStatsReturnsTheCounters() throws Exception {
         start();
         try (PoolerHarness.Link c = stage.client()) {
             c.ask(look("1", 9000));
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void withTiersStatedReadsKeepToThemAndTheOverviewIsShown() throws Exception {
+    void readsFollowZoneTiersAndShowZonesReportsThem() throws Exception {
         stage.operators = new OperatorSettings(
                 Logging.Format.TEXT,
                 Level.INFO,
