--- a/pooler/src/test/java/frostreel/ClosesTest.java
+++ b/pooler/src/test/java/frostreel/ConnectionCloseTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 
 /** However a client's connection ends, what was taken is answered, and what crosses the end is not lost. */
-class ClosesTest extends ClientScript {
+class ConnectionCloseTest extends ClientScript {
     /** Tests of the wait for a client that was told to leave make it endless. */
     private void lingerWithoutEnd() {
         stage.lingerUs = Long.MAX_VALUE / 2;
--- a/pooler/src/test/java/frostreel/GoneClientsTest.java
+++ b/pooler/src/test/java/frostreel/DisconnectedClientsTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 
 /** A client that closed its connection or cancelled its request has gone: nothing begins for it any more. */
-class GoneClientsTest extends ClientScript {
+class DisconnectedClientsTest extends ClientScript {
     private final BlockingQueue<PoolerHarness.Link> handshakes = new LinkedBlockingQueue<>();
 
     /** From now on a connection to the replica comes up when the test lets it. */
--- a/pooler/src/test/java/frostreel/CrowdedTest.java
+++ b/pooler/src/test/java/frostreel/RetryAfterTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What a request that finds nearly all places taken is told of when to come back, as the settings allow. */
-class CrowdedTest extends ClientScript {
+class RetryAfterTest extends ClientScript {
     private final List<PoolerHarness.Link> clients = new ArrayList<>();
 
     /** The answer to one that comes when the others hold all places but the last. */
