--- a/pooler/src/test/java/frostreel/PartsTest.java
+++ b/pooler/src/test/java/frostreel/ConfigTest.java
@@ -3,9 +3,6 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import frostreel.broker.Clock;
-import frostreel.broker.Deadlines;
-import frostreel.broker.SlotTable;
 import frostreel.config.Config;
 import frostreel.config.ConfigException;
 import java.util.ArrayList;
@@ -16,38 +13,8 @@
 import org.json.JSONTokener;
 import org.junit.jupiter.api.Test;
 
-/** The parts that need no sockets. */
-class PartsTest {
-    @Test
-    void staleHandleFindsNothing() {
-        SlotTable<String> table = new SlotTable<>(2);
-        long a = table.add("a");
-        table.add("b");
-        assertThat(table.add("c")).isEqualTo(SlotTable.NONE);
-        assertThat(table.remove(a)).isEqualTo("a");
-        long again = table.add("d");
-        assertThat(table.get(a)).isNull();
-        assertThat(table.remove(a)).isNull();
-        assertThat(table.get(again)).isEqualTo("d");
-        assertThat(table.get(SlotTable.NONE)).isNull();
-    }
-
-    @Test
-    void deadlinesRunInOrderAndOneFailureSparesTheOthers() {
-        List<Long> wakes = new ArrayList<>();
-        List<String> ran = new ArrayList<>();
-        Deadlines deadlines = new Deadlines(Clock.system(), wakes::add);
-        deadlines.at(30, () -> ran.add("third"));
-        deadlines.at(10, () -> {
-            ran.add("first");
-            throw new IllegalStateException("on purpose");
-        });
-        deadlines.cancel(deadlines.at(20, () -> ran.add("cancelled")));
-        deadlines.runDue();
-        assertThat(ran).containsExactly("first", "third");
-        assertThat(wakes).hasSize(2);
-    }
-
+/** Reading, checking and reloading the configuration. */
+class ConfigTest {
     /** With 60 servers and 80 connections, every other request opened one. */
     @Test
     void descriptorsAreSharedBetweenClientsAndServers() throws Exception {
