--- a/pooler/src/test/java/frostreel/ClientCapacityTest.java
+++ b/pooler/src/test/java/frostreel/ClientCapacityTest.java
@@ -39,8 +39,8 @@
         while (!stage.pooler.counters().contains(" clients_evicted=1 clients_spared=0 ")) {
             Thread.onSpinWait(); // The client sees its end before the pooler counts it.
         }
-        for (PoolerHarness.Link c : clients) {
-            c.close();
+        for (PoolerHarness.Link client : clients) {
+            client.close();
         }
     }
 
@@ -70,8 +70,8 @@
         for (int i = closed; i < clients.size(); i++) {
             assertThat(value(clients.get(i).ask(look("d" + i, 9000)))).isEqualTo("from-replica");
         }
-        for (PoolerHarness.Link c : clients) {
-            c.close();
+        for (PoolerHarness.Link client : clients) {
+            client.close();
         }
     }
 
@@ -97,23 +97,23 @@
         int longest = late.size() + 2; // So many are looked at, and more than those that might be closed.
         // The I/O thread stands still while all of them ask, the late ones what is answered at once.
         stage.whileItStandsStill(() -> {
-            for (PoolerHarness.Link c : late) {
-                c.send(query(""));
+            for (PoolerHarness.Link client : late) {
+                client.send(query(""));
             }
             for (int i = 0; i < longest; i++) {
                 idle.get(i).send(query(look("d" + i, 9000)));
             }
         });
-        for (PoolerHarness.Link c : idle.subList(0, longest)) {
-            assertThat(value(c.takeAnswer())).startsWith("from-");
+        for (PoolerHarness.Link client : idle.subList(0, longest)) {
+            assertThat(value(client.takeAnswer())).startsWith("from-");
         }
-        for (PoolerHarness.Link c : late) {
-            assertThat(c.takeAnswer()).containsExactly("I");
+        for (PoolerHarness.Link client : late) {
+            assertThat(client.takeAnswer()).containsExactly("I");
         }
         others.addAll(idle);
         others.addAll(late);
-        for (PoolerHarness.Link c : others) {
-            c.close();
+        for (PoolerHarness.Link client : others) {
+            client.close();
         }
     }
 
@@ -124,16 +124,16 @@
         for (int i = 0; i < 2 * PoolerHarness.MAX_CLIENTS; i++) {
             silent.add(new PoolerHarness.Link(stage.connect()));
         }
-        try (PoolerHarness.Link c = stage.client()) {
-            assertThat(value(c.ask(look("1", 9000)))).isEqualTo("from-replica");
+        try (PoolerHarness.Link client = stage.client()) {
+            assertThat(value(client.ask(look("1", 9000)))).isEqualTo("from-replica");
         }
         PoolerHarness.Link last = silent.get(silent.size() - 1);
         last.send(PoolerHarness.startup(), java.util.Arrays.copyOf(query(look("2", 9000)), 40));
         last.takeAnswer();
         assertThat(last.take()).startsWith("E").contains("|C57P05|");
         assertThat(last.endsNext()).isTrue();
-        for (PoolerHarness.Link c : silent) {
-            c.close();
+        for (PoolerHarness.Link client : silent) {
+            client.close();
         }
         assertThat(stage.pooler.counters()).contains(" requests=1 ");
     }
@@ -157,8 +157,8 @@
         List<String> answer = clients.get(busy).ask(look("last", 9000));
         assertThat(answer).singleElement().asString().contains("|C53300|").containsPattern("\\|D\\d+\\|");
         assertThat(stage.pooler.counters()).contains(" crowded_out=1 ");
-        for (PoolerHarness.Link c : clients) {
-            c.close();
+        for (PoolerHarness.Link client : clients) {
+            client.close();
         }
     }
 }
--- a/pooler/src/test/java/frostreel/ClientProtocolTest.java
+++ b/pooler/src/test/java/frostreel/ClientProtocolTest.java
@@ -14,27 +14,27 @@
     @Test
     void acceptsStartupAndQueriesOneByteAtATime() throws Exception {
         start();
-        try (PoolerHarness.Link c = new PoolerHarness.Link(stage.connect())) {
+        try (PoolerHarness.Link client = new PoolerHarness.Link(stage.connect())) {
             for (byte[] part : List.of(PoolerHarness.startup(), query(look("1", 9000)), query(post("2", 9000)))) {
-                for (byte b : part) {
-                    c.out.write(b);
+                for (byte nextByte : part) {
+                    client.out.write(nextByte);
                 }
             }
-            c.takeAnswer();
-            assertThat(value(c.takeAnswer())).isEqualTo("from-replica");
-            assertThat(value(c.takeAnswer())).isEqualTo("from-primary");
+            client.takeAnswer();
+            assertThat(value(client.takeAnswer())).isEqualTo("from-replica");
+            assertThat(value(client.takeAnswer())).isEqualTo("from-primary");
         }
     }
 
     @Test
     void forwardsStatementUnchangedExceptForTheTimeLeft() throws Exception {
         start();
-        try (PoolerHarness.Link c = stage.client()) {
-            c.ask(post("7", 8000));
+        try (PoolerHarness.Link client = stage.client()) {
+            client.ask(post("7", 8000));
             String sent = primary.next();
-            int d = PoolerHarness.remainingMs(sent);
-            assertThat(d).isBetween(1, 8000);
-            assertThat(sent).isEqualTo("Q" + post("7", d) + "|");
+            int timeLeftMs = PoolerHarness.remainingMs(sent);
+            assertThat(timeLeftMs).isBetween(1, 8000);
+            assertThat(sent).isEqualTo("Q" + post("7", timeLeftMs) + "|");
         }
     }
 
@@ -64,13 +64,13 @@
         String large = "x".repeat(60_000);
         replica.script = rows(large, "replica");
         start();
-        int n = 60;
-        try (PoolerHarness.Link c = stage.client()) {
-            for (int i = 0; i < n; i++) {
-                c.send(query(look("q" + i, 9000)));
+        int count = 60;
+        try (PoolerHarness.Link client = stage.client()) {
+            for (int i = 0; i < count; i++) {
+                client.send(query(look("q" + i, 9000)));
             }
-            for (int i = 0; i < n; i++) {
-                assertThat(value(c.takeAnswer())).isEqualTo(large);
+            for (int i = 0; i < count; i++) {
+                assertThat(value(client.takeAnswer())).isEqualTo(large);
             }
         }
     }
@@ -79,9 +79,9 @@
     void rejectsRequestWhoseIdIsInFlight() throws Exception {
         replica.script = (text, link) -> {};
         start();
-        try (PoolerHarness.Link c = stage.client();
+        try (PoolerHarness.Link client = stage.client();
                 PoolerHarness.Link thief = stage.client()) {
-            c.send(query(look("1", 9000)));
+            client.send(query(look("1", 9000)));
             assertThat(replica.next()).contains("id=1,");
             assertThat(thief.ask(look("1", 9000))).singleElement().asString().contains("|C22023|");
             assertThat(stage.pooler.counters()).contains(" attempts=1 ");
@@ -91,7 +91,7 @@
     @Test
     void rejectsStatementsOfUnknownForm() throws Exception {
         start();
-        try (PoolerHarness.Link c = stage.client()) {
+        try (PoolerHarness.Link client = stage.client()) {
             for (String bad : List.of(
                     look("1", 9000) + ";",
                     look("1", 9000).replace("records", "accounts"),
@@ -103,7 +103,7 @@
                     post("1", 9000).replace(",k=5c0f", ""),
                     look("1", 9000).replace("d=9000", "d=-5"),
                     look("1", 9000).replace("look", "none"))) {
-                assertThat(c.ask(bad)).as(bad).singleElement().asString().contains("|C22023|");
+                assertThat(client.ask(bad)).as(bad).singleElement().asString().contains("|C22023|");
             }
             assertThat(stage.pooler.counters()).contains(" requests=0 ").contains(" malformed=10 ");
         }
@@ -112,10 +112,10 @@
     @Test
     void errorReachesClientWhoseInputIsStillUnread() throws Exception {
         start();
-        try (PoolerHarness.Link c = stage.client()) {
-            c.send(new byte[] {'Q', 3, -1, -1, -1}, new byte[900_000]);
-            assertThat(c.take()).startsWith("E").contains("|C08P01|");
-            assertThat(c.endsNext()).isTrue();
+        try (PoolerHarness.Link client = stage.client()) {
+            client.send(new byte[] {'Q', 3, -1, -1, -1}, new byte[900_000]);
+            assertThat(client.take()).startsWith("E").contains("|C08P01|");
+            assertThat(client.endsNext()).isTrue();
         }
     }
 }
--- a/pooler/src/test/java/frostreel/ClientScript.java
+++ b/pooler/src/test/java/frostreel/ClientScript.java
@@ -62,7 +62,7 @@
     }
 
     static String value(List<String> answer) {
-        assertThat(answer).as("%s", answer).extracting(m -> m.charAt(0)).containsExactly('T', 'D', 'C');
+        assertThat(answer).as("%s", answer).extracting(message -> message.charAt(0)).containsExactly('T', 'D', 'C');
         return answer.get(1).substring(7);
     }
 
--- a/pooler/src/test/java/frostreel/ConfigTest.java
+++ b/pooler/src/test/java/frostreel/ConfigTest.java
@@ -19,14 +19,14 @@
     @Test
     void descriptorsAreSharedBetweenClientsAndServers() throws Exception {
         for (int sockets : new int[] {128, 256, 384, 1024}) {
-            Config c = Config.load(PoolerHarness.environment(PoolerHarness.configuration("127.0.0.1:1", SERVER)
-                    .replace("\"sockets\":128", "\"sockets\":" + sockets)));
+            Config config = Config.load(PoolerHarness.environment(
+                    PoolerHarness.configuration("127.0.0.1:1", SERVER).replace("\"sockets\":128", "\"sockets\":" + sockets)));
             int rest = sockets - 64;
-            assertThat(c.maxClients() + c.maxServerConnections()).isEqualTo(rest);
-            assertThat(c.maxServerConnections()).isGreaterThanOrEqualTo(rest / 4);
-            assertThat(c.maxClients()).isGreaterThanOrEqualTo(c.usualClients());
+            assertThat(config.maxClients() + config.maxServerConnections()).isEqualTo(rest);
+            assertThat(config.maxServerConnections()).isGreaterThanOrEqualTo(rest / 4);
+            assertThat(config.maxClients()).isGreaterThanOrEqualTo(config.usualClients());
             if (sockets >= 256) {
-                assertThat(c.maxClients() - c.usualClients()).isEqualTo(rest / 4);
+                assertThat(config.maxClients() - config.usualClients()).isEqualTo(rest / 4);
             }
         }
     }
@@ -90,11 +90,11 @@
         for (String key : keys) {
             JSONObject cut = new JSONObject(PoolerHarness.configuration("127.0.0.1:2", SERVER));
             String[] way = key.split("/");
-            Object at = cut;
+            Object parent = cut;
             for (int i = 0; i < way.length - 1; i++) {
-                at = at instanceof JSONArray a ? a.get(Integer.parseInt(way[i])) : ((JSONObject) at).get(way[i]);
+                parent = parent instanceof JSONArray array ? array.get(Integer.parseInt(way[i])) : ((JSONObject) parent).get(way[i]);
             }
-            ((JSONObject) at).remove(way[way.length - 1]);
+            ((JSONObject) parent).remove(way[way.length - 1]);
             assertThatThrownBy(() -> reload(cut.toString()))
                     .as(key)
                     .isInstanceOf(ConfigException.class)
@@ -103,19 +103,19 @@
     }
 
     /** All keys, but those of single classes alone. */
-    private static void keys(Object in, String way, List<String> keys) {
-        if (in instanceof JSONObject o) {
-            for (String key : o.keySet()) {
+    private static void keys(Object value, String way, List<String> keys) {
+        if (value instanceof JSONObject object) {
+            for (String key : object.keySet()) {
                 boolean ofOneClass = way.startsWith("settings/classes/")
                         && List.of("group", "repeatWindowS", "lateWorth").contains(key);
                 if (!ofOneClass) {
                     keys.add(way + key);
-                    keys(o.get(key), way + key + "/", keys);
+                    keys(object.get(key), way + key + "/", keys);
                 }
             }
-        } else if (in instanceof JSONArray a) {
-            for (int i = 0; i < a.length(); i++) {
-                keys(a.get(i), way + i + "/", keys);
+        } else if (value instanceof JSONArray array) {
+            for (int i = 0; i < array.length(); i++) {
+                keys(array.get(i), way + i + "/", keys);
             }
         }
     }
--- a/pooler/src/test/java/frostreel/ConnectionCloseTest.java
+++ b/pooler/src/test/java/frostreel/ConnectionCloseTest.java
@@ -21,14 +21,14 @@
     }
 
     /** Its end is seen, and then more is sent: a connection that was closed whole would be reset by that. */
-    private void assertBytesAfterCloseAreDroppedWithoutReset(PoolerHarness.Link c) throws Exception {
-        assertThat(c.endsNext()).isTrue();
+    private void assertBytesAfterCloseAreDroppedWithoutReset(PoolerHarness.Link client) throws Exception {
+        assertThat(client.endsNext()).isTrue();
         long before = stage.counter("requests");
         for (int i = 0; i < 3; i++) {
-            c.send(query(look("crossed" + i, 9000)));
+            client.send(query(look("crossed" + i, 9000)));
         }
-        assertThat(c.endsNext()).isTrue();
-        c.close();
+        assertThat(client.endsNext()).isTrue();
+        client.close();
         assertThat(stage.counter("requests")).isEqualTo(before);
     }
 
@@ -42,8 +42,8 @@
             assertThat(value(clients.get(i).ask(look("c" + i, 9000)))).isEqualTo("from-replica");
         }
         assertBytesAfterCloseAreDroppedWithoutReset(clients.get(0));
-        for (PoolerHarness.Link c : clients) {
-            c.close();
+        for (PoolerHarness.Link client : clients) {
+            client.close();
         }
     }
 
@@ -88,10 +88,10 @@
                         waits.get(i).send(PoolerHarness.startup(), query(look("" + i, 300)));
                     }
                 });
-        for (PoolerHarness.Link c : waits) {
-            c.takeAnswer();
-            assertThat(c.takeAnswer()).singleElement().asString().contains("|C53300|");
-            c.close();
+        for (PoolerHarness.Link client : waits) {
+            client.takeAnswer();
+            assertThat(client.takeAnswer()).singleElement().asString().contains("|C53300|");
+            client.close();
         }
         stop.get(0).join();
     }
@@ -102,10 +102,10 @@
         String large = "x".repeat(60_000);
         replica.script = rows(large, "replica");
         start();
-        int n = 300;
-        try (PoolerHarness.Link c = stage.client()) {
-            for (int i = 0; i < n; i++) {
-                c.send(query(look("q" + i, 9000)));
+        int count = 300;
+        try (PoolerHarness.Link client = stage.client()) {
+            for (int i = 0; i < count; i++) {
+                client.send(query(look("q" + i, 9000)));
             }
             for (int i = 0; i < 2; i++) {
                 try (PoolerHarness.Link silent = new PoolerHarness.Link(stage.connect())) {
@@ -113,8 +113,8 @@
                     assertThat(silent.endsNext()).isTrue();
                 }
             }
-            for (int i = 0; i < n; i++) {
-                assertThat(value(c.takeAnswer())).isEqualTo(large);
+            for (int i = 0; i < count; i++) {
+                assertThat(value(client.takeAnswer())).isEqualTo(large);
             }
         }
     }
@@ -128,22 +128,22 @@
             link.send(PoolerHarness.row("late", "primary"), PoolerHarness.READY);
         };
         start();
-        try (PoolerHarness.Link c = stage.client()) {
-            c.send(query(post("1", 9000))); // A write: a read would be tried elsewhere, and end too soon.
+        try (PoolerHarness.Link client = stage.client()) {
+            client.send(query(post("1", 9000))); // A write: a read would be tried elsewhere, and end too soon.
             byte[] much = query("x".repeat(100_000)); // No statement of either form: an error each.
             for (int i = 0; i < 14; i++) {
-                c.send(much);
+                client.send(much);
             }
             stage.shows("malformed=1");
             answer.countDown();
-            assertThat(value(c.takeAnswer())).isEqualTo("late");
-            String last = c.take();
+            assertThat(value(client.takeAnswer())).isEqualTo("late");
+            String last = client.take();
             while (last.contains("|C22023|")) {
-                assertThat(c.take()).startsWith("Z");
-                last = c.take();
+                assertThat(client.take()).startsWith("Z");
+                last = client.take();
             }
             assertThat(last).startsWith("E").contains("|C08P01|").contains("too much at once");
-            assertThat(c.endsNext()).isTrue();
+            assertThat(client.endsNext()).isTrue();
         }
     }
 
@@ -170,13 +170,13 @@
             hosts.add(host("b" + i, cutter, "replica", "Ready").replace("\"block\":2", block));
         }
         stage.start(hosts.toArray(String[]::new));
-        try (PoolerHarness.Link c = stage.client()) {
+        try (PoolerHarness.Link client = stage.client()) {
             for (int i = 0; i < whole.length; i++) {
-                assertThat(value(c.ask(look("q" + i, 9000).replace("cluster=2", "cluster=" + (100 + i)))))
+                assertThat(value(client.ask(look("q" + i, 9000).replace("cluster=2", "cluster=" + (100 + i)))))
                         .as("cut at byte %d", i)
                         .isEqualTo("from-primary");
                 for (int j = 0; j < calm; j++) {
-                    assertThat(value(c.ask(look("q" + i + "x" + j, 9000)))).isEqualTo("from-replica");
+                    assertThat(value(client.ask(look("q" + i + "x" + j, 9000)))).isEqualTo("from-replica");
                 }
             }
         }
--- a/pooler/src/test/java/frostreel/DisconnectedClientsTest.java
+++ b/pooler/src/test/java/frostreel/DisconnectedClientsTest.java
@@ -37,8 +37,8 @@
     /** The next request is the first that the replica hears, on the connection that was opened before. */
     private void assertNothingIsSentBeforeTheNextRequest(PoolerHarness.Link pending) throws Exception {
         welcome(pending);
-        try (PoolerHarness.Link c = stage.client()) {
-            assertThat(value(c.ask(look("next", 9000)))).isEqualTo("from-replica");
+        try (PoolerHarness.Link client = stage.client()) {
+            assertThat(value(client.ask(look("next", 9000)))).isEqualTo("from-replica");
         }
         assertThat(replica.next()).contains("id=next,");
         assertThat(primary.heard).isEmpty();
@@ -83,9 +83,9 @@
         Map<String, PoolerHarness.Link> clients = new HashMap<>();
         int all = PoolerHarness.MOST_WAITING;
         for (int i = 0; i < all; i++) {
-            PoolerHarness.Link c = stage.client();
-            clients.put("q" + i, c);
-            c.send(query(look("q" + i, 9000)));
+            PoolerHarness.Link client = stage.client();
+            clients.put("q" + i, client);
+            client.send(query(look("q" + i, 9000)));
         }
         stage.shows("requests=" + all);
         int sent = (int) stage.counter("attempts");
@@ -95,25 +95,25 @@
         for (int i = 0; i < sent; i++) {
             servers.add(held.take());
         }
-        for (PoolerHarness.Peer p : List.of(primary, replica)) {
-            for (String text : p.heard) {
+        for (PoolerHarness.Peer peer : List.of(primary, replica)) {
+            for (String text : peer.heard) {
                 inHand.add(PoolerHarness.requestId(text));
             }
         }
         stage.whileItStandsStill(() -> {
-            for (Map.Entry<String, PoolerHarness.Link> c : clients.entrySet()) {
-                if (!inHand.contains(c.getKey())) {
-                    c.getValue().close();
+            for (Map.Entry<String, PoolerHarness.Link> client : clients.entrySet()) {
+                if (!inHand.contains(client.getKey())) {
+                    client.getValue().close();
                 }
             }
-            for (PoolerHarness.Link s : servers) {
-                s.send(row("late", "replica"), PoolerHarness.READY);
+            for (PoolerHarness.Link server : servers) {
+                server.send(row("late", "replica"), PoolerHarness.READY);
             }
         });
         stage.shows("clients_gone=" + (all - sent));
         assertThat(stage.pooler.counters()).contains(" attempts=" + sent + " ");
-        for (PoolerHarness.Link c : clients.values()) {
-            c.close();
+        for (PoolerHarness.Link client : clients.values()) {
+            client.close();
         }
     }
 
@@ -124,12 +124,12 @@
         mayNotCancel();
         holdHandshakes();
         start();
-        try (Keyed c = new Keyed()) {
-            c.link.send(query(look("gone", 9000)));
+        try (Keyed client = new Keyed()) {
+            client.link.send(query(look("gone", 9000)));
             PoolerHarness.Link pending = handshakes.take();
-            c.endsCancelled();
+            client.endsCancelled();
             assertNothingIsSentBeforeTheNextRequest(pending);
-            assertThat(value(c.link.ask(look("2", 9000)))).isEqualTo("from-replica");
+            assertThat(value(client.link.ask(look("2", 9000)))).isEqualTo("from-replica");
         }
     }
 
@@ -139,22 +139,22 @@
         primary.script = errors("25006", "replica");
         replica.script = errors("25006", "replica");
         start();
-        try (Keyed c = new Keyed()) {
-            c.link.send(query(post("gone", 9000)));
+        try (Keyed client = new Keyed()) {
+            client.link.send(query(post("gone", 9000)));
             while (!stage.pooler.counters().contains("WRONG_ROLE_OR_STALE=2")) {
                 Thread.onSpinWait(); // A full round: it is held.
             }
-            c.endsCancelled();
+            client.endsCancelled();
             long before = heardOf("gone");
             primary.script = rows("from-primary", "primary");
-            assertThat(value(c.link.ask(post("next", 9000)))).isEqualTo("from-primary");
+            assertThat(value(client.link.ask(post("next", 9000)))).isEqualTo("from-primary");
             assertThat(heardOf("gone")).isEqualTo(before);
         }
     }
 
     private long heardOf(String id) {
         return Stream.of(primary, replica)
-                .flatMap(p -> p.heard.stream())
+                .flatMap(peer -> peer.heard.stream())
                 .filter(text -> text.contains("id=" + id + ","))
                 .count();
     }
@@ -163,16 +163,16 @@
     void cancelledRequestInFlightHasOneResponseAndNoRetry() throws Exception {
         replica.script = (text, link) -> {};
         start();
-        try (Keyed c = new Keyed()) {
-            c.link.send(query(look("gone", 9000)));
+        try (Keyed client = new Keyed()) {
+            client.link.send(query(look("gone", 9000)));
             assertThat(replica.next()).contains("id=gone,");
-            c.cancel(c.secret + 1); // Another's key.
+            client.cancel(client.secret + 1); // Another's key.
             assertThat(stage.pooler.counters()).contains(" clients_cancelled=0 ");
-            c.endsCancelled();
+            client.endsCancelled();
             assertThat(replica.ended.take()).isEqualTo("ended");
-            assertThat(value(c.link.ask(post("2", 9000)))).isEqualTo("from-primary");
-            c.cancel(c.secret); // Of what has ended.
-            assertThat(value(c.link.ask(post("3", 9000)))).isEqualTo("from-primary");
+            assertThat(value(client.link.ask(post("2", 9000)))).isEqualTo("from-primary");
+            client.cancel(client.secret); // Of what has ended.
+            assertThat(value(client.link.ask(post("3", 9000)))).isEqualTo("from-primary");
             assertThat(stage.pooler.counters())
                     .contains(" clients_cancelled=1 ")
                     .contains(" attempts=3 ");
--- a/pooler/src/test/java/frostreel/DiscoveryTest.java
+++ b/pooler/src/test/java/frostreel/DiscoveryTest.java
@@ -76,8 +76,8 @@
             }
             deeds.add(answers(told(++seq, seq % 2 == 0 ? "Terminating" : "Ready")));
             assertThat(stage.discovery.next()).contains("index=" + seq + "&").doesNotContain("wait=1 ");
-            try (PoolerHarness.Link c = stage.client()) {
-                assertThat(value(c.ask(look("q" + seq, 9000))))
+            try (PoolerHarness.Link client = stage.client()) {
+                assertThat(value(client.ask(look("q" + seq, 9000))))
                         .isEqualTo(seq % 2 == 0 ? "from-primary" : "from-replica");
             }
         }
@@ -96,8 +96,8 @@
             RESET.answer(text, link);
         });
         assertThat(stage.discovery.next()).contains("index=2&wait=1 ");
-        try (PoolerHarness.Link c = stage.client()) {
-            assertThat(value(c.ask(look("1", 9000)))).isEqualTo("from-primary");
+        try (PoolerHarness.Link client = stage.client()) {
+            assertThat(value(client.ask(look("1", 9000)))).isEqualTo("from-primary");
         }
         assertThat(stage.pooler.counters()).contains(" discovery_failures=1 ");
     }
@@ -136,13 +136,13 @@
     @Test
     void previousDiscoveryStaysInUseUntilTheNewOneAnswers() throws Exception {
         play();
-        try (PoolerHarness.Link c = stage.client()) {
+        try (PoolerHarness.Link client = stage.client()) {
             PoolerHarness.Peer silent = stage.agent(SILENCE);
             stage.hangUp(silent);
             assertThat(silent.next()).startsWith("GET /discovery/hosts HTTP");
             deeds.add(answers(told(2, "Terminating")));
             assertThat(stage.discovery.next()).contains("index=2&");
-            assertThat(value(c.ask(look("1", 9000)))).isEqualTo("from-primary");
+            assertThat(value(client.ask(look("1", 9000)))).isEqualTo("from-primary");
 
             PoolerHarness.Peer refusing = stage.agent(SILENCE);
             refusing.close();
@@ -150,7 +150,7 @@
             assertThat(silent.ended.take()).isEqualTo("ended");
             deeds.add(answers(told(3, "Ready")));
             assertThat(stage.discovery.next()).contains("index=3&");
-            assertThat(value(c.ask(look("2", 9000)))).isEqualTo("from-replica");
+            assertThat(value(client.ask(look("2", 9000)))).isEqualTo("from-replica");
 
             BlockingQueue<PoolerHarness.Script> theirs = new LinkedBlockingQueue<>();
             PoolerHarness.Peer answering = stage.agent(oneAfterAnother(theirs));
@@ -160,7 +160,7 @@
             assertThat(answering.next()).startsWith("GET /discovery/hosts HTTP");
             assertThat(answering.next()).contains("index=1&");
             assertPreviousWatchHasEnded();
-            assertThat(value(c.ask(look("3", 9000)))).isEqualTo("from-primary");
+            assertThat(value(client.ask(look("3", 9000)))).isEqualTo("from-primary");
         }
     }
 
@@ -178,8 +178,8 @@
         assertThat(value(clients.get(0).ask(look("first", 9000)))).isEqualTo("from-replica");
         stage.whileItStandsStill(() -> {
             long since = System.nanoTime();
-            for (PoolerHarness.Link c : clients) {
-                c.send(query(look("q" + clients.indexOf(c), 9000)));
+            for (PoolerHarness.Link client : clients) {
+                client.send(query(look("q" + clients.indexOf(client), 9000)));
             }
             deeds.add((text, link) -> {
                 link.send(http(told(2, "Terminating")));
@@ -188,9 +188,9 @@
             written.await();
             PoolerHarness.pass(since, 100); // Two fifths of the rule.
         });
-        for (PoolerHarness.Link c : clients) {
-            assertThat(value(c.takeAnswer())).isEqualTo("from-primary");
-            c.close();
+        for (PoolerHarness.Link client : clients) {
+            assertThat(value(client.takeAnswer())).isEqualTo("from-primary");
+            client.close();
         }
         assertThat(replica.heard).hasSize(1);
     }
@@ -231,8 +231,8 @@
         assertThat(stage.discovery.ended.take())
                 .as("the second call is given up")
                 .isEqualTo("ended");
-        try (PoolerHarness.Link c = stage.client()) {
-            assertThat(value(c.ask(look("1", 9000)))).isEqualTo("from-primary");
+        try (PoolerHarness.Link client = stage.client()) {
+            assertThat(value(client.ask(look("1", 9000)))).isEqualTo("from-primary");
         }
         assertThat(stage.discovery.links.get()).isEqualTo(3);
     }
--- a/pooler/src/test/java/frostreel/EndpointListTest.java
+++ b/pooler/src/test/java/frostreel/EndpointListTest.java
@@ -24,15 +24,15 @@
     @Test
     void drainingServerReceivesNoNewRequest() throws Exception {
         start();
-        try (PoolerHarness.Link c = stage.client()) {
-            c.ask(look("1", 9000));
+        try (PoolerHarness.Link client = stage.client()) {
+            client.ask(look("1", 9000));
             assertThat(replica.heard).hasSize(1);
             stage.discovery.next();
             stage.discovery.next();
             stage.lists.add(list(2, false, host("b", replica, "replica", "Terminating")));
             assertThat(stage.discovery.next()).contains("index=2&");
             assertThat(replica.ended.take()).isEqualTo("ended"); // Its idle connection was closed.
-            assertThat(value(c.ask(look("2", 9000)))).isEqualTo("from-primary");
+            assertThat(value(client.ask(look("2", 9000)))).isEqualTo("from-primary");
             assertThat(replica.heard).hasSize(1);
         }
     }
@@ -45,22 +45,22 @@
         start();
         stage.discovery.next();
         stage.discovery.next();
-        try (PoolerHarness.Link c = stage.client()) {
-            c.send(query(look("1", 9000)));
+        try (PoolerHarness.Link client = stage.client()) {
+            client.send(query(look("1", 9000)));
             assertThat(replica.next()).isEqualTo("a handshake that does not end");
             stage.lists.add(list(2, false, host("b", replica, "replica", "Terminating")));
-            assertThat(value(c.takeAnswer())).isEqualTo("from-primary");
+            assertThat(value(client.takeAnswer())).isEqualTo("from-primary");
             assertThat(replica.ended.take()).isEqualTo("ended");
 
             stage.lists.add(list(3, false, host("b", replica, "replica", "Ready")));
             assertThat(stage.discovery.next()).contains("index=2&");
             assertThat(stage.discovery.next()).contains("index=3&");
-            c.send(query(look("2", 9000)));
+            client.send(query(look("2", 9000)));
             assertThat(replica.next()).isEqualTo("a handshake that does not end");
             stage.lists.add(list(4, false, host("b", moved, "replica", "Ready")));
-            assertThat(value(c.takeAnswer())).isEqualTo("from-primary");
+            assertThat(value(client.takeAnswer())).isEqualTo("from-primary");
             assertThat(replica.ended.take()).isEqualTo("ended");
-            assertThat(value(c.ask(look("3", 9000)))).isEqualTo("from-moved");
+            assertThat(value(client.ask(look("3", 9000)))).isEqualTo("from-moved");
         }
         assertThat(stage.pooler.counters()).contains("outcomes={OK=3, NOT_SENT=2}");
     }
@@ -73,8 +73,8 @@
         while (stage.pooler.counters().contains("discovery_failures=0 ")) {
             Thread.onSpinWait();
         }
-        try (PoolerHarness.Link c = stage.client()) {
-            assertThat(value(c.ask(look("1", 9000)))).isEqualTo("from-replica");
+        try (PoolerHarness.Link client = stage.client()) {
+            assertThat(value(client.ask(look("1", 9000)))).isEqualTo("from-replica");
         }
     }
 }
--- a/pooler/src/test/java/frostreel/FailoverTest.java
+++ b/pooler/src/test/java/frostreel/FailoverTest.java
@@ -17,10 +17,10 @@
         primary.script = errors("25006", "replica");
         replica.script = rows("from-new-primary", "primary");
         start();
-        try (PoolerHarness.Link c = stage.client()) {
-            assertThat(value(c.ask(post("1", 9000)))).isEqualTo("from-new-primary");
+        try (PoolerHarness.Link client = stage.client()) {
+            assertThat(value(client.ask(post("1", 9000)))).isEqualTo("from-new-primary");
             assertThat(primary.heard).hasSize(1);
-            assertThat(value(c.ask(post("2", 9000)))).isEqualTo("from-new-primary");
+            assertThat(value(client.ask(post("2", 9000)))).isEqualTo("from-new-primary");
             assertThat(primary.heard).hasSize(1);
         }
     }
@@ -32,8 +32,8 @@
             link.close();
         };
         start();
-        try (PoolerHarness.Link c = stage.client()) {
-            assertThat(value(c.ask(look("1", 9000)))).isEqualTo("from-primary");
+        try (PoolerHarness.Link client = stage.client()) {
+            assertThat(value(client.ask(look("1", 9000)))).isEqualTo("from-primary");
         }
     }
 
@@ -41,8 +41,8 @@
     void serverThatRefusesConnectionsIsSkipped() throws Exception {
         start();
         replica.close();
-        try (PoolerHarness.Link c = stage.client()) {
-            assertThat(value(c.ask(look("1", 9000)))).isEqualTo("from-primary");
+        try (PoolerHarness.Link client = stage.client()) {
+            assertThat(value(client.ask(look("1", 9000)))).isEqualTo("from-primary");
         }
     }
 
@@ -50,10 +50,10 @@
     void idempotentReadIsRetriedAfterErrorAndConnectionIsReused() throws Exception {
         replica.script = errors("XX000", "replica");
         start();
-        try (PoolerHarness.Link c = stage.client()) {
-            assertThat(value(c.ask(look("1", 9000)))).isEqualTo("from-primary");
+        try (PoolerHarness.Link client = stage.client()) {
+            assertThat(value(client.ask(look("1", 9000)))).isEqualTo("from-primary");
             replica.script = rows("later", "replica");
-            c.ask(look("2", 9000));
+            client.ask(look("2", 9000));
             assertThat(replica.links.get() + primary.links.get()).isLessThanOrEqualTo(2);
         }
     }
@@ -63,8 +63,8 @@
         replica.script = errors("53300", "replica");
         primary.script = errors("53300", "primary");
         start();
-        try (PoolerHarness.Link c = stage.client()) {
-            List<String> answer = c.ask(look("1", 300));
+        try (PoolerHarness.Link client = stage.client()) {
+            List<String> answer = client.ask(look("1", 300));
             assertThat(answer).singleElement().asString().contains("|C53300|").containsPattern("\\|D\\d+\\|");
         }
     }
@@ -75,14 +75,14 @@
         replica.script = silence;
         primary.script = silence;
         start();
-        try (PoolerHarness.Link c = stage.client()) {
-            assertThat(c.ask(look("1", 200))).singleElement().asString().startsWith("E");
+        try (PoolerHarness.Link client = stage.client()) {
+            assertThat(client.ask(look("1", 200))).singleElement().asString().startsWith("E");
             assertThat(replica.ended.take()).isEqualTo("ended");
             replica.script = rows("back", "replica");
             primary.script = rows("back", "primary");
-            List<String> answer = c.ask(look("2", 9000));
+            List<String> answer = client.ask(look("2", 9000));
             while (answer.get(0).startsWith("E")) { // The module may refuse a share while it doubts.
-                answer = c.ask(look("2", 9000));
+                answer = client.ask(look("2", 9000));
             }
             assertThat(value(answer)).isEqualTo("back");
         }
@@ -92,8 +92,8 @@
     void readTooStaleAtItsReplicaIsRetriedOnThePrimary() throws Exception {
         replica.script = errors("72000", "replica");
         start();
-        try (PoolerHarness.Link c = stage.client()) {
-            assertThat(value(c.ask(look("1", 9000)))).isEqualTo("from-primary");
+        try (PoolerHarness.Link client = stage.client()) {
+            assertThat(value(client.ask(look("1", 9000)))).isEqualTo("from-primary");
             assertThat(stage.pooler.counters()).contains("WRONG_ROLE_OR_STALE=1");
         }
     }
--- a/pooler/src/test/java/frostreel/HandoverTest.java
+++ b/pooler/src/test/java/frostreel/HandoverTest.java
@@ -27,8 +27,7 @@
     Path dir;
 
     private PeerProcessCommits begin(String config, String descriptor) throws Exception {
-        return PeerProcessCommits.open(
-                Config.parse(config, Map.of("GW_FD", descriptor, "TMPDIR", dir.toString())), NOW);
+        return PeerProcessCommits.open(Config.parse(config, Map.of("GW_FD", descriptor, "TMPDIR", dir.toString())), NOW);
     }
 
     private PeerProcessCommits begin() throws Exception {
@@ -39,18 +38,18 @@
         return dir.resolve("frostreel-orders");
     }
 
-    private static void write(PeerProcessCommits by, long commitUs) {
-        by.writeObserver().onSent(NOW, 7, NOW + 1_000_000);
-        by.writeObserver().onEnded(NOW, 7, NOW + 1_000_000, Outcome.OK, commitUs);
+    private static void write(PeerProcessCommits writer, long commitUs) {
+        writer.writeObserver().onSent(NOW, 7, NOW + 1_000_000);
+        writer.writeObserver().onEnded(NOW, 7, NOW + 1_000_000, Outcome.OK, commitUs);
     }
 
     /** What a read of that session must see at that time. */
-    private static long bound(PeerProcessCommits at) {
-        return at.peerCommits().boundUs(NOW + 50_000, 7);
+    private static long bound(PeerProcessCommits process) {
+        return process.peerCommits().boundUs(NOW + 50_000, 7);
     }
 
-    private void blind(PeerProcessCommits at) {
-        assertThat(bound(at)).as("all that counts as known").isEqualTo(NOW - 50_000);
+    private void blind(PeerProcessCommits process) {
+        assertThat(bound(process)).as("all that counts as known").isEqualTo(NOW - 50_000);
     }
 
     @Test
@@ -77,12 +76,12 @@
 
     private Path damaged(String how) throws IOException {
         Path file = folder().resolve("commits");
-        try (FileChannel f = FileChannel.open(file, StandardOpenOption.WRITE)) {
+        try (FileChannel channel = FileChannel.open(file, StandardOpenOption.WRITE)) {
             switch (how) {
-                case "empty" -> f.truncate(0);
-                case "cut short" -> f.truncate(f.size() - 1);
-                case "longer" -> f.write(ByteBuffer.allocate(8), f.size());
-                default -> f.write(ByteBuffer.wrap(new byte[] {2}), 0);
+                case "empty" -> channel.truncate(0);
+                case "cut short" -> channel.truncate(channel.size() - 1);
+                case "longer" -> channel.write(ByteBuffer.allocate(8), channel.size());
+                default -> channel.write(ByteBuffer.wrap(new byte[] {2}), 0);
             }
         }
         return file;
--- a/pooler/src/test/java/frostreel/LateConnectionsTest.java
+++ b/pooler/src/test/java/frostreel/LateConnectionsTest.java
@@ -30,23 +30,23 @@
                 .replace("\"repeatWindowS\":3", "\"repeatWindowS\":2")
                 .replace("\"probes\":true", "\"probes\":false"); // Which would wait for connections, too.
         primary.script = (text, link) -> {
-            primary.script = (next, on) -> {
-                served.add(on);
-                on.send(row("second", "primary"), PoolerHarness.READY);
+            primary.script = (next, connection) -> {
+                served.add(connection);
+                connection.send(row("second", "primary"), PoolerHarness.READY);
             };
             primary.welcome = (none, next) -> handshakes.add(next);
             link.close(); // It may have run.
         };
         start();
-        try (PoolerHarness.Link c = stage.client()) {
+        try (PoolerHarness.Link client = stage.client()) {
             long sent = System.nanoTime();
-            c.send(query(post("1", 9000)));
+            client.send(query(post("1", 9000)));
             assertThat(primary.next()).contains("id=1,");
             PoolerHarness.Link late = handshakes.take();
             PoolerHarness.pass(sent, windowMs + 500);
             welcome(late);
-            assertThat(c.takeAnswer()).singleElement().asString().contains("|C08007|");
-            assertThat(value(c.ask(post("2", 9000)))).isEqualTo("second");
+            assertThat(client.takeAnswer()).singleElement().asString().contains("|C08007|");
+            assertThat(value(client.ask(post("2", 9000)))).isEqualTo("second");
             assertThat(primary.next()).contains("id=2,");
             // The late connection serves what comes next. Whether that was read before the welcome, and so
             // had one more opened for it, is up to the loop; that one is not welcomed and can serve nothing.
@@ -58,17 +58,17 @@
     void connectionOpenedAfterItsRequestEndedServesTheNextOne() throws Exception {
         replica.welcome = (text, link) -> handshakes.add(link);
         start();
-        try (PoolerHarness.Link c = stage.client()) {
-            assertThat(c.ask(look("1", 300))).singleElement().asString().startsWith("E");
+        try (PoolerHarness.Link client = stage.client()) {
+            assertThat(client.ask(look("1", 300))).singleElement().asString().startsWith("E");
             PoolerHarness.Link late = handshakes.take();
-            c.send(query(look("2", 9000)));
+            client.send(query(look("2", 9000)));
             PoolerHarness.Link itsOwn = handshakes.take();
             welcome(late);
-            assertThat(value(c.takeAnswer())).isEqualTo("from-replica");
+            assertThat(value(client.takeAnswer())).isEqualTo("from-replica");
             assertThat(replica.next()).contains("id=2,");
             welcome(itsOwn);
             for (int i = 3; i < 9; i++) {
-                assertThat(value(c.ask(look("" + i, 9000)))).isEqualTo("from-replica");
+                assertThat(value(client.ask(look("" + i, 9000)))).isEqualTo("from-replica");
             }
             assertThat(replica.links.get()).isEqualTo(2);
             assertThat(stage.pooler.counters()).contains("outcomes={OK=7, NOT_SENT=1}");
@@ -107,13 +107,13 @@
     void timeLeftIsComputedWhenTheAttemptIsSent() throws Exception {
         replica.welcome = (text, link) -> handshakes.add(link);
         start();
-        try (PoolerHarness.Link c = stage.client()) {
+        try (PoolerHarness.Link client = stage.client()) {
             long sent = System.nanoTime();
-            c.send(query(look("1", 9000)));
+            client.send(query(look("1", 9000)));
             PoolerHarness.Link late = handshakes.take();
             PoolerHarness.pass(sent, 600);
             welcome(late);
-            assertThat(value(c.takeAnswer())).isEqualTo("from-replica");
+            assertThat(value(client.takeAnswer())).isEqualTo("from-replica");
             int told = PoolerHarness.remainingMs(replica.next());
             assertThat(told).isPositive().isLessThanOrEqualTo(8400);
         }
--- a/pooler/src/test/java/frostreel/LongValuesTest.java
+++ b/pooler/src/test/java/frostreel/LongValuesTest.java
@@ -58,17 +58,17 @@
     }
 
     /** Reads an answer's description and the row's head, up to the value. */
-    private static void begin(PoolerHarness.Link c, int length) throws IOException {
-        assertThat(c.take()).startsWith("T");
-        assertThat(c.in.readUnsignedByte()).isEqualTo('D');
-        assertThat(c.in.readInt()).isEqualTo(length + 10);
-        assertThat(c.in.readShort()).isEqualTo((short) 1);
-        assertThat(c.in.readInt()).isEqualTo(length);
+    private static void begin(PoolerHarness.Link client, int length) throws IOException {
+        assertThat(client.take()).startsWith("T");
+        assertThat(client.in.readUnsignedByte()).isEqualTo('D');
+        assertThat(client.in.readInt()).isEqualTo(length + 10);
+        assertThat(client.in.readShort()).isEqualTo((short) 1);
+        assertThat(client.in.readInt()).isEqualTo(length);
     }
 
-    private static void end(PoolerHarness.Link c) throws IOException {
-        assertThat(c.take()).startsWith("C");
-        assertThat(c.take()).startsWith("Z");
+    private static void end(PoolerHarness.Link client) throws IOException {
+        assertThat(client.take()).startsWith("C");
+        assertThat(client.take()).startsWith("Z");
     }
 
     @Test
@@ -78,23 +78,23 @@
             link.send(head(LONG, LONG), Arrays.copyOf(VALUE, 100));
             PoolerHarness.await(first);
             link.send(Arrays.copyOfRange(VALUE, 100, LONG));
-            for (byte b : TAIL) {
-                link.out.write(b);
+            for (byte tailByte : TAIL) {
+                link.out.write(tailByte);
             }
         };
-        try (PoolerHarness.Link c = stage.client()) {
-            c.send(PoolerHarness.query(look("1", 9000)), PoolerHarness.query(post("2", 9000)));
-            begin(c, LONG);
-            assertThat(c.in.readNBytes(100)).isEqualTo(Arrays.copyOf(VALUE, 100));
+        try (PoolerHarness.Link client = stage.client()) {
+            client.send(PoolerHarness.query(look("1", 9000)), PoolerHarness.query(post("2", 9000)));
+            begin(client, LONG);
+            assertThat(client.in.readNBytes(100)).isEqualTo(Arrays.copyOf(VALUE, 100));
             first.countDown();
-            assertThat(c.in.readNBytes(LONG - 100)).isEqualTo(Arrays.copyOfRange(VALUE, 100, LONG));
-            end(c);
-            assertThat(c.takeAnswer().get(1)).endsWith("from-primary");
+            assertThat(client.in.readNBytes(LONG - 100)).isEqualTo(Arrays.copyOfRange(VALUE, 100, LONG));
+            end(client);
+            assertThat(client.takeAnswer().get(1)).endsWith("from-primary");
             replica.script = whole(VALUE);
-            c.send(PoolerHarness.query(look("3", 9000)));
-            begin(c, LONG);
-            assertThat(c.in.readNBytes(LONG)).isEqualTo(VALUE);
-            end(c);
+            client.send(PoolerHarness.query(look("3", 9000)));
+            begin(client, LONG);
+            assertThat(client.in.readNBytes(LONG)).isEqualTo(VALUE);
+            end(client);
             assertThat(replica.links.get())
                     .as("the server's connection stayed clean")
                     .isEqualTo(1);
@@ -108,11 +108,11 @@
             link.send(head(LONG, LONG), Arrays.copyOf(VALUE, LONG / 2));
             link.close();
         };
-        try (PoolerHarness.Link c = stage.client()) {
-            c.send(PoolerHarness.query(look("1", 9000)));
-            begin(c, LONG);
-            assertThat(c.in.readNBytes(LONG).length).isLessThanOrEqualTo(LONG / 2);
-            assertThat(c.endsNext()).isTrue();
+        try (PoolerHarness.Link client = stage.client()) {
+            client.send(PoolerHarness.query(look("1", 9000)));
+            begin(client, LONG);
+            assertThat(client.in.readNBytes(LONG).length).isLessThanOrEqualTo(LONG / 2);
+            assertThat(client.endsNext()).isTrue();
         } catch (SocketException reset) {
             assertThat(reset).hasMessageContaining("reset"); // It can tell, too.
         }
@@ -122,11 +122,11 @@
     @Test
     void errorAfterLongValueClosesTheClient() throws Exception {
         replica.script = (text, link) -> link.send(head(LONG, LONG), VALUE, PoolerHarness.error("XX000"), PoolerHarness.READY);
-        try (PoolerHarness.Link c = stage.client()) {
-            c.send(PoolerHarness.query(look("1", 9000)));
-            begin(c, LONG);
-            c.in.readNBytes(LONG);
-            assertThat(c.endsNext()).isTrue();
+        try (PoolerHarness.Link client = stage.client()) {
+            client.send(PoolerHarness.query(look("1", 9000)));
+            begin(client, LONG);
+            client.in.readNBytes(LONG);
+            assertThat(client.endsNext()).isTrue();
         }
     }
 
@@ -137,33 +137,33 @@
             link.send(head(LONG, LONG), Arrays.copyOf(VALUE, LONG / 2));
             PoolerHarness.await(first);
         };
-        try (PoolerHarness.Link c = stage.client()) {
-            c.send(PoolerHarness.query(look("1", 9000)));
-            begin(c, LONG);
+        try (PoolerHarness.Link client = stage.client()) {
+            client.send(PoolerHarness.query(look("1", 9000)));
+            begin(client, LONG);
         }
         first.countDown();
         replica.ended.take();
-        try (PoolerHarness.Link c = stage.client()) {
-            assertThat(c.ask(post("2", 9000)).get(1)).endsWith("from-primary");
+        try (PoolerHarness.Link client = stage.client()) {
+            assertThat(client.ask(post("2", 9000)).get(1)).endsWith("from-primary");
         }
     }
 
     @Test
     void rowWithInconsistentLengthIsNotForwarded() throws Exception {
         replica.script = (text, link) -> link.send(head(LONG, LONG - 1), VALUE, TAIL);
-        try (PoolerHarness.Link c = stage.client()) {
-            assertThat(c.ask(look("1", 9000)).get(1)).endsWith("from-primary");
+        try (PoolerHarness.Link client = stage.client()) {
+            assertThat(client.ask(look("1", 9000)).get(1)).endsWith("from-primary");
         }
     }
 
     /** A client that takes its time, and a server that gives a byte now and then, hold nobody up. */
     @Test
     void slowPeersDoNotDelayOthers() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
+        CountDownLatch dripOn = new CountDownLatch(1);
         replica.script = (text, link) -> {
             if (text.contains("id=drip,")) {
                 link.send(head(LONG, LONG), Arrays.copyOf(VALUE, 1));
-                PoolerHarness.await(go);
+                PoolerHarness.await(dripOn);
                 for (int i = 1; i < 40; i++) {
                     link.out.write(VALUE[i]);
                 }
@@ -186,7 +186,7 @@
                 end(quick);
                 assertThat(slow.in.readNBytes(1000)).isEqualTo(Arrays.copyOfRange(VALUE, 1000 * i, 1000 * i + 1000));
             }
-            go.countDown();
+            dripOn.countDown();
             assertThat(drip.in.readNBytes(LONG)).isEqualTo(VALUE);
             end(drip);
             assertThat(slow.in.readNBytes(LONG - 5000)).isEqualTo(Arrays.copyOfRange(VALUE, 5000, LONG));
@@ -215,23 +215,23 @@
             int port = process.awaitPort();
             process.awaitReady();
             for (int i = 0; i < clients; i++) {
-                PoolerHarness.Link c = PoolerHarness.client(port);
-                all.add(c);
-                c.send(PoolerHarness.query(look("n" + i, 9000)));
+                PoolerHarness.Link client = PoolerHarness.client(port);
+                all.add(client);
+                client.send(PoolerHarness.query(look("n" + i, 9000)));
             }
-            for (PoolerHarness.Link c : all) {
-                begin(c, parts * part.length);
+            for (PoolerHarness.Link client : all) {
+                begin(client, parts * part.length);
             }
-            for (PoolerHarness.Link c : all) {
+            for (PoolerHarness.Link client : all) {
                 for (int i = 0; i < parts; i++) {
-                    assertThat(Arrays.equals(c.in.readNBytes(part.length), part))
+                    assertThat(Arrays.equals(client.in.readNBytes(part.length), part))
                             .isTrue();
                 }
-                end(c);
+                end(client);
             }
         } finally {
-            for (PoolerHarness.Link c : all) {
-                c.close();
+            for (PoolerHarness.Link client : all) {
+                client.close();
             }
         }
     }
--- a/pooler/src/test/java/frostreel/OperatorCommandsTest.java
+++ b/pooler/src/test/java/frostreel/OperatorCommandsTest.java
@@ -26,23 +26,23 @@
 
     @Test
     void suspendedServerReceivesNothingUntilRestored() throws Exception {
-        try (PoolerHarness.Link c = stage.client()) {
-            assertThat(value(c.ask(look("1", 9000)))).isEqualTo("from-replica");
+        try (PoolerHarness.Link client = stage.client()) {
+            assertThat(value(client.ask(look("1", 9000)))).isEqualTo("from-replica");
             assertThat(stage.call("SUSPEND b")).isEqualTo("OK\n");
-            assertThat(value(c.ask(look("2", 9000)))).isEqualTo("from-primary");
+            assertThat(value(client.ask(look("2", 9000)))).isEqualTo("from-primary");
             stage.told.clear();
             stage.lists.add(
                     list(2, true, host("a", primary, "primary", "Ready"), host("b", replica, "replica", "Ready")));
             stage.told.take();
             stage.lists.add(list(3, false));
             stage.told.take(); // The list before was taken, as this call came only after it.
-            assertThat(value(c.ask(look("3", 9000)))).isEqualTo("from-primary");
+            assertThat(value(client.ask(look("3", 9000)))).isEqualTo("from-primary");
             assertThat(stage.call("SUSPEND b")).isEqualTo("OK\n");
-            assertThat(value(c.ask("SHOW operation"))).contains("out=[b]");
+            assertThat(value(client.ask("SHOW operation"))).contains("out=[b]");
             assertThat(stage.call("RESTORE b")).isEqualTo("OK\n");
-            assertThat(value(c.ask("SHOW operation"))).contains("out=[]");
+            assertThat(value(client.ask("SHOW operation"))).contains("out=[]");
             for (int i = 4; replica.heard.size() < 2; i++) { // Cold at first: its share comes by and by.
-                c.ask(look(Integer.toString(i), 9000));
+                client.ask(look(Integer.toString(i), 9000));
             }
         }
     }
@@ -51,8 +51,8 @@
     void writeToSuspendedPrimaryIsRejectedUnsent() throws Exception {
         replica.script = PoolerHarness.errors("25006", "replica");
         assertThat(stage.call("SUSPEND a")).isEqualTo("OK\n");
-        try (PoolerHarness.Link c = stage.client()) {
-            assertThat(c.ask(post("1", 600))).singleElement().asString().contains("|C53300|");
+        try (PoolerHarness.Link client = stage.client()) {
+            assertThat(client.ask(post("1", 600))).singleElement().asString().contains("|C53300|");
             assertThat(primary.heard).isEmpty();
         }
     }
@@ -73,14 +73,14 @@
         InetSocketAddress at = stage.pooler.callsAt();
         List<Socket> silent = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
-            Socket s = new Socket(at.getAddress(), at.getPort());
-            s.getOutputStream().write("STAT".getBytes(StandardCharsets.US_ASCII));
-            silent.add(s);
+            Socket caller = new Socket(at.getAddress(), at.getPort());
+            caller.getOutputStream().write("STAT".getBytes(StandardCharsets.US_ASCII));
+            silent.add(caller);
         }
         assertThat(stage.call("STATUS")).isEqualTo("OK\n");
         assertThat(stage.call("x".repeat(2000))).startsWith("ERR ");
-        for (Socket s : silent) {
-            s.close();
+        for (Socket caller : silent) {
+            caller.close();
         }
     }
 
@@ -103,9 +103,9 @@
             assertThat(idle.endsNext()).isTrue();
             assertThat(stage.call("PAUSE")).isEqualTo("OK\n");
             assertThat(stage.call("RESUME")).isEqualTo("OK\n");
-            try (PoolerHarness.Link c = stage.client()) {
-                assertThat(c.ask("")).containsExactly("I");
-                assertThat(value(c.ask(look("4", 9000)))).isNotEmpty();
+            try (PoolerHarness.Link client = stage.client()) {
+                assertThat(client.ask("")).containsExactly("I");
+                assertThat(value(client.ask(look("4", 9000)))).isNotEmpty();
             }
         }
     }
@@ -159,13 +159,13 @@
 
     @Test
     void readsGoToPrimaryWithoutReplicasAndAreRejectedWithoutMembers() throws Exception {
-        try (PoolerHarness.Link c = stage.client()) {
+        try (PoolerHarness.Link client = stage.client()) {
             assertThat(stage.call("SUSPEND b")).isEqualTo("OK\n");
-            assertThat(value(c.ask(look("1", 9000)))).isEqualTo("from-primary");
+            assertThat(value(client.ask(look("1", 9000)))).isEqualTo("from-primary");
             assertThat(stage.call("SUSPEND a")).isEqualTo("OK\n");
-            assertThat(c.ask(look("2", 600))).singleElement().asString().contains("|C53300|");
+            assertThat(client.ask(look("2", 600))).singleElement().asString().contains("|C53300|");
             assertThat(stage.call("RESTORE a")).isEqualTo("OK\n");
-            assertThat(value(c.ask(post("3", 9000)))).isEqualTo("from-primary");
+            assertThat(value(client.ask(post("3", 9000)))).isEqualTo("from-primary");
         }
     }
 
@@ -178,11 +178,11 @@
             welcomed.countDown();
             PoolerHarness.await(over);
         };
-        try (PoolerHarness.Link c = stage.client()) {
-            c.send(PoolerHarness.query(look("1", 9000)));
+        try (PoolerHarness.Link client = stage.client()) {
+            client.send(PoolerHarness.query(look("1", 9000)));
             welcomed.await();
             assertThat(stage.call("SUSPEND b")).isEqualTo("OK\n");
-            assertThat(value(c.takeAnswer())).isEqualTo("from-primary");
+            assertThat(value(client.takeAnswer())).isEqualTo("from-primary");
         } finally {
             over.countDown();
         }
@@ -191,19 +191,19 @@
     @Test
     void suspendedServerStaysOutWhenItIsListedAgain() throws Exception {
         assertThat(stage.call("SUSPEND b")).isEqualTo("OK\n");
-        String up = host("b", replica, "replica", "Ready");
+        String listed = host("b", replica, "replica", "Ready");
         int seq = 2;
         stage.told.clear();
         for (String state : List.of("Gone", "Ready", "Terminating", "Ready")) {
-            stage.lists.add(list(seq++, false, up.replace("Ready", state)));
+            stage.lists.add(list(seq++, false, listed.replace("Ready", state)));
         }
         stage.lists.add(list(seq, false));
         for (int i = 0; i < 5; i++) {
             stage.told.take();
         }
-        try (PoolerHarness.Link c = stage.client()) {
+        try (PoolerHarness.Link client = stage.client()) {
             for (int i = 0; i < 20; i++) {
-                assertThat(value(c.ask(look("n" + i, 9000)))).isEqualTo("from-primary");
+                assertThat(value(client.ask(look("n" + i, 9000)))).isEqualTo("from-primary");
             }
             assertThat(replica.heard).isEmpty();
         }
--- a/pooler/src/test/java/frostreel/PausedProcessTest.java
+++ b/pooler/src/test/java/frostreel/PausedProcessTest.java
@@ -19,16 +19,16 @@
             int port = process.awaitPort();
             process.awaitReady();
             assertThat(stage.told.take()).isEqualTo("told");
-            try (PoolerHarness.Link c = PoolerHarness.client(port)) {
-                assertThat(value(c.ask(look("1", 9000)))).isEqualTo("from-replica");
+            try (PoolerHarness.Link client = PoolerHarness.client(port)) {
+                assertThat(value(client.ask(look("1", 9000)))).isEqualTo("from-replica");
                 process.suspend();
                 long pausedAt = System.nanoTime();
-                c.send(query(look("2", 9000)));
+                client.send(query(look("2", 9000)));
                 stage.lists.add(list(2, false, host("b", replica, "replica", "Terminating")));
                 assertThat(stage.told.take()).isEqualTo("told");
                 PoolerHarness.pass(pausedAt, 300); // What a silence is.
                 process.resume();
-                assertThat(value(c.takeAnswer())).isEqualTo("from-primary");
+                assertThat(value(client.takeAnswer())).isEqualTo("from-primary");
                 assertThat(replica.heard).hasSize(1);
             }
         }
@@ -42,14 +42,14 @@
             stage.lists.add(list(1, false));
             int port = process.awaitPort();
             process.awaitReady();
-            try (PoolerHarness.Link c = PoolerHarness.client(port);
+            try (PoolerHarness.Link client = PoolerHarness.client(port);
                     PoolerHarness.Link late = PoolerHarness.connect(port)) {
                 process.suspend();
-                c.send(query(post("1", 9000)));
+                client.send(query(post("1", 9000)));
                 late.send(PoolerHarness.startup(), query(post("2", 300)));
                 PoolerHarness.pass(System.nanoTime(), pausedMs);
                 process.resume();
-                assertThat(value(c.takeAnswer())).isEqualTo("from-primary");
+                assertThat(value(client.takeAnswer())).isEqualTo("from-primary");
                 assertThat(PoolerHarness.remainingMs(primary.next()))
                         .isLessThanOrEqualTo((int) (9000 - pausedMs));
                 late.takeAnswer();
--- a/pooler/src/test/java/frostreel/PipelineTest.java
+++ b/pooler/src/test/java/frostreel/PipelineTest.java
@@ -67,12 +67,12 @@
     @Test
     void timeSpentInPipelineCountsAgainstTheDeadline() throws Exception {
         holdFirst();
-        try (PoolerHarness.Link c = stage.client()) {
-            c.send(first(), query(look("dead", PATIENCE_MS)), query(look("live", 9000)));
+        try (PoolerHarness.Link client = stage.client()) {
+            client.send(first(), query(look("dead", PATIENCE_MS)), query(look("live", 9000)));
             answerFirst(awaitFirstSentAndPatienceOver());
-            assertThat(value(c.takeAnswer())).isEqualTo("of-first");
-            assertRejected(c.takeAnswer());
-            assertThat(value(c.takeAnswer())).isEqualTo("from-replica");
+            assertThat(value(client.takeAnswer())).isEqualTo("of-first");
+            assertRejected(client.takeAnswer());
+            assertThat(value(client.takeAnswer())).isEqualTo("from-replica");
             String sent = replica.next();
             assertThat(PoolerHarness.requestId(sent)).isEqualTo("live");
             assertThat(PoolerHarness.remainingMs(sent)).isLessThanOrEqualTo(9000 - PATIENCE_MS);
@@ -83,12 +83,12 @@
     @Test
     void requestsBehindCancelledOneKeepTheirOwnDeadlines() throws Exception {
         holdFirst();
-        try (Keyed c = new Keyed()) {
-            c.link.send(first(), query(look("dead", PATIENCE_MS)), query(look("live", 9000)));
+        try (Keyed client = new Keyed()) {
+            client.link.send(first(), query(look("dead", PATIENCE_MS)), query(look("live", 9000)));
             awaitFirstSentAndPatienceOver();
-            c.endsCancelled();
-            assertRejected(c.link.takeAnswer());
-            assertThat(value(c.link.takeAnswer())).isEqualTo("from-replica");
+            client.endsCancelled();
+            assertRejected(client.link.takeAnswer());
+            assertThat(value(client.link.takeAnswer())).isEqualTo("from-replica");
             assertTwoAttemptsAndOneRejection();
         }
     }
@@ -96,15 +96,15 @@
     @Test
     void pipelinedRequestsAreAnsweredInOrderAtShutdown() throws Exception {
         holdFirst();
-        try (PoolerHarness.Link c = stage.client()) {
-            c.send(first(), query(look("dead", PATIENCE_MS)), query(look("live", 9000)));
+        try (PoolerHarness.Link client = stage.client()) {
+            client.send(first(), query(look("dead", PATIENCE_MS)), query(look("live", 9000)));
             PoolerHarness.Link link = awaitFirstSentAndPatienceOver();
             stopPooler();
             answerFirst(link);
-            assertThat(value(c.takeAnswer())).isEqualTo("of-first");
-            assertRejected(c.takeAnswer());
-            assertThat(value(c.takeAnswer())).isEqualTo("from-replica");
-            assertThat(c.endsNext()).isTrue();
+            assertThat(value(client.takeAnswer())).isEqualTo("of-first");
+            assertRejected(client.takeAnswer());
+            assertThat(value(client.takeAnswer())).isEqualTo("from-replica");
+            assertThat(client.endsNext()).isTrue();
             assertTwoAttemptsAndOneRejection();
         }
     }
@@ -125,12 +125,12 @@
                         default -> "";
                     }));
         }
-        try (PoolerHarness.Link c = stage.client()) {
-            c.send(all.toByteArray());
+        try (PoolerHarness.Link client = stage.client()) {
+            client.send(all.toByteArray());
             answerFirst(awaitFirstSentAndPatienceOver());
-            assertThat(value(c.takeAnswer())).isEqualTo("of-first");
+            assertThat(value(client.takeAnswer())).isEqualTo("of-first");
             for (int i = 1; i < 200; i++) {
-                List<String> answer = c.takeAnswer();
+                List<String> answer = client.takeAnswer();
                 switch (i % 4) {
                     case 0 -> assertThat(value(answer)).isEqualTo("live" + i);
                     case 1 -> assertRejected(answer);
@@ -138,7 +138,7 @@
                     default -> assertThat(answer).containsExactly("I");
                 }
             }
-            assertThat(value(c.ask("SHOW stats")))
+            assertThat(value(client.ask("SHOW stats")))
                     .contains(" requests=100 ")
                     .contains(" served=50 ")
                     .contains(" refused=50 ")
@@ -168,17 +168,17 @@
     void singleByteArrivalsUseBoundedMemoryAndKeepTheirTimes() {
         ArrivalTimes times = new ArrivalTimes();
         int idle = times.memory();
-        int n = 100_000;
+        int count = 100_000;
         long apartUs = 1500;
-        for (int i = 0; i < n; i++) {
+        for (int i = 0; i < count; i++) {
             times.add(1, i * apartUs);
         }
         assertThat(times.memory()).isLessThanOrEqualTo(ArrivalTimes.MOST * 2 * Long.BYTES);
-        for (int i = 0; i < n; i++) {
-            assertThat(times.take(n - 1 - i)).isBetween(i * apartUs - n * apartUs / 60, i * apartUs);
+        for (int i = 0; i < count; i++) {
+            assertThat(times.take(count - 1 - i)).isBetween(i * apartUs - count * apartUs / 60, i * apartUs);
         }
-        times.add(1, n * apartUs);
+        times.add(1, count * apartUs);
         assertThat(times.memory()).isEqualTo(idle);
-        assertThat(times.take(0)).isEqualTo(n * apartUs);
+        assertThat(times.take(0)).isEqualTo(count * apartUs);
     }
 }
--- a/pooler/src/test/java/frostreel/PoolerHarness.java
+++ b/pooler/src/test/java/frostreel/PoolerHarness.java
@@ -95,8 +95,8 @@
         /** An answer up to ReadyForQuery, without it. */
         List<String> takeAnswer() throws IOException {
             List<String> messages = new ArrayList<>();
-            for (String m = take(); !m.startsWith("Z"); m = take()) {
-                messages.add(m);
+            for (String message = take(); !message.startsWith("Z"); message = take()) {
+                messages.add(message);
             }
             return messages;
         }
@@ -175,11 +175,11 @@
         private static String line(InputStream in) throws IOException {
             StringBuilder head = new StringBuilder();
             while (head.indexOf("\r\n\r\n") < 0) {
-                int c = in.read();
-                if (c < 0) {
+                int next = in.read();
+                if (next < 0) {
                     throw new IOException("ended");
                 }
-                head.append((char) c);
+                head.append((char) next);
             }
             return head.substring(0, head.indexOf("\r\n"));
         }
@@ -225,7 +225,7 @@
 
     /** Answers each call with the next of the lists, and waits for one. */
     Peer discovery(BlockingQueue<String> lists) throws IOException {
-        Peer p = new Peer(false, (text, link) -> {
+        Peer peer = new Peer(false, (text, link) -> {
             try {
                 link.send(http(lists.take()));
                 told.add("told");
@@ -233,21 +233,21 @@
                 throw new IOException(e);
             }
         });
-        peers.add(p);
-        return p;
+        peers.add(peer);
+        return peer;
     }
 
     static Thread spawn(Task task) {
-        Thread t = new Thread(() -> {
+        Thread thread = new Thread(() -> {
             try {
                 task.run();
             } catch (Exception e) {
                 return; // The peer's other side went away, or the test is over.
             }
         });
-        t.setDaemon(true);
-        t.start();
-        return t;
+        thread.setDaemon(true);
+        thread.start();
+        return thread;
     }
 
     /** Waits in a peer's script. */
@@ -260,16 +260,16 @@
     }
 
     Peer server(Script script) throws IOException {
-        Peer p = new Peer(true, script);
-        peers.add(p);
-        return p;
+        Peer peer = new Peer(true, script);
+        peers.add(peer);
+        return peer;
     }
 
     /** Something that is asked over HTTP. */
     Peer agent(Script script) throws IOException {
-        Peer p = new Peer(false, script);
-        peers.add(p);
-        return p;
+        Peer peer = new Peer(false, script);
+        peers.add(peer);
+        return peer;
     }
 
     static byte[] http(String head, String body) {
@@ -302,8 +302,8 @@
         }
     }
 
-    static String host(String id, Peer at, String role, String health) {
-        return "{\"host\":\"" + id + "\",\"dial\":\"" + at.address()
+    static String host(String id, Peer server, String role, String health) {
+        return "{\"host\":\"" + id + "\",\"dial\":\"" + server.address()
                 + "\",\"site\":\"dc\",\"class\":\"m\",\"block\":2,"
                 + "\"health\":\"" + health + "\",\"share\":1.0,\"born_ms\":0,\"role\":\"" + role + "\"}";
     }
@@ -326,27 +326,27 @@
     }
 
     void startSilent(String... hosts) throws Exception {
-        Config c = Config.load(environment(configured(discovery.address(), hosts)));
-        pooler = new Pooler(allMayWait ? withoutPlaces(c) : c, operators, knownPatienceUs, lingerUs);
+        Config config = Config.load(environment(configured(discovery.address(), hosts)));
+        pooler = new Pooler(allMayWait ? withoutPlaces(config) : config, operators, knownPatienceUs, lingerUs);
     }
 
-    private static Config withoutPlaces(Config c) {
+    private static Config withoutPlaces(Config config) {
         return new Config(
-                c.name(),
-                c.listen(),
-                c.control(),
-                c.inherits(),
-                c.orders(),
-                c.discovery(),
-                c.maxClients(),
-                c.usualClients(),
-                c.maxServerConnections(),
-                c.maxOpen(),
-                c.known(),
-                c.zones(),
-                c.kinds(),
-                c.settings().onSockets(0),
-                c.source());
+                config.name(),
+                config.listen(),
+                config.control(),
+                config.inherits(),
+                config.orders(),
+                config.discovery(),
+                config.maxClients(),
+                config.usualClients(),
+                config.maxServerConnections(),
+                config.maxOpen(),
+                config.known(),
+                config.zones(),
+                config.kinds(),
+                config.settings().onSockets(0),
+                config.source());
     }
 
     /** SIGHUP, with a file that names another discovery. */
@@ -377,7 +377,7 @@
         CountDownLatch over = new CountDownLatch(1);
         Handler stop = new StreamHandler() {
             @Override
-            public void publish(LogRecord r) {
+            public void publish(LogRecord entry) {
                 stands.countDown();
                 try {
                     over.await();
@@ -412,18 +412,18 @@
     }
 
     void untilReady() throws Exception {
-        try (Link c = client()) {
-            while (!c.ask("").equals(List.of("I"))) {
+        try (Link client = client()) {
+            while (!client.ask("").equals(List.of("I"))) {
                 Thread.onSpinWait();
             }
         }
     }
 
     Link client() throws Exception {
-        Link c = new Link(connect());
-        c.send(startup());
-        c.takeAnswer();
-        return c;
+        Link client = new Link(connect());
+        client.send(startup());
+        client.takeAnswer();
+        return client;
     }
 
     /** A connection to a process that listens at this port. */
@@ -440,17 +440,17 @@
     }
 
     Socket connect() throws Exception {
-        InetSocketAddress at = pooler.address();
-        return new Socket(at.getAddress(), at.getPort());
+        InetSocketAddress address = pooler.address();
+        return new Socket(address.getAddress(), address.getPort());
     }
 
     /** One operator's call: its line, and the line that answers it. */
     String call(String line) throws Exception {
-        InetSocketAddress at = pooler.callsAt();
-        try (Socket s = new Socket(at.getAddress(), at.getPort())) {
-            s.setSoTimeout(PATIENCE_S * 1000);
-            s.getOutputStream().write((line + "\n").getBytes(StandardCharsets.US_ASCII));
-            return new String(s.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
+        InetSocketAddress address = pooler.callsAt();
+        try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
+            socket.setSoTimeout(PATIENCE_S * 1000);
+            socket.getOutputStream().write((line + "\n").getBytes(StandardCharsets.US_ASCII));
+            return new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
         }
     }
 
@@ -463,9 +463,9 @@
     }
 
     static byte[] bytes(char type, byte[] body) {
-        int n = body.length + 4;
-        byte[] out = new byte[n + 1];
-        byte[] head = {(byte) type, (byte) (n >> 24), (byte) (n >> 16), (byte) (n >> 8), (byte) n};
+        int length = body.length + 4;
+        byte[] out = new byte[length + 1];
+        byte[] head = {(byte) type, (byte) (length >> 24), (byte) (length >> 16), (byte) (length >> 8), (byte) length};
         System.arraycopy(head, 0, out, 0, head.length);
         System.arraycopy(body, 0, out, head.length, body.length);
         return out;
@@ -513,8 +513,8 @@
     }
 
     void strike() throws Exception {
-        for (Peer p : peers) {
-            p.close();
+        for (Peer peer : peers) {
+            peer.close();
         }
         if (pooler != null) {
             pooler.stop();
--- a/pooler/src/test/java/frostreel/RetryAfterTest.java
+++ b/pooler/src/test/java/frostreel/RetryAfterTest.java
@@ -35,8 +35,8 @@
     }
 
     private void leave() throws Exception {
-        for (PoolerHarness.Link c : clients) {
-            c.close();
+        for (PoolerHarness.Link client : clients) {
+            client.close();
         }
     }
 
--- a/pooler/src/test/java/frostreel/ServerConnectionsTest.java
+++ b/pooler/src/test/java/frostreel/ServerConnectionsTest.java
@@ -20,8 +20,8 @@
     void clientDisconnectClosesItsServerConnection() throws Exception {
         replica.script = (text, link) -> {};
         start();
-        try (PoolerHarness.Link c = stage.client()) {
-            c.send(query(look("1", 9000)));
+        try (PoolerHarness.Link client = stage.client()) {
+            client.send(query(look("1", 9000)));
             assertThat(replica.next()).contains("id=1,");
         }
         assertThat(replica.ended.take()).isEqualTo("ended");
@@ -51,9 +51,9 @@
                 clients.add(stage.client());
                 clients.get(i).send(query(post(id + i, 9000).replace("cluster=2", "cluster=" + (int) id.charAt(0))));
             }
-            for (PoolerHarness.Link c : clients) {
-                assertThat(value(c.takeAnswer())).isEqualTo(id);
-                c.close();
+            for (PoolerHarness.Link client : clients) {
+                assertThat(value(client.takeAnswer())).isEqualTo(id);
+                client.close();
             }
         }
         assertThat(servers.get("d").ended.take()).isEqualTo("ended");
@@ -72,9 +72,9 @@
             link.close();
         };
         start();
-        try (PoolerHarness.Link c = stage.client()) {
+        try (PoolerHarness.Link client = stage.client()) {
             for (int i = 0; i < 50; i++) {
-                assertThat(value(c.ask(look("id" + i, 9000)))).isEqualTo("from-primary");
+                assertThat(value(client.ask(look("id" + i, 9000)))).isEqualTo("from-primary");
             }
         }
         assertThat(stage.pooler.counters()).doesNotContain("NOT_SENT").doesNotContain("TIMEOUT");
--- a/pooler/src/test/java/frostreel/ServerProtocolTest.java
+++ b/pooler/src/test/java/frostreel/ServerProtocolTest.java
@@ -13,8 +13,8 @@
     void malformedServerResponseClosesItsConnectionAndIsRetried() throws Exception {
         replica.script = (text, link) -> link.send(new byte[] {'T', -1, 0, 0, 0});
         start();
-        try (PoolerHarness.Link c = stage.client()) {
-            assertThat(value(c.ask(look("1", 9000)))).isEqualTo("from-primary");
+        try (PoolerHarness.Link client = stage.client()) {
+            assertThat(value(client.ask(look("1", 9000)))).isEqualTo("from-primary");
         }
     }
 
@@ -26,9 +26,9 @@
         };
         primary.script = replica.script;
         start();
-        try (PoolerHarness.Link c = stage.client()) {
+        try (PoolerHarness.Link client = stage.client()) {
             for (int i = 0; i < 20; i++) {
-                assertThat(value(c.ask(look("id" + i, 9000)))).isEqualTo("id" + i);
+                assertThat(value(client.ask(look("id" + i, 9000)))).isEqualTo("id" + i);
             }
             assertThat(stage.pooler.counters()).contains("stray_bytes=20 ");
         }
@@ -52,10 +52,10 @@
                 PoolerHarness.bytes('E', "Cunended"),
                 PoolerHarness.bytes('Z', "II"));
         start();
-        try (PoolerHarness.Link c = stage.client()) {
+        try (PoolerHarness.Link client = stage.client()) {
             for (byte[] answer : spoilt) {
                 replica.script = (text, link) -> link.send(answer, PoolerHarness.READY);
-                List<String> got = c.ask(look("1", 9000));
+                List<String> got = client.ask(look("1", 9000));
                 assertThat(got).as("%s", new String(answer)).hasSize(3);
                 assertThat(value(got)).isEqualTo("from-primary");
                 assertThat(replica.ended.take()).isEqualTo("ended");
@@ -72,8 +72,8 @@
                 PoolerHarness.bytes('S', "unended"),
                 PoolerHarness.READY);
         start();
-        try (PoolerHarness.Link c = stage.client()) {
-            assertThat(value(c.ask(look("1", 9000)))).isEqualTo("good");
+        try (PoolerHarness.Link client = stage.client()) {
+            assertThat(value(client.ask(look("1", 9000)))).isEqualTo("good");
             assertThat(stage.pooler.counters()).contains("unread_reports=3 ").contains("malformed=0 ");
         }
     }
--- a/pooler/src/test/java/frostreel/ShutdownTest.java
+++ b/pooler/src/test/java/frostreel/ShutdownTest.java
@@ -50,10 +50,10 @@
 
     /** Asks until its connection ends; one that is sent when that has ended crosses the end, unanswered. */
     private static void asks(int port, String name, Set<String> answered) throws IOException {
-        try (PoolerHarness.Link c = PoolerHarness.client(port)) {
+        try (PoolerHarness.Link client = PoolerHarness.client(port)) {
             for (int i = 0; true; i++) {
-                c.send(query(look(name + "x" + i, 300)));
-                c.takeAnswer();
+                client.send(query(look(name + "x" + i, 300)));
+                client.takeAnswer();
                 answered.add(name + "x" + i);
             }
         } catch (EOFException | SocketException end) {
@@ -83,9 +83,9 @@
                 Thread.onSpinWait();
             }
             if (before == Before.PAUSE) {
-                try (Socket s = new Socket("127.0.0.1", calls)) {
-                    s.getOutputStream().write("PAUSE\n".getBytes());
-                    assertThat(new String(s.getInputStream().readAllBytes())).startsWith("OK");
+                try (Socket caller = new Socket("127.0.0.1", calls)) {
+                    caller.getOutputStream().write("PAUSE\n".getBytes());
+                    assertThat(new String(caller.getInputStream().readAllBytes())).startsWith("OK");
                 }
             }
             process.signal("TERM");
@@ -93,13 +93,13 @@
                 process.signal("TERM");
             }
             assertThat(process.awaitExit()).isEqualTo(143);
-            for (Thread c : clients) {
-                c.join();
+            for (Thread client : clients) {
+                client.join();
             }
             Set<String> reached = new HashSet<>();
-            for (PoolerHarness.Peer p : List.of(primary, replica)) {
-                p.heard.forEach(
-                        t -> reached.add(PoolerHarness.requestId(t)));
+            for (PoolerHarness.Peer peer : List.of(primary, replica)) {
+                peer.heard.forEach(
+                        text -> reached.add(PoolerHarness.requestId(text)));
             }
             reached.removeAll(answered);
             assertThat(reached).isEmpty();
@@ -127,21 +127,21 @@
             stage.lists.add("no list");
             process.awaitLog("the last list is kept");
             for (int i = 0; i < many; i++) {
-                PoolerHarness.Link c = PoolerHarness.connect(port);
-                idle.add(c);
-                c.send(PoolerHarness.startup(), query(look("i" + i, 300)));
-                c.takeAnswer();
-                assertThat(c.takeAnswer()).as("client %d", i).isNotEmpty();
+                PoolerHarness.Link client = PoolerHarness.connect(port);
+                idle.add(client);
+                client.send(PoolerHarness.startup(), query(look("i" + i, 300)));
+                client.takeAnswer();
+                assertThat(client.takeAnswer()).as("client %d", i).isNotEmpty();
             }
             byte[] drains = PoolerHarness.http(list(2, false, host("b", replica, "replica", "Terminating")));
             stage.discovery.script = (text, link) -> link.send(drains);
             process.awaitLog("discovery answers again");
-            try (PoolerHarness.Link c = PoolerHarness.client(port)) {
-                assertThat(value(c.ask(look("late", 300)))).isEqualTo("from-primary");
+            try (PoolerHarness.Link client = PoolerHarness.client(port)) {
+                assertThat(value(client.ask(look("late", 300)))).isEqualTo("from-primary");
             }
         } finally {
-            for (PoolerHarness.Link c : idle) {
-                c.close();
+            for (PoolerHarness.Link client : idle) {
+                client.close();
             }
         }
     }
@@ -151,9 +151,9 @@
         List<String> faults = new CopyOnWriteArrayList<>();
         Handler handler = new StreamHandler() {
             @Override
-            public void publish(LogRecord r) {
-                if (r.getLevel().intValue() >= Level.WARNING.intValue()) {
-                    faults.add(r.getLevel() + " " + r.getMessage());
+            public void publish(LogRecord entry) {
+                if (entry.getLevel().intValue() >= Level.WARNING.intValue()) {
+                    faults.add(entry.getLevel() + " " + entry.getMessage());
                 }
             }
         };
@@ -167,9 +167,9 @@
             link.send(row("late", "replica"), PoolerHarness.READY);
         };
         start();
-        try (PoolerHarness.Link c = stage.client();
+        try (PoolerHarness.Link client = stage.client();
                 PoolerHarness.Link idle = stage.client()) {
-            c.send(query(look("1", 9000)));
+            client.send(query(look("1", 9000)));
             asked.await();
             Thread stop = stopPooler();
             String last = "";
@@ -179,8 +179,8 @@
             }
             assertThat(idle.endsNext()).isTrue(); // An idle client is closed while the other is still served.
             answer.countDown();
-            assertThat(value(c.takeAnswer())).isEqualTo("late");
-            assertThat(c.endsNext()).isTrue();
+            assertThat(value(client.takeAnswer())).isEqualTo("late");
+            assertThat(client.endsNext()).isTrue();
             stop.join();
             stage.pooler = null;
         } finally {
--- a/pooler/src/test/java/frostreel/StatusPagesTest.java
+++ b/pooler/src/test/java/frostreel/StatusPagesTest.java
@@ -14,9 +14,9 @@
     @Test
     void showStatsReturnsTheCounters() throws Exception {
         start();
-        try (PoolerHarness.Link c = stage.client()) {
-            c.ask(look("1", 9000));
-            assertThat(value(c.ask("SHOW stats")))
+        try (PoolerHarness.Link client = stage.client()) {
+            client.ask(look("1", 9000));
+            assertThat(value(client.ask("SHOW stats")))
                     .contains(" requests=1 ")
                     .contains(" served=1 ")
                     .contains("outcomes={OK=1}");
@@ -31,15 +31,15 @@
                 new OperatorSettings.Zones(List.of(new OperatorSettings.Tier(List.of(), 1)), 2),
                 null);
         start();
-        try (PoolerHarness.Link c = stage.client()) {
-            assertThat(value(c.ask(look("1", 9000)))).isEqualTo("from-replica");
-            assertThat(value(c.ask("SHOW zones")))
+        try (PoolerHarness.Link client = stage.client()) {
+            assertThat(value(client.ask(look("1", 9000)))).isEqualTo("from-replica");
+            assertThat(value(client.ask("SHOW zones")))
                     .contains("sent_by_tier=[1, 0]")
                     .contains("areas={0={UP=1}}");
             stage.pooler.reload(
                     frostreel.config.Config.load(PoolerHarness.environment(PoolerHarness.configuration(stage.discovery.address()))),
                     stage.operators);
-            while (!value(c.ask("SHOW zones")).contains("sent_by_tier=[0, 0]")) {
+            while (!value(client.ask("SHOW zones")).contains("sent_by_tier=[0, 0]")) {
                 Thread.onSpinWait(); // The reload waits its turn on the I/O thread.
             }
         }
--- a/pooler/src/test/java/frostreel/broker/SlotTableTest.java
+++ b/pooler/src/test/java/frostreel/broker/SlotTableTest.java
@@ -8,14 +8,14 @@
     @Test
     void staleHandleFindsNothing() {
         SlotTable<String> table = new SlotTable<>(2);
-        long a = table.add("a");
+        long stale = table.add("a");
         table.add("b");
         assertThat(table.add("c")).isEqualTo(SlotTable.NONE);
-        assertThat(table.remove(a)).isEqualTo("a");
-        long again = table.add("d");
-        assertThat(table.get(a)).isNull();
-        assertThat(table.remove(a)).isNull();
-        assertThat(table.get(again)).isEqualTo("d");
+        assertThat(table.remove(stale)).isEqualTo("a");
+        long current = table.add("d");
+        assertThat(table.get(stale)).isNull();
+        assertThat(table.remove(stale)).isNull();
+        assertThat(table.get(current)).isEqualTo("d");
         assertThat(table.get(SlotTable.NONE)).isNull();
     }
 }
