--- a/pooler/src/test/java/frostreel/ClientCapacityTest.java
+++ b/pooler/src/test/java/frostreel/ClientCapacityTest.java
@@ -14,29 +14,29 @@
 class ClientCapacityTest extends ClientScript {
     @Test
     void idleClientsAreClosedForNewOnesAtTheLimit() throws Exception {
-        stage.allMayWait = true;
+        harness.unlimitedConcurrency = true;
         start();
-        try (PoolerHarness.Link leaver = stage.client()) {
+        try (PoolerHarness.Link leaver = harness.client()) {
             leaver.send(PoolerHarness.bytes('X', "")); // One that has left must not be taken for an idle one.
             assertThat(leaver.endsNext()).isTrue();
         }
         List<PoolerHarness.Link> clients = new ArrayList<>();
         int idle = PoolerHarness.USUAL_CLIENTS / 3 - 1; // One more comes, and none is spared before it.
         for (int i = 0; i < idle; i++) {
-            clients.add(stage.client());
+            clients.add(harness.client());
             assertThat(value(clients.get(i).ask(look("c" + i, 9000)))).isEqualTo("from-replica");
         }
         replica.script = (text, link) -> {};
         primary.script = replica.script;
         for (int i = idle; i < PoolerHarness.MAX_CLIENTS - 16; i++) { // These hold their places by a request in hand.
-            clients.add(stage.client());
+            clients.add(harness.client());
             clients.get(i).send(query(look("c" + i, 9000)));
         }
-        try (PoolerHarness.Link late = stage.client()) { // Once the first has been idle for long enough.
+        try (PoolerHarness.Link late = harness.client()) { // Once the first has been idle for long enough.
             assertThat(late.ask("")).containsExactly("I");
             assertThat(clients.get(0).endsNext()).isTrue();
         }
-        while (!stage.pooler.counters().contains(" clients_evicted=1 clients_spared=0 ")) {
+        while (!harness.pooler.counters().contains(" clients_evicted=1 clients_spared=0 ")) {
             Thread.onSpinWait(); // The client sees its end before the pooler counts it.
         }
         for (PoolerHarness.Link client : clients) {
@@ -47,21 +47,21 @@
     @Test
     void longestIdleClientsAreClosedOnlyAboveTheUsualCount() throws Exception {
         start();
-        try (PoolerHarness.Link leaver = stage.client()) { // The one that saw the pooler become ready has gone, too.
+        try (PoolerHarness.Link leaver = harness.client()) { // The one that saw the pooler become ready has gone, too.
             leaver.send(PoolerHarness.bytes('X', ""));
             assertThat(leaver.endsNext()).isTrue();
         }
         List<PoolerHarness.Link> clients = new ArrayList<>();
         int calm = PoolerHarness.USUAL_CLIENTS * 3 / 4;
         for (int i = 0; i < PoolerHarness.USUAL_CLIENTS; i++) {
-            clients.add(stage.client());
+            clients.add(harness.client());
             assertThat(value(clients.get(i).ask(look("c" + i, 9000)))).isEqualTo("from-replica");
             if (i < calm) {
-                assertThat(stage.pooler.counters()).contains(" clients_spared=0 ");
+                assertThat(harness.pooler.counters()).contains(" clients_spared=0 ");
             }
         }
         int closed = PoolerHarness.USUAL_CLIENTS - calm;
-        while (!stage.pooler.counters().contains(" clients_spared=" + closed + " ")) {
+        while (!harness.pooler.counters().contains(" clients_spared=" + closed + " ")) {
             Thread.onSpinWait(); // The last answer comes before the next is spared.
         }
         for (int i = 0; i < closed; i++) { // The longest idle first.
@@ -86,17 +86,17 @@
         List<PoolerHarness.Link> idle = new ArrayList<>();
         List<PoolerHarness.Link> others = new ArrayList<>();
         for (int i = 0; i < PoolerHarness.USUAL_CLIENTS / 3; i++) {
-            idle.add(stage.client());
+            idle.add(harness.client());
             assertThat(value(idle.get(i).ask(look("c" + i, 9000)))).isEqualTo("from-replica");
         }
         for (int i = idle.size(); i < PoolerHarness.USUAL_CLIENTS * 3 / 4 - 1; i++) { // With a request, not idle.
-            others.add(stage.client());
+            others.add(harness.client());
             others.get(others.size() - 1).send(query(post("p" + i, 9000)));
         }
-        List<PoolerHarness.Link> late = List.of(stage.client(), stage.client());
+        List<PoolerHarness.Link> late = List.of(harness.client(), harness.client());
         int longest = late.size() + 2; // So many are looked at, and more than those that might be closed.
         // The I/O thread stands still while all of them ask, the late ones what is answered at once.
-        stage.whileItStandsStill(() -> {
+        harness.whileLoopIsBlocked(() -> {
             for (PoolerHarness.Link client : late) {
                 client.send(query(""));
             }
@@ -122,9 +122,9 @@
         start();
         List<PoolerHarness.Link> silent = new ArrayList<>();
         for (int i = 0; i < 2 * PoolerHarness.MAX_CLIENTS; i++) {
-            silent.add(new PoolerHarness.Link(stage.connect()));
+            silent.add(new PoolerHarness.Link(harness.connect()));
         }
-        try (PoolerHarness.Link client = stage.client()) {
+        try (PoolerHarness.Link client = harness.client()) {
             assertThat(value(client.ask(look("1", 9000)))).isEqualTo("from-replica");
         }
         PoolerHarness.Link last = silent.get(silent.size() - 1);
@@ -135,28 +135,28 @@
         for (PoolerHarness.Link client : silent) {
             client.close();
         }
-        assertThat(stage.pooler.counters()).contains(" requests=1 ");
+        assertThat(harness.pooler.counters()).contains(" requests=1 ");
     }
 
     @Test
     void requestIsRejectedAtOnceNearTheConnectionLimit() throws Exception {
-        stage.allMayWait = true;
+        harness.unlimitedConcurrency = true;
         replica.script = (text, link) -> {};
         primary.script = replica.script;
         start();
         List<PoolerHarness.Link> clients = new ArrayList<>();
         int busy = PoolerHarness.MAX_CLIENTS - 16;
         for (int i = 0; i < busy; i++) {
-            clients.add(stage.client());
+            clients.add(harness.client());
             clients.get(i).send(query(look("c" + i, 9000)));
         }
-        while (!stage.pooler.counters().contains(" requests=" + busy + " ")) {
+        while (!harness.pooler.counters().contains(" requests=" + busy + " ")) {
             Thread.onSpinWait();
         }
-        clients.add(stage.client());
+        clients.add(harness.client());
         List<String> answer = clients.get(busy).ask(look("last", 9000));
         assertThat(answer).singleElement().asString().contains("|C53300|").containsPattern("\\|D\\d+\\|");
-        assertThat(stage.pooler.counters()).contains(" crowded_out=1 ");
+        assertThat(harness.pooler.counters()).contains(" crowded_out=1 ");
         for (PoolerHarness.Link client : clients) {
             client.close();
         }
--- a/pooler/src/test/java/frostreel/ClientProtocolTest.java
+++ b/pooler/src/test/java/frostreel/ClientProtocolTest.java
@@ -14,7 +14,7 @@
     @Test
     void acceptsStartupAndQueriesOneByteAtATime() throws Exception {
         start();
-        try (PoolerHarness.Link client = new PoolerHarness.Link(stage.connect())) {
+        try (PoolerHarness.Link client = new PoolerHarness.Link(harness.connect())) {
             for (byte[] part : List.of(PoolerHarness.startup(), query(look("1", 9000)), query(post("2", 9000)))) {
                 for (byte nextByte : part) {
                     client.out.write(nextByte);
@@ -29,7 +29,7 @@
     @Test
     void forwardsStatementUnchangedExceptForTheTimeLeft() throws Exception {
         start();
-        try (PoolerHarness.Link client = stage.client()) {
+        try (PoolerHarness.Link client = harness.client()) {
             client.ask(post("7", 8000));
             String sent = primary.next();
             int timeLeftMs = PoolerHarness.remainingMs(sent);
@@ -41,9 +41,9 @@
     @Test
     void malformedInputClosesOnlyItsOwnConnection() throws Exception {
         start();
-        try (PoolerHarness.Link good = stage.client();
-                PoolerHarness.Link bad = stage.client();
-                PoolerHarness.Link early = new PoolerHarness.Link(stage.connect())) {
+        try (PoolerHarness.Link good = harness.client();
+                PoolerHarness.Link bad = harness.client();
+                PoolerHarness.Link early = new PoolerHarness.Link(harness.connect())) {
             bad.send(new byte[] {'Q', 127, -1, -1, -1});
             assertThat(bad.take()).startsWith("E").contains("|C08P01|");
             assertThat(bad.endsNext()).isTrue();
@@ -55,7 +55,7 @@
                     .asString()
                     .contains("|C22023|");
             assertThat(value(good.ask(look("2", 9000)))).isEqualTo("from-replica");
-            assertThat(stage.pooler.counters()).contains("malformed=4 ").contains("stray_exceptions=0 ");
+            assertThat(harness.pooler.counters()).contains("malformed=4 ").contains("stray_exceptions=0 ");
         }
     }
 
@@ -65,7 +65,7 @@
         replica.script = rows(large, "replica");
         start();
         int count = 60;
-        try (PoolerHarness.Link client = stage.client()) {
+        try (PoolerHarness.Link client = harness.client()) {
             for (int i = 0; i < count; i++) {
                 client.send(query(look("q" + i, 9000)));
             }
@@ -79,19 +79,19 @@
     void rejectsRequestWhoseIdIsInFlight() throws Exception {
         replica.script = (text, link) -> {};
         start();
-        try (PoolerHarness.Link client = stage.client();
-                PoolerHarness.Link thief = stage.client()) {
+        try (PoolerHarness.Link client = harness.client();
+                PoolerHarness.Link thief = harness.client()) {
             client.send(query(look("1", 9000)));
             assertThat(replica.next()).contains("id=1,");
             assertThat(thief.ask(look("1", 9000))).singleElement().asString().contains("|C22023|");
-            assertThat(stage.pooler.counters()).contains(" attempts=1 ");
+            assertThat(harness.pooler.counters()).contains(" attempts=1 ");
         }
     }
 
     @Test
     void rejectsStatementsOfUnknownForm() throws Exception {
         start();
-        try (PoolerHarness.Link client = stage.client()) {
+        try (PoolerHarness.Link client = harness.client()) {
             for (String bad : List.of(
                     look("1", 9000) + ";",
                     look("1", 9000).replace("records", "accounts"),
@@ -105,14 +105,14 @@
                     look("1", 9000).replace("look", "none"))) {
                 assertThat(client.ask(bad)).as(bad).singleElement().asString().contains("|C22023|");
             }
-            assertThat(stage.pooler.counters()).contains(" requests=0 ").contains(" malformed=10 ");
+            assertThat(harness.pooler.counters()).contains(" requests=0 ").contains(" malformed=10 ");
         }
     }
 
     @Test
     void errorReachesClientWhoseInputIsStillUnread() throws Exception {
         start();
-        try (PoolerHarness.Link client = stage.client()) {
+        try (PoolerHarness.Link client = harness.client()) {
             client.send(new byte[] {'Q', 3, -1, -1, -1}, new byte[900_000]);
             assertThat(client.take()).startsWith("E").contains("|C08P01|");
             assertThat(client.endsNext()).isTrue();
--- a/pooler/src/test/java/frostreel/ClientScript.java
+++ b/pooler/src/test/java/frostreel/ClientScript.java
@@ -17,30 +17,30 @@
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 abstract class ClientScript {
     private static final int CANCEL_REQUEST = 80877102;
-    PoolerHarness stage;
+    PoolerHarness harness;
     PoolerHarness.Peer primary;
     PoolerHarness.Peer replica;
 
     @BeforeEach
     void raise() throws Exception {
-        stage = new PoolerHarness();
-        primary = stage.server(rows("from-primary", "primary"));
-        replica = stage.server(rows("from-replica", "replica"));
+        harness = new PoolerHarness();
+        primary = harness.server(rows("from-primary", "primary"));
+        replica = harness.server(rows("from-replica", "replica"));
     }
 
     @AfterEach
     void strike() throws Exception {
-        stage.strike();
+        harness.close();
     }
 
     void start() throws Exception {
-        stage.start(host("a", primary, "primary", "Ready"), host("b", replica, "replica", "Ready"));
+        harness.start(host("a", primary, "primary", "Ready"), host("b", replica, "replica", "Ready"));
     }
 
     /** The configuration of a pooler that knows both members from the start. */
     String configuration() {
         return PoolerHarness.configuration(
-                stage.discovery.address(),
+                harness.discovery.address(),
                 host("a", primary, "primary", "Ready"),
                 host("b", replica, "replica", "Ready"));
     }
@@ -49,7 +49,7 @@
     Thread stopPooler() {
         Thread stop = new Thread(() -> {
             try {
-                stage.pooler.stop();
+                harness.pooler.stop();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
@@ -73,7 +73,7 @@
         int secret;
 
         Keyed() throws Exception {
-            link = new PoolerHarness.Link(stage.connect());
+            link = new PoolerHarness.Link(harness.connect());
             link.send(PoolerHarness.startup());
             DataInputStream in = link.in;
             for (int type = in.read(); type != 'Z'; type = in.read()) {
@@ -89,7 +89,7 @@
 
         /** Its end tells that the pooler has done with it. */
         void cancel(int withSecret) throws Exception {
-            try (PoolerHarness.Link other = new PoolerHarness.Link(stage.connect())) {
+            try (PoolerHarness.Link other = new PoolerHarness.Link(harness.connect())) {
                 other.send(ByteBuffer.allocate(16)
                         .putInt(16)
                         .putInt(CANCEL_REQUEST)
--- a/pooler/src/test/java/frostreel/ConnectionCloseTest.java
+++ b/pooler/src/test/java/frostreel/ConnectionCloseTest.java
@@ -17,19 +17,19 @@
 class ConnectionCloseTest extends ClientScript {
     /** Tests of the wait for a client that was told to leave make it endless. */
     private void lingerWithoutEnd() {
-        stage.lingerUs = Long.MAX_VALUE / 2;
+        harness.lingerUs = Long.MAX_VALUE / 2;
     }
 
     /** Its end is seen, and then more is sent: a connection that was closed whole would be reset by that. */
     private void assertBytesAfterCloseAreDroppedWithoutReset(PoolerHarness.Link client) throws Exception {
         assertThat(client.endsNext()).isTrue();
-        long before = stage.counter("requests");
+        long before = harness.counter("requests");
         for (int i = 0; i < 3; i++) {
             client.send(query(look("crossed" + i, 9000)));
         }
         assertThat(client.endsNext()).isTrue();
         client.close();
-        assertThat(stage.counter("requests")).isEqualTo(before);
+        assertThat(harness.counter("requests")).isEqualTo(before);
     }
 
     @Test
@@ -38,7 +38,7 @@
         start();
         List<PoolerHarness.Link> clients = new ArrayList<>();
         for (int i = 0; i < PoolerHarness.USUAL_CLIENTS; i++) {
-            clients.add(stage.client());
+            clients.add(harness.client());
             assertThat(value(clients.get(i).ask(look("c" + i, 9000)))).isEqualTo("from-replica");
         }
         assertBytesAfterCloseAreDroppedWithoutReset(clients.get(0));
@@ -50,12 +50,12 @@
     @Test
     void bytesSentDuringShutdownSweepDoNotResetTheConnection() throws Exception {
         lingerWithoutEnd();
-        stage.settings = PoolerHarness.SETTINGS
+        harness.settings = PoolerHarness.SETTINGS
                 .replace("\"deadlineS\":10", "\"deadlineS\":0.3")
                 .replace("\"onTimeS\":5", "\"onTimeS\":0.2"); // SIGKILL is due after 1 s, the sweep after 0.6 s.
         start();
-        try (PoolerHarness.Link asked = stage.client();
-                PoolerHarness.Link silent = stage.client()) {
+        try (PoolerHarness.Link asked = harness.client();
+                PoolerHarness.Link silent = harness.client()) {
             assertThat(value(asked.ask(look("1", 300)))).isEqualTo("from-replica");
             Thread stop = stopPooler();
             assertBytesAfterCloseAreDroppedWithoutReset(asked);
@@ -71,20 +71,20 @@
      */
     @Test
     void clientInBacklogWhenAcceptingEndsIsAnswered() throws Exception {
-        stage.startSilent(host("a", primary, "primary", "Ready"));
-        stage.discovery.next(); // A call that it gives up after 1.5 s, which it logs.
-        stage.untilReady();
+        harness.startSilent(host("a", primary, "primary", "Ready"));
+        harness.discovery.next(); // A call that it gives up after 1.5 s, which it logs.
+        harness.untilReady();
         List<PoolerHarness.Link> waits = new ArrayList<>();
         List<Thread> stop = new ArrayList<>();
-        stage.whileItStandsStill(
+        harness.whileLoopIsBlocked(
                 DiscoveryWatch.class,
                 () -> {
                     stop.add(stopPooler()); // The door closes 3.3 s later.
-                    stage.whileItStandsStill(() -> PoolerHarness.pass(System.nanoTime(), 3_500));
+                    harness.whileLoopIsBlocked(() -> PoolerHarness.awaitElapsed(System.nanoTime(), 3_500));
                 },
                 () -> {
                     for (int i = 0; i < 3; i++) { // The first was let in even by the door that had closed.
-                        waits.add(new PoolerHarness.Link(stage.connect()));
+                        waits.add(new PoolerHarness.Link(harness.connect()));
                         waits.get(i).send(PoolerHarness.startup(), query(look("" + i, 300)));
                     }
                 });
@@ -103,12 +103,12 @@
         replica.script = rows(large, "replica");
         start();
         int count = 300;
-        try (PoolerHarness.Link client = stage.client()) {
+        try (PoolerHarness.Link client = harness.client()) {
             for (int i = 0; i < count; i++) {
                 client.send(query(look("q" + i, 9000)));
             }
             for (int i = 0; i < 2; i++) {
-                try (PoolerHarness.Link silent = new PoolerHarness.Link(stage.connect())) {
+                try (PoolerHarness.Link silent = new PoolerHarness.Link(harness.connect())) {
                     assertThat(silent.take()).startsWith("E").contains("|C57P05|");
                     assertThat(silent.endsNext()).isTrue();
                 }
@@ -128,13 +128,13 @@
             link.send(PoolerHarness.row("late", "primary"), PoolerHarness.READY);
         };
         start();
-        try (PoolerHarness.Link client = stage.client()) {
+        try (PoolerHarness.Link client = harness.client()) {
             client.send(query(post("1", 9000))); // A write: a read would be tried elsewhere, and end too soon.
             byte[] much = query("x".repeat(100_000)); // No statement of either form: an error each.
             for (int i = 0; i < 14; i++) {
                 client.send(much);
             }
-            stage.shows("malformed=1");
+            harness.awaitCounter("malformed=1");
             answer.countDown();
             assertThat(value(client.takeAnswer())).isEqualTo("late");
             String last = client.take();
@@ -158,7 +158,7 @@
         for (int i = 0; i < whole.length; i++) {
             int cut = i;
             boolean reset = i % every == 0;
-            PoolerHarness.Peer cutter = stage.server((text, link) -> {
+            PoolerHarness.Peer cutter = harness.server((text, link) -> {
                 link.send(java.util.Arrays.copyOf(whole, cut));
                 if (reset) {
                     link.socket.setSoLinger(true, 0);
@@ -169,8 +169,8 @@
             hosts.add(host("a" + i, primary, "primary", "Ready").replace("\"block\":2", block));
             hosts.add(host("b" + i, cutter, "replica", "Ready").replace("\"block\":2", block));
         }
-        stage.start(hosts.toArray(String[]::new));
-        try (PoolerHarness.Link client = stage.client()) {
+        harness.start(hosts.toArray(String[]::new));
+        try (PoolerHarness.Link client = harness.client()) {
             for (int i = 0; i < whole.length; i++) {
                 assertThat(value(client.ask(look("q" + i, 9000).replace("cluster=2", "cluster=" + (100 + i)))))
                         .as("cut at byte %d", i)
@@ -180,6 +180,6 @@
                 }
             }
         }
-        assertThat(stage.pooler.counters()).contains(" stray_exceptions=0 ");
+        assertThat(harness.pooler.counters()).contains(" stray_exceptions=0 ");
     }
 }
--- a/pooler/src/test/java/frostreel/DisconnectedClientsTest.java
+++ b/pooler/src/test/java/frostreel/DisconnectedClientsTest.java
@@ -23,7 +23,7 @@
 
     /** From now on a connection to the replica comes up when the test lets it. */
     private void holdHandshakes() {
-        replica.welcome = (text, link) -> handshakes.add(link);
+        replica.handshake = (text, link) -> handshakes.add(link);
     }
 
     private static void welcome(PoolerHarness.Link link) throws Exception {
@@ -31,18 +31,18 @@
     }
 
     private void mayNotCancel() {
-        stage.settings = PoolerHarness.SETTINGS.replace("\"cancel\":true", "\"cancel\":false");
+        harness.settings = PoolerHarness.SETTINGS.replace("\"cancel\":true", "\"cancel\":false");
     }
 
     /** The next request is the first that the replica hears, on the connection that was opened before. */
     private void assertNothingIsSentBeforeTheNextRequest(PoolerHarness.Link pending) throws Exception {
         welcome(pending);
-        try (PoolerHarness.Link client = stage.client()) {
+        try (PoolerHarness.Link client = harness.client()) {
             assertThat(value(client.ask(look("next", 9000)))).isEqualTo("from-replica");
         }
         assertThat(replica.next()).contains("id=next,");
-        assertThat(primary.heard).isEmpty();
-        assertThat(replica.links.get()).isEqualTo(1);
+        assertThat(primary.received).isEmpty();
+        assertThat(replica.connections.get()).isEqualTo(1);
     }
 
     /** A client disconnects while its request waits for a connection, with {@code pipelined} unread behind that. */
@@ -50,12 +50,12 @@
         mayNotCancel();
         holdHandshakes();
         start();
-        PoolerHarness.Link client = stage.client();
+        PoolerHarness.Link client = harness.client();
         client.send(query(look("gone", 9000)));
         PoolerHarness.Link pending = handshakes.take();
         client.send(pipelined);
         client.close();
-        stage.shows("clients_gone=1");
+        harness.awaitCounter("clients_gone=1");
         assertNothingIsSentBeforeTheNextRequest(pending);
     }
 
@@ -83,12 +83,12 @@
         Map<String, PoolerHarness.Link> clients = new HashMap<>();
         int all = PoolerHarness.MOST_WAITING;
         for (int i = 0; i < all; i++) {
-            PoolerHarness.Link client = stage.client();
+            PoolerHarness.Link client = harness.client();
             clients.put("q" + i, client);
             client.send(query(look("q" + i, 9000)));
         }
-        stage.shows("requests=" + all);
-        int sent = (int) stage.counter("attempts");
+        harness.awaitCounter("requests=" + all);
+        int sent = (int) harness.counter("attempts");
         assertThat(sent).isBetween(1, all / 2); // The others wait for room.
         List<String> inHand = new ArrayList<>();
         List<PoolerHarness.Link> servers = new ArrayList<>();
@@ -96,11 +96,11 @@
             servers.add(held.take());
         }
         for (PoolerHarness.Peer peer : List.of(primary, replica)) {
-            for (String text : peer.heard) {
+            for (String text : peer.received) {
                 inHand.add(PoolerHarness.requestId(text));
             }
         }
-        stage.whileItStandsStill(() -> {
+        harness.whileLoopIsBlocked(() -> {
             for (Map.Entry<String, PoolerHarness.Link> client : clients.entrySet()) {
                 if (!inHand.contains(client.getKey())) {
                     client.getValue().close();
@@ -110,8 +110,8 @@
                 server.send(row("late", "replica"), PoolerHarness.READY);
             }
         });
-        stage.shows("clients_gone=" + (all - sent));
-        assertThat(stage.pooler.counters()).contains(" attempts=" + sent + " ");
+        harness.awaitCounter("clients_gone=" + (all - sent));
+        assertThat(harness.pooler.counters()).contains(" attempts=" + sent + " ");
         for (PoolerHarness.Link client : clients.values()) {
             client.close();
         }
@@ -135,13 +135,13 @@
 
     @Test
     void cancelledQueuedWriteIsNotSentOnceThereIsAPrimary() throws Exception {
-        stage.settings = PoolerHarness.SETTINGS.replace("\"probes\":true", "\"probes\":false"); // Writes walk.
+        harness.settings = PoolerHarness.SETTINGS.replace("\"probes\":true", "\"probes\":false"); // Writes walk.
         primary.script = errors("25006", "replica");
         replica.script = errors("25006", "replica");
         start();
         try (Keyed client = new Keyed()) {
             client.link.send(query(post("gone", 9000)));
-            while (!stage.pooler.counters().contains("WRONG_ROLE_OR_STALE=2")) {
+            while (!harness.pooler.counters().contains("WRONG_ROLE_OR_STALE=2")) {
                 Thread.onSpinWait(); // A full round: it is held.
             }
             client.endsCancelled();
@@ -154,7 +154,7 @@
 
     private long heardOf(String id) {
         return Stream.of(primary, replica)
-                .flatMap(peer -> peer.heard.stream())
+                .flatMap(peer -> peer.received.stream())
                 .filter(text -> text.contains("id=" + id + ","))
                 .count();
     }
@@ -167,13 +167,13 @@
             client.link.send(query(look("gone", 9000)));
             assertThat(replica.next()).contains("id=gone,");
             client.cancel(client.secret + 1); // Another's key.
-            assertThat(stage.pooler.counters()).contains(" clients_cancelled=0 ");
+            assertThat(harness.pooler.counters()).contains(" clients_cancelled=0 ");
             client.endsCancelled();
-            assertThat(replica.ended.take()).isEqualTo("ended");
+            assertThat(replica.closedConnections.take()).isEqualTo("closed");
             assertThat(value(client.link.ask(post("2", 9000)))).isEqualTo("from-primary");
             client.cancel(client.secret); // Of what has ended.
             assertThat(value(client.link.ask(post("3", 9000)))).isEqualTo("from-primary");
-            assertThat(stage.pooler.counters())
+            assertThat(harness.pooler.counters())
                     .contains(" clients_cancelled=1 ")
                     .contains(" attempts=3 ");
         }
--- a/pooler/src/test/java/frostreel/DiscoveryTest.java
+++ b/pooler/src/test/java/frostreel/DiscoveryTest.java
@@ -37,11 +37,11 @@
     }
 
     private void play() throws Exception {
-        stage.discovery.script = oneAfterAnother(deeds);
+        harness.discovery.script = oneAfterAnother(deeds);
         deeds.add(answers(list(1, false)));
-        stage.startSilent(host("a", primary, "primary", "Ready"), host("b", replica, "replica", "Ready"));
-        assertThat(stage.discovery.next()).contains("index=0&wait=1 ");
-        assertThat(stage.discovery.next()).contains("index=1&").doesNotContain("wait=1 ");
+        harness.startSilent(host("a", primary, "primary", "Ready"), host("b", replica, "replica", "Ready"));
+        assertThat(harness.discovery.next()).contains("index=0&wait=1 ");
+        assertThat(harness.discovery.next()).contains("index=1&").doesNotContain("wait=1 ");
     }
 
     private static PoolerHarness.Script answers(String list) {
@@ -72,11 +72,11 @@
         for (List<PoolerHarness.Script> row : failures) {
             for (PoolerHarness.Script failure : row) {
                 deeds.add(failure);
-                assertThat(stage.discovery.next()).contains("index=" + seq + "&wait=1 ");
+                assertThat(harness.discovery.next()).contains("index=" + seq + "&wait=1 ");
             }
             deeds.add(answers(told(++seq, seq % 2 == 0 ? "Terminating" : "Ready")));
-            assertThat(stage.discovery.next()).contains("index=" + seq + "&").doesNotContain("wait=1 ");
-            try (PoolerHarness.Link client = stage.client()) {
+            assertThat(harness.discovery.next()).contains("index=" + seq + "&").doesNotContain("wait=1 ");
+            try (PoolerHarness.Link client = harness.client()) {
                 assertThat(value(client.ask(look("q" + seq, 9000))))
                         .isEqualTo(seq % 2 == 0 ? "from-primary" : "from-replica");
             }
@@ -90,71 +90,71 @@
             link.send(http("", told(2, "Terminating")));
             link.close();
         });
-        assertThat(stage.discovery.next()).contains("index=2&");
+        assertThat(harness.discovery.next()).contains("index=2&");
         deeds.add((text, link) -> {
             link.send(http("", told(3, "Ready")));
             RESET.answer(text, link);
         });
-        assertThat(stage.discovery.next()).contains("index=2&wait=1 ");
-        try (PoolerHarness.Link client = stage.client()) {
+        assertThat(harness.discovery.next()).contains("index=2&wait=1 ");
+        try (PoolerHarness.Link client = harness.client()) {
             assertThat(value(client.ask(look("1", 9000)))).isEqualTo("from-primary");
         }
-        assertThat(stage.pooler.counters()).contains(" discovery_failures=1 ");
+        assertThat(harness.pooler.counters()).contains(" discovery_failures=1 ");
     }
 
     /** A connect that is given up while it is pending must not come back as a second watch. */
     @Test
     void watchStoppedWhileConnectingMakesNoFurtherConnection() throws Exception {
         play();
-        PoolerHarness.Peer away = stage.agent(SILENCE);
+        PoolerHarness.Peer away = harness.agent(SILENCE);
         away.close(); // Refused: it fails, and is begun again after a while.
-        stage.hangUp(away);
-        while (stage.pooler.counters().contains(" discovery_failures=0 ")) {
+        harness.reload(away);
+        while (harness.pooler.counters().contains(" discovery_failures=0 ")) {
             Thread.onSpinWait();
         }
         BlockingQueue<PoolerHarness.Script> theirs = new LinkedBlockingQueue<>();
-        PoolerHarness.Peer there = stage.agent(oneAfterAnother(theirs));
-        stage.hangUp(there);
+        PoolerHarness.Peer there = harness.agent(oneAfterAnother(theirs));
+        harness.reload(there);
         theirs.add(answers(list(5, true, host("a", primary, "primary", "Ready"))));
         assertThat(there.next()).startsWith("GET /discovery/hosts HTTP");
         assertThat(there.next()).contains("index=5&");
         assertPreviousWatchHasEnded();
-        long failures = stage.counter("discovery_failures");
+        long failures = harness.counter("discovery_failures");
         theirs.add(answers(list(6, false)));
         assertThat(there.next()).contains("index=6&"); // The watch that is in force goes on, alone.
-        assertThat(stage.counter("discovery_failures")).isEqualTo(failures);
-        assertThat(there.links.get()).isEqualTo(1);
+        assertThat(harness.counter("discovery_failures")).isEqualTo(failures);
+        assertThat(there.connections.get()).isEqualTo(1);
     }
 
     /** To a watch that goes on, an answer would bring its next call; an ended one is seen by it. */
     private void assertPreviousWatchHasEnded() throws Exception {
         deeds.add(answers(list(99, false)));
-        assertThat(stage.discovery.ended.take()).isEqualTo("ended");
+        assertThat(harness.discovery.closedConnections.take()).isEqualTo("closed");
     }
 
     /** The list in hand must not age while the agent that a new file names says nothing. */
     @Test
     void previousDiscoveryStaysInUseUntilTheNewOneAnswers() throws Exception {
         play();
-        try (PoolerHarness.Link client = stage.client()) {
-            PoolerHarness.Peer silent = stage.agent(SILENCE);
-            stage.hangUp(silent);
+        try (PoolerHarness.Link client = harness.client()) {
+            PoolerHarness.Peer silent = harness.agent(SILENCE);
+            harness.reload(silent);
             assertThat(silent.next()).startsWith("GET /discovery/hosts HTTP");
             deeds.add(answers(told(2, "Terminating")));
-            assertThat(stage.discovery.next()).contains("index=2&");
+            assertThat(harness.discovery.next()).contains("index=2&");
             assertThat(value(client.ask(look("1", 9000)))).isEqualTo("from-primary");
 
-            PoolerHarness.Peer refusing = stage.agent(SILENCE);
+            PoolerHarness.Peer refusing = harness.agent(SILENCE);
             refusing.close();
-            stage.hangUp(refusing);
-            assertThat(silent.ended.take()).isEqualTo("ended");
+            harness.reload(refusing);
+            assertThat(silent.closedConnections.take()).isEqualTo("closed");
             deeds.add(answers(told(3, "Ready")));
-            assertThat(stage.discovery.next()).contains("index=3&");
+            assertThat(harness.discovery.next()).contains("index=3&");
             assertThat(value(client.ask(look("2", 9000)))).isEqualTo("from-replica");
 
             BlockingQueue<PoolerHarness.Script> theirs = new LinkedBlockingQueue<>();
-            PoolerHarness.Peer answering = stage.agent(oneAfterAnother(theirs));
-            stage.hangUp(answering);
+            PoolerHarness.Peer answering = harness.agent(oneAfterAnother(theirs));
+            harness.reload(answering);
             theirs.add(answers(list(
                     1, true, host("a", primary, "primary", "Ready"), host("b", replica, "replica", "Terminating"))));
             assertThat(answering.next()).startsWith("GET /discovery/hosts HTTP");
@@ -172,11 +172,11 @@
         CountDownLatch written = new CountDownLatch(1);
         List<PoolerHarness.Link> clients = new ArrayList<>();
         for (int i = 0; i < PoolerHarness.MOST_WAITING; i++) {
-            clients.add(stage.client());
+            clients.add(harness.client());
         }
         // A connection rests open there, on which the next could go at once.
         assertThat(value(clients.get(0).ask(look("first", 9000)))).isEqualTo("from-replica");
-        stage.whileItStandsStill(() -> {
+        harness.whileLoopIsBlocked(() -> {
             long since = System.nanoTime();
             for (PoolerHarness.Link client : clients) {
                 client.send(query(look("q" + clients.indexOf(client), 9000)));
@@ -186,18 +186,18 @@
                 written.countDown();
             });
             written.await();
-            PoolerHarness.pass(since, 100); // Two fifths of the rule.
+            PoolerHarness.awaitElapsed(since, 100); // Two fifths of the rule.
         });
         for (PoolerHarness.Link client : clients) {
             assertThat(value(client.takeAnswer())).isEqualTo("from-primary");
             client.close();
         }
-        assertThat(replica.heard).hasSize(1);
+        assertThat(replica.received).hasSize(1);
     }
 
     @Test
     void watchEventsAreAppliedFirstAfterAShortPause() throws Exception {
-        stage.settings = STOP_SOON;
+        harness.settings = STOP_SOON;
         play();
         assertWatchEventsAreAppliedFirstAfterAShortPause();
     }
@@ -205,9 +205,9 @@
     @Test
     void reloadChangesWhatCountsAsAPause() throws Exception {
         play();
-        stage.settings = STOP_SOON;
-        stage.hangUp(stage.discovery);
-        stage.shows("reloads=1");
+        harness.settings = STOP_SOON;
+        harness.reload(harness.discovery);
+        harness.awaitCounter("reloads=1");
         assertWatchEventsAreAppliedFirstAfterAShortPause();
     }
 
@@ -217,23 +217,23 @@
         play();
         BlockingQueue<PoolerHarness.Link> late = new LinkedBlockingQueue<>();
         deeds.add(END);
-        assertThat(stage.discovery.next()).contains("index=1&wait=1 ");
-        assertThat(stage.discovery.ended.take()).isEqualTo("ended");
+        assertThat(harness.discovery.next()).contains("index=1&wait=1 ");
+        assertThat(harness.discovery.closedConnections.take()).isEqualTo("closed");
         deeds.add((text, link) -> late.add(link));
         PoolerHarness.Link first = late.take();
-        assertThat(stage.discovery.next()).as("beside the late one").contains("index=1&wait=1 ");
+        assertThat(harness.discovery.next()).as("beside the late one").contains("index=1&wait=1 ");
         deeds.add(SILENCE);
         first.send(http(told(2, "Terminating")));
-        assertThat(stage.discovery.next())
+        assertThat(harness.discovery.next())
                 .as("on the connection that was answered")
                 .contains("index=2&")
                 .doesNotContain("wait=1 ");
-        assertThat(stage.discovery.ended.take())
+        assertThat(harness.discovery.closedConnections.take())
                 .as("the second call is given up")
-                .isEqualTo("ended");
-        try (PoolerHarness.Link client = stage.client()) {
+                .isEqualTo("closed");
+        try (PoolerHarness.Link client = harness.client()) {
             assertThat(value(client.ask(look("1", 9000)))).isEqualTo("from-primary");
         }
-        assertThat(stage.discovery.links.get()).isEqualTo(3);
+        assertThat(harness.discovery.connections.get()).isEqualTo(3);
     }
 }
--- a/pooler/src/test/java/frostreel/FailoverTest.java
+++ b/pooler/src/test/java/frostreel/FailoverTest.java
@@ -17,11 +17,11 @@
         primary.script = errors("25006", "replica");
         replica.script = rows("from-new-primary", "primary");
         start();
-        try (PoolerHarness.Link client = stage.client()) {
+        try (PoolerHarness.Link client = harness.client()) {
             assertThat(value(client.ask(post("1", 9000)))).isEqualTo("from-new-primary");
-            assertThat(primary.heard).hasSize(1);
+            assertThat(primary.received).hasSize(1);
             assertThat(value(client.ask(post("2", 9000)))).isEqualTo("from-new-primary");
-            assertThat(primary.heard).hasSize(1);
+            assertThat(primary.received).hasSize(1);
         }
     }
 
@@ -32,7 +32,7 @@
             link.close();
         };
         start();
-        try (PoolerHarness.Link client = stage.client()) {
+        try (PoolerHarness.Link client = harness.client()) {
             assertThat(value(client.ask(look("1", 9000)))).isEqualTo("from-primary");
         }
     }
@@ -41,7 +41,7 @@
     void serverThatRefusesConnectionsIsSkipped() throws Exception {
         start();
         replica.close();
-        try (PoolerHarness.Link client = stage.client()) {
+        try (PoolerHarness.Link client = harness.client()) {
             assertThat(value(client.ask(look("1", 9000)))).isEqualTo("from-primary");
         }
     }
@@ -50,11 +50,11 @@
     void idempotentReadIsRetriedAfterErrorAndConnectionIsReused() throws Exception {
         replica.script = errors("XX000", "replica");
         start();
-        try (PoolerHarness.Link client = stage.client()) {
+        try (PoolerHarness.Link client = harness.client()) {
             assertThat(value(client.ask(look("1", 9000)))).isEqualTo("from-primary");
             replica.script = rows("later", "replica");
             client.ask(look("2", 9000));
-            assertThat(replica.links.get() + primary.links.get()).isLessThanOrEqualTo(2);
+            assertThat(replica.connections.get() + primary.connections.get()).isLessThanOrEqualTo(2);
         }
     }
 
@@ -63,7 +63,7 @@
         replica.script = errors("53300", "replica");
         primary.script = errors("53300", "primary");
         start();
-        try (PoolerHarness.Link client = stage.client()) {
+        try (PoolerHarness.Link client = harness.client()) {
             List<String> answer = client.ask(look("1", 300));
             assertThat(answer).singleElement().asString().contains("|C53300|").containsPattern("\\|D\\d+\\|");
         }
@@ -75,9 +75,9 @@
         replica.script = silence;
         primary.script = silence;
         start();
-        try (PoolerHarness.Link client = stage.client()) {
+        try (PoolerHarness.Link client = harness.client()) {
             assertThat(client.ask(look("1", 200))).singleElement().asString().startsWith("E");
-            assertThat(replica.ended.take()).isEqualTo("ended");
+            assertThat(replica.closedConnections.take()).isEqualTo("closed");
             replica.script = rows("back", "replica");
             primary.script = rows("back", "primary");
             List<String> answer = client.ask(look("2", 9000));
@@ -92,9 +92,9 @@
     void readTooStaleAtItsReplicaIsRetriedOnThePrimary() throws Exception {
         replica.script = errors("72000", "replica");
         start();
-        try (PoolerHarness.Link client = stage.client()) {
+        try (PoolerHarness.Link client = harness.client()) {
             assertThat(value(client.ask(look("1", 9000)))).isEqualTo("from-primary");
-            assertThat(stage.pooler.counters()).contains("WRONG_ROLE_OR_STALE=1");
+            assertThat(harness.pooler.counters()).contains("WRONG_ROLE_OR_STALE=1");
         }
     }
 }
--- a/pooler/src/test/java/frostreel/LateConnectionsTest.java
+++ b/pooler/src/test/java/frostreel/LateConnectionsTest.java
@@ -26,7 +26,7 @@
     void retryWhoseConnectionOpensAfterItsIdempotencyWindowIsNotSent() throws Exception {
         long windowMs = 2_000;
         BlockingQueue<PoolerHarness.Link> served = new LinkedBlockingQueue<>();
-        stage.settings = PoolerHarness.SETTINGS
+        harness.settings = PoolerHarness.SETTINGS
                 .replace("\"repeatWindowS\":3", "\"repeatWindowS\":2")
                 .replace("\"probes\":true", "\"probes\":false"); // Which would wait for connections, too.
         primary.script = (text, link) -> {
@@ -34,16 +34,16 @@
                 served.add(connection);
                 connection.send(row("second", "primary"), PoolerHarness.READY);
             };
-            primary.welcome = (none, next) -> handshakes.add(next);
+            primary.handshake = (none, next) -> handshakes.add(next);
             link.close(); // It may have run.
         };
         start();
-        try (PoolerHarness.Link client = stage.client()) {
+        try (PoolerHarness.Link client = harness.client()) {
             long sent = System.nanoTime();
             client.send(query(post("1", 9000)));
             assertThat(primary.next()).contains("id=1,");
             PoolerHarness.Link late = handshakes.take();
-            PoolerHarness.pass(sent, windowMs + 500);
+            PoolerHarness.awaitElapsed(sent, windowMs + 500);
             welcome(late);
             assertThat(client.takeAnswer()).singleElement().asString().contains("|C08007|");
             assertThat(value(client.ask(post("2", 9000)))).isEqualTo("second");
@@ -56,9 +56,9 @@
 
     @Test
     void connectionOpenedAfterItsRequestEndedServesTheNextOne() throws Exception {
-        replica.welcome = (text, link) -> handshakes.add(link);
+        replica.handshake = (text, link) -> handshakes.add(link);
         start();
-        try (PoolerHarness.Link client = stage.client()) {
+        try (PoolerHarness.Link client = harness.client()) {
             assertThat(client.ask(look("1", 300))).singleElement().asString().startsWith("E");
             PoolerHarness.Link late = handshakes.take();
             client.send(query(look("2", 9000)));
@@ -70,27 +70,27 @@
             for (int i = 3; i < 9; i++) {
                 assertThat(value(client.ask(look("" + i, 9000)))).isEqualTo("from-replica");
             }
-            assertThat(replica.links.get()).isEqualTo(2);
-            assertThat(stage.pooler.counters()).contains("outcomes={OK=7, NOT_SENT=1}");
+            assertThat(replica.connections.get()).isEqualTo(2);
+            assertThat(harness.pooler.counters()).contains("outcomes={OK=7, NOT_SENT=1}");
         }
     }
 
     /** The old connection becomes free while a request waits for one to the new address. */
     @Test
     void requestWaitingForMovedServerIsNotSentToItsOldAddress() throws Exception {
-        PoolerHarness.Peer moved = stage.server(rows("from-moved", "replica"));
-        moved.welcome = (text, link) -> handshakes.add(link);
+        PoolerHarness.Peer moved = harness.server(rows("from-moved", "replica"));
+        moved.handshake = (text, link) -> handshakes.add(link);
         BlockingQueue<PoolerHarness.Link> held = new LinkedBlockingQueue<>();
         replica.script = (text, link) -> held.add(link);
         start();
-        stage.discovery.next();
-        stage.discovery.next();
-        try (PoolerHarness.Link first = stage.client();
-                PoolerHarness.Link second = stage.client()) {
+        harness.discovery.next();
+        harness.discovery.next();
+        try (PoolerHarness.Link first = harness.client();
+                PoolerHarness.Link second = harness.client()) {
             first.send(query(look("1", 9000)));
             PoolerHarness.Link old = held.take();
-            stage.lists.add(list(2, false, host("b", moved, "replica", "Ready")));
-            assertThat(stage.discovery.next()).contains("index=2&");
+            harness.lists.add(list(2, false, host("b", moved, "replica", "Ready")));
+            assertThat(harness.discovery.next()).contains("index=2&");
             second.send(query(look("2", 9000)));
             PoolerHarness.Link pending = handshakes.take();
             replica.script = rows("from-replica", "replica");
@@ -98,20 +98,20 @@
             assertThat(value(first.takeAnswer())).isEqualTo("old");
             welcome(pending);
             assertThat(value(second.takeAnswer())).isEqualTo("from-moved");
-            assertThat(replica.heard).hasSize(1);
+            assertThat(replica.received).hasSize(1);
         }
     }
 
     /** Its server is waited for until the client's deadline, which is nearer by the time of the handshake. */
     @Test
     void timeLeftIsComputedWhenTheAttemptIsSent() throws Exception {
-        replica.welcome = (text, link) -> handshakes.add(link);
+        replica.handshake = (text, link) -> handshakes.add(link);
         start();
-        try (PoolerHarness.Link client = stage.client()) {
+        try (PoolerHarness.Link client = harness.client()) {
             long sent = System.nanoTime();
             client.send(query(look("1", 9000)));
             PoolerHarness.Link late = handshakes.take();
-            PoolerHarness.pass(sent, 600);
+            PoolerHarness.awaitElapsed(sent, 600);
             welcome(late);
             assertThat(value(client.takeAnswer())).isEqualTo("from-replica");
             int told = PoolerHarness.remainingMs(replica.next());
--- a/pooler/src/test/java/frostreel/LongValuesTest.java
+++ b/pooler/src/test/java/frostreel/LongValuesTest.java
@@ -82,7 +82,7 @@
                 link.out.write(tailByte);
             }
         };
-        try (PoolerHarness.Link client = stage.client()) {
+        try (PoolerHarness.Link client = harness.client()) {
             client.send(PoolerHarness.query(look("1", 9000)), PoolerHarness.query(post("2", 9000)));
             begin(client, LONG);
             assertThat(client.in.readNBytes(100)).isEqualTo(Arrays.copyOf(VALUE, 100));
@@ -95,10 +95,10 @@
             begin(client, LONG);
             assertThat(client.in.readNBytes(LONG)).isEqualTo(VALUE);
             end(client);
-            assertThat(replica.links.get())
+            assertThat(replica.connections.get())
                     .as("the server's connection stayed clean")
                     .isEqualTo(1);
-            assertThat(stage.pooler.counters()).contains("long_answers=2 long_broken=0");
+            assertThat(harness.pooler.counters()).contains("long_answers=2 long_broken=0");
         }
     }
 
@@ -108,7 +108,7 @@
             link.send(head(LONG, LONG), Arrays.copyOf(VALUE, LONG / 2));
             link.close();
         };
-        try (PoolerHarness.Link client = stage.client()) {
+        try (PoolerHarness.Link client = harness.client()) {
             client.send(PoolerHarness.query(look("1", 9000)));
             begin(client, LONG);
             assertThat(client.in.readNBytes(LONG).length).isLessThanOrEqualTo(LONG / 2);
@@ -116,13 +116,13 @@
         } catch (SocketException reset) {
             assertThat(reset).hasMessageContaining("reset"); // It can tell, too.
         }
-        assertThat(primary.heard).isEmpty();
+        assertThat(primary.received).isEmpty();
     }
 
     @Test
     void errorAfterLongValueClosesTheClient() throws Exception {
         replica.script = (text, link) -> link.send(head(LONG, LONG), VALUE, PoolerHarness.error("XX000"), PoolerHarness.READY);
-        try (PoolerHarness.Link client = stage.client()) {
+        try (PoolerHarness.Link client = harness.client()) {
             client.send(PoolerHarness.query(look("1", 9000)));
             begin(client, LONG);
             client.in.readNBytes(LONG);
@@ -137,13 +137,13 @@
             link.send(head(LONG, LONG), Arrays.copyOf(VALUE, LONG / 2));
             PoolerHarness.await(first);
         };
-        try (PoolerHarness.Link client = stage.client()) {
+        try (PoolerHarness.Link client = harness.client()) {
             client.send(PoolerHarness.query(look("1", 9000)));
             begin(client, LONG);
         }
         first.countDown();
-        replica.ended.take();
-        try (PoolerHarness.Link client = stage.client()) {
+        replica.closedConnections.take();
+        try (PoolerHarness.Link client = harness.client()) {
             assertThat(client.ask(post("2", 9000)).get(1)).endsWith("from-primary");
         }
     }
@@ -151,7 +151,7 @@
     @Test
     void rowWithInconsistentLengthIsNotForwarded() throws Exception {
         replica.script = (text, link) -> link.send(head(LONG, LONG - 1), VALUE, TAIL);
-        try (PoolerHarness.Link client = stage.client()) {
+        try (PoolerHarness.Link client = harness.client()) {
             assertThat(client.ask(look("1", 9000)).get(1)).endsWith("from-primary");
         }
     }
@@ -172,9 +172,9 @@
                 whole(VALUE).answer(text, link);
             }
         };
-        try (PoolerHarness.Link slow = stage.client();
-                PoolerHarness.Link drip = stage.client();
-                PoolerHarness.Link quick = stage.client()) {
+        try (PoolerHarness.Link slow = harness.client();
+                PoolerHarness.Link drip = harness.client();
+                PoolerHarness.Link quick = harness.client()) {
             slow.send(PoolerHarness.query(look("slow", 9000)));
             drip.send(PoolerHarness.query(look("drip", 9000)));
             begin(slow, LONG);
--- a/pooler/src/test/java/frostreel/OperatorCommandsTest.java
+++ b/pooler/src/test/java/frostreel/OperatorCommandsTest.java
@@ -26,22 +26,22 @@
 
     @Test
     void suspendedServerReceivesNothingUntilRestored() throws Exception {
-        try (PoolerHarness.Link client = stage.client()) {
+        try (PoolerHarness.Link client = harness.client()) {
             assertThat(value(client.ask(look("1", 9000)))).isEqualTo("from-replica");
-            assertThat(stage.call("SUSPEND b")).isEqualTo("OK\n");
+            assertThat(harness.call("SUSPEND b")).isEqualTo("OK\n");
             assertThat(value(client.ask(look("2", 9000)))).isEqualTo("from-primary");
-            stage.told.clear();
-            stage.lists.add(
+            harness.sentLists.clear();
+            harness.lists.add(
                     list(2, true, host("a", primary, "primary", "Ready"), host("b", replica, "replica", "Ready")));
-            stage.told.take();
-            stage.lists.add(list(3, false));
-            stage.told.take(); // The list before was taken, as this call came only after it.
+            harness.sentLists.take();
+            harness.lists.add(list(3, false));
+            harness.sentLists.take(); // The list before was taken, as this call came only after it.
             assertThat(value(client.ask(look("3", 9000)))).isEqualTo("from-primary");
-            assertThat(stage.call("SUSPEND b")).isEqualTo("OK\n");
+            assertThat(harness.call("SUSPEND b")).isEqualTo("OK\n");
             assertThat(value(client.ask("SHOW operation"))).contains("out=[b]");
-            assertThat(stage.call("RESTORE b")).isEqualTo("OK\n");
+            assertThat(harness.call("RESTORE b")).isEqualTo("OK\n");
             assertThat(value(client.ask("SHOW operation"))).contains("out=[]");
-            for (int i = 4; replica.heard.size() < 2; i++) { // Cold at first: its share comes by and by.
+            for (int i = 4; replica.received.size() < 2; i++) { // Cold at first: its share comes by and by.
                 client.ask(look(Integer.toString(i), 9000));
             }
         }
@@ -50,35 +50,35 @@
     @Test
     void writeToSuspendedPrimaryIsRejectedUnsent() throws Exception {
         replica.script = PoolerHarness.errors("25006", "replica");
-        assertThat(stage.call("SUSPEND a")).isEqualTo("OK\n");
-        try (PoolerHarness.Link client = stage.client()) {
+        assertThat(harness.call("SUSPEND a")).isEqualTo("OK\n");
+        try (PoolerHarness.Link client = harness.client()) {
             assertThat(client.ask(post("1", 600))).singleElement().asString().contains("|C53300|");
-            assertThat(primary.heard).isEmpty();
+            assertThat(primary.received).isEmpty();
         }
     }
 
     @Test
     void unknownServersAndCommandsAreRejected() throws Exception {
-        assertThat(stage.call("SUSPEND nobody")).startsWith("ERR ");
-        assertThat(stage.call("RESTORE nobody")).startsWith("ERR ");
-        assertThat(stage.call("RESTORE a")).isEqualTo("OK\n");
-        assertThat(stage.call("STATUS")).isEqualTo("OK\n");
+        assertThat(harness.call("SUSPEND nobody")).startsWith("ERR ");
+        assertThat(harness.call("RESTORE nobody")).startsWith("ERR ");
+        assertThat(harness.call("RESTORE a")).isEqualTo("OK\n");
+        assertThat(harness.call("STATUS")).isEqualTo("OK\n");
         for (String line : List.of("", "SUSPEND", "STATUS a", "status", "PAUSE a b", "GET / HTTP/1.1")) {
-            assertThat(stage.call(line)).as(line).startsWith("ERR ");
+            assertThat(harness.call(line)).as(line).startsWith("ERR ");
         }
     }
 
     @Test
     void silentCallersAndLongLinesBlockNobody() throws Exception {
-        InetSocketAddress at = stage.pooler.callsAt();
+        InetSocketAddress at = harness.pooler.callsAt();
         List<Socket> silent = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
             Socket caller = new Socket(at.getAddress(), at.getPort());
             caller.getOutputStream().write("STAT".getBytes(StandardCharsets.US_ASCII));
             silent.add(caller);
         }
-        assertThat(stage.call("STATUS")).isEqualTo("OK\n");
-        assertThat(stage.call("x".repeat(2000))).startsWith("ERR ");
+        assertThat(harness.call("STATUS")).isEqualTo("OK\n");
+        assertThat(harness.call("x".repeat(2000))).startsWith("ERR ");
         for (Socket caller : silent) {
             caller.close();
         }
@@ -86,13 +86,13 @@
 
     @Test
     void pauseDrainsClientsAndResumeServesAgain() throws Exception {
-        try (PoolerHarness.Link kept = stage.client();
-                PoolerHarness.Link idle = stage.client()) {
+        try (PoolerHarness.Link kept = harness.client();
+                PoolerHarness.Link idle = harness.client()) {
             kept.ask(look("1", 9000));
             idle.ask(look("2", 9000));
-            assertThat(stage.call("PAUSE")).isEqualTo("OK\n");
-            assertThat(stage.call("STATUS")).startsWith("ERR ");
-            try (PoolerHarness.Link late = stage.client()) {
+            assertThat(harness.call("PAUSE")).isEqualTo("OK\n");
+            assertThat(harness.call("STATUS")).startsWith("ERR ");
+            try (PoolerHarness.Link late = harness.client()) {
                 assertThat(value(late.ask(look("3", 9000))))
                         .as("still dealt out")
                         .isNotEmpty();
@@ -101,9 +101,9 @@
             }
             assertThat(kept.endsNext()).isTrue();
             assertThat(idle.endsNext()).isTrue();
-            assertThat(stage.call("PAUSE")).isEqualTo("OK\n");
-            assertThat(stage.call("RESUME")).isEqualTo("OK\n");
-            try (PoolerHarness.Link client = stage.client()) {
+            assertThat(harness.call("PAUSE")).isEqualTo("OK\n");
+            assertThat(harness.call("RESUME")).isEqualTo("OK\n");
+            try (PoolerHarness.Link client = harness.client()) {
                 assertThat(client.ask("")).containsExactly("I");
                 assertThat(value(client.ask(look("4", 9000)))).isNotEmpty();
             }
@@ -127,12 +127,12 @@
             PoolerHarness.await(reloaded);
             link.send(PoolerHarness.error("XX000"), PoolerHarness.READY);
         };
-        try (PoolerHarness.Link open = stage.client();
-                PoolerHarness.Link later = stage.client()) {
+        try (PoolerHarness.Link open = harness.client();
+                PoolerHarness.Link later = harness.client()) {
             open.send(PoolerHarness.query(look("1", 9000)));
             asked.await();
-            stage.pooler.reload(Config.load(PoolerHarness.environment(changed(stage.discovery.address()))));
-            while (!stage.pooler.counters().contains("reloads=1 ")) {
+            harness.pooler.reload(Config.load(PoolerHarness.environment(changed(harness.discovery.address()))));
+            while (!harness.pooler.counters().contains("reloads=1 ")) {
                 Thread.onSpinWait(); // The reload waits its turn on the I/O thread.
             }
             String pay = post("2", 9000).replace("c=post", "c=pay");
@@ -159,12 +159,12 @@
 
     @Test
     void readsGoToPrimaryWithoutReplicasAndAreRejectedWithoutMembers() throws Exception {
-        try (PoolerHarness.Link client = stage.client()) {
-            assertThat(stage.call("SUSPEND b")).isEqualTo("OK\n");
+        try (PoolerHarness.Link client = harness.client()) {
+            assertThat(harness.call("SUSPEND b")).isEqualTo("OK\n");
             assertThat(value(client.ask(look("1", 9000)))).isEqualTo("from-primary");
-            assertThat(stage.call("SUSPEND a")).isEqualTo("OK\n");
+            assertThat(harness.call("SUSPEND a")).isEqualTo("OK\n");
             assertThat(client.ask(look("2", 600))).singleElement().asString().contains("|C53300|");
-            assertThat(stage.call("RESTORE a")).isEqualTo("OK\n");
+            assertThat(harness.call("RESTORE a")).isEqualTo("OK\n");
             assertThat(value(client.ask(post("3", 9000)))).isEqualTo("from-primary");
         }
     }
@@ -174,14 +174,14 @@
     void requestWaitingForSuspendedServerMovesAtOnce() throws Exception {
         CountDownLatch welcomed = new CountDownLatch(1);
         CountDownLatch over = new CountDownLatch(1);
-        replica.welcome = (text, link) -> {
+        replica.handshake = (text, link) -> {
             welcomed.countDown();
             PoolerHarness.await(over);
         };
-        try (PoolerHarness.Link client = stage.client()) {
+        try (PoolerHarness.Link client = harness.client()) {
             client.send(PoolerHarness.query(look("1", 9000)));
             welcomed.await();
-            assertThat(stage.call("SUSPEND b")).isEqualTo("OK\n");
+            assertThat(harness.call("SUSPEND b")).isEqualTo("OK\n");
             assertThat(value(client.takeAnswer())).isEqualTo("from-primary");
         } finally {
             over.countDown();
@@ -190,22 +190,22 @@
 
     @Test
     void suspendedServerStaysOutWhenItIsListedAgain() throws Exception {
-        assertThat(stage.call("SUSPEND b")).isEqualTo("OK\n");
+        assertThat(harness.call("SUSPEND b")).isEqualTo("OK\n");
         String listed = host("b", replica, "replica", "Ready");
         int seq = 2;
-        stage.told.clear();
+        harness.sentLists.clear();
         for (String state : List.of("Gone", "Ready", "Terminating", "Ready")) {
-            stage.lists.add(list(seq++, false, listed.replace("Ready", state)));
+            harness.lists.add(list(seq++, false, listed.replace("Ready", state)));
         }
-        stage.lists.add(list(seq, false));
+        harness.lists.add(list(seq, false));
         for (int i = 0; i < 5; i++) {
-            stage.told.take();
+            harness.sentLists.take();
         }
-        try (PoolerHarness.Link client = stage.client()) {
+        try (PoolerHarness.Link client = harness.client()) {
             for (int i = 0; i < 20; i++) {
                 assertThat(value(client.ask(look("n" + i, 9000)))).isEqualTo("from-primary");
             }
-            assertThat(replica.heard).isEmpty();
+            assertThat(replica.received).isEmpty();
         }
     }
 }
--- a/pooler/src/test/java/frostreel/PausedProcessTest.java
+++ b/pooler/src/test/java/frostreel/PausedProcessTest.java
@@ -15,21 +15,21 @@
     @Test
     void resumedProcessAppliesWatchEventsBeforeItSends() throws Exception {
         try (ServeProcess process = ServeProcess.start(PoolerHarness.environment(configuration()))) {
-            stage.lists.add(list(1, false));
+            harness.lists.add(list(1, false));
             int port = process.awaitPort();
             process.awaitReady();
-            assertThat(stage.told.take()).isEqualTo("told");
+            assertThat(harness.sentLists.take()).isEqualTo("sent");
             try (PoolerHarness.Link client = PoolerHarness.client(port)) {
                 assertThat(value(client.ask(look("1", 9000)))).isEqualTo("from-replica");
                 process.suspend();
                 long pausedAt = System.nanoTime();
                 client.send(query(look("2", 9000)));
-                stage.lists.add(list(2, false, host("b", replica, "replica", "Terminating")));
-                assertThat(stage.told.take()).isEqualTo("told");
-                PoolerHarness.pass(pausedAt, 300); // What a silence is.
+                harness.lists.add(list(2, false, host("b", replica, "replica", "Terminating")));
+                assertThat(harness.sentLists.take()).isEqualTo("sent");
+                PoolerHarness.awaitElapsed(pausedAt, 300); // What a silence is.
                 process.resume();
                 assertThat(value(client.takeAnswer())).isEqualTo("from-primary");
-                assertThat(replica.heard).hasSize(1);
+                assertThat(replica.received).hasSize(1);
             }
         }
     }
@@ -39,7 +39,7 @@
     void timeSpentInPausedProcessCountsAgainstTheDeadline() throws Exception {
         long pausedMs = 600;
         try (ServeProcess process = ServeProcess.start(PoolerHarness.environment(configuration()))) {
-            stage.lists.add(list(1, false));
+            harness.lists.add(list(1, false));
             int port = process.awaitPort();
             process.awaitReady();
             try (PoolerHarness.Link client = PoolerHarness.client(port);
@@ -47,14 +47,14 @@
                 process.suspend();
                 client.send(query(post("1", 9000)));
                 late.send(PoolerHarness.startup(), query(post("2", 300)));
-                PoolerHarness.pass(System.nanoTime(), pausedMs);
+                PoolerHarness.awaitElapsed(System.nanoTime(), pausedMs);
                 process.resume();
                 assertThat(value(client.takeAnswer())).isEqualTo("from-primary");
                 assertThat(PoolerHarness.remainingMs(primary.next()))
                         .isLessThanOrEqualTo((int) (9000 - pausedMs));
                 late.takeAnswer();
                 assertThat(late.takeAnswer()).singleElement().asString().contains("|C53300|");
-                assertThat(primary.heard).isEmpty();
+                assertThat(primary.received).isEmpty();
             }
         }
     }
--- a/pooler/src/test/java/frostreel/PipelineTest.java
+++ b/pooler/src/test/java/frostreel/PipelineTest.java
@@ -39,11 +39,11 @@
     /** Returns with the server's link once all that was sent has been read and short patience is over. */
     private PoolerHarness.Link awaitFirstSentAndPatienceOver() throws Exception {
         PoolerHarness.Link link = held.take();
-        try (PoolerHarness.Link other = stage.client()) { // Come later, it is read no earlier than in the same turn.
+        try (PoolerHarness.Link other = harness.client()) { // Come later, it is read no earlier than in the same turn.
             other.ask("");
             other.ask("");
         }
-        PoolerHarness.pass(System.nanoTime(), PATIENCE_MS);
+        PoolerHarness.awaitElapsed(System.nanoTime(), PATIENCE_MS);
         return link;
     }
 
@@ -56,7 +56,7 @@
     }
 
     private void assertTwoAttemptsAndOneRejection() {
-        assertThat(stage.pooler.counters())
+        assertThat(harness.pooler.counters())
                 .contains(" requests=3 ")
                 .contains(" refused=1 ")
                 .contains(" failed=0 ")
@@ -67,7 +67,7 @@
     @Test
     void timeSpentInPipelineCountsAgainstTheDeadline() throws Exception {
         holdFirst();
-        try (PoolerHarness.Link client = stage.client()) {
+        try (PoolerHarness.Link client = harness.client()) {
             client.send(first(), query(look("dead", PATIENCE_MS)), query(look("live", 9000)));
             answerFirst(awaitFirstSentAndPatienceOver());
             assertThat(value(client.takeAnswer())).isEqualTo("of-first");
@@ -96,7 +96,7 @@
     @Test
     void pipelinedRequestsAreAnsweredInOrderAtShutdown() throws Exception {
         holdFirst();
-        try (PoolerHarness.Link client = stage.client()) {
+        try (PoolerHarness.Link client = harness.client()) {
             client.send(first(), query(look("dead", PATIENCE_MS)), query(look("live", 9000)));
             PoolerHarness.Link link = awaitFirstSentAndPatienceOver();
             stopPooler();
@@ -125,7 +125,7 @@
                         default -> "";
                     }));
         }
-        try (PoolerHarness.Link client = stage.client()) {
+        try (PoolerHarness.Link client = harness.client()) {
             client.send(all.toByteArray());
             answerFirst(awaitFirstSentAndPatienceOver());
             assertThat(value(client.takeAnswer())).isEqualTo("of-first");
--- a/pooler/src/test/java/frostreel/PoolerHarness.java
+++ b/pooler/src/test/java/frostreel/PoolerHarness.java
@@ -37,7 +37,7 @@
     /** Of 128 descriptors, usual clients hold a third at most. */
     static final int USUAL_CLIENTS = 42;
     /** The decisions let any number wait, so that clients can hold all places by requests in hand. */
-    boolean allMayWait;
+    boolean unlimitedConcurrency;
     /** Beyond three eighths of the places of usual clients, whoever waits unsent makes room. */
     static final int MOST_WAITING = USUAL_CLIENTS * 3 / 8;
     /** Of 128 descriptors 64 are the program's own, and usual clients leave servers a quarter of the rest. */
@@ -124,12 +124,12 @@
     /** A server or discovery, played by a script. */
     static final class Peer {
         final ServerSocket listener;
-        final BlockingQueue<String> heard = new LinkedBlockingQueue<>();
-        final BlockingQueue<String> ended = new LinkedBlockingQueue<>();
-        final AtomicInteger links = new AtomicInteger();
+        final BlockingQueue<String> received = new LinkedBlockingQueue<>();
+        final BlockingQueue<String> closedConnections = new LinkedBlockingQueue<>();
+        final AtomicInteger connections = new AtomicInteger();
         volatile Script script;
         /** What a database does with the startup message. */
-        volatile Script welcome = (text, link) -> link.send(bytes('R', new byte[4]), READY);
+        volatile Script handshake = (text, link) -> link.send(bytes('R', new byte[4]), READY);
 
         private final Thread acceptor;
 
@@ -144,12 +144,12 @@
             acceptor = spawn(() -> {
                 while (true) {
                     Link link = new Link(listener.accept());
-                    links.incrementAndGet();
+                    connections.incrementAndGet();
                     spawn(() -> {
                         try (link) {
                             serve(link, database);
                         } finally {
-                            ended.add("ended");
+                            closedConnections.add("closed");
                         }
                     });
                 }
@@ -160,19 +160,19 @@
             link.socket.setSoTimeout(0);
             if (database) {
                 link.in.readNBytes(link.in.readInt() - 4);
-                welcome.answer("", link);
+                handshake.answer("", link);
             }
             while (true) {
-                String text = database ? link.take() : line(link.in);
+                String text = database ? link.take() : requestLine(link.in);
                 if (!text.equals("QSHOW load|")) { // Probes come when the module likes.
-                    heard.add(text);
+                    received.add(text);
                 }
                 script.answer(text, link);
             }
         }
 
         /** The request line, once its head has come. */
-        private static String line(InputStream in) throws IOException {
+        private static String requestLine(InputStream in) throws IOException {
             StringBuilder head = new StringBuilder();
             while (head.indexOf("\r\n\r\n") < 0) {
                 int next = in.read();
@@ -185,7 +185,7 @@
         }
 
         String next() throws InterruptedException {
-            return heard.poll(PATIENCE_S, TimeUnit.SECONDS);
+            return received.poll(PATIENCE_S, TimeUnit.SECONDS);
         }
 
         String address() {
@@ -207,13 +207,13 @@
     final List<Peer> peers = new ArrayList<>();
     final BlockingQueue<String> lists = new LinkedBlockingQueue<>();
     /** One for each list that discovery has written. */
-    final BlockingQueue<String> told = new LinkedBlockingQueue<>();
+    final BlockingQueue<String> sentLists = new LinkedBlockingQueue<>();
 
     final Peer discovery;
     Pooler pooler;
     OperatorSettings operators = OperatorSettings.DEFAULT;
     /** How long the list known from the start waits for discovery; a test of that wait makes it endless. */
-    long knownPatienceUs = EndpointSource.CONFIGURED_LIST_PATIENCE_US;
+    long configuredListPatienceUs = EndpointSource.CONFIGURED_LIST_PATIENCE_US;
     /** How long clients are waited for whose connections were ended; the same. */
     long lingerUs = ServingLifecycle.LINGER_US;
     /** The settings of the pooler that is started. */
@@ -228,7 +228,7 @@
         Peer peer = new Peer(false, (text, link) -> {
             try {
                 link.send(http(lists.take()));
-                told.add("told");
+                sentLists.add("sent");
             } catch (InterruptedException e) {
                 throw new IOException(e);
             }
@@ -296,7 +296,7 @@
     }
 
     /** Waits until the counters show this. */
-    void shows(String counter) {
+    void awaitCounter(String counter) {
         while (!pooler.counters().contains(" " + counter + " ")) {
             Thread.onSpinWait();
         }
@@ -327,10 +327,10 @@
 
     void startSilent(String... hosts) throws Exception {
         Config config = Config.load(environment(configured(discovery.address(), hosts)));
-        pooler = new Pooler(allMayWait ? withoutPlaces(config) : config, operators, knownPatienceUs, lingerUs);
+        pooler = new Pooler(unlimitedConcurrency ? withUnlimitedConcurrency(config) : config, operators, configuredListPatienceUs, lingerUs);
     }
 
-    private static Config withoutPlaces(Config config) {
+    private static Config withUnlimitedConcurrency(Config config) {
         return new Config(
                 config.name(),
                 config.listen(),
@@ -350,7 +350,7 @@
     }
 
     /** SIGHUP, with a file that names another discovery. */
-    void hangUp(Peer discovery) throws Exception {
+    void reload(Peer discovery) throws Exception {
         pooler.reload(Config.load(environment(configured(discovery.address()))));
     }
 
@@ -358,29 +358,24 @@
         return configuration(discovery, hosts).replace(SETTINGS, settings);
     }
 
-    /** What happens while something else stands still. */
-    interface Deed {
-        void happen() throws Exception;
-    }
-
     /**
      * The I/O thread stands still meanwhile, in the middle of what it found on its sockets; all that is due
      * or has come by then, it finds at once behind it.
      */
-    void whileItStandsStill(Deed deed) throws Exception {
-        whileItStandsStill(CommandExecutor.class, () -> spawn(() -> call("STATUS")), deed); // That is logged.
+    void whileLoopIsBlocked(Task task) throws Exception {
+        whileLoopIsBlocked(CommandExecutor.class, () -> spawn(() -> call("STATUS")), task); // That is logged.
     }
 
     /** The same at what a class next logs, after this cause of it. */
-    void whileItStandsStill(Class<?> logger, Deed cause, Deed deed) throws Exception {
-        CountDownLatch stands = new CountDownLatch(1);
-        CountDownLatch over = new CountDownLatch(1);
+    void whileLoopIsBlocked(Class<?> logger, Task cause, Task task) throws Exception {
+        CountDownLatch blocked = new CountDownLatch(1);
+        CountDownLatch release = new CountDownLatch(1);
         Handler stop = new StreamHandler() {
             @Override
             public void publish(LogRecord entry) {
-                stands.countDown();
+                blocked.countDown();
                 try {
-                    over.await();
+                    release.await();
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                 }
@@ -389,17 +384,17 @@
         Logger log = Logger.getLogger(logger.getName());
         log.addHandler(stop);
         try {
-            cause.happen();
-            stands.await();
-            deed.happen();
+            cause.run();
+            blocked.await();
+            task.run();
         } finally {
             log.removeHandler(stop);
-            over.countDown();
+            release.countDown();
         }
     }
 
     /** Returns once so long a time has passed since then, by {@link System#nanoTime}; longer is as good. */
-    static void pass(long sinceNanos, long ms) {
+    static void awaitElapsed(long sinceNanos, long ms) {
         while (System.nanoTime() - sinceNanos < ms * 1_000_000) {
             Thread.onSpinWait();
         }
@@ -445,11 +440,11 @@
     }
 
     /** One operator's call: its line, and the line that answers it. */
-    String call(String line) throws Exception {
+    String call(String command) throws Exception {
         InetSocketAddress address = pooler.callsAt();
         try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
             socket.setSoTimeout(PATIENCE_S * 1000);
-            socket.getOutputStream().write((line + "\n").getBytes(StandardCharsets.US_ASCII));
+            socket.getOutputStream().write((command + "\n").getBytes(StandardCharsets.US_ASCII));
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
         }
     }
@@ -512,7 +507,7 @@
         return (text, link) -> link.send(error(code), bytes('S', "role|" + role + "|"), READY);
     }
 
-    void strike() throws Exception {
+    void close() throws Exception {
         for (Peer peer : peers) {
             peer.close();
         }
--- a/pooler/src/test/java/frostreel/RetryAfterTest.java
+++ b/pooler/src/test/java/frostreel/RetryAfterTest.java
@@ -14,17 +14,17 @@
 
     /** The answer to one that comes when the others hold all places but the last. */
     private String refusal() throws Exception {
-        stage.allMayWait = true;
+        harness.unlimitedConcurrency = true;
         replica.script = (text, link) -> {};
         primary.script = replica.script;
         start();
         int busy = PoolerHarness.MAX_CLIENTS - 16;
         for (int i = 0; i < busy; i++) {
-            clients.add(stage.client());
+            clients.add(harness.client());
             clients.get(i).send(query(look("c" + i, 9000)));
         }
-        stage.shows("requests=" + busy);
-        clients.add(stage.client());
+        harness.awaitCounter("requests=" + busy);
+        clients.add(harness.client());
         return nextRefusal("last");
     }
 
@@ -48,18 +48,18 @@
 
     @Test
     void retryAfterIsCappedByTheSettings() throws Exception {
-        stage.settings = PoolerHarness.SETTINGS.replace("\"maxRetryAfterS\":2", "\"maxRetryAfterS\":0.12");
+        harness.settings = PoolerHarness.SETTINGS.replace("\"maxRetryAfterS\":2", "\"maxRetryAfterS\":0.12");
         assertThat(refusal()).contains("|D120|");
         leave();
     }
 
     @Test
     void noRetryAfterWhereDisabledAndReloadAppliesAtOnce() throws Exception {
-        stage.settings = PoolerHarness.SETTINGS.replace("\"retryAfter\":true", "\"retryAfter\":false");
+        harness.settings = PoolerHarness.SETTINGS.replace("\"retryAfter\":true", "\"retryAfter\":false");
         assertThat(refusal()).doesNotContain("|D");
-        stage.settings = PoolerHarness.SETTINGS;
-        stage.hangUp(stage.discovery);
-        stage.shows("reloads=1");
+        harness.settings = PoolerHarness.SETTINGS;
+        harness.reload(harness.discovery);
+        harness.awaitCounter("reloads=1");
         assertThat(nextRefusal("next")).contains("|D200|");
         leave();
     }
--- a/pooler/src/test/java/frostreel/ServerConnectionsTest.java
+++ b/pooler/src/test/java/frostreel/ServerConnectionsTest.java
@@ -20,11 +20,11 @@
     void clientDisconnectClosesItsServerConnection() throws Exception {
         replica.script = (text, link) -> {};
         start();
-        try (PoolerHarness.Link client = stage.client()) {
+        try (PoolerHarness.Link client = harness.client()) {
             client.send(query(look("1", 9000)));
             assertThat(replica.next()).contains("id=1,");
         }
-        assertThat(replica.ended.take()).isEqualTo("ended");
+        assertThat(replica.closedConnections.take()).isEqualTo("closed");
     }
 
     /** Fourteen poolers that each closed the first server's cost that server 45 handshakes a second. */
@@ -36,7 +36,7 @@
         int atOnce = PoolerHarness.MAX_SERVERS / 4;
         for (String id : order) {
             CountDownLatch together = new CountDownLatch(id.equals("e") ? 1 : atOnce);
-            servers.put(id, stage.server((text, link) -> {
+            servers.put(id, harness.server((text, link) -> {
                 together.countDown();
                 PoolerHarness.await(together);
                 link.send(row(id, "primary"), PoolerHarness.READY);
@@ -44,11 +44,11 @@
             hosts.add(host(id, servers.get(id), "primary", "Ready")
                     .replace("\"block\":2", "\"block\":" + (int) id.charAt(0)));
         }
-        stage.start(hosts.toArray(String[]::new));
+        harness.start(hosts.toArray(String[]::new));
         for (String id : order) {
             List<PoolerHarness.Link> clients = new ArrayList<>();
             for (int i = 0; i < (id.equals("e") ? 1 : atOnce); i++) {
-                clients.add(stage.client());
+                clients.add(harness.client());
                 clients.get(i).send(query(post(id + i, 9000).replace("cluster=2", "cluster=" + (int) id.charAt(0))));
             }
             for (PoolerHarness.Link client : clients) {
@@ -56,27 +56,27 @@
                 client.close();
             }
         }
-        assertThat(servers.get("d").ended.take()).isEqualTo("ended");
-        assertThat(stage.pooler.counters())
+        assertThat(servers.get("d").closedConnections.take()).isEqualTo("closed");
+        assertThat(harness.pooler.counters())
                 .contains("server_connections=" + (PoolerHarness.MAX_SERVERS + 1) + " ")
                 .contains("server_connections_evicted=1 ");
         for (String id : List.of("c", "b", "a", "e")) {
-            assertThat(servers.get(id).ended).as(id).isEmpty();
+            assertThat(servers.get(id).closedConnections).as(id).isEmpty();
         }
     }
 
     @Test
     void serverClosingConnectionsAfterHandshakeDelaysNoRequest() throws Exception {
-        replica.welcome = (text, link) -> {
+        replica.handshake = (text, link) -> {
             link.send(PoolerHarness.bytes('R', new byte[4]), PoolerHarness.READY);
             link.close();
         };
         start();
-        try (PoolerHarness.Link client = stage.client()) {
+        try (PoolerHarness.Link client = harness.client()) {
             for (int i = 0; i < 50; i++) {
                 assertThat(value(client.ask(look("id" + i, 9000)))).isEqualTo("from-primary");
             }
         }
-        assertThat(stage.pooler.counters()).doesNotContain("NOT_SENT").doesNotContain("TIMEOUT");
+        assertThat(harness.pooler.counters()).doesNotContain("NOT_SENT").doesNotContain("TIMEOUT");
     }
 }
--- a/pooler/src/test/java/frostreel/ServerProtocolTest.java
+++ b/pooler/src/test/java/frostreel/ServerProtocolTest.java
@@ -13,7 +13,7 @@
     void malformedServerResponseClosesItsConnectionAndIsRetried() throws Exception {
         replica.script = (text, link) -> link.send(new byte[] {'T', -1, 0, 0, 0});
         start();
-        try (PoolerHarness.Link client = stage.client()) {
+        try (PoolerHarness.Link client = harness.client()) {
             assertThat(value(client.ask(look("1", 9000)))).isEqualTo("from-primary");
         }
     }
@@ -26,11 +26,11 @@
         };
         primary.script = replica.script;
         start();
-        try (PoolerHarness.Link client = stage.client()) {
+        try (PoolerHarness.Link client = harness.client()) {
             for (int i = 0; i < 20; i++) {
                 assertThat(value(client.ask(look("id" + i, 9000)))).isEqualTo("id" + i);
             }
-            assertThat(stage.pooler.counters()).contains("stray_bytes=20 ");
+            assertThat(harness.pooler.counters()).contains("stray_bytes=20 ");
         }
     }
 
@@ -52,13 +52,13 @@
                 PoolerHarness.bytes('E', "Cunended"),
                 PoolerHarness.bytes('Z', "II"));
         start();
-        try (PoolerHarness.Link client = stage.client()) {
+        try (PoolerHarness.Link client = harness.client()) {
             for (byte[] answer : spoilt) {
                 replica.script = (text, link) -> link.send(answer, PoolerHarness.READY);
                 List<String> got = client.ask(look("1", 9000));
                 assertThat(got).as("%s", new String(answer)).hasSize(3);
                 assertThat(value(got)).isEqualTo("from-primary");
-                assertThat(replica.ended.take()).isEqualTo("ended");
+                assertThat(replica.closedConnections.take()).isEqualTo("closed");
             }
         }
     }
@@ -72,9 +72,9 @@
                 PoolerHarness.bytes('S', "unended"),
                 PoolerHarness.READY);
         start();
-        try (PoolerHarness.Link client = stage.client()) {
+        try (PoolerHarness.Link client = harness.client()) {
             assertThat(value(client.ask(look("1", 9000)))).isEqualTo("good");
-            assertThat(stage.pooler.counters()).contains("unread_reports=3 ").contains("malformed=0 ");
+            assertThat(harness.pooler.counters()).contains("unread_reports=3 ").contains("malformed=0 ");
         }
     }
 }
--- a/pooler/src/test/java/frostreel/ShutdownTest.java
+++ b/pooler/src/test/java/frostreel/ShutdownTest.java
@@ -66,7 +66,7 @@
     void everyRequestThatReachedAServerIsAnsweredBeforeOrderlyExit(Before before) throws Exception {
         try (ServeProcess process = ServeProcess.start(environment())) {
             if (before != Before.NOT_READY) {
-                stage.lists.add(list(1, false));
+                harness.lists.add(list(1, false));
             }
             int port = process.awaitPort();
             int calls = process.awaitAdminPort();
@@ -98,7 +98,7 @@
             }
             Set<String> reached = new HashSet<>();
             for (PoolerHarness.Peer peer : List.of(primary, replica)) {
-                peer.heard.forEach(
+                peer.received.forEach(
                         text -> reached.add(PoolerHarness.requestId(text)));
             }
             reached.removeAll(answered);
@@ -112,7 +112,7 @@
         int many = 3 * PoolerHarness.MAX_CLIENTS;
         List<PoolerHarness.Link> idle = new ArrayList<>();
         try (ServeProcess process = ServeProcess.start(environment())) {
-            stage.lists.add(list(1, false));
+            harness.lists.add(list(1, false));
             int port = process.awaitPort();
             process.awaitReady();
             int descriptors = 128;
@@ -123,8 +123,8 @@
                             "--nofile=" + descriptors + ":" + descriptors)
                     .start()
                     .waitFor();
-            stage.discovery.script = (text, link) -> {}; // From the next call on it is silent.
-            stage.lists.add("no list");
+            harness.discovery.script = (text, link) -> {}; // From the next call on it is silent.
+            harness.lists.add("no list");
             process.awaitLog("the last list is kept");
             for (int i = 0; i < many; i++) {
                 PoolerHarness.Link client = PoolerHarness.connect(port);
@@ -134,7 +134,7 @@
                 assertThat(client.takeAnswer()).as("client %d", i).isNotEmpty();
             }
             byte[] drains = PoolerHarness.http(list(2, false, host("b", replica, "replica", "Terminating")));
-            stage.discovery.script = (text, link) -> link.send(drains);
+            harness.discovery.script = (text, link) -> link.send(drains);
             process.awaitLog("discovery answers again");
             try (PoolerHarness.Link client = PoolerHarness.client(port)) {
                 assertThat(value(client.ask(look("late", 300)))).isEqualTo("from-primary");
@@ -167,8 +167,8 @@
             link.send(row("late", "replica"), PoolerHarness.READY);
         };
         start();
-        try (PoolerHarness.Link client = stage.client();
-                PoolerHarness.Link idle = stage.client()) {
+        try (PoolerHarness.Link client = harness.client();
+                PoolerHarness.Link idle = harness.client()) {
             client.send(query(look("1", 9000)));
             asked.await();
             Thread stop = stopPooler();
@@ -182,7 +182,7 @@
             assertThat(value(client.takeAnswer())).isEqualTo("late");
             assertThat(client.endsNext()).isTrue();
             stop.join();
-            stage.pooler = null;
+            harness.pooler = null;
         } finally {
             root.removeHandler(handler);
         }
--- a/pooler/src/test/java/frostreel/SighupTest.java
+++ b/pooler/src/test/java/frostreel/SighupTest.java
@@ -16,13 +16,13 @@
     @Test
     void sighupSwitchesDiscoveryAndNeverEndsTheProcess() throws Exception {
         BlockingQueue<String> lists = new LinkedBlockingQueue<>();
-        PoolerHarness.Peer next = stage.discovery(lists);
+        PoolerHarness.Peer next = harness.discovery(lists);
         Map<String, String> environment =
-                new HashMap<>(PoolerHarness.environment(PoolerHarness.configuration(stage.discovery.address())));
+                new HashMap<>(PoolerHarness.environment(PoolerHarness.configuration(harness.discovery.address())));
         Path file = Path.of(environment.get("GW_CONFIG"));
-        environment.put("GW_DISCOVERY", stage.discovery.address()); // As old as the start: the file must win.
+        environment.put("GW_DISCOVERY", harness.discovery.address()); // As old as the start: the file must win.
         try (ServeProcess process = ServeProcess.start(environment)) {
-            stage.lists.add(list(7, true));
+            harness.lists.add(list(7, true));
             process.awaitReady();
             Files.writeString(file, PoolerHarness.configuration(next.address()).replace("\"n0\"", "7"));
             process.signal("HUP");
@@ -32,8 +32,8 @@
             assertThat(next.next()).startsWith("GET /discovery/hosts HTTP"); // The whole list.
             lists.add(list(3, true));
             assertThat(next.next()).contains("index=3&");
-            stage.lists.add(list(8, true)); // To a watch that went on, it would bring its next call.
-            stage.discovery.ended.take(); // The old watch has really ended.
+            harness.lists.add(list(8, true)); // To a watch that went on, it would bring its next call.
+            harness.discovery.closedConnections.take(); // The old watch has really ended.
             process.signal("HUP");
             process.signal("TERM");
             process.signal("HUP");
@@ -44,7 +44,7 @@
 
     @Test
     void warnsWhenStartedWithSighupIgnored() throws Exception {
-        Map<String, String> environment = PoolerHarness.environment(PoolerHarness.configuration(stage.discovery.address()));
+        Map<String, String> environment = PoolerHarness.environment(PoolerHarness.configuration(harness.discovery.address()));
         try (ServeProcess process = ServeProcess.startWithSighupIgnored(environment)) {
             process.awaitLog("SIGHUP was ignored at the start");
         }
@@ -56,9 +56,9 @@
         String good = "<frostreel xmlns=\"urn:frostreel:settings:1\"><log format=\"json\"/></frostreel>";
         Files.writeString(settings, good);
         Map<String, String> environment =
-                PoolerHarness.environment(PoolerHarness.configuration(stage.discovery.address()));
+                PoolerHarness.environment(PoolerHarness.configuration(harness.discovery.address()));
         try (ServeProcess process = ServeProcess.start(environment, "--settings", settings.toString())) {
-            stage.lists.add(list(7, true));
+            harness.lists.add(list(7, true));
             process.awaitLog("\"message\":\"ready\"");
             Files.writeString(settings, good.replace("json", "xml"));
             process.signal("HUP");
--- a/pooler/src/test/java/frostreel/StartupReadinessTest.java
+++ b/pooler/src/test/java/frostreel/StartupReadinessTest.java
@@ -13,13 +13,13 @@
 class StartupReadinessTest extends ClientScript {
     @Test
     void notReadyBeforeTheFirstEndpointList() throws Exception {
-        stage.startSilent();
-        try (PoolerHarness.Link client = stage.client()) {
+        harness.startSilent();
+        try (PoolerHarness.Link client = harness.client()) {
             assertThat(client.ask("")).singleElement().asString().contains("|C57P03|");
-            stage.lists.add(list(1, true, host("a", primary, "primary", "Ready")));
+            harness.lists.add(list(1, true, host("a", primary, "primary", "Ready")));
             // The next call comes right after the list was taken.
-            assertThat(stage.discovery.next()).startsWith("GET /discovery/hosts HTTP");
-            assertThat(stage.discovery.next()).startsWith("GET /discovery/hosts?index=1&wait=");
+            assertThat(harness.discovery.next()).startsWith("GET /discovery/hosts HTTP");
+            assertThat(harness.discovery.next()).startsWith("GET /discovery/hosts?index=1&wait=");
             List<String> answer = client.ask("");
             while (answer.get(0).startsWith("E")) {
                 answer = client.ask("");
@@ -31,32 +31,32 @@
     /** Many that start at once and each ask for the whole list keep discovery from answering any of them. */
     @Test
     void configuredListServesWithoutDiscoveryAndOnlyChangesAreRequested() throws Exception {
-        stage.startSilent(host("a", primary, "primary", "Ready"), host("b", replica, "replica", "Ready"));
-        assertThat(stage.discovery.next()).startsWith("GET /discovery/hosts?index=0&wait=1 ");
-        try (PoolerHarness.Link client = stage.client()) {
+        harness.startSilent(host("a", primary, "primary", "Ready"), host("b", replica, "replica", "Ready"));
+        assertThat(harness.discovery.next()).startsWith("GET /discovery/hosts?index=0&wait=1 ");
+        try (PoolerHarness.Link client = harness.client()) {
             untilReady(client);
             assertThat(value(client.ask(look("1", 9000)))).isEqualTo("from-replica");
-            stage.lists.add(list(7, false, host("b", replica, "replica", "Terminating")));
-            assertThat(stage.discovery.next()).contains("index=7&wait=2500 ");
+            harness.lists.add(list(7, false, host("b", replica, "replica", "Terminating")));
+            assertThat(harness.discovery.next()).contains("index=7&wait=2500 ");
             assertThat(value(client.ask(look("2", 9000)))).isEqualTo("from-primary");
-            assertThat(stage.discovery.heard).isEmpty();
+            assertThat(harness.discovery.received).isEmpty();
         }
     }
 
     /** A start may take longer than the rule on drains allows; what drained meanwhile counts as told. */
     @Test
     void configuredListIsNotUsedBeforeDiscoveryReportedChanges() throws Exception {
-        stage.knownPatienceUs = Long.MAX_VALUE / 8;
-        stage.startSilent(host("a", primary, "primary", "Ready"), host("b", replica, "replica", "Ready"));
-        try (PoolerHarness.Link client = stage.client()) {
+        harness.configuredListPatienceUs = Long.MAX_VALUE / 8;
+        harness.startSilent(host("a", primary, "primary", "Ready"), host("b", replica, "replica", "Ready"));
+        try (PoolerHarness.Link client = harness.client()) {
             assertThat(client.ask("")).singleElement().asString().contains("|C57P03|");
             assertThat(client.ask(look("1", 9000))).singleElement().asString().contains("|C53300|");
-            stage.lists.add(list(7, false, host("b", replica, "replica", "Terminating")));
+            harness.lists.add(list(7, false, host("b", replica, "replica", "Terminating")));
             untilReady(client);
             assertThat(value(client.ask(look("2", 9000)))).isEqualTo("from-primary");
         }
-        assertThat(replica.heard).isEmpty();
-        assertThat(stage.pooler.counters()).contains(" attempts=1 ");
+        assertThat(replica.received).isEmpty();
+        assertThat(harness.pooler.counters()).contains(" attempts=1 ");
     }
 
     private static void untilReady(PoolerHarness.Link client) throws IOException {
--- a/pooler/src/test/java/frostreel/StatusPagesTest.java
+++ b/pooler/src/test/java/frostreel/StatusPagesTest.java
@@ -14,7 +14,7 @@
     @Test
     void showStatsReturnsTheCounters() throws Exception {
         start();
-        try (PoolerHarness.Link client = stage.client()) {
+        try (PoolerHarness.Link client = harness.client()) {
             client.ask(look("1", 9000));
             assertThat(value(client.ask("SHOW stats")))
                     .contains(" requests=1 ")
@@ -25,20 +25,20 @@
 
     @Test
     void readsFollowZoneTiersAndShowZonesReportsThem() throws Exception {
-        stage.operators = new OperatorSettings(
+        harness.operators = new OperatorSettings(
                 Logging.Format.TEXT,
                 Level.INFO,
                 new OperatorSettings.Zones(List.of(new OperatorSettings.Tier(List.of(), 1)), 2),
                 null);
         start();
-        try (PoolerHarness.Link client = stage.client()) {
+        try (PoolerHarness.Link client = harness.client()) {
             assertThat(value(client.ask(look("1", 9000)))).isEqualTo("from-replica");
             assertThat(value(client.ask("SHOW zones")))
                     .contains("sent_by_tier=[1, 0]")
                     .contains("areas={0={UP=1}}");
-            stage.pooler.reload(
-                    frostreel.config.Config.load(PoolerHarness.environment(PoolerHarness.configuration(stage.discovery.address()))),
-                    stage.operators);
+            harness.pooler.reload(
+                    frostreel.config.Config.load(PoolerHarness.environment(PoolerHarness.configuration(harness.discovery.address()))),
+                    harness.operators);
             while (!value(client.ask("SHOW zones")).contains("sent_by_tier=[0, 0]")) {
                 Thread.onSpinWait(); // The reload waits its turn on the I/O thread.
             }
