--- a/pooler/src/test/java/frostreel/ClientCapacityTest.java
+++ b/pooler/src/test/java/frostreel/ClientCapacityTest.java
@@ -1,9 +1,9 @@
 package frostreel;
 
-import static frostreel.PoolerHarness.look;
-import static frostreel.PoolerHarness.post;
-import static frostreel.PoolerHarness.query;
-import static frostreel.PoolerHarness.row;
+import static frostreel.TestMessages.look;
+import static frostreel.TestMessages.post;
+import static frostreel.TestMessages.query;
+import static frostreel.TestMessages.row;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.util.ArrayList;
@@ -17,7 +17,7 @@
         harness.unlimitedConcurrency = true;
         start();
         try (PoolerHarness.Link leaver = harness.client()) {
-            leaver.send(PoolerHarness.bytes('X', "")); // One that has left must not be taken for an idle one.
+            leaver.send(TestMessages.bytes('X', "")); // One that has left must not be taken for an idle one.
             assertThat(leaver.endsNext()).isTrue();
         }
         List<PoolerHarness.Link> clients = new ArrayList<>();
@@ -48,7 +48,7 @@
     void longestIdleClientsAreClosedOnlyAboveTheUsualCount() throws Exception {
         start();
         try (PoolerHarness.Link leaver = harness.client()) { // The one that saw the pooler become ready has gone, too.
-            leaver.send(PoolerHarness.bytes('X', ""));
+            leaver.send(TestMessages.bytes('X', ""));
             assertThat(leaver.endsNext()).isTrue();
         }
         List<PoolerHarness.Link> clients = new ArrayList<>();
@@ -79,7 +79,7 @@
     void idleClientWithUnreadRequestIsAnsweredNotClosed() throws Exception {
         primary.script = (text, link) -> {
             if (!text.startsWith("QINSERT")) {
-                link.send(row("from-primary", "primary"), PoolerHarness.READY);
+                link.send(row("from-primary", "primary"), TestMessages.READY);
             }
         };
         start();
@@ -128,7 +128,7 @@
             assertThat(value(client.ask(look("1", 9000)))).isEqualTo("from-replica");
         }
         PoolerHarness.Link last = silent.get(silent.size() - 1);
-        last.send(PoolerHarness.startup(), java.util.Arrays.copyOf(query(look("2", 9000)), 40));
+        last.send(TestMessages.startup(), java.util.Arrays.copyOf(query(look("2", 9000)), 40));
         last.takeAnswer();
         assertThat(last.take()).startsWith("E").contains("|C57P05|");
         assertThat(last.endsNext()).isTrue();
--- a/pooler/src/test/java/frostreel/ClientProtocolTest.java
+++ b/pooler/src/test/java/frostreel/ClientProtocolTest.java
@@ -1,8 +1,8 @@
 package frostreel;
 
-import static frostreel.PoolerHarness.look;
-import static frostreel.PoolerHarness.post;
-import static frostreel.PoolerHarness.query;
+import static frostreel.TestMessages.look;
+import static frostreel.TestMessages.post;
+import static frostreel.TestMessages.query;
 import static frostreel.PoolerHarness.rows;
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -15,7 +15,7 @@
     void acceptsStartupAndQueriesOneByteAtATime() throws Exception {
         start();
         try (PoolerHarness.Link client = new PoolerHarness.Link(harness.connect())) {
-            for (byte[] part : List.of(PoolerHarness.startup(), query(look("1", 9000)), query(post("2", 9000)))) {
+            for (byte[] part : List.of(TestMessages.startup(), query(look("1", 9000)), query(post("2", 9000)))) {
                 for (byte nextByte : part) {
                     client.out.write(nextByte);
                 }
@@ -32,7 +32,7 @@
         try (PoolerHarness.Link client = harness.client()) {
             client.ask(post("7", 8000));
             String sent = primary.next();
-            int timeLeftMs = PoolerHarness.remainingMs(sent);
+            int timeLeftMs = TestMessages.remainingMs(sent);
             assertThat(timeLeftMs).isBetween(1, 8000);
             assertThat(sent).isEqualTo("Q" + post("7", timeLeftMs) + "|");
         }
--- a/pooler/src/test/java/frostreel/ClientScript.java
+++ b/pooler/src/test/java/frostreel/ClientScript.java
@@ -74,7 +74,7 @@
 
         Keyed() throws Exception {
             link = new PoolerHarness.Link(harness.connect());
-            link.send(PoolerHarness.startup());
+            link.send(TestMessages.startup());
             DataInputStream in = link.in;
             for (int type = in.read(); type != 'Z'; type = in.read()) {
                 byte[] body = in.readNBytes(in.readInt() - Integer.BYTES);
--- a/pooler/src/test/java/frostreel/ConnectionCloseTest.java
+++ b/pooler/src/test/java/frostreel/ConnectionCloseTest.java
@@ -1,9 +1,9 @@
 package frostreel;
 
 import static frostreel.PoolerHarness.host;
-import static frostreel.PoolerHarness.look;
-import static frostreel.PoolerHarness.post;
-import static frostreel.PoolerHarness.query;
+import static frostreel.TestMessages.look;
+import static frostreel.TestMessages.post;
+import static frostreel.TestMessages.query;
 import static frostreel.PoolerHarness.rows;
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -73,7 +73,7 @@
     void clientInBacklogWhenAcceptingEndsIsAnswered() throws Exception {
         harness.startSilent(host("a", primary, "primary", "Ready"));
         harness.discovery.next(); // A call that it gives up after 1.5 s, which it logs.
-        harness.untilReady();
+        harness.awaitReady();
         List<PoolerHarness.Link> waits = new ArrayList<>();
         List<Thread> stop = new ArrayList<>();
         harness.whileLoopIsBlocked(
@@ -85,7 +85,7 @@
                 () -> {
                     for (int i = 0; i < 3; i++) { // The first was let in even by the door that had closed.
                         waits.add(new PoolerHarness.Link(harness.connect()));
-                        waits.get(i).send(PoolerHarness.startup(), query(look("" + i, 300)));
+                        waits.get(i).send(TestMessages.startup(), query(look("" + i, 300)));
                     }
                 });
         for (PoolerHarness.Link client : waits) {
@@ -125,7 +125,7 @@
         CountDownLatch answer = new CountDownLatch(1);
         primary.script = (text, link) -> {
             PoolerHarness.await(answer);
-            link.send(PoolerHarness.row("late", "primary"), PoolerHarness.READY);
+            link.send(TestMessages.row("late", "primary"), TestMessages.READY);
         };
         start();
         try (PoolerHarness.Link client = harness.client()) {
@@ -150,7 +150,7 @@
     /** An answer is whole or it is none, wherever its connection ends and however. */
     @Test
     void responseTruncatedAtAnyByteIsNeverServed() throws Exception {
-        byte[] whole = PoolerHarness.row("cut", "replica");
+        byte[] whole = TestMessages.row("cut", "replica");
         int every = 2; // With either kind of end, at each byte in turn.
         int calm = 5; // Each of them gives a fifth of a further attempt after doubt.
         List<String> hosts = new ArrayList<>(
--- a/pooler/src/test/java/frostreel/DisconnectedClientsTest.java
+++ b/pooler/src/test/java/frostreel/DisconnectedClientsTest.java
@@ -1,10 +1,10 @@
 package frostreel;
 
 import static frostreel.PoolerHarness.errors;
-import static frostreel.PoolerHarness.look;
-import static frostreel.PoolerHarness.post;
-import static frostreel.PoolerHarness.query;
-import static frostreel.PoolerHarness.row;
+import static frostreel.TestMessages.look;
+import static frostreel.TestMessages.post;
+import static frostreel.TestMessages.query;
+import static frostreel.TestMessages.row;
 import static frostreel.PoolerHarness.rows;
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -27,7 +27,7 @@
     }
 
     private static void welcome(PoolerHarness.Link link) throws Exception {
-        link.send(PoolerHarness.bytes('R', new byte[4]), PoolerHarness.READY);
+        link.send(TestMessages.bytes('R', new byte[4]), TestMessages.READY);
     }
 
     private void mayNotCancel() {
@@ -97,7 +97,7 @@
         }
         for (PoolerHarness.Peer peer : List.of(primary, replica)) {
             for (String text : peer.received) {
-                inHand.add(PoolerHarness.requestId(text));
+                inHand.add(TestMessages.requestId(text));
             }
         }
         harness.whileLoopIsBlocked(() -> {
@@ -107,7 +107,7 @@
                 }
             }
             for (PoolerHarness.Link server : servers) {
-                server.send(row("late", "replica"), PoolerHarness.READY);
+                server.send(row("late", "replica"), TestMessages.READY);
             }
         });
         harness.awaitCounter("clients_gone=" + (all - sent));
--- a/pooler/src/test/java/frostreel/EndpointListTest.java
+++ b/pooler/src/test/java/frostreel/EndpointListTest.java
@@ -2,8 +2,8 @@
 
 import static frostreel.PoolerHarness.host;
 import static frostreel.PoolerHarness.list;
-import static frostreel.PoolerHarness.look;
-import static frostreel.PoolerHarness.query;
+import static frostreel.TestMessages.look;
+import static frostreel.TestMessages.query;
 import static frostreel.PoolerHarness.rows;
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/pooler/src/test/java/frostreel/FailoverTest.java
+++ b/pooler/src/test/java/frostreel/FailoverTest.java
@@ -1,9 +1,9 @@
 package frostreel;
 
 import static frostreel.PoolerHarness.errors;
-import static frostreel.PoolerHarness.look;
-import static frostreel.PoolerHarness.post;
-import static frostreel.PoolerHarness.row;
+import static frostreel.TestMessages.look;
+import static frostreel.TestMessages.post;
+import static frostreel.TestMessages.row;
 import static frostreel.PoolerHarness.rows;
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/pooler/src/test/java/frostreel/LateConnectionsTest.java
+++ b/pooler/src/test/java/frostreel/LateConnectionsTest.java
@@ -2,10 +2,10 @@
 
 import static frostreel.PoolerHarness.host;
 import static frostreel.PoolerHarness.list;
-import static frostreel.PoolerHarness.look;
-import static frostreel.PoolerHarness.post;
-import static frostreel.PoolerHarness.query;
-import static frostreel.PoolerHarness.row;
+import static frostreel.TestMessages.look;
+import static frostreel.TestMessages.post;
+import static frostreel.TestMessages.query;
+import static frostreel.TestMessages.row;
 import static frostreel.PoolerHarness.rows;
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -18,7 +18,7 @@
     private final BlockingQueue<PoolerHarness.Link> handshakes = new LinkedBlockingQueue<>();
 
     private static void welcome(PoolerHarness.Link link) throws Exception {
-        link.send(PoolerHarness.bytes('R', new byte[4]), PoolerHarness.READY);
+        link.send(TestMessages.bytes('R', new byte[4]), TestMessages.READY);
     }
 
     /** The repeat was decided upon in time; its connection took longer than the window. */
@@ -32,7 +32,7 @@
         primary.script = (text, link) -> {
             primary.script = (next, connection) -> {
                 served.add(connection);
-                connection.send(row("second", "primary"), PoolerHarness.READY);
+                connection.send(row("second", "primary"), TestMessages.READY);
             };
             primary.handshake = (none, next) -> handshakes.add(next);
             link.close(); // It may have run.
@@ -94,7 +94,7 @@
             second.send(query(look("2", 9000)));
             PoolerHarness.Link pending = handshakes.take();
             replica.script = rows("from-replica", "replica");
-            old.send(row("old", "replica"), PoolerHarness.READY);
+            old.send(row("old", "replica"), TestMessages.READY);
             assertThat(value(first.takeAnswer())).isEqualTo("old");
             welcome(pending);
             assertThat(value(second.takeAnswer())).isEqualTo("from-moved");
@@ -114,7 +114,7 @@
             PoolerHarness.awaitElapsed(sent, 600);
             welcome(late);
             assertThat(value(client.takeAnswer())).isEqualTo("from-replica");
-            int told = PoolerHarness.remainingMs(replica.next());
+            int told = TestMessages.remainingMs(replica.next());
             assertThat(told).isPositive().isLessThanOrEqualTo(8400);
         }
     }
--- a/pooler/src/test/java/frostreel/LongValuesTest.java
+++ b/pooler/src/test/java/frostreel/LongValuesTest.java
@@ -1,7 +1,7 @@
 package frostreel;
 
-import static frostreel.PoolerHarness.look;
-import static frostreel.PoolerHarness.post;
+import static frostreel.TestMessages.look;
+import static frostreel.TestMessages.post;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.io.ByteArrayOutputStream;
@@ -33,7 +33,7 @@
     /** A row's description and its head; the value is to follow. */
     private static byte[] head(int rowLength, int valueLength) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        out.writeBytes(PoolerHarness.bytes('T', "\0\1v|" + "|".repeat(18)));
+        out.writeBytes(TestMessages.bytes('T', "\0\1v|" + "|".repeat(18)));
         out.write('D');
         out.writeBytes(ByteBuffer.allocate(10)
                 .putInt(rowLength + 10)
@@ -47,9 +47,9 @@
 
     private static byte[] tail() {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        out.writeBytes(PoolerHarness.bytes('C', "SELECT 1|"));
-        out.writeBytes(PoolerHarness.bytes('S', "role|replica|"));
-        out.writeBytes(PoolerHarness.READY);
+        out.writeBytes(TestMessages.bytes('C', "SELECT 1|"));
+        out.writeBytes(TestMessages.bytes('S', "role|replica|"));
+        out.writeBytes(TestMessages.READY);
         return out.toByteArray();
     }
 
@@ -83,7 +83,7 @@
             }
         };
         try (PoolerHarness.Link client = harness.client()) {
-            client.send(PoolerHarness.query(look("1", 9000)), PoolerHarness.query(post("2", 9000)));
+            client.send(TestMessages.query(look("1", 9000)), TestMessages.query(post("2", 9000)));
             begin(client, LONG);
             assertThat(client.in.readNBytes(100)).isEqualTo(Arrays.copyOf(VALUE, 100));
             first.countDown();
@@ -91,7 +91,7 @@
             end(client);
             assertThat(client.takeAnswer().get(1)).endsWith("from-primary");
             replica.script = whole(VALUE);
-            client.send(PoolerHarness.query(look("3", 9000)));
+            client.send(TestMessages.query(look("3", 9000)));
             begin(client, LONG);
             assertThat(client.in.readNBytes(LONG)).isEqualTo(VALUE);
             end(client);
@@ -109,7 +109,7 @@
             link.close();
         };
         try (PoolerHarness.Link client = harness.client()) {
-            client.send(PoolerHarness.query(look("1", 9000)));
+            client.send(TestMessages.query(look("1", 9000)));
             begin(client, LONG);
             assertThat(client.in.readNBytes(LONG).length).isLessThanOrEqualTo(LONG / 2);
             assertThat(client.endsNext()).isTrue();
@@ -121,9 +121,9 @@
 
     @Test
     void errorAfterLongValueClosesTheClient() throws Exception {
-        replica.script = (text, link) -> link.send(head(LONG, LONG), VALUE, PoolerHarness.error("XX000"), PoolerHarness.READY);
+        replica.script = (text, link) -> link.send(head(LONG, LONG), VALUE, TestMessages.error("XX000"), TestMessages.READY);
         try (PoolerHarness.Link client = harness.client()) {
-            client.send(PoolerHarness.query(look("1", 9000)));
+            client.send(TestMessages.query(look("1", 9000)));
             begin(client, LONG);
             client.in.readNBytes(LONG);
             assertThat(client.endsNext()).isTrue();
@@ -138,7 +138,7 @@
             PoolerHarness.await(first);
         };
         try (PoolerHarness.Link client = harness.client()) {
-            client.send(PoolerHarness.query(look("1", 9000)));
+            client.send(TestMessages.query(look("1", 9000)));
             begin(client, LONG);
         }
         first.countDown();
@@ -175,12 +175,12 @@
         try (PoolerHarness.Link slow = harness.client();
                 PoolerHarness.Link drip = harness.client();
                 PoolerHarness.Link quick = harness.client()) {
-            slow.send(PoolerHarness.query(look("slow", 9000)));
-            drip.send(PoolerHarness.query(look("drip", 9000)));
+            slow.send(TestMessages.query(look("slow", 9000)));
+            drip.send(TestMessages.query(look("drip", 9000)));
             begin(slow, LONG);
             begin(drip, LONG);
             for (int i = 0; i < 5; i++) {
-                quick.send(PoolerHarness.query(look("quick" + i, 9000)));
+                quick.send(TestMessages.query(look("quick" + i, 9000)));
                 begin(quick, LONG);
                 assertThat(quick.in.readNBytes(LONG)).isEqualTo(VALUE);
                 end(quick);
@@ -217,7 +217,7 @@
             for (int i = 0; i < clients; i++) {
                 PoolerHarness.Link client = PoolerHarness.client(port);
                 all.add(client);
-                client.send(PoolerHarness.query(look("n" + i, 9000)));
+                client.send(TestMessages.query(look("n" + i, 9000)));
             }
             for (PoolerHarness.Link client : all) {
                 begin(client, parts * part.length);
--- a/pooler/src/test/java/frostreel/OperatorCommandsTest.java
+++ b/pooler/src/test/java/frostreel/OperatorCommandsTest.java
@@ -3,8 +3,8 @@
 import static frostreel.PoolerHarness.errors;
 import static frostreel.PoolerHarness.host;
 import static frostreel.PoolerHarness.list;
-import static frostreel.PoolerHarness.look;
-import static frostreel.PoolerHarness.post;
+import static frostreel.TestMessages.look;
+import static frostreel.TestMessages.post;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import frostreel.config.Config;
@@ -125,11 +125,11 @@
         replica.script = (text, link) -> {
             asked.countDown();
             PoolerHarness.await(reloaded);
-            link.send(PoolerHarness.error("XX000"), PoolerHarness.READY);
+            link.send(TestMessages.error("XX000"), TestMessages.READY);
         };
         try (PoolerHarness.Link open = harness.client();
                 PoolerHarness.Link later = harness.client()) {
-            open.send(PoolerHarness.query(look("1", 9000)));
+            open.send(TestMessages.query(look("1", 9000)));
             asked.await();
             harness.pooler.reload(Config.load(PoolerHarness.environment(changed(harness.discovery.address()))));
             while (!harness.pooler.counters().contains("reloads=1 ")) {
@@ -179,7 +179,7 @@
             PoolerHarness.await(over);
         };
         try (PoolerHarness.Link client = harness.client()) {
-            client.send(PoolerHarness.query(look("1", 9000)));
+            client.send(TestMessages.query(look("1", 9000)));
             welcomed.await();
             assertThat(harness.call("SUSPEND b")).isEqualTo("OK\n");
             assertThat(value(client.takeAnswer())).isEqualTo("from-primary");
--- a/pooler/src/test/java/frostreel/PausedProcessTest.java
+++ b/pooler/src/test/java/frostreel/PausedProcessTest.java
@@ -2,9 +2,9 @@
 
 import static frostreel.PoolerHarness.host;
 import static frostreel.PoolerHarness.list;
-import static frostreel.PoolerHarness.look;
-import static frostreel.PoolerHarness.post;
-import static frostreel.PoolerHarness.query;
+import static frostreel.TestMessages.look;
+import static frostreel.TestMessages.post;
+import static frostreel.TestMessages.query;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import org.junit.jupiter.api.Test;
@@ -46,11 +46,11 @@
                     PoolerHarness.Link late = PoolerHarness.connect(port)) {
                 process.suspend();
                 client.send(query(post("1", 9000)));
-                late.send(PoolerHarness.startup(), query(post("2", 300)));
+                late.send(TestMessages.startup(), query(post("2", 300)));
                 PoolerHarness.awaitElapsed(System.nanoTime(), pausedMs);
                 process.resume();
                 assertThat(value(client.takeAnswer())).isEqualTo("from-primary");
-                assertThat(PoolerHarness.remainingMs(primary.next()))
+                assertThat(TestMessages.remainingMs(primary.next()))
                         .isLessThanOrEqualTo((int) (9000 - pausedMs));
                 late.takeAnswer();
                 assertThat(late.takeAnswer()).singleElement().asString().contains("|C53300|");
--- a/pooler/src/test/java/frostreel/PipelineTest.java
+++ b/pooler/src/test/java/frostreel/PipelineTest.java
@@ -1,9 +1,9 @@
 package frostreel;
 
-import static frostreel.PoolerHarness.look;
-import static frostreel.PoolerHarness.post;
-import static frostreel.PoolerHarness.query;
-import static frostreel.PoolerHarness.row;
+import static frostreel.TestMessages.look;
+import static frostreel.TestMessages.post;
+import static frostreel.TestMessages.query;
+import static frostreel.TestMessages.row;
 import static frostreel.PoolerHarness.rows;
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -48,7 +48,7 @@
     }
 
     private static void answerFirst(PoolerHarness.Link link) throws Exception {
-        link.send(row("of-first", "primary"), PoolerHarness.READY);
+        link.send(row("of-first", "primary"), TestMessages.READY);
     }
 
     private static void assertRejected(List<String> answer) {
@@ -74,8 +74,8 @@
             assertRejected(client.takeAnswer());
             assertThat(value(client.takeAnswer())).isEqualTo("from-replica");
             String sent = replica.next();
-            assertThat(PoolerHarness.requestId(sent)).isEqualTo("live");
-            assertThat(PoolerHarness.remainingMs(sent)).isLessThanOrEqualTo(9000 - PATIENCE_MS);
+            assertThat(TestMessages.requestId(sent)).isEqualTo("live");
+            assertThat(TestMessages.remainingMs(sent)).isLessThanOrEqualTo(9000 - PATIENCE_MS);
             assertTwoAttemptsAndOneRejection();
         }
     }
@@ -112,7 +112,7 @@
     @Test
     void everyPipelinedMessageHasOneResponseInOrder() throws Exception {
         replica.script = (text, link) ->
-                link.send(row(PoolerHarness.requestId(text), "replica"), PoolerHarness.READY);
+                link.send(row(TestMessages.requestId(text), "replica"), TestMessages.READY);
         holdFirst();
         ByteArrayOutputStream all = new ByteArrayOutputStream();
         all.writeBytes(first());
--- a/pooler/src/test/java/frostreel/PoolerHarness.java
+++ b/pooler/src/test/java/frostreel/PoolerHarness.java
@@ -7,6 +7,7 @@
 import java.io.ByteArrayOutputStream;
 import java.io.DataInputStream;
 import java.io.DataOutputStream;
+import java.io.EOFException;
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.InetAddress;
@@ -29,18 +30,17 @@
 import java.util.logging.Logger;
 import java.util.logging.StreamHandler;
 
-/** A pooler between scripted peers on loopback; every wait is for an event, bounded only against a hang. */
+/** Runs a pooler between scripted servers and discovery agents on loopback. Tests wait for events, never for time. */
 final class PoolerHarness {
+    /** Bounds every wait, so that a hang fails its test. */
     static final int PATIENCE_S = 20;
-    /** Of 128 descriptors 64 are the program's own, and usual clients leave servers a quarter of the rest. */
+    /** The pooler's limit on clients: of 128 descriptors 64 are reserved, and servers have a quarter of the rest. */
     static final int MAX_CLIENTS = 48;
-    /** Of 128 descriptors, usual clients hold a third at most. */
+    /** The number of clients that the pooler expects: a third of all descriptors. */
     static final int USUAL_CLIENTS = 42;
-    /** The decisions let any number wait, so that clients can hold all places by requests in hand. */
-    boolean unlimitedConcurrency;
-    /** Beyond three eighths of the places of usual clients, whoever waits unsent makes room. */
+    /** More requests than this waiting unsent are evicted: three eighths of the usual clients. */
     static final int MOST_WAITING = USUAL_CLIENTS * 3 / 8;
-    /** Of 128 descriptors 64 are the program's own, and usual clients leave servers a quarter of the rest. */
+    /** The pooler's limit on connections to servers, see {@link #MAX_CLIENTS}. */
     static final int MAX_SERVERS = 16;
 
     static final String SETTINGS = """
@@ -58,12 +58,12 @@
             "rules":{"answerSlackS":0.02,"coldFrom":0.2,"fallMultiple":3,"fallS":2,"stopSendingWithinS":1,
             "warmAfterS":15}}""";
 
-    /** What a scripted peer does with one message, on the connection it came by. */
+    /** How a scripted peer responds to one message, on the connection that it arrived by. */
     interface Script {
         void answer(String text, Link link) throws IOException;
     }
 
-    /** One connection, seen by a scripted peer or by a client. */
+    /** One end of a connection: a client's, or a scripted peer's. */
     static final class Link implements AutoCloseable {
         final Socket socket;
         final DataInputStream in;
@@ -85,14 +85,14 @@
             out.write(all.toByteArray());
         }
 
-        /** Takes the next message; its type and its text, fields split by '|'. */
+        /** Reads the next message and returns its type and its text, with fields separated by '|'. */
         String take() throws IOException {
             char type = (char) in.readUnsignedByte();
             byte[] body = in.readNBytes(in.readInt() - 4);
             return type + new String(body, StandardCharsets.ISO_8859_1).replace('\0', '|');
         }
 
-        /** An answer up to ReadyForQuery, without it. */
+        /** Reads a response and returns its messages without ReadyForQuery. */
         List<String> takeAnswer() throws IOException {
             List<String> messages = new ArrayList<>();
             for (String message = take(); !message.startsWith("Z"); message = take()) {
@@ -102,11 +102,11 @@
         }
 
         List<String> ask(String sql) throws IOException {
-            send(query(sql));
+            send(TestMessages.query(sql));
             return takeAnswer();
         }
 
-        /** Whether the other side ends the connection. */
+        /** Returns whether the next event is the end of the connection. */
         boolean endsNext() throws IOException {
             try {
                 return in.read() < 0;
@@ -121,15 +121,18 @@
         }
     }
 
-    /** A server or discovery, played by a script. */
+    /** A server or a discovery agent that responds by a script. */
     static final class Peer {
         final ServerSocket listener;
+        /** The messages that arrived, without health checks. */
         final BlockingQueue<String> received = new LinkedBlockingQueue<>();
+        /** One entry for each connection that has ended. */
         final BlockingQueue<String> closedConnections = new LinkedBlockingQueue<>();
+        /** How many connections were accepted. */
         final AtomicInteger connections = new AtomicInteger();
         volatile Script script;
-        /** What a database does with the startup message. */
-        volatile Script handshake = (text, link) -> link.send(bytes('R', new byte[4]), READY);
+        /** How a server responds to the startup message. */
+        volatile Script handshake = (text, link) -> link.send(TestMessages.bytes('R', new byte[4]), TestMessages.READY);
 
         private final Thread acceptor;
 
@@ -137,7 +140,7 @@
             this(database, script, 0);
         }
 
-        /** At that port; 0 for any that is free. */
+        /** Listens at {@code port}, 0 for any free one. */
         Peer(boolean database, Script script, int port) throws IOException {
             this.script = script;
             listener = new ServerSocket(port, 50, InetAddress.getLoopbackAddress());
@@ -164,26 +167,27 @@
             }
             while (true) {
                 String text = database ? link.take() : requestLine(link.in);
-                if (!text.equals("QSHOW load|")) { // Probes come when the module likes.
+                if (!text.equals("QSHOW load|")) { // Health checks arrive at any time.
                     received.add(text);
                 }
                 script.answer(text, link);
             }
         }
 
-        /** The request line, once its head has come. */
+        /** Reads the head of an HTTP request and returns its first line. */
         private static String requestLine(InputStream in) throws IOException {
             StringBuilder head = new StringBuilder();
             while (head.indexOf("\r\n\r\n") < 0) {
                 int next = in.read();
                 if (next < 0) {
-                    throw new IOException("ended");
+                    throw new EOFException();
                 }
                 head.append((char) next);
             }
             return head.substring(0, head.indexOf("\r\n"));
         }
 
+        /** Waits for the next message that arrives, and returns it. */
         String next() throws InterruptedException {
             return received.poll(PATIENCE_S, TimeUnit.SECONDS);
         }
@@ -192,42 +196,47 @@
             return "127.0.0.1:" + listener.getLocalPort();
         }
 
-        /** From its return on, connections are refused: while its thread accepts, the port stays open. */
+        /** Once this returns, connections are refused; while the acceptor runs, the port stays open. */
         void close() throws Exception {
             listener.close();
             acceptor.join();
         }
     }
 
+    /** Code that may throw. */
     interface Task {
         void run() throws Exception;
     }
 
-    static final byte[] READY = bytes('Z', new byte[] {'I'});
     final List<Peer> peers = new ArrayList<>();
+    /** The endpoint lists with which {@link #discovery} responds, one a request. */
     final BlockingQueue<String> lists = new LinkedBlockingQueue<>();
-    /** One for each list that discovery has written. */
+    /** One entry for each list that a discovery agent has sent. */
     final BlockingQueue<String> sentLists = new LinkedBlockingQueue<>();
 
     final Peer discovery;
+    /** The pooler under test; null before the start, and once a test has ended it. */
     Pooler pooler;
+
     OperatorSettings operators = OperatorSettings.DEFAULT;
-    /** How long the list known from the start waits for discovery; a test of that wait makes it endless. */
+    /** How long the configured list waits for discovery; a test of that wait makes it endless. */
     long configuredListPatienceUs = EndpointSource.CONFIGURED_LIST_PATIENCE_US;
-    /** How long clients are waited for whose connections were ended; the same. */
+    /** How long a closed client may take to close its end; a test of that wait makes it endless. */
     long lingerUs = ServingLifecycle.LINGER_US;
     /** The settings of the pooler that is started. */
     String settings = SETTINGS;
+    /** Lifts the limit on concurrent requests at servers, so that clients can occupy all connections. */
+    boolean unlimitedConcurrency;
 
     PoolerHarness() throws IOException {
         discovery = discovery(lists);
     }
 
-    /** Answers each call with the next of the lists, and waits for one. */
+    /** Adds a discovery agent that responds to each request with the next of {@code lists}, and waits for one. */
     Peer discovery(BlockingQueue<String> lists) throws IOException {
         Peer peer = new Peer(false, (text, link) -> {
             try {
-                link.send(http(lists.take()));
+                link.send(TestMessages.http(lists.take()));
                 sentLists.add("sent");
             } catch (InterruptedException e) {
                 throw new IOException(e);
@@ -237,12 +246,13 @@
         return peer;
     }
 
+    /** Runs a task on a daemon thread; its failure ends that thread alone. */
     static Thread spawn(Task task) {
         Thread thread = new Thread(() -> {
             try {
                 task.run();
             } catch (Exception e) {
-                return; // The peer's other side went away, or the test is over.
+                return; // The other end was closed, or the test is over.
             }
         });
         thread.setDaemon(true);
@@ -250,7 +260,7 @@
         return thread;
     }
 
-    /** Waits in a peer's script. */
+    /** Waits for a latch within a peer's script. */
     static void await(CountDownLatch latch) throws IOException {
         try {
             latch.await();
@@ -259,72 +269,59 @@
         }
     }
 
+    /** Adds a database server. */
     Peer server(Script script) throws IOException {
         Peer peer = new Peer(true, script);
         peers.add(peer);
         return peer;
     }
 
-    /** Something that is asked over HTTP. */
+    /** Adds a peer that speaks HTTP. */
     Peer agent(Script script) throws IOException {
         Peer peer = new Peer(false, script);
         peers.add(peer);
         return peer;
     }
 
-    static byte[] http(String head, String body) {
-        return ("HTTP/1.1 200 OK\r\n" + head + "\r\n" + body).getBytes(StandardCharsets.UTF_8);
-    }
-
-    static byte[] http(String body) {
-        return http("Content-Length: " + body.length() + "\r\n", body);
-    }
-
-    /** The id of the request that a peer received; a text without one stands for itself. */
-    static String requestId(String received) {
-        return received.replaceAll(".*id=(\\w+),.*", "$1").replace("|", "");
-    }
-
-    /** The time left, in milliseconds, that the request which a peer received states. */
-    static int remainingMs(String received) {
-        return Integer.parseInt(received.replaceAll(".*,d=(\\d+),.*", "$1").replace("|", ""));
-    }
-
-    /** The value of a counter. */
+    /** Returns the value of a counter of {@code SHOW stats}. */
     long counter(String name) {
         return Long.parseLong(pooler.counters().replaceAll(".* " + name + "=(\\d+) .*", "$1"));
     }
 
-    /** Waits until the counters show this. */
+    /** Waits until the counters contain this pair of name and value. */
     void awaitCounter(String counter) {
         while (!pooler.counters().contains(" " + counter + " ")) {
             Thread.onSpinWait();
         }
     }
 
+    /** Returns an endpoint of a list, as JSON. */
     static String host(String id, Peer server, String role, String health) {
         return "{\"host\":\"" + id + "\",\"dial\":\"" + server.address()
                 + "\",\"site\":\"dc\",\"class\":\"m\",\"block\":2,"
                 + "\"health\":\"" + health + "\",\"share\":1.0,\"born_ms\":0,\"role\":\"" + role + "\"}";
     }
 
+    /** Returns an endpoint list as JSON, complete or with changes alone. */
     static String list(int seq, boolean whole, String... hosts) {
         return "{\"seq\":" + seq + ",\"whole\":" + whole + ",\"hosts\":[" + String.join(",", hosts) + "]}";
     }
 
+    /** Writes a configuration file and returns the environment that names it. */
     static Map<String, String> environment(String json) throws IOException {
         Path file = Files.createTempFile("frostreel", ".json");
         file.toFile().deleteOnExit();
         return Map.of("GW_CONFIG", Files.writeString(file, json).toString());
     }
 
-    /** Starts the pooler knowing these; the same is discovery's first answer. */
+    /** Starts the pooler with these endpoints, both configured and in discovery's first list, and awaits readiness. */
     void start(String... hosts) throws Exception {
         lists.add(list(1, true, hosts));
         startSilent(hosts);
-        untilReady();
+        awaitReady();
     }
 
+    /** Starts the pooler with these endpoints configured; discovery stays silent, and nothing is waited for. */
     void startSilent(String... hosts) throws Exception {
         Config config = Config.load(environment(configured(discovery.address(), hosts)));
         pooler = new Pooler(unlimitedConcurrency ? withUnlimitedConcurrency(config) : config, operators, configuredListPatienceUs, lingerUs);
@@ -349,7 +346,7 @@
                 config.source());
     }
 
-    /** SIGHUP, with a file that names another discovery. */
+    /** Reloads the current settings with this discovery agent, as SIGHUP would. */
     void reload(Peer discovery) throws Exception {
         pooler.reload(Config.load(environment(configured(discovery.address()))));
     }
@@ -359,14 +356,14 @@
     }
 
     /**
-     * The I/O thread stands still meanwhile, in the middle of what it found on its sockets; all that is due
-     * or has come by then, it finds at once behind it.
+     * Runs a task while the I/O thread is blocked in the middle of a turn: all that arrives or falls due
+     * meanwhile is found by it in one turn afterwards.
      */
     void whileLoopIsBlocked(Task task) throws Exception {
-        whileLoopIsBlocked(CommandExecutor.class, () -> spawn(() -> call("STATUS")), task); // That is logged.
+        whileLoopIsBlocked(CommandExecutor.class, () -> spawn(() -> call("STATUS")), task); // The call is logged.
     }
 
-    /** The same at what a class next logs, after this cause of it. */
+    /** Blocks the I/O thread at the next line that {@code logger} writes, which {@code cause} brings about. */
     void whileLoopIsBlocked(Class<?> logger, Task cause, Task task) throws Exception {
         CountDownLatch blocked = new CountDownLatch(1);
         CountDownLatch release = new CountDownLatch(1);
@@ -393,20 +390,22 @@
         }
     }
 
-    /** Returns once so long a time has passed since then, by {@link System#nanoTime}; longer is as good. */
-    static void awaitElapsed(long sinceNanos, long ms) {
-        while (System.nanoTime() - sinceNanos < ms * 1_000_000) {
+    /** Returns once at least this time has passed since an instant of {@link System#nanoTime}. */
+    static void awaitElapsed(long sinceNs, long elapsedMs) {
+        while (System.nanoTime() - sinceNs < TimeUnit.MILLISECONDS.toNanos(elapsedMs)) {
             Thread.onSpinWait();
         }
     }
 
+    /** Returns a configuration with this discovery agent and these endpoints. */
     static String configuration(String discovery, String... hosts) {
         return "{\"name\":\"n0\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"" + discovery
                 + "\",\"control\":\"127.0.0.1:0\",\"seed\":\"8c1f\",\"limits\":{\"sockets\":128},"
                 + "\"known\":" + list(0, true, hosts) + ",\"settings\":" + SETTINGS + "}";
     }
 
-    void untilReady() throws Exception {
+    /** Waits until the pooler is ready. */
+    void awaitReady() throws Exception {
         try (Link client = client()) {
             while (!client.ask("").equals(List.of("I"))) {
                 Thread.onSpinWait();
@@ -414,32 +413,34 @@
         }
     }
 
+    /** Connects a client to the pooler and completes its startup. */
     Link client() throws Exception {
         Link client = new Link(connect());
-        client.send(startup());
+        client.send(TestMessages.startup());
         client.takeAnswer();
         return client;
     }
 
-    /** A connection to a process that listens at this port. */
+    /** Connects to a process that listens at this port. */
     static Link connect(int port) throws IOException {
         return new Link(new Socket("127.0.0.1", port));
     }
 
-    /** A client, past its startup, of a process that listens at this port. */
+    /** Connects a client to a process that listens at this port, and completes its startup. */
     static Link client(int port) throws IOException {
         Link client = connect(port);
-        client.send(startup());
+        client.send(TestMessages.startup());
         client.takeAnswer();
         return client;
     }
 
+    /** Connects to the pooler. */
     Socket connect() throws Exception {
         InetSocketAddress address = pooler.address();
         return new Socket(address.getAddress(), address.getPort());
     }
 
-    /** One operator's call: its line, and the line that answers it. */
+    /** Sends a command to the admin endpoint and returns its response. */
     String call(String command) throws Exception {
         InetSocketAddress address = pooler.callsAt();
         try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
@@ -449,64 +450,17 @@
         }
     }
 
-    static byte[] startup() {
-        byte[] words = "\0\3\0\0user\0svc\0database\0main\0\0".getBytes(StandardCharsets.ISO_8859_1);
-        byte[] out = new byte[words.length + 4];
-        out[3] = (byte) out.length;
-        System.arraycopy(words, 0, out, 4, words.length);
-        return out;
-    }
-
-    static byte[] bytes(char type, byte[] body) {
-        int length = body.length + 4;
-        byte[] out = new byte[length + 1];
-        byte[] head = {(byte) type, (byte) (length >> 24), (byte) (length >> 16), (byte) (length >> 8), (byte) length};
-        System.arraycopy(head, 0, out, 0, head.length);
-        System.arraycopy(body, 0, out, head.length, body.length);
-        return out;
-    }
-
-    static byte[] bytes(char type, String text) {
-        return bytes(type, text.replace('|', '\0').getBytes(StandardCharsets.ISO_8859_1));
-    }
-
-    static byte[] query(String sql) {
-        return bytes('Q', sql + "|");
-    }
-
-    static String look(String id, int patienceMs) {
-        return "SELECT v FROM records WHERE k = '7f3a' /* id=" + id + ",c=look,d=" + patienceMs + ",cluster=2 */";
-    }
-
-    static String post(String id, int patienceMs) {
-        return "INSERT INTO records (k, v) VALUES ('7f3a', '\\x9f03') RETURNING v /* id=" + id + ",c=post,d="
-                + patienceMs + ",k=5c0f,cluster=2 */";
-    }
-
-    /** A server's row with its role, without ReadyForQuery. */
-    static byte[] row(String value, String role) {
-        ByteArrayOutputStream out = new ByteArrayOutputStream();
-        out.writeBytes(bytes('T', "\0\1v|" + "|".repeat(18)));
-        out.writeBytes(
-                bytes('D', "\0\1" + "\0\0" + (char) (value.length() >> 8) + (char) (value.length() & 255) + value));
-        out.writeBytes(bytes('C', "SELECT 1|"));
-        out.writeBytes(bytes('S', "role|" + role + "|"));
-        out.writeBytes(bytes('S', "applied_ms|" + System.currentTimeMillis() + "|"));
-        return out.toByteArray();
-    }
-
-    static byte[] error(String code) {
-        return bytes('E', "SERROR|C" + code + "|Mno||");
-    }
-
+    /** Responds with one row. */
     static Script rows(String value, String role) {
-        return (text, link) -> link.send(row(value, role), READY);
+        return (text, link) -> link.send(TestMessages.row(value, role), TestMessages.READY);
     }
 
+    /** Responds with an error. */
     static Script errors(String code, String role) {
-        return (text, link) -> link.send(error(code), bytes('S', "role|" + role + "|"), READY);
+        return (text, link) -> link.send(TestMessages.error(code), TestMessages.bytes('S', "role|" + role + "|"), TestMessages.READY);
     }
 
+    /** Ends the peers and the pooler. */
     void close() throws Exception {
         for (Peer peer : peers) {
             peer.close();
--- a/pooler/src/test/java/frostreel/RetryAfterTest.java
+++ b/pooler/src/test/java/frostreel/RetryAfterTest.java
@@ -1,7 +1,7 @@
 package frostreel;
 
-import static frostreel.PoolerHarness.look;
-import static frostreel.PoolerHarness.query;
+import static frostreel.TestMessages.look;
+import static frostreel.TestMessages.query;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.util.ArrayList;
--- a/pooler/src/test/java/frostreel/ServerConnectionsTest.java
+++ b/pooler/src/test/java/frostreel/ServerConnectionsTest.java
@@ -1,10 +1,10 @@
 package frostreel;
 
 import static frostreel.PoolerHarness.host;
-import static frostreel.PoolerHarness.look;
-import static frostreel.PoolerHarness.post;
-import static frostreel.PoolerHarness.query;
-import static frostreel.PoolerHarness.row;
+import static frostreel.TestMessages.look;
+import static frostreel.TestMessages.post;
+import static frostreel.TestMessages.query;
+import static frostreel.TestMessages.row;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.util.ArrayList;
@@ -39,7 +39,7 @@
             servers.put(id, harness.server((text, link) -> {
                 together.countDown();
                 PoolerHarness.await(together);
-                link.send(row(id, "primary"), PoolerHarness.READY);
+                link.send(row(id, "primary"), TestMessages.READY);
             }));
             hosts.add(host(id, servers.get(id), "primary", "Ready")
                     .replace("\"block\":2", "\"block\":" + (int) id.charAt(0)));
@@ -68,7 +68,7 @@
     @Test
     void serverClosingConnectionsAfterHandshakeDelaysNoRequest() throws Exception {
         replica.handshake = (text, link) -> {
-            link.send(PoolerHarness.bytes('R', new byte[4]), PoolerHarness.READY);
+            link.send(TestMessages.bytes('R', new byte[4]), TestMessages.READY);
             link.close();
         };
         start();
--- a/pooler/src/test/java/frostreel/ServerProtocolTest.java
+++ b/pooler/src/test/java/frostreel/ServerProtocolTest.java
@@ -1,7 +1,7 @@
 package frostreel;
 
-import static frostreel.PoolerHarness.look;
-import static frostreel.PoolerHarness.row;
+import static frostreel.TestMessages.look;
+import static frostreel.TestMessages.row;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.util.List;
@@ -21,8 +21,8 @@
     @Test
     void surplusBytesAreNeverTakenForTheNextResponse() throws Exception {
         replica.script = (text, link) -> {
-            byte[] row = row(PoolerHarness.requestId(text), "replica");
-            link.send(row, PoolerHarness.READY, row, PoolerHarness.READY);
+            byte[] row = row(TestMessages.requestId(text), "replica");
+            link.send(row, TestMessages.READY, row, TestMessages.READY);
         };
         primary.script = replica.script;
         start();
@@ -48,13 +48,13 @@
                 tooLong,
                 new byte[] {'D', 127, -1, -1, -1},
                 new byte[] {'%', 0, 0, 1, 0},
-                PoolerHarness.bytes('C', "SELECT 1|"),
-                PoolerHarness.bytes('E', "Cunended"),
-                PoolerHarness.bytes('Z', "II"));
+                TestMessages.bytes('C', "SELECT 1|"),
+                TestMessages.bytes('E', "Cunended"),
+                TestMessages.bytes('Z', "II"));
         start();
         try (PoolerHarness.Link client = harness.client()) {
             for (byte[] answer : spoilt) {
-                replica.script = (text, link) -> link.send(answer, PoolerHarness.READY);
+                replica.script = (text, link) -> link.send(answer, TestMessages.READY);
                 List<String> got = client.ask(look("1", 9000));
                 assertThat(got).as("%s", new String(answer)).hasSize(3);
                 assertThat(value(got)).isEqualTo("from-primary");
@@ -67,10 +67,10 @@
     void unreadableLoadReportIsDroppedAndTheValueServed() throws Exception {
         replica.script = (text, link) -> link.send(
                 row("good", "replica"),
-                PoolerHarness.bytes('S', "load|x0=,util=?|"),
-                PoolerHarness.bytes('S', "applied_ms|soon|"),
-                PoolerHarness.bytes('S', "unended"),
-                PoolerHarness.READY);
+                TestMessages.bytes('S', "load|x0=,util=?|"),
+                TestMessages.bytes('S', "applied_ms|soon|"),
+                TestMessages.bytes('S', "unended"),
+                TestMessages.READY);
         start();
         try (PoolerHarness.Link client = harness.client()) {
             assertThat(value(client.ask(look("1", 9000)))).isEqualTo("good");
--- a/pooler/src/test/java/frostreel/ShutdownTest.java
+++ b/pooler/src/test/java/frostreel/ShutdownTest.java
@@ -2,10 +2,10 @@
 
 import static frostreel.PoolerHarness.host;
 import static frostreel.PoolerHarness.list;
-import static frostreel.PoolerHarness.look;
-import static frostreel.PoolerHarness.post;
-import static frostreel.PoolerHarness.query;
-import static frostreel.PoolerHarness.row;
+import static frostreel.TestMessages.look;
+import static frostreel.TestMessages.post;
+import static frostreel.TestMessages.query;
+import static frostreel.TestMessages.row;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.io.EOFException;
@@ -99,7 +99,7 @@
             Set<String> reached = new HashSet<>();
             for (PoolerHarness.Peer peer : List.of(primary, replica)) {
                 peer.received.forEach(
-                        text -> reached.add(PoolerHarness.requestId(text)));
+                        text -> reached.add(TestMessages.requestId(text)));
             }
             reached.removeAll(answered);
             assertThat(reached).isEmpty();
@@ -129,11 +129,11 @@
             for (int i = 0; i < many; i++) {
                 PoolerHarness.Link client = PoolerHarness.connect(port);
                 idle.add(client);
-                client.send(PoolerHarness.startup(), query(look("i" + i, 300)));
+                client.send(TestMessages.startup(), query(look("i" + i, 300)));
                 client.takeAnswer();
                 assertThat(client.takeAnswer()).as("client %d", i).isNotEmpty();
             }
-            byte[] drains = PoolerHarness.http(list(2, false, host("b", replica, "replica", "Terminating")));
+            byte[] drains = TestMessages.http(list(2, false, host("b", replica, "replica", "Terminating")));
             harness.discovery.script = (text, link) -> link.send(drains);
             process.awaitLog("discovery answers again");
             try (PoolerHarness.Link client = PoolerHarness.client(port)) {
@@ -164,7 +164,7 @@
         replica.script = (text, link) -> {
             asked.countDown();
             PoolerHarness.await(answer);
-            link.send(row("late", "replica"), PoolerHarness.READY);
+            link.send(row("late", "replica"), TestMessages.READY);
         };
         start();
         try (PoolerHarness.Link client = harness.client();
--- a/pooler/src/test/java/frostreel/StartupReadinessTest.java
+++ b/pooler/src/test/java/frostreel/StartupReadinessTest.java
@@ -2,7 +2,7 @@
 
 import static frostreel.PoolerHarness.host;
 import static frostreel.PoolerHarness.list;
-import static frostreel.PoolerHarness.look;
+import static frostreel.TestMessages.look;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.io.IOException;
--- a/pooler/src/test/java/frostreel/StatusPagesTest.java
+++ b/pooler/src/test/java/frostreel/StatusPagesTest.java
@@ -1,6 +1,6 @@
 package frostreel;
 
-import static frostreel.PoolerHarness.look;
+import static frostreel.TestMessages.look;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import frostreel.log.Logging;
