--- a/pooler/src/test/java/frostreel/ClientScript.java
+++ b/pooler/src/test/java/frostreel/AbstractPoolerTest.java
@@ -15,21 +15,21 @@
 /** A group of a primary and a replica, on a stage of its own for each story. */
 /* A read from a socket hears no interrupt, so the test must not run on the thread that waits for it. */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
-abstract class ClientScript {
+abstract class AbstractPoolerTest {
     private static final int CANCEL_REQUEST = 80877102;
     PoolerHarness harness;
     PoolerHarness.Peer primary;
     PoolerHarness.Peer replica;
 
     @BeforeEach
-    void raise() throws Exception {
+    void setUp() throws Exception {
         harness = new PoolerHarness();
         primary = harness.server(rows("from-primary", "primary"));
         replica = harness.server(rows("from-replica", "replica"));
     }
 
     @AfterEach
-    void strike() throws Exception {
+    void tearDown() throws Exception {
         harness.close();
     }
 
@@ -67,12 +67,12 @@
     }
 
     /** A client with the key that it was given. */
-    final class Keyed implements AutoCloseable {
+    final class CancellableClient implements AutoCloseable {
         final PoolerHarness.Link link;
         int process;
         int secret;
 
-        Keyed() throws Exception {
+        CancellableClient() throws Exception {
             link = new PoolerHarness.Link(harness.connect());
             link.send(TestMessages.startup());
             DataInputStream in = link.in;
@@ -97,13 +97,13 @@
                         .putInt(withSecret)
                         .array());
                 other.socket.shutdownOutput(); // Its end may be read with its only message.
-                assertThat(other.endsNext()).isTrue();
+                assertThat(other.closedByPeer()).isTrue();
             }
         }
 
-        void endsCancelled() throws Exception {
+        void cancelAndAwaitError() throws Exception {
             cancel(secret);
-            assertThat(link.takeAnswer()).singleElement().asString().contains("|C57014|");
+            assertThat(link.readResponse()).singleElement().asString().contains("|C57014|");
         }
 
         @Override
--- a/pooler/src/test/java/frostreel/ClientCapacityTest.java
+++ b/pooler/src/test/java/frostreel/ClientCapacityTest.java
@@ -1,7 +1,7 @@
 package frostreel;
 
-import static frostreel.TestMessages.look;
-import static frostreel.TestMessages.post;
+import static frostreel.TestMessages.readSql;
+import static frostreel.TestMessages.writeSql;
 import static frostreel.TestMessages.query;
 import static frostreel.TestMessages.row;
 import static org.assertj.core.api.Assertions.assertThat;
@@ -11,30 +11,30 @@
 import org.junit.jupiter.api.Test;
 
 /** The limit on client connections: who is closed to make room, and who is rejected. */
-class ClientCapacityTest extends ClientScript {
+class ClientCapacityTest extends AbstractPoolerTest {
     @Test
     void idleClientsAreClosedForNewOnesAtTheLimit() throws Exception {
         harness.unlimitedConcurrency = true;
         start();
         try (PoolerHarness.Link leaver = harness.client()) {
             leaver.send(TestMessages.bytes('X', "")); // One that has left must not be taken for an idle one.
-            assertThat(leaver.endsNext()).isTrue();
+            assertThat(leaver.closedByPeer()).isTrue();
         }
         List<PoolerHarness.Link> clients = new ArrayList<>();
         int idle = PoolerHarness.USUAL_CLIENTS / 3 - 1; // One more comes, and none is spared before it.
         for (int i = 0; i < idle; i++) {
             clients.add(harness.client());
-            assertThat(value(clients.get(i).ask(look("c" + i, 9000)))).isEqualTo("from-replica");
+            assertThat(value(clients.get(i).execute(readSql("c" + i, 9000)))).isEqualTo("from-replica");
         }
         replica.script = (text, link) -> {};
         primary.script = replica.script;
         for (int i = idle; i < PoolerHarness.MAX_CLIENTS - 16; i++) { // These hold their places by a request in hand.
             clients.add(harness.client());
-            clients.get(i).send(query(look("c" + i, 9000)));
+            clients.get(i).send(query(readSql("c" + i, 9000)));
         }
         try (PoolerHarness.Link late = harness.client()) { // Once the first has been idle for long enough.
-            assertThat(late.ask("")).containsExactly("I");
-            assertThat(clients.get(0).endsNext()).isTrue();
+            assertThat(late.execute("")).containsExactly("I");
+            assertThat(clients.get(0).closedByPeer()).isTrue();
         }
         while (!harness.pooler.counters().contains(" clients_evicted=1 clients_spared=0 ")) {
             Thread.onSpinWait(); // The client sees its end before the pooler counts it.
@@ -49,13 +49,13 @@
         start();
         try (PoolerHarness.Link leaver = harness.client()) { // The one that saw the pooler become ready has gone, too.
             leaver.send(TestMessages.bytes('X', ""));
-            assertThat(leaver.endsNext()).isTrue();
+            assertThat(leaver.closedByPeer()).isTrue();
         }
         List<PoolerHarness.Link> clients = new ArrayList<>();
         int calm = PoolerHarness.USUAL_CLIENTS * 3 / 4;
         for (int i = 0; i < PoolerHarness.USUAL_CLIENTS; i++) {
             clients.add(harness.client());
-            assertThat(value(clients.get(i).ask(look("c" + i, 9000)))).isEqualTo("from-replica");
+            assertThat(value(clients.get(i).execute(readSql("c" + i, 9000)))).isEqualTo("from-replica");
             if (i < calm) {
                 assertThat(harness.pooler.counters()).contains(" clients_spared=0 ");
             }
@@ -65,10 +65,10 @@
             Thread.onSpinWait(); // The last answer comes before the next is spared.
         }
         for (int i = 0; i < closed; i++) { // The longest idle first.
-            assertThat(clients.get(i).endsNext()).isTrue();
+            assertThat(clients.get(i).closedByPeer()).isTrue();
         }
         for (int i = closed; i < clients.size(); i++) {
-            assertThat(value(clients.get(i).ask(look("d" + i, 9000)))).isEqualTo("from-replica");
+            assertThat(value(clients.get(i).execute(readSql("d" + i, 9000)))).isEqualTo("from-replica");
         }
         for (PoolerHarness.Link client : clients) {
             client.close();
@@ -87,11 +87,11 @@
         List<PoolerHarness.Link> others = new ArrayList<>();
         for (int i = 0; i < PoolerHarness.USUAL_CLIENTS / 3; i++) {
             idle.add(harness.client());
-            assertThat(value(idle.get(i).ask(look("c" + i, 9000)))).isEqualTo("from-replica");
+            assertThat(value(idle.get(i).execute(readSql("c" + i, 9000)))).isEqualTo("from-replica");
         }
         for (int i = idle.size(); i < PoolerHarness.USUAL_CLIENTS * 3 / 4 - 1; i++) { // With a request, not idle.
             others.add(harness.client());
-            others.get(others.size() - 1).send(query(post("p" + i, 9000)));
+            others.get(others.size() - 1).send(query(writeSql("p" + i, 9000)));
         }
         List<PoolerHarness.Link> late = List.of(harness.client(), harness.client());
         int longest = late.size() + 2; // So many are looked at, and more than those that might be closed.
@@ -101,14 +101,14 @@
                 client.send(query(""));
             }
             for (int i = 0; i < longest; i++) {
-                idle.get(i).send(query(look("d" + i, 9000)));
+                idle.get(i).send(query(readSql("d" + i, 9000)));
             }
         });
         for (PoolerHarness.Link client : idle.subList(0, longest)) {
-            assertThat(value(client.takeAnswer())).startsWith("from-");
+            assertThat(value(client.readResponse())).startsWith("from-");
         }
         for (PoolerHarness.Link client : late) {
-            assertThat(client.takeAnswer()).containsExactly("I");
+            assertThat(client.readResponse()).containsExactly("I");
         }
         others.addAll(idle);
         others.addAll(late);
@@ -125,13 +125,13 @@
             silent.add(new PoolerHarness.Link(harness.connect()));
         }
         try (PoolerHarness.Link client = harness.client()) {
-            assertThat(value(client.ask(look("1", 9000)))).isEqualTo("from-replica");
+            assertThat(value(client.execute(readSql("1", 9000)))).isEqualTo("from-replica");
         }
         PoolerHarness.Link last = silent.get(silent.size() - 1);
-        last.send(TestMessages.startup(), java.util.Arrays.copyOf(query(look("2", 9000)), 40));
-        last.takeAnswer();
+        last.send(TestMessages.startup(), java.util.Arrays.copyOf(query(readSql("2", 9000)), 40));
+        last.readResponse();
         assertThat(last.take()).startsWith("E").contains("|C57P05|");
-        assertThat(last.endsNext()).isTrue();
+        assertThat(last.closedByPeer()).isTrue();
         for (PoolerHarness.Link client : silent) {
             client.close();
         }
@@ -148,13 +148,13 @@
         int busy = PoolerHarness.MAX_CLIENTS - 16;
         for (int i = 0; i < busy; i++) {
             clients.add(harness.client());
-            clients.get(i).send(query(look("c" + i, 9000)));
+            clients.get(i).send(query(readSql("c" + i, 9000)));
         }
         while (!harness.pooler.counters().contains(" requests=" + busy + " ")) {
             Thread.onSpinWait();
         }
         clients.add(harness.client());
-        List<String> answer = clients.get(busy).ask(look("last", 9000));
+        List<String> answer = clients.get(busy).execute(readSql("last", 9000));
         assertThat(answer).singleElement().asString().contains("|C53300|").containsPattern("\\|D\\d+\\|");
         assertThat(harness.pooler.counters()).contains(" crowded_out=1 ");
         for (PoolerHarness.Link client : clients) {
--- a/pooler/src/test/java/frostreel/ConnectionCloseTest.java
+++ b/pooler/src/test/java/frostreel/ConnectionCloseTest.java
@@ -1,8 +1,8 @@
 package frostreel;
 
 import static frostreel.PoolerHarness.host;
-import static frostreel.TestMessages.look;
-import static frostreel.TestMessages.post;
+import static frostreel.TestMessages.readSql;
+import static frostreel.TestMessages.writeSql;
 import static frostreel.TestMessages.query;
 import static frostreel.PoolerHarness.rows;
 import static org.assertj.core.api.Assertions.assertThat;
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 
 /** However a client's connection ends, what was taken is answered, and what crosses the end is not lost. */
-class ConnectionCloseTest extends ClientScript {
+class ConnectionCloseTest extends AbstractPoolerTest {
     /** Tests of the wait for a client that was told to leave make it endless. */
     private void lingerWithoutEnd() {
         harness.lingerUs = Long.MAX_VALUE / 2;
@@ -22,12 +22,12 @@
 
     /** Its end is seen, and then more is sent: a connection that was closed whole would be reset by that. */
     private void assertBytesAfterCloseAreDroppedWithoutReset(PoolerHarness.Link client) throws Exception {
-        assertThat(client.endsNext()).isTrue();
+        assertThat(client.closedByPeer()).isTrue();
         long before = harness.counter("requests");
         for (int i = 0; i < 3; i++) {
-            client.send(query(look("crossed" + i, 9000)));
+            client.send(query(readSql("crossed" + i, 9000)));
         }
-        assertThat(client.endsNext()).isTrue();
+        assertThat(client.closedByPeer()).isTrue();
         client.close();
         assertThat(harness.counter("requests")).isEqualTo(before);
     }
@@ -39,7 +39,7 @@
         List<PoolerHarness.Link> clients = new ArrayList<>();
         for (int i = 0; i < PoolerHarness.USUAL_CLIENTS; i++) {
             clients.add(harness.client());
-            assertThat(value(clients.get(i).ask(look("c" + i, 9000)))).isEqualTo("from-replica");
+            assertThat(value(clients.get(i).execute(readSql("c" + i, 9000)))).isEqualTo("from-replica");
         }
         assertBytesAfterCloseAreDroppedWithoutReset(clients.get(0));
         for (PoolerHarness.Link client : clients) {
@@ -56,7 +56,7 @@
         start();
         try (PoolerHarness.Link asked = harness.client();
                 PoolerHarness.Link silent = harness.client()) {
-            assertThat(value(asked.ask(look("1", 300)))).isEqualTo("from-replica");
+            assertThat(value(asked.execute(readSql("1", 300)))).isEqualTo("from-replica");
             Thread stop = stopPooler();
             assertBytesAfterCloseAreDroppedWithoutReset(asked);
             assertBytesAfterCloseAreDroppedWithoutReset(silent);
@@ -85,12 +85,12 @@
                 () -> {
                     for (int i = 0; i < 3; i++) { // The first was let in even by the door that had closed.
                         waits.add(new PoolerHarness.Link(harness.connect()));
-                        waits.get(i).send(TestMessages.startup(), query(look("" + i, 300)));
+                        waits.get(i).send(TestMessages.startup(), query(readSql("" + i, 300)));
                     }
                 });
         for (PoolerHarness.Link client : waits) {
-            client.takeAnswer();
-            assertThat(client.takeAnswer()).singleElement().asString().contains("|C53300|");
+            client.readResponse();
+            assertThat(client.readResponse()).singleElement().asString().contains("|C53300|");
             client.close();
         }
         stop.get(0).join();
@@ -105,16 +105,16 @@
         int count = 300;
         try (PoolerHarness.Link client = harness.client()) {
             for (int i = 0; i < count; i++) {
-                client.send(query(look("q" + i, 9000)));
+                client.send(query(readSql("q" + i, 9000)));
             }
             for (int i = 0; i < 2; i++) {
                 try (PoolerHarness.Link silent = new PoolerHarness.Link(harness.connect())) {
                     assertThat(silent.take()).startsWith("E").contains("|C57P05|");
-                    assertThat(silent.endsNext()).isTrue();
+                    assertThat(silent.closedByPeer()).isTrue();
                 }
             }
             for (int i = 0; i < count; i++) {
-                assertThat(value(client.takeAnswer())).isEqualTo(large);
+                assertThat(value(client.readResponse())).isEqualTo(large);
             }
         }
     }
@@ -129,21 +129,21 @@
         };
         start();
         try (PoolerHarness.Link client = harness.client()) {
-            client.send(query(post("1", 9000))); // A write: a read would be tried elsewhere, and end too soon.
+            client.send(query(writeSql("1", 9000))); // A write: a read would be tried elsewhere, and end too soon.
             byte[] much = query("x".repeat(100_000)); // No statement of either form: an error each.
             for (int i = 0; i < 14; i++) {
                 client.send(much);
             }
             harness.awaitCounter("malformed=1");
             answer.countDown();
-            assertThat(value(client.takeAnswer())).isEqualTo("late");
+            assertThat(value(client.readResponse())).isEqualTo("late");
             String last = client.take();
             while (last.contains("|C22023|")) {
                 assertThat(client.take()).startsWith("Z");
                 last = client.take();
             }
             assertThat(last).startsWith("E").contains("|C08P01|").contains("too much at once");
-            assertThat(client.endsNext()).isTrue();
+            assertThat(client.closedByPeer()).isTrue();
         }
     }
 
@@ -172,11 +172,11 @@
         harness.start(hosts.toArray(String[]::new));
         try (PoolerHarness.Link client = harness.client()) {
             for (int i = 0; i < whole.length; i++) {
-                assertThat(value(client.ask(look("q" + i, 9000).replace("cluster=2", "cluster=" + (100 + i)))))
+                assertThat(value(client.execute(readSql("q" + i, 9000).replace("cluster=2", "cluster=" + (100 + i)))))
                         .as("cut at byte %d", i)
                         .isEqualTo("from-primary");
                 for (int j = 0; j < calm; j++) {
-                    assertThat(value(client.ask(look("q" + i + "x" + j, 9000)))).isEqualTo("from-replica");
+                    assertThat(value(client.execute(readSql("q" + i + "x" + j, 9000)))).isEqualTo("from-replica");
                 }
             }
         }
--- a/pooler/src/test/java/frostreel/DisconnectedClientsTest.java
+++ b/pooler/src/test/java/frostreel/DisconnectedClientsTest.java
@@ -1,8 +1,8 @@
 package frostreel;
 
 import static frostreel.PoolerHarness.errors;
-import static frostreel.TestMessages.look;
-import static frostreel.TestMessages.post;
+import static frostreel.TestMessages.readSql;
+import static frostreel.TestMessages.writeSql;
 import static frostreel.TestMessages.query;
 import static frostreel.TestMessages.row;
 import static frostreel.PoolerHarness.rows;
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 
 /** A client that closed its connection or cancelled its request has gone: nothing begins for it any more. */
-class DisconnectedClientsTest extends ClientScript {
+class DisconnectedClientsTest extends AbstractPoolerTest {
     private final BlockingQueue<PoolerHarness.Link> handshakes = new LinkedBlockingQueue<>();
 
     /** From now on a connection to the replica comes up when the test lets it. */
@@ -26,7 +26,7 @@
         replica.handshake = (text, link) -> handshakes.add(link);
     }
 
-    private static void welcome(PoolerHarness.Link link) throws Exception {
+    private static void completeHandshake(PoolerHarness.Link link) throws Exception {
         link.send(TestMessages.bytes('R', new byte[4]), TestMessages.READY);
     }
 
@@ -36,9 +36,9 @@
 
     /** The next request is the first that the replica hears, on the connection that was opened before. */
     private void assertNothingIsSentBeforeTheNextRequest(PoolerHarness.Link pending) throws Exception {
-        welcome(pending);
+        completeHandshake(pending);
         try (PoolerHarness.Link client = harness.client()) {
-            assertThat(value(client.ask(look("next", 9000)))).isEqualTo("from-replica");
+            assertThat(value(client.execute(readSql("next", 9000)))).isEqualTo("from-replica");
         }
         assertThat(replica.next()).contains("id=next,");
         assertThat(primary.received).isEmpty();
@@ -51,7 +51,7 @@
         holdHandshakes();
         start();
         PoolerHarness.Link client = harness.client();
-        client.send(query(look("gone", 9000)));
+        client.send(query(readSql("gone", 9000)));
         PoolerHarness.Link pending = handshakes.take();
         client.send(pipelined);
         client.close();
@@ -85,7 +85,7 @@
         for (int i = 0; i < all; i++) {
             PoolerHarness.Link client = harness.client();
             clients.put("q" + i, client);
-            client.send(query(look("q" + i, 9000)));
+            client.send(query(readSql("q" + i, 9000)));
         }
         harness.awaitCounter("requests=" + all);
         int sent = (int) harness.counter("attempts");
@@ -124,12 +124,12 @@
         mayNotCancel();
         holdHandshakes();
         start();
-        try (Keyed client = new Keyed()) {
-            client.link.send(query(look("gone", 9000)));
+        try (CancellableClient client = new CancellableClient()) {
+            client.link.send(query(readSql("gone", 9000)));
             PoolerHarness.Link pending = handshakes.take();
-            client.endsCancelled();
+            client.cancelAndAwaitError();
             assertNothingIsSentBeforeTheNextRequest(pending);
-            assertThat(value(client.link.ask(look("2", 9000)))).isEqualTo("from-replica");
+            assertThat(value(client.link.execute(readSql("2", 9000)))).isEqualTo("from-replica");
         }
     }
 
@@ -139,15 +139,15 @@
         primary.script = errors("25006", "replica");
         replica.script = errors("25006", "replica");
         start();
-        try (Keyed client = new Keyed()) {
-            client.link.send(query(post("gone", 9000)));
+        try (CancellableClient client = new CancellableClient()) {
+            client.link.send(query(writeSql("gone", 9000)));
             while (!harness.pooler.counters().contains("WRONG_ROLE_OR_STALE=2")) {
                 Thread.onSpinWait(); // A full round: it is held.
             }
-            client.endsCancelled();
+            client.cancelAndAwaitError();
             long before = heardOf("gone");
             primary.script = rows("from-primary", "primary");
-            assertThat(value(client.link.ask(post("next", 9000)))).isEqualTo("from-primary");
+            assertThat(value(client.link.execute(writeSql("next", 9000)))).isEqualTo("from-primary");
             assertThat(heardOf("gone")).isEqualTo(before);
         }
     }
@@ -163,16 +163,16 @@
     void cancelledRequestInFlightHasOneResponseAndNoRetry() throws Exception {
         replica.script = (text, link) -> {};
         start();
-        try (Keyed client = new Keyed()) {
-            client.link.send(query(look("gone", 9000)));
+        try (CancellableClient client = new CancellableClient()) {
+            client.link.send(query(readSql("gone", 9000)));
             assertThat(replica.next()).contains("id=gone,");
             client.cancel(client.secret + 1); // Another's key.
             assertThat(harness.pooler.counters()).contains(" clients_cancelled=0 ");
-            client.endsCancelled();
+            client.cancelAndAwaitError();
             assertThat(replica.closedConnections.take()).isEqualTo("closed");
-            assertThat(value(client.link.ask(post("2", 9000)))).isEqualTo("from-primary");
+            assertThat(value(client.link.execute(writeSql("2", 9000)))).isEqualTo("from-primary");
             client.cancel(client.secret); // Of what has ended.
-            assertThat(value(client.link.ask(post("3", 9000)))).isEqualTo("from-primary");
+            assertThat(value(client.link.execute(writeSql("3", 9000)))).isEqualTo("from-primary");
             assertThat(harness.pooler.counters())
                     .contains(" clients_cancelled=1 ")
                     .contains(" attempts=3 ");
--- a/pooler/src/test/java/frostreel/DiscoveryTest.java
+++ b/pooler/src/test/java/frostreel/DiscoveryTest.java
@@ -3,7 +3,7 @@
 import static frostreel.PoolerHarness.host;
 import static frostreel.TestMessages.http;
 import static frostreel.PoolerHarness.list;
-import static frostreel.TestMessages.look;
+import static frostreel.TestMessages.readSql;
 import static frostreel.TestMessages.query;
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What an agent may do at each point of a call, and that what it tells afterwards counts at once. */
-class DiscoveryTest extends ClientScript {
+class DiscoveryTest extends AbstractPoolerTest {
     private static final PoolerHarness.Script SILENCE = (text, link) -> {};
     private static final PoolerHarness.Script END = (text, link) -> link.close();
     private static final PoolerHarness.Script RESET = (text, link) -> {
@@ -77,7 +77,7 @@
             deeds.add(answers(told(++seq, seq % 2 == 0 ? "Terminating" : "Ready")));
             assertThat(harness.discovery.next()).contains("index=" + seq + "&").doesNotContain("wait=1 ");
             try (PoolerHarness.Link client = harness.client()) {
-                assertThat(value(client.ask(look("q" + seq, 9000))))
+                assertThat(value(client.execute(readSql("q" + seq, 9000))))
                         .isEqualTo(seq % 2 == 0 ? "from-primary" : "from-replica");
             }
         }
@@ -97,7 +97,7 @@
         });
         assertThat(harness.discovery.next()).contains("index=2&wait=1 ");
         try (PoolerHarness.Link client = harness.client()) {
-            assertThat(value(client.ask(look("1", 9000)))).isEqualTo("from-primary");
+            assertThat(value(client.execute(readSql("1", 9000)))).isEqualTo("from-primary");
         }
         assertThat(harness.pooler.counters()).contains(" discovery_failures=1 ");
     }
@@ -142,7 +142,7 @@
             assertThat(silent.next()).startsWith("GET /discovery/hosts HTTP");
             deeds.add(answers(told(2, "Terminating")));
             assertThat(harness.discovery.next()).contains("index=2&");
-            assertThat(value(client.ask(look("1", 9000)))).isEqualTo("from-primary");
+            assertThat(value(client.execute(readSql("1", 9000)))).isEqualTo("from-primary");
 
             PoolerHarness.Peer refusing = harness.agent(SILENCE);
             refusing.close();
@@ -150,7 +150,7 @@
             assertThat(silent.closedConnections.take()).isEqualTo("closed");
             deeds.add(answers(told(3, "Ready")));
             assertThat(harness.discovery.next()).contains("index=3&");
-            assertThat(value(client.ask(look("2", 9000)))).isEqualTo("from-replica");
+            assertThat(value(client.execute(readSql("2", 9000)))).isEqualTo("from-replica");
 
             BlockingQueue<PoolerHarness.Script> theirs = new LinkedBlockingQueue<>();
             PoolerHarness.Peer answering = harness.agent(oneAfterAnother(theirs));
@@ -160,7 +160,7 @@
             assertThat(answering.next()).startsWith("GET /discovery/hosts HTTP");
             assertThat(answering.next()).contains("index=1&");
             assertPreviousWatchHasEnded();
-            assertThat(value(client.ask(look("3", 9000)))).isEqualTo("from-primary");
+            assertThat(value(client.execute(readSql("3", 9000)))).isEqualTo("from-primary");
         }
     }
 
@@ -175,11 +175,11 @@
             clients.add(harness.client());
         }
         // A connection rests open there, on which the next could go at once.
-        assertThat(value(clients.get(0).ask(look("first", 9000)))).isEqualTo("from-replica");
+        assertThat(value(clients.get(0).execute(readSql("first", 9000)))).isEqualTo("from-replica");
         harness.whileLoopIsBlocked(() -> {
             long since = System.nanoTime();
             for (PoolerHarness.Link client : clients) {
-                client.send(query(look("q" + clients.indexOf(client), 9000)));
+                client.send(query(readSql("q" + clients.indexOf(client), 9000)));
             }
             deeds.add((text, link) -> {
                 link.send(http(told(2, "Terminating")));
@@ -189,7 +189,7 @@
             PoolerHarness.awaitElapsed(since, 100); // Two fifths of the rule.
         });
         for (PoolerHarness.Link client : clients) {
-            assertThat(value(client.takeAnswer())).isEqualTo("from-primary");
+            assertThat(value(client.readResponse())).isEqualTo("from-primary");
             client.close();
         }
         assertThat(replica.received).hasSize(1);
@@ -232,7 +232,7 @@
                 .as("the second call is given up")
                 .isEqualTo("closed");
         try (PoolerHarness.Link client = harness.client()) {
-            assertThat(value(client.ask(look("1", 9000)))).isEqualTo("from-primary");
+            assertThat(value(client.execute(readSql("1", 9000)))).isEqualTo("from-primary");
         }
         assertThat(harness.discovery.connections.get()).isEqualTo(3);
     }
--- a/pooler/src/test/java/frostreel/EndpointListTest.java
+++ b/pooler/src/test/java/frostreel/EndpointListTest.java
@@ -2,7 +2,7 @@
 
 import static frostreel.PoolerHarness.host;
 import static frostreel.PoolerHarness.list;
-import static frostreel.TestMessages.look;
+import static frostreel.TestMessages.readSql;
 import static frostreel.TestMessages.query;
 import static frostreel.PoolerHarness.rows;
 import static org.assertj.core.api.Assertions.assertThat;
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Changes of the endpoint list while requests are served. */
-class EndpointListTest extends ClientScript {
+class EndpointListTest extends AbstractPoolerTest {
     @Test
     void listWhoseVersionWentBackIsRequestedInFull() throws Exception {
         harness.startSilent(host("a", primary, "primary", "Ready"));
@@ -25,14 +25,14 @@
     void drainingServerReceivesNoNewRequest() throws Exception {
         start();
         try (PoolerHarness.Link client = harness.client()) {
-            client.ask(look("1", 9000));
+            client.execute(readSql("1", 9000));
             assertThat(replica.received).hasSize(1);
             harness.discovery.next();
             harness.discovery.next();
             harness.lists.add(list(2, false, host("b", replica, "replica", "Terminating")));
             assertThat(harness.discovery.next()).contains("index=2&");
             assertThat(replica.closedConnections.take()).isEqualTo("closed"); // Its idle connection was closed.
-            assertThat(value(client.ask(look("2", 9000)))).isEqualTo("from-primary");
+            assertThat(value(client.execute(readSql("2", 9000)))).isEqualTo("from-primary");
             assertThat(replica.received).hasSize(1);
         }
     }
@@ -46,21 +46,21 @@
         harness.discovery.next();
         harness.discovery.next();
         try (PoolerHarness.Link client = harness.client()) {
-            client.send(query(look("1", 9000)));
+            client.send(query(readSql("1", 9000)));
             assertThat(replica.next()).isEqualTo("a handshake that does not end");
             harness.lists.add(list(2, false, host("b", replica, "replica", "Terminating")));
-            assertThat(value(client.takeAnswer())).isEqualTo("from-primary");
+            assertThat(value(client.readResponse())).isEqualTo("from-primary");
             assertThat(replica.closedConnections.take()).isEqualTo("closed");
 
             harness.lists.add(list(3, false, host("b", replica, "replica", "Ready")));
             assertThat(harness.discovery.next()).contains("index=2&");
             assertThat(harness.discovery.next()).contains("index=3&");
-            client.send(query(look("2", 9000)));
+            client.send(query(readSql("2", 9000)));
             assertThat(replica.next()).isEqualTo("a handshake that does not end");
             harness.lists.add(list(4, false, host("b", moved, "replica", "Ready")));
-            assertThat(value(client.takeAnswer())).isEqualTo("from-primary");
+            assertThat(value(client.readResponse())).isEqualTo("from-primary");
             assertThat(replica.closedConnections.take()).isEqualTo("closed");
-            assertThat(value(client.ask(look("3", 9000)))).isEqualTo("from-moved");
+            assertThat(value(client.execute(readSql("3", 9000)))).isEqualTo("from-moved");
         }
         assertThat(harness.pooler.counters()).contains("outcomes={OK=3, NOT_SENT=2}");
     }
@@ -74,7 +74,7 @@
             Thread.onSpinWait();
         }
         try (PoolerHarness.Link client = harness.client()) {
-            assertThat(value(client.ask(look("1", 9000)))).isEqualTo("from-replica");
+            assertThat(value(client.execute(readSql("1", 9000)))).isEqualTo("from-replica");
         }
     }
 }
--- a/pooler/src/test/java/frostreel/FailoverTest.java
+++ b/pooler/src/test/java/frostreel/FailoverTest.java
@@ -1,8 +1,8 @@
 package frostreel;
 
 import static frostreel.PoolerHarness.errors;
-import static frostreel.TestMessages.look;
-import static frostreel.TestMessages.post;
+import static frostreel.TestMessages.readSql;
+import static frostreel.TestMessages.writeSql;
 import static frostreel.TestMessages.row;
 import static frostreel.PoolerHarness.rows;
 import static org.assertj.core.api.Assertions.assertThat;
@@ -11,16 +11,16 @@
 import org.junit.jupiter.api.Test;
 
 /** Retries on other members after errors, wrong roles, timeouts and broken connections. */
-class FailoverTest extends ClientScript {
+class FailoverTest extends AbstractPoolerTest {
     @Test
     void writeIsRetriedOnNextMemberAfterWrongRoleAndPrimaryIsRemembered() throws Exception {
         primary.script = errors("25006", "replica");
         replica.script = rows("from-new-primary", "primary");
         start();
         try (PoolerHarness.Link client = harness.client()) {
-            assertThat(value(client.ask(post("1", 9000)))).isEqualTo("from-new-primary");
+            assertThat(value(client.execute(writeSql("1", 9000)))).isEqualTo("from-new-primary");
             assertThat(primary.received).hasSize(1);
-            assertThat(value(client.ask(post("2", 9000)))).isEqualTo("from-new-primary");
+            assertThat(value(client.execute(writeSql("2", 9000)))).isEqualTo("from-new-primary");
             assertThat(primary.received).hasSize(1);
         }
     }
@@ -33,7 +33,7 @@
         };
         start();
         try (PoolerHarness.Link client = harness.client()) {
-            assertThat(value(client.ask(look("1", 9000)))).isEqualTo("from-primary");
+            assertThat(value(client.execute(readSql("1", 9000)))).isEqualTo("from-primary");
         }
     }
 
@@ -42,7 +42,7 @@
         start();
         replica.close();
         try (PoolerHarness.Link client = harness.client()) {
-            assertThat(value(client.ask(look("1", 9000)))).isEqualTo("from-primary");
+            assertThat(value(client.execute(readSql("1", 9000)))).isEqualTo("from-primary");
         }
     }
 
@@ -51,9 +51,9 @@
         replica.script = errors("XX000", "replica");
         start();
         try (PoolerHarness.Link client = harness.client()) {
-            assertThat(value(client.ask(look("1", 9000)))).isEqualTo("from-primary");
+            assertThat(value(client.execute(readSql("1", 9000)))).isEqualTo("from-primary");
             replica.script = rows("later", "replica");
-            client.ask(look("2", 9000));
+            client.execute(readSql("2", 9000));
             assertThat(replica.connections.get() + primary.connections.get()).isLessThanOrEqualTo(2);
         }
     }
@@ -64,7 +64,7 @@
         primary.script = errors("53300", "primary");
         start();
         try (PoolerHarness.Link client = harness.client()) {
-            List<String> answer = client.ask(look("1", 300));
+            List<String> answer = client.execute(readSql("1", 300));
             assertThat(answer).singleElement().asString().contains("|C53300|").containsPattern("\\|D\\d+\\|");
         }
     }
@@ -76,13 +76,13 @@
         primary.script = silence;
         start();
         try (PoolerHarness.Link client = harness.client()) {
-            assertThat(client.ask(look("1", 200))).singleElement().asString().startsWith("E");
+            assertThat(client.execute(readSql("1", 200))).singleElement().asString().startsWith("E");
             assertThat(replica.closedConnections.take()).isEqualTo("closed");
             replica.script = rows("back", "replica");
             primary.script = rows("back", "primary");
-            List<String> answer = client.ask(look("2", 9000));
+            List<String> answer = client.execute(readSql("2", 9000));
             while (answer.get(0).startsWith("E")) { // The module may refuse a share while it doubts.
-                answer = client.ask(look("2", 9000));
+                answer = client.execute(readSql("2", 9000));
             }
             assertThat(value(answer)).isEqualTo("back");
         }
@@ -93,7 +93,7 @@
         replica.script = errors("72000", "replica");
         start();
         try (PoolerHarness.Link client = harness.client()) {
-            assertThat(value(client.ask(look("1", 9000)))).isEqualTo("from-primary");
+            assertThat(value(client.execute(readSql("1", 9000)))).isEqualTo("from-primary");
             assertThat(harness.pooler.counters()).contains("WRONG_ROLE_OR_STALE=1");
         }
     }
--- a/pooler/src/test/java/frostreel/LateConnectionsTest.java
+++ b/pooler/src/test/java/frostreel/LateConnectionsTest.java
@@ -2,8 +2,8 @@
 
 import static frostreel.PoolerHarness.host;
 import static frostreel.PoolerHarness.list;
-import static frostreel.TestMessages.look;
-import static frostreel.TestMessages.post;
+import static frostreel.TestMessages.readSql;
+import static frostreel.TestMessages.writeSql;
 import static frostreel.TestMessages.query;
 import static frostreel.TestMessages.row;
 import static frostreel.PoolerHarness.rows;
@@ -14,10 +14,10 @@
 import org.junit.jupiter.api.Test;
 
 /** Connections to servers that come up when what waited for them may not begin any more. */
-class LateConnectionsTest extends ClientScript {
+class LateConnectionsTest extends AbstractPoolerTest {
     private final BlockingQueue<PoolerHarness.Link> handshakes = new LinkedBlockingQueue<>();
 
-    private static void welcome(PoolerHarness.Link link) throws Exception {
+    private static void completeHandshake(PoolerHarness.Link link) throws Exception {
         link.send(TestMessages.bytes('R', new byte[4]), TestMessages.READY);
     }
 
@@ -40,13 +40,13 @@
         start();
         try (PoolerHarness.Link client = harness.client()) {
             long sent = System.nanoTime();
-            client.send(query(post("1", 9000)));
+            client.send(query(writeSql("1", 9000)));
             assertThat(primary.next()).contains("id=1,");
             PoolerHarness.Link late = handshakes.take();
             PoolerHarness.awaitElapsed(sent, windowMs + 500);
-            welcome(late);
-            assertThat(client.takeAnswer()).singleElement().asString().contains("|C08007|");
-            assertThat(value(client.ask(post("2", 9000)))).isEqualTo("second");
+            completeHandshake(late);
+            assertThat(client.readResponse()).singleElement().asString().contains("|C08007|");
+            assertThat(value(client.execute(writeSql("2", 9000)))).isEqualTo("second");
             assertThat(primary.next()).contains("id=2,");
             // The late connection serves what comes next. Whether that was read before the welcome, and so
             // had one more opened for it, is up to the loop; that one is not welcomed and can serve nothing.
@@ -59,16 +59,16 @@
         replica.handshake = (text, link) -> handshakes.add(link);
         start();
         try (PoolerHarness.Link client = harness.client()) {
-            assertThat(client.ask(look("1", 300))).singleElement().asString().startsWith("E");
+            assertThat(client.execute(readSql("1", 300))).singleElement().asString().startsWith("E");
             PoolerHarness.Link late = handshakes.take();
-            client.send(query(look("2", 9000)));
+            client.send(query(readSql("2", 9000)));
             PoolerHarness.Link itsOwn = handshakes.take();
-            welcome(late);
-            assertThat(value(client.takeAnswer())).isEqualTo("from-replica");
+            completeHandshake(late);
+            assertThat(value(client.readResponse())).isEqualTo("from-replica");
             assertThat(replica.next()).contains("id=2,");
-            welcome(itsOwn);
+            completeHandshake(itsOwn);
             for (int i = 3; i < 9; i++) {
-                assertThat(value(client.ask(look("" + i, 9000)))).isEqualTo("from-replica");
+                assertThat(value(client.execute(readSql("" + i, 9000)))).isEqualTo("from-replica");
             }
             assertThat(replica.connections.get()).isEqualTo(2);
             assertThat(harness.pooler.counters()).contains("outcomes={OK=7, NOT_SENT=1}");
@@ -87,17 +87,17 @@
         harness.discovery.next();
         try (PoolerHarness.Link first = harness.client();
                 PoolerHarness.Link second = harness.client()) {
-            first.send(query(look("1", 9000)));
+            first.send(query(readSql("1", 9000)));
             PoolerHarness.Link old = held.take();
             harness.lists.add(list(2, false, host("b", moved, "replica", "Ready")));
             assertThat(harness.discovery.next()).contains("index=2&");
-            second.send(query(look("2", 9000)));
+            second.send(query(readSql("2", 9000)));
             PoolerHarness.Link pending = handshakes.take();
             replica.script = rows("from-replica", "replica");
             old.send(row("old", "replica"), TestMessages.READY);
-            assertThat(value(first.takeAnswer())).isEqualTo("old");
-            welcome(pending);
-            assertThat(value(second.takeAnswer())).isEqualTo("from-moved");
+            assertThat(value(first.readResponse())).isEqualTo("old");
+            completeHandshake(pending);
+            assertThat(value(second.readResponse())).isEqualTo("from-moved");
             assertThat(replica.received).hasSize(1);
         }
     }
@@ -109,11 +109,11 @@
         start();
         try (PoolerHarness.Link client = harness.client()) {
             long sent = System.nanoTime();
-            client.send(query(look("1", 9000)));
+            client.send(query(readSql("1", 9000)));
             PoolerHarness.Link late = handshakes.take();
             PoolerHarness.awaitElapsed(sent, 600);
-            welcome(late);
-            assertThat(value(client.takeAnswer())).isEqualTo("from-replica");
+            completeHandshake(late);
+            assertThat(value(client.readResponse())).isEqualTo("from-replica");
             int told = TestMessages.remainingMs(replica.next());
             assertThat(told).isPositive().isLessThanOrEqualTo(8400);
         }
--- a/pooler/src/test/java/frostreel/LongValuesTest.java
+++ b/pooler/src/test/java/frostreel/LongValuesTest.java
@@ -1,7 +1,7 @@
 package frostreel;
 
-import static frostreel.TestMessages.look;
-import static frostreel.TestMessages.post;
+import static frostreel.TestMessages.readSql;
+import static frostreel.TestMessages.writeSql;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.io.ByteArrayOutputStream;
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Values too long to be held go on as they come. */
-class LongValuesTest extends ClientScript {
+class LongValuesTest extends AbstractPoolerTest {
     private static final int LONG = 4 << 20;
     private static final byte[] VALUE = new byte[LONG];
 
@@ -83,15 +83,15 @@
             }
         };
         try (PoolerHarness.Link client = harness.client()) {
-            client.send(TestMessages.query(look("1", 9000)), TestMessages.query(post("2", 9000)));
+            client.send(TestMessages.query(readSql("1", 9000)), TestMessages.query(writeSql("2", 9000)));
             begin(client, LONG);
             assertThat(client.in.readNBytes(100)).isEqualTo(Arrays.copyOf(VALUE, 100));
             first.countDown();
             assertThat(client.in.readNBytes(LONG - 100)).isEqualTo(Arrays.copyOfRange(VALUE, 100, LONG));
             end(client);
-            assertThat(client.takeAnswer().get(1)).endsWith("from-primary");
+            assertThat(client.readResponse().get(1)).endsWith("from-primary");
             replica.script = whole(VALUE);
-            client.send(TestMessages.query(look("3", 9000)));
+            client.send(TestMessages.query(readSql("3", 9000)));
             begin(client, LONG);
             assertThat(client.in.readNBytes(LONG)).isEqualTo(VALUE);
             end(client);
@@ -109,10 +109,10 @@
             link.close();
         };
         try (PoolerHarness.Link client = harness.client()) {
-            client.send(TestMessages.query(look("1", 9000)));
+            client.send(TestMessages.query(readSql("1", 9000)));
             begin(client, LONG);
             assertThat(client.in.readNBytes(LONG).length).isLessThanOrEqualTo(LONG / 2);
-            assertThat(client.endsNext()).isTrue();
+            assertThat(client.closedByPeer()).isTrue();
         } catch (SocketException reset) {
             assertThat(reset).hasMessageContaining("reset"); // It can tell, too.
         }
@@ -123,10 +123,10 @@
     void errorAfterLongValueClosesTheClient() throws Exception {
         replica.script = (text, link) -> link.send(head(LONG, LONG), VALUE, TestMessages.error("XX000"), TestMessages.READY);
         try (PoolerHarness.Link client = harness.client()) {
-            client.send(TestMessages.query(look("1", 9000)));
+            client.send(TestMessages.query(readSql("1", 9000)));
             begin(client, LONG);
             client.in.readNBytes(LONG);
-            assertThat(client.endsNext()).isTrue();
+            assertThat(client.closedByPeer()).isTrue();
         }
     }
 
@@ -138,13 +138,13 @@
             PoolerHarness.await(first);
         };
         try (PoolerHarness.Link client = harness.client()) {
-            client.send(TestMessages.query(look("1", 9000)));
+            client.send(TestMessages.query(readSql("1", 9000)));
             begin(client, LONG);
         }
         first.countDown();
         replica.closedConnections.take();
         try (PoolerHarness.Link client = harness.client()) {
-            assertThat(client.ask(post("2", 9000)).get(1)).endsWith("from-primary");
+            assertThat(client.execute(writeSql("2", 9000)).get(1)).endsWith("from-primary");
         }
     }
 
@@ -152,7 +152,7 @@
     void rowWithInconsistentLengthIsNotForwarded() throws Exception {
         replica.script = (text, link) -> link.send(head(LONG, LONG - 1), VALUE, TAIL);
         try (PoolerHarness.Link client = harness.client()) {
-            assertThat(client.ask(look("1", 9000)).get(1)).endsWith("from-primary");
+            assertThat(client.execute(readSql("1", 9000)).get(1)).endsWith("from-primary");
         }
     }
 
@@ -175,12 +175,12 @@
         try (PoolerHarness.Link slow = harness.client();
                 PoolerHarness.Link drip = harness.client();
                 PoolerHarness.Link quick = harness.client()) {
-            slow.send(TestMessages.query(look("slow", 9000)));
-            drip.send(TestMessages.query(look("drip", 9000)));
+            slow.send(TestMessages.query(readSql("slow", 9000)));
+            drip.send(TestMessages.query(readSql("drip", 9000)));
             begin(slow, LONG);
             begin(drip, LONG);
             for (int i = 0; i < 5; i++) {
-                quick.send(TestMessages.query(look("quick" + i, 9000)));
+                quick.send(TestMessages.query(readSql("quick" + i, 9000)));
                 begin(quick, LONG);
                 assertThat(quick.in.readNBytes(LONG)).isEqualTo(VALUE);
                 end(quick);
@@ -217,7 +217,7 @@
             for (int i = 0; i < clients; i++) {
                 PoolerHarness.Link client = PoolerHarness.client(port);
                 all.add(client);
-                client.send(TestMessages.query(look("n" + i, 9000)));
+                client.send(TestMessages.query(readSql("n" + i, 9000)));
             }
             for (PoolerHarness.Link client : all) {
                 begin(client, parts * part.length);
--- a/pooler/src/test/java/frostreel/OperatorCommandsTest.java
+++ b/pooler/src/test/java/frostreel/OperatorCommandsTest.java
@@ -3,8 +3,8 @@
 import static frostreel.PoolerHarness.errors;
 import static frostreel.PoolerHarness.host;
 import static frostreel.PoolerHarness.list;
-import static frostreel.TestMessages.look;
-import static frostreel.TestMessages.post;
+import static frostreel.TestMessages.readSql;
+import static frostreel.TestMessages.writeSql;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import frostreel.config.Config;
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What operators call for, over sockets. */
-class OperatorCommandsTest extends ClientScript {
+class OperatorCommandsTest extends AbstractPoolerTest {
     @BeforeEach
     void begin() throws Exception {
         start();
@@ -27,22 +27,22 @@
     @Test
     void suspendedServerReceivesNothingUntilRestored() throws Exception {
         try (PoolerHarness.Link client = harness.client()) {
-            assertThat(value(client.ask(look("1", 9000)))).isEqualTo("from-replica");
+            assertThat(value(client.execute(readSql("1", 9000)))).isEqualTo("from-replica");
             assertThat(harness.call("SUSPEND b")).isEqualTo("OK\n");
-            assertThat(value(client.ask(look("2", 9000)))).isEqualTo("from-primary");
+            assertThat(value(client.execute(readSql("2", 9000)))).isEqualTo("from-primary");
             harness.sentLists.clear();
             harness.lists.add(
                     list(2, true, host("a", primary, "primary", "Ready"), host("b", replica, "replica", "Ready")));
             harness.sentLists.take();
             harness.lists.add(list(3, false));
             harness.sentLists.take(); // The list before was taken, as this call came only after it.
-            assertThat(value(client.ask(look("3", 9000)))).isEqualTo("from-primary");
+            assertThat(value(client.execute(readSql("3", 9000)))).isEqualTo("from-primary");
             assertThat(harness.call("SUSPEND b")).isEqualTo("OK\n");
-            assertThat(value(client.ask("SHOW operation"))).contains("out=[b]");
+            assertThat(value(client.execute("SHOW operation"))).contains("out=[b]");
             assertThat(harness.call("RESTORE b")).isEqualTo("OK\n");
-            assertThat(value(client.ask("SHOW operation"))).contains("out=[]");
+            assertThat(value(client.execute("SHOW operation"))).contains("out=[]");
             for (int i = 4; replica.received.size() < 2; i++) { // Cold at first: its share comes by and by.
-                client.ask(look(Integer.toString(i), 9000));
+                client.execute(readSql(Integer.toString(i), 9000));
             }
         }
     }
@@ -52,7 +52,7 @@
         replica.script = PoolerHarness.errors("25006", "replica");
         assertThat(harness.call("SUSPEND a")).isEqualTo("OK\n");
         try (PoolerHarness.Link client = harness.client()) {
-            assertThat(client.ask(post("1", 600))).singleElement().asString().contains("|C53300|");
+            assertThat(client.execute(writeSql("1", 600))).singleElement().asString().contains("|C53300|");
             assertThat(primary.received).isEmpty();
         }
     }
@@ -88,24 +88,24 @@
     void pauseDrainsClientsAndResumeServesAgain() throws Exception {
         try (PoolerHarness.Link kept = harness.client();
                 PoolerHarness.Link idle = harness.client()) {
-            kept.ask(look("1", 9000));
-            idle.ask(look("2", 9000));
+            kept.execute(readSql("1", 9000));
+            idle.execute(readSql("2", 9000));
             assertThat(harness.call("PAUSE")).isEqualTo("OK\n");
             assertThat(harness.call("STATUS")).startsWith("ERR ");
             try (PoolerHarness.Link late = harness.client()) {
-                assertThat(value(late.ask(look("3", 9000))))
+                assertThat(value(late.execute(readSql("3", 9000))))
                         .as("still dealt out")
                         .isNotEmpty();
-                assertThat(late.ask("")).singleElement().asString().contains("|C57P03|");
-                assertThat(late.endsNext()).isTrue();
+                assertThat(late.execute("")).singleElement().asString().contains("|C57P03|");
+                assertThat(late.closedByPeer()).isTrue();
             }
-            assertThat(kept.endsNext()).isTrue();
-            assertThat(idle.endsNext()).isTrue();
+            assertThat(kept.closedByPeer()).isTrue();
+            assertThat(idle.closedByPeer()).isTrue();
             assertThat(harness.call("PAUSE")).isEqualTo("OK\n");
             assertThat(harness.call("RESUME")).isEqualTo("OK\n");
             try (PoolerHarness.Link client = harness.client()) {
-                assertThat(client.ask("")).containsExactly("I");
-                assertThat(value(client.ask(look("4", 9000)))).isNotEmpty();
+                assertThat(client.execute("")).containsExactly("I");
+                assertThat(value(client.execute(readSql("4", 9000)))).isNotEmpty();
             }
         }
     }
@@ -129,27 +129,27 @@
         };
         try (PoolerHarness.Link open = harness.client();
                 PoolerHarness.Link later = harness.client()) {
-            open.send(TestMessages.query(look("1", 9000)));
+            open.send(TestMessages.query(readSql("1", 9000)));
             asked.await();
             harness.pooler.reload(Config.load(PoolerHarness.environment(changed(harness.discovery.address()))));
             while (!harness.pooler.counters().contains("reloads=1 ")) {
                 Thread.onSpinWait(); // The reload waits its turn on the I/O thread.
             }
-            String pay = post("2", 9000).replace("c=post", "c=pay");
-            assertThat(value(later.ask(pay))).isEqualTo("from-primary");
-            assertThat(value(later.ask(post("3", 9000))))
+            String pay = writeSql("2", 9000).replace("c=post", "c=pay");
+            assertThat(value(later.execute(pay))).isEqualTo("from-primary");
+            assertThat(value(later.execute(writeSql("3", 9000))))
                     .as("clients may still speak by the old")
                     .isEqualTo("from-primary");
             reloaded.countDown();
-            assertThat(value(open.takeAnswer())).as("a second attempt").isEqualTo("from-primary");
+            assertThat(value(open.readResponse())).as("a second attempt").isEqualTo("from-primary");
             replica.script = errors("XX000", "replica");
             primary.script = errors("XX000", "primary");
-            assertThat(later.ask(look("4", 9000)))
+            assertThat(later.execute(readSql("4", 9000)))
                     .as("one attempt, and safe to repeat")
                     .singleElement()
                     .asString()
                     .contains("|C53300|");
-            assertThat(later.ask(post("5", 9000).replace("c=post", "c=pay")))
+            assertThat(later.execute(writeSql("5", 9000).replace("c=post", "c=pay")))
                     .as("may have run")
                     .singleElement()
                     .asString()
@@ -161,11 +161,11 @@
     void readsGoToPrimaryWithoutReplicasAndAreRejectedWithoutMembers() throws Exception {
         try (PoolerHarness.Link client = harness.client()) {
             assertThat(harness.call("SUSPEND b")).isEqualTo("OK\n");
-            assertThat(value(client.ask(look("1", 9000)))).isEqualTo("from-primary");
+            assertThat(value(client.execute(readSql("1", 9000)))).isEqualTo("from-primary");
             assertThat(harness.call("SUSPEND a")).isEqualTo("OK\n");
-            assertThat(client.ask(look("2", 600))).singleElement().asString().contains("|C53300|");
+            assertThat(client.execute(readSql("2", 600))).singleElement().asString().contains("|C53300|");
             assertThat(harness.call("RESTORE a")).isEqualTo("OK\n");
-            assertThat(value(client.ask(post("3", 9000)))).isEqualTo("from-primary");
+            assertThat(value(client.execute(writeSql("3", 9000)))).isEqualTo("from-primary");
         }
     }
 
@@ -179,10 +179,10 @@
             PoolerHarness.await(over);
         };
         try (PoolerHarness.Link client = harness.client()) {
-            client.send(TestMessages.query(look("1", 9000)));
+            client.send(TestMessages.query(readSql("1", 9000)));
             welcomed.await();
             assertThat(harness.call("SUSPEND b")).isEqualTo("OK\n");
-            assertThat(value(client.takeAnswer())).isEqualTo("from-primary");
+            assertThat(value(client.readResponse())).isEqualTo("from-primary");
         } finally {
             over.countDown();
         }
@@ -203,7 +203,7 @@
         }
         try (PoolerHarness.Link client = harness.client()) {
             for (int i = 0; i < 20; i++) {
-                assertThat(value(client.ask(look("n" + i, 9000)))).isEqualTo("from-primary");
+                assertThat(value(client.execute(readSql("n" + i, 9000)))).isEqualTo("from-primary");
             }
             assertThat(replica.received).isEmpty();
         }
--- a/pooler/src/test/java/frostreel/PausedProcessTest.java
+++ b/pooler/src/test/java/frostreel/PausedProcessTest.java
@@ -2,15 +2,15 @@
 
 import static frostreel.PoolerHarness.host;
 import static frostreel.PoolerHarness.list;
-import static frostreel.TestMessages.look;
-import static frostreel.TestMessages.post;
+import static frostreel.TestMessages.readSql;
+import static frostreel.TestMessages.writeSql;
 import static frostreel.TestMessages.query;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import org.junit.jupiter.api.Test;
 
 /** A process that was suspended by SIGSTOP while lists and requests arrived. */
-class PausedProcessTest extends ClientScript {
+class PausedProcessTest extends AbstractPoolerTest {
     /** What comes first on its sockets is the request, then the list: the order that would mislead it. */
     @Test
     void resumedProcessAppliesWatchEventsBeforeItSends() throws Exception {
@@ -20,15 +20,15 @@
             process.awaitReady();
             assertThat(harness.sentLists.take()).isEqualTo("sent");
             try (PoolerHarness.Link client = PoolerHarness.client(port)) {
-                assertThat(value(client.ask(look("1", 9000)))).isEqualTo("from-replica");
+                assertThat(value(client.execute(readSql("1", 9000)))).isEqualTo("from-replica");
                 process.suspend();
                 long pausedAt = System.nanoTime();
-                client.send(query(look("2", 9000)));
+                client.send(query(readSql("2", 9000)));
                 harness.lists.add(list(2, false, host("b", replica, "replica", "Terminating")));
                 assertThat(harness.sentLists.take()).isEqualTo("sent");
                 PoolerHarness.awaitElapsed(pausedAt, 300); // What a silence is.
                 process.resume();
-                assertThat(value(client.takeAnswer())).isEqualTo("from-primary");
+                assertThat(value(client.readResponse())).isEqualTo("from-primary");
                 assertThat(replica.received).hasSize(1);
             }
         }
@@ -45,15 +45,15 @@
             try (PoolerHarness.Link client = PoolerHarness.client(port);
                     PoolerHarness.Link late = PoolerHarness.connect(port)) {
                 process.suspend();
-                client.send(query(post("1", 9000)));
-                late.send(TestMessages.startup(), query(post("2", 300)));
+                client.send(query(writeSql("1", 9000)));
+                late.send(TestMessages.startup(), query(writeSql("2", 300)));
                 PoolerHarness.awaitElapsed(System.nanoTime(), pausedMs);
                 process.resume();
-                assertThat(value(client.takeAnswer())).isEqualTo("from-primary");
+                assertThat(value(client.readResponse())).isEqualTo("from-primary");
                 assertThat(TestMessages.remainingMs(primary.next()))
                         .isLessThanOrEqualTo((int) (9000 - pausedMs));
-                late.takeAnswer();
-                assertThat(late.takeAnswer()).singleElement().asString().contains("|C53300|");
+                late.readResponse();
+                assertThat(late.readResponse()).singleElement().asString().contains("|C53300|");
                 assertThat(primary.received).isEmpty();
             }
         }
--- a/pooler/src/test/java/frostreel/PipelineTest.java
+++ b/pooler/src/test/java/frostreel/PipelineTest.java
@@ -1,7 +1,7 @@
 package frostreel;
 
-import static frostreel.TestMessages.look;
-import static frostreel.TestMessages.post;
+import static frostreel.TestMessages.readSql;
+import static frostreel.TestMessages.writeSql;
 import static frostreel.TestMessages.query;
 import static frostreel.TestMessages.row;
 import static frostreel.PoolerHarness.rows;
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What waits behind another request of its connection has its time from its own arrival, and its turn. */
-class PipelineTest extends ClientScript {
+class PipelineTest extends AbstractPoolerTest {
     private static final int PATIENCE_MS = 300;
     private final BlockingQueue<PoolerHarness.Link> held = new LinkedBlockingQueue<>();
 
@@ -33,15 +33,15 @@
     }
 
     private static byte[] first() {
-        return query(post("first", 9000));
+        return query(writeSql("first", 9000));
     }
 
     /** Returns with the server's link once all that was sent has been read and short patience is over. */
     private PoolerHarness.Link awaitFirstSentAndPatienceOver() throws Exception {
         PoolerHarness.Link link = held.take();
         try (PoolerHarness.Link other = harness.client()) { // Come later, it is read no earlier than in the same turn.
-            other.ask("");
-            other.ask("");
+            other.execute("");
+            other.execute("");
         }
         PoolerHarness.awaitElapsed(System.nanoTime(), PATIENCE_MS);
         return link;
@@ -68,11 +68,11 @@
     void timeSpentInPipelineCountsAgainstTheDeadline() throws Exception {
         holdFirst();
         try (PoolerHarness.Link client = harness.client()) {
-            client.send(first(), query(look("dead", PATIENCE_MS)), query(look("live", 9000)));
+            client.send(first(), query(readSql("dead", PATIENCE_MS)), query(readSql("live", 9000)));
             answerFirst(awaitFirstSentAndPatienceOver());
-            assertThat(value(client.takeAnswer())).isEqualTo("of-first");
-            assertRejected(client.takeAnswer());
-            assertThat(value(client.takeAnswer())).isEqualTo("from-replica");
+            assertThat(value(client.readResponse())).isEqualTo("of-first");
+            assertRejected(client.readResponse());
+            assertThat(value(client.readResponse())).isEqualTo("from-replica");
             String sent = replica.next();
             assertThat(TestMessages.requestId(sent)).isEqualTo("live");
             assertThat(TestMessages.remainingMs(sent)).isLessThanOrEqualTo(9000 - PATIENCE_MS);
@@ -83,12 +83,12 @@
     @Test
     void requestsBehindCancelledOneKeepTheirOwnDeadlines() throws Exception {
         holdFirst();
-        try (Keyed client = new Keyed()) {
-            client.link.send(first(), query(look("dead", PATIENCE_MS)), query(look("live", 9000)));
+        try (CancellableClient client = new CancellableClient()) {
+            client.link.send(first(), query(readSql("dead", PATIENCE_MS)), query(readSql("live", 9000)));
             awaitFirstSentAndPatienceOver();
-            client.endsCancelled();
-            assertRejected(client.link.takeAnswer());
-            assertThat(value(client.link.takeAnswer())).isEqualTo("from-replica");
+            client.cancelAndAwaitError();
+            assertRejected(client.link.readResponse());
+            assertThat(value(client.link.readResponse())).isEqualTo("from-replica");
             assertTwoAttemptsAndOneRejection();
         }
     }
@@ -97,14 +97,14 @@
     void pipelinedRequestsAreAnsweredInOrderAtShutdown() throws Exception {
         holdFirst();
         try (PoolerHarness.Link client = harness.client()) {
-            client.send(first(), query(look("dead", PATIENCE_MS)), query(look("live", 9000)));
+            client.send(first(), query(readSql("dead", PATIENCE_MS)), query(readSql("live", 9000)));
             PoolerHarness.Link link = awaitFirstSentAndPatienceOver();
             stopPooler();
             answerFirst(link);
-            assertThat(value(client.takeAnswer())).isEqualTo("of-first");
-            assertRejected(client.takeAnswer());
-            assertThat(value(client.takeAnswer())).isEqualTo("from-replica");
-            assertThat(client.endsNext()).isTrue();
+            assertThat(value(client.readResponse())).isEqualTo("of-first");
+            assertRejected(client.readResponse());
+            assertThat(value(client.readResponse())).isEqualTo("from-replica");
+            assertThat(client.closedByPeer()).isTrue();
             assertTwoAttemptsAndOneRejection();
         }
     }
@@ -119,8 +119,8 @@
         for (int i = 1; i < 200; i++) {
             all.writeBytes(query(
                     switch (i % 4) {
-                        case 0 -> look("live" + i, 9000);
-                        case 1 -> look("dead" + i, PATIENCE_MS);
+                        case 0 -> readSql("live" + i, 9000);
+                        case 1 -> readSql("dead" + i, PATIENCE_MS);
                         case 2 -> "no statement";
                         default -> "";
                     }));
@@ -128,9 +128,9 @@
         try (PoolerHarness.Link client = harness.client()) {
             client.send(all.toByteArray());
             answerFirst(awaitFirstSentAndPatienceOver());
-            assertThat(value(client.takeAnswer())).isEqualTo("of-first");
+            assertThat(value(client.readResponse())).isEqualTo("of-first");
             for (int i = 1; i < 200; i++) {
-                List<String> answer = client.takeAnswer();
+                List<String> answer = client.readResponse();
                 switch (i % 4) {
                     case 0 -> assertThat(value(answer)).isEqualTo("live" + i);
                     case 1 -> assertRejected(answer);
@@ -138,7 +138,7 @@
                     default -> assertThat(answer).containsExactly("I");
                 }
             }
-            assertThat(value(client.ask("SHOW stats")))
+            assertThat(value(client.execute("SHOW stats")))
                     .contains(" requests=100 ")
                     .contains(" served=50 ")
                     .contains(" refused=50 ")
--- a/pooler/src/test/java/frostreel/PoolerHarness.java
+++ b/pooler/src/test/java/frostreel/PoolerHarness.java
@@ -93,7 +93,7 @@
         }
 
         /** Reads a response and returns its messages without ReadyForQuery. */
-        List<String> takeAnswer() throws IOException {
+        List<String> readResponse() throws IOException {
             List<String> messages = new ArrayList<>();
             for (String message = take(); !message.startsWith("Z"); message = take()) {
                 messages.add(message);
@@ -101,13 +101,13 @@
             return messages;
         }
 
-        List<String> ask(String sql) throws IOException {
+        List<String> execute(String sql) throws IOException {
             send(TestMessages.query(sql));
-            return takeAnswer();
+            return readResponse();
         }
 
         /** Returns whether the next event is the end of the connection. */
-        boolean endsNext() throws IOException {
+        boolean closedByPeer() throws IOException {
             try {
                 return in.read() < 0;
             } catch (java.net.SocketException reset) {
@@ -407,7 +407,7 @@
     /** Waits until the pooler is ready. */
     void awaitReady() throws Exception {
         try (Link client = client()) {
-            while (!client.ask("").equals(List.of("I"))) {
+            while (!client.execute("").equals(List.of("I"))) {
                 Thread.onSpinWait();
             }
         }
@@ -417,7 +417,7 @@
     Link client() throws Exception {
         Link client = new Link(connect());
         client.send(TestMessages.startup());
-        client.takeAnswer();
+        client.readResponse();
         return client;
     }
 
@@ -430,7 +430,7 @@
     static Link client(int port) throws IOException {
         Link client = connect(port);
         client.send(TestMessages.startup());
-        client.takeAnswer();
+        client.readResponse();
         return client;
     }
 
--- a/pooler/src/test/java/frostreel/RetryAfterTest.java
+++ b/pooler/src/test/java/frostreel/RetryAfterTest.java
@@ -1,6 +1,6 @@
 package frostreel;
 
-import static frostreel.TestMessages.look;
+import static frostreel.TestMessages.readSql;
 import static frostreel.TestMessages.query;
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What a request that finds nearly all places taken is told of when to come back, as the settings allow. */
-class RetryAfterTest extends ClientScript {
+class RetryAfterTest extends AbstractPoolerTest {
     private final List<PoolerHarness.Link> clients = new ArrayList<>();
 
     /** The answer to one that comes when the others hold all places but the last. */
@@ -21,7 +21,7 @@
         int busy = PoolerHarness.MAX_CLIENTS - 16;
         for (int i = 0; i < busy; i++) {
             clients.add(harness.client());
-            clients.get(i).send(query(look("c" + i, 9000)));
+            clients.get(i).send(query(readSql("c" + i, 9000)));
         }
         harness.awaitCounter("requests=" + busy);
         clients.add(harness.client());
@@ -29,7 +29,7 @@
     }
 
     private String nextRefusal(String id) throws Exception {
-        List<String> answer = clients.get(clients.size() - 1).ask(look(id, 9000));
+        List<String> answer = clients.get(clients.size() - 1).execute(readSql(id, 9000));
         assertThat(answer).singleElement().asString().contains("|C53300|");
         return answer.get(0);
     }
--- a/pooler/src/test/java/frostreel/ServerConnectionsTest.java
+++ b/pooler/src/test/java/frostreel/ServerConnectionsTest.java
@@ -1,8 +1,8 @@
 package frostreel;
 
 import static frostreel.PoolerHarness.host;
-import static frostreel.TestMessages.look;
-import static frostreel.TestMessages.post;
+import static frostreel.TestMessages.readSql;
+import static frostreel.TestMessages.writeSql;
 import static frostreel.TestMessages.query;
 import static frostreel.TestMessages.row;
 import static org.assertj.core.api.Assertions.assertThat;
@@ -15,13 +15,13 @@
 import org.junit.jupiter.api.Test;
 
 /** Connections to servers: their limit, their eviction, and their end. */
-class ServerConnectionsTest extends ClientScript {
+class ServerConnectionsTest extends AbstractPoolerTest {
     @Test
     void clientDisconnectClosesItsServerConnection() throws Exception {
         replica.script = (text, link) -> {};
         start();
         try (PoolerHarness.Link client = harness.client()) {
-            client.send(query(look("1", 9000)));
+            client.send(query(readSql("1", 9000)));
             assertThat(replica.next()).contains("id=1,");
         }
         assertThat(replica.closedConnections.take()).isEqualTo("closed");
@@ -49,10 +49,10 @@
             List<PoolerHarness.Link> clients = new ArrayList<>();
             for (int i = 0; i < (id.equals("e") ? 1 : atOnce); i++) {
                 clients.add(harness.client());
-                clients.get(i).send(query(post(id + i, 9000).replace("cluster=2", "cluster=" + (int) id.charAt(0))));
+                clients.get(i).send(query(writeSql(id + i, 9000).replace("cluster=2", "cluster=" + (int) id.charAt(0))));
             }
             for (PoolerHarness.Link client : clients) {
-                assertThat(value(client.takeAnswer())).isEqualTo(id);
+                assertThat(value(client.readResponse())).isEqualTo(id);
                 client.close();
             }
         }
@@ -74,7 +74,7 @@
         start();
         try (PoolerHarness.Link client = harness.client()) {
             for (int i = 0; i < 50; i++) {
-                assertThat(value(client.ask(look("id" + i, 9000)))).isEqualTo("from-primary");
+                assertThat(value(client.execute(readSql("id" + i, 9000)))).isEqualTo("from-primary");
             }
         }
         assertThat(harness.pooler.counters()).doesNotContain("NOT_SENT").doesNotContain("TIMEOUT");
--- a/pooler/src/test/java/frostreel/ServerProtocolTest.java
+++ b/pooler/src/test/java/frostreel/ServerProtocolTest.java
@@ -1,6 +1,6 @@
 package frostreel;
 
-import static frostreel.TestMessages.look;
+import static frostreel.TestMessages.readSql;
 import static frostreel.TestMessages.row;
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -8,13 +8,13 @@
 import org.junit.jupiter.api.Test;
 
 /** Malformed, surplus and unreadable bytes from servers. */
-class ServerProtocolTest extends ClientScript {
+class ServerProtocolTest extends AbstractPoolerTest {
     @Test
     void malformedServerResponseClosesItsConnectionAndIsRetried() throws Exception {
         replica.script = (text, link) -> link.send(new byte[] {'T', -1, 0, 0, 0});
         start();
         try (PoolerHarness.Link client = harness.client()) {
-            assertThat(value(client.ask(look("1", 9000)))).isEqualTo("from-primary");
+            assertThat(value(client.execute(readSql("1", 9000)))).isEqualTo("from-primary");
         }
     }
 
@@ -28,7 +28,7 @@
         start();
         try (PoolerHarness.Link client = harness.client()) {
             for (int i = 0; i < 20; i++) {
-                assertThat(value(client.ask(look("id" + i, 9000)))).isEqualTo("id" + i);
+                assertThat(value(client.execute(readSql("id" + i, 9000)))).isEqualTo("id" + i);
             }
             assertThat(harness.pooler.counters()).contains("stray_bytes=20 ");
         }
@@ -55,7 +55,7 @@
         try (PoolerHarness.Link client = harness.client()) {
             for (byte[] answer : spoilt) {
                 replica.script = (text, link) -> link.send(answer, TestMessages.READY);
-                List<String> got = client.ask(look("1", 9000));
+                List<String> got = client.execute(readSql("1", 9000));
                 assertThat(got).as("%s", new String(answer)).hasSize(3);
                 assertThat(value(got)).isEqualTo("from-primary");
                 assertThat(replica.closedConnections.take()).isEqualTo("closed");
@@ -73,7 +73,7 @@
                 TestMessages.READY);
         start();
         try (PoolerHarness.Link client = harness.client()) {
-            assertThat(value(client.ask(look("1", 9000)))).isEqualTo("good");
+            assertThat(value(client.execute(readSql("1", 9000)))).isEqualTo("good");
             assertThat(harness.pooler.counters()).contains("unread_reports=3 ").contains("malformed=0 ");
         }
     }
--- a/pooler/src/test/java/frostreel/ShutdownTest.java
+++ b/pooler/src/test/java/frostreel/ShutdownTest.java
@@ -2,8 +2,8 @@
 
 import static frostreel.PoolerHarness.host;
 import static frostreel.PoolerHarness.list;
-import static frostreel.TestMessages.look;
-import static frostreel.TestMessages.post;
+import static frostreel.TestMessages.readSql;
+import static frostreel.TestMessages.writeSql;
 import static frostreel.TestMessages.query;
 import static frostreel.TestMessages.row;
 import static org.assertj.core.api.Assertions.assertThat;
@@ -30,10 +30,9 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /** The program's end, with clients that send on every connection for as long as it stays open. */
-class ShutdownTest extends ClientScript {
-    private static final String SHORT = PoolerHarness.SETTINGS
-            .replace("\"deadlineS\":10", "\"deadlineS\":0.3")
-            .replace("\"onTimeS\":5", "\"onTimeS\":0.2");
+class ShutdownTest extends AbstractPoolerTest {
+    private static final String SHORT =
+            PoolerHarness.SETTINGS.replace("\"deadlineS\":10", "\"deadlineS\":0.3").replace("\"onTimeS\":5", "\"onTimeS\":0.2");
     private static final int CLIENTS = 8;
 
     /** What comes before the end, or with it. */
@@ -52,8 +51,8 @@
     private static void asks(int port, String name, Set<String> answered) throws IOException {
         try (PoolerHarness.Link client = PoolerHarness.client(port)) {
             for (int i = 0; true; i++) {
-                client.send(query(look(name + "x" + i, 300)));
-                client.takeAnswer();
+                client.send(query(readSql(name + "x" + i, 300)));
+                client.readResponse();
                 answered.add(name + "x" + i);
             }
         } catch (EOFException | SocketException end) {
@@ -129,15 +128,15 @@
             for (int i = 0; i < many; i++) {
                 PoolerHarness.Link client = PoolerHarness.connect(port);
                 idle.add(client);
-                client.send(TestMessages.startup(), query(look("i" + i, 300)));
-                client.takeAnswer();
-                assertThat(client.takeAnswer()).as("client %d", i).isNotEmpty();
+                client.send(TestMessages.startup(), query(readSql("i" + i, 300)));
+                client.readResponse();
+                assertThat(client.readResponse()).as("client %d", i).isNotEmpty();
             }
             byte[] drains = TestMessages.http(list(2, false, host("b", replica, "replica", "Terminating")));
             harness.discovery.script = (text, link) -> link.send(drains);
             process.awaitLog("discovery answers again");
             try (PoolerHarness.Link client = PoolerHarness.client(port)) {
-                assertThat(value(client.ask(look("late", 300)))).isEqualTo("from-primary");
+                assertThat(value(client.execute(readSql("late", 300)))).isEqualTo("from-primary");
             }
         } finally {
             for (PoolerHarness.Link client : idle) {
@@ -169,18 +168,18 @@
         start();
         try (PoolerHarness.Link client = harness.client();
                 PoolerHarness.Link idle = harness.client()) {
-            client.send(query(look("1", 9000)));
+            client.send(query(readSql("1", 9000)));
             asked.await();
             Thread stop = stopPooler();
             String last = "";
             for (int i = 0; !last.matches(".*d=(3[0-2]|[12]?.)..,.*"); i++) { // Until SIGKILL, not 9 s.
-                assertThat(value(idle.ask(post("s" + i, 9000)))).isEqualTo("from-primary");
+                assertThat(value(idle.execute(writeSql("s" + i, 9000)))).isEqualTo("from-primary");
                 last = primary.next();
             }
-            assertThat(idle.endsNext()).isTrue(); // An idle client is closed while the other is still served.
+            assertThat(idle.closedByPeer()).isTrue(); // An idle client is closed while the other is still served.
             answer.countDown();
-            assertThat(value(client.takeAnswer())).isEqualTo("late");
-            assertThat(client.endsNext()).isTrue();
+            assertThat(value(client.readResponse())).isEqualTo("late");
+            assertThat(client.closedByPeer()).isTrue();
             stop.join();
             harness.pooler = null;
         } finally {
--- a/pooler/src/test/java/frostreel/SighupTest.java
+++ b/pooler/src/test/java/frostreel/SighupTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Configuration reload by SIGHUP, in a process of its own. */
-class SighupTest extends ClientScript {
+class SighupTest extends AbstractPoolerTest {
     @Test
     void sighupSwitchesDiscoveryAndNeverEndsTheProcess() throws Exception {
         BlockingQueue<String> lists = new LinkedBlockingQueue<>();
--- a/pooler/src/test/java/frostreel/StartupReadinessTest.java
+++ b/pooler/src/test/java/frostreel/StartupReadinessTest.java
@@ -2,7 +2,7 @@
 
 import static frostreel.PoolerHarness.host;
 import static frostreel.PoolerHarness.list;
-import static frostreel.TestMessages.look;
+import static frostreel.TestMessages.readSql;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.io.IOException;
@@ -10,19 +10,19 @@
 import org.junit.jupiter.api.Test;
 
 /** Readiness at the start, with and without a list of endpoints in the configuration. */
-class StartupReadinessTest extends ClientScript {
+class StartupReadinessTest extends AbstractPoolerTest {
     @Test
     void notReadyBeforeTheFirstEndpointList() throws Exception {
         harness.startSilent();
         try (PoolerHarness.Link client = harness.client()) {
-            assertThat(client.ask("")).singleElement().asString().contains("|C57P03|");
+            assertThat(client.execute("")).singleElement().asString().contains("|C57P03|");
             harness.lists.add(list(1, true, host("a", primary, "primary", "Ready")));
             // The next call comes right after the list was taken.
             assertThat(harness.discovery.next()).startsWith("GET /discovery/hosts HTTP");
             assertThat(harness.discovery.next()).startsWith("GET /discovery/hosts?index=1&wait=");
-            List<String> answer = client.ask("");
+            List<String> answer = client.execute("");
             while (answer.get(0).startsWith("E")) {
-                answer = client.ask("");
+                answer = client.execute("");
             }
             assertThat(answer).containsExactly("I");
         }
@@ -35,10 +35,10 @@
         assertThat(harness.discovery.next()).startsWith("GET /discovery/hosts?index=0&wait=1 ");
         try (PoolerHarness.Link client = harness.client()) {
             untilReady(client);
-            assertThat(value(client.ask(look("1", 9000)))).isEqualTo("from-replica");
+            assertThat(value(client.execute(readSql("1", 9000)))).isEqualTo("from-replica");
             harness.lists.add(list(7, false, host("b", replica, "replica", "Terminating")));
             assertThat(harness.discovery.next()).contains("index=7&wait=2500 ");
-            assertThat(value(client.ask(look("2", 9000)))).isEqualTo("from-primary");
+            assertThat(value(client.execute(readSql("2", 9000)))).isEqualTo("from-primary");
             assertThat(harness.discovery.received).isEmpty();
         }
     }
@@ -49,18 +49,18 @@
         harness.configuredListPatienceUs = Long.MAX_VALUE / 8;
         harness.startSilent(host("a", primary, "primary", "Ready"), host("b", replica, "replica", "Ready"));
         try (PoolerHarness.Link client = harness.client()) {
-            assertThat(client.ask("")).singleElement().asString().contains("|C57P03|");
-            assertThat(client.ask(look("1", 9000))).singleElement().asString().contains("|C53300|");
+            assertThat(client.execute("")).singleElement().asString().contains("|C57P03|");
+            assertThat(client.execute(readSql("1", 9000))).singleElement().asString().contains("|C53300|");
             harness.lists.add(list(7, false, host("b", replica, "replica", "Terminating")));
             untilReady(client);
-            assertThat(value(client.ask(look("2", 9000)))).isEqualTo("from-primary");
+            assertThat(value(client.execute(readSql("2", 9000)))).isEqualTo("from-primary");
         }
         assertThat(replica.received).isEmpty();
         assertThat(harness.pooler.counters()).contains(" attempts=1 ");
     }
 
     private static void untilReady(PoolerHarness.Link client) throws IOException {
-        for (List<String> answer = client.ask(""); !answer.equals(List.of("I")); answer = client.ask("")) {
+        for (List<String> answer = client.execute(""); !answer.equals(List.of("I")); answer = client.execute("")) {
             assertThat(answer).singleElement().asString().contains("|C57P03|");
         }
     }
--- a/pooler/src/test/java/frostreel/StatusPagesTest.java
+++ b/pooler/src/test/java/frostreel/StatusPagesTest.java
@@ -1,6 +1,6 @@
 package frostreel;
 
-import static frostreel.TestMessages.look;
+import static frostreel.TestMessages.readSql;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import frostreel.log.Logging;
@@ -10,13 +10,13 @@
 import org.junit.jupiter.api.Test;
 
 /** The {@code SHOW} pages of a serving pooler. */
-class StatusPagesTest extends ClientScript {
+class StatusPagesTest extends AbstractPoolerTest {
     @Test
     void showStatsReturnsTheCounters() throws Exception {
         start();
         try (PoolerHarness.Link client = harness.client()) {
-            client.ask(look("1", 9000));
-            assertThat(value(client.ask("SHOW stats")))
+            client.execute(readSql("1", 9000));
+            assertThat(value(client.execute("SHOW stats")))
                     .contains(" requests=1 ")
                     .contains(" served=1 ")
                     .contains("outcomes={OK=1}");
@@ -32,14 +32,14 @@
                 null);
         start();
         try (PoolerHarness.Link client = harness.client()) {
-            assertThat(value(client.ask(look("1", 9000)))).isEqualTo("from-replica");
-            assertThat(value(client.ask("SHOW zones")))
+            assertThat(value(client.execute(readSql("1", 9000)))).isEqualTo("from-replica");
+            assertThat(value(client.execute("SHOW zones")))
                     .contains("sent_by_tier=[1, 0]")
                     .contains("areas={0={UP=1}}");
             harness.pooler.reload(
                     frostreel.config.Config.load(PoolerHarness.environment(PoolerHarness.configuration(harness.discovery.address()))),
                     harness.operators);
-            while (!value(client.ask("SHOW zones")).contains("sent_by_tier=[0, 0]")) {
+            while (!value(client.execute("SHOW zones")).contains("sent_by_tier=[0, 0]")) {
                 Thread.onSpinWait(); // The reload waits its turn on the I/O thread.
             }
         }
--- a/pooler/src/test/java/frostreel/TestMessages.java
+++ b/pooler/src/test/java/frostreel/TestMessages.java
@@ -60,12 +60,12 @@
     }
 
     /** Returns a read of the class "look". */
-    static String look(String id, int deadlineMs) {
+    static String readSql(String id, int deadlineMs) {
         return "SELECT v FROM records WHERE k = '7f3a' /* id=" + id + ",c=look,d=" + deadlineMs + ",cluster=2 */";
     }
 
     /** Returns a keyed write of the class "post". */
-    static String post(String id, int deadlineMs) {
+    static String writeSql(String id, int deadlineMs) {
         return "INSERT INTO records (k, v) VALUES ('7f3a', '\\x9f03') RETURNING v /* id=" + id + ",c=post,d="
                 + deadlineMs + ",k=5c0f,cluster=2 */";
     }
