--- a/pooler/src/test/java/frostreel/AbstractPoolerTest.java
+++ b/pooler/src/test/java/frostreel/AbstractPoolerTest.java
@@ -12,8 +12,8 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Timeout;
 
-/** A group of a primary and a replica, on a stage of its own for each story. */
-/* A read from a socket hears no interrupt, so the test must not run on the thread that waits for it. */
+/** Base of tests on a replica group of a primary and a replica, with a harness of its own for each test. */
+/* A socket read ignores interrupts, so a test must not run on the thread that enforces its timeout. */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 abstract class AbstractPoolerTest {
     private static final int CANCEL_REQUEST = 80877102;
@@ -66,7 +66,7 @@
         return answer.get(1).substring(7);
     }
 
-    /** A client with the key that it was given. */
+    /** A client that keeps its BackendKeyData, so that it can cancel its requests. */
     final class CancellableClient implements AutoCloseable {
         final PoolerHarness.Link link;
         int process;
@@ -87,7 +87,7 @@
             assertThat(process + secret).isNotZero();
         }
 
-        /** Its end tells that the pooler has done with it. */
+        /** Sends a CancelRequest and waits until the pooler has handled it, which ends its connection. */
         void cancel(int withSecret) throws Exception {
             try (PoolerHarness.Link other = new PoolerHarness.Link(harness.connect())) {
                 other.send(ByteBuffer.allocate(16)
@@ -96,7 +96,7 @@
                         .putInt(process)
                         .putInt(withSecret)
                         .array());
-                other.socket.shutdownOutput(); // Its end may be read with its only message.
+                other.socket.shutdownOutput(); // The end may be read together with the message.
                 assertThat(other.closedByPeer()).isTrue();
             }
         }
--- a/pooler/src/test/java/frostreel/ClientCapacityTest.java
+++ b/pooler/src/test/java/frostreel/ClientCapacityTest.java
@@ -17,27 +17,27 @@
         harness.unlimitedConcurrency = true;
         start();
         try (PoolerHarness.Link leaver = harness.client()) {
-            leaver.send(TestMessages.bytes('X', "")); // One that has left must not be taken for an idle one.
+            leaver.send(TestMessages.bytes('X', "")); // A client that has left must not be taken for an idle one.
             assertThat(leaver.closedByPeer()).isTrue();
         }
         List<PoolerHarness.Link> clients = new ArrayList<>();
-        int idle = PoolerHarness.USUAL_CLIENTS / 3 - 1; // One more comes, and none is spared before it.
+        int idle = PoolerHarness.USUAL_CLIENTS / 3 - 1; // With one more the limit on idle clients is reached.
         for (int i = 0; i < idle; i++) {
             clients.add(harness.client());
             assertThat(value(clients.get(i).execute(readSql("c" + i, 9000)))).isEqualTo("from-replica");
         }
         replica.script = (text, link) -> {};
         primary.script = replica.script;
-        for (int i = idle; i < PoolerHarness.MAX_CLIENTS - 16; i++) { // These hold their places by a request in hand.
+        for (int i = idle; i < PoolerHarness.MAX_CLIENTS - 16; i++) { // These keep their connections by a request in flight.
             clients.add(harness.client());
             clients.get(i).send(query(readSql("c" + i, 9000)));
         }
-        try (PoolerHarness.Link late = harness.client()) { // Once the first has been idle for long enough.
+        try (PoolerHarness.Link late = harness.client()) { // Admitted once the first has been idle for long enough.
             assertThat(late.execute("")).containsExactly("I");
             assertThat(clients.get(0).closedByPeer()).isTrue();
         }
         while (!harness.pooler.counters().contains(" clients_evicted=1 clients_spared=0 ")) {
-            Thread.onSpinWait(); // The client sees its end before the pooler counts it.
+            Thread.onSpinWait(); // The client sees the close before it is counted.
         }
         for (PoolerHarness.Link client : clients) {
             client.close();
@@ -47,7 +47,7 @@
     @Test
     void longestIdleClientsAreClosedOnlyAboveTheUsualCount() throws Exception {
         start();
-        try (PoolerHarness.Link leaver = harness.client()) { // The one that saw the pooler become ready has gone, too.
+        try (PoolerHarness.Link leaver = harness.client()) { // The client that awaited readiness has gone as well.
             leaver.send(TestMessages.bytes('X', ""));
             assertThat(leaver.closedByPeer()).isTrue();
         }
@@ -62,7 +62,7 @@
         }
         int closed = PoolerHarness.USUAL_CLIENTS - calm;
         while (!harness.pooler.counters().contains(" clients_spared=" + closed + " ")) {
-            Thread.onSpinWait(); // The last answer comes before the next is spared.
+            Thread.onSpinWait(); // The last response is sent before the next client is closed.
         }
         for (int i = 0; i < closed; i++) { // The longest idle first.
             assertThat(clients.get(i).closedByPeer()).isTrue();
@@ -89,13 +89,13 @@
             idle.add(harness.client());
             assertThat(value(idle.get(i).execute(readSql("c" + i, 9000)))).isEqualTo("from-replica");
         }
-        for (int i = idle.size(); i < PoolerHarness.USUAL_CLIENTS * 3 / 4 - 1; i++) { // With a request, not idle.
+        for (int i = idle.size(); i < PoolerHarness.USUAL_CLIENTS * 3 / 4 - 1; i++) { // These have a request in flight.
             others.add(harness.client());
             others.get(others.size() - 1).send(query(writeSql("p" + i, 9000)));
         }
         List<PoolerHarness.Link> late = List.of(harness.client(), harness.client());
-        int longest = late.size() + 2; // So many are looked at, and more than those that might be closed.
-        // The I/O thread stands still while all of them ask, the late ones what is answered at once.
+        int longest = late.size() + 2; // The longest idle: more than might be closed.
+        // While the I/O thread is blocked all of them send; those of the late clients are answered at once.
         harness.whileLoopIsBlocked(() -> {
             for (PoolerHarness.Link client : late) {
                 client.send(query(""));
--- a/pooler/src/test/java/frostreel/ConfigTest.java
+++ b/pooler/src/test/java/frostreel/ConfigTest.java
@@ -15,7 +15,7 @@
 
 /** Reading, checking and reloading the configuration. */
 class ConfigTest {
-    /** With 60 servers and 80 connections, every other request opened one. */
+    /** With too few descriptors for servers, every other request has to open a connection. */
     @Test
     void descriptorsAreSharedBetweenClientsAndServers() throws Exception {
         for (int sockets : new int[] {128, 256, 384, 1024}) {
@@ -64,7 +64,7 @@
             + "\"class\":\"m\",\"block\":2,\"health\":\"Ready\",\"share\":1.0,\"born_ms\":0,"
             + "\"role\":\"primary\"}";
 
-    /** The file in force, and what becomes of one that is written in its place. */
+    /** Reloads a configuration in place of the one in force. */
     private static void reload(String fresh) throws Exception {
         Config inForce = Config.parse(PoolerHarness.configuration("127.0.0.1:1", SERVER), Map.of());
         Config.parse(fresh, Map.of()).inPlaceOf(inForce);
@@ -102,7 +102,7 @@
         }
     }
 
-    /** All keys, but those of single classes alone. */
+    /** Collects all keys but those that only some request classes have. */
     private static void keys(Object value, String way, List<String> keys) {
         if (value instanceof JSONObject object) {
             for (String key : object.keySet()) {
--- a/pooler/src/test/java/frostreel/ConnectionCloseTest.java
+++ b/pooler/src/test/java/frostreel/ConnectionCloseTest.java
@@ -13,14 +13,14 @@
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
 
-/** However a client's connection ends, what was taken is answered, and what crosses the end is not lost. */
+/** The close of client connections: accepted requests are answered, and bytes in transit reset nothing. */
 class ConnectionCloseTest extends AbstractPoolerTest {
-    /** Tests of the wait for a client that was told to leave make it endless. */
+    /** Makes the pooler wait without limit for a closed client to close its end. */
     private void lingerWithoutEnd() {
         harness.lingerUs = Long.MAX_VALUE / 2;
     }
 
-    /** Its end is seen, and then more is sent: a connection that was closed whole would be reset by that. */
+    /** The client sends after it saw the end: a socket that was closed in both directions would be reset by that. */
     private void assertBytesAfterCloseAreDroppedWithoutReset(PoolerHarness.Link client) throws Exception {
         assertThat(client.closedByPeer()).isTrue();
         long before = harness.counter("requests");
@@ -65,25 +65,25 @@
     }
 
     /**
-     * A connection that the machine accepted counts as taken, whether or not the program has yet. It comes
-     * while one timer runs, and the one that closes the door is due in the same turn, before any look at
-     * sockets: both were due while the thread stood still before.
+     * A connection in the kernel's backlog counts as accepted. It arrives while one timer runs, and the timer
+     * that ends accepting is due in the same turn, before sockets are looked at: both fell due while the I/O
+     * thread was blocked.
      */
     @Test
     void clientInBacklogWhenAcceptingEndsIsAnswered() throws Exception {
         harness.startSilent(host("a", primary, "primary", "Ready"));
-        harness.discovery.next(); // A call that it gives up after 1.5 s, which it logs.
+        harness.discovery.next(); // A request that the pooler gives up after 1.5 s, which it logs.
         harness.awaitReady();
         List<PoolerHarness.Link> waits = new ArrayList<>();
         List<Thread> stop = new ArrayList<>();
         harness.whileLoopIsBlocked(
                 DiscoveryWatch.class,
                 () -> {
-                    stop.add(stopPooler()); // The door closes 3.3 s later.
+                    stop.add(stopPooler()); // Accepting ends 3.3 s later.
                     harness.whileLoopIsBlocked(() -> PoolerHarness.awaitElapsed(System.nanoTime(), 3_500));
                 },
                 () -> {
-                    for (int i = 0; i < 3; i++) { // The first was let in even by the door that had closed.
+                    for (int i = 0; i < 3; i++) { // Even after accepting had ended, the first would be accepted.
                         waits.add(new PoolerHarness.Link(harness.connect()));
                         waits.get(i).send(TestMessages.startup(), query(readSql("" + i, 300)));
                     }
@@ -96,7 +96,7 @@
         stop.get(0).join();
     }
 
-    /** Two silent clients, one after the other, show that a whole message was long owed. */
+    /** Two silent clients, one after the other, show that the limit on incomplete messages has passed. */
     @Test
     void slowReaderIsNotTakenForASilentClient() throws Exception {
         String large = "x".repeat(60_000);
@@ -119,7 +119,7 @@
         }
     }
 
-    /** What is held behind a request is bounded: it was not, behind an answer that waited for its reader. */
+    /** Bytes behind a request in flight are bounded, also while its response waits for its reader. */
     @Test
     void excessivePipeliningClosesClientAfterItsLastResponse() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
@@ -129,8 +129,8 @@
         };
         start();
         try (PoolerHarness.Link client = harness.client()) {
-            client.send(query(writeSql("1", 9000))); // A write: a read would be tried elsewhere, and end too soon.
-            byte[] much = query("x".repeat(100_000)); // No statement of either form: an error each.
+            client.send(query(writeSql("1", 9000))); // A write, as a read would be retried on another member and end too soon.
+            byte[] much = query("x".repeat(100_000)); // Of unknown form: an error each.
             for (int i = 0; i < 14; i++) {
                 client.send(much);
             }
@@ -147,12 +147,12 @@
         }
     }
 
-    /** An answer is whole or it is none, wherever its connection ends and however. */
+    /** A response is complete or not served, wherever its connection is closed or reset. */
     @Test
     void responseTruncatedAtAnyByteIsNeverServed() throws Exception {
         byte[] whole = TestMessages.row("cut", "replica");
-        int every = 2; // With either kind of end, at each byte in turn.
-        int calm = 5; // Each of them gives a fifth of a further attempt after doubt.
+        int every = 2; // Close and reset alternate from byte to byte.
+        int calm = 5; // Each success earns a fifth of a retry.
         List<String> hosts = new ArrayList<>(
                 List.of(host("a", primary, "primary", "Ready"), host("b", replica, "replica", "Ready")));
         for (int i = 0; i < whole.length; i++) {
--- a/pooler/src/test/java/frostreel/DisconnectedClientsTest.java
+++ b/pooler/src/test/java/frostreel/DisconnectedClientsTest.java
@@ -17,11 +17,11 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** A client that closed its connection or cancelled its request has gone: nothing begins for it any more. */
+/** After a client disconnected or cancelled its request, no attempt is sent for it any more. */
 class DisconnectedClientsTest extends AbstractPoolerTest {
     private final BlockingQueue<PoolerHarness.Link> handshakes = new LinkedBlockingQueue<>();
 
-    /** From now on a connection to the replica comes up when the test lets it. */
+    /** Leaves the handshakes of new connections to the replica to the test. */
     private void holdHandshakes() {
         replica.handshake = (text, link) -> handshakes.add(link);
     }
@@ -34,7 +34,7 @@
         harness.settings = PoolerHarness.SETTINGS.replace("\"cancel\":true", "\"cancel\":false");
     }
 
-    /** The next request is the first that the replica hears, on the connection that was opened before. */
+    /** The next request is the first that the replica receives, on the connection that was already pending. */
     private void assertNothingIsSentBeforeTheNextRequest(PoolerHarness.Link pending) throws Exception {
         completeHandshake(pending);
         try (PoolerHarness.Link client = harness.client()) {
@@ -45,7 +45,7 @@
         assertThat(replica.connections.get()).isEqualTo(1);
     }
 
-    /** A client disconnects while its request waits for a connection, with {@code pipelined} unread behind that. */
+    /** A client disconnects while its request waits for a connection, with {@code pipelined} bytes behind that. */
     private void disconnectBehind(byte[] pipelined) throws Exception {
         mayNotCancel();
         holdHandshakes();
@@ -64,15 +64,15 @@
         disconnectBehind(new byte[0]);
     }
 
-    /** More than a connection's buffers hold: the end of the connection comes after all that. */
+    /** The bytes exceed the connection's buffers, so that its end arrives after all of them. */
     @Test
     void disconnectIsDetectedBehindPipelinedBytes() throws Exception {
         disconnectBehind(new byte[1_500_000]);
     }
 
     /**
-     * Answers and ends are found in one turn. Each answer makes room for requests that wait; their clients'
-     * ends stand unread behind it, for all orders but one of some thousand.
+     * Responses and disconnects are found in one turn. Each response frees capacity for queued requests, whose
+     * clients' disconnects are still unread then, in all but one of some thousand orders.
      */
     @Test
     void queuedRequestIsNotSentInTheTurnThatFindsItsClientGone() throws Exception {
@@ -89,7 +89,7 @@
         }
         harness.awaitCounter("requests=" + all);
         int sent = (int) harness.counter("attempts");
-        assertThat(sent).isBetween(1, all / 2); // The others wait for room.
+        assertThat(sent).isBetween(1, all / 2); // The others wait for capacity.
         List<String> inHand = new ArrayList<>();
         List<PoolerHarness.Link> servers = new ArrayList<>();
         for (int i = 0; i < sent; i++) {
@@ -117,8 +117,6 @@
         }
     }
 
-    // ---- Cancelling. ----
-
     @Test
     void cancelledRequestWaitingForConnectionIsNeverSent() throws Exception {
         mayNotCancel();
@@ -135,14 +133,14 @@
 
     @Test
     void cancelledQueuedWriteIsNotSentOnceThereIsAPrimary() throws Exception {
-        harness.settings = PoolerHarness.SETTINGS.replace("\"probes\":true", "\"probes\":false"); // Writes walk.
+        harness.settings = PoolerHarness.SETTINGS.replace("\"probes\":true", "\"probes\":false"); // The primary is searched for by writes.
         primary.script = errors("25006", "replica");
         replica.script = errors("25006", "replica");
         start();
         try (CancellableClient client = new CancellableClient()) {
             client.link.send(query(writeSql("gone", 9000)));
             while (!harness.pooler.counters().contains("WRONG_ROLE_OR_STALE=2")) {
-                Thread.onSpinWait(); // A full round: it is held.
+                Thread.onSpinWait(); // Both members were tried, and the write is queued.
             }
             client.cancelAndAwaitError();
             long before = heardOf("gone");
@@ -166,12 +164,12 @@
         try (CancellableClient client = new CancellableClient()) {
             client.link.send(query(readSql("gone", 9000)));
             assertThat(replica.next()).contains("id=gone,");
-            client.cancel(client.secret + 1); // Another's key.
+            client.cancel(client.secret + 1); // The key of another client.
             assertThat(harness.pooler.counters()).contains(" clients_cancelled=0 ");
             client.cancelAndAwaitError();
             assertThat(replica.closedConnections.take()).isEqualTo("closed");
             assertThat(value(client.link.execute(writeSql("2", 9000)))).isEqualTo("from-primary");
-            client.cancel(client.secret); // Of what has ended.
+            client.cancel(client.secret); // The request has ended already.
             assertThat(value(client.link.execute(writeSql("3", 9000)))).isEqualTo("from-primary");
             assertThat(harness.pooler.counters())
                     .contains(" clients_cancelled=1 ")
--- a/pooler/src/test/java/frostreel/DiscoveryTest.java
+++ b/pooler/src/test/java/frostreel/DiscoveryTest.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import org.junit.jupiter.api.Test;
 
-/** What an agent may do at each point of a call, and that what it tells afterwards counts at once. */
+/** The watch on discovery: failures at each point of a request, and changes of the agent. */
 class DiscoveryTest extends AbstractPoolerTest {
     private static final PoolerHarness.Script SILENCE = (text, link) -> {};
     private static final PoolerHarness.Script END = (text, link) -> link.close();
@@ -23,7 +23,7 @@
         link.socket.setSoLinger(true, 0);
         link.close();
     };
-    /** What the agent does with the calls that come, one after another. */
+    /** How the agent responds to each request in turn. */
     private final BlockingQueue<PoolerHarness.Script> deeds = new LinkedBlockingQueue<>();
 
     private static PoolerHarness.Script oneAfterAnother(BlockingQueue<PoolerHarness.Script> deeds) {
@@ -52,7 +52,7 @@
         return list(seq, false, host("b", replica, "replica", health));
     }
 
-    /** A silence may cost no more than 6 s; a call that waits again after one would add to it. */
+    /** A silence may last no more than 6 s in all, which a second long poll after a failure would exceed. */
     @Test
     void afterAnyFailureTheNextPollDoesNotWaitAndItsListIsApplied() throws Exception {
         List<List<PoolerHarness.Script>> failures = List.of(
@@ -102,12 +102,12 @@
         assertThat(harness.pooler.counters()).contains(" discovery_failures=1 ");
     }
 
-    /** A connect that is given up while it is pending must not come back as a second watch. */
+    /** A cancelled connect must not come back as a second watch. */
     @Test
     void watchStoppedWhileConnectingMakesNoFurtherConnection() throws Exception {
         play();
         PoolerHarness.Peer away = harness.agent(SILENCE);
-        away.close(); // Refused: it fails, and is begun again after a while.
+        away.close(); // The connect is refused and retried after a backoff.
         harness.reload(away);
         while (harness.pooler.counters().contains(" discovery_failures=0 ")) {
             Thread.onSpinWait();
@@ -121,18 +121,18 @@
         assertPreviousWatchHasEnded();
         long failures = harness.counter("discovery_failures");
         theirs.add(answers(list(6, false)));
-        assertThat(there.next()).contains("index=6&"); // The watch that is in force goes on, alone.
+        assertThat(there.next()).contains("index=6&"); // The watch in force goes on alone.
         assertThat(harness.counter("discovery_failures")).isEqualTo(failures);
         assertThat(there.connections.get()).isEqualTo(1);
     }
 
-    /** To a watch that goes on, an answer would bring its next call; an ended one is seen by it. */
+    /** A response would bring the next poll of a watch that is still active; a stopped one closes its connection. */
     private void assertPreviousWatchHasEnded() throws Exception {
         deeds.add(answers(list(99, false)));
         assertThat(harness.discovery.closedConnections.take()).isEqualTo("closed");
     }
 
-    /** The list in hand must not age while the agent that a new file names says nothing. */
+    /** The list in use must not become stale while the agent that a reload names is silent. */
     @Test
     void previousDiscoveryStaysInUseUntilTheNewOneAnswers() throws Exception {
         play();
@@ -167,14 +167,14 @@
     private static final String STOP_SOON =
             PoolerHarness.SETTINGS.replace("\"stopSendingWithinS\":1", "\"stopSendingWithinS\":0.25");
 
-    /** The requests of many clients and the list are found in one turn, in an order that nobody chooses. */
+    /** The requests of many clients and the watch event are found in one turn, in arbitrary order. */
     private void assertWatchEventsAreAppliedFirstAfterAShortPause() throws Exception {
         CountDownLatch written = new CountDownLatch(1);
         List<PoolerHarness.Link> clients = new ArrayList<>();
         for (int i = 0; i < PoolerHarness.MOST_WAITING; i++) {
             clients.add(harness.client());
         }
-        // A connection rests open there, on which the next could go at once.
+        // An idle connection to the replica stays open, on which the next request could be sent at once.
         assertThat(value(clients.get(0).execute(readSql("first", 9000)))).isEqualTo("from-replica");
         harness.whileLoopIsBlocked(() -> {
             long since = System.nanoTime();
@@ -186,7 +186,7 @@
                 written.countDown();
             });
             written.await();
-            PoolerHarness.awaitElapsed(since, 100); // Two fifths of the rule.
+            PoolerHarness.awaitElapsed(since, 100); // Two fifths of the limit on sends to a draining server.
         });
         for (PoolerHarness.Link client : clients) {
             assertThat(value(client.readResponse())).isEqualTo("from-primary");
@@ -211,7 +211,7 @@
         assertWatchEventsAreAppliedFirstAfterAShortPause();
     }
 
-    /** An agent that takes longer than the pooler's patience for each answer is heard all the same. */
+    /** The responses of an agent that always exceeds the timeout are applied all the same. */
     @Test
     void lateResponseIsAppliedAndTheSecondPollCancelled() throws Exception {
         play();
--- a/pooler/src/test/java/frostreel/FailoverTest.java
+++ b/pooler/src/test/java/frostreel/FailoverTest.java
@@ -81,7 +81,7 @@
             replica.script = rows("back", "replica");
             primary.script = rows("back", "primary");
             List<String> answer = client.execute(readSql("2", 9000));
-            while (answer.get(0).startsWith("E")) { // The module may refuse a share while it doubts.
+            while (answer.get(0).startsWith("E")) { // Requests may be shed while the server is suspected.
                 answer = client.execute(readSql("2", 9000));
             }
             assertThat(value(answer)).isEqualTo("back");
--- a/pooler/src/test/java/frostreel/HandoverTest.java
+++ b/pooler/src/test/java/frostreel/HandoverTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The file that the processes of one pooler share: two of them, each with a mapping of its own. */
+/** The table of recent commits that two processes of one pooler share, each with a mapping of its own. */
 class HandoverTest {
     private static final long NOW = 1_000_000_000;
     private static final String CARRIED = PoolerHarness.configuration("127.0.0.1:1");
@@ -43,7 +43,7 @@
         writer.writeObserver().onEnded(NOW, 7, NOW + 1_000_000, Outcome.OK, commitUs);
     }
 
-    /** What a read of that session must see at that time. */
+    /** Returns the commit that a read of the session must see. */
     private static long bound(PeerProcessCommits process) {
         return process.peerCommits().boundUs(NOW + 50_000, 7);
     }
@@ -109,7 +109,7 @@
 
     @Test
     void servesBlindWhereTheFileCannotBeCreated() throws Exception {
-        Files.createDirectories(folder().resolve("commits")); // Read as root may read and write any.
+        Files.createDirectories(folder().resolve("commits")); // A directory, as permissions do not bind root.
         PeerProcessCommits before = begin();
         write(before, NOW);
         blind(before);
--- a/pooler/src/test/java/frostreel/LateConnectionsTest.java
+++ b/pooler/src/test/java/frostreel/LateConnectionsTest.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import org.junit.jupiter.api.Test;
 
-/** Connections to servers that come up when what waited for them may not begin any more. */
+/** Connections to servers that are established once the request that waited for them may not be sent. */
 class LateConnectionsTest extends AbstractPoolerTest {
     private final BlockingQueue<PoolerHarness.Link> handshakes = new LinkedBlockingQueue<>();
 
@@ -21,21 +21,21 @@
         link.send(TestMessages.bytes('R', new byte[4]), TestMessages.READY);
     }
 
-    /** The repeat was decided upon in time; its connection took longer than the window. */
+    /** The retry was decided upon in time, but its connection took longer than the idempotency window. */
     @Test
     void retryWhoseConnectionOpensAfterItsIdempotencyWindowIsNotSent() throws Exception {
         long windowMs = 2_000;
         BlockingQueue<PoolerHarness.Link> served = new LinkedBlockingQueue<>();
         harness.settings = PoolerHarness.SETTINGS
                 .replace("\"repeatWindowS\":3", "\"repeatWindowS\":2")
-                .replace("\"probes\":true", "\"probes\":false"); // Which would wait for connections, too.
+                .replace("\"probes\":true", "\"probes\":false"); // Health checks would wait for connections, too.
         primary.script = (text, link) -> {
             primary.script = (next, connection) -> {
                 served.add(connection);
                 connection.send(row("second", "primary"), TestMessages.READY);
             };
             primary.handshake = (none, next) -> handshakes.add(next);
-            link.close(); // It may have run.
+            link.close(); // The write may have been executed.
         };
         start();
         try (PoolerHarness.Link client = harness.client()) {
@@ -48,8 +48,8 @@
             assertThat(client.readResponse()).singleElement().asString().contains("|C08007|");
             assertThat(value(client.execute(writeSql("2", 9000)))).isEqualTo("second");
             assertThat(primary.next()).contains("id=2,");
-            // The late connection serves what comes next. Whether that was read before the welcome, and so
-            // had one more opened for it, is up to the loop; that one is not welcomed and can serve nothing.
+            // The late connection serves the next request. Whether that is read before the handshake, and so
+            // opens one more connection, is up to the loop; that one gets no handshake and can serve nothing.
             assertThat(served).containsExactly(late);
         }
     }
@@ -75,7 +75,7 @@
         }
     }
 
-    /** The old connection becomes free while a request waits for one to the new address. */
+    /** The old connection becomes idle while a request waits for one to the new address. */
     @Test
     void requestWaitingForMovedServerIsNotSentToItsOldAddress() throws Exception {
         PoolerHarness.Peer moved = harness.server(rows("from-moved", "replica"));
@@ -102,7 +102,7 @@
         }
     }
 
-    /** Its server is waited for until the client's deadline, which is nearer by the time of the handshake. */
+    /** The time until the client's deadline has become shorter by the end of the handshake. */
     @Test
     void timeLeftIsComputedWhenTheAttemptIsSent() throws Exception {
         replica.handshake = (text, link) -> handshakes.add(link);
--- a/pooler/src/test/java/frostreel/LongValuesTest.java
+++ b/pooler/src/test/java/frostreel/LongValuesTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Values too long to be held go on as they come. */
+/** Values too long to be buffered are streamed. */
 class LongValuesTest extends AbstractPoolerTest {
     private static final int LONG = 4 << 20;
     private static final byte[] VALUE = new byte[LONG];
@@ -30,7 +30,7 @@
         start();
     }
 
-    /** A row's description and its head; the value is to follow. */
+    /** Returns a RowDescription and the head of a DataRow, up to the value. */
     private static byte[] head(int rowLength, int valueLength) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         out.writeBytes(TestMessages.bytes('T', "\0\1v|" + "|".repeat(18)));
@@ -57,7 +57,7 @@
         return (text, link) -> link.send(head(value.length, value.length), value, TAIL);
     }
 
-    /** Reads an answer's description and the row's head, up to the value. */
+    /** Reads a RowDescription and the head of a DataRow, up to the value. */
     private static void begin(PoolerHarness.Link client, int length) throws IOException {
         assertThat(client.take()).startsWith("T");
         assertThat(client.in.readUnsignedByte()).isEqualTo('D');
@@ -114,7 +114,7 @@
             assertThat(client.in.readNBytes(LONG).length).isLessThanOrEqualTo(LONG / 2);
             assertThat(client.closedByPeer()).isTrue();
         } catch (SocketException reset) {
-            assertThat(reset).hasMessageContaining("reset"); // It can tell, too.
+            assertThat(reset).hasMessageContaining("reset"); // A reset tells the client as well.
         }
         assertThat(primary.received).isEmpty();
     }
@@ -156,7 +156,7 @@
         }
     }
 
-    /** A client that takes its time, and a server that gives a byte now and then, hold nobody up. */
+    /** Neither a slow reader nor a server that sends byte by byte delays the others. */
     @Test
     void slowPeersDoNotDelayOthers() throws Exception {
         CountDownLatch dripOn = new CountDownLatch(1);
@@ -194,7 +194,7 @@
         }
     }
 
-    /** Twenty rows of 15 MiB that nobody reads until all have begun: held whole, they are 300 MB. */
+    /** Twenty rows of 15 MiB that nobody reads until all have begun would take 300 MB if they were buffered. */
     @Test
     void valuesBeyondMemoryWaitAtTheirServers() throws Exception {
         byte[] part = Arrays.copyOf(VALUE, 3 << 20);
@@ -207,7 +207,7 @@
             }
             link.send(TAIL);
         };
-        primary.script = replica.script; // While the replica's window is full, reads go there.
+        primary.script = replica.script; // It takes reads while the replica is at its limit.
         String configuration = configuration().replace("\"sockets\":128", "\"sockets\":512");
         List<PoolerHarness.Link> all = new ArrayList<>();
         try (ServeProcess process = ServeProcess.startWithJvmOptions(
--- a/pooler/src/test/java/frostreel/OperatorCommandsTest.java
+++ b/pooler/src/test/java/frostreel/OperatorCommandsTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What operators call for, over sockets. */
+/** Operators' commands by the admin endpoint, and their effect on requests. */
 class OperatorCommandsTest extends AbstractPoolerTest {
     @BeforeEach
     void begin() throws Exception {
@@ -35,13 +35,13 @@
                     list(2, true, host("a", primary, "primary", "Ready"), host("b", replica, "replica", "Ready")));
             harness.sentLists.take();
             harness.lists.add(list(3, false));
-            harness.sentLists.take(); // The list before was taken, as this call came only after it.
+            harness.sentLists.take(); // The previous list was applied, as this poll came after it.
             assertThat(value(client.execute(readSql("3", 9000)))).isEqualTo("from-primary");
             assertThat(harness.call("SUSPEND b")).isEqualTo("OK\n");
             assertThat(value(client.execute("SHOW operation"))).contains("out=[b]");
             assertThat(harness.call("RESTORE b")).isEqualTo("OK\n");
             assertThat(value(client.execute("SHOW operation"))).contains("out=[]");
-            for (int i = 4; replica.received.size() < 2; i++) { // Cold at first: its share comes by and by.
+            for (int i = 4; replica.received.size() < 2; i++) { // It is in slow start, and gets its share gradually.
                 client.execute(readSql(Integer.toString(i), 9000));
             }
         }
@@ -110,7 +110,7 @@
         }
     }
 
-    /** Other settings of the same pooler: the class "post" is dropped, "pay" may not be repeated. */
+    /** Changed settings of the same pooler: the class "post" is replaced by "pay", which is not idempotent. */
     private static String changed(String discovery) {
         return PoolerHarness.configuration(discovery)
                 .replace("\"name\":\"post\"", "\"name\":\"pay\"")
@@ -133,7 +133,7 @@
             asked.await();
             harness.pooler.reload(Config.load(PoolerHarness.environment(changed(harness.discovery.address()))));
             while (!harness.pooler.counters().contains("reloads=1 ")) {
-                Thread.onSpinWait(); // The reload waits its turn on the I/O thread.
+                Thread.onSpinWait(); // The reload is queued on the I/O thread.
             }
             String pay = writeSql("2", 9000).replace("c=post", "c=pay");
             assertThat(value(later.execute(pay))).isEqualTo("from-primary");
@@ -169,7 +169,7 @@
         }
     }
 
-    /** The attempt waits for a connection that never comes up; the call must not wait for it. */
+    /** The attempt waits for a connection that is never established, and the command must not wait for that. */
     @Test
     void requestWaitingForSuspendedServerMovesAtOnce() throws Exception {
         CountDownLatch welcomed = new CountDownLatch(1);
--- a/pooler/src/test/java/frostreel/PausedProcessTest.java
+++ b/pooler/src/test/java/frostreel/PausedProcessTest.java
@@ -11,7 +11,7 @@
 
 /** A process that was suspended by SIGSTOP while lists and requests arrived. */
 class PausedProcessTest extends AbstractPoolerTest {
-    /** What comes first on its sockets is the request, then the list: the order that would mislead it. */
+    /** The request arrives before the list: in that order it would still be sent to the draining server. */
     @Test
     void resumedProcessAppliesWatchEventsBeforeItSends() throws Exception {
         try (ServeProcess process = ServeProcess.start(PoolerHarness.environment(configuration()))) {
@@ -26,7 +26,7 @@
                 client.send(query(readSql("2", 9000)));
                 harness.lists.add(list(2, false, host("b", replica, "replica", "Terminating")));
                 assertThat(harness.sentLists.take()).isEqualTo("sent");
-                PoolerHarness.awaitElapsed(pausedAt, 300); // What a silence is.
+                PoolerHarness.awaitElapsed(pausedAt, 300); // Longer than what counts as a pause.
                 process.resume();
                 assertThat(value(client.readResponse())).isEqualTo("from-primary");
                 assertThat(replica.received).hasSize(1);
@@ -34,7 +34,7 @@
         }
     }
 
-    /** What waited while the process did has no more time than its client: the time began at the sending. */
+    /** The deadline of a request counts from its sending, also while the process is suspended. */
     @Test
     void timeSpentInPausedProcessCountsAgainstTheDeadline() throws Exception {
         long pausedMs = 600;
--- a/pooler/src/test/java/frostreel/PipelineTest.java
+++ b/pooler/src/test/java/frostreel/PipelineTest.java
@@ -14,12 +14,12 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import org.junit.jupiter.api.Test;
 
-/** What waits behind another request of its connection has its time from its own arrival, and its turn. */
+/** Pipelined requests: each has its deadline from its own arrival, and responses keep their order. */
 class PipelineTest extends AbstractPoolerTest {
     private static final int PATIENCE_MS = 300;
     private final BlockingQueue<PoolerHarness.Link> held = new LinkedBlockingQueue<>();
 
-    /** The primary answers the first request when the test lets it. */
+    /** Leaves the response to the first request to the test. */
     private void holdFirst() throws Exception {
         PoolerHarness.Script usual = rows("from-primary", "primary");
         primary.script = (text, link) -> {
@@ -36,10 +36,10 @@
         return query(writeSql("first", 9000));
     }
 
-    /** Returns with the server's link once all that was sent has been read and short patience is over. */
+    /** Waits until all requests were read and the short deadline is over, and returns the server's connection. */
     private PoolerHarness.Link awaitFirstSentAndPatienceOver() throws Exception {
         PoolerHarness.Link link = held.take();
-        try (PoolerHarness.Link other = harness.client()) { // Come later, it is read no earlier than in the same turn.
+        try (PoolerHarness.Link other = harness.client()) { // Sent later, it is read no earlier than in the same turn.
             other.execute("");
             other.execute("");
         }
@@ -159,8 +159,8 @@
         assertThat(times.take(15)).isEqualTo(100_000);
         assertThat(times.take(14)).isEqualTo(200_000);
         assertThat(times.take(0)).isEqualTo(300_000);
-        times.add(3, 300_001); // Nothing waits: it has no part in what came before.
-        times.add(3, 300_900); // As good as the same moment, and so the earlier one.
+        times.add(3, 300_001); // Nothing is pending, so that this starts anew.
+        times.add(3, 300_900); // Within the grain of the times, so that the earlier one counts.
         assertThat(times.take(0)).isEqualTo(300_001);
     }
 
--- a/pooler/src/test/java/frostreel/RetryAfterTest.java
+++ b/pooler/src/test/java/frostreel/RetryAfterTest.java
@@ -8,11 +8,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What a request that finds nearly all places taken is told of when to come back, as the settings allow. */
+/** The Retry-After of requests that are rejected near the limit on connections. */
 class RetryAfterTest extends AbstractPoolerTest {
     private final List<PoolerHarness.Link> clients = new ArrayList<>();
 
-    /** The answer to one that comes when the others hold all places but the last. */
+    /** Returns the error of a request that arrives when the others hold all connections but the last. */
     private String refusal() throws Exception {
         harness.unlimitedConcurrency = true;
         replica.script = (text, link) -> {};
--- a/pooler/src/test/java/frostreel/ServerConnectionsTest.java
+++ b/pooler/src/test/java/frostreel/ServerConnectionsTest.java
@@ -27,10 +27,10 @@
         assertThat(replica.closedConnections.take()).isEqualTo("closed");
     }
 
-    /** Fourteen poolers that each closed the first server's cost that server 45 handshakes a second. */
+    /** Evicting always the same server's connections would cost that server a handshake for each request. */
     @Test
     void longestIdleServerConnectionIsEvictedAtTheLimit() throws Exception {
-        List<String> order = List.of("d", "c", "b", "a", "e"); // Not the order of any table of names.
+        List<String> order = List.of("d", "c", "b", "a", "e"); // Neither alphabetical nor by hash.
         Map<String, PoolerHarness.Peer> servers = new HashMap<>();
         List<String> hosts = new ArrayList<>();
         int atOnce = PoolerHarness.MAX_SERVERS / 4;
--- a/pooler/src/test/java/frostreel/ShutdownTest.java
+++ b/pooler/src/test/java/frostreel/ShutdownTest.java
@@ -29,13 +29,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** The program's end, with clients that send on every connection for as long as it stays open. */
+/** Graceful shutdown, under clients that send for as long as their connections stay open. */
 class ShutdownTest extends AbstractPoolerTest {
     private static final String SHORT =
             PoolerHarness.SETTINGS.replace("\"deadlineS\":10", "\"deadlineS\":0.3").replace("\"onTimeS\":5", "\"onTimeS\":0.2");
     private static final int CLIENTS = 8;
 
-    /** What comes before the end, or with it. */
+    /** What precedes SIGTERM, or accompanies it. */
     enum Before {
         NOTHING,
         ANOTHER_SIGTERM,
@@ -47,7 +47,7 @@
         return PoolerHarness.environment(configuration().replace(PoolerHarness.SETTINGS, SHORT));
     }
 
-    /** Asks until its connection ends; one that is sent when that has ended crosses the end, unanswered. */
+    /** Sends requests until the connection ends; one that was sent across its end stays unanswered. */
     private static void asks(int port, String name, Set<String> answered) throws IOException {
         try (PoolerHarness.Link client = PoolerHarness.client(port)) {
             for (int i = 0; true; i++) {
@@ -56,7 +56,7 @@
                 answered.add(name + "x" + i);
             }
         } catch (EOFException | SocketException end) {
-            return; // Here it ends.
+            return; // The connection has ended.
         }
     }
 
@@ -105,7 +105,7 @@
         }
     }
 
-    /** Clients that asked and stay hold all places that are theirs; discovery goes away and comes back. */
+    /** Idle clients hold all connections that are allowed to clients; discovery goes away and comes back. */
     @Test
     void idleClientsDoNotStarveDiscoveryServersOrNewClients() throws Exception {
         int many = 3 * PoolerHarness.MAX_CLIENTS;
@@ -122,7 +122,7 @@
                             "--nofile=" + descriptors + ":" + descriptors)
                     .start()
                     .waitFor();
-            harness.discovery.script = (text, link) -> {}; // From the next call on it is silent.
+            harness.discovery.script = (text, link) -> {}; // Silent from the next poll on.
             harness.lists.add("no list");
             process.awaitLog("the last list is kept");
             for (int i = 0; i < many; i++) {
@@ -172,7 +172,7 @@
             asked.await();
             Thread stop = stopPooler();
             String last = "";
-            for (int i = 0; !last.matches(".*d=(3[0-2]|[12]?.)..,.*"); i++) { // Until SIGKILL, not 9 s.
+            for (int i = 0; !last.matches(".*d=(3[0-2]|[12]?.)..,.*"); i++) { // The deadline shrinks to the time until SIGKILL.
                 assertThat(value(idle.execute(writeSql("s" + i, 9000)))).isEqualTo("from-primary");
                 last = primary.next();
             }
@@ -185,6 +185,6 @@
         } finally {
             root.removeHandler(handler);
         }
-        assertThat(faults).isEmpty(); // A timer set while the thread ends was once an exception.
+        assertThat(faults).isEmpty(); // A timer that is set while the thread ends must not fail.
     }
 }
--- a/pooler/src/test/java/frostreel/SighupTest.java
+++ b/pooler/src/test/java/frostreel/SighupTest.java
@@ -20,7 +20,7 @@
         Map<String, String> environment =
                 new HashMap<>(PoolerHarness.environment(PoolerHarness.configuration(harness.discovery.address())));
         Path file = Path.of(environment.get("GW_CONFIG"));
-        environment.put("GW_DISCOVERY", harness.discovery.address()); // As old as the start: the file must win.
+        environment.put("GW_DISCOVERY", harness.discovery.address()); // Outdated after the reload: the file takes precedence.
         try (ServeProcess process = ServeProcess.start(environment)) {
             harness.lists.add(list(7, true));
             process.awaitReady();
@@ -29,16 +29,16 @@
             process.awaitLog("field 'name' is not text; the configuration in force is kept");
             Files.writeString(file, PoolerHarness.configuration(next.address()));
             process.signal("HUP");
-            assertThat(next.next()).startsWith("GET /discovery/hosts HTTP"); // The whole list.
+            assertThat(next.next()).startsWith("GET /discovery/hosts HTTP"); // The complete list.
             lists.add(list(3, true));
             assertThat(next.next()).contains("index=3&");
-            harness.lists.add(list(8, true)); // To a watch that went on, it would bring its next call.
-            harness.discovery.closedConnections.take(); // The old watch has really ended.
+            harness.lists.add(list(8, true)); // A watch that is still active would poll again.
+            harness.discovery.closedConnections.take(); // The previous watch has stopped.
             process.signal("HUP");
             process.signal("TERM");
             process.signal("HUP");
             process.awaitLog("stopping");
-            assertThat(process.awaitExit()).isEqualTo(143); // By SIGTERM, after its end in order.
+            assertThat(process.awaitExit()).isEqualTo(143); // By SIGTERM, after a graceful shutdown.
         }
     }
 
@@ -62,7 +62,7 @@
             process.awaitLog("\"message\":\"ready\"");
             Files.writeString(settings, good.replace("json", "xml"));
             process.signal("HUP");
-            process.awaitLog("frostreel/log@format"); // Told in JSON still.
+            process.awaitLog("frostreel/log@format"); // Logged as JSON still.
             Files.writeString(settings, good.replace("json", "text"));
             process.signal("HUP");
             process.awaitLog("INFO frostreel.cli.Serve: the settings of");
--- a/pooler/src/test/java/frostreel/StartupReadinessTest.java
+++ b/pooler/src/test/java/frostreel/StartupReadinessTest.java
@@ -17,7 +17,7 @@
         try (PoolerHarness.Link client = harness.client()) {
             assertThat(client.execute("")).singleElement().asString().contains("|C57P03|");
             harness.lists.add(list(1, true, host("a", primary, "primary", "Ready")));
-            // The next call comes right after the list was taken.
+            // The next poll is sent once the list was applied.
             assertThat(harness.discovery.next()).startsWith("GET /discovery/hosts HTTP");
             assertThat(harness.discovery.next()).startsWith("GET /discovery/hosts?index=1&wait=");
             List<String> answer = client.execute("");
@@ -28,7 +28,7 @@
         }
     }
 
-    /** Many that start at once and each ask for the whole list keep discovery from answering any of them. */
+    /** Many poolers that start at once and request complete lists would overload discovery. */
     @Test
     void configuredListServesWithoutDiscoveryAndOnlyChangesAreRequested() throws Exception {
         harness.startSilent(host("a", primary, "primary", "Ready"), host("b", replica, "replica", "Ready"));
@@ -43,7 +43,7 @@
         }
     }
 
-    /** A start may take longer than the rule on drains allows; what drained meanwhile counts as told. */
+    /** A start may take longer than the limit on sends to a server that drains meanwhile. */
     @Test
     void configuredListIsNotUsedBeforeDiscoveryReportedChanges() throws Exception {
         harness.configuredListPatienceUs = Long.MAX_VALUE / 8;
--- a/pooler/src/test/java/frostreel/StatusPagesTest.java
+++ b/pooler/src/test/java/frostreel/StatusPagesTest.java
@@ -40,7 +40,7 @@
                     frostreel.config.Config.load(PoolerHarness.environment(PoolerHarness.configuration(harness.discovery.address()))),
                     harness.operators);
             while (!value(client.execute("SHOW zones")).contains("sent_by_tier=[0, 0]")) {
-                Thread.onSpinWait(); // The reload waits its turn on the I/O thread.
+                Thread.onSpinWait(); // The reload is queued on the I/O thread.
             }
         }
     }
