--- a/pooler/src/test/java/frostreel/AbstractPoolerTest.java
+++ b/pooler/src/test/java/frostreel/AbstractPoolerTest.java
@@ -61,6 +61,7 @@
         return stop;
     }
 
+    /** Checks that a response is one row, and returns its value. */
     static String value(List<String> answer) {
         assertThat(answer).as("%s", answer).extracting(message -> message.charAt(0)).containsExactly('T', 'D', 'C');
         return answer.get(1).substring(7);
--- a/pooler/src/test/java/frostreel/DisconnectedClientsTest.java
+++ b/pooler/src/test/java/frostreel/DisconnectedClientsTest.java
@@ -26,17 +26,13 @@
         replica.handshake = (text, link) -> handshakes.add(link);
     }
 
-    private static void completeHandshake(PoolerHarness.Link link) throws Exception {
-        link.send(TestMessages.bytes('R', new byte[4]), TestMessages.READY);
-    }
-
     private void mayNotCancel() {
         harness.settings = PoolerHarness.SETTINGS.replace("\"cancel\":true", "\"cancel\":false");
     }
 
     /** The next request is the first that the replica receives, on the connection that was already pending. */
     private void assertNothingIsSentBeforeTheNextRequest(PoolerHarness.Link pending) throws Exception {
-        completeHandshake(pending);
+        pending.completeHandshake();
         try (PoolerHarness.Link client = harness.client()) {
             assertThat(value(client.execute(readSql("next", 9000)))).isEqualTo("from-replica");
         }
--- a/pooler/src/test/java/frostreel/LateConnectionsTest.java
+++ b/pooler/src/test/java/frostreel/LateConnectionsTest.java
@@ -17,10 +17,6 @@
 class LateConnectionsTest extends AbstractPoolerTest {
     private final BlockingQueue<PoolerHarness.Link> handshakes = new LinkedBlockingQueue<>();
 
-    private static void completeHandshake(PoolerHarness.Link link) throws Exception {
-        link.send(TestMessages.bytes('R', new byte[4]), TestMessages.READY);
-    }
-
     /** The retry was decided upon in time, but its connection took longer than the idempotency window. */
     @Test
     void retryWhoseConnectionOpensAfterItsIdempotencyWindowIsNotSent() throws Exception {
@@ -44,7 +40,7 @@
             assertThat(primary.next()).contains("id=1,");
             PoolerHarness.Link late = handshakes.take();
             PoolerHarness.awaitElapsed(sent, windowMs + 500);
-            completeHandshake(late);
+            late.completeHandshake();
             assertThat(client.readResponse()).singleElement().asString().contains("|C08007|");
             assertThat(value(client.execute(writeSql("2", 9000)))).isEqualTo("second");
             assertThat(primary.next()).contains("id=2,");
@@ -63,10 +59,10 @@
             PoolerHarness.Link late = handshakes.take();
             client.send(query(readSql("2", 9000)));
             PoolerHarness.Link itsOwn = handshakes.take();
-            completeHandshake(late);
+            late.completeHandshake();
             assertThat(value(client.readResponse())).isEqualTo("from-replica");
             assertThat(replica.next()).contains("id=2,");
-            completeHandshake(itsOwn);
+            itsOwn.completeHandshake();
             for (int i = 3; i < 9; i++) {
                 assertThat(value(client.execute(readSql("" + i, 9000)))).isEqualTo("from-replica");
             }
@@ -96,7 +92,7 @@
             replica.script = rows("from-replica", "replica");
             old.send(row("old", "replica"), TestMessages.READY);
             assertThat(value(first.readResponse())).isEqualTo("old");
-            completeHandshake(pending);
+            pending.completeHandshake();
             assertThat(value(second.readResponse())).isEqualTo("from-moved");
             assertThat(replica.received).hasSize(1);
         }
@@ -112,7 +108,7 @@
             client.send(query(readSql("1", 9000)));
             PoolerHarness.Link late = handshakes.take();
             PoolerHarness.awaitElapsed(sent, 600);
-            completeHandshake(late);
+            late.completeHandshake();
             assertThat(value(client.readResponse())).isEqualTo("from-replica");
             int told = TestMessages.remainingMs(replica.next());
             assertThat(told).isPositive().isLessThanOrEqualTo(8400);
--- a/pooler/src/test/java/frostreel/PoolerHarness.java
+++ b/pooler/src/test/java/frostreel/PoolerHarness.java
@@ -85,6 +85,11 @@
             out.write(all.toByteArray());
         }
 
+        /** Responds to a startup message as a server that accepts it. */
+        void completeHandshake() throws IOException {
+            send(TestMessages.bytes('R', new byte[4]), TestMessages.READY);
+        }
+
         /** Reads the next message and returns its type and its text, with fields separated by '|'. */
         String take() throws IOException {
             char type = (char) in.readUnsignedByte();
@@ -132,7 +137,7 @@
         final AtomicInteger connections = new AtomicInteger();
         volatile Script script;
         /** How a server responds to the startup message. */
-        volatile Script handshake = (text, link) -> link.send(TestMessages.bytes('R', new byte[4]), TestMessages.READY);
+        volatile Script handshake = (text, link) -> link.completeHandshake();
 
         private final Thread acceptor;
 
