--- a/pooler/src/main/java/frostreel/log/LogQueue.java
+++ b/pooler/src/main/java/frostreel/log/LogQueue.java
@@ -11,30 +11,32 @@
 import java.util.logging.LogRecord;
 
 /**
- * Hands records to another handler on a thread of its own, so that whoever logs never waits for the log's
- * reader or disk. Bounded twice: by what may wait, and by records a second, so that a flood neither fills the
- * memory nor a disk. What is beyond is dropped, counted, and told by one line once there is room again.
+ * Hands records to another handler on a thread of its own, so that logging never blocks on a slow reader or
+ * disk. Bounded both in queued records and in records a second, so that a flood fills neither the memory nor a
+ * disk. Records beyond that are dropped and counted, and a later line says how many.
  */
 public final class LogQueue extends Handler {
-    /** How many records may wait to be written. */
+    /** How many records may be queued. */
     static final int CAPACITY = 1_024;
-    /** How many records a second are taken. */
-    static final int MOST_A_SECOND = 200;
+    /** How many records are accepted a second. */
+    static final int MAX_RECORDS_PER_SECOND = 200;
+
+    private static final long WINDOW_NS = TimeUnit.SECONDS.toNanos(1);
+    private static final long FLUSH_TIMEOUT_NS = TimeUnit.MILLISECONDS.toNanos(200);
 
-    private static final long SECOND_NANOS = 1_000_000_000;
     private final Handler target;
-    private final BlockingQueue<LogRecord> waiting = new ArrayBlockingQueue<>(CAPACITY);
+    private final BlockingQueue<LogRecord> queue = new ArrayBlockingQueue<>(CAPACITY);
     private final AtomicLong dropped = new AtomicLong();
-    /** Records handed in and not yet written. */
-    private final AtomicLong open = new AtomicLong();
-
-    private long toldDropped;
-    /** When the second began in which records are counted, and how many it has had; guarded by this. */
-    private long secondNanos = System.nanoTime();
-
-    private int inSecond;
+    /** Records accepted and not yet written. */
+    private final AtomicLong unwritten = new AtomicLong();
+    /** How many dropped records were reported; used by the writer thread alone. */
+    private long reportedDropped;
+    /** When the current second of the rate limit began; guarded by this. */
+    private long windowStartNs = System.nanoTime();
+    /** How many records it has had; guarded by this. */
+    private int recordsInWindow;
 
-    /** Writes to {@code target} from a daemon thread, which lives as long as the program. */
+    /** Writes to {@code target} on a daemon thread that runs as long as the process. */
     LogQueue(Handler target) {
         this.target = target;
         Thread writer = new Thread(this::write, "log");
@@ -47,22 +49,22 @@
         if (!isLoggable(entry)) {
             return;
         }
-        open.incrementAndGet();
-        if (!admits(System.nanoTime()) || !waiting.offer(entry)) {
-            open.decrementAndGet();
+        unwritten.incrementAndGet();
+        if (!admits(System.nanoTime()) || !queue.offer(entry)) {
+            unwritten.decrementAndGet();
             dropped.incrementAndGet();
         }
     }
 
-    private synchronized boolean admits(long nowNanos) {
-        if (nowNanos - secondNanos >= SECOND_NANOS) {
-            secondNanos = nowNanos;
-            inSecond = 0;
+    private synchronized boolean admits(long nowNs) {
+        if (nowNs - windowStartNs >= WINDOW_NS) {
+            windowStartNs = nowNs;
+            recordsInWindow = 0;
         }
-        return ++inSecond <= MOST_A_SECOND;
+        return ++recordsInWindow <= MAX_RECORDS_PER_SECOND;
     }
 
-    /** How many records were dropped since the start; from any thread. */
+    /** Returns how many records were dropped since the start; from any thread. */
     public long dropped() {
         return dropped.get();
     }
@@ -70,25 +72,23 @@
     private void write() {
         try {
             while (true) {
-                LogRecord next = waiting.take();
-                tellDropped();
+                LogRecord next = queue.take();
+                reportDropped();
                 publishToTarget(next);
-                open.decrementAndGet();
+                unwritten.decrementAndGet();
             }
         } catch (InterruptedException e) {
-            Thread.currentThread().interrupt(); // Nobody does so but an end of the program.
+            Thread.currentThread().interrupt(); // Only the end of the process interrupts this thread.
         }
     }
 
-    private void tellDropped() {
-        long now = dropped.get();
-        if (now > toldDropped) {
-            publishToTarget(new LogRecord(
-                    Level.WARNING,
-                    (now - toldDropped)
-                            + " log lines were dropped: over "
-                            + MOST_A_SECOND + " a second, or written too slowly"));
-            toldDropped = now;
+    private void reportDropped() {
+        long total = dropped.get();
+        if (total > reportedDropped) {
+            String text = (total - reportedDropped) + " log lines were dropped: over " + MAX_RECORDS_PER_SECOND
+                    + " a second, or written too slowly";
+            publishToTarget(new LogRecord(Level.WARNING, text));
+            reportedDropped = total;
         }
     }
 
@@ -100,11 +100,11 @@
         }
     }
 
-    /** Waits until all that was taken is written, for 200 ms at the most. */
+    /** Waits until all accepted records are written, for 200 ms at most. */
     @Override
     public void flush() {
-        long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(200);
-        while (open.get() > 0 && System.nanoTime() < deadline) {
+        long deadlineNs = System.nanoTime() + FLUSH_TIMEOUT_NS;
+        while (unwritten.get() > 0 && System.nanoTime() < deadlineNs) {
             Thread.onSpinWait();
         }
     }
--- /dev/null
+++ b/pooler/src/main/java/frostreel/stats/package-info.java
@@ -0,0 +1,2 @@
+/** The counters of {@code SHOW stats}. */
+package frostreel.stats;
