--- a/pooler/src/main/java/frostreel/log/EventLog.java
+++ b/pooler/src/main/java/frostreel/log/EventLog.java
@@ -1,64 +1,93 @@
 package frostreel.log;
 
-import java.util.Arrays;
+import java.util.EnumMap;
+import java.util.Map;
 import java.util.function.LongSupplier;
 import java.util.function.Supplier;
 import java.util.logging.Logger;
 
 /**
- * Lines on single requests and connections that did not end as wished, with the reason for it. At most
- * {@link #MOST_A_SECOND} of each kind a second are written; how many were left out is told with the next one
- * of that kind. Owned by the I/O thread.
+ * Logs single requests and connections that did not end as intended, with the reason. At most
+ * {@link #MAX_LINES_PER_SECOND} lines of each kind are written a second; the next line of that kind says how
+ * many were left out. Owned by the I/O thread.
  */
 public final class EventLog {
-    /** What happened. */
+    /** What happened; the name is the first word of the line. */
     public enum Kind {
+        /** A request was rejected without a server's answer. */
         REQUEST_REFUSED,
+        /** A request failed at a server. */
         REQUEST_FAILED,
+        /** The decisions left a request unanswered until its deadline. */
         REQUEST_OVERDUE,
+        /** The client cancelled its request or disconnected. */
         REQUEST_WITHDRAWN,
+        /** One attempt failed; the request may be retried. */
         ATTEMPT_FAILED,
+        /** This process closed a client connection. */
         CLIENT_CLOSED,
+        /** A connection to a server could not be established. */
         SERVER_CONNECTION_FAILED
     }
 
-    /** So many lines of one kind a second. */
-    static final int MOST_A_SECOND = 2;
+    static final int MAX_LINES_PER_SECOND = 2;
 
-    private static final long SECOND_US = 1_000_000;
+    private static final long WINDOW_US = 1_000_000;
     private static final Logger LOG = Logger.getLogger(EventLog.class.getName());
+
+    /** The lines of one kind in the current second. */
+    private static final class Window {
+        private long startUs;
+        private int lines;
+        /** Lines left out since the last one that was written. */
+        private long suppressed;
+
+        boolean admits(long nowUs) {
+            if (nowUs - startUs >= WINDOW_US) {
+                startUs = nowUs;
+                lines = 0;
+            }
+            if (lines == MAX_LINES_PER_SECOND) {
+                suppressed++;
+                return false;
+            }
+            lines++;
+            return true;
+        }
+
+        long takeSuppressed() {
+            long count = suppressed;
+            suppressed = 0;
+            return count;
+        }
+    }
+
     private final LongSupplier nowUs;
-    private final long[] secondUs = new long[Kind.values().length];
-    private final int[] inSecond = new int[Kind.values().length];
-    private final long[] leftOut = new long[Kind.values().length];
+    private final Map<Kind, Window> windows = new EnumMap<>(Kind.class);
 
-    /** {@code nowUs}: microseconds on a clock that never goes back. */
+    /** {@code nowUs}: microseconds on a monotonic clock. */
     public EventLog(LongSupplier nowUs) {
         this.nowUs = nowUs;
+        for (Kind kind : Kind.values()) {
+            windows.put(kind, new Window());
+        }
     }
 
-    /** Writes nothing, for those who play requests in virtual time. */
+    /** Returns a log that writes nothing, for requests in virtual time. */
     public static EventLog silent() {
         EventLog log = new EventLog(() -> 0);
-        Arrays.fill(log.inSecond, MOST_A_SECOND);
+        log.windows.values().forEach(window -> window.lines = MAX_LINES_PER_SECOND);
         return log;
     }
 
-    /** Writes a line, if there is room for it; only then is its text made. */
+    /** Writes a line unless the second has had enough of its kind; {@code text} is built only if it is written. */
     public void tell(Kind kind, Supplier<String> text) {
-        int k = kind.ordinal();
-        long now = nowUs.getAsLong();
-        if (now - secondUs[k] >= SECOND_US) {
-            secondUs[k] = now;
-            inSecond[k] = 0;
-        }
-        if (inSecond[k] == MOST_A_SECOND) {
-            leftOut[k]++;
+        Window window = windows.get(kind);
+        if (!window.admits(nowUs.getAsLong())) {
             return;
         }
-        inSecond[k]++;
-        String before = leftOut[k] == 0 ? "" : " (" + leftOut[k] + " more before)";
-        leftOut[k] = 0;
-        LOG.info(kind + " " + text.get() + before);
+        String message = text.get();
+        long suppressed = window.takeSuppressed();
+        LOG.info(kind + " " + message + (suppressed == 0 ? "" : " (" + suppressed + " more before)"));
     }
 }
