--- a/pooler/src/main/java/frostreel/cli/Check.java
+++ b/pooler/src/main/java/frostreel/cli/Check.java
@@ -10,7 +10,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Says what is wrong in files, all of it at once, before anything runs by them. */
+/** The command {@code check}: reports all faults of operators' settings files before a pooler uses them. */
 @Command(
         name = "check",
         description = "Says what is wrong in settings files; exit code 2 where anything is.",
@@ -24,16 +24,16 @@
 
     @Override
     public Integer call() {
-        int code = 0;
+        int exitCode = 0;
         for (Path file : files) {
             try {
                 OperatorSettings.read(file);
                 spec.commandLine().getOut().println(file + ": good");
             } catch (FaultyFileException e) {
                 spec.commandLine().getErr().println(e.getMessage());
-                code = 2;
+                exitCode = Main.EXIT_FAULTY_INPUT;
             }
         }
-        return code;
+        return exitCode;
     }
 }
--- a/pooler/src/main/java/frostreel/cli/ClassArchiveTraining.java
+++ b/pooler/src/main/java/frostreel/cli/ClassArchiveTraining.java
@@ -9,6 +9,7 @@
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.InetAddress;
+import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
@@ -19,12 +20,14 @@
 import org.json.JSONObject;
 
 /**
- * Goes once through what serving does, so that the JVM can archive the classes at its exit: a start that
- * loads them from the jar takes most of a second of a core, and a pooler gets part of one. For want of a
- * server the pooler is its own: it takes the statement that it sends itself for a second copy, and turns it
- * away.
+ * Serves a few requests once, so that the JVM can archive the loaded classes at its exit: a start that loads
+ * them from the jar takes most of a second of a core, of which a pooler gets a part. The pooler is its own
+ * server: it receives the statement that it sent, takes it for a duplicate of a request in flight, and rejects
+ * it.
  */
 final class ClassArchiveTraining {
+    private static final int READY_FOR_QUERY = 'Z';
+
     private static final String[] STATEMENTS = {
         "",
         "SHOW stats",
@@ -36,10 +39,23 @@
 
     static void run() throws IOException, ConfigException, InterruptedException {
         SighupHandler.handle(() -> {});
-        String address;
+        Path configuration = writeConfiguration(freeLocalAddress());
+        Pooler pooler =
+                new Pooler(Config.load(Map.of("GW_CONFIG", configuration.toString())), OperatorSettings.DEFAULT);
+        Files.delete(configuration);
+        sendStatements(pooler.address());
+        pooler.stop();
+        pooler.close();
+    }
+
+    private static String freeLocalAddress() throws IOException {
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            address = "127.0.0.1:" + free.getLocalPort();
+            return "127.0.0.1:" + free.getLocalPort();
         }
+    }
+
+    /** Writes a configuration in which listener, discovery agent and only server are this process. */
+    private static Path writeConfiguration(String address) throws IOException {
         Path file = Files.createTempFile("class-archive-training", ".json");
         try (InputStream in = ClassArchiveTraining.class.getResourceAsStream("/class-archive-training.json")) {
             JSONObject host = new JSONObject(Map.of(
@@ -54,28 +70,28 @@
                             .put("known", list)
                             .toString());
         }
-        Pooler pooler = new Pooler(Config.load(Map.of("GW_CONFIG", file.toString())), OperatorSettings.DEFAULT);
-        Files.delete(file);
-        try (Socket client =
-                new Socket(pooler.address().getAddress(), pooler.address().getPort())) {
+        return file;
+    }
+
+    private static void sendStatements(InetSocketAddress address) throws IOException {
+        try (Socket client = new Socket(address.getAddress(), address.getPort())) {
             DataInputStream in = new DataInputStream(client.getInputStream());
             client.getOutputStream().write(Messages.startup());
-            skipAnswer(in);
+            skipResponse(in);
             for (String sql : STATEMENTS) {
                 byte[] text = (sql + "\0").getBytes(StandardCharsets.US_ASCII);
                 client.getOutputStream().write(Messages.query(text));
-                skipAnswer(in);
+                skipResponse(in);
             }
         }
-        pooler.stop();
-        pooler.close();
     }
 
-    private static void skipAnswer(DataInputStream in) throws IOException {
+    /** Reads up to ReadyForQuery. */
+    private static void skipResponse(DataInputStream in) throws IOException {
         int type;
         do {
             type = in.readUnsignedByte();
             in.skipNBytes(in.readInt() - Integer.BYTES);
-        } while (type != 'Z');
+        } while (type != READY_FOR_QUERY);
     }
 }
--- a/pooler/src/main/java/frostreel/cli/Main.java
+++ b/pooler/src/main/java/frostreel/cli/Main.java
@@ -5,7 +5,7 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/** The command line: one class a command. Exit code 2 says that the call or what it names is faulty. */
+/** The command line; each command is a class of its own. */
 @Command(
         name = "frostreel",
         description = "A pooler that routes over replicated databases.",
@@ -14,7 +14,10 @@
         synopsisSubcommandLabel = "COMMAND",
         subcommands = {Serve.class, SimulatorHost.class, TrainArchive.class, Check.class})
 public final class Main {
-    /** The version that the jar was built as. */
+    /** The exit code for a faulty command line, configuration or settings file. */
+    static final int EXIT_FAULTY_INPUT = 2;
+
+    /** The version in the manifest of the jar. */
     static final class Version implements CommandLine.IVersionProvider {
         @Override
         public String[] getVersion() {
@@ -25,14 +28,15 @@
 
     private Main() {}
 
+    /** Runs the command that {@code args} name; for {@code serve}, returns while the pooler runs. */
     public static void main(String[] args) throws IOException {
         Logging.install();
-        // The platform's own call goes past the library: it costs 4 MB, and a pooler may have 32.
-        int code = args.length == 1 && args[0].equals("serve")
+        // The platform's call bypasses the command line library, which costs 4 MB of the 32 that a pooler may have.
+        int exitCode = args.length == 1 && args[0].equals("serve")
                 ? new Serve().call()
                 : commandLine().execute(args);
-        if (code != Serve.GOES_ON) {
-            System.exit(code);
+        if (exitCode != Serve.KEEP_RUNNING) {
+            System.exit(exitCode);
         }
     }
 
--- a/pooler/src/main/java/frostreel/cli/Serve.java
+++ b/pooler/src/main/java/frostreel/cli/Serve.java
@@ -15,16 +15,16 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** The pooler, in the foreground, until SIGTERM; its configuration comes by the environment. */
+/** The command {@code serve}: runs a pooler until SIGTERM, configured by the environment; SIGHUP reloads. */
 @Command(
         name = "serve",
         description = "Runs the pooler in the foreground; GW_CONFIG names its configuration.",
         mixinStandardHelpOptions = true)
 final class Serve implements Callable<Integer> {
-    /** No exit code: the pooler's own threads go on. */
-    static final int GOES_ON = -1;
-    /** How long a line at the end may take to be written. */
-    private static final long MOST_WRITING_MS = 200;
+    /** Returned in place of an exit code: the process keeps running on the pooler's threads. */
+    static final int KEEP_RUNNING = -1;
+    /** How long writing a line during shutdown may take. */
+    private static final long PRINT_TIMEOUT_MS = 200;
 
     private static final Logger LOG = Logger.getLogger(Serve.class.getName());
 
@@ -33,7 +33,7 @@
             paramLabel = "FILE",
             description = "The operators' settings, as deploy/frostreel.xml; read again at SIGHUP.")
     private Path settings;
-    /** By which the pooler runs; read and replaced by {@link #reload} alone, one at a time. */
+    /** The configuration in force; after the start, read and replaced by {@link #reload} alone. */
     private volatile Config inForce;
 
     @Override
@@ -45,24 +45,24 @@
             Logging.configure(operators.logFormat(), operators.logLevel());
             inForce = config;
             Pooler pooler = new Pooler(config, operators);
-            Runtime.getRuntime().addShutdownHook(new Thread(() -> end(pooler), "stop"));
+            Runtime.getRuntime().addShutdownHook(new Thread(() -> shutDown(pooler), "stop"));
             if (!SighupHandler.handle(() -> reload(pooler))) {
                 LOG.warning("SIGHUP was ignored at the start and will not come: settings wait for a restart");
             }
-            return GOES_ON;
+            return KEEP_RUNNING;
         } catch (ConfigException | FaultyFileException e) {
             System.err.println("frostreel: " + e.getMessage());
-            return 2;
+            return Main.EXIT_FAULTY_INPUT;
         }
     }
 
-    /** On the signal's own thread, as reading a file may block; one at a time, so that the last file wins. */
+    /** Runs on the signal's thread, as reading files may block; synchronized, so that the last file wins. */
     private synchronized void reload(Pooler pooler) {
         try {
             Config config = Config.reload(System.getenv(), inForce);
             inForce = config;
             if (settings != null) {
-                reload(pooler, config);
+                reloadSettings(pooler, config);
             }
             pooler.reload(config);
         } catch (ConfigException e) {
@@ -72,7 +72,7 @@
         }
     }
 
-    private void reload(Pooler pooler, Config config) {
+    private void reloadSettings(Pooler pooler, Config config) {
         try {
             OperatorSettings operators = OperatorSettings.read(settings, config.name());
             Logging.configure(operators.logFormat(), operators.logLevel());
@@ -83,22 +83,22 @@
         }
     }
 
-    /** Writes one line, and goes on where its reader does not take it: an end must not wait for that. */
-    private static void say(PrintStream to, String text) throws InterruptedException {
-        Thread writer = new Thread(() -> to.println("frostreel: " + text), "last words");
+    /** Prints a line, without waiting long for a reader that does not take it: that must not block the shutdown. */
+    private static void print(PrintStream stream, String text) throws InterruptedException {
+        Thread writer = new Thread(() -> stream.println("frostreel: " + text), "shutdown output");
         writer.setDaemon(true);
         writer.start();
-        writer.join(MOST_WRITING_MS);
+        writer.join(PRINT_TIMEOUT_MS);
     }
 
-    private static void end(Pooler pooler) {
-        // Not by the logger: it is shut down at the same time as this runs.
+    private static void shutDown(Pooler pooler) {
+        // Not logged, as the log manager shuts down at the same time.
         try {
-            say(System.err, "stopping: clients are served for a little longer");
+            print(System.err, "stopping: clients are served for a little longer");
             if (!pooler.stop()) {
-                say(System.err, "stopped with clients still connected");
+                print(System.err, "stopped with clients still connected");
             }
-            say(System.out, pooler.counters());
+            print(System.out, pooler.counters());
             pooler.close();
             Logging.flush();
         } catch (InterruptedException e) {
--- a/pooler/src/main/java/frostreel/cli/SimulatorHost.java
+++ b/pooler/src/main/java/frostreel/cli/SimulatorHost.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 
-/** The decisions alone, on the simulator's wire. */
+/** The command {@code simulator}: runs the routing decisions alone, on the simulator's wire protocol. */
 @Command(
         name = "simulator",
         description = "Plays the decisions on the simulator's wire, by standard input and output.",
--- a/pooler/src/main/java/frostreel/cli/TrainArchive.java
+++ b/pooler/src/main/java/frostreel/cli/TrainArchive.java
@@ -5,12 +5,14 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 
-/** Goes through serving once, for the class archive that the build makes. */
+/** The command {@code train-archive}: loads what serving needs, for the class archive that the build makes. */
 @Command(
         name = "train-archive",
         description = "Goes through serving once, against itself, and ends.",
         mixinStandardHelpOptions = true)
 final class TrainArchive implements Callable<Integer> {
+    private static final int EXIT_FAILED = 1;
+
     @Override
     public Integer call() throws IOException, InterruptedException {
         try {
@@ -18,7 +20,7 @@
             return 0;
         } catch (ConfigException e) {
             System.err.println("frostreel: training the class archive failed: " + e);
-            return 1;
+            return EXIT_FAILED;
         }
     }
 }
