--- a/pooler/src/test/java/frostreel/ClientCapacityTest.java
+++ b/pooler/src/test/java/frostreel/ClientCapacityTest.java
@@ -28,7 +28,7 @@
         }
         replica.script = (text, link) -> {};
         primary.script = replica.script;
-        for (int i = idle; i < PoolerHarness.MAX_CLIENTS - 16; i++) { // These keep their connections by a request in flight.
+        for (int i = idle; i < PoolerHarness.BUSY_LIMIT; i++) { // These have a request in flight.
             clients.add(harness.client());
             clients.get(i).send(query(readSql("c" + i, 9000)));
         }
@@ -39,9 +39,6 @@
         while (!harness.pooler.counters().contains(" clients_evicted=1 clients_spared=0 ")) {
             Thread.onSpinWait(); // The client sees the close before it is counted.
         }
-        for (PoolerHarness.Link client : clients) {
-            client.close();
-        }
     }
 
     @Test
@@ -52,15 +49,15 @@
             assertThat(leaver.closedByPeer()).isTrue();
         }
         List<PoolerHarness.Link> clients = new ArrayList<>();
-        int calm = PoolerHarness.USUAL_CLIENTS * 3 / 4;
+        int unlimited = PoolerHarness.USUAL_CLIENTS * 3 / 4;
         for (int i = 0; i < PoolerHarness.USUAL_CLIENTS; i++) {
             clients.add(harness.client());
             assertThat(value(clients.get(i).execute(readSql("c" + i, 9000)))).isEqualTo("from-replica");
-            if (i < calm) {
+            if (i < unlimited) {
                 assertThat(harness.pooler.counters()).contains(" clients_spared=0 ");
             }
         }
-        int closed = PoolerHarness.USUAL_CLIENTS - calm;
+        int closed = PoolerHarness.USUAL_CLIENTS - unlimited;
         while (!harness.pooler.counters().contains(" clients_spared=" + closed + " ")) {
             Thread.onSpinWait(); // The last response is sent before the next client is closed.
         }
@@ -70,9 +67,6 @@
         for (int i = closed; i < clients.size(); i++) {
             assertThat(value(clients.get(i).execute(readSql("d" + i, 9000)))).isEqualTo("from-replica");
         }
-        for (PoolerHarness.Link client : clients) {
-            client.close();
-        }
     }
 
     @Test
@@ -84,14 +78,12 @@
         };
         start();
         List<PoolerHarness.Link> idle = new ArrayList<>();
-        List<PoolerHarness.Link> others = new ArrayList<>();
         for (int i = 0; i < PoolerHarness.USUAL_CLIENTS / 3; i++) {
             idle.add(harness.client());
             assertThat(value(idle.get(i).execute(readSql("c" + i, 9000)))).isEqualTo("from-replica");
         }
         for (int i = idle.size(); i < PoolerHarness.USUAL_CLIENTS * 3 / 4 - 1; i++) { // These have a request in flight.
-            others.add(harness.client());
-            others.get(others.size() - 1).send(query(writeSql("p" + i, 9000)));
+            harness.client().send(query(writeSql("p" + i, 9000)));
         }
         List<PoolerHarness.Link> late = List.of(harness.client(), harness.client());
         int longest = late.size() + 2; // The longest idle: more than might be closed.
@@ -110,11 +102,6 @@
         for (PoolerHarness.Link client : late) {
             assertThat(client.readResponse()).containsExactly("I");
         }
-        others.addAll(idle);
-        others.addAll(late);
-        for (PoolerHarness.Link client : others) {
-            client.close();
-        }
     }
 
     @Test
@@ -145,7 +132,7 @@
         primary.script = replica.script;
         start();
         List<PoolerHarness.Link> clients = new ArrayList<>();
-        int busy = PoolerHarness.MAX_CLIENTS - 16;
+        int busy = PoolerHarness.BUSY_LIMIT;
         for (int i = 0; i < busy; i++) {
             clients.add(harness.client());
             clients.get(i).send(query(readSql("c" + i, 9000)));
@@ -157,8 +144,5 @@
         List<String> answer = clients.get(busy).execute(readSql("last", 9000));
         assertThat(answer).singleElement().asString().contains("|C53300|").containsPattern("\\|D\\d+\\|");
         assertThat(harness.pooler.counters()).contains(" crowded_out=1 ");
-        for (PoolerHarness.Link client : clients) {
-            client.close();
-        }
     }
 }
--- a/pooler/src/test/java/frostreel/ConnectionCloseTest.java
+++ b/pooler/src/test/java/frostreel/ConnectionCloseTest.java
@@ -42,9 +42,6 @@
             assertThat(value(clients.get(i).execute(readSql("c" + i, 9000)))).isEqualTo("from-replica");
         }
         assertBytesAfterCloseAreDroppedWithoutReset(clients.get(0));
-        for (PoolerHarness.Link client : clients) {
-            client.close();
-        }
     }
 
     @Test
--- a/pooler/src/test/java/frostreel/DisconnectedClientsTest.java
+++ b/pooler/src/test/java/frostreel/DisconnectedClientsTest.java
@@ -108,9 +108,6 @@
         });
         harness.awaitCounter("clients_gone=" + (all - sent));
         assertThat(harness.pooler.counters()).contains(" attempts=" + sent + " ");
-        for (PoolerHarness.Link client : clients.values()) {
-            client.close();
-        }
     }
 
     @Test
--- a/pooler/src/test/java/frostreel/PoolerHarness.java
+++ b/pooler/src/test/java/frostreel/PoolerHarness.java
@@ -36,6 +36,8 @@
     static final int PATIENCE_S = 20;
     /** The pooler's limit on clients: of 128 descriptors 64 are reserved, and servers have a quarter of the rest. */
     static final int MAX_CLIENTS = 48;
+    /** While this many clients have requests in flight, further requests are rejected. */
+    static final int BUSY_LIMIT = MAX_CLIENTS - 16;
     /** The number of clients that the pooler expects: a third of all descriptors. */
     static final int USUAL_CLIENTS = 42;
     /** More requests than this waiting unsent are evicted: three eighths of the usual clients. */
@@ -213,7 +215,8 @@
         void run() throws Exception;
     }
 
-    final List<Peer> peers = new ArrayList<>();
+    private final List<Peer> peers = new ArrayList<>();
+    private final List<Link> clients = new ArrayList<>();
     /** The endpoint lists with which {@link #discovery} responds, one a request. */
     final BlockingQueue<String> lists = new LinkedBlockingQueue<>();
     /** One entry for each list that a discovery agent has sent. */
@@ -418,9 +421,10 @@
         }
     }
 
-    /** Connects a client to the pooler and completes its startup. */
+    /** Connects a client to the pooler and completes its startup; it is closed with the harness at the latest. */
     Link client() throws Exception {
         Link client = new Link(connect());
+        clients.add(client);
         client.send(TestMessages.startup());
         client.readResponse();
         return client;
@@ -465,8 +469,11 @@
         return (text, link) -> link.send(TestMessages.error(code), TestMessages.bytes('S', "role|" + role + "|"), TestMessages.READY);
     }
 
-    /** Ends the peers and the pooler. */
+    /** Ends the clients, the peers and the pooler. */
     void close() throws Exception {
+        for (Link client : clients) {
+            client.close();
+        }
         for (Peer peer : peers) {
             peer.close();
         }
--- a/pooler/src/test/java/frostreel/RetryAfterTest.java
+++ b/pooler/src/test/java/frostreel/RetryAfterTest.java
@@ -13,54 +13,45 @@
     private final List<PoolerHarness.Link> clients = new ArrayList<>();
 
     /** Returns the error of a request that arrives when the others hold all connections but the last. */
-    private String refusal() throws Exception {
+    private String rejection() throws Exception {
         harness.unlimitedConcurrency = true;
         replica.script = (text, link) -> {};
         primary.script = replica.script;
         start();
-        int busy = PoolerHarness.MAX_CLIENTS - 16;
+        int busy = PoolerHarness.BUSY_LIMIT;
         for (int i = 0; i < busy; i++) {
             clients.add(harness.client());
             clients.get(i).send(query(readSql("c" + i, 9000)));
         }
         harness.awaitCounter("requests=" + busy);
         clients.add(harness.client());
-        return nextRefusal("last");
+        return nextRejection("last");
     }
 
-    private String nextRefusal(String id) throws Exception {
+    private String nextRejection(String id) throws Exception {
         List<String> answer = clients.get(clients.size() - 1).execute(readSql(id, 9000));
         assertThat(answer).singleElement().asString().contains("|C53300|");
         return answer.get(0);
     }
 
-    private void leave() throws Exception {
-        for (PoolerHarness.Link client : clients) {
-            client.close();
-        }
-    }
-
     @Test
     void defaultRetryAfterIsUsedWhereAllowed() throws Exception {
-        assertThat(refusal()).contains("|D200|");
-        leave();
+        assertThat(rejection()).contains("|D200|");
     }
 
     @Test
     void retryAfterIsCappedByTheSettings() throws Exception {
         harness.settings = PoolerHarness.SETTINGS.replace("\"maxRetryAfterS\":2", "\"maxRetryAfterS\":0.12");
-        assertThat(refusal()).contains("|D120|");
-        leave();
+        assertThat(rejection()).contains("|D120|");
     }
 
     @Test
     void noRetryAfterWhereDisabledAndReloadAppliesAtOnce() throws Exception {
         harness.settings = PoolerHarness.SETTINGS.replace("\"retryAfter\":true", "\"retryAfter\":false");
-        assertThat(refusal()).doesNotContain("|D");
+        assertThat(rejection()).doesNotContain("|D");
         harness.settings = PoolerHarness.SETTINGS;
         harness.reload(harness.discovery);
         harness.awaitCounter("reloads=1");
-        assertThat(nextRefusal("next")).contains("|D200|");
-        leave();
+        assertThat(nextRejection("next")).contains("|D200|");
     }
 }
