--- a/pooler/src/main/java/frostreel/Pooler.java
+++ b/pooler/src/main/java/frostreel/Pooler.java
@@ -167,7 +167,7 @@
     }
 
     /** Waits until this process listens, and returns its admin endpoint, null for none; not for the I/O thread. */
-    public InetSocketAddress callsAt() throws InterruptedException {
+    public InetSocketAddress adminAddress() throws InterruptedException {
         return sockets.adminAddress();
     }
 
--- a/pooler/src/test/java/frostreel/AbstractPoolerTest.java
+++ b/pooler/src/test/java/frostreel/AbstractPoolerTest.java
@@ -62,9 +62,9 @@
     }
 
     /** Checks that a response is one row, and returns its value. */
-    static String value(List<String> answer) {
-        assertThat(answer).as("%s", answer).extracting(message -> message.charAt(0)).containsExactly('T', 'D', 'C');
-        return answer.get(1).substring(7);
+    static String value(List<String> response) {
+        assertThat(response).as("%s", response).extracting(message -> message.charAt(0)).containsExactly('T', 'D', 'C');
+        return response.get(1).substring(7);
     }
 
     /** A client that keeps its BackendKeyData, so that it can cancel its requests. */
--- a/pooler/src/test/java/frostreel/ClientCapacityTest.java
+++ b/pooler/src/test/java/frostreel/ClientCapacityTest.java
@@ -141,8 +141,8 @@
             Thread.onSpinWait();
         }
         clients.add(harness.client());
-        List<String> answer = clients.get(busy).execute(readSql("last", 9000));
-        assertThat(answer).singleElement().asString().contains("|C53300|").containsPattern("\\|D\\d+\\|");
+        List<String> response = clients.get(busy).execute(readSql("last", 9000));
+        assertThat(response).singleElement().asString().contains("|C53300|").containsPattern("\\|D\\d+\\|");
         assertThat(harness.pooler.counters()).contains(" crowded_out=1 ");
     }
 }
--- a/pooler/src/test/java/frostreel/ConnectionCloseTest.java
+++ b/pooler/src/test/java/frostreel/ConnectionCloseTest.java
@@ -54,10 +54,10 @@
         try (PoolerHarness.Link asked = harness.client();
                 PoolerHarness.Link silent = harness.client()) {
             assertThat(value(asked.execute(readSql("1", 300)))).isEqualTo("from-replica");
-            Thread stop = stopPooler();
+            Thread stopThreads = stopPooler();
             assertBytesAfterCloseAreDroppedWithoutReset(asked);
             assertBytesAfterCloseAreDroppedWithoutReset(silent);
-            stop.join();
+            stopThreads.join();
         }
     }
 
@@ -71,26 +71,26 @@
         harness.startSilent(host("a", primary, "primary", "Ready"));
         harness.discovery.next(); // A request that the pooler gives up after 1.5 s, which it logs.
         harness.awaitReady();
-        List<PoolerHarness.Link> waits = new ArrayList<>();
-        List<Thread> stop = new ArrayList<>();
+        List<PoolerHarness.Link> backlogged = new ArrayList<>();
+        List<Thread> stopThreads = new ArrayList<>();
         harness.whileLoopIsBlocked(
                 DiscoveryWatch.class,
                 () -> {
-                    stop.add(stopPooler()); // Accepting ends 3.3 s later.
+                    stopThreads.add(stopPooler()); // Accepting ends 3.3 s later.
                     harness.whileLoopIsBlocked(() -> PoolerHarness.awaitElapsed(System.nanoTime(), 3_500));
                 },
                 () -> {
                     for (int i = 0; i < 3; i++) { // Even after accepting had ended, the first would be accepted.
-                        waits.add(new PoolerHarness.Link(harness.connect()));
-                        waits.get(i).send(TestMessages.startup(), query(readSql("" + i, 300)));
+                        backlogged.add(new PoolerHarness.Link(harness.connect()));
+                        backlogged.get(i).send(TestMessages.startup(), query(readSql("" + i, 300)));
                     }
                 });
-        for (PoolerHarness.Link client : waits) {
+        for (PoolerHarness.Link client : backlogged) {
             client.readResponse();
             assertThat(client.readResponse()).singleElement().asString().contains("|C53300|");
             client.close();
         }
-        stop.get(0).join();
+        stopThreads.get(0).join();
     }
 
     /** Two silent clients, one after the other, show that the limit on incomplete messages has passed. */
@@ -119,20 +119,20 @@
     /** Bytes behind a request in flight are bounded, also while its response waits for its reader. */
     @Test
     void excessivePipeliningClosesClientAfterItsLastResponse() throws Exception {
-        CountDownLatch answer = new CountDownLatch(1);
+        CountDownLatch mayRespond = new CountDownLatch(1);
         primary.script = (text, link) -> {
-            PoolerHarness.await(answer);
+            PoolerHarness.await(mayRespond);
             link.send(TestMessages.row("late", "primary"), TestMessages.READY);
         };
         start();
         try (PoolerHarness.Link client = harness.client()) {
             client.send(query(writeSql("1", 9000))); // A write, as a read would be retried on another member and end too soon.
-            byte[] much = query("x".repeat(100_000)); // Of unknown form: an error each.
+            byte[] excess = query("x".repeat(100_000)); // Of unknown form: an error each.
             for (int i = 0; i < 14; i++) {
-                client.send(much);
+                client.send(excess);
             }
             harness.awaitCounter("malformed=1");
-            answer.countDown();
+            mayRespond.countDown();
             assertThat(value(client.readResponse())).isEqualTo("late");
             String last = client.take();
             while (last.contains("|C22023|")) {
@@ -147,16 +147,16 @@
     /** A response is complete or not served, wherever its connection is closed or reset. */
     @Test
     void responseTruncatedAtAnyByteIsNeverServed() throws Exception {
-        byte[] whole = TestMessages.row("cut", "replica");
-        int every = 2; // Close and reset alternate from byte to byte.
-        int calm = 5; // Each success earns a fifth of a retry.
+        byte[] complete = TestMessages.row("cut", "replica");
+        int resetEvery = 2; // Close and reset alternate from byte to byte.
+        int successes = 5; // Each success earns a fifth of a retry.
         List<String> hosts = new ArrayList<>(
                 List.of(host("a", primary, "primary", "Ready"), host("b", replica, "replica", "Ready")));
-        for (int i = 0; i < whole.length; i++) {
+        for (int i = 0; i < complete.length; i++) {
             int cut = i;
-            boolean reset = i % every == 0;
+            boolean reset = i % resetEvery == 0;
             PoolerHarness.Peer cutter = harness.server((text, link) -> {
-                link.send(java.util.Arrays.copyOf(whole, cut));
+                link.send(java.util.Arrays.copyOf(complete, cut));
                 if (reset) {
                     link.socket.setSoLinger(true, 0);
                 }
@@ -168,11 +168,11 @@
         }
         harness.start(hosts.toArray(String[]::new));
         try (PoolerHarness.Link client = harness.client()) {
-            for (int i = 0; i < whole.length; i++) {
+            for (int i = 0; i < complete.length; i++) {
                 assertThat(value(client.execute(readSql("q" + i, 9000).replace("cluster=2", "cluster=" + (100 + i)))))
                         .as("cut at byte %d", i)
                         .isEqualTo("from-primary");
-                for (int j = 0; j < calm; j++) {
+                for (int j = 0; j < successes; j++) {
                     assertThat(value(client.execute(readSql("q" + i + "x" + j, 9000)))).isEqualTo("from-replica");
                 }
             }
--- a/pooler/src/test/java/frostreel/DiscoveryTest.java
+++ b/pooler/src/test/java/frostreel/DiscoveryTest.java
@@ -18,37 +18,37 @@
 /** The watch on discovery: failures at each point of a request, and changes of the agent. */
 class DiscoveryTest extends AbstractPoolerTest {
     private static final PoolerHarness.Script SILENCE = (text, link) -> {};
-    private static final PoolerHarness.Script END = (text, link) -> link.close();
+    private static final PoolerHarness.Script CLOSE = (text, link) -> link.close();
     private static final PoolerHarness.Script RESET = (text, link) -> {
         link.socket.setSoLinger(true, 0);
         link.close();
     };
     /** How the agent responds to each request in turn. */
-    private final BlockingQueue<PoolerHarness.Script> deeds = new LinkedBlockingQueue<>();
+    private final BlockingQueue<PoolerHarness.Script> responses = new LinkedBlockingQueue<>();
 
-    private static PoolerHarness.Script oneAfterAnother(BlockingQueue<PoolerHarness.Script> deeds) {
+    private static PoolerHarness.Script inTurn(BlockingQueue<PoolerHarness.Script> responses) {
         return (text, link) -> {
             try {
-                deeds.take().answer(text, link);
+                responses.take().respond(text, link);
             } catch (InterruptedException e) {
                 throw new IOException(e);
             }
         };
     }
 
-    private void play() throws Exception {
-        harness.discovery.script = oneAfterAnother(deeds);
-        deeds.add(answers(list(1, false)));
+    private void startWatch() throws Exception {
+        harness.discovery.script = inTurn(responses);
+        responses.add(respondWith(list(1, false)));
         harness.startSilent(host("a", primary, "primary", "Ready"), host("b", replica, "replica", "Ready"));
         assertThat(harness.discovery.next()).contains("index=0&wait=1 ");
         assertThat(harness.discovery.next()).contains("index=1&").doesNotContain("wait=1 ");
     }
 
-    private static PoolerHarness.Script answers(String list) {
+    private static PoolerHarness.Script respondWith(String list) {
         return (text, link) -> link.send(http(list));
     }
 
-    private String told(int seq, String health) {
+    private String changes(int seq, String health) {
         return list(seq, false, host("b", replica, "replica", health));
     }
 
@@ -62,19 +62,19 @@
                         (text, link) -> link.send("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n".getBytes()),
                         (text, link) -> link.send(http("{\"seq\":")),
                         (text, link) -> {
-                            link.send(http("Content-Length: 400\r\n", told(2, "Ready")));
+                            link.send(http("Content-Length: 400\r\n", changes(2, "Ready")));
                             link.close();
                         },
                         (text, link) -> link.send("HTTP/1.1 200 OK\r\nContent-Le".getBytes())),
-                List.of(END, SILENCE));
-        play();
+                List.of(CLOSE, SILENCE));
+        startWatch();
         int seq = 1;
-        for (List<PoolerHarness.Script> row : failures) {
-            for (PoolerHarness.Script failure : row) {
-                deeds.add(failure);
+        for (List<PoolerHarness.Script> failuresInARow : failures) {
+            for (PoolerHarness.Script failure : failuresInARow) {
+                responses.add(failure);
                 assertThat(harness.discovery.next()).contains("index=" + seq + "&wait=1 ");
             }
-            deeds.add(answers(told(++seq, seq % 2 == 0 ? "Terminating" : "Ready")));
+            responses.add(respondWith(changes(++seq, seq % 2 == 0 ? "Terminating" : "Ready")));
             assertThat(harness.discovery.next()).contains("index=" + seq + "&").doesNotContain("wait=1 ");
             try (PoolerHarness.Link client = harness.client()) {
                 assertThat(value(client.execute(readSql("q" + seq, 9000))))
@@ -85,15 +85,15 @@
 
     @Test
     void listWithoutLengthIsCompleteAtItsEndButNotAfterReset() throws Exception {
-        play();
-        deeds.add((text, link) -> {
-            link.send(http("", told(2, "Terminating")));
+        startWatch();
+        responses.add((text, link) -> {
+            link.send(http("", changes(2, "Terminating")));
             link.close();
         });
         assertThat(harness.discovery.next()).contains("index=2&");
-        deeds.add((text, link) -> {
-            link.send(http("", told(3, "Ready")));
-            RESET.answer(text, link);
+        responses.add((text, link) -> {
+            link.send(http("", changes(3, "Ready")));
+            RESET.respond(text, link);
         });
         assertThat(harness.discovery.next()).contains("index=2&wait=1 ");
         try (PoolerHarness.Link client = harness.client()) {
@@ -105,42 +105,42 @@
     /** A cancelled connect must not come back as a second watch. */
     @Test
     void watchStoppedWhileConnectingMakesNoFurtherConnection() throws Exception {
-        play();
-        PoolerHarness.Peer away = harness.agent(SILENCE);
-        away.close(); // The connect is refused and retried after a backoff.
-        harness.reload(away);
+        startWatch();
+        PoolerHarness.Peer unreachableAgent = harness.agent(SILENCE);
+        unreachableAgent.close(); // The connect is refused and retried after a backoff.
+        harness.reload(unreachableAgent);
         while (harness.pooler.counters().contains(" discovery_failures=0 ")) {
             Thread.onSpinWait();
         }
-        BlockingQueue<PoolerHarness.Script> theirs = new LinkedBlockingQueue<>();
-        PoolerHarness.Peer there = harness.agent(oneAfterAnother(theirs));
-        harness.reload(there);
-        theirs.add(answers(list(5, true, host("a", primary, "primary", "Ready"))));
-        assertThat(there.next()).startsWith("GET /discovery/hosts HTTP");
-        assertThat(there.next()).contains("index=5&");
+        BlockingQueue<PoolerHarness.Script> newResponses = new LinkedBlockingQueue<>();
+        PoolerHarness.Peer answeringAgent = harness.agent(inTurn(newResponses));
+        harness.reload(answeringAgent);
+        newResponses.add(respondWith(list(5, true, host("a", primary, "primary", "Ready"))));
+        assertThat(answeringAgent.next()).startsWith("GET /discovery/hosts HTTP");
+        assertThat(answeringAgent.next()).contains("index=5&");
         assertPreviousWatchHasEnded();
         long failures = harness.counter("discovery_failures");
-        theirs.add(answers(list(6, false)));
-        assertThat(there.next()).contains("index=6&"); // The watch in force goes on alone.
+        newResponses.add(respondWith(list(6, false)));
+        assertThat(answeringAgent.next()).contains("index=6&"); // The watch in force goes on alone.
         assertThat(harness.counter("discovery_failures")).isEqualTo(failures);
-        assertThat(there.connections.get()).isEqualTo(1);
+        assertThat(answeringAgent.connections.get()).isEqualTo(1);
     }
 
     /** A response would bring the next poll of a watch that is still active; a stopped one closes its connection. */
     private void assertPreviousWatchHasEnded() throws Exception {
-        deeds.add(answers(list(99, false)));
+        responses.add(respondWith(list(99, false)));
         assertThat(harness.discovery.closedConnections.take()).isEqualTo("closed");
     }
 
     /** The list in use must not become stale while the agent that a reload names is silent. */
     @Test
     void previousDiscoveryStaysInUseUntilTheNewOneAnswers() throws Exception {
-        play();
+        startWatch();
         try (PoolerHarness.Link client = harness.client()) {
             PoolerHarness.Peer silent = harness.agent(SILENCE);
             harness.reload(silent);
             assertThat(silent.next()).startsWith("GET /discovery/hosts HTTP");
-            deeds.add(answers(told(2, "Terminating")));
+            responses.add(respondWith(changes(2, "Terminating")));
             assertThat(harness.discovery.next()).contains("index=2&");
             assertThat(value(client.execute(readSql("1", 9000)))).isEqualTo("from-primary");
 
@@ -148,14 +148,14 @@
             refusing.close();
             harness.reload(refusing);
             assertThat(silent.closedConnections.take()).isEqualTo("closed");
-            deeds.add(answers(told(3, "Ready")));
+            responses.add(respondWith(changes(3, "Ready")));
             assertThat(harness.discovery.next()).contains("index=3&");
             assertThat(value(client.execute(readSql("2", 9000)))).isEqualTo("from-replica");
 
-            BlockingQueue<PoolerHarness.Script> theirs = new LinkedBlockingQueue<>();
-            PoolerHarness.Peer answering = harness.agent(oneAfterAnother(theirs));
+            BlockingQueue<PoolerHarness.Script> newResponses = new LinkedBlockingQueue<>();
+            PoolerHarness.Peer answering = harness.agent(inTurn(newResponses));
             harness.reload(answering);
-            theirs.add(answers(list(
+            newResponses.add(respondWith(list(
                     1, true, host("a", primary, "primary", "Ready"), host("b", replica, "replica", "Terminating"))));
             assertThat(answering.next()).startsWith("GET /discovery/hosts HTTP");
             assertThat(answering.next()).contains("index=1&");
@@ -164,7 +164,7 @@
         }
     }
 
-    private static final String STOP_SOON =
+    private static final String SHORT_DRAIN_LIMIT =
             PoolerHarness.SETTINGS.replace("\"stopSendingWithinS\":1", "\"stopSendingWithinS\":0.25");
 
     /** The requests of many clients and the watch event are found in one turn, in arbitrary order. */
@@ -181,8 +181,8 @@
             for (PoolerHarness.Link client : clients) {
                 client.send(query(readSql("q" + clients.indexOf(client), 9000)));
             }
-            deeds.add((text, link) -> {
-                link.send(http(told(2, "Terminating")));
+            responses.add((text, link) -> {
+                link.send(http(changes(2, "Terminating")));
                 written.countDown();
             });
             written.await();
@@ -197,15 +197,15 @@
 
     @Test
     void watchEventsAreAppliedFirstAfterAShortPause() throws Exception {
-        harness.settings = STOP_SOON;
-        play();
+        harness.settings = SHORT_DRAIN_LIMIT;
+        startWatch();
         assertWatchEventsAreAppliedFirstAfterAShortPause();
     }
 
     @Test
     void reloadChangesWhatCountsAsAPause() throws Exception {
-        play();
-        harness.settings = STOP_SOON;
+        startWatch();
+        harness.settings = SHORT_DRAIN_LIMIT;
         harness.reload(harness.discovery);
         harness.awaitCounter("reloads=1");
         assertWatchEventsAreAppliedFirstAfterAShortPause();
@@ -214,16 +214,16 @@
     /** The responses of an agent that always exceeds the timeout are applied all the same. */
     @Test
     void lateResponseIsAppliedAndTheSecondPollCancelled() throws Exception {
-        play();
+        startWatch();
         BlockingQueue<PoolerHarness.Link> late = new LinkedBlockingQueue<>();
-        deeds.add(END);
+        responses.add(CLOSE);
         assertThat(harness.discovery.next()).contains("index=1&wait=1 ");
         assertThat(harness.discovery.closedConnections.take()).isEqualTo("closed");
-        deeds.add((text, link) -> late.add(link));
+        responses.add((text, link) -> late.add(link));
         PoolerHarness.Link first = late.take();
         assertThat(harness.discovery.next()).as("beside the late one").contains("index=1&wait=1 ");
-        deeds.add(SILENCE);
-        first.send(http(told(2, "Terminating")));
+        responses.add(SILENCE);
+        first.send(http(changes(2, "Terminating")));
         assertThat(harness.discovery.next())
                 .as("on the connection that was answered")
                 .contains("index=2&")
--- a/pooler/src/test/java/frostreel/FailoverTest.java
+++ b/pooler/src/test/java/frostreel/FailoverTest.java
@@ -64,8 +64,8 @@
         primary.script = errors("53300", "primary");
         start();
         try (PoolerHarness.Link client = harness.client()) {
-            List<String> answer = client.execute(readSql("1", 300));
-            assertThat(answer).singleElement().asString().contains("|C53300|").containsPattern("\\|D\\d+\\|");
+            List<String> response = client.execute(readSql("1", 300));
+            assertThat(response).singleElement().asString().contains("|C53300|").containsPattern("\\|D\\d+\\|");
         }
     }
 
@@ -80,11 +80,11 @@
             assertThat(replica.closedConnections.take()).isEqualTo("closed");
             replica.script = rows("back", "replica");
             primary.script = rows("back", "primary");
-            List<String> answer = client.execute(readSql("2", 9000));
-            while (answer.get(0).startsWith("E")) { // Requests may be shed while the server is suspected.
-                answer = client.execute(readSql("2", 9000));
+            List<String> response = client.execute(readSql("2", 9000));
+            while (response.get(0).startsWith("E")) { // Requests may be shed while the server is suspected.
+                response = client.execute(readSql("2", 9000));
             }
-            assertThat(value(answer)).isEqualTo("back");
+            assertThat(value(response)).isEqualTo("back");
         }
     }
 
--- a/pooler/src/test/java/frostreel/HandoverTest.java
+++ b/pooler/src/test/java/frostreel/HandoverTest.java
@@ -26,12 +26,12 @@
     @TempDir
     Path dir;
 
-    private PeerProcessCommits begin(String config, String descriptor) throws Exception {
+    private PeerProcessCommits open(String config, String descriptor) throws Exception {
         return PeerProcessCommits.open(Config.parse(config, Map.of("GW_FD", descriptor, "TMPDIR", dir.toString())), NOW);
     }
 
-    private PeerProcessCommits begin() throws Exception {
-        return begin(REMEMBERED, "0");
+    private PeerProcessCommits open() throws Exception {
+        return open(REMEMBERED, "0");
     }
 
     private Path folder() {
@@ -44,32 +44,32 @@
     }
 
     /** Returns the commit that a read of the session must see. */
-    private static long bound(PeerProcessCommits process) {
+    private static long boundUs(PeerProcessCommits process) {
         return process.peerCommits().boundUs(NOW + 50_000, 7);
     }
 
-    private void blind(PeerProcessCommits process) {
-        assertThat(bound(process)).as("all that counts as known").isEqualTo(NOW - 50_000);
+    private void assertBlind(PeerProcessCommits process) {
+        assertThat(boundUs(process)).as("all that counts as known").isEqualTo(NOW - 50_000);
     }
 
     @Test
     void commitsOfEachProcessBindTheOther() throws Exception {
-        PeerProcessCommits before = begin();
-        PeerProcessCommits after = begin();
-        assertThat(List.of(bound(before), bound(after))).containsOnly(0L);
+        PeerProcessCommits before = open();
+        PeerProcessCommits after = open();
+        assertThat(List.of(boundUs(before), boundUs(after))).containsOnly(0L);
         write(before, NOW + 2_000);
-        assertThat(bound(after)).isEqualTo(NOW + 3_000);
-        assertThat(bound(before)).isZero();
+        assertThat(boundUs(after)).isEqualTo(NOW + 3_000);
+        assertThat(boundUs(before)).isZero();
         write(after, NOW + 5_000);
-        assertThat(bound(before)).isEqualTo(NOW + 6_000);
-        assertThat(bound(begin())).as("a third").isEqualTo(NOW + 6_000);
+        assertThat(boundUs(before)).isEqualTo(NOW + 6_000);
+        assertThat(boundUs(open())).as("a third").isEqualTo(NOW + 6_000);
     }
 
     @Test
     void noFileWithoutPeerProcessOrSessionTracking() throws Exception {
-        for (PeerProcessCommits alone : List.of(begin(REMEMBERED, ""), begin(CARRIED, "0"))) {
+        for (PeerProcessCommits alone : List.of(open(REMEMBERED, ""), open(CARRIED, "0"))) {
             write(alone, NOW);
-            assertThat(bound(alone)).isZero();
+            assertThat(boundUs(alone)).isZero();
         }
         assertThat(folder()).doesNotExist();
     }
@@ -91,16 +91,16 @@
     void damagedFileBlindsOneProcessAndIsReplacedForTheNext() throws Exception {
         for (String how : List.of("empty", "cut short", "longer", "of another version")) {
             Files.deleteIfExists(folder().resolve("commits"));
-            begin();
+            open();
             damaged(how);
-            PeerProcessCommits first = begin();
-            blind(first);
+            PeerProcessCommits first = open();
+            assertBlind(first);
             write(first, NOW + 2_000);
-            blind(first);
-            PeerProcessCommits second = begin();
-            assertThat(bound(second)).as(how).isEqualTo(NOW + 3_000);
+            assertBlind(first);
+            PeerProcessCommits second = open();
+            assertThat(boundUs(second)).as(how).isEqualTo(NOW + 3_000);
             write(second, NOW + 60_000);
-            blind(first);
+            assertBlind(first);
         }
         try (Stream<Path> left = Files.list(folder())) {
             assertThat(left).as("nothing half made is left").hasSize(1);
@@ -110,13 +110,13 @@
     @Test
     void servesBlindWhereTheFileCannotBeCreated() throws Exception {
         Files.createDirectories(folder().resolve("commits")); // A directory, as permissions do not bind root.
-        PeerProcessCommits before = begin();
+        PeerProcessCommits before = open();
         write(before, NOW);
-        blind(before);
+        assertBlind(before);
         Files.delete(folder().resolve("commits"));
         Files.delete(folder());
         Files.createFile(folder());
-        blind(begin());
-        blind(PeerProcessCommits.open(Config.parse(REMEMBERED, Map.of("GW_FD", "0")), NOW));
+        assertBlind(open());
+        assertBlind(PeerProcessCommits.open(Config.parse(REMEMBERED, Map.of("GW_FD", "0")), NOW));
     }
 }
--- a/pooler/src/test/java/frostreel/LateConnectionsTest.java
+++ b/pooler/src/test/java/frostreel/LateConnectionsTest.java
@@ -84,13 +84,13 @@
         try (PoolerHarness.Link first = harness.client();
                 PoolerHarness.Link second = harness.client()) {
             first.send(query(readSql("1", 9000)));
-            PoolerHarness.Link old = held.take();
+            PoolerHarness.Link oldConnection = held.take();
             harness.lists.add(list(2, false, host("b", moved, "replica", "Ready")));
             assertThat(harness.discovery.next()).contains("index=2&");
             second.send(query(readSql("2", 9000)));
             PoolerHarness.Link pending = handshakes.take();
             replica.script = rows("from-replica", "replica");
-            old.send(row("old", "replica"), TestMessages.READY);
+            oldConnection.send(row("old", "replica"), TestMessages.READY);
             assertThat(value(first.readResponse())).isEqualTo("old");
             pending.completeHandshake();
             assertThat(value(second.readResponse())).isEqualTo("from-moved");
@@ -110,8 +110,8 @@
             PoolerHarness.awaitElapsed(sent, 600);
             late.completeHandshake();
             assertThat(value(client.readResponse())).isEqualTo("from-replica");
-            int told = TestMessages.remainingMs(replica.next());
-            assertThat(told).isPositive().isLessThanOrEqualTo(8400);
+            int stated = TestMessages.remainingMs(replica.next());
+            assertThat(stated).isPositive().isLessThanOrEqualTo(8400);
         }
     }
 }
--- a/pooler/src/test/java/frostreel/LongValuesTest.java
+++ b/pooler/src/test/java/frostreel/LongValuesTest.java
@@ -26,7 +26,7 @@
     }
 
     @BeforeEach
-    void begin() throws Exception {
+    void startPooler() throws Exception {
         start();
     }
 
@@ -58,7 +58,7 @@
     }
 
     /** Reads a RowDescription and the head of a DataRow, up to the value. */
-    private static void begin(PoolerHarness.Link client, int length) throws IOException {
+    private static void readHead(PoolerHarness.Link client, int length) throws IOException {
         assertThat(client.take()).startsWith("T");
         assertThat(client.in.readUnsignedByte()).isEqualTo('D');
         assertThat(client.in.readInt()).isEqualTo(length + 10);
@@ -66,7 +66,7 @@
         assertThat(client.in.readInt()).isEqualTo(length);
     }
 
-    private static void end(PoolerHarness.Link client) throws IOException {
+    private static void readTail(PoolerHarness.Link client) throws IOException {
         assertThat(client.take()).startsWith("C");
         assertThat(client.take()).startsWith("Z");
     }
@@ -84,17 +84,17 @@
         };
         try (PoolerHarness.Link client = harness.client()) {
             client.send(TestMessages.query(readSql("1", 9000)), TestMessages.query(writeSql("2", 9000)));
-            begin(client, LONG);
+            readHead(client, LONG);
             assertThat(client.in.readNBytes(100)).isEqualTo(Arrays.copyOf(VALUE, 100));
             first.countDown();
             assertThat(client.in.readNBytes(LONG - 100)).isEqualTo(Arrays.copyOfRange(VALUE, 100, LONG));
-            end(client);
+            readTail(client);
             assertThat(client.readResponse().get(1)).endsWith("from-primary");
             replica.script = whole(VALUE);
             client.send(TestMessages.query(readSql("3", 9000)));
-            begin(client, LONG);
+            readHead(client, LONG);
             assertThat(client.in.readNBytes(LONG)).isEqualTo(VALUE);
-            end(client);
+            readTail(client);
             assertThat(replica.connections.get())
                     .as("the server's connection stayed clean")
                     .isEqualTo(1);
@@ -110,7 +110,7 @@
         };
         try (PoolerHarness.Link client = harness.client()) {
             client.send(TestMessages.query(readSql("1", 9000)));
-            begin(client, LONG);
+            readHead(client, LONG);
             assertThat(client.in.readNBytes(LONG).length).isLessThanOrEqualTo(LONG / 2);
             assertThat(client.closedByPeer()).isTrue();
         } catch (SocketException reset) {
@@ -124,7 +124,7 @@
         replica.script = (text, link) -> link.send(head(LONG, LONG), VALUE, TestMessages.error("XX000"), TestMessages.READY);
         try (PoolerHarness.Link client = harness.client()) {
             client.send(TestMessages.query(readSql("1", 9000)));
-            begin(client, LONG);
+            readHead(client, LONG);
             client.in.readNBytes(LONG);
             assertThat(client.closedByPeer()).isTrue();
         }
@@ -139,7 +139,7 @@
         };
         try (PoolerHarness.Link client = harness.client()) {
             client.send(TestMessages.query(readSql("1", 9000)));
-            begin(client, LONG);
+            readHead(client, LONG);
         }
         first.countDown();
         replica.closedConnections.take();
@@ -169,7 +169,7 @@
                 }
                 link.send(Arrays.copyOfRange(VALUE, 40, LONG), TAIL);
             } else {
-                whole(VALUE).answer(text, link);
+                whole(VALUE).respond(text, link);
             }
         };
         try (PoolerHarness.Link slow = harness.client();
@@ -177,20 +177,20 @@
                 PoolerHarness.Link quick = harness.client()) {
             slow.send(TestMessages.query(readSql("slow", 9000)));
             drip.send(TestMessages.query(readSql("drip", 9000)));
-            begin(slow, LONG);
-            begin(drip, LONG);
+            readHead(slow, LONG);
+            readHead(drip, LONG);
             for (int i = 0; i < 5; i++) {
                 quick.send(TestMessages.query(readSql("quick" + i, 9000)));
-                begin(quick, LONG);
+                readHead(quick, LONG);
                 assertThat(quick.in.readNBytes(LONG)).isEqualTo(VALUE);
-                end(quick);
+                readTail(quick);
                 assertThat(slow.in.readNBytes(1000)).isEqualTo(Arrays.copyOfRange(VALUE, 1000 * i, 1000 * i + 1000));
             }
             dripOn.countDown();
             assertThat(drip.in.readNBytes(LONG)).isEqualTo(VALUE);
-            end(drip);
+            readTail(drip);
             assertThat(slow.in.readNBytes(LONG - 5000)).isEqualTo(Arrays.copyOfRange(VALUE, 5000, LONG));
-            end(slow);
+            readTail(slow);
         }
     }
 
@@ -220,14 +220,14 @@
                 client.send(TestMessages.query(readSql("n" + i, 9000)));
             }
             for (PoolerHarness.Link client : all) {
-                begin(client, parts * part.length);
+                readHead(client, parts * part.length);
             }
             for (PoolerHarness.Link client : all) {
                 for (int i = 0; i < parts; i++) {
                     assertThat(Arrays.equals(client.in.readNBytes(part.length), part))
                             .isTrue();
                 }
-                end(client);
+                readTail(client);
             }
         } finally {
             for (PoolerHarness.Link client : all) {
--- a/pooler/src/test/java/frostreel/OperatorCommandsTest.java
+++ b/pooler/src/test/java/frostreel/OperatorCommandsTest.java
@@ -20,7 +20,7 @@
 /** Operators' commands by the admin endpoint, and their effect on requests. */
 class OperatorCommandsTest extends AbstractPoolerTest {
     @BeforeEach
-    void begin() throws Exception {
+    void startPooler() throws Exception {
         start();
     }
 
@@ -28,7 +28,7 @@
     void suspendedServerReceivesNothingUntilRestored() throws Exception {
         try (PoolerHarness.Link client = harness.client()) {
             assertThat(value(client.execute(readSql("1", 9000)))).isEqualTo("from-replica");
-            assertThat(harness.call("SUSPEND b")).isEqualTo("OK\n");
+            assertThat(harness.command("SUSPEND b")).isEqualTo("OK\n");
             assertThat(value(client.execute(readSql("2", 9000)))).isEqualTo("from-primary");
             harness.sentLists.clear();
             harness.lists.add(
@@ -37,9 +37,9 @@
             harness.lists.add(list(3, false));
             harness.sentLists.take(); // The previous list was applied, as this poll came after it.
             assertThat(value(client.execute(readSql("3", 9000)))).isEqualTo("from-primary");
-            assertThat(harness.call("SUSPEND b")).isEqualTo("OK\n");
+            assertThat(harness.command("SUSPEND b")).isEqualTo("OK\n");
             assertThat(value(client.execute("SHOW operation"))).contains("out=[b]");
-            assertThat(harness.call("RESTORE b")).isEqualTo("OK\n");
+            assertThat(harness.command("RESTORE b")).isEqualTo("OK\n");
             assertThat(value(client.execute("SHOW operation"))).contains("out=[]");
             for (int i = 4; replica.received.size() < 2; i++) { // It is in slow start, and gets its share gradually.
                 client.execute(readSql(Integer.toString(i), 9000));
@@ -50,7 +50,7 @@
     @Test
     void writeToSuspendedPrimaryIsRejectedUnsent() throws Exception {
         replica.script = PoolerHarness.errors("25006", "replica");
-        assertThat(harness.call("SUSPEND a")).isEqualTo("OK\n");
+        assertThat(harness.command("SUSPEND a")).isEqualTo("OK\n");
         try (PoolerHarness.Link client = harness.client()) {
             assertThat(client.execute(writeSql("1", 600))).singleElement().asString().contains("|C53300|");
             assertThat(primary.received).isEmpty();
@@ -59,26 +59,26 @@
 
     @Test
     void unknownServersAndCommandsAreRejected() throws Exception {
-        assertThat(harness.call("SUSPEND nobody")).startsWith("ERR ");
-        assertThat(harness.call("RESTORE nobody")).startsWith("ERR ");
-        assertThat(harness.call("RESTORE a")).isEqualTo("OK\n");
-        assertThat(harness.call("STATUS")).isEqualTo("OK\n");
+        assertThat(harness.command("SUSPEND nobody")).startsWith("ERR ");
+        assertThat(harness.command("RESTORE nobody")).startsWith("ERR ");
+        assertThat(harness.command("RESTORE a")).isEqualTo("OK\n");
+        assertThat(harness.command("STATUS")).isEqualTo("OK\n");
         for (String line : List.of("", "SUSPEND", "STATUS a", "status", "PAUSE a b", "GET / HTTP/1.1")) {
-            assertThat(harness.call(line)).as(line).startsWith("ERR ");
+            assertThat(harness.command(line)).as(line).startsWith("ERR ");
         }
     }
 
     @Test
     void silentCallersAndLongLinesBlockNobody() throws Exception {
-        InetSocketAddress at = harness.pooler.callsAt();
+        InetSocketAddress at = harness.pooler.adminAddress();
         List<Socket> silent = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
             Socket caller = new Socket(at.getAddress(), at.getPort());
             caller.getOutputStream().write("STAT".getBytes(StandardCharsets.US_ASCII));
             silent.add(caller);
         }
-        assertThat(harness.call("STATUS")).isEqualTo("OK\n");
-        assertThat(harness.call("x".repeat(2000))).startsWith("ERR ");
+        assertThat(harness.command("STATUS")).isEqualTo("OK\n");
+        assertThat(harness.command("x".repeat(2000))).startsWith("ERR ");
         for (Socket caller : silent) {
             caller.close();
         }
@@ -90,8 +90,8 @@
                 PoolerHarness.Link idle = harness.client()) {
             kept.execute(readSql("1", 9000));
             idle.execute(readSql("2", 9000));
-            assertThat(harness.call("PAUSE")).isEqualTo("OK\n");
-            assertThat(harness.call("STATUS")).startsWith("ERR ");
+            assertThat(harness.command("PAUSE")).isEqualTo("OK\n");
+            assertThat(harness.command("STATUS")).startsWith("ERR ");
             try (PoolerHarness.Link late = harness.client()) {
                 assertThat(value(late.execute(readSql("3", 9000))))
                         .as("still dealt out")
@@ -101,8 +101,8 @@
             }
             assertThat(kept.closedByPeer()).isTrue();
             assertThat(idle.closedByPeer()).isTrue();
-            assertThat(harness.call("PAUSE")).isEqualTo("OK\n");
-            assertThat(harness.call("RESUME")).isEqualTo("OK\n");
+            assertThat(harness.command("PAUSE")).isEqualTo("OK\n");
+            assertThat(harness.command("RESUME")).isEqualTo("OK\n");
             try (PoolerHarness.Link client = harness.client()) {
                 assertThat(client.execute("")).containsExactly("I");
                 assertThat(value(client.execute(readSql("4", 9000)))).isNotEmpty();
@@ -160,11 +160,11 @@
     @Test
     void readsGoToPrimaryWithoutReplicasAndAreRejectedWithoutMembers() throws Exception {
         try (PoolerHarness.Link client = harness.client()) {
-            assertThat(harness.call("SUSPEND b")).isEqualTo("OK\n");
+            assertThat(harness.command("SUSPEND b")).isEqualTo("OK\n");
             assertThat(value(client.execute(readSql("1", 9000)))).isEqualTo("from-primary");
-            assertThat(harness.call("SUSPEND a")).isEqualTo("OK\n");
+            assertThat(harness.command("SUSPEND a")).isEqualTo("OK\n");
             assertThat(client.execute(readSql("2", 600))).singleElement().asString().contains("|C53300|");
-            assertThat(harness.call("RESTORE a")).isEqualTo("OK\n");
+            assertThat(harness.command("RESTORE a")).isEqualTo("OK\n");
             assertThat(value(client.execute(writeSql("3", 9000)))).isEqualTo("from-primary");
         }
     }
@@ -181,7 +181,7 @@
         try (PoolerHarness.Link client = harness.client()) {
             client.send(TestMessages.query(readSql("1", 9000)));
             welcomed.await();
-            assertThat(harness.call("SUSPEND b")).isEqualTo("OK\n");
+            assertThat(harness.command("SUSPEND b")).isEqualTo("OK\n");
             assertThat(value(client.readResponse())).isEqualTo("from-primary");
         } finally {
             over.countDown();
@@ -190,7 +190,7 @@
 
     @Test
     void suspendedServerStaysOutWhenItIsListedAgain() throws Exception {
-        assertThat(harness.call("SUSPEND b")).isEqualTo("OK\n");
+        assertThat(harness.command("SUSPEND b")).isEqualTo("OK\n");
         String listed = host("b", replica, "replica", "Ready");
         int seq = 2;
         harness.sentLists.clear();
--- a/pooler/src/test/java/frostreel/PipelineTest.java
+++ b/pooler/src/test/java/frostreel/PipelineTest.java
@@ -26,7 +26,7 @@
             if (text.contains("id=first,")) {
                 held.add(link);
             } else {
-                usual.answer(text, link);
+                usual.respond(text, link);
             }
         };
         start();
@@ -51,8 +51,8 @@
         link.send(row("of-first", "primary"), TestMessages.READY);
     }
 
-    private static void assertRejected(List<String> answer) {
-        assertThat(answer).singleElement().asString().contains("|C53300|");
+    private static void assertRejected(List<String> response) {
+        assertThat(response).singleElement().asString().contains("|C53300|");
     }
 
     private void assertTwoAttemptsAndOneRejection() {
@@ -130,12 +130,12 @@
             answerFirst(awaitFirstSentAndPatienceOver());
             assertThat(value(client.readResponse())).isEqualTo("of-first");
             for (int i = 1; i < 200; i++) {
-                List<String> answer = client.readResponse();
+                List<String> response = client.readResponse();
                 switch (i % 4) {
-                    case 0 -> assertThat(value(answer)).isEqualTo("live" + i);
-                    case 1 -> assertRejected(answer);
-                    case 2 -> assertThat(answer).singleElement().asString().contains("|C22023|");
-                    default -> assertThat(answer).containsExactly("I");
+                    case 0 -> assertThat(value(response)).isEqualTo("live" + i);
+                    case 1 -> assertRejected(response);
+                    case 2 -> assertThat(response).singleElement().asString().contains("|C22023|");
+                    default -> assertThat(response).containsExactly("I");
                 }
             }
             assertThat(value(client.execute("SHOW stats")))
--- a/pooler/src/test/java/frostreel/PoolerHarness.java
+++ b/pooler/src/test/java/frostreel/PoolerHarness.java
@@ -62,7 +62,7 @@
 
     /** How a scripted peer responds to one message, on the connection that it arrived by. */
     interface Script {
-        void answer(String text, Link link) throws IOException;
+        void respond(String text, Link link) throws IOException;
     }
 
     /** One end of a connection: a client's, or a scripted peer's. */
@@ -170,14 +170,14 @@
             link.socket.setSoTimeout(0);
             if (database) {
                 link.in.readNBytes(link.in.readInt() - 4);
-                handshake.answer("", link);
+                handshake.respond("", link);
             }
             while (true) {
                 String text = database ? link.take() : requestLine(link.in);
                 if (!text.equals("QSHOW load|")) { // Health checks arrive at any time.
                     received.add(text);
                 }
-                script.answer(text, link);
+                script.respond(text, link);
             }
         }
 
@@ -368,7 +368,7 @@
      * meanwhile is found by it in one turn afterwards.
      */
     void whileLoopIsBlocked(Task task) throws Exception {
-        whileLoopIsBlocked(CommandExecutor.class, () -> spawn(() -> call("STATUS")), task); // The call is logged.
+        whileLoopIsBlocked(CommandExecutor.class, () -> spawn(() -> command("STATUS")), task); // The call is logged.
     }
 
     /** Blocks the I/O thread at the next line that {@code logger} writes, which {@code cause} brings about. */
@@ -450,8 +450,8 @@
     }
 
     /** Sends a command to the admin endpoint and returns its response. */
-    String call(String command) throws Exception {
-        InetSocketAddress address = pooler.callsAt();
+    String command(String command) throws Exception {
+        InetSocketAddress address = pooler.adminAddress();
         try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
             socket.setSoTimeout(PATIENCE_S * 1000);
             socket.getOutputStream().write((command + "\n").getBytes(StandardCharsets.US_ASCII));
--- a/pooler/src/test/java/frostreel/RetryAfterTest.java
+++ b/pooler/src/test/java/frostreel/RetryAfterTest.java
@@ -29,9 +29,9 @@
     }
 
     private String nextRejection(String id) throws Exception {
-        List<String> answer = clients.get(clients.size() - 1).execute(readSql(id, 9000));
-        assertThat(answer).singleElement().asString().contains("|C53300|");
-        return answer.get(0);
+        List<String> response = clients.get(clients.size() - 1).execute(readSql(id, 9000));
+        assertThat(response).singleElement().asString().contains("|C53300|");
+        return response.get(0);
     }
 
     @Test
--- a/pooler/src/test/java/frostreel/ServerProtocolTest.java
+++ b/pooler/src/test/java/frostreel/ServerProtocolTest.java
@@ -53,11 +53,11 @@
                 TestMessages.bytes('Z', "II"));
         start();
         try (PoolerHarness.Link client = harness.client()) {
-            for (byte[] answer : spoilt) {
-                replica.script = (text, link) -> link.send(answer, TestMessages.READY);
-                List<String> got = client.execute(readSql("1", 9000));
-                assertThat(got).as("%s", new String(answer)).hasSize(3);
-                assertThat(value(got)).isEqualTo("from-primary");
+            for (byte[] response : spoilt) {
+                replica.script = (text, link) -> link.send(response, TestMessages.READY);
+                List<String> result = client.execute(readSql("1", 9000));
+                assertThat(result).as("%s", new String(response)).hasSize(3);
+                assertThat(value(result)).isEqualTo("from-primary");
                 assertThat(replica.closedConnections.take()).isEqualTo("closed");
             }
         }
--- a/pooler/src/test/java/frostreel/ShutdownTest.java
+++ b/pooler/src/test/java/frostreel/ShutdownTest.java
@@ -159,10 +159,10 @@
         Logger root = Logger.getLogger("");
         root.addHandler(handler);
         CountDownLatch asked = new CountDownLatch(1);
-        CountDownLatch answer = new CountDownLatch(1);
+        CountDownLatch mayRespond = new CountDownLatch(1);
         replica.script = (text, link) -> {
             asked.countDown();
-            PoolerHarness.await(answer);
+            PoolerHarness.await(mayRespond);
             link.send(row("late", "replica"), TestMessages.READY);
         };
         start();
@@ -177,7 +177,7 @@
                 last = primary.next();
             }
             assertThat(idle.closedByPeer()).isTrue(); // An idle client is closed while the other is still served.
-            answer.countDown();
+            mayRespond.countDown();
             assertThat(value(client.readResponse())).isEqualTo("late");
             assertThat(client.closedByPeer()).isTrue();
             stop.join();
--- a/pooler/src/test/java/frostreel/StartupReadinessTest.java
+++ b/pooler/src/test/java/frostreel/StartupReadinessTest.java
@@ -20,11 +20,11 @@
             // The next poll is sent once the list was applied.
             assertThat(harness.discovery.next()).startsWith("GET /discovery/hosts HTTP");
             assertThat(harness.discovery.next()).startsWith("GET /discovery/hosts?index=1&wait=");
-            List<String> answer = client.execute("");
-            while (answer.get(0).startsWith("E")) {
-                answer = client.execute("");
+            List<String> response = client.execute("");
+            while (response.get(0).startsWith("E")) {
+                response = client.execute("");
             }
-            assertThat(answer).containsExactly("I");
+            assertThat(response).containsExactly("I");
         }
     }
 
@@ -60,8 +60,8 @@
     }
 
     private static void untilReady(PoolerHarness.Link client) throws IOException {
-        for (List<String> answer = client.execute(""); !answer.equals(List.of("I")); answer = client.execute("")) {
-            assertThat(answer).singleElement().asString().contains("|C57P03|");
+        for (List<String> response = client.execute(""); !response.equals(List.of("I")); response = client.execute("")) {
+            assertThat(response).singleElement().asString().contains("|C57P03|");
         }
     }
 }
