--- a/pooler/src/test/java/frostreel/ClientCapacityTest.java
+++ b/pooler/src/test/java/frostreel/ClientCapacityTest.java
@@ -82,7 +82,7 @@
             idle.add(harness.client());
             assertThat(value(idle.get(i).execute(readSql("c" + i, 9000)))).isEqualTo("from-replica");
         }
-        for (int i = idle.size(); i < PoolerHarness.USUAL_CLIENTS * 3 / 4 - 1; i++) { // These have a request in flight.
+        for (int i = idle.size(); i < PoolerHarness.USUAL_CLIENTS * 3 / 4 - 1; i++) { // Busy ones.
             harness.client().send(query(writeSql("p" + i, 9000)));
         }
         List<PoolerHarness.Link> late = List.of(harness.client(), harness.client());
--- a/pooler/src/test/java/frostreel/ConnectionCloseTest.java
+++ b/pooler/src/test/java/frostreel/ConnectionCloseTest.java
@@ -126,7 +126,8 @@
         };
         start();
         try (PoolerHarness.Link client = harness.client()) {
-            client.send(query(writeSql("1", 9000))); // A write, as a read would be retried on another member and end too soon.
+            // A write, as a read would be retried on another member and end too soon.
+            client.send(query(writeSql("1", 9000)));
             byte[] excess = query("x".repeat(100_000)); // Of unknown form: an error each.
             for (int i = 0; i < 14; i++) {
                 client.send(excess);
--- a/pooler/src/test/java/frostreel/DisconnectedClientsTest.java
+++ b/pooler/src/test/java/frostreel/DisconnectedClientsTest.java
@@ -126,7 +126,8 @@
 
     @Test
     void cancelledQueuedWriteIsNotSentOnceThereIsAPrimary() throws Exception {
-        harness.settings = PoolerHarness.SETTINGS.replace("\"probes\":true", "\"probes\":false"); // The primary is searched for by writes.
+        // Without health checks the primary is searched for by writes.
+        harness.settings = PoolerHarness.SETTINGS.replace("\"probes\":true", "\"probes\":false");
         primary.script = errors("25006", "replica");
         replica.script = errors("25006", "replica");
         start();
--- a/pooler/src/test/java/frostreel/EndpointListTest.java
+++ b/pooler/src/test/java/frostreel/EndpointListTest.java
@@ -37,7 +37,7 @@
         }
     }
 
-    /** The handshake may last longer than the limit on sends to a draining server, and the request would follow it. */
+    /** The handshake may last longer than the limit on sends to a draining server, and be followed by the request. */
     @Test
     void requestWaitingForConnectionMovesWhenItsServerDrainsOrMoves() throws Exception {
         PoolerHarness.Peer moved = harness.server(rows("from-moved", "replica"));
--- a/pooler/src/test/java/frostreel/PipelineTest.java
+++ b/pooler/src/test/java/frostreel/PipelineTest.java
@@ -39,7 +39,7 @@
     /** Waits until all requests were read and the short deadline is over, and returns the server's connection. */
     private PoolerHarness.Link awaitFirstSentAndPatienceOver() throws Exception {
         PoolerHarness.Link link = held.take();
-        try (PoolerHarness.Link other = harness.client()) { // Sent later, it is read no earlier than in the same turn.
+        try (PoolerHarness.Link other = harness.client()) { // Read no earlier than in the same turn.
             other.execute("");
             other.execute("");
         }
--- a/pooler/src/test/java/frostreel/PoolerHarness.java
+++ b/pooler/src/test/java/frostreel/PoolerHarness.java
@@ -322,7 +322,7 @@
         return Map.of("GW_CONFIG", Files.writeString(file, json).toString());
     }
 
-    /** Starts the pooler with these endpoints, both configured and in discovery's first list, and awaits readiness. */
+    /** Starts the pooler with these endpoints, configured and in discovery's first list, and awaits readiness. */
     void start(String... hosts) throws Exception {
         lists.add(list(1, true, hosts));
         startSilent(hosts);
--- a/pooler/src/test/java/frostreel/ShutdownTest.java
+++ b/pooler/src/test/java/frostreel/ShutdownTest.java
@@ -172,7 +172,8 @@
             asked.await();
             Thread stop = stopPooler();
             String last = "";
-            for (int i = 0; !last.matches(".*d=(3[0-2]|[12]?.)..,.*"); i++) { // The deadline shrinks to the time until SIGKILL.
+            // Deadlines of 9 s are cut to the time that is left until SIGKILL.
+            for (int i = 0; !last.matches(".*d=(3[0-2]|[12]?.)..,.*"); i++) {
                 assertThat(value(idle.execute(writeSql("s" + i, 9000)))).isEqualTo("from-primary");
                 last = primary.next();
             }
--- a/pooler/src/test/java/frostreel/SighupTest.java
+++ b/pooler/src/test/java/frostreel/SighupTest.java
@@ -20,7 +20,7 @@
         Map<String, String> environment =
                 new HashMap<>(PoolerHarness.environment(PoolerHarness.configuration(harness.discovery.address())));
         Path file = Path.of(environment.get("GW_CONFIG"));
-        environment.put("GW_DISCOVERY", harness.discovery.address()); // Outdated after the reload: the file takes precedence.
+        environment.put("GW_DISCOVERY", harness.discovery.address()); // The file takes precedence.
         try (ServeProcess process = ServeProcess.start(environment)) {
             harness.lists.add(list(7, true));
             process.awaitReady();
