--- a/pooler/src/main/java/frostreel/ConfigReloader.java
+++ b/pooler/src/main/java/frostreel/ConfigReloader.java
@@ -6,11 +6,11 @@
 import frostreel.net.ServerPool;
 import frostreel.operation.RequestClassRegistry;
 import frostreel.operation.ServingLifecycle;
+import frostreel.routing.Router;
 import frostreel.settings.OperatorSettings;
 import frostreel.zones.ZoneFailoverPolicy;
 import java.util.Objects;
 import java.util.logging.Logger;
-import frostreel.routing.Router;
 
 /** Applies a reloaded configuration to the running process, each in one step on the I/O thread. */
 final class ConfigReloader {
@@ -107,14 +107,15 @@
         if (!Objects.equals(cluster, operators.cluster())) {
             LOG.warning("other poolers are named now: they hold from the next start");
         }
-        loop.thread().execute(() -> operators
-                .zonesFor(config.settings().zone(), config.zones())
-                .ifPresent(zones -> {
-                    if (zonePolicy == null) {
-                        LOG.warning("zones are stated now: they hold from the next start");
-                    } else {
-                        zonePolicy.configure(zones);
-                    }
-                }));
+        loop.thread()
+                .execute(() -> operators
+                        .zonesFor(config.settings().zone(), config.zones())
+                        .ifPresent(zones -> {
+                            if (zonePolicy == null) {
+                                LOG.warning("zones are stated now: they hold from the next start");
+                            } else {
+                                zonePolicy.configure(zones);
+                            }
+                        }));
     }
 }
--- a/pooler/src/main/java/frostreel/EndpointSource.java
+++ b/pooler/src/main/java/frostreel/EndpointSource.java
@@ -5,9 +5,9 @@
 import frostreel.config.EndpointList;
 import frostreel.discovery.DiscoveryWatch;
 import frostreel.net.EventLoop;
+import frostreel.routing.Router;
 import java.util.function.BiConsumer;
 import java.util.logging.Logger;
-import frostreel.routing.Router;
 
 /**
  * Passes on endpoint lists: first the one in the configuration, then what the discovery agent reports. When a
--- a/pooler/src/main/java/frostreel/Pooler.java
+++ b/pooler/src/main/java/frostreel/Pooler.java
@@ -2,10 +2,10 @@
 
 import frostreel.broker.Broker;
 import frostreel.config.Config;
-import frostreel.control.PeerProcessCommits;
 import frostreel.control.AdminListener;
 import frostreel.control.ClockAnchor;
 import frostreel.control.CommandExecutor;
+import frostreel.control.PeerProcessCommits;
 import frostreel.fleet.ClusterMember;
 import frostreel.log.Logging;
 import frostreel.net.EventLoop;
@@ -21,9 +21,6 @@
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.SplittableRandom;
-import frostreel.routing.ChainRouter;
-import frostreel.routing.NearestZonePolicy;
-import frostreel.routing.Router;
 
 /** One pooler: creates its parts, connects them, and starts and ends them. */
 public final class Pooler {
@@ -49,17 +46,19 @@
      * {@code configuredListPatienceUs}: how long the list in the configuration waits for discovery;
      * {@code lingerUs}: how long a client whose connection was ended may take to end it too.
      */
-    Pooler(Config config, OperatorSettings operators, long configuredListPatienceUs, long lingerUs)
-            throws IOException {
+    Pooler(Config config, OperatorSettings operators, long configuredListPatienceUs, long lingerUs) throws IOException {
         loop = new EventLoop(ClockAnchor.clock(config.orders()));
         PeerProcessCommits peer = PeerProcessCommits.open(config, loop.clock().now());
         loop.onBeat(peer.writeObserver()::onHeartbeat);
         ServerPool pool = new ServerPool(loop, config.settings(), config.maxServerConnections());
         broker = broker(config, operators, pool, peer);
-        RequestClassRegistry classes = new RequestClassRegistry(config.settings().classes());
-        lifecycle = new ServingLifecycle(config.inherits(), ConfigReloader.longestDeadlineUs(config.settings()), lingerUs);
+        RequestClassRegistry classes =
+                new RequestClassRegistry(config.settings().classes());
+        lifecycle =
+                new ServingLifecycle(config.inherits(), ConfigReloader.longestDeadlineUs(config.settings()), lingerUs);
         listener = listener(config, classes);
-        commands = new CommandExecutor(loop, lifecycle, pool, broker, listener::sweep, config.orders(), incarnation(config));
+        commands = new CommandExecutor(
+                loop, lifecycle, pool, broker, listener::sweep, config.orders(), incarnation(config));
         AdminListener admin = config.control() == null ? null : new AdminListener(loop, commands);
         ClusterMember clusterMember =
                 operators.cluster() == null ? null : new ClusterMember(operators.cluster(), config.name(), loop);
@@ -67,8 +66,7 @@
         endpoints = new EndpointSource(loop, config, configuredListPatienceUs, commands::onEndpointList, readiness);
         readiness.beforeServing(endpoints::applyConfigured);
         sockets = new ServingSockets(loop, config, listener, admin, readiness);
-        reloader = new ConfigReloader(
-                loop, pool, broker, lifecycle, classes, endpoints, zonePolicy, config, operators);
+        reloader = new ConfigReloader(loop, pool, broker, lifecycle, classes, endpoints, zonePolicy, config, operators);
         shutdown = new ShutdownSequence(loop, lifecycle, listener, broker, clusterMember);
         addPages(admin, clusterMember);
         loop.onNews(endpoints::readNow);
@@ -90,7 +88,11 @@
     }
 
     private Router router(
-            Config config, OperatorSettings operators, PeerProcessCommits peer, Router.Settings settings, Router.Actions actions) {
+            Config config,
+            OperatorSettings operators,
+            PeerProcessCommits peer,
+            Router.Settings settings,
+            Router.Actions actions) {
         if (operators.zones() == null) {
             return new ChainRouter(settings, actions, new NearestZonePolicy(settings.zone()), peer.peerCommits());
         }
--- a/pooler/src/main/java/frostreel/ShutdownSequence.java
+++ b/pooler/src/main/java/frostreel/ShutdownSequence.java
@@ -2,8 +2,8 @@
 
 import frostreel.broker.Broker;
 import frostreel.fleet.ClusterMember;
-import frostreel.net.Listener;
 import frostreel.net.EventLoop;
+import frostreel.net.Listener;
 import frostreel.operation.ServingLifecycle;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
@@ -26,7 +26,8 @@
 
     private final CountDownLatch drained = new CountDownLatch(1);
 
-    ShutdownSequence(EventLoop loop, ServingLifecycle lifecycle, Listener listener, Broker broker, ClusterMember clusterMember) {
+    ShutdownSequence(
+            EventLoop loop, ServingLifecycle lifecycle, Listener listener, Broker broker, ClusterMember clusterMember) {
         this.loop = loop;
         this.lifecycle = lifecycle;
         this.listener = listener;
--- a/pooler/src/main/java/frostreel/stats/Counters.java
+++ b/pooler/src/main/java/frostreel/stats/Counters.java
@@ -37,14 +37,17 @@
     public long longAnswers;
     /** Streamed responses that ended incomplete. */
     public long longBroken;
+
     public long served;
     public long refused;
     public long failed;
     /** Requests that the router left unanswered at their deadlines. */
     public long overdue;
+
     public long attempts;
     /** Health checks sent. */
     public long probes;
+
     public long serverConnections;
     public long serverConnectFailures;
     /** Idle server connections closed to make room for another. */
@@ -55,6 +58,7 @@
     public long watches;
     /** Endpoint lists received. */
     public long lists;
+
     public long discoveryFailures;
     /** Exceptions caught in handlers, timers and events. */
     public long strayExceptions;
--- a/pooler/src/test/java/frostreel/AbstractPoolerTest.java
+++ b/pooler/src/test/java/frostreel/AbstractPoolerTest.java
@@ -63,7 +63,10 @@
 
     /** Checks that a response is one row, and returns its value. */
     static String value(List<String> response) {
-        assertThat(response).as("%s", response).extracting(message -> message.charAt(0)).containsExactly('T', 'D', 'C');
+        assertThat(response)
+                .as("%s", response)
+                .extracting(message -> message.charAt(0))
+                .containsExactly('T', 'D', 'C');
         return response.get(1).substring(7);
     }
 
--- a/pooler/src/test/java/frostreel/ClientCapacityTest.java
+++ b/pooler/src/test/java/frostreel/ClientCapacityTest.java
@@ -1,9 +1,9 @@
 package frostreel;
 
-import static frostreel.TestMessages.readSql;
-import static frostreel.TestMessages.writeSql;
 import static frostreel.TestMessages.query;
+import static frostreel.TestMessages.readSql;
 import static frostreel.TestMessages.row;
+import static frostreel.TestMessages.writeSql;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.util.ArrayList;
--- a/pooler/src/test/java/frostreel/ClientProtocolTest.java
+++ b/pooler/src/test/java/frostreel/ClientProtocolTest.java
@@ -1,9 +1,9 @@
 package frostreel;
 
+import static frostreel.PoolerHarness.rows;
+import static frostreel.TestMessages.query;
 import static frostreel.TestMessages.readSql;
 import static frostreel.TestMessages.writeSql;
-import static frostreel.TestMessages.query;
-import static frostreel.PoolerHarness.rows;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.util.List;
@@ -83,7 +83,10 @@
                 PoolerHarness.Link thief = harness.client()) {
             client.send(query(readSql("1", 9000)));
             assertThat(replica.next()).contains("id=1,");
-            assertThat(thief.execute(readSql("1", 9000))).singleElement().asString().contains("|C22023|");
+            assertThat(thief.execute(readSql("1", 9000)))
+                    .singleElement()
+                    .asString()
+                    .contains("|C22023|");
             assertThat(harness.pooler.counters()).contains(" attempts=1 ");
         }
     }
@@ -103,7 +106,11 @@
                     writeSql("1", 9000).replace(",k=5c0f", ""),
                     readSql("1", 9000).replace("d=9000", "d=-5"),
                     readSql("1", 9000).replace("look", "none"))) {
-                assertThat(client.execute(bad)).as(bad).singleElement().asString().contains("|C22023|");
+                assertThat(client.execute(bad))
+                        .as(bad)
+                        .singleElement()
+                        .asString()
+                        .contains("|C22023|");
             }
             assertThat(harness.pooler.counters()).contains(" requests=0 ").contains(" malformed=10 ");
         }
--- a/pooler/src/test/java/frostreel/ConfigTest.java
+++ b/pooler/src/test/java/frostreel/ConfigTest.java
@@ -19,8 +19,8 @@
     @Test
     void descriptorsAreSharedBetweenClientsAndServers() throws Exception {
         for (int sockets : new int[] {128, 256, 384, 1024}) {
-            Config config = Config.load(PoolerHarness.environment(
-                    PoolerHarness.configuration("127.0.0.1:1", SERVER).replace("\"sockets\":128", "\"sockets\":" + sockets)));
+            Config config = Config.load(PoolerHarness.environment(PoolerHarness.configuration("127.0.0.1:1", SERVER)
+                    .replace("\"sockets\":128", "\"sockets\":" + sockets)));
             int rest = sockets - 64;
             assertThat(config.maxClients() + config.maxServerConnections()).isEqualTo(rest);
             assertThat(config.maxServerConnections()).isGreaterThanOrEqualTo(rest / 4);
@@ -92,7 +92,9 @@
             String[] way = key.split("/");
             Object parent = cut;
             for (int i = 0; i < way.length - 1; i++) {
-                parent = parent instanceof JSONArray array ? array.get(Integer.parseInt(way[i])) : ((JSONObject) parent).get(way[i]);
+                parent = parent instanceof JSONArray array
+                        ? array.get(Integer.parseInt(way[i]))
+                        : ((JSONObject) parent).get(way[i]);
             }
             ((JSONObject) parent).remove(way[way.length - 1]);
             assertThatThrownBy(() -> reload(cut.toString()))
--- a/pooler/src/test/java/frostreel/ConnectionCloseTest.java
+++ b/pooler/src/test/java/frostreel/ConnectionCloseTest.java
@@ -1,10 +1,10 @@
 package frostreel;
 
 import static frostreel.PoolerHarness.host;
+import static frostreel.PoolerHarness.rows;
+import static frostreel.TestMessages.query;
 import static frostreel.TestMessages.readSql;
 import static frostreel.TestMessages.writeSql;
-import static frostreel.TestMessages.query;
-import static frostreel.PoolerHarness.rows;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import frostreel.discovery.DiscoveryWatch;
@@ -174,7 +174,8 @@
                         .as("cut at byte %d", i)
                         .isEqualTo("from-primary");
                 for (int j = 0; j < successes; j++) {
-                    assertThat(value(client.execute(readSql("q" + i + "x" + j, 9000)))).isEqualTo("from-replica");
+                    assertThat(value(client.execute(readSql("q" + i + "x" + j, 9000))))
+                            .isEqualTo("from-replica");
                 }
             }
         }
--- a/pooler/src/test/java/frostreel/DisconnectedClientsTest.java
+++ b/pooler/src/test/java/frostreel/DisconnectedClientsTest.java
@@ -1,11 +1,11 @@
 package frostreel;
 
 import static frostreel.PoolerHarness.errors;
-import static frostreel.TestMessages.readSql;
-import static frostreel.TestMessages.writeSql;
+import static frostreel.PoolerHarness.rows;
 import static frostreel.TestMessages.query;
+import static frostreel.TestMessages.readSql;
 import static frostreel.TestMessages.row;
-import static frostreel.PoolerHarness.rows;
+import static frostreel.TestMessages.writeSql;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.util.ArrayList;
--- a/pooler/src/test/java/frostreel/DiscoveryTest.java
+++ b/pooler/src/test/java/frostreel/DiscoveryTest.java
@@ -1,10 +1,10 @@
 package frostreel;
 
 import static frostreel.PoolerHarness.host;
-import static frostreel.TestMessages.http;
 import static frostreel.PoolerHarness.list;
-import static frostreel.TestMessages.readSql;
+import static frostreel.TestMessages.http;
 import static frostreel.TestMessages.query;
+import static frostreel.TestMessages.readSql;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.io.IOException;
--- a/pooler/src/test/java/frostreel/EndpointListTest.java
+++ b/pooler/src/test/java/frostreel/EndpointListTest.java
@@ -2,9 +2,9 @@
 
 import static frostreel.PoolerHarness.host;
 import static frostreel.PoolerHarness.list;
-import static frostreel.TestMessages.readSql;
-import static frostreel.TestMessages.query;
 import static frostreel.PoolerHarness.rows;
+import static frostreel.TestMessages.query;
+import static frostreel.TestMessages.readSql;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import org.junit.jupiter.api.Test;
--- a/pooler/src/test/java/frostreel/FailoverTest.java
+++ b/pooler/src/test/java/frostreel/FailoverTest.java
@@ -1,10 +1,10 @@
 package frostreel;
 
 import static frostreel.PoolerHarness.errors;
+import static frostreel.PoolerHarness.rows;
 import static frostreel.TestMessages.readSql;
-import static frostreel.TestMessages.writeSql;
 import static frostreel.TestMessages.row;
-import static frostreel.PoolerHarness.rows;
+import static frostreel.TestMessages.writeSql;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.util.List;
@@ -76,7 +76,10 @@
         primary.script = silence;
         start();
         try (PoolerHarness.Link client = harness.client()) {
-            assertThat(client.execute(readSql("1", 200))).singleElement().asString().startsWith("E");
+            assertThat(client.execute(readSql("1", 200)))
+                    .singleElement()
+                    .asString()
+                    .startsWith("E");
             assertThat(replica.closedConnections.take()).isEqualTo("closed");
             replica.script = rows("back", "replica");
             primary.script = rows("back", "primary");
--- a/pooler/src/test/java/frostreel/LateConnectionsTest.java
+++ b/pooler/src/test/java/frostreel/LateConnectionsTest.java
@@ -2,11 +2,11 @@
 
 import static frostreel.PoolerHarness.host;
 import static frostreel.PoolerHarness.list;
-import static frostreel.TestMessages.readSql;
-import static frostreel.TestMessages.writeSql;
+import static frostreel.PoolerHarness.rows;
 import static frostreel.TestMessages.query;
+import static frostreel.TestMessages.readSql;
 import static frostreel.TestMessages.row;
-import static frostreel.PoolerHarness.rows;
+import static frostreel.TestMessages.writeSql;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.util.concurrent.BlockingQueue;
@@ -55,7 +55,10 @@
         replica.handshake = (text, link) -> handshakes.add(link);
         start();
         try (PoolerHarness.Link client = harness.client()) {
-            assertThat(client.execute(readSql("1", 300))).singleElement().asString().startsWith("E");
+            assertThat(client.execute(readSql("1", 300)))
+                    .singleElement()
+                    .asString()
+                    .startsWith("E");
             PoolerHarness.Link late = handshakes.take();
             client.send(query(readSql("2", 9000)));
             PoolerHarness.Link itsOwn = handshakes.take();
--- a/pooler/src/test/java/frostreel/LongValuesTest.java
+++ b/pooler/src/test/java/frostreel/LongValuesTest.java
@@ -121,7 +121,8 @@
 
     @Test
     void errorAfterLongValueClosesTheClient() throws Exception {
-        replica.script = (text, link) -> link.send(head(LONG, LONG), VALUE, TestMessages.error("XX000"), TestMessages.READY);
+        replica.script =
+                (text, link) -> link.send(head(LONG, LONG), VALUE, TestMessages.error("XX000"), TestMessages.READY);
         try (PoolerHarness.Link client = harness.client()) {
             client.send(TestMessages.query(readSql("1", 9000)));
             readHead(client, LONG);
--- a/pooler/src/test/java/frostreel/OperatorCommandsTest.java
+++ b/pooler/src/test/java/frostreel/OperatorCommandsTest.java
@@ -52,7 +52,10 @@
         replica.script = PoolerHarness.errors("25006", "replica");
         assertThat(harness.command("SUSPEND a")).isEqualTo("OK\n");
         try (PoolerHarness.Link client = harness.client()) {
-            assertThat(client.execute(writeSql("1", 600))).singleElement().asString().contains("|C53300|");
+            assertThat(client.execute(writeSql("1", 600)))
+                    .singleElement()
+                    .asString()
+                    .contains("|C53300|");
             assertThat(primary.received).isEmpty();
         }
     }
@@ -163,7 +166,10 @@
             assertThat(harness.command("SUSPEND b")).isEqualTo("OK\n");
             assertThat(value(client.execute(readSql("1", 9000)))).isEqualTo("from-primary");
             assertThat(harness.command("SUSPEND a")).isEqualTo("OK\n");
-            assertThat(client.execute(readSql("2", 600))).singleElement().asString().contains("|C53300|");
+            assertThat(client.execute(readSql("2", 600)))
+                    .singleElement()
+                    .asString()
+                    .contains("|C53300|");
             assertThat(harness.command("RESTORE a")).isEqualTo("OK\n");
             assertThat(value(client.execute(writeSql("3", 9000)))).isEqualTo("from-primary");
         }
--- a/pooler/src/test/java/frostreel/PausedProcessTest.java
+++ b/pooler/src/test/java/frostreel/PausedProcessTest.java
@@ -2,9 +2,9 @@
 
 import static frostreel.PoolerHarness.host;
 import static frostreel.PoolerHarness.list;
+import static frostreel.TestMessages.query;
 import static frostreel.TestMessages.readSql;
 import static frostreel.TestMessages.writeSql;
-import static frostreel.TestMessages.query;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import org.junit.jupiter.api.Test;
@@ -50,8 +50,7 @@
                 PoolerHarness.awaitElapsed(System.nanoTime(), pausedMs);
                 process.resume();
                 assertThat(value(client.readResponse())).isEqualTo("from-primary");
-                assertThat(TestMessages.remainingMs(primary.next()))
-                        .isLessThanOrEqualTo((int) (9000 - pausedMs));
+                assertThat(TestMessages.remainingMs(primary.next())).isLessThanOrEqualTo((int) (9000 - pausedMs));
                 late.readResponse();
                 assertThat(late.readResponse()).singleElement().asString().contains("|C53300|");
                 assertThat(primary.received).isEmpty();
--- a/pooler/src/test/java/frostreel/PipelineTest.java
+++ b/pooler/src/test/java/frostreel/PipelineTest.java
@@ -1,10 +1,10 @@
 package frostreel;
 
-import static frostreel.TestMessages.readSql;
-import static frostreel.TestMessages.writeSql;
+import static frostreel.PoolerHarness.rows;
 import static frostreel.TestMessages.query;
+import static frostreel.TestMessages.readSql;
 import static frostreel.TestMessages.row;
-import static frostreel.PoolerHarness.rows;
+import static frostreel.TestMessages.writeSql;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import frostreel.net.ArrivalTimes;
@@ -111,8 +111,7 @@
 
     @Test
     void everyPipelinedMessageHasOneResponseInOrder() throws Exception {
-        replica.script = (text, link) ->
-                link.send(row(TestMessages.requestId(text), "replica"), TestMessages.READY);
+        replica.script = (text, link) -> link.send(row(TestMessages.requestId(text), "replica"), TestMessages.READY);
         holdFirst();
         ByteArrayOutputStream all = new ByteArrayOutputStream();
         all.writeBytes(first());
--- a/pooler/src/test/java/frostreel/PoolerHarness.java
+++ b/pooler/src/test/java/frostreel/PoolerHarness.java
@@ -137,6 +137,7 @@
         final BlockingQueue<String> closedConnections = new LinkedBlockingQueue<>();
         /** How many connections were accepted. */
         final AtomicInteger connections = new AtomicInteger();
+
         volatile Script script;
         /** How a server responds to the startup message. */
         volatile Script handshake = (text, link) -> link.completeHandshake();
@@ -332,7 +333,11 @@
     /** Starts the pooler with these endpoints configured; discovery stays silent, and nothing is waited for. */
     void startSilent(String... hosts) throws Exception {
         Config config = Config.load(environment(configured(discovery.address(), hosts)));
-        pooler = new Pooler(unlimitedConcurrency ? withUnlimitedConcurrency(config) : config, operators, configuredListPatienceUs, lingerUs);
+        pooler = new Pooler(
+                unlimitedConcurrency ? withUnlimitedConcurrency(config) : config,
+                operators,
+                configuredListPatienceUs,
+                lingerUs);
     }
 
     private static Config withUnlimitedConcurrency(Config config) {
@@ -466,7 +471,8 @@
 
     /** Responds with an error. */
     static Script errors(String code, String role) {
-        return (text, link) -> link.send(TestMessages.error(code), TestMessages.bytes('S', "role|" + role + "|"), TestMessages.READY);
+        return (text, link) ->
+                link.send(TestMessages.error(code), TestMessages.bytes('S', "role|" + role + "|"), TestMessages.READY);
     }
 
     /** Ends the clients, the peers and the pooler. */
--- a/pooler/src/test/java/frostreel/RetryAfterTest.java
+++ b/pooler/src/test/java/frostreel/RetryAfterTest.java
@@ -1,7 +1,7 @@
 package frostreel;
 
-import static frostreel.TestMessages.readSql;
 import static frostreel.TestMessages.query;
+import static frostreel.TestMessages.readSql;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.util.ArrayList;
--- a/pooler/src/test/java/frostreel/ServerConnectionsTest.java
+++ b/pooler/src/test/java/frostreel/ServerConnectionsTest.java
@@ -1,10 +1,10 @@
 package frostreel;
 
 import static frostreel.PoolerHarness.host;
-import static frostreel.TestMessages.readSql;
-import static frostreel.TestMessages.writeSql;
 import static frostreel.TestMessages.query;
+import static frostreel.TestMessages.readSql;
 import static frostreel.TestMessages.row;
+import static frostreel.TestMessages.writeSql;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.util.ArrayList;
@@ -49,7 +49,8 @@
             List<PoolerHarness.Link> clients = new ArrayList<>();
             for (int i = 0; i < (id.equals("e") ? 1 : atOnce); i++) {
                 clients.add(harness.client());
-                clients.get(i).send(query(writeSql(id + i, 9000).replace("cluster=2", "cluster=" + (int) id.charAt(0))));
+                clients.get(i)
+                        .send(query(writeSql(id + i, 9000).replace("cluster=2", "cluster=" + (int) id.charAt(0))));
             }
             for (PoolerHarness.Link client : clients) {
                 assertThat(value(client.readResponse())).isEqualTo(id);
--- a/pooler/src/test/java/frostreel/ShutdownTest.java
+++ b/pooler/src/test/java/frostreel/ShutdownTest.java
@@ -2,10 +2,10 @@
 
 import static frostreel.PoolerHarness.host;
 import static frostreel.PoolerHarness.list;
-import static frostreel.TestMessages.readSql;
-import static frostreel.TestMessages.writeSql;
 import static frostreel.TestMessages.query;
+import static frostreel.TestMessages.readSql;
 import static frostreel.TestMessages.row;
+import static frostreel.TestMessages.writeSql;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.io.EOFException;
@@ -31,8 +31,9 @@
 
 /** Graceful shutdown, under clients that send for as long as their connections stay open. */
 class ShutdownTest extends AbstractPoolerTest {
-    private static final String SHORT =
-            PoolerHarness.SETTINGS.replace("\"deadlineS\":10", "\"deadlineS\":0.3").replace("\"onTimeS\":5", "\"onTimeS\":0.2");
+    private static final String SHORT = PoolerHarness.SETTINGS
+            .replace("\"deadlineS\":10", "\"deadlineS\":0.3")
+            .replace("\"onTimeS\":5", "\"onTimeS\":0.2");
     private static final int CLIENTS = 8;
 
     /** What precedes SIGTERM, or accompanies it. */
@@ -84,7 +85,8 @@
             if (before == Before.PAUSE) {
                 try (Socket caller = new Socket("127.0.0.1", calls)) {
                     caller.getOutputStream().write("PAUSE\n".getBytes());
-                    assertThat(new String(caller.getInputStream().readAllBytes())).startsWith("OK");
+                    assertThat(new String(caller.getInputStream().readAllBytes()))
+                            .startsWith("OK");
                 }
             }
             process.signal("TERM");
@@ -97,8 +99,7 @@
             }
             Set<String> reached = new HashSet<>();
             for (PoolerHarness.Peer peer : List.of(primary, replica)) {
-                peer.received.forEach(
-                        text -> reached.add(TestMessages.requestId(text)));
+                peer.received.forEach(text -> reached.add(TestMessages.requestId(text)));
             }
             reached.removeAll(answered);
             assertThat(reached).isEmpty();
--- a/pooler/src/test/java/frostreel/SighupTest.java
+++ b/pooler/src/test/java/frostreel/SighupTest.java
@@ -44,7 +44,8 @@
 
     @Test
     void warnsWhenStartedWithSighupIgnored() throws Exception {
-        Map<String, String> environment = PoolerHarness.environment(PoolerHarness.configuration(harness.discovery.address()));
+        Map<String, String> environment =
+                PoolerHarness.environment(PoolerHarness.configuration(harness.discovery.address()));
         try (ServeProcess process = ServeProcess.startWithSighupIgnored(environment)) {
             process.awaitLog("SIGHUP was ignored at the start");
         }
--- a/pooler/src/test/java/frostreel/StartupReadinessTest.java
+++ b/pooler/src/test/java/frostreel/StartupReadinessTest.java
@@ -50,7 +50,10 @@
         harness.startSilent(host("a", primary, "primary", "Ready"), host("b", replica, "replica", "Ready"));
         try (PoolerHarness.Link client = harness.client()) {
             assertThat(client.execute("")).singleElement().asString().contains("|C57P03|");
-            assertThat(client.execute(readSql("1", 9000))).singleElement().asString().contains("|C53300|");
+            assertThat(client.execute(readSql("1", 9000)))
+                    .singleElement()
+                    .asString()
+                    .contains("|C53300|");
             harness.lists.add(list(7, false, host("b", replica, "replica", "Terminating")));
             untilReady(client);
             assertThat(value(client.execute(readSql("2", 9000)))).isEqualTo("from-primary");
@@ -60,7 +63,9 @@
     }
 
     private static void untilReady(PoolerHarness.Link client) throws IOException {
-        for (List<String> response = client.execute(""); !response.equals(List.of("I")); response = client.execute("")) {
+        for (List<String> response = client.execute("");
+                !response.equals(List.of("I"));
+                response = client.execute("")) {
             assertThat(response).singleElement().asString().contains("|C57P03|");
         }
     }
--- a/pooler/src/test/java/frostreel/StatusPagesTest.java
+++ b/pooler/src/test/java/frostreel/StatusPagesTest.java
@@ -37,7 +37,8 @@
                     .contains("sent_by_tier=[1, 0]")
                     .contains("areas={0={UP=1}}");
             harness.pooler.reload(
-                    frostreel.config.Config.load(PoolerHarness.environment(PoolerHarness.configuration(harness.discovery.address()))),
+                    frostreel.config.Config.load(
+                            PoolerHarness.environment(PoolerHarness.configuration(harness.discovery.address()))),
                     harness.operators);
             while (!value(client.execute("SHOW zones")).contains("sent_by_tier=[0, 0]")) {
                 Thread.onSpinWait(); // The reload is queued on the I/O thread.
