--- a/pooler/src/test/java/frostreel/HandoverTest.java
+++ b/pooler/src/test/java/frostreel/HandoverTest.java
@@ -27,7 +27,8 @@
     Path dir;
 
     private PeerProcessCommits open(String config, String descriptor) throws Exception {
-        return PeerProcessCommits.open(Config.parse(config, Map.of("GW_FD", descriptor, "TMPDIR", dir.toString())), NOW);
+        return PeerProcessCommits.open(
+                Config.parse(config, Map.of("GW_FD", descriptor, "TMPDIR", dir.toString())), NOW);
     }
 
     private PeerProcessCommits open() throws Exception {
