--- a/decisions/src/test/java/frostreel/routing/ChainRouterTest.java
+++ b/decisions/src/test/java/frostreel/routing/ChainRouterTest.java
@@ -1,18 +1,19 @@
 package frostreel.routing;
 
-import static frostreel.routing.Recorder.ANY;
-import static frostreel.routing.Recorder.KEYED;
-import static frostreel.routing.Recorder.KEYED_ANYWHERE;
-import static frostreel.routing.Recorder.SAFE_READ;
-import static frostreel.routing.Recorder.UNSAFE;
-import static frostreel.routing.Recorder.trio;
-import static frostreel.routing.Recorder.up;
+import static frostreel.routing.RouterHarness.ANY_READ;
+import static frostreel.routing.RouterHarness.BOUNDED_READ;
+import static frostreel.routing.RouterHarness.KEYED_WRITE;
+import static frostreel.routing.RouterHarness.KEYED_WRITE_ALL_ZONES;
+import static frostreel.routing.RouterHarness.NON_IDEMPOTENT_WRITE;
+import static frostreel.routing.RouterHarness.primary;
+import static frostreel.routing.RouterHarness.replica;
+import static frostreel.routing.RouterHarness.threeMembers;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import frostreel.routing.Recorder.Setup;
 import frostreel.routing.Router.Outcome;
 import frostreel.routing.Router.Role;
+import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
@@ -20,68 +21,67 @@
 class ChainRouterTest {
     @Test
     void everyRequestGetsExactlyOneAnswerInTime() {
-        Recorder r = new Setup().start();
-        for (int cls = 0; cls <= KEYED_ANYWHERE; cls++) {
-            r.ask("q" + cls, cls, 0, 900_000);
+        RouterHarness harness = new SettingsBuilder().start();
+        for (int requestClass = 0; requestClass <= KEYED_WRITE_ALL_ZONES; requestClass++) {
+            harness.submit("q" + requestClass, requestClass, 0, 900_000);
         }
-        r.pass(900_000);
-        assertEquals(7, r.refused.stream().distinct().count());
-        assertEquals(7, r.refused.size() + r.failed.size());
-        assertTrue(r.sent.isEmpty());
+        harness.advance(900_000);
+        assertEquals(7, harness.rejected.stream().distinct().count());
+        assertEquals(7, harness.rejected.size() + harness.failed.size());
+        assertTrue(harness.attempts.isEmpty());
     }
 
     /** Summed over hundreds of routers, probing and waking for nothing once outweighed the requests. */
     @Test
     void aRouterWithNothingWaitingNeitherProbesNorWakes() {
-        Recorder r = trio();
-        r.ask("q", ANY);
-        r.pass(20_000);
-        r.end("q", Outcome.OK, Role.REPLICA, r.now);
-        r.pass(5_000_000);
-        assertTrue(r.probed.isEmpty(), "probed " + r.probed);
-        assertEquals(0, r.timersSet);
+        RouterHarness harness = threeMembers();
+        harness.submit("q", ANY_READ);
+        harness.advance(20_000);
+        harness.complete("q", Outcome.OK, Role.REPLICA, harness.nowUs);
+        harness.advance(5_000_000);
+        assertTrue(harness.healthChecked.isEmpty(), "health-checked " + harness.healthChecked);
+        assertEquals(0, harness.timersSet);
     }
 
     @Test
     void aClientThatLeftIsForgottenAndItsAttemptCalledOff() {
-        Recorder r = trio();
-        r.ask("w", KEYED);
-        r.router.onClientDisconnected(r.now, "w");
-        r.router.onClientDisconnected(r.now, "never seen");
-        assertEquals(List.of("w/0"), r.cancelled);
-        r.end("w", Outcome.CANCELLED);
-        r.pass(5_000_000);
-        assertEquals(1, r.count("w"));
-        assertTrue(r.failed.isEmpty() && r.refused.isEmpty());
+        RouterHarness harness = threeMembers();
+        harness.submit("w", KEYED_WRITE);
+        harness.clientDisconnected("w");
+        harness.clientDisconnected("never seen");
+        assertEquals(List.of("w/0"), harness.cancelled);
+        harness.complete("w", Outcome.CANCELLED);
+        harness.advance(5_000_000);
+        assertEquals(1, harness.attemptCount("w"));
+        assertTrue(harness.failed.isEmpty() && harness.rejected.isEmpty());
     }
 
     @Test
     void equalEventsGiveEqualActions() {
-        List<List<Recorder.Sent>> runs = List.of(rotation(3), rotation(3));
+        List<List<RouterHarness.Attempt>> runs = List.of(rotation(3), rotation(3));
         assertEquals(runs.get(0), runs.get(1));
     }
 
-    private static List<Recorder.Sent> rotation(long seed) {
-        Setup s = new Setup();
-        s.seed = seed;
-        Recorder r = s.start(up("a", 0, true), up("b", 0, false), up("c", 0, false), up("d", 0, false));
+    private static List<RouterHarness.Attempt> rotation(long seed) {
+        RouterHarness harness = new SettingsBuilder()
+                .seed(seed)
+                .start(primary("a", 0), replica("b", 0), replica("c", 0), replica("d", 0));
         for (int i = 0; i < 30; i++) {
-            r.ask("q" + i, ANY);
-            r.pass(7_000);
-            r.end("q" + i, Outcome.OK, Role.REPLICA, r.now);
+            harness.submit("q" + i, ANY_READ);
+            harness.advance(7_000);
+            harness.complete("q" + i, Outcome.OK, Role.REPLICA, harness.nowUs);
         }
-        return r.sent;
+        return harness.attempts;
     }
 
     @Test
     void anOpenRequestKeepsItsClassAndAttemptsAndALaterOneHasTheNew() {
-        Setup setup = new Setup();
-        Recorder r = setup.start(up("a", 0, true), up("b", 0, false), up("c", 1, false));
-        r.ask("open", UNSAFE);
-        setup.maxAttempts = 1;
-        List<Router.RequestClass> classes =
-                new java.util.ArrayList<>(setup.settings().classes());
-        Router.RequestClass old = classes.get(SAFE_READ);
+        SettingsBuilder settings = new SettingsBuilder();
+        RouterHarness harness = settings.start(primary("a", 0), replica("b", 0), replica("c", 1));
+        harness.submit("open", NON_IDEMPOTENT_WRITE);
+        settings.maxAttempts(1);
+        List<Router.RequestClass> classes = new ArrayList<>(settings.build().classes());
+        Router.RequestClass old = classes.get(BOUNDED_READ);
         classes.add(new Router.RequestClass(
                 "new",
                 Router.Access.WRITE,
@@ -93,15 +93,15 @@
                 old.deadlineUs(),
                 1,
                 0));
-        r.router.onSettings(setup.settings().with(classes, 1));
-        r.end("open", Outcome.WRONG_ROLE_OR_STALE, Role.REPLICA, 0);
-        assertEquals("b", r.last("open").member());
-        r.end("open", Outcome.WRONG_ROLE_OR_STALE, Role.PRIMARY, 0);
-        r.ask("later", UNSAFE);
-        r.end("later", Outcome.WRONG_ROLE_OR_STALE, Role.REPLICA, 0);
-        assertEquals(List.of("later"), r.refused);
-        r.ask("of the new class", classes.size() - 1);
-        r.end("of the new class", Outcome.RESET);
-        assertEquals(List.of("of the new class"), r.failed);
+        harness.router.onSettings(settings.build().with(classes, 1));
+        harness.complete("open", Outcome.WRONG_ROLE_OR_STALE, Role.REPLICA, 0);
+        assertEquals("b", harness.lastAttempt("open").member());
+        harness.complete("open", Outcome.WRONG_ROLE_OR_STALE, Role.PRIMARY, 0);
+        harness.submit("later", NON_IDEMPOTENT_WRITE);
+        harness.complete("later", Outcome.WRONG_ROLE_OR_STALE, Role.REPLICA, 0);
+        assertEquals(List.of("later"), harness.rejected);
+        harness.submit("of the new class", classes.size() - 1);
+        harness.complete("of the new class", Outcome.RESET);
+        assertEquals(List.of("of the new class"), harness.failed);
     }
 }
--- a/decisions/src/test/java/frostreel/routing/ConcurrencyLimitTest.java
+++ b/decisions/src/test/java/frostreel/routing/ConcurrencyLimitTest.java
@@ -1,11 +1,12 @@
 package frostreel.routing;
 
-import static frostreel.routing.Recorder.ANY;
-import static frostreel.routing.Recorder.UNSAFE;
-import static frostreel.routing.Recorder.up;
+import static frostreel.routing.RouterHarness.ANY_READ;
+import static frostreel.routing.RouterHarness.NON_IDEMPOTENT_WRITE;
+import static frostreel.routing.RouterHarness.primary;
+import static frostreel.routing.RouterHarness.replica;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import frostreel.routing.Recorder.Setup;
 import frostreel.routing.Router.Outcome;
 import frostreel.routing.Router.Role;
 import org.junit.jupiter.api.Test;
@@ -20,60 +21,64 @@
             value = Outcome.class,
             names = {"REJECTED", "CONNECT_FAILED"})
     void aFullOrUnreachableMemberIsLeftAloneForAWhile(Outcome outcome) {
-        Recorder r = new Setup().start(up("a", 0, true), up("b", 0, false));
+        RouterHarness harness = new SettingsBuilder().start(primary("a", 0), replica("b", 0));
         for (int i = 0; i < 100; i++) {
-            r.ask("q" + i, ANY);
-            for (int j = 0; j < 2 && r.last("q" + i) != null; j++) {
-                r.end("q" + i, Outcome.REJECTED, r.last("q" + i).member().equals("a") ? Role.PRIMARY : Role.REPLICA, 0);
+            harness.submit("q" + i, ANY_READ);
+            for (int j = 0; j < 2 && harness.lastAttempt("q" + i) != null; j++) {
+                harness.complete(
+                        "q" + i,
+                        Outcome.REJECTED,
+                        harness.lastAttempt("q" + i).member().equals("a") ? Role.PRIMARY : Role.REPLICA,
+                        0);
             }
-            r.pass(1_000);
+            harness.advance(1_000);
         }
-        assertTrue(r.sent.size() < 30, "attempts: " + r.sent.size());
+        assertTrue(harness.attempts.size() < 30, "attempts: " + harness.attempts.size());
     }
 
     /** Work alone took a quarter of an aim on some machines; cut for that, windows left them idle. */
     @Test
     void aMemberWhoseWorkTakesAThirdOfTheAimIsSentManyAtOnce() {
-        Recorder r = new Setup().start(up("b", 0, false));
+        RouterHarness harness = new SettingsBuilder().start(replica("b", 0));
         for (int i = 0; i < 200; i++) {
-            r.ask("q" + i, ANY);
-            r.pass(200_000);
-            if (r.last("q" + i) != null) {
-                r.router.onOutcome(r.now, "q" + i, 0, "b", Outcome.OK, true, 200_000, Role.REPLICA, r.now, null);
+            harness.submit("q" + i, ANY_READ);
+            harness.advance(200_000);
+            if (harness.lastAttempt("q" + i) != null) {
+                harness.answer(harness.lastAttempt("q" + i), 200_000, Role.REPLICA);
             }
         }
-        assertSentAtOnce(r, ANY);
+        assertSentAtOnce(harness, ANY_READ);
     }
 
     /** Answers may arrive spoilt, from any member equally: no queue is shorter for fewer sent. */
     @Test
     void errorsThatCameInTimeLeaveRoomForAsManyAtOnceAsBefore() {
-        Recorder r = new Setup().start(up("a", 0, true));
+        RouterHarness harness = new SettingsBuilder().start(primary("a", 0));
         for (int i = 0; i < 30; i++) {
-            r.ask("w" + i, UNSAFE);
-            r.pass(200_000);
-            r.end("w" + i, Outcome.ERROR, Role.PRIMARY, 0);
+            harness.submit("w" + i, NON_IDEMPOTENT_WRITE);
+            harness.advance(200_000);
+            harness.complete("w" + i, Outcome.ERROR, Role.PRIMARY, 0);
         }
-        assertSentAtOnce(r, UNSAFE);
+        assertSentAtOnce(harness, NON_IDEMPOTENT_WRITE);
     }
 
-    private static void assertSentAtOnce(Recorder r, int cls) {
+    private static void assertSentAtOnce(RouterHarness harness, int requestClass) {
         for (int i = 0; i < 4; i++) {
-            r.ask("at once " + i, cls);
-            assertTrue(r.last("at once " + i) != null, "of four at once, number " + i + " waits");
+            harness.submit("at once " + i, requestClass);
+            assertNotNull(harness.lastAttempt("at once " + i), "of four at once, number " + i + " waits");
         }
     }
 
     /** What waits in a member's queue past its use makes others late, where no window bounds the queue. */
     @Test
     void aReadThatEarnsNothingLateIsTimedOutAtItsAimOnceTheWindowIsAtItsFloor() {
-        Recorder r = new Setup().start(up("a", 0, false));
-        r.ask("q", ANY);
-        r.pass(700_000);
-        r.end("q", Outcome.TIMEOUT);
-        r.pass(60_000_000);
-        r.ask("q2", ANY);
-        assertTrue(r.last("q2").timeoutUs() <= 600_000);
-        assertTrue(r.last("q2").timeoutUs() > 100_000);
+        RouterHarness harness = new SettingsBuilder().start(replica("a", 0));
+        harness.submit("q", ANY_READ);
+        harness.advance(700_000);
+        harness.complete("q", Outcome.TIMEOUT);
+        harness.advance(60_000_000);
+        harness.submit("q2", ANY_READ);
+        assertTrue(harness.lastAttempt("q2").timeoutUs() <= 600_000);
+        assertTrue(harness.lastAttempt("q2").timeoutUs() > 100_000);
     }
 }
--- a/decisions/src/test/java/frostreel/routing/FreshnessTest.java
+++ b/decisions/src/test/java/frostreel/routing/FreshnessTest.java
@@ -1,15 +1,17 @@
 package frostreel.routing;
 
-import static frostreel.routing.Recorder.SAFE_READ;
-import static frostreel.routing.Recorder.SESSION;
-import static frostreel.routing.Recorder.UNSAFE;
-import static frostreel.routing.Recorder.trio;
-import static frostreel.routing.Recorder.up;
+import static frostreel.routing.RouterHarness.BOUNDED_READ;
+import static frostreel.routing.RouterHarness.NON_IDEMPOTENT_WRITE;
+import static frostreel.routing.RouterHarness.SESSION_READ;
+import static frostreel.routing.RouterHarness.primary;
+import static frostreel.routing.RouterHarness.replica;
+import static frostreel.routing.RouterHarness.threeMembers;
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import frostreel.routing.Recorder.Setup;
 import frostreel.routing.Router.Outcome;
 import frostreel.routing.Router.Role;
 import frostreel.routing.Router.SessionTracking;
@@ -20,118 +22,115 @@
 class FreshnessTest {
     @Test
     void aBoundedReadNeedsAPositionInsideItsBound() {
-        Recorder r = trio();
-        r.probeOk("b", Role.REPLICA, r.now - 900_000);
-        r.probeOk("c", Role.REPLICA, r.now - 700_000);
-        r.ask("q", SAFE_READ);
-        assertEquals("c", r.last("q").member());
+        RouterHarness harness = threeMembers();
+        harness.healthCheckSucceeded("b", Role.REPLICA, harness.nowUs - 900_000);
+        harness.healthCheckSucceeded("c", Role.REPLICA, harness.nowUs - 700_000);
+        harness.submit("q", BOUNDED_READ);
+        assertEquals("c", harness.lastAttempt("q").member());
     }
 
     @Test
     void aSessionReadNeedsItsCommitAndOneWithoutWritesTakesAnyReplica() {
-        Recorder r = trio();
-        r.probeOk("b", Role.REPLICA, r.now - 400_000);
-        r.probeOk("c", Role.REPLICA, r.now - 400_000);
-        r.ask("none", SESSION, 0, 1_000_000);
-        assertNotEquals("a", r.last("none").member());
-        r.ask("old", SESSION, 500_000, 1_000_000);
-        assertNotEquals("a", r.last("old").member());
-        r.ask("new", SESSION, 100_000, 1_000_000);
-        assertEquals("a", r.last("new").member());
+        RouterHarness harness = threeMembers();
+        harness.healthCheckSucceeded("b", Role.REPLICA, harness.nowUs - 400_000);
+        harness.healthCheckSucceeded("c", Role.REPLICA, harness.nowUs - 400_000);
+        harness.submit("none", SESSION_READ, 0, 1_000_000);
+        assertNotEquals("a", harness.lastAttempt("none").member());
+        harness.submit("old", SESSION_READ, 500_000, 1_000_000);
+        assertNotEquals("a", harness.lastAttempt("old").member());
+        harness.submit("new", SESSION_READ, 100_000, 1_000_000);
+        assertEquals("a", harness.lastAttempt("new").member());
     }
 
     @Test
     void rememberedCommitsBindTheSessionsReads() {
-        Setup s = new Setup();
-        s.sessionTracking = SessionTracking.REMEMBERED;
-        Recorder r = s.start(up("a", 0, true), up("b", 0, false));
-        r.probeOk("b", Role.REPLICA, r.now - 100_000);
-        r.ask("w", UNSAFE);
-        r.end("w", Outcome.OK, Role.PRIMARY, r.now - 5_000);
-        r.pass(10_000);
-        r.ask("q", SESSION);
-        r.pass(700_000);
-        assertEquals(0, r.countTo("b"));
-        r.probeOk("b", Role.REPLICA, r.now - 50_000);
-        r.ask("q2", SESSION);
-        assertEquals("b", r.last("q2").member());
+        RouterHarness harness = new SettingsBuilder()
+                .sessionTracking(SessionTracking.REMEMBERED)
+                .start(primary("a", 0), replica("b", 0));
+        harness.healthCheckSucceeded("b", Role.REPLICA, harness.nowUs - 100_000);
+        harness.submit("w", NON_IDEMPOTENT_WRITE);
+        harness.complete("w", Outcome.OK, Role.PRIMARY, harness.nowUs - 5_000);
+        harness.advance(10_000);
+        harness.submit("q", SESSION_READ);
+        harness.advance(700_000);
+        assertEquals(0, harness.attemptCountTo("b"));
+        harness.healthCheckSucceeded("b", Role.REPLICA, harness.nowUs - 50_000);
+        harness.submit("q2", SESSION_READ);
+        assertEquals("b", harness.lastAttempt("q2").member());
     }
 
     /** Its server may have answered, and the answer be lost: what it told counts as known all the same. */
     @Test
     void aWriteInDoubtBindsTheSessionsReads() {
-        Setup s = new Setup();
-        s.sessionTracking = SessionTracking.REMEMBERED;
-        Recorder r = s.start(up("a", 0, true), up("b", 0, false));
-        r.probeOk("b", Role.REPLICA, r.now - 10_000);
-        r.ask("w", UNSAFE);
-        r.pass(150_000);
-        r.ask("while out", SESSION);
-        r.end("w", Outcome.RESET);
-        r.ask("after", SESSION);
-        r.pass(150_000);
-        assertEquals(0, r.countTo("b"));
-        r.probeOk("b", Role.REPLICA, r.now - 50_000);
-        r.ask("caught up", SESSION);
-        assertEquals("b", r.last("caught up").member());
+        RouterHarness harness = new SettingsBuilder()
+                .sessionTracking(SessionTracking.REMEMBERED)
+                .start(primary("a", 0), replica("b", 0));
+        harness.healthCheckSucceeded("b", Role.REPLICA, harness.nowUs - 10_000);
+        harness.submit("w", NON_IDEMPOTENT_WRITE);
+        harness.advance(150_000);
+        harness.submit("while out", SESSION_READ);
+        harness.complete("w", Outcome.RESET);
+        harness.submit("after", SESSION_READ);
+        harness.advance(150_000);
+        assertEquals(0, harness.attemptCountTo("b"));
+        harness.healthCheckSucceeded("b", Role.REPLICA, harness.nowUs - 50_000);
+        harness.submit("caught up", SESSION_READ);
+        assertEquals("b", harness.lastAttempt("caught up").member());
     }
 
     /** While an attempt waits for its connection, more may have become known that its answer must hold. */
     @Test
     void whatWaitsForItsConnectionStandsOnlyWhileItsMemberIsNewEnough() {
-        Setup s = new Setup();
-        s.sessionTracking = SessionTracking.REMEMBERED;
-        Recorder r = s.start(up("a", 0, true), up("b", 0, false));
-        r.probeOk("b", Role.REPLICA, r.now - 100_000);
-        r.ask("w", UNSAFE);
-        r.ask("q", SESSION);
-        assertEquals("b", r.last("q").member());
-        assertEquals(true, r.router.mayStillBegin(r.now, "q"));
-        r.end("w", Outcome.OK, Role.PRIMARY, r.now - 5_000);
-        assertEquals(false, r.router.mayStillBegin(r.now, "q"));
-        r.end("q", Outcome.NOT_SENT);
-        assertEquals("a", r.last("q").member());
+        RouterHarness harness = new SettingsBuilder()
+                .sessionTracking(SessionTracking.REMEMBERED)
+                .start(primary("a", 0), replica("b", 0));
+        harness.healthCheckSucceeded("b", Role.REPLICA, harness.nowUs - 100_000);
+        harness.submit("w", NON_IDEMPOTENT_WRITE);
+        harness.submit("q", SESSION_READ);
+        assertEquals("b", harness.lastAttempt("q").member());
+        assertTrue(harness.mayStillBegin("q"));
+        harness.complete("w", Outcome.OK, Role.PRIMARY, harness.nowUs - 5_000);
+        assertFalse(harness.mayStillBegin("q"));
+        harness.complete("q", Outcome.NOT_SENT);
+        assertEquals("a", harness.lastAttempt("q").member());
     }
 
     /** Forgotten commits may not free a session to read what is older than its write. */
     @Test
     void commitsThatAreForgottenStillBind() {
-        Setup s = new Setup();
-        s.sessionTracking = SessionTracking.REMEMBERED;
-        Recorder r = s.start(up("a", 0, true), up("b", 0, false));
-        r.ask("w", UNSAFE);
-        long commit = r.now;
-        r.end("w", Outcome.OK, Role.PRIMARY, commit);
-        r.probeOk("b", Role.REPLICA, commit - 1_000_000);
-        r.pass(200_000_000);
-        r.router.onRequest(r.now, new Router.Request("other", UNSAFE, 43, 1, r.now + 2_000_000, 0, false));
-        r.end("other", Outcome.OK, Role.PRIMARY, r.now);
-        r.pass(10_000);
-        r.ask("q", SESSION);
-        r.pass(700_000);
-        assertEquals(0, r.countTo("b"));
+        RouterHarness harness = new SettingsBuilder()
+                .sessionTracking(SessionTracking.REMEMBERED)
+                .start(primary("a", 0), replica("b", 0));
+        harness.submit("w", NON_IDEMPOTENT_WRITE);
+        long commitUs = harness.nowUs;
+        harness.complete("w", Outcome.OK, Role.PRIMARY, commitUs);
+        harness.healthCheckSucceeded("b", Role.REPLICA, commitUs - 1_000_000);
+        harness.advance(200_000_000);
+        harness.submitFor(43, "other", NON_IDEMPOTENT_WRITE, 2_000_000);
+        harness.complete("other", Outcome.OK, Role.PRIMARY, harness.nowUs);
+        harness.advance(10_000);
+        harness.submit("q", SESSION_READ);
+        harness.advance(700_000);
+        assertEquals(0, harness.attemptCountTo("b"));
     }
 
     @Test
     void aDemotedPrimaryIsNoLongerTrustedWithReads() {
-        Recorder r = trio();
-        r.ask("w", UNSAFE);
-        r.end("w", Outcome.WRONG_ROLE_OR_STALE, Role.REPLICA, 0);
-        r.end("w", Outcome.WRONG_ROLE_OR_STALE, Role.REPLICA, 0);
-        r.end("w", Outcome.WRONG_ROLE_OR_STALE, Role.REPLICA, 0);
-        r.ask("q", SAFE_READ);
-        r.pass(300_000);
-        assertNull(r.last("q"), "no member is proven fresh enough");
+        RouterHarness harness = threeMembers();
+        harness.submit("w", NON_IDEMPOTENT_WRITE);
+        harness.rejectAsReplicas("w", 3);
+        harness.submit("q", BOUNDED_READ);
+        harness.advance(300_000);
+        assertNull(harness.lastAttempt("q"), "no member is proven fresh enough");
     }
 
     @Test
     void aCheckingReplicaMayBeTriedUnproven() {
-        Setup s = new Setup();
-        s.stalenessCheck = StalenessCheck.WAIT;
-        Recorder r = s.start(up("a", 0, true), up("b", 0, false));
-        r.ask("q", SAFE_READ);
-        assertEquals("b", r.last("q").member());
-        r.end("q", Outcome.WRONG_ROLE_OR_STALE, Role.REPLICA, 0);
-        assertEquals("a", r.last("q").member());
+        RouterHarness harness =
+                new SettingsBuilder().stalenessCheck(StalenessCheck.WAIT).start(primary("a", 0), replica("b", 0));
+        harness.submit("q", BOUNDED_READ);
+        assertEquals("b", harness.lastAttempt("q").member());
+        harness.complete("q", Outcome.WRONG_ROLE_OR_STALE, Role.REPLICA, 0);
+        assertEquals("a", harness.lastAttempt("q").member());
     }
 }
--- a/decisions/src/test/java/frostreel/routing/PrimarySearchTest.java
+++ b/decisions/src/test/java/frostreel/routing/PrimarySearchTest.java
@@ -1,13 +1,13 @@
 package frostreel.routing;
 
-import static frostreel.routing.Recorder.UNSAFE;
-import static frostreel.routing.Recorder.trio;
-import static frostreel.routing.Recorder.up;
+import static frostreel.routing.RouterHarness.NON_IDEMPOTENT_WRITE;
+import static frostreel.routing.RouterHarness.primary;
+import static frostreel.routing.RouterHarness.replica;
+import static frostreel.routing.RouterHarness.threeMembers;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import frostreel.routing.Recorder.Setup;
 import frostreel.routing.Router.Outcome;
 import frostreel.routing.Router.Role;
 import java.util.List;
@@ -19,46 +19,42 @@
 class PrimarySearchTest {
     @Test
     void aWriteGoesToTheListedPrimaryAndAMissMovesItOn() {
-        Recorder r = trio();
-        r.ask("w", UNSAFE);
-        assertEquals("a", r.last("w").member());
-        r.end("w", Outcome.WRONG_ROLE_OR_STALE, Role.REPLICA, 0);
-        assertEquals("b", r.last("w").member());
-        r.end("w", Outcome.WRONG_ROLE_OR_STALE, Role.REPLICA, 0);
-        assertEquals("c", r.last("w").member());
+        RouterHarness harness = threeMembers();
+        harness.submit("w", NON_IDEMPOTENT_WRITE);
+        assertEquals("a", harness.lastAttempt("w").member());
+        harness.complete("w", Outcome.WRONG_ROLE_OR_STALE, Role.REPLICA, 0);
+        assertEquals("b", harness.lastAttempt("w").member());
+        harness.complete("w", Outcome.WRONG_ROLE_OR_STALE, Role.REPLICA, 0);
+        assertEquals("c", harness.lastAttempt("w").member());
     }
 
     @Test
     void aFullRoundOfMissesHoldsWritesAndAPrimarysAnswerReleasesThem() {
-        Recorder r = trio();
-        r.ask("w", UNSAFE);
-        for (int i = 0; i < 3; i++) {
-            r.end("w", Outcome.WRONG_ROLE_OR_STALE, Role.REPLICA, 0);
-        }
-        r.ask("x", UNSAFE);
-        assertEquals(3, r.count("w"));
-        assertNull(r.last("x"));
-        r.pass(1_000_000);
-        assertTrue(r.probed.containsAll(List.of("a", "b", "c")), "the walk visits the whole chain");
-        assertTrue(r.refused.isEmpty() && r.failed.isEmpty());
-        r.probeOk("c", Role.PRIMARY, r.now - 50_000);
-        assertEquals("c", r.last("w").member());
-        assertEquals("c", r.last("x").member());
+        RouterHarness harness = threeMembers();
+        harness.submit("w", NON_IDEMPOTENT_WRITE);
+        harness.rejectAsReplicas("w", 3);
+        harness.submit("x", NON_IDEMPOTENT_WRITE);
+        assertEquals(3, harness.attemptCount("w"));
+        assertNull(harness.lastAttempt("x"));
+        harness.advance(1_000_000);
+        assertTrue(harness.healthChecked.containsAll(List.of("a", "b", "c")), "the search visits the whole chain");
+        assertTrue(harness.rejected.isEmpty() && harness.failed.isEmpty());
+        harness.healthCheckSucceeded("c", Role.PRIMARY, harness.nowUs - 50_000);
+        assertEquals("c", harness.lastAttempt("w").member());
+        assertEquals("c", harness.lastAttempt("x").member());
     }
 
     @ParameterizedTest
     @EnumSource(value = Router.Probes.class, names = "REPORT", mode = EnumSource.Mode.EXCLUDE)
     void withoutProbesThatTellRolesTheWalkSendsOneHeldWrite(Router.Probes probes) {
-        Setup s = new Setup();
-        s.probes = probes;
-        Recorder r = s.start(up("a", 0, true), up("b", 0, false), up("c", 1, false));
-        r.ask("w", UNSAFE);
-        for (int i = 0; i < 3; i++) {
-            r.end("w", Outcome.WRONG_ROLE_OR_STALE, Role.REPLICA, 0);
-        }
-        r.ask("x", UNSAFE);
-        r.pass(100_000);
-        assertTrue(r.probed.isEmpty());
-        assertEquals(4, r.count("w") + r.count("x"), "one held write out, the rest wait");
+        RouterHarness harness =
+                new SettingsBuilder().probes(probes).start(primary("a", 0), replica("b", 0), replica("c", 1));
+        harness.submit("w", NON_IDEMPOTENT_WRITE);
+        harness.rejectAsReplicas("w", 3);
+        harness.submit("x", NON_IDEMPOTENT_WRITE);
+        harness.advance(100_000);
+        assertTrue(harness.healthChecked.isEmpty());
+        assertEquals(
+                4, harness.attemptCount("w") + harness.attemptCount("x"), "one queued write is sent, the rest wait");
     }
 }
--- a/decisions/src/test/java/frostreel/routing/PrimaryTrackingTest.java
+++ b/decisions/src/test/java/frostreel/routing/PrimaryTrackingTest.java
@@ -1,9 +1,10 @@
 package frostreel.routing;
 
-import static frostreel.routing.Recorder.KEYED;
-import static frostreel.routing.Recorder.UNSAFE;
-import static frostreel.routing.Recorder.trio;
-import static frostreel.routing.Recorder.up;
+import static frostreel.routing.RouterHarness.KEYED_WRITE;
+import static frostreel.routing.RouterHarness.NON_IDEMPOTENT_WRITE;
+import static frostreel.routing.RouterHarness.primary;
+import static frostreel.routing.RouterHarness.replica;
+import static frostreel.routing.RouterHarness.threeMembers;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 
@@ -16,42 +17,42 @@
 class PrimaryTrackingTest {
     @Test
     void anAnswerAsPrimaryFixesTheHeadAndALateListDoesNotPullItBack() {
-        Recorder r = trio();
-        r.ask("w", KEYED);
-        r.end("w", Outcome.WRONG_ROLE_OR_STALE, Role.REPLICA, 0);
-        r.end("w", Outcome.OK, Role.PRIMARY, 0);
-        r.pass(20_000);
-        r.list(ListKind.FULL, up("a", 0, true), up("b", 0, false), up("c", 1, false));
-        r.ask("x", KEYED);
-        assertEquals("b", r.last("x").member());
+        RouterHarness harness = threeMembers();
+        harness.submit("w", KEYED_WRITE);
+        harness.complete("w", Outcome.WRONG_ROLE_OR_STALE, Role.REPLICA, 0);
+        harness.complete("w", Outcome.OK, Role.PRIMARY, 0);
+        harness.advance(20_000);
+        harness.updateMembers(ListKind.FULL, primary("a", 0), replica("b", 0), replica("c", 1));
+        harness.submit("x", KEYED_WRITE);
+        assertEquals("b", harness.lastAttempt("x").member());
     }
 
     @Test
     void anOldReportDoesNotPullTheHeadBack() {
-        Recorder r = trio();
-        r.ask("w", KEYED);
-        r.end("w", Outcome.WRONG_ROLE_OR_STALE, Role.REPLICA, 0);
-        r.end("w", Outcome.OK, Role.PRIMARY, 0);
-        r.probeOk("a", Role.PRIMARY, r.now - 300_000);
-        r.ask("x", KEYED);
-        assertEquals("b", r.last("x").member());
+        RouterHarness harness = threeMembers();
+        harness.submit("w", KEYED_WRITE);
+        harness.complete("w", Outcome.WRONG_ROLE_OR_STALE, Role.REPLICA, 0);
+        harness.complete("w", Outcome.OK, Role.PRIMARY, 0);
+        harness.healthCheckSucceeded("a", Role.PRIMARY, harness.nowUs - 300_000);
+        harness.submit("x", KEYED_WRITE);
+        assertEquals("b", harness.lastAttempt("x").member());
     }
 
     @Test
     void aHungPrimaryGetsNoNewUnsafeWrites() {
-        Recorder r = trio();
+        RouterHarness harness = threeMembers();
         for (int i = 0; i < 20; i++) {
-            r.ask("warm" + i, UNSAFE);
-            r.pass(50_000);
-            r.end("warm" + i, Outcome.OK, Role.PRIMARY, r.now);
+            harness.submit("warm" + i, NON_IDEMPOTENT_WRITE);
+            harness.advance(50_000);
+            harness.complete("warm" + i, Outcome.OK, Role.PRIMARY, harness.nowUs);
         }
-        r.ask("stuck", UNSAFE);
-        r.pass(1_500_000);
-        r.ask("next", UNSAFE);
-        r.probeOk("a", Role.PRIMARY, r.now);
-        r.pass(100_000);
-        assertNull(r.last("next"), "its probe says primary, its silence says otherwise");
-        r.probeOk("b", Role.PRIMARY, r.now);
-        assertEquals("b", r.last("next").member());
+        harness.submit("stuck", NON_IDEMPOTENT_WRITE);
+        harness.advance(1_500_000);
+        harness.submit("next", NON_IDEMPOTENT_WRITE);
+        harness.healthCheckSucceeded("a", Role.PRIMARY, harness.nowUs);
+        harness.advance(100_000);
+        assertNull(harness.lastAttempt("next"), "its report says primary, but it does not answer");
+        harness.healthCheckSucceeded("b", Role.PRIMARY, harness.nowUs);
+        assertEquals("b", harness.lastAttempt("next").member());
     }
 }
--- a/decisions/src/test/java/frostreel/routing/ReplicaSelectionTest.java
+++ b/decisions/src/test/java/frostreel/routing/ReplicaSelectionTest.java
@@ -1,16 +1,16 @@
 package frostreel.routing;
 
-import static frostreel.routing.Recorder.ANY;
-import static frostreel.routing.Recorder.SAFE_READ;
-import static frostreel.routing.Recorder.SESSION;
-import static frostreel.routing.Recorder.trio;
-import static frostreel.routing.Recorder.up;
+import static frostreel.routing.RouterHarness.ANY_READ;
+import static frostreel.routing.RouterHarness.BOUNDED_READ;
+import static frostreel.routing.RouterHarness.SESSION_READ;
+import static frostreel.routing.RouterHarness.primary;
+import static frostreel.routing.RouterHarness.replica;
+import static frostreel.routing.RouterHarness.threeMembers;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import frostreel.routing.Recorder.Setup;
 import frostreel.routing.Router.ListRole;
 import frostreel.routing.Router.Outcome;
 import frostreel.routing.Router.Role;
@@ -21,85 +21,73 @@
 class ReplicaSelectionTest {
     @Test
     void nearReplicasComeFirstAndThePrimaryIsSpared() {
-        Recorder r = trio();
-        r.ask("q", ANY);
-        assertEquals("b", r.last("q").member());
+        RouterHarness harness = threeMembers();
+        harness.submit("q", ANY_READ);
+        assertEquals("b", harness.lastAttempt("q").member());
     }
 
     @Test
     void withNoRoleListedReadsAskBeforeTheyTrustAnyone() {
-        Setup s = new Setup();
-        s.listRole = ListRole.SILENT;
-        Recorder r = s.start(up("a", 0, false), up("b", 0, false));
-        r.ask("q", SAFE_READ);
-        assertNull(r.last("q"));
-        assertFalse(r.probed.isEmpty());
-        r.probeOk(r.probed.get(0), Role.REPLICA, r.now - 100_000);
-        assertEquals(r.probed.get(0), r.last("q").member());
+        RouterHarness harness = new SettingsBuilder().listRole(ListRole.SILENT).start(replica("a", 0), replica("b", 0));
+        harness.submit("q", BOUNDED_READ);
+        assertNull(harness.lastAttempt("q"));
+        assertFalse(harness.healthChecked.isEmpty());
+        harness.healthCheckSucceeded(harness.healthChecked.get(0), Role.REPLICA, harness.nowUs - 100_000);
+        assertEquals(harness.healthChecked.get(0), harness.lastAttempt("q").member());
     }
 
     /** Probing every replica for one read costs a fleet of thin routers more than the reads. */
     @Test
     void anUnprovenReadAsksOneReplicaAtATimeAndThePrimaryLast() {
-        Recorder r = trio();
-        r.ask("q", SAFE_READ);
-        assertEquals(List.of("b"), r.probed);
-        r.probeOk("b", Role.REPLICA, r.now - 2_000_000);
-        assertEquals(List.of("b", "c"), r.probed);
-        r.probeOk("c", Role.REPLICA, r.now - 200_000);
-        assertEquals("c", r.last("q").member());
+        RouterHarness harness = threeMembers();
+        harness.submit("q", BOUNDED_READ);
+        assertEquals(List.of("b"), harness.healthChecked);
+        harness.healthCheckSucceeded("b", Role.REPLICA, harness.nowUs - 2_000_000);
+        assertEquals(List.of("b", "c"), harness.healthChecked);
+        harness.healthCheckSucceeded("c", Role.REPLICA, harness.nowUs - 200_000);
+        assertEquals("c", harness.lastAttempt("q").member());
     }
 
     /** Hundreds of routers that each rotate over all members fill their connection tables. */
     @Test
     void aThinRouterKeepsToTheReplicaItIsConnectedTo() {
-        Recorder r = new Setup().start(up("a", 0, true), up("b", 0, false), up("c", 0, false));
+        RouterHarness harness = new SettingsBuilder().start(primary("a", 0), replica("b", 0), replica("c", 0));
         for (int i = 0; i < 8; i++) {
-            r.ask("q" + i, ANY);
-            r.pass(50_000);
-            r.end("q" + i, Outcome.OK, Role.REPLICA, r.now);
-            r.pass(4_000_000);
+            harness.submit("q" + i, ANY_READ);
+            harness.advance(50_000);
+            harness.complete("q" + i, Outcome.OK, Role.REPLICA, harness.nowUs);
+            harness.advance(4_000_000);
         }
-        assertTrue(r.countTo("b") == 8 || r.countTo("c") == 8);
+        assertTrue(harness.attemptCountTo("b") == 8 || harness.attemptCountTo("c") == 8);
     }
 
     /** A replica that holds a long query may apply nothing: spread over all, they would leave none new. */
     @Test
     void longQueriesKeepToTheReplicaThatIsFurthestBehind() {
-        Recorder r = trio();
+        RouterHarness harness = threeMembers();
         for (int i = 0; i < 15; i++) {
-            r.ask("teach" + i, ANY);
-            Recorder.Sent s = r.last("teach" + i);
-            r.router.onOutcome(
-                    r.now,
-                    s.request(),
-                    s.attempt(),
-                    s.member(),
-                    Outcome.OK,
-                    true,
-                    3_000_000,
-                    Role.REPLICA,
-                    r.now - 1_000,
-                    null);
+            harness.submit("slow" + i, ANY_READ);
+            RouterHarness.Attempt attempt = harness.lastAttempt("slow" + i);
+            harness.complete(attempt, Outcome.OK, 3_000_000, Role.REPLICA, harness.nowUs - 1_000, null);
         }
         for (int i = 0; i < 40; i++) {
-            r.ask("short" + i, SESSION);
-            r.end("short" + i, Outcome.OK, Role.REPLICA, r.now - 1_000);
+            harness.submit("short" + i, SESSION_READ);
+            harness.complete("short" + i, Outcome.OK, Role.REPLICA, harness.nowUs - 1_000);
         }
-        r.pass(3_000_000);
-        r.probeOk("b", Role.REPLICA, r.now - 5_000);
-        long fresh = r.countTo("b");
-        for (int i = 0; r.last("wait") == null && i < 50; i++) {
-            r.ask("long" + i, ANY);
-            if (r.count("long" + i) == 0) {
-                r.ask("wait", ANY);
+        harness.advance(3_000_000);
+        harness.healthCheckSucceeded("b", Role.REPLICA, harness.nowUs - 5_000);
+        long fresh = harness.attemptCountTo("b");
+        for (int i = 0; harness.lastAttempt("wait") == null && i < 50; i++) {
+            harness.submit("long" + i, ANY_READ);
+            if (harness.attemptCount("long" + i) == 0) {
+                harness.submit("wait", ANY_READ);
                 break;
             }
-            assertEquals("c", r.last("long" + i).member());
+            assertEquals("c", harness.lastAttempt("long" + i).member());
         }
-        assertEquals(0, r.count("wait"));
-        assertEquals(fresh, r.countTo("b"));
-        r.pass(200_000);
-        assertEquals(1, r.count("wait"), "it waits for a part of its aim only");
+        assertEquals(0, harness.attemptCount("wait"));
+        assertEquals(fresh, harness.attemptCountTo("b"));
+        harness.advance(200_000);
+        assertEquals(1, harness.attemptCount("wait"), "it waits for a part of its latency objective only");
     }
 }
--- a/decisions/src/test/java/frostreel/routing/RetryTest.java
+++ b/decisions/src/test/java/frostreel/routing/RetryTest.java
@@ -1,16 +1,16 @@
 package frostreel.routing;
 
-import static frostreel.routing.Recorder.ANY;
-import static frostreel.routing.Recorder.KEYED;
-import static frostreel.routing.Recorder.KEYED_ANYWHERE;
-import static frostreel.routing.Recorder.KEYED_IN_ZONE;
-import static frostreel.routing.Recorder.UNSAFE;
-import static frostreel.routing.Recorder.trio;
-import static frostreel.routing.Recorder.up;
+import static frostreel.routing.RouterHarness.ANY_READ;
+import static frostreel.routing.RouterHarness.KEYED_WRITE;
+import static frostreel.routing.RouterHarness.KEYED_WRITE_ALL_ZONES;
+import static frostreel.routing.RouterHarness.KEYED_WRITE_ONE_ZONE;
+import static frostreel.routing.RouterHarness.NON_IDEMPOTENT_WRITE;
+import static frostreel.routing.RouterHarness.primary;
+import static frostreel.routing.RouterHarness.replica;
+import static frostreel.routing.RouterHarness.threeMembers;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import frostreel.routing.Recorder.Setup;
 import frostreel.routing.Router.ListKind;
 import frostreel.routing.Router.Outcome;
 import frostreel.routing.Router.Role;
@@ -25,19 +25,19 @@
     @ParameterizedTest
     @EnumSource(Outcome.class)
     void anUnsafeWriteIsTriedAgainOnlyAfterProofThatItNeverRan(Outcome outcome) {
-        Recorder r = trio();
-        r.ask("w", UNSAFE);
-        r.end("w", outcome);
-        r.pass(1_000_000);
+        RouterHarness harness = threeMembers();
+        harness.submit("w", NON_IDEMPOTENT_WRITE);
+        harness.complete("w", outcome);
+        harness.advance(1_000_000);
         if (outcome == Outcome.OK) {
-            assertTrue(r.failed.isEmpty() && r.refused.isEmpty());
+            assertTrue(harness.failed.isEmpty() && harness.rejected.isEmpty());
         } else if (outcome.provesNotRun) {
-            assertTrue(r.count("w") > 1, "sent again");
-            assertTrue(r.failed.isEmpty());
+            assertTrue(harness.attemptCount("w") > 1, "retried");
+            assertTrue(harness.failed.isEmpty());
         } else {
-            assertEquals(1, r.count("w"));
-            assertEquals(List.of("w"), r.failed);
-            assertTrue(r.refused.isEmpty(), "a refusal would say that it never ran");
+            assertEquals(1, harness.attemptCount("w"));
+            assertEquals(List.of("w"), harness.failed);
+            assertTrue(harness.rejected.isEmpty(), "a rejection would say that it never ran");
         }
     }
 
@@ -45,70 +45,68 @@
     @EnumSource(
             value = Outcome.class,
             names = {"ERROR", "TIMEOUT", "RESET", "CANCELLED"})
-    void aKeyedWriteIsSentAgainInsideItsWindowAndFailsAfterIt(Outcome doubt) {
-        Recorder r = trio();
-        r.ask("w", KEYED, 0, 4_900_000);
-        long first = r.now;
-        long n = 0;
-        while (r.failed.isEmpty() && r.now < first + 4_900_000) {
-            if (r.count("w") > n) {
-                n = r.count("w");
-                assertTrue(r.now < first + 3_000_000, "sent past the window");
-                r.pass(30_000);
-                r.end("w", doubt);
+    void aKeyedWriteIsSentAgainInsideItsWindowAndFailsAfterIt(Outcome unknown) {
+        RouterHarness harness = threeMembers();
+        harness.submit("w", KEYED_WRITE, 0, 4_900_000);
+        long startUs = harness.nowUs;
+        long attempts = 0;
+        while (harness.failed.isEmpty() && harness.nowUs < startUs + 4_900_000) {
+            if (harness.attemptCount("w") > attempts) {
+                attempts = harness.attemptCount("w");
+                assertTrue(harness.nowUs < startUs + 3_000_000, "retried after the window");
+                harness.advance(30_000);
+                harness.complete("w", unknown);
             }
-            r.pass(10_000);
+            harness.advance(10_000);
         }
-        assertTrue(n > 1);
-        assertEquals(List.of("w"), r.failed);
-        assertTrue(r.refused.isEmpty());
-        assertTrue(r.now < first + 3_100_000, "failed at once when nothing more could be tried");
+        assertTrue(attempts > 1);
+        assertEquals(List.of("w"), harness.failed);
+        assertTrue(harness.rejected.isEmpty());
+        assertTrue(harness.nowUs < startUs + 3_100_000, "fails as soon as no retry is possible");
     }
 
     /** Given up at a few times its usual time, it went there again, and the primary did its work twice. */
     @ParameterizedTest
     @CsvSource({"NaN, false", "0.5, false", "0.9, true", "1, true"})
-    void aWriteToAPrimaryThatSaysItIsBusyIsNotSentThereTwice(double util, boolean waits) {
-        Recorder r = trio();
-        r.ask("v", KEYED);
-        r.end("v", Outcome.OK, Role.PRIMARY, 0);
-        r.router.onProbe(r.now, "a", true, 1_000, new Router.Report(r.now, Role.PRIMARY, util, Double.NaN, Double.NaN));
-        r.ask("w", KEYED, 0, 2_900_000);
-        assertEquals("a", r.last("w").member());
-        assertEquals(waits, r.last("w").timeoutUs() == 2_900_000, "given all its time");
+    void aWriteToAPrimaryThatSaysItIsBusyIsNotSentThereTwice(double utilization, boolean untilDeadline) {
+        RouterHarness harness = threeMembers();
+        harness.submit("v", KEYED_WRITE);
+        harness.complete("v", Outcome.OK, Role.PRIMARY, 0);
+        harness.healthCheckSucceeded(
+                "a", new Router.Report(harness.nowUs, Role.PRIMARY, utilization, Double.NaN, Double.NaN));
+        harness.submit("w", KEYED_WRITE, 0, 2_900_000);
+        assertEquals("a", harness.lastAttempt("w").member());
+        assertEquals(untilDeadline, harness.lastAttempt("w").timeoutUs() == 2_900_000, "timeout up to the deadline");
     }
 
     /** Where no report tells that it is busy, its late answers do: the same write again adds to its queue. */
     @Test
     void aPrimaryThatWasLateKeepsItsWritesAndOneThatWasNotIsGivenUp() {
-        Setup s = new Setup();
-        s.probes = Router.Probes.LIVENESS;
-        Recorder late = s.start(up("a", 0, true), up("b", 0, false));
-        Recorder soon = s.start(up("a", 0, true), up("b", 0, false));
+        SettingsBuilder settings = new SettingsBuilder().probes(Router.Probes.LIVENESS);
+        RouterHarness late = settings.start(primary("a", 0), replica("b", 0));
+        RouterHarness soon = settings.start(primary("a", 0), replica("b", 0));
         for (int i = 0; i < 8; i++) {
-            late.ask("w" + i, KEYED);
-            soon.ask("w" + i, KEYED);
-            soon.end("w" + i, Outcome.OK, Role.PRIMARY, soon.now);
-            late.pass(400_000);
-            soon.pass(400_000);
-            late.router.onOutcome(late.now, "w" + i, 0, "a", Outcome.OK, true, 800_000, Role.PRIMARY, late.now, null);
+            late.submit("w" + i, KEYED_WRITE);
+            soon.submit("w" + i, KEYED_WRITE);
+            soon.complete("w" + i, Outcome.OK, Role.PRIMARY, soon.nowUs);
+            late.advance(400_000);
+            soon.advance(400_000);
+            late.answer(late.lastAttempt("w" + i), 800_000, Role.PRIMARY);
         }
-        late.ask("last", KEYED);
-        soon.ask("last", KEYED);
-        assertEquals(4_000_000, late.last("last").timeoutUs());
+        late.submit("last", KEYED_WRITE);
+        soon.submit("last", KEYED_WRITE);
+        assertEquals(4_000_000, late.lastAttempt("last").timeoutUs());
         assertTrue(
-                soon.last("last").timeoutUs() < 1_500_000,
-                "" + soon.last("last").timeoutUs());
+                soon.lastAttempt("last").timeoutUs() < 1_500_000,
+                "" + soon.lastAttempt("last").timeoutUs());
     }
 
     @Test
     void aKeyThatAllMembersKnowMayBeRefusedAfterDoubt() {
-        Setup s = new Setup();
-        s.maxAttempts = 1;
-        Recorder r = s.start(up("a", 0, true));
-        r.ask("w", KEYED_ANYWHERE);
-        r.end("w", Outcome.TIMEOUT);
-        assertEquals(List.of("w"), r.refused);
+        RouterHarness harness = new SettingsBuilder().maxAttempts(1).start(primary("a", 0));
+        harness.submit("w", KEYED_WRITE_ALL_ZONES);
+        harness.complete("w", Outcome.TIMEOUT);
+        assertEquals(List.of("w"), harness.rejected);
     }
 
     /** Where it ran a zone's members drop it by its key; those of another zone would run it again. */
@@ -121,43 +119,43 @@
         "WRONG_ROLE_OR_STALE, b, true"
     })
     void aKeyThatOneZoneKnowsIsRepeatedThereAlone(Outcome first, String primary, boolean again) {
-        Recorder r = trio(); // a and b are in one zone, c is in another.
-        r.ask("w", KEYED_IN_ZONE);
-        assertEquals("a", r.last("w").member());
-        r.end("w", first);
-        r.probeOk(primary, Role.PRIMARY, r.now + 1);
-        r.pass(3_200_000);
-        assertEquals(again, r.countTo(primary) > 0);
-        assertEquals(again ? List.of() : List.of("w"), r.failed);
-        assertEquals(List.of(), r.refused);
+        RouterHarness harness = threeMembers(); // a and b are in one zone, c is in another.
+        harness.submit("w", KEYED_WRITE_ONE_ZONE);
+        assertEquals("a", harness.lastAttempt("w").member());
+        harness.complete("w", first);
+        harness.healthCheckSucceeded(primary, Role.PRIMARY, harness.nowUs + 1);
+        harness.advance(3_200_000);
+        assertEquals(again, harness.attemptCountTo(primary) > 0);
+        assertEquals(again ? List.of() : List.of("w"), harness.failed);
+        assertEquals(List.of(), harness.rejected);
     }
 
     @Test
     void anOutcomeAtTheDeadlineIsAnsweredThereAndThen() {
-        Recorder r = trio();
-        r.ask("w", UNSAFE, 0, 1_000_000);
-        r.pass(1_005_000);
-        r.end("w", Outcome.TIMEOUT);
-        assertEquals(List.of("w"), r.failed);
+        RouterHarness harness = threeMembers();
+        harness.submit("w", NON_IDEMPOTENT_WRITE, 0, 1_000_000);
+        harness.advance(1_005_000);
+        harness.complete("w", Outcome.TIMEOUT);
+        assertEquals(List.of("w"), harness.failed);
     }
 
     @Test
     void neverTwoAttemptsOutTogether() {
-        Recorder r = trio();
-        r.ask("w", KEYED);
-        r.pass(2_900_000);
-        assertEquals(1, r.count("w"));
+        RouterHarness harness = threeMembers();
+        harness.submit("w", KEYED_WRITE);
+        harness.advance(2_900_000);
+        assertEquals(1, harness.attemptCount("w"));
     }
 
     /** Members that are gone once kept a read from its second round. */
     @Test
     void aReadThatMissedEveryUsableMemberIsTriedAgain() {
-        Recorder r = trio();
-        r.list(ListKind.FULL, up("a", 0, true), up("b", 0, false));
-        r.ask("q", ANY);
-        r.end("q", Outcome.ERROR, Role.REPLICA, 0);
-        r.end("q", Outcome.ERROR, Role.PRIMARY, 0);
-        r.pass(200_000);
-        assertEquals(3, r.count("q"));
+        RouterHarness harness = threeMembers();
+        harness.updateMembers(ListKind.FULL, primary("a", 0), replica("b", 0));
+        harness.submit("q", ANY_READ);
+        harness.complete("q", Outcome.ERROR, Role.REPLICA, 0);
+        harness.complete("q", Outcome.ERROR, Role.PRIMARY, 0);
+        harness.advance(200_000);
+        assertEquals(3, harness.attemptCount("q"));
     }
 }
--- a/decisions/src/test/java/frostreel/routing/SessionCommitsTest.java
+++ b/decisions/src/test/java/frostreel/routing/SessionCommitsTest.java
@@ -4,76 +4,87 @@
 
 import frostreel.routing.Router.Outcome;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.EnumSource;
 
-/** What a session's reads must see of its writes, told or in doubt. */
+/** What a session's reads must see of its writes, whose commit is known or whose outcome is not. */
 class SessionCommitsTest {
-    private static final long T = 1_000_000_000;
-    private static final long MS = 1_000;
-    private static final long KEEP = 100_000 * MS;
+    private static final long START_US = 1_000_000_000;
+    private static final long RETENTION_US = 100_000_000;
+    private static final long DEADLINE_US = afterMs(3_000);
+    private static final long NO_COMMIT = 0;
+    private static final long SESSION = 1;
+    private static final long OTHER_SESSION = 2;
     private final SessionCommits commits = new SessionCommits();
 
+    private static long afterMs(long milliseconds) {
+        return START_US + milliseconds * 1_000;
+    }
+
     @Test
     void aCommitThatWasToldBindsItsSessionAlone() {
-        commits.sent(T, 1);
-        commits.ended(T + 50 * MS, 1, T + 3_000 * MS, Outcome.OK, T + 40 * MS, KEEP);
-        assertThat(commits.need(T + 60 * MS, 1)).isEqualTo(T + 41 * MS);
-        assertThat(commits.need(T + 60 * MS, 2)).isZero();
+        commits.sent(START_US, SESSION);
+        commits.ended(afterMs(50), SESSION, DEADLINE_US, Outcome.OK, afterMs(40), RETENTION_US);
+        assertThat(commits.need(afterMs(60), SESSION)).isEqualTo(afterMs(41));
+        assertThat(commits.need(afterMs(60), OTHER_SESSION)).isZero();
     }
 
     @Test
     void aWriteThatIsOutBindsOnceItsAnswerMayCountAsKnown() {
-        commits.sent(T, 1);
-        assertThat(commits.need(T + 100 * MS, 1)).isZero();
-        assertThat(commits.need(T + 150 * MS, 1)).isEqualTo(T + 50 * MS);
-        commits.ended(T + 200 * MS, 1, T + 3_000 * MS, Outcome.WRONG_ROLE_OR_STALE, 0, KEEP); // It never ran.
-        assertThat(commits.need(T + 250 * MS, 1)).isZero();
+        commits.sent(START_US, SESSION);
+        assertThat(commits.need(afterMs(100), SESSION)).isZero();
+        assertThat(commits.need(afterMs(150), SESSION)).isEqualTo(afterMs(50));
+        commits.ended(afterMs(200), SESSION, DEADLINE_US, Outcome.WRONG_ROLE_OR_STALE, NO_COMMIT, RETENTION_US);
+        assertThat(commits.need(afterMs(250), SESSION)).as("it never ran").isZero();
     }
 
     @Test
     void ofTwoWritesAtOnceTheOldestBindsUntilBothHaveEnded() {
-        commits.sent(T, 1);
-        commits.sent(T + 500 * MS, 1);
-        commits.ended(T + 510 * MS, 1, T + 3_000 * MS, Outcome.REJECTED, 0, KEEP);
-        assertThat(commits.need(T + 520 * MS, 1)).isEqualTo(T + 420 * MS);
-        commits.ended(T + 530 * MS, 1, T + 3_000 * MS, Outcome.OK, T + 5 * MS, KEEP);
-        assertThat(commits.need(T + 540 * MS, 1)).isEqualTo(T + 6 * MS);
+        commits.sent(START_US, SESSION);
+        commits.sent(afterMs(500), SESSION);
+        commits.ended(afterMs(510), SESSION, DEADLINE_US, Outcome.REJECTED, NO_COMMIT, RETENTION_US);
+        assertThat(commits.need(afterMs(520), SESSION)).isEqualTo(afterMs(420));
+        commits.ended(afterMs(530), SESSION, DEADLINE_US, Outcome.OK, afterMs(5), RETENTION_US);
+        assertThat(commits.need(afterMs(540), SESSION)).isEqualTo(afterMs(6));
     }
 
     @Test
     void oneThatEndedInDoubtBindsToAllThatItsServerMayYetHaveAnswered() {
-        commits.sent(T, 1);
-        commits.ended(T + 700 * MS, 1, T + 3_000 * MS, Outcome.TIMEOUT, 0, KEEP);
-        assertThat(commits.need(T + 800 * MS, 1)).isEqualTo(T + 700 * MS);
-        assertThat(commits.need(T + 2_000 * MS, 1)).isEqualTo(T + 1_900 * MS);
-        assertThat(commits.need(T + 60_000 * MS, 1)).isEqualTo(T + 3_000 * MS);
+        commits.sent(START_US, SESSION);
+        commits.ended(afterMs(700), SESSION, DEADLINE_US, Outcome.TIMEOUT, NO_COMMIT, RETENTION_US);
+        assertThat(commits.need(afterMs(800), SESSION)).isEqualTo(afterMs(700));
+        assertThat(commits.need(afterMs(2_000), SESSION)).isEqualTo(afterMs(1_900));
+        assertThat(commits.need(afterMs(60_000), SESSION)).isEqualTo(afterMs(3_000));
     }
 
-    @Test
-    void oneWhoseConnectionBrokeOrWhoseCommitWasNotToldWasAnsweredByThen() {
-        for (Outcome o : new Outcome[] {Outcome.RESET, Outcome.ERROR, Outcome.OK}) {
-            commits.sent(T, o.ordinal());
-            commits.ended(T + 700 * MS, o.ordinal(), T + 3_000 * MS, o, 0, KEEP);
-            assertThat(commits.need(T + 60_000 * MS, o.ordinal())).isEqualTo(T + 700 * MS);
-        }
+    @ParameterizedTest
+    @EnumSource(
+            value = Outcome.class,
+            names = {"RESET", "ERROR", "OK"})
+    void oneWhoseConnectionBrokeOrWhoseCommitWasNotToldWasAnsweredByThen(Outcome outcome) {
+        commits.sent(START_US, SESSION);
+        commits.ended(afterMs(700), SESSION, DEADLINE_US, outcome, NO_COMMIT, RETENTION_US);
+        assertThat(commits.need(afterMs(60_000), SESSION)).isEqualTo(afterMs(700));
     }
 
     @Test
     void whatIsForgottenBindsEverySession() {
-        commits.sent(T, 1);
-        commits.ended(T, 1, T + MS, Outcome.OK, T - MS, KEEP);
-        commits.sent(T + 2 * KEEP, 2);
-        commits.ended(T + 2 * KEEP, 2, T + 3 * KEEP, Outcome.OK, T + 2 * KEEP, KEEP);
+        commits.sent(START_US, SESSION);
+        commits.ended(START_US, SESSION, afterMs(1), Outcome.OK, afterMs(-1), RETENTION_US);
+        long laterUs = START_US + 2 * RETENTION_US;
+        commits.sent(laterUs, OTHER_SESSION);
+        commits.ended(laterUs, OTHER_SESSION, laterUs + RETENTION_US, Outcome.OK, laterUs, RETENTION_US);
         assertThat(commits.size()).isEqualTo(1);
-        assertThat(commits.need(T + 2 * KEEP, 3)).isEqualTo(T - MS);
+        assertThat(commits.need(laterUs, 3)).isEqualTo(afterMs(-1));
     }
 
     @Test
     void noMoreThanABoundIsKeptAndADroppedWriteStillBinds() {
-        for (int i = 0; i <= SessionCommits.MOST + 1; i++) {
-            commits.sent(T, i);
+        for (int session = 0; session <= SessionCommits.MOST + 1; session++) {
+            commits.sent(START_US, session);
         }
-        commits.ended(T, 7, T + MS, Outcome.WRONG_ROLE_OR_STALE, 0, KEEP);
+        commits.ended(START_US, 7, afterMs(1), Outcome.WRONG_ROLE_OR_STALE, NO_COMMIT, RETENTION_US);
         assertThat(commits.size()).isLessThanOrEqualTo(SessionCommits.MOST);
-        assertThat(commits.need(T + 500 * MS, 0)).isEqualTo(T + 500 * MS);
+        assertThat(commits.need(afterMs(500), 0)).isEqualTo(afterMs(500));
     }
 }
--- /dev/null
+++ b/decisions/src/test/java/frostreel/routing/SettingsBuilder.java
@@ -0,0 +1,143 @@
+package frostreel.routing;
+
+import frostreel.routing.Router.Access;
+import frostreel.routing.Router.DeduplicationScope;
+import frostreel.routing.Router.Idempotency;
+import frostreel.routing.Router.ListKind;
+import frostreel.routing.Router.ListRole;
+import frostreel.routing.Router.Member;
+import frostreel.routing.Router.Probes;
+import frostreel.routing.Router.RequestClass;
+import frostreel.routing.Router.SessionTracking;
+import frostreel.routing.Router.StalenessCheck;
+import java.util.List;
+
+/** Builds the settings of a router under test; its classes are numbered by {@link RouterHarness}. */
+final class SettingsBuilder {
+    private static final long TICK_US = 5_000;
+    private static final double LATE_WEIGHT_OF_WRITES = 0.5;
+    private StalenessCheck stalenessCheck = StalenessCheck.SILENT;
+    private ListRole listRole = ListRole.LATE;
+    private SessionTracking sessionTracking = SessionTracking.CARRIED;
+    private Probes probes = Probes.REPORT;
+    private boolean subscribe;
+    private boolean onlyDrainingIsBinding;
+    private int maxAttempts = 8;
+    private long seed = 7;
+    private int instances;
+    private int concurrentRequestLimit;
+
+    SettingsBuilder stalenessCheck(StalenessCheck value) {
+        stalenessCheck = value;
+        return this;
+    }
+
+    SettingsBuilder listRole(ListRole value) {
+        listRole = value;
+        return this;
+    }
+
+    SettingsBuilder sessionTracking(SessionTracking value) {
+        sessionTracking = value;
+        return this;
+    }
+
+    SettingsBuilder probes(Probes value) {
+        probes = value;
+        return this;
+    }
+
+    SettingsBuilder subscribe(boolean value) {
+        subscribe = value;
+        return this;
+    }
+
+    SettingsBuilder onlyDrainingIsBinding(boolean value) {
+        onlyDrainingIsBinding = value;
+        return this;
+    }
+
+    SettingsBuilder maxAttempts(int value) {
+        maxAttempts = value;
+        return this;
+    }
+
+    SettingsBuilder seed(long value) {
+        seed = value;
+        return this;
+    }
+
+    SettingsBuilder instances(int value) {
+        instances = value;
+        return this;
+    }
+
+    SettingsBuilder concurrentRequestLimit(int value) {
+        concurrentRequestLimit = value;
+        return this;
+    }
+
+    /** Starts a router with these settings and this first list of members. */
+    RouterHarness start(Member... members) {
+        RouterHarness harness = new RouterHarness(build());
+        harness.updateMembers(ListKind.CACHED, members);
+        return harness;
+    }
+
+    Router.Settings build() {
+        return new Router.Settings(
+                seed,
+                instances,
+                0,
+                TICK_US,
+                classes(),
+                stalenessCheck,
+                listRole,
+                sessionTracking,
+                true,
+                limits(),
+                new Router.Rules(20_000, 500_000, onlyDrainingIsBinding, 0.2, 18_000_000, 3, 2_000_000));
+    }
+
+    private Router.Limits limits() {
+        return new Router.Limits(
+                maxAttempts,
+                probes,
+                true,
+                true,
+                2_000_000,
+                subscribe,
+                10_000_000,
+                250_000,
+                50_000,
+                30_000_000,
+                1,
+                concurrentRequestLimit);
+    }
+
+    private static List<RequestClass> classes() {
+        return List.of(
+                read("bounded", Access.BOUNDED),
+                read("session", Access.SESSION),
+                read("fresh", Access.FRESH),
+                write("keyed", Idempotency.KEYED, DeduplicationScope.GROUP),
+                write("non-idempotent", Idempotency.NON_IDEMPOTENT, DeduplicationScope.GROUP),
+                read("any", Access.ANY),
+                write("keyed in all zones", Idempotency.KEYED, DeduplicationScope.ALL),
+                write("keyed in one zone", Idempotency.KEYED, DeduplicationScope.ZONE));
+    }
+
+    private static RequestClass read(String name, Access access) {
+        return requestClass(name, access, Idempotency.IDEMPOTENT, DeduplicationScope.GROUP, 0);
+    }
+
+    private static RequestClass write(String name, Idempotency idempotency, DeduplicationScope scope) {
+        return requestClass(name, Access.WRITE, idempotency, scope, LATE_WEIGHT_OF_WRITES);
+    }
+
+    private static RequestClass requestClass(
+            String name, Access access, Idempotency idempotency, DeduplicationScope scope, double lateWeight) {
+        return new RequestClass(
+                name, access, idempotency, scope, 3_000_000, 800_000, 600_000, 5_000_000, 2, lateWeight);
+    }
+}
--- a/decisions/src/test/java/frostreel/routing/SlowStartRoutingTest.java
+++ b/decisions/src/test/java/frostreel/routing/SlowStartRoutingTest.java
@@ -1,94 +1,96 @@
 package frostreel.routing;
 
-import static frostreel.routing.Recorder.ANY;
-import static frostreel.routing.Recorder.up;
-import static frostreel.routing.Recorder.with;
+import static frostreel.routing.RouterHarness.ANY_READ;
+import static frostreel.routing.RouterHarness.primary;
+import static frostreel.routing.RouterHarness.replica;
+import static frostreel.routing.RouterHarness.startedAt;
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import frostreel.routing.Recorder.Setup;
 import frostreel.routing.Router.ListKind;
 import frostreel.routing.Router.Outcome;
 import frostreel.routing.Router.Role;
-import frostreel.routing.Router.State;
-import java.util.List;
 import org.junit.jupiter.api.Test;
 
 /** What routers send a member that started a short while ago. */
 class SlowStartRoutingTest {
     @Test
     void aColdMemberGetsAShareOfWhatAWarmOneHasServed() {
-        Recorder r =
-                new Setup().start(up("a", 0, true), up("b", 0, false), with(up("c", 0, false), State.UP, 99_900_000));
+        RouterHarness harness =
+                new SettingsBuilder().start(primary("a", 0), replica("b", 0), startedAt(replica("c", 0), 99_900_000));
         for (int i = 0; i < 400; i++) {
-            r.ask("q" + i, ANY);
-            r.pass(10_000);
-            if (r.last("q" + i) != null) {
-                r.end("q" + i, Outcome.OK, Role.REPLICA, r.now);
+            harness.submit("q" + i, ANY_READ);
+            harness.advance(10_000);
+            if (harness.lastAttempt("q" + i) != null) {
+                harness.complete("q" + i, Outcome.OK, Role.REPLICA, harness.nowUs);
             }
         }
-        assertTrue(r.countTo("c") > 0, "it gets some");
-        assertTrue(r.countTo("c") < r.countTo("b") / 2, r.countTo("c") + " against " + r.countTo("b"));
+        assertTrue(harness.attemptCountTo("c") > 0, "it gets some");
+        assertTrue(
+                harness.attemptCountTo("c") < harness.attemptCountTo("b") / 2,
+                harness.attemptCountTo("c") + " against " + harness.attemptCountTo("b"));
     }
 
     /** A storm of turn-aways at the warm members once raised the cold one's share past what it could do. */
     @Test
     void turnedAwayWorkDoesNotRaiseAColdMembersShare() {
-        Recorder r =
-                new Setup().start(up("a", 0, true), up("b", 0, false), with(up("c", 0, false), State.UP, 99_900_000));
+        RouterHarness harness =
+                new SettingsBuilder().start(primary("a", 0), replica("b", 0), startedAt(replica("c", 0), 99_900_000));
         for (int i = 0; i < 300; i++) {
-            r.ask("q" + i, ANY);
+            harness.submit("q" + i, ANY_READ);
             for (int j = 0;
                     j < 3
-                            && r.last("q" + i) != null
-                            && !r.last("q" + i).member().equals("c");
+                            && harness.lastAttempt("q" + i) != null
+                            && !harness.lastAttempt("q" + i).member().equals("c");
                     j++) {
-                r.end("q" + i, Outcome.REJECTED, Role.REPLICA, r.now);
+                harness.complete("q" + i, Outcome.REJECTED, Role.REPLICA, harness.nowUs);
             }
-            r.pass(5_000);
+            harness.advance(5_000);
         }
-        assertTrue(r.countTo("c") <= 1, "sent " + r.countTo("c"));
+        assertTrue(harness.attemptCountTo("c") <= 1, "sent " + harness.attemptCountTo("c"));
     }
 
     /** Its budget was another when it was chosen: connections to one that comes back come up all at once. */
     @Test
     void whatWaitsForItsConnectionIsSentToAMemberThatStartedMeanwhileOnlyAsOneOfItsFirst() {
-        Recorder r = new Setup().start(up("a", 0, true), up("b", 0, false));
-        r.probeOk("b", Role.REPLICA, r.now);
-        r.ask("q", ANY);
-        assertEquals("b", r.last("q").member());
-        r.router.onMembers(r.now, ListKind.CHANGES, List.of(with(up("b", 0, false), State.UP, r.now)));
-        assertEquals(false, r.router.mayStillBegin(r.now, "q"));
-        r.end("q", Outcome.NOT_SENT);
-        assertEquals("a", r.last("q").member());
+        RouterHarness harness = new SettingsBuilder().start(primary("a", 0), replica("b", 0));
+        harness.healthCheckSucceeded("b", Role.REPLICA, harness.nowUs);
+        harness.submit("q", ANY_READ);
+        assertEquals("b", harness.lastAttempt("q").member());
+        harness.updateMembers(ListKind.CHANGES, startedAt(replica("b", 0), harness.nowUs));
+        assertFalse(harness.mayStillBegin("q"));
+        harness.complete("q", Outcome.NOT_SENT);
+        assertEquals("a", harness.lastAttempt("q").member());
     }
 
     /** Each of many thin routers owes a cold member less than one request; once each sent it a whole one. */
     @Test
     void manyThinRoutersTogetherSendAColdMemberAShareOnly() {
-        long cold = 0;
-        long warm = 0;
+        long startingMemberAttempts = 0;
+        long warmMemberAttempts = 0;
         for (int seed = 0; seed < 200; seed++) {
-            Setup s = new Setup();
-            s.seed = seed;
-            Recorder r = s.start(up("a", 0, true), up("b", 0, false), up("c", 0, false));
+            RouterHarness harness =
+                    new SettingsBuilder().seed(seed).start(primary("a", 0), replica("b", 0), replica("c", 0));
             for (int i = 0; i < 12; i++) {
                 if (i == 6) {
-                    cold -= r.countTo("c");
-                    warm -= r.countTo("b");
-                    r.list(ListKind.CHANGES, with(up("c", 0, false), State.UP, r.now));
+                    startingMemberAttempts -= harness.attemptCountTo("c");
+                    warmMemberAttempts -= harness.attemptCountTo("b");
+                    harness.updateMembers(ListKind.CHANGES, startedAt(replica("c", 0), harness.nowUs));
                 }
-                r.ask("q" + i, ANY);
-                r.pass(50_000);
-                if (r.last("q" + i) != null) {
-                    r.end("q" + i, Outcome.OK, Role.REPLICA, r.now);
+                harness.submit("q" + i, ANY_READ);
+                harness.advance(50_000);
+                if (harness.lastAttempt("q" + i) != null) {
+                    harness.complete("q" + i, Outcome.OK, Role.REPLICA, harness.nowUs);
                 }
-                r.pass(500_000);
+                harness.advance(500_000);
             }
-            cold += r.countTo("c");
-            warm += r.countTo("b");
+            startingMemberAttempts += harness.attemptCountTo("c");
+            warmMemberAttempts += harness.attemptCountTo("b");
         }
-        assertTrue(cold > 0, "it gets some");
-        assertTrue(cold < warm / 2, cold + " against " + warm);
+        assertTrue(startingMemberAttempts > 0, "it gets some");
+        assertTrue(
+                startingMemberAttempts < warmMemberAttempts / 2,
+                startingMemberAttempts + " against " + warmMemberAttempts);
     }
 }
--- a/decisions/src/test/java/frostreel/routing/SlowStartTest.java
+++ b/decisions/src/test/java/frostreel/routing/SlowStartTest.java
@@ -2,49 +2,46 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import frostreel.routing.Recorder.Setup;
 import frostreel.routing.Router.Member;
-import frostreel.routing.Router.State;
 import org.junit.jupiter.api.Test;
 
-/** The part of a started member's work that each router sends it. The rule's span is 2 s, its multiple 3. */
+/** How much of a starting member's work each router sends it; overload is three times its capacity over 2 s. */
 class SlowStartTest {
-    private static final int CLS = 0;
+    private static final int SHORT = 0;
     private static final int LONG = 1;
     private static final long START_US = 1_000_000_000;
     private static final long WORK_US = 50_000;
     private static final long SECOND_US = 1_000_000;
 
     private static Member entry(String id, long startedUs) {
-        return Recorder.with(Recorder.up(id, 0, false), State.UP, startedUs);
+        return RouterHarness.startedAt(RouterHarness.replica(id, 0), startedUs);
     }
 
-    private static SlowStart with(int instances, long seed) {
-        Setup s = new Setup();
-        s.instances = instances;
-        s.seed = seed;
-        return new SlowStart(s.settings());
+    private static SlowStart slowStart(int instances, long seed) {
+        return new SlowStart(
+                new SettingsBuilder().instances(instances).seed(seed).build());
     }
 
-    /** How many requests of a class one router sends a member that has just started, over the rule's span. */
-    private static int sent(SlowStart slow, SlowStart.Member cold, long fromUs, int cls, long stepUs) {
+    /** How many requests of a class one router sends a member that has just started, over 2 s. */
+    private static int sent(SlowStart slowStart, SlowStart.Member cold, long fromUs, int requestClass, long stepUs) {
         int sent = 0;
-        for (long now = fromUs; now < fromUs + 2 * SECOND_US; now += stepUs) {
-            if (slow.admits(now, cold, cls)) {
-                slow.sent(cold, cls);
+        for (long nowUs = fromUs; nowUs < fromUs + 2 * SECOND_US; nowUs += stepUs) {
+            if (slowStart.admits(nowUs, cold, requestClass)) {
+                slowStart.sent(cold, requestClass);
                 sent++;
             }
         }
         return sent;
     }
 
-    /** A warm member serves so many a second of a class, each answered after so long, for 20 s. */
-    private static long serve(SlowStart slow, SlowStart.Member warm, int cls, int perSecond, long tookUs) {
-        long now = START_US;
-        for (; now < START_US + 20 * SECOND_US; now += SECOND_US / perSecond) {
-            slow.served(now, warm, cls, tookUs);
+    /** Lets a warm member serve requests of a class for 20 s at a steady rate. */
+    private static long serve(
+            SlowStart slowStart, SlowStart.Member warm, int requestClass, int perSecond, long tookUs) {
+        long nowUs = START_US;
+        for (; nowUs < START_US + 20 * SECOND_US; nowUs += SECOND_US / perSecond) {
+            slowStart.served(nowUs, warm, requestClass, tookUs);
         }
-        return now;
+        return nowUs;
     }
 
     /** Sixty routers of one pool let one request each out at once, whatever its size, when their budgets were
@@ -53,68 +50,68 @@
     void ofManyRoutersThatHaveServedNothingSomeSendAndNotAll() {
         int all = 0;
         for (int seed = 0; seed < 60; seed++) {
-            SlowStart slow = with(60, seed);
-            SlowStart.Member cold = slow.meet(START_US);
-            slow.listed(START_US, cold, entry("b", START_US));
-            all += sent(slow, cold, START_US, LONG, 1_000);
+            SlowStart slowStart = slowStart(60, seed);
+            SlowStart.Member cold = slowStart.meet(START_US);
+            slowStart.listed(START_US, cold, entry("b", START_US));
+            all += sent(slowStart, cold, START_US, LONG, 1_000);
         }
-        // A quarter of a core for 2 s is four requests of a fifth of their aim; it falls at three times that.
+        // A quarter of a core does four requests of a fifth of their objective in 2 s; three times that overloads it.
         assertThat(all).isBetween(1, 12);
     }
 
     /** Times with a queue in them made short work seem as dear as long work: sent long work, it fell. */
     @Test
     void whatAQueueAddsToATimeIsNoWork() {
-        SlowStart slow = with(1, 7);
-        SlowStart.Member warm = slow.meet(START_US);
-        slow.listed(START_US, warm, entry("a", 0));
-        slow.served(START_US, warm, CLS, WORK_US);
-        slow.served(START_US, warm, LONG, 20 * WORK_US);
-        long now = serve(slow, warm, CLS, 10, 20 * WORK_US); // Queued: ten a second of 50 ms.
-        SlowStart.Member cold = slow.meet(now);
-        slow.listed(now, cold, entry("b", now));
-        assertThat(sent(slow, cold, now, LONG, 5_000)).isLessThanOrEqualTo(2);
+        SlowStart slowStart = slowStart(1, 7);
+        SlowStart.Member warm = slowStart.meet(START_US);
+        slowStart.listed(START_US, warm, entry("a", 0));
+        slowStart.served(START_US, warm, SHORT, WORK_US);
+        slowStart.served(START_US, warm, LONG, 20 * WORK_US);
+        long nowUs = serve(slowStart, warm, SHORT, 10, 20 * WORK_US); // Queued: ten a second of 50 ms.
+        SlowStart.Member cold = slowStart.meet(nowUs);
+        slowStart.listed(nowUs, cold, entry("b", nowUs));
+        assertThat(sent(slowStart, cold, nowUs, LONG, 5_000)).isLessThanOrEqualTo(2);
     }
 
     /** Where no report tells how busy the others are, what they serve they can do at the least. */
     @Test
     void withoutReportsItGetsMoreThanTheOthersServeAndLessThanPushesItOver() {
-        SlowStart slow = with(1, 7);
-        SlowStart.Member warm = slow.meet(START_US);
-        slow.listed(START_US, warm, entry("a", 0));
-        long began = serve(slow, warm, CLS, 40, WORK_US);
-        SlowStart.Member cold = slow.meet(began);
-        slow.listed(began, cold, entry("b", began));
+        SlowStart slowStart = slowStart(1, 7);
+        SlowStart.Member warm = slowStart.meet(START_US);
+        slowStart.listed(START_US, warm, entry("a", 0));
+        long startedUs = serve(slowStart, warm, SHORT, 40, WORK_US);
+        SlowStart.Member cold = slowStart.meet(startedUs);
+        slowStart.listed(startedUs, cold, entry("b", startedUs));
         int sent = 0;
-        for (long now = began; now < began + 2 * SECOND_US; now += SECOND_US / 40) {
-            slow.served(now, warm, CLS, WORK_US);
-            if (slow.admits(now, cold, CLS)) {
-                slow.sent(cold, CLS);
+        for (long nowUs = startedUs; nowUs < startedUs + 2 * SECOND_US; nowUs += SECOND_US / 40) {
+            slowStart.served(nowUs, warm, SHORT, WORK_US);
+            if (slowStart.admits(nowUs, cold, SHORT)) {
+                slowStart.sent(cold, SHORT);
                 sent++;
             }
         }
-        // Of 80 that the warm one serves meanwhile a cold one could do 20, and falls by 60.
+        // Of the 80 requests that the warm member serves meanwhile a starting one could do 20; 60 would overload it.
         assertThat(sent).isBetween(21, 59);
     }
 
     /** By its first guess a write was a thousand times the reads answered so far, and waited for 4 s. */
     @Test
     void aClassThatNobodyAnsweredYetIsGuessedByTheOthers() {
-        SlowStart slow = with(0, 7);
-        SlowStart.Member only = slow.meet(START_US);
-        slow.listed(START_US, only, entry("a", 0));
+        SlowStart slowStart = slowStart(0, 7);
+        SlowStart.Member only = slowStart.meet(START_US);
+        slowStart.listed(START_US, only, entry("a", 0));
         for (int i = 0; i < 20; i++) {
-            slow.served(START_US, only, CLS, WORK_US / 1000);
+            slowStart.served(START_US, only, SHORT, WORK_US / 1000);
         }
-        slow.listed(START_US, only, entry("a", START_US));
-        assertThat(sent(slow, only, START_US, LONG, 1_000)).isBetween(1, 60);
+        slowStart.listed(START_US, only, entry("a", START_US));
+        assertThat(sent(slowStart, only, START_US, LONG, 1_000)).isBetween(1, 60);
     }
 
     @Test
     void aWarmMemberIsNotHeldBack() {
-        SlowStart slow = with(100, 7);
-        SlowStart.Member m = slow.meet(START_US);
-        slow.listed(START_US, m, entry("a", START_US - 18 * SECOND_US));
-        assertThat(sent(slow, m, START_US, CLS, 10_000)).isEqualTo(200);
+        SlowStart slowStart = slowStart(100, 7);
+        SlowStart.Member member = slowStart.meet(START_US);
+        slowStart.listed(START_US, member, entry("a", START_US - 18 * SECOND_US));
+        assertThat(sent(slowStart, member, START_US, SHORT, 10_000)).isEqualTo(200);
     }
 }
--- a/decisions/src/test/java/frostreel/routing/WaitingReadsTest.java
+++ b/decisions/src/test/java/frostreel/routing/WaitingReadsTest.java
@@ -1,14 +1,15 @@
 package frostreel.routing;
 
-import static frostreel.routing.Recorder.ANY;
-import static frostreel.routing.Recorder.SAFE_READ;
-import static frostreel.routing.Recorder.trio;
-import static frostreel.routing.Recorder.up;
+import static frostreel.routing.RouterHarness.ANY_READ;
+import static frostreel.routing.RouterHarness.BOUNDED_READ;
+import static frostreel.routing.RouterHarness.primary;
+import static frostreel.routing.RouterHarness.replica;
+import static frostreel.routing.RouterHarness.threeMembers;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import frostreel.routing.Recorder.Setup;
 import frostreel.routing.Router.Outcome;
 import frostreel.routing.Router.Role;
 import java.util.Comparator;
@@ -21,65 +22,72 @@
     /** Oldest first, a backlog makes every request late. */
     @Test
     void aReadUnsentAtAlmostHalfItsTimeIsRefusedAndTheSentOnesGoOn() {
-        Recorder r = trio();
+        RouterHarness harness = threeMembers();
         for (int i = 0; i < 30; i++) {
-            r.ask("r" + i, ANY, 0, 800_000);
+            harness.submit("r" + i, ANY_READ, 0, 800_000);
         }
         List<String> unsent = IntStream.range(0, 30)
                 .mapToObj(i -> "r" + i)
-                .filter(id -> r.count(id) == 0)
+                .filter(id -> harness.attemptCount(id) == 0)
                 .toList();
         assertFalse(unsent.isEmpty());
-        r.pass(320_000);
-        assertEquals(List.of(), r.refused);
-        r.pass(50_000);
+        harness.advance(320_000);
+        assertEquals(List.of(), harness.rejected);
+        harness.advance(50_000);
         Comparator<String> byNumber = Comparator.comparing(id -> Integer.valueOf(id.substring(1)));
-        assertEquals(unsent, r.refused.stream().sorted(byNumber).toList());
+        assertEquals(unsent, harness.rejected.stream().sorted(byNumber).toList());
     }
 
     @Test
     void theNewestWaitingReadIsServedFirst() {
-        Recorder r = new Setup().start(up("a", 0, true), up("b", 0, false));
-        int n = 0;
-        while (r.last("q" + n) != null || n == 0) {
-            r.ask("q" + ++n, ANY);
-        }
-        r.ask("newest", ANY);
-        r.end("q1", Outcome.OK, Role.REPLICA, r.now);
-        int newest = r.sent.indexOf(r.last("newest"));
-        assertTrue(newest > 0, "let out");
-        assertTrue(r.last("q" + n) == null || r.sent.indexOf(r.last("q" + n)) > newest);
+        RouterHarness harness = new SettingsBuilder().start(primary("a", 0), replica("b", 0));
+        int waiting = submitUntilOneWaits(harness);
+        harness.submit("newest", ANY_READ);
+        harness.complete("q1", Outcome.OK, Role.REPLICA, harness.nowUs);
+        int newest = harness.attempts.indexOf(harness.lastAttempt("newest"));
+        assertTrue(newest > 0, "sent");
+        assertTrue(harness.lastAttempt("q" + waiting) == null
+                || harness.attempts.indexOf(harness.lastAttempt("q" + waiting)) > newest);
+    }
+
+    /** Submits reads q1, q2 ... until one is not sent at once, and tells its number. */
+    private static int submitUntilOneWaits(RouterHarness harness) {
+        int number = 0;
+        do {
+            number++;
+            harness.submit("q" + number, ANY_READ);
+        } while (harness.lastAttempt("q" + number) != null);
+        return number;
     }
 
     /** Under overload, repeats took the room in which first tries would still have made their aim. */
     @Test
     void aMarkedRepeatWaitsBehindFirstTries() {
-        Recorder r = new Setup().start(up("a", 0, true), up("b", 0, false));
-        int n = 0;
-        while (r.last("q" + n) != null || n == 0) {
-            r.ask("q" + ++n, ANY);
-        }
-        r.repeat("repeat", ANY);
-        for (int i = 1; i < n && r.last("repeat") == null; i++) {
-            r.end("q" + i, Outcome.OK, Role.REPLICA, r.now);
+        RouterHarness harness = new SettingsBuilder().start(primary("a", 0), replica("b", 0));
+        int waiting = submitUntilOneWaits(harness);
+        harness.submitRetry("retry", ANY_READ);
+        for (int i = 1; i < waiting && harness.lastAttempt("retry") == null; i++) {
+            harness.complete("q" + i, Outcome.OK, Role.REPLICA, harness.nowUs);
         }
-        int repeat = r.sent.indexOf(r.last("repeat"));
-        assertTrue(repeat > 0);
-        assertTrue(r.sent.indexOf(r.last("q" + n)) < repeat, "the waiting first try went before it");
-        assertTrue(r.last("q" + n) != null);
+        int retry = harness.attempts.indexOf(harness.lastAttempt("retry"));
+        assertTrue(retry > 0);
+        assertTrue(
+                harness.attempts.indexOf(harness.lastAttempt("q" + waiting)) < retry,
+                "the waiting first attempt went before it");
+        assertNotNull(harness.lastAttempt("q" + waiting));
     }
 
     /** A read waiting for room once asked at every sweep: 16 probes a request on a jammed day. */
     @Test
     void aWaitingReadDoesNotAskOnAndOn() {
-        Recorder r = new Setup().start(up("a", 0, false), up("b", 0, false), up("c", 0, false));
-        r.ask("q", SAFE_READ);
+        RouterHarness harness = new SettingsBuilder().start(replica("a", 0), replica("b", 0), replica("c", 0));
+        harness.submit("q", BOUNDED_READ);
         for (int i = 0; i < 40; i++) {
-            for (String m : List.of("a", "b", "c")) {
-                r.probeOk(m, Role.REPLICA, r.now - 2_000_000);
+            for (String member : List.of("a", "b", "c")) {
+                harness.healthCheckSucceeded(member, Role.REPLICA, harness.nowUs - 2_000_000);
             }
-            r.pass(10_000);
+            harness.advance(10_000);
         }
-        assertTrue(r.probed.size() <= 15, "probed " + r.probed.size());
+        assertTrue(harness.healthChecked.size() <= 15, "health checks: " + harness.healthChecked.size());
     }
 }
--- a/decisions/src/test/java/frostreel/routing/WriteQueueTest.java
+++ b/decisions/src/test/java/frostreel/routing/WriteQueueTest.java
@@ -1,14 +1,14 @@
 package frostreel.routing;
 
-import static frostreel.routing.Recorder.KEYED;
-import static frostreel.routing.Recorder.UNSAFE;
-import static frostreel.routing.Recorder.trio;
-import static frostreel.routing.Recorder.up;
-import static frostreel.routing.Recorder.with;
+import static frostreel.routing.RouterHarness.KEYED_WRITE;
+import static frostreel.routing.RouterHarness.NON_IDEMPOTENT_WRITE;
+import static frostreel.routing.RouterHarness.inState;
+import static frostreel.routing.RouterHarness.primary;
+import static frostreel.routing.RouterHarness.replica;
+import static frostreel.routing.RouterHarness.threeMembers;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import frostreel.routing.Recorder.Setup;
 import frostreel.routing.Router.ListKind;
 import frostreel.routing.Router.Outcome;
 import frostreel.routing.Router.Role;
@@ -20,46 +20,42 @@
 class WriteQueueTest {
     @Test
     void releaseDoesNotFloodTheNewPrimary() {
-        Recorder r = trio();
-        r.ask("w0", UNSAFE);
-        for (int i = 0; i < 3; i++) {
-            r.end("w0", Outcome.WRONG_ROLE_OR_STALE, Role.REPLICA, 0);
-        }
+        RouterHarness harness = threeMembers();
+        harness.submit("w0", NON_IDEMPOTENT_WRITE);
+        harness.rejectAsReplicas("w0", 3);
         for (int i = 1; i < 50; i++) {
-            r.ask("w" + i, UNSAFE);
+            harness.submit("w" + i, NON_IDEMPOTENT_WRITE);
         }
-        long before = r.countTo("b");
-        r.pass(50_000);
-        r.probeOk("b", Role.PRIMARY, r.now);
-        long first = r.countTo("b") - before;
-        assertTrue(first >= 1 && first <= 8, "let out at once: " + first);
+        long before = harness.attemptCountTo("b");
+        harness.advance(50_000);
+        harness.healthCheckSucceeded("b", Role.PRIMARY, harness.nowUs);
+        long sentAtOnce = harness.attemptCountTo("b") - before;
+        assertTrue(sentAtOnce >= 1 && sentAtOnce <= 8, "sent at once: " + sentAtOnce);
     }
 
     @Test
     void missesAloneEndInARefusalBeforeTheDeadline() {
-        Recorder r = trio();
-        r.ask("w", UNSAFE, 0, 2_000_000);
-        for (int i = 0; i < 3; i++) {
-            r.end("w", Outcome.WRONG_ROLE_OR_STALE, Role.REPLICA, 0);
-        }
-        r.pass(2_000_000);
-        assertEquals(List.of("w"), r.refused);
-        assertTrue(r.advice.get(0) > 0);
-        assertTrue(r.failed.isEmpty());
+        RouterHarness harness = threeMembers();
+        harness.submit("w", NON_IDEMPOTENT_WRITE, 0, 2_000_000);
+        harness.rejectAsReplicas("w", 3);
+        harness.advance(2_000_000);
+        assertEquals(List.of("w"), harness.rejected);
+        assertTrue(harness.retryAftersUs.get(0) > 0);
+        assertTrue(harness.failed.isEmpty());
     }
 
     @Test
     void aWriteThatNothingWasSentForIsRefusedBeforeHalfOfItsTimeWhileNoPrimaryIsKnown() {
-        Recorder r = new Setup().start(up("a", 0, true), up("b", 0, false));
-        r.list(ListKind.FULL, with(up("a", 0, true), State.DRAINING, 0), up("b", 0, false));
-        r.ask("first", KEYED, 0, 2_000_000);
-        r.end("first", Outcome.WRONG_ROLE_OR_STALE, Role.REPLICA, 0);
-        r.ask("w", KEYED, 0, 2_000_000);
-        r.pass(800_000);
-        assertEquals(List.of(), r.refused);
-        r.pass(150_000);
-        assertEquals(List.of("w"), r.refused);
-        r.pass(1_100_000);
-        assertEquals(List.of("w", "first"), r.refused);
+        RouterHarness harness = new SettingsBuilder().start(primary("a", 0), replica("b", 0));
+        harness.updateMembers(ListKind.FULL, inState(primary("a", 0), State.DRAINING), replica("b", 0));
+        harness.submit("first", KEYED_WRITE, 0, 2_000_000);
+        harness.complete("first", Outcome.WRONG_ROLE_OR_STALE, Role.REPLICA, 0);
+        harness.submit("w", KEYED_WRITE, 0, 2_000_000);
+        harness.advance(800_000);
+        assertEquals(List.of(), harness.rejected);
+        harness.advance(150_000);
+        assertEquals(List.of("w"), harness.rejected);
+        harness.advance(1_100_000);
+        assertEquals(List.of("w", "first"), harness.rejected);
     }
 }
