--- a/decisions/src/test/java/frostreel/routing/ChainRouterTest.java
+++ b/decisions/src/test/java/frostreel/routing/ChainRouterTest.java
@@ -20,7 +20,7 @@
 /** What holds for every request, through the router's interface alone. */
 class ChainRouterTest {
     @Test
-    void everyRequestGetsExactlyOneAnswerInTime() {
+    void everyRequestIsAnsweredExactlyOnceBeforeItsDeadline() {
         RouterHarness harness = new SettingsBuilder().start();
         for (int requestClass = 0; requestClass <= KEYED_WRITE_ALL_ZONES; requestClass++) {
             harness.submit("q" + requestClass, requestClass, 0, 900_000);
@@ -31,9 +31,9 @@
         assertTrue(harness.attempts.isEmpty());
     }
 
-    /** Summed over hundreds of routers, probing and waking for nothing once outweighed the requests. */
+    /** Summed over hundreds of routers, idle health checks and timers once outweighed the requests. */
     @Test
-    void aRouterWithNothingWaitingNeitherProbesNorWakes() {
+    void idleRouterNeitherChecksHealthNorSetsTimers() {
         RouterHarness harness = threeMembers();
         harness.submit("q", ANY_READ);
         harness.advance(20_000);
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void aClientThatLeftIsForgottenAndItsAttemptCalledOff() {
+    void requestOfADisconnectedClientIsForgottenAndItsAttemptCancelled() {
         RouterHarness harness = threeMembers();
         harness.submit("w", KEYED_WRITE);
         harness.clientDisconnected("w");
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void anOpenRequestKeepsItsClassAndAttemptsAndALaterOneHasTheNew() {
+    void openRequestKeepsItsClassAndAttemptLimitWhenSettingsChange() {
         SettingsBuilder settings = new SettingsBuilder();
         RouterHarness harness = settings.start(primary("a", 0), replica("b", 0), replica("c", 1));
         harness.submit("open", NON_IDEMPOTENT_WRITE);
--- a/decisions/src/test/java/frostreel/routing/ConcurrencyLimitTest.java
+++ b/decisions/src/test/java/frostreel/routing/ConcurrencyLimitTest.java
@@ -15,12 +15,12 @@
 
 /** How many attempts may be in flight to a member at once, and how long a rejecting one is left alone. */
 class ConcurrencyLimitTest {
-    /** A member that turns away or cannot be reached answers at once and would draw a storm of attempts. */
+    /** A member that rejects or cannot be reached answers at once and would attract a storm of attempts. */
     @ParameterizedTest
     @EnumSource(
             value = Outcome.class,
             names = {"REJECTED", "CONNECT_FAILED"})
-    void aFullOrUnreachableMemberIsLeftAloneForAWhile(Outcome outcome) {
+    void rejectingOrUnreachableMemberIsPausedForAWhile(Outcome outcome) {
         RouterHarness harness = new SettingsBuilder().start(primary("a", 0), replica("b", 0));
         for (int i = 0; i < 100; i++) {
             harness.submit("q" + i, ANY_READ);
@@ -36,9 +36,12 @@
         assertTrue(harness.attempts.size() < 30, "attempts: " + harness.attempts.size());
     }
 
-    /** Work alone took a quarter of an aim on some machines; cut for that, windows left them idle. */
+    /**
+     * On some machines service time alone took a quarter of the latency objective; windows narrowed for that left
+     * them idle.
+     */
     @Test
-    void aMemberWhoseWorkTakesAThirdOfTheAimIsSentManyAtOnce() {
+    void memberWhoseServiceTimeIsAThirdOfTheObjectiveReceivesConcurrentRequests() {
         RouterHarness harness = new SettingsBuilder().start(replica("b", 0));
         for (int i = 0; i < 200; i++) {
             harness.submit("q" + i, ANY_READ);
@@ -50,9 +53,9 @@
         assertSentAtOnce(harness, ANY_READ);
     }
 
-    /** Answers may arrive spoilt, from any member equally: no queue is shorter for fewer sent. */
+    /** Answers may be corrupted, from any member equally: sending less shortens no queue then. */
     @Test
-    void errorsThatCameInTimeLeaveRoomForAsManyAtOnceAsBefore() {
+    void errorsThatArriveInTimeDoNotNarrowTheWindow() {
         RouterHarness harness = new SettingsBuilder().start(primary("a", 0));
         for (int i = 0; i < 30; i++) {
             harness.submit("w" + i, NON_IDEMPOTENT_WRITE);
@@ -69,9 +72,9 @@
         }
     }
 
-    /** What waits in a member's queue past its use makes others late, where no window bounds the queue. */
+    /** Requests queued at a member beyond their use delay others, where no window bounds the queue. */
     @Test
-    void aReadThatEarnsNothingLateIsTimedOutAtItsAimOnceTheWindowIsAtItsFloor() {
+    void readWithoutLateWeightTimesOutAtItsObjectiveOnceTheWindowIsAtItsMinimum() {
         RouterHarness harness = new SettingsBuilder().start(replica("a", 0));
         harness.submit("q", ANY_READ);
         harness.advance(700_000);
--- a/decisions/src/test/java/frostreel/routing/FleetTest.java
+++ b/decisions/src/test/java/frostreel/routing/FleetTest.java
@@ -34,9 +34,9 @@
         return all.stream().mapToLong(harness -> harness.attemptCountTo(member)).sum();
     }
 
-    /** Each had served nothing, took its share to be nothing, and a replaced group stood idle till warm. */
+    /** Without history each router took its share to be zero, and a replaced group stayed idle until it was warm. */
     @Test
-    void routersThatHaveServedNothingGiveAColdGroupAFirstDoseTogether() {
+    void routersWithoutHistoryTogetherSendAStartingGroupItsFirstWork() {
         Member restarted = startedAt(primary("a", 0), 99_900_000);
         List<RouterHarness> all = fleet(restarted, startedAt(replica("b", 0), 99_900_000));
         for (RouterHarness harness : all) {
@@ -50,9 +50,12 @@
         assertThat(sentTo(all, "a")).isBetween(1L, 8L);
     }
 
-    /** Of the load that warm ones happened to have, a cold one got a fifth, however much room it had. */
+    /**
+     * A starting member once received a fifth of the load that warm members happened to have, however much
+     * capacity it had.
+     */
     @Test
-    void aColdMemberIsGivenWhatItCanDoAndNotAPartOfWhatOthersAreAsked() {
+    void startingMemberReceivesWhatItsCapacityAllowsNotAShareOfTheCurrentLoad() {
         RouterHarness busy = served(1);
         RouterHarness calm = served(0.1);
         assertThat(busy.attemptCountTo("c")).isPositive().isLessThan(busy.attemptCountTo("b") / 2);
@@ -92,9 +95,9 @@
         }
     }
 
-    /** Each read that waited had each replica probed four times a second, by each of fourteen. */
+    /** Each waiting read had each replica checked four times a second, by each of fourteen routers. */
     @Test
-    void aReplicaFarBehindIsAskedAgainNoSoonerThanItCanHaveCaughtUp() {
+    void replicaFarBehindIsNotCheckedAgainBeforeItCanHaveCaughtUp() {
         List<RouterHarness> all = fleet(primary("a", 0), replica("b", 0));
         for (RouterHarness harness : all) {
             for (int i = 0; i < 30; i++) {
@@ -110,7 +113,7 @@
     }
 
     @Test
-    void aMissThatTellsThePositionNeedsNoProbeToTellItAgain() {
+    void rejectionThatReportsThePositionTriggersNoHealthCheck() {
         RouterHarness harness = new SettingsBuilder()
                 .stalenessCheck(Router.StalenessCheck.WAIT)
                 .start(primary("a", 0), replica("b", 0));
@@ -120,9 +123,12 @@
         assertThat(harness.healthChecked).isEmpty();
     }
 
-    /** A full round each half second for one write that waits, at each of fourteen, cost more than it won. */
+    /**
+     * A full round each half second for a single waiting write, at each of fourteen routers, cost more than it
+     * gained.
+     */
     @Test
-    void theWalkGoesAsFastAsThereAreWritesThatWait() {
+    void primarySearchIsAsFastAsTheNumberOfWaitingWritesDemands() {
         assertThat(healthChecksDuringSearch(1)).isBetween(3L * INSTANCES, 5L * INSTANCES);
         assertThat(healthChecksDuringSearch(6)).isBetween(10L * INSTANCES, 13L * INSTANCES);
     }
--- a/decisions/src/test/java/frostreel/routing/FreshnessTest.java
+++ b/decisions/src/test/java/frostreel/routing/FreshnessTest.java
@@ -21,7 +21,7 @@
 /** Which members are fresh enough for a read. */
 class FreshnessTest {
     @Test
-    void aBoundedReadNeedsAPositionInsideItsBound() {
+    void boundedReadNeedsAPositionWithinItsStalenessBound() {
         RouterHarness harness = threeMembers();
         harness.healthCheckSucceeded("b", Role.REPLICA, harness.nowUs - 900_000);
         harness.healthCheckSucceeded("c", Role.REPLICA, harness.nowUs - 700_000);
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void aSessionReadNeedsItsCommitAndOneWithoutWritesTakesAnyReplica() {
+    void sessionReadNeedsItsLastCommitAndWithoutOneMayUseAnyReplica() {
         RouterHarness harness = threeMembers();
         harness.healthCheckSucceeded("b", Role.REPLICA, harness.nowUs - 400_000);
         harness.healthCheckSucceeded("c", Role.REPLICA, harness.nowUs - 400_000);
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void rememberedCommitsBindTheSessionsReads() {
+    void readsOfASessionMustSeeItsRememberedCommits() {
         RouterHarness harness = new SettingsBuilder()
                 .sessionTracking(SessionTracking.REMEMBERED)
                 .start(primary("a", 0), replica("b", 0));
@@ -59,9 +59,9 @@
         assertEquals("b", harness.lastAttempt("q2").member());
     }
 
-    /** Its server may have answered, and the answer be lost: what it told counts as known all the same. */
+    /** The server may have answered and the answer may be lost: what it contained counts as known all the same. */
     @Test
-    void aWriteInDoubtBindsTheSessionsReads() {
+    void readsOfASessionMustSeeItsWritesWithUnknownOutcome() {
         RouterHarness harness = new SettingsBuilder()
                 .sessionTracking(SessionTracking.REMEMBERED)
                 .start(primary("a", 0), replica("b", 0));
@@ -78,9 +78,9 @@
         assertEquals("b", harness.lastAttempt("caught up").member());
     }
 
-    /** While an attempt waits for its connection, more may have become known that its answer must hold. */
+    /** While an attempt waits for its connection, further commits may become known that its answer must contain. */
     @Test
-    void whatWaitsForItsConnectionStandsOnlyWhileItsMemberIsNewEnough() {
+    void attemptThatWaitsForAConnectionMayBeginOnlyWhileItsMemberIsFreshEnough() {
         RouterHarness harness = new SettingsBuilder()
                 .sessionTracking(SessionTracking.REMEMBERED)
                 .start(primary("a", 0), replica("b", 0));
@@ -95,9 +95,9 @@
         assertEquals("a", harness.lastAttempt("q").member());
     }
 
-    /** Forgotten commits may not free a session to read what is older than its write. */
+    /** Forgetting a commit must not permit its session to read data that is older than its write. */
     @Test
-    void commitsThatAreForgottenStillBind() {
+    void forgottenCommitsStillBindReads() {
         RouterHarness harness = new SettingsBuilder()
                 .sessionTracking(SessionTracking.REMEMBERED)
                 .start(primary("a", 0), replica("b", 0));
@@ -115,7 +115,7 @@
     }
 
     @Test
-    void aDemotedPrimaryIsNoLongerTrustedWithReads() {
+    void demotedPrimaryServesNoReadsWithoutProofOfFreshness() {
         RouterHarness harness = threeMembers();
         harness.submit("w", NON_IDEMPOTENT_WRITE);
         harness.rejectAsReplicas("w", 3);
@@ -125,7 +125,7 @@
     }
 
     @Test
-    void aCheckingReplicaMayBeTriedUnproven() {
+    void replicaThatChecksStalenessItselfMayBeTriedWithoutProof() {
         RouterHarness harness =
                 new SettingsBuilder().stalenessCheck(StalenessCheck.WAIT).start(primary("a", 0), replica("b", 0));
         harness.submit("q", BOUNDED_READ);
--- a/decisions/src/test/java/frostreel/routing/LoadSheddingTest.java
+++ b/decisions/src/test/java/frostreel/routing/LoadSheddingTest.java
@@ -20,9 +20,12 @@
 
 /** When requests are rejected at once, and when they may not be. */
 class LoadSheddingTest {
-    /** With a window of one each, hundreds of routers jam a member; how requests end tells each. */
+    /**
+     * Hundreds of routers overload a member even with a window of one attempt each; each router infers that from
+     * how its own requests end.
+     */
     @Test
-    void aRouterWhoseRequestsAllEndLateRefusesMostAtOnceAndComesBack() {
+    void routerWhoseRequestsAllEndLateShedsMostLoadAndRecovers() {
         RouterHarness harness = threeMembers();
         int rejectedAtOnce = 0;
         for (int i = 0; i < 60; i++) {
@@ -44,9 +47,12 @@
         }
     }
 
-    /** With many poolers a sixth of all worth was writes refused at once, most with room at their head. */
+    /**
+     * With many poolers a sixth of the total value was lost to writes shed at once, most of them while their
+     * primary had capacity.
+     */
     @Test
-    void aJammedReplicaRefusesNoWrite() {
+    void overloadedReplicaCausesNoWriteToBeRejected() {
         RouterHarness harness = threeMembers();
         int ended = 0;
         for (int i = 0; i < 60; i++) {
@@ -67,9 +73,9 @@
         assertTrue(harness.rejected.size() > 10, "reads rejected: " + harness.rejected.size());
     }
 
-    /** Refusing is for jams: failures of a few members, or answers lost, may not turn requests away. */
+    /** Load is shed under overload only: failing members and lost answers must not cause rejections. */
     @Test
-    void aThirdFailingRefusesNothingAtOnce() {
+    void failureOfAThirdOfTheRequestsShedsNoLoad() {
         RouterHarness harness = threeMembers();
         for (int i = 0; i < 90; i++) {
             harness.submit("q" + i, NON_IDEMPOTENT_WRITE);
@@ -79,9 +85,9 @@
         }
     }
 
-    /** On i633ad7 primaries that failed fast drew the refusals of most requests of all classes. */
+    /** In experiment i633ad7, primaries that failed fast caused most requests of all classes to be rejected. */
     @Test
-    void errorsAloneRefuseNothingElse() {
+    void errorsAloneShedNoLoad() {
         RouterHarness harness = threeMembers();
         for (int i = 0; i < 60; i++) {
             harness.submit("w" + i, NON_IDEMPOTENT_WRITE);
@@ -91,9 +97,12 @@
         }
     }
 
-    /** Each that waits holds a place that another cannot ask from; the longest has the least to gain. */
+    /**
+     * Each waiting request occupies a slot that another client cannot use; the one that waits longest has the
+     * least to gain.
+     */
     @Test
-    void beyondTheirPartOfClientsPlacesTheLongestWaitingMakesRoom() {
+    void longestWaitingRequestIsRejectedWhenTooManyClientRequestsAreOpen() {
         int limitThatPermitsTwo = 6;
         RouterHarness harness = new SettingsBuilder()
                 .concurrentRequestLimit(limitThatPermitsTwo)
--- a/decisions/src/test/java/frostreel/routing/MembershipTest.java
+++ b/decisions/src/test/java/frostreel/routing/MembershipTest.java
@@ -27,7 +27,7 @@
 class MembershipTest {
     @ParameterizedTest
     @ValueSource(ints = {BOUNDED_READ, SESSION_READ, FRESH_READ, KEYED_WRITE, NON_IDEMPOTENT_WRITE, ANY_READ})
-    void nothingGoesToADrainingOrGoneMember(int requestClass) {
+    void drainingAndGoneMembersReceiveNothing(int requestClass) {
         for (State state : List.of(State.DRAINING, State.GONE)) {
             RouterHarness harness = threeMembers();
             harness.updateMembers(ListKind.CHANGES, inState(primary("a", 0), state));
@@ -38,9 +38,9 @@
         }
     }
 
-    /** A chain that kept every replaced machine would grow with each deploy. */
+    /** A failover chain that kept every replaced machine would grow with each deployment. */
     @Test
-    void aMemberLongGoneIsForgottenAndItsGroupGoesOn() {
+    void memberGoneForLongIsForgottenAndItsGroupKeepsServing() {
         RouterHarness harness = threeMembers();
         harness.updateMembers(ListKind.FULL, replica("b", 0), replica("c", 1));
         harness.advance(200_000_000);
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void aMemberMissingFromAFullListIsGone() {
+    void memberMissingFromAFullListReceivesNothing() {
         RouterHarness harness = threeMembers();
         harness.updateMembers(ListKind.FULL, replica("b", 0), replica("c", 1));
         harness.submit("w", NON_IDEMPOTENT_WRITE);
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void whereOnlyDrainingBindsAGoneMemberMayStillServe() {
+    void goneMemberMayStillServeWhereOnlyDrainingIsBinding() {
         RouterHarness harness =
                 new SettingsBuilder().onlyDrainingIsBinding(true).start(primary("a", 0));
         harness.updateMembers(ListKind.FULL);
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void aFailedListChangesNothingAndIsAskedForAgain() {
+    void failedListUpdateChangesNothingAndTheSubscriptionIsRepeated() {
         RouterHarness harness = new SettingsBuilder().subscribe(true).start(primary("a", 0));
         assertEquals(1, harness.subscriptions);
         harness.updateMembers(ListKind.FAILED);
@@ -85,9 +85,12 @@
         assertEquals(2, harness.subscriptions);
     }
 
-    /** A list may name machines that are none of ours; each router would lose requests on finding out. */
+    /**
+     * A list may name machines that do not belong to the deployment; each router would lose requests finding that
+     * out.
+     */
     @Test
-    void aMemberListedLaterGetsNothingBeforeItAnsweredAProbe() {
+    void memberListedLaterReceivesNothingBeforeItAnsweredAHealthCheck() {
         RouterHarness harness =
                 new SettingsBuilder().onlyDrainingIsBinding(true).start(primary("b", 0), replica("c", 1));
         harness.updateMembers(ListKind.CHANGES, replica("a", 0));
@@ -105,9 +108,9 @@
         assertEquals("a", harness.lastAttempt("q3").member());
     }
 
-    /** Strangers may not stay for ever where only draining binds. */
+    /** Unverified members must not stay for ever where only draining is binding. */
     @Test
-    void aStrangerThatLeavesTheListIsForgotten() {
+    void unverifiedMemberThatLeavesTheListIsForgotten() {
         RouterHarness harness =
                 new SettingsBuilder().onlyDrainingIsBinding(true).start(primary("b", 0));
         harness.updateMembers(ListKind.FULL, replica("a", 0), primary("b", 0));
--- a/decisions/src/test/java/frostreel/routing/OutlierDetectionTest.java
+++ b/decisions/src/test/java/frostreel/routing/OutlierDetectionTest.java
@@ -13,7 +13,7 @@
 /** Members that fail or are slower than their peers. */
 class OutlierDetectionTest {
     @Test
-    void aFailingReplicaLosesItsReadsButNotForEver() {
+    void failingReplicaLosesItsReadsButIsTriedAgainLater() {
         RouterHarness harness = new SettingsBuilder().start(primary("a", 0), replica("b", 0), replica("c", 0));
         for (int i = 0; i < 400; i++) {
             harness.submit("q" + i, ANY_READ);
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void aCrawlingReplicaGetsLessThanItsPeer() {
+    void slowReplicaReceivesLessThanItsPeer() {
         RouterHarness harness = new SettingsBuilder().start(primary("a", 0), replica("b", 0), replica("c", 0));
         for (int i = 0; i < 300; i++) {
             harness.submit("q" + i, ANY_READ);
@@ -50,9 +50,9 @@
                 harness.attemptCountTo("b") + " against " + harness.attemptCountTo("c"));
     }
 
-    /** Health is relative: when all are slow, no majority is cut off. */
+    /** Health is relative: when all members are slow, no majority is ejected. */
     @Test
-    void whenAllAreSlowAllGoOnServing() {
+    void allMembersKeepServingWhenAllAreSlow() {
         RouterHarness harness = new SettingsBuilder().start(primary("a", 0), replica("b", 0), replica("c", 0));
         for (int i = 0; i < 200; i++) {
             harness.submit("q" + i, ANY_READ);
--- a/decisions/src/test/java/frostreel/routing/PrimarySearchTest.java
+++ b/decisions/src/test/java/frostreel/routing/PrimarySearchTest.java
@@ -18,7 +18,7 @@
 /** How a router finds the primary of a group: along the failover chain, by health checks and by a trial write. */
 class PrimarySearchTest {
     @Test
-    void aWriteGoesToTheListedPrimaryAndAMissMovesItOn() {
+    void writeGoesToTheListedPrimaryAndMovesToTheNextMemberWhenTheRoleIsWrong() {
         RouterHarness harness = threeMembers();
         harness.submit("w", NON_IDEMPOTENT_WRITE);
         assertEquals("a", harness.lastAttempt("w").member());
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void aFullRoundOfMissesHoldsWritesAndAPrimarysAnswerReleasesThem() {
+    void writesAreQueuedOnceEveryMemberRejectedTheRoleAndReleasedWhenAPrimaryReports() {
         RouterHarness harness = threeMembers();
         harness.submit("w", NON_IDEMPOTENT_WRITE);
         harness.rejectAsReplicas("w", 3);
@@ -46,7 +46,7 @@
 
     @ParameterizedTest
     @EnumSource(value = Router.Probes.class, names = "REPORT", mode = EnumSource.Mode.EXCLUDE)
-    void withoutProbesThatTellRolesTheWalkSendsOneHeldWrite(Router.Probes probes) {
+    void searchSendsASingleTrialWriteWhereHealthChecksReportNoRoles(Router.Probes probes) {
         RouterHarness harness =
                 new SettingsBuilder().probes(probes).start(primary("a", 0), replica("b", 0), replica("c", 1));
         harness.submit("w", NON_IDEMPOTENT_WRITE);
--- a/decisions/src/test/java/frostreel/routing/PrimaryTrackingTest.java
+++ b/decisions/src/test/java/frostreel/routing/PrimaryTrackingTest.java
@@ -16,7 +16,7 @@
 /** Which evidence of a role decides who is taken for the primary, and when that is doubted. */
 class PrimaryTrackingTest {
     @Test
-    void anAnswerAsPrimaryFixesTheHeadAndALateListDoesNotPullItBack() {
+    void primaryConfirmedByAnAnswerIsNotReplacedByALateMemberList() {
         RouterHarness harness = threeMembers();
         harness.submit("w", KEYED_WRITE);
         harness.complete("w", Outcome.WRONG_ROLE_OR_STALE, Role.REPLICA, 0);
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void anOldReportDoesNotPullTheHeadBack() {
+    void primaryConfirmedByAnAnswerIsNotReplacedByAnOldReport() {
         RouterHarness harness = threeMembers();
         harness.submit("w", KEYED_WRITE);
         harness.complete("w", Outcome.WRONG_ROLE_OR_STALE, Role.REPLICA, 0);
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void aHungPrimaryGetsNoNewUnsafeWrites() {
+    void unresponsivePrimaryReceivesNoNewNonIdempotentWrites() {
         RouterHarness harness = threeMembers();
         for (int i = 0; i < 20; i++) {
             harness.submit("warm" + i, NON_IDEMPOTENT_WRITE);
--- a/decisions/src/test/java/frostreel/routing/PromotionTest.java
+++ b/decisions/src/test/java/frostreel/routing/PromotionTest.java
@@ -33,7 +33,7 @@
     private long commitUs;
 
     @BeforeEach
-    void sessionWritesAndItsPrimaryDies() {
+    void commitToAPrimaryThatThenDisappears() {
         harness = new SettingsBuilder()
                 .listRole(ListRole.START)
                 .sessionTracking(SessionTracking.REMEMBERED)
@@ -85,7 +85,7 @@
     }
 
     @Test
-    void theSessionWhoseCommitItLacksReadsThereAndNowhereElse() {
+    void sessionWhoseCommitIsLostReadsFromTheNewPrimaryOnly() {
         assertThat(read("before")).as("no member is known to have the commit").isEqualTo("nobody");
         harness.advance(100_000);
         assertThat(harness.lastAttempt("before")).isNull();
@@ -103,7 +103,7 @@
     }
 
     @Test
-    void deposedByItsOwnWordItIsExcusedNoMore() {
+    void primaryThatReportsItselfAsReplicaMustProveItsFreshnessAgain() {
         promoteB();
         assertThat(read("waits for its connection")).isEqualTo("b");
         assertThat(harness.mayStillBegin("waits for its connection")).isTrue();
@@ -118,7 +118,7 @@
     }
 
     @Test
-    void theOldOneThatComesBackIsNobodyUntilItLeadsAgain() {
+    void returningFormerPrimaryServesNoSessionReadsUntilItIsPrimaryAgain() {
         promoteB();
         harness.updateMembers(ListKind.CHANGES, startedAt(primary("a", 0), harness.nowUs));
         harness.updateMembers(
@@ -138,9 +138,12 @@
         assertThat(harness.lastAttempt("while none leads")).isNull();
     }
 
-    /** Nobody has heard b say so, but two do not lead at once, and c's word is the later one. */
+    /**
+     * The old primary never reported a change of role, but two members are not primary at once and the other
+     * report is newer.
+     */
     @Test
-    void deposedByAnothersWordItIsExcusedNoMore() {
+    void primaryReplacedByAnotherMustProveItsFreshnessAgain() {
         promoteB();
         assertThat(read("waits for its connection")).isEqualTo("b");
         write("cut off");
--- a/decisions/src/test/java/frostreel/routing/ReplicaSelectionTest.java
+++ b/decisions/src/test/java/frostreel/routing/ReplicaSelectionTest.java
@@ -20,14 +20,14 @@
 /** Which member a read is sent to, and which are health-checked for it. */
 class ReplicaSelectionTest {
     @Test
-    void nearReplicasComeFirstAndThePrimaryIsSpared() {
+    void replicaInTheOwnZoneIsPreferredAndThePrimarySpared() {
         RouterHarness harness = threeMembers();
         harness.submit("q", ANY_READ);
         assertEquals("b", harness.lastAttempt("q").member());
     }
 
     @Test
-    void withNoRoleListedReadsAskBeforeTheyTrustAnyone() {
+    void readsWaitForAHealthCheckWhereTheListNamesNoRoles() {
         RouterHarness harness = new SettingsBuilder().listRole(ListRole.SILENT).start(replica("a", 0), replica("b", 0));
         harness.submit("q", BOUNDED_READ);
         assertNull(harness.lastAttempt("q"));
@@ -36,9 +36,9 @@
         assertEquals(harness.healthChecked.get(0), harness.lastAttempt("q").member());
     }
 
-    /** Probing every replica for one read costs a fleet of thin routers more than the reads. */
+    /** Checking every replica for a single read costs a fleet of low-traffic routers more than the reads themselves. */
     @Test
-    void anUnprovenReadAsksOneReplicaAtATimeAndThePrimaryLast() {
+    void readWithoutAProvenReplicaChecksOneReplicaAtATimeAndThePrimaryLast() {
         RouterHarness harness = threeMembers();
         harness.submit("q", BOUNDED_READ);
         assertEquals(List.of("b"), harness.healthChecked);
@@ -48,9 +48,9 @@
         assertEquals("c", harness.lastAttempt("q").member());
     }
 
-    /** Hundreds of routers that each rotate over all members fill their connection tables. */
+    /** Hundreds of routers that each rotate over all members would fill the connection tables of the members. */
     @Test
-    void aThinRouterKeepsToTheReplicaItIsConnectedTo() {
+    void lowTrafficRouterKeepsToTheReplicaItIsConnectedTo() {
         RouterHarness harness = new SettingsBuilder().start(primary("a", 0), replica("b", 0), replica("c", 0));
         for (int i = 0; i < 8; i++) {
             harness.submit("q" + i, ANY_READ);
@@ -61,9 +61,12 @@
         assertTrue(harness.attemptCountTo("b") == 8 || harness.attemptCountTo("c") == 8);
     }
 
-    /** A replica that holds a long query may apply nothing: spread over all, they would leave none new. */
+    /**
+     * A replica that runs a long query may apply nothing meanwhile: spread over all replicas, such queries would
+     * leave none fresh.
+     */
     @Test
-    void longQueriesKeepToTheReplicaThatIsFurthestBehind() {
+    void longRunningQueriesGoToTheReplicaFurthestBehind() {
         RouterHarness harness = threeMembers();
         for (int i = 0; i < 15; i++) {
             harness.submit("slow" + i, ANY_READ);
--- a/decisions/src/test/java/frostreel/routing/RetryTest.java
+++ b/decisions/src/test/java/frostreel/routing/RetryTest.java
@@ -24,7 +24,7 @@
 class RetryTest {
     @ParameterizedTest
     @EnumSource(Outcome.class)
-    void anUnsafeWriteIsTriedAgainOnlyAfterProofThatItNeverRan(Outcome outcome) {
+    void nonIdempotentWriteIsRetriedOnlyAfterProofThatItDidNotRun(Outcome outcome) {
         RouterHarness harness = threeMembers();
         harness.submit("w", NON_IDEMPOTENT_WRITE);
         harness.complete("w", outcome);
@@ -45,7 +45,7 @@
     @EnumSource(
             value = Outcome.class,
             names = {"ERROR", "TIMEOUT", "RESET", "CANCELLED"})
-    void aKeyedWriteIsSentAgainInsideItsWindowAndFailsAfterIt(Outcome unknown) {
+    void keyedWriteIsRetriedWithinItsDeduplicationWindowAndFailsAfterIt(Outcome unknown) {
         RouterHarness harness = threeMembers();
         harness.submit("w", KEYED_WRITE, 0, 4_900_000);
         long startUs = harness.nowUs;
@@ -65,10 +65,14 @@
         assertTrue(harness.nowUs < startUs + 3_100_000, "fails as soon as no retry is possible");
     }
 
-    /** Given up at a few times its usual time, it went there again, and the primary did its work twice. */
+    /**
+     * Timed out after a few times its usual duration, such a write was retried at the same primary, which then did
+     * the work twice.
+     */
     @ParameterizedTest
     @CsvSource({"NaN, false", "0.5, false", "0.9, true", "1, true"})
-    void aWriteToAPrimaryThatSaysItIsBusyIsNotSentThereTwice(double utilization, boolean untilDeadline) {
+    void keyedWriteToAPrimaryThatReportsHighUtilizationIsNotTimedOutForARetry(
+            double utilization, boolean untilDeadline) {
         RouterHarness harness = threeMembers();
         harness.submit("v", KEYED_WRITE);
         harness.complete("v", Outcome.OK, Role.PRIMARY, 0);
@@ -79,9 +83,9 @@
         assertEquals(untilDeadline, harness.lastAttempt("w").timeoutUs() == 2_900_000, "timeout up to the deadline");
     }
 
-    /** Where no report tells that it is busy, its late answers do: the same write again adds to its queue. */
+    /** Where no report tells that a primary is busy, its late answers do: a retried write would add to its queue. */
     @Test
-    void aPrimaryThatWasLateKeepsItsWritesAndOneThatWasNotIsGivenUp() {
+    void writeToAPrimaryThatAnsweredLateIsNotTimedOutForARetry() {
         SettingsBuilder settings = new SettingsBuilder().probes(Router.Probes.LIVENESS);
         RouterHarness late = settings.start(primary("a", 0), replica("b", 0));
         RouterHarness soon = settings.start(primary("a", 0), replica("b", 0));
@@ -102,14 +106,17 @@
     }
 
     @Test
-    void aKeyThatAllMembersKnowMayBeRefusedAfterDoubt() {
+    void writeKeyedAcrossAllMembersMayBeRejectedAfterAnUnknownOutcome() {
         RouterHarness harness = new SettingsBuilder().maxAttempts(1).start(primary("a", 0));
         harness.submit("w", KEYED_WRITE_ALL_ZONES);
         harness.complete("w", Outcome.TIMEOUT);
         assertEquals(List.of("w"), harness.rejected);
     }
 
-    /** Where it ran a zone's members drop it by its key; those of another zone would run it again. */
+    /**
+     * The members of the zone where it may have run deduplicate it by its key; those of another zone would run it
+     * again.
+     */
     @ParameterizedTest
     @CsvSource({
         "TIMEOUT, b, true",
@@ -118,7 +125,7 @@
         "RESET, c, false",
         "WRONG_ROLE_OR_STALE, b, true"
     })
-    void aKeyThatOneZoneKnowsIsRepeatedThereAlone(Outcome first, String primary, boolean again) {
+    void writeKeyedWithinOneZoneIsRetriedInThatZoneOnly(Outcome first, String primary, boolean again) {
         RouterHarness harness = threeMembers(); // a and b are in one zone, c is in another.
         harness.submit("w", KEYED_WRITE_ONE_ZONE);
         assertEquals("a", harness.lastAttempt("w").member());
@@ -131,7 +138,7 @@
     }
 
     @Test
-    void anOutcomeAtTheDeadlineIsAnsweredThereAndThen() {
+    void outcomeAtTheDeadlineEndsTheRequestAtOnce() {
         RouterHarness harness = threeMembers();
         harness.submit("w", NON_IDEMPOTENT_WRITE, 0, 1_000_000);
         harness.advance(1_005_000);
@@ -140,16 +147,16 @@
     }
 
     @Test
-    void neverTwoAttemptsOutTogether() {
+    void requestNeverHasTwoAttemptsInFlight() {
         RouterHarness harness = threeMembers();
         harness.submit("w", KEYED_WRITE);
         harness.advance(2_900_000);
         assertEquals(1, harness.attemptCount("w"));
     }
 
-    /** Members that are gone once kept a read from its second round. */
+    /** Members that were gone once kept a read from its second round. */
     @Test
-    void aReadThatMissedEveryUsableMemberIsTriedAgain() {
+    void readThatFailedOnEveryUsableMemberGetsASecondRound() {
         RouterHarness harness = threeMembers();
         harness.updateMembers(ListKind.FULL, primary("a", 0), replica("b", 0));
         harness.submit("q", ANY_READ);
--- a/decisions/src/test/java/frostreel/routing/SessionCommitsTest.java
+++ b/decisions/src/test/java/frostreel/routing/SessionCommitsTest.java
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void aCommitThatWasToldBindsItsSessionAlone() {
+    void reportedCommitBindsItsOwnSessionOnly() {
         commits.sent(START_US, SESSION);
         commits.ended(afterMs(50), SESSION, DEADLINE_US, Outcome.OK, afterMs(40), RETENTION_US);
         assertThat(commits.need(afterMs(60), SESSION)).isEqualTo(afterMs(41));
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void aWriteThatIsOutBindsOnceItsAnswerMayCountAsKnown() {
+    void writeInFlightBindsOnceItsAnswerMayCountAsKnown() {
         commits.sent(START_US, SESSION);
         assertThat(commits.need(afterMs(100), SESSION)).isZero();
         assertThat(commits.need(afterMs(150), SESSION)).isEqualTo(afterMs(50));
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void ofTwoWritesAtOnceTheOldestBindsUntilBothHaveEnded() {
+    void oldestOfTwoConcurrentWritesBindsUntilBothHaveEnded() {
         commits.sent(START_US, SESSION);
         commits.sent(afterMs(500), SESSION);
         commits.ended(afterMs(510), SESSION, DEADLINE_US, Outcome.REJECTED, NO_COMMIT, RETENTION_US);
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void oneThatEndedInDoubtBindsToAllThatItsServerMayYetHaveAnswered() {
+    void writeThatTimedOutBindsUpToItsDeadline() {
         commits.sent(START_US, SESSION);
         commits.ended(afterMs(700), SESSION, DEADLINE_US, Outcome.TIMEOUT, NO_COMMIT, RETENTION_US);
         assertThat(commits.need(afterMs(800), SESSION)).isEqualTo(afterMs(700));
@@ -61,14 +61,14 @@
     @EnumSource(
             value = Outcome.class,
             names = {"RESET", "ERROR", "OK"})
-    void oneWhoseConnectionBrokeOrWhoseCommitWasNotToldWasAnsweredByThen(Outcome outcome) {
+    void writeWithoutReportedCommitBindsUpToItsEnd(Outcome outcome) {
         commits.sent(START_US, SESSION);
         commits.ended(afterMs(700), SESSION, DEADLINE_US, outcome, NO_COMMIT, RETENTION_US);
         assertThat(commits.need(afterMs(60_000), SESSION)).isEqualTo(afterMs(700));
     }
 
     @Test
-    void whatIsForgottenBindsEverySession() {
+    void forgottenCommitBindsEverySession() {
         commits.sent(START_US, SESSION);
         commits.ended(START_US, SESSION, afterMs(1), Outcome.OK, afterMs(-1), RETENTION_US);
         long laterUs = START_US + 2 * RETENTION_US;
@@ -79,7 +79,7 @@
     }
 
     @Test
-    void noMoreThanABoundIsKeptAndADroppedWriteStillBinds() {
+    void numberOfSessionsIsBoundedAndADroppedWriteStillBinds() {
         for (int session = 0; session <= SessionCommits.MOST + 1; session++) {
             commits.sent(START_US, session);
         }
--- a/decisions/src/test/java/frostreel/routing/SlowStartRoutingTest.java
+++ b/decisions/src/test/java/frostreel/routing/SlowStartRoutingTest.java
@@ -16,7 +16,7 @@
 /** What routers send a member that started a short while ago. */
 class SlowStartRoutingTest {
     @Test
-    void aColdMemberGetsAShareOfWhatAWarmOneHasServed() {
+    void startingMemberReceivesAShareOfWhatAWarmMemberServes() {
         RouterHarness harness =
                 new SettingsBuilder().start(primary("a", 0), replica("b", 0), startedAt(replica("c", 0), 99_900_000));
         for (int i = 0; i < 400; i++) {
@@ -32,9 +32,9 @@
                 harness.attemptCountTo("c") + " against " + harness.attemptCountTo("b"));
     }
 
-    /** A storm of turn-aways at the warm members once raised the cold one's share past what it could do. */
+    /** A burst of rejections by warm members once raised the share of a starting member beyond its capacity. */
     @Test
-    void turnedAwayWorkDoesNotRaiseAColdMembersShare() {
+    void rejectedWorkDoesNotRaiseTheShareOfAStartingMember() {
         RouterHarness harness =
                 new SettingsBuilder().start(primary("a", 0), replica("b", 0), startedAt(replica("c", 0), 99_900_000));
         for (int i = 0; i < 300; i++) {
@@ -51,9 +51,12 @@
         assertTrue(harness.attemptCountTo("c") <= 1, "sent " + harness.attemptCountTo("c"));
     }
 
-    /** Its budget was another when it was chosen: connections to one that comes back come up all at once. */
+    /**
+     * The member had another slow-start budget when it was chosen, and all connections to a returning member open
+     * at once.
+     */
     @Test
-    void whatWaitsForItsConnectionIsSentToAMemberThatStartedMeanwhileOnlyAsOneOfItsFirst() {
+    void attemptThatWaitsForAConnectionIsHeldToSlowStartWhenItsMemberRestartedMeanwhile() {
         RouterHarness harness = new SettingsBuilder().start(primary("a", 0), replica("b", 0));
         harness.healthCheckSucceeded("b", Role.REPLICA, harness.nowUs);
         harness.submit("q", ANY_READ);
@@ -64,9 +67,12 @@
         assertEquals("a", harness.lastAttempt("q").member());
     }
 
-    /** Each of many thin routers owes a cold member less than one request; once each sent it a whole one. */
+    /**
+     * Each of many low-traffic routers owes a starting member less than one request; once each of them sent it a
+     * whole one.
+     */
     @Test
-    void manyThinRoutersTogetherSendAColdMemberAShareOnly() {
+    void lowTrafficRoutersTogetherSendAStartingMemberOnlyItsShare() {
         long startingMemberAttempts = 0;
         long warmMemberAttempts = 0;
         for (int seed = 0; seed < 200; seed++) {
--- a/decisions/src/test/java/frostreel/routing/SlowStartTest.java
+++ b/decisions/src/test/java/frostreel/routing/SlowStartTest.java
@@ -44,10 +44,12 @@
         return nowUs;
     }
 
-    /** Sixty routers of one pool let one request each out at once, whatever its size, when their budgets were
-     * above nothing. */
+    /**
+     * Sixty routers of one pool once sent one request each at the same moment, whatever its size, because every
+     * budget was above zero.
+     */
     @Test
-    void ofManyRoutersThatHaveServedNothingSomeSendAndNotAll() {
+    void onlySomeOfManyRoutersWithoutHistorySendToAStartingMember() {
         int all = 0;
         for (int seed = 0; seed < 60; seed++) {
             SlowStart slowStart = slowStart(60, seed);
@@ -59,9 +61,12 @@
         assertThat(all).isBetween(1, 12);
     }
 
-    /** Times with a queue in them made short work seem as dear as long work: sent long work, it fell. */
+    /**
+     * Times that include queueing made short work seem as expensive as long work: given long work, the member was
+     * overloaded.
+     */
     @Test
-    void whatAQueueAddsToATimeIsNoWork() {
+    void queueingTimeIsNotCountedAsWork() {
         SlowStart slowStart = slowStart(1, 7);
         SlowStart.Member warm = slowStart.meet(START_US);
         slowStart.listed(START_US, warm, entry("a", 0));
@@ -73,9 +78,9 @@
         assertThat(sent(slowStart, cold, nowUs, LONG, 5_000)).isLessThanOrEqualTo(2);
     }
 
-    /** Where no report tells how busy the others are, what they serve they can do at the least. */
+    /** Where no report tells how busy the others are, what they serve is the least that they can do. */
     @Test
-    void withoutReportsItGetsMoreThanTheOthersServeAndLessThanPushesItOver() {
+    void withoutReportsAStartingMemberReceivesMoreThanOthersServeButLessThanOverloadsIt() {
         SlowStart slowStart = slowStart(1, 7);
         SlowStart.Member warm = slowStart.meet(START_US);
         slowStart.listed(START_US, warm, entry("a", 0));
@@ -94,9 +99,9 @@
         assertThat(sent).isBetween(21, 59);
     }
 
-    /** By its first guess a write was a thousand times the reads answered so far, and waited for 4 s. */
+    /** By its first estimate a write was a thousand times the reads answered so far, and waited for 4 s. */
     @Test
-    void aClassThatNobodyAnsweredYetIsGuessedByTheOthers() {
+    void workOfAClassWithoutAnswersIsEstimatedFromTheOtherClasses() {
         SlowStart slowStart = slowStart(0, 7);
         SlowStart.Member only = slowStart.meet(START_US);
         slowStart.listed(START_US, only, entry("a", 0));
@@ -108,7 +113,7 @@
     }
 
     @Test
-    void aWarmMemberIsNotHeldBack() {
+    void warmMemberIsNotLimited() {
         SlowStart slowStart = slowStart(100, 7);
         SlowStart.Member member = slowStart.meet(START_US);
         slowStart.listed(START_US, member, entry("a", START_US - 18 * SECOND_US));
--- a/decisions/src/test/java/frostreel/routing/WaitingReadsTest.java
+++ b/decisions/src/test/java/frostreel/routing/WaitingReadsTest.java
@@ -19,9 +19,9 @@
 
 /** Reads that wait for capacity: their order, their end and their health checks. */
 class WaitingReadsTest {
-    /** Oldest first, a backlog makes every request late. */
+    /** Served oldest first, a backlog would make every request late. */
     @Test
-    void aReadUnsentAtAlmostHalfItsTimeIsRefusedAndTheSentOnesGoOn() {
+    void unsentReadIsRejectedAtAlmostHalfItsTimeWhileSentReadsContinue() {
         RouterHarness harness = threeMembers();
         for (int i = 0; i < 30; i++) {
             harness.submit("r" + i, ANY_READ, 0, 800_000);
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void theNewestWaitingReadIsServedFirst() {
+    void newestWaitingReadIsServedFirst() {
         RouterHarness harness = new SettingsBuilder().start(primary("a", 0), replica("b", 0));
         int waiting = submitUntilOneWaits(harness);
         harness.submit("newest", ANY_READ);
@@ -60,9 +60,12 @@
         return number;
     }
 
-    /** Under overload, repeats took the room in which first tries would still have made their aim. */
+    /**
+     * Under overload, client retries took the capacity in which first attempts would still have met their
+     * objective.
+     */
     @Test
-    void aMarkedRepeatWaitsBehindFirstTries() {
+    void clientRetryWaitsBehindFirstAttempts() {
         RouterHarness harness = new SettingsBuilder().start(primary("a", 0), replica("b", 0));
         int waiting = submitUntilOneWaits(harness);
         harness.submitRetry("retry", ANY_READ);
@@ -77,9 +80,9 @@
         assertNotNull(harness.lastAttempt("q" + waiting));
     }
 
-    /** A read waiting for room once asked at every sweep: 16 probes a request on a jammed day. */
+    /** A read that waits for capacity once triggered health checks at every sweep: 16 a request under overload. */
     @Test
-    void aWaitingReadDoesNotAskOnAndOn() {
+    void waitingReadDoesNotRepeatHealthChecksContinuously() {
         RouterHarness harness = new SettingsBuilder().start(replica("a", 0), replica("b", 0), replica("c", 0));
         harness.submit("q", BOUNDED_READ);
         for (int i = 0; i < 40; i++) {
--- a/decisions/src/test/java/frostreel/routing/WriteQueueTest.java
+++ b/decisions/src/test/java/frostreel/routing/WriteQueueTest.java
@@ -19,7 +19,7 @@
 /** Writes that wait while no primary is known. */
 class WriteQueueTest {
     @Test
-    void releaseDoesNotFloodTheNewPrimary() {
+    void queuedWritesAreReleasedToTheNewPrimaryGradually() {
         RouterHarness harness = threeMembers();
         harness.submit("w0", NON_IDEMPOTENT_WRITE);
         harness.rejectAsReplicas("w0", 3);
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void missesAloneEndInARefusalBeforeTheDeadline() {
+    void writeThatFindsNoPrimaryIsRejectedBeforeItsDeadline() {
         RouterHarness harness = threeMembers();
         harness.submit("w", NON_IDEMPOTENT_WRITE, 0, 2_000_000);
         harness.rejectAsReplicas("w", 3);
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void aWriteThatNothingWasSentForIsRefusedBeforeHalfOfItsTimeWhileNoPrimaryIsKnown() {
+    void unsentWriteIsRejectedBeforeHalfItsTimeWhileNoPrimaryIsKnown() {
         RouterHarness harness = new SettingsBuilder().start(primary("a", 0), replica("b", 0));
         harness.updateMembers(ListKind.FULL, inState(primary("a", 0), State.DRAINING), replica("b", 0));
         harness.submit("first", KEYED_WRITE, 0, 2_000_000);
--- a/decisions/src/test/java/frostreel/simulator/WireAdapterTest.java
+++ b/decisions/src/test/java/frostreel/simulator/WireAdapterTest.java
@@ -48,13 +48,13 @@
     }
 
     @Test
-    void anEmptyBatchIsAcknowledgedAndAnEmptyInputEndsWell() throws IOException {
+    void emptyBatchIsAcknowledgedAndEmptyInputEndsNormally() throws IOException {
         assertEquals(new Played(0, "{\"t\":\"Ack\"}\n", ""), play(batch(8.41225, "")));
         assertEquals(new Played(0, "", ""), play(""));
     }
 
     @Test
-    void aWriteIsPassedOnToTheListedPrimary() throws IOException {
+    void writeIsForwardedToTheListedPrimary() throws IOException {
         Played p = play(START
                 + batch(
                         100.1,
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void aMissWithItsMarkMovesTheWriteOnAndAFailureEndsIt() throws IOException {
+    void writeRejectedByAReplicaMovesOnAndAnUnknownOutcomeEndsIt() throws IOException {
         String ask = "{\"t\":\"Ingress\",\"i\":\"proxy/1\",\"xid\":\"r-a\",\"category\":1,\"sess\":9,"
                 + "\"clusterNo\":3,\"expiresS\":102.1}\n";
         String miss = "{\"t\":\"Answer\",\"i\":\"proxy/1\",\"xid\":\"r-a\",\"waitTimeS\":0.01,\"mark\":40042,"
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void aRequestThatNoMemberCanServeIsRefusedInTimeWithAdvice() throws IOException {
+    void requestThatNoMemberCanServeIsRejectedInTimeWithRetryAfter() throws IOException {
         Played p = play(START
                 + batch(
                         100.1,
@@ -95,7 +95,7 @@
     }
 
     @Test
-    void nothingIsDoneForAnInstanceThatIsDown() throws IOException {
+    void instanceThatIsDownTakesNoActions() throws IOException {
         Played p = play(START
                 + batch(101, "{\"t\":\"Down\",\"i\":\"proxy/1\"}\n")
                 + batch(102, CREATE + LIST)
@@ -104,7 +104,7 @@
     }
 
     @Test
-    void anExceptionInTheModuleIsReportedAsAFaultThatSaysWhere() throws IOException {
+    void exceptionInTheRouterIsReportedAsAFaultWithItsLocation() throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         int exit = WireAdapter.run(
                 new ByteArrayInputStream(START.getBytes(StandardCharsets.UTF_8)),
@@ -136,7 +136,7 @@
                 "{\"t\":\"Answer\",\"i\":\"proxy/1\",\"xid\":\"r\",\"member\":\"m:1\",\"outcome\":77} | 'outcome'",
                 "{\"t\":\"Clock\",\"timeS\":101} | 't'"
             })
-    void badInputIsNamedByLineAndFieldAndNothingIsHalfWritten(String line, String names) throws IOException {
+    void badInputIsReportedByLineAndFieldAndNoPartialBatchIsWritten(String line, String names) throws IOException {
         Played good = play(START);
         Played p = play(START + "{\"t\":\"Clock\",\"timeS\":100.1}\n" + line + "\n{\"t\":\"EofBatch\"}\n");
         assertEquals(1, p.exit);
@@ -146,7 +146,7 @@
     }
 
     @Test
-    void anInputThatEndsInsideABatchIsAnError() throws IOException {
+    void inputThatEndsInsideABatchIsAnError() throws IOException {
         Played p = play("{\"t\":\"Clock\",\"timeS\":1}\n");
         assertEquals(1, p.exit);
         assertTrue(p.err.contains("line 2"), p.err);
