--- a/decisions/src/main/java/frostreel/simulator/WireAdapter.java
+++ b/decisions/src/main/java/frostreel/simulator/WireAdapter.java
@@ -120,7 +120,7 @@
     }
 
     private static final JSONParserConfiguration STRICT = new JSONParserConfiguration().withStrictMode(true);
-    private static final long FAR = MessageFields.FAR;
+    private static final long FAR = MessageFields.MAX_EXACT_INTEGER;
     private final StringBuilder out = new StringBuilder(1 << 16);
     private final Map<String, Instance> instances = new HashMap<>();
     private final Map<Long, List<Router.Member>> lists = new HashMap<>();
--- a/decisions/src/main/java/frostreel/wire/SettingsReader.java
+++ b/decisions/src/main/java/frostreel/wire/SettingsReader.java
@@ -1,63 +1,138 @@
 package frostreel.wire;
 
+import static frostreel.wire.NamedValue.named;
+
 import frostreel.routing.Router;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 
-/** Maps the settings object, as the bench and the platform both hand it over, to {@link Router.Settings}. */
+/** Maps the settings object, which the simulator and the platform write alike, to {@link Router.Settings}. */
 public final class SettingsReader {
+    private static final int MAX_COUNT = 1 << 20;
+    private static final long DEFAULT_TICK_US = 1000;
+    private static final double MICROS_PER_SECOND = 1e6;
+    /** Names under which reports hold the position and the role of a member. */
     private static final List<String> POSITION_AND_ROLE = List.of("x0", "x1");
 
+    private static final List<NamedValue<Router.Access>> ACCESS = List.of(
+            named("write", Router.Access.WRITE),
+            named("fresh", Router.Access.FRESH),
+            named("session", Router.Access.SESSION),
+            named("bounded", Router.Access.BOUNDED),
+            named("any", Router.Access.ANY));
+    private static final List<NamedValue<Router.Idempotency>> IDEMPOTENCY = List.of(
+            named("retryable", Router.Idempotency.IDEMPOTENT),
+            named("dedup", Router.Idempotency.KEYED),
+            named("fragile", Router.Idempotency.NON_IDEMPOTENT));
+    private static final List<NamedValue<Router.DeduplicationScope>> DEDUPLICATION_SCOPE = List.of(
+            named("all", Router.DeduplicationScope.ALL),
+            named("zone", Router.DeduplicationScope.ZONE),
+            named("cell", Router.DeduplicationScope.GROUP));
+    private static final List<NamedValue<Router.StalenessCheck>> STALENESS_CHECK = List.of(
+            named("silent", Router.StalenessCheck.SILENT),
+            named("refuse", Router.StalenessCheck.REFUSE),
+            named("wait", Router.StalenessCheck.WAIT));
+    private static final List<NamedValue<Router.ListRole>> LIST_ROLE = List.of(
+            named("late", Router.ListRole.LATE),
+            named("start", Router.ListRole.START),
+            named("silent", Router.ListRole.SILENT));
+    private static final List<NamedValue<Router.SessionTracking>> SESSION_TRACKING = List.of(
+            named("carried", Router.SessionTracking.CARRIED), named("remembered", Router.SessionTracking.REMEMBERED));
+    private static final List<NamedValue<Boolean>> SUBSCRIBES =
+            List.of(named("automatic", false), named("subscribe", true));
+    private static final List<NamedValue<Boolean>> SENDS_REPORTS =
+            List.of(named("silent", false), named("piggyback", true), named("pull", true));
+
     private SettingsReader() {}
 
-    @SuppressWarnings("unchecked")
-    public static Router.Settings read(long seed, MessageFields o) throws MalformedMessageException {
-        MessageFields info = o.object("familyInfo");
-        List<Object> access = info.list("freshness");
-        List<Object> bounds = info.has("lagAllowedS") ? info.list("lagAllowedS") : List.of();
+    /**
+     * Reads the settings of one router.
+     *
+     * @param seed from which all its random choices follow
+     * @param options the settings object
+     * @throws MalformedMessageException naming the first field that is missing or out of range
+     */
+    public static Router.Settings read(long seed, MessageFields options) throws MalformedMessageException {
+        MessageFields family = options.object("familyInfo");
+        List<Router.RequestClass> classes = requestClasses(options, family);
+        MessageFields capabilities = options.object("caps");
+        MessageFields rules = options.object("rules");
+        Router.Limits limits = limits(options, family, capabilities, rules);
+        Router.Rules routingRules = rules(rules);
+        return new Router.Settings(
+                seed,
+                (int) options.whole("instances", 1, MAX_COUNT, 0),
+                (int) options.whole("zone", 0, MAX_COUNT, 0),
+                options.micros("roundS", DEFAULT_TICK_US),
+                classes,
+                family.oneOf("serverChecks", STALENESS_CHECK, Router.StalenessCheck.SILENT),
+                family.oneOf("listRole", LIST_ROLE, Router.ListRole.SILENT),
+                family.oneOf("writeMarks", SESSION_TRACKING, Router.SessionTracking.REMEMBERED),
+                family.flag("positions"),
+                limits,
+                routingRules);
+    }
+
+    /** The classes in their order, which numbers them; what each needs of the data stands in lists beside them. */
+    @SuppressWarnings("unchecked") // JSON objects have text keys only.
+    private static List<Router.RequestClass> requestClasses(MessageFields options, MessageFields family)
+            throws MalformedMessageException {
+        List<Object> freshness = family.list("freshness");
+        List<Object> stalenessBounds = family.has("lagAllowedS") ? family.list("lagAllowedS") : List.of();
         List<Router.RequestClass> classes = new ArrayList<>();
-        for (Object each : o.list("classes")) {
-            MessageFields c = new MessageFields((Map<String, Object>) each);
-            int n = classes.size();
-            if (n >= access.size() || !(access.get(n) instanceof String)) {
-                throw new MalformedMessageException("field 'freshness' has no word for class " + n);
+        for (Object each : options.list("classes")) {
+            int number = classes.size();
+            MessageFields fields = new MessageFields((Map<String, Object>) each);
+            if (number >= freshness.size() || !(freshness.get(number) instanceof String)) {
+                throw new MalformedMessageException("field 'freshness' has no word for class " + number);
             }
-            MessageFields one = new MessageFields(Map.of("freshness", access.get(n)));
-            double bound = n < bounds.size() && bounds.get(n) instanceof Number b ? b.doubleValue() : 0;
-            long deadline = c.micros("deadlineS");
-            if (deadline <= 0) {
-                throw new MalformedMessageException("field 'deadlineS' of class " + n + " is not above 0");
-            }
-            classes.add(new Router.RequestClass(
-                    c.has("name") ? c.text("name") : "class " + n,
-                    Router.Access.values()[one.oneOf("freshness", "write", "fresh", "session", "bounded", "any")],
-                    Router.Idempotency.values()[c.oneOf("repeat", "retryable", "dedup", "fragile")],
-                    !c.has("group")
-                            ? Router.DeduplicationScope.GROUP
-                            : Router.DeduplicationScope.values()[c.oneOf("group", "all", "zone", "cell")],
-                    c.micros("repeatWindowS", 0),
-                    Math.round(bound * 1e6),
-                    c.micros("onTimeS", deadline),
-                    deadline,
-                    c.number("worth", 1),
-                    c.number("lateWorth", 0)));
+            double boundS = number < stalenessBounds.size() && stalenessBounds.get(number) instanceof Number bound
+                    ? bound.doubleValue()
+                    : 0;
+            classes.add(requestClass(number, fields, freshness.get(number), boundS));
+        }
+        return List.copyOf(classes);
+    }
+
+    private static Router.RequestClass requestClass(int number, MessageFields fields, Object freshness, double boundS)
+            throws MalformedMessageException {
+        long deadlineUs = fields.micros("deadlineS");
+        if (deadlineUs <= 0) {
+            throw new MalformedMessageException("field 'deadlineS' of class " + number + " is not above 0");
         }
-        MessageFields caps = o.object("caps");
-        MessageFields rules = o.object("rules");
-        Router.Limits limits = new Router.Limits(
-                (int) caps.whole("maxAttempts", 1, 1 << 20, 1),
-                probes(caps, o),
-                caps.flag("cancel"),
-                caps.flag("retryAfter"),
-                caps.micros("maxRetryAfterS", 0),
-                o.has("membershipMode") && o.oneOf("membershipMode", "automatic", "subscribe") == 1,
+        return new Router.RequestClass(
+                fields.has("name") ? fields.text("name") : "class " + number,
+                new MessageFields(Map.of("freshness", freshness)).oneOf("freshness", ACCESS),
+                fields.oneOf("repeat", IDEMPOTENCY),
+                fields.oneOf("group", DEDUPLICATION_SCOPE, Router.DeduplicationScope.GROUP),
+                fields.micros("repeatWindowS", 0),
+                Math.round(boundS * MICROS_PER_SECOND),
+                fields.micros("onTimeS", deadlineUs),
+                deadlineUs,
+                fields.number("worth", 1),
+                fields.number("lateWorth", 0));
+    }
+
+    private static Router.Limits limits(
+            MessageFields options, MessageFields family, MessageFields capabilities, MessageFields rules)
+            throws MalformedMessageException {
+        return new Router.Limits(
+                (int) capabilities.whole("maxAttempts", 1, MAX_COUNT, 1),
+                probes(capabilities, options),
+                capabilities.flag("cancel"),
+                capabilities.flag("retryAfter"),
+                capabilities.micros("maxRetryAfterS", 0),
+                options.oneOf("membershipMode", SUBSCRIBES, false),
                 rules.micros("askWithinS", 0),
-                caps.micros("connectTimeoutS", 0),
-                info.micros("holdsForS", 0),
-                caps.micros("idleCloseS", 0),
-                (int) caps.whole("streamsPerConn", 1, 1 << 20, 1));
-        Router.Rules r = new Router.Rules(
+                capabilities.micros("connectTimeoutS", 0),
+                family.micros("holdsForS", 0),
+                capabilities.micros("idleCloseS", 0),
+                (int) capabilities.whole("streamsPerConn", 1, MAX_COUNT, 1));
+    }
+
+    private static Router.Rules rules(MessageFields rules) throws MalformedMessageException {
+        return new Router.Rules(
                 rules.micros("answerSlackS", 0),
                 rules.micros("stopSendingWithinS", 0),
                 rules.flag("onlyDrainingBinds"),
@@ -65,36 +140,19 @@
                 rules.micros("warmAfterS", 0),
                 rules.number("fallMultiple", 1),
                 rules.micros("fallS", 0));
-        return new Router.Settings(
-                seed,
-                (int) o.whole("instances", 1, 1 << 20, 0),
-                (int) o.whole("zone", 0, 1 << 20, 0),
-                o.micros("roundS", 1000),
-                List.copyOf(classes),
-                info.has("serverChecks")
-                        ? Router.StalenessCheck.values()[info.oneOf("serverChecks", "silent", "refuse", "wait")]
-                        : Router.StalenessCheck.SILENT,
-                info.has("listRole")
-                        ? Router.ListRole.values()[info.oneOf("listRole", "late", "start", "silent")]
-                        : Router.ListRole.SILENT,
-                info.has("writeMarks")
-                        ? Router.SessionTracking.values()[info.oneOf("writeMarks", "carried", "remembered")]
-                        : Router.SessionTracking.REMEMBERED,
-                info.flag("positions"),
-                limits,
-                r);
     }
 
-    /** What a probe tells of a member: where there are reports, what they hold. */
-    private static Router.Probes probes(MessageFields caps, MessageFields o) throws MalformedMessageException {
-        if (!caps.flag("probes")) {
+    /** Whether health checks are permitted, and whether their answers hold the position and role of a member. */
+    private static Router.Probes probes(MessageFields capabilities, MessageFields options)
+            throws MalformedMessageException {
+        if (!capabilities.flag("probes")) {
             return Router.Probes.NONE;
         }
-        MessageFields stats = o.has("stats") ? o.object("stats") : null;
-        boolean told = stats != null
-                && stats.has("names")
-                && stats.list("names").containsAll(POSITION_AND_ROLE)
-                && stats.oneOf("how", "silent", "piggyback", "pull") > 0;
-        return told ? Router.Probes.REPORT : Router.Probes.LIVENESS;
+        MessageFields reports = options.has("stats") ? options.object("stats") : null;
+        boolean reportsRole = reports != null
+                && reports.has("names")
+                && reports.list("names").containsAll(POSITION_AND_ROLE)
+                && reports.oneOf("how", SENDS_REPORTS);
+        return reportsRole ? Router.Probes.REPORT : Router.Probes.LIVENESS;
     }
 }
