--- /dev/null
+++ b/decisions/src/main/java/frostreel/simulator/MessageDecoder.java
@@ -0,0 +1,142 @@
+package frostreel.simulator;
+
+import static frostreel.wire.NamedValue.named;
+
+import frostreel.routing.Router;
+import frostreel.routing.Router.Outcome;
+import frostreel.wire.MalformedMessageException;
+import frostreel.wire.MessageFields;
+import frostreel.wire.NamedValue;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+
+/** Decodes what the simulator's messages tell into the values of {@link Router}. */
+final class MessageDecoder {
+    private static final long NO_SESSION = -1;
+    private static final int MAX_COUNT = 1 << 20;
+    private static final int MAX_OUTCOME_CODE = 1000;
+    /** Set in a request's attributes where the client marked it as a retry. */
+    private static final long RETRY_FLAG = 2;
+    /** A mark holds a role in its lowest two bits, and above them a position in milliseconds. */
+    private static final int MARK_ROLE_BITS = 2;
+
+    private static final long MARK_ROLE_MASK = (1 << MARK_ROLE_BITS) - 1;
+    private static final long MARK_ROLE_PRIMARY = 1;
+    private static final long MARK_ROLE_REPLICA = 2;
+    private static final long MICROS_PER_MILLI = 1000;
+    private static final double MICROS_PER_SECOND = 1e6;
+
+    private static final List<NamedValue<Router.ListKind>> LIST_KIND = List.of(
+            named("incr", Router.ListKind.CHANGES),
+            named("total", Router.ListKind.FULL),
+            named("warm_copy", Router.ListKind.CACHED),
+            named("lost", Router.ListKind.FAILED));
+    private static final List<NamedValue<Router.State>> MEMBER_STATE =
+            List.of(named("U", Router.State.UP), named("L", Router.State.DRAINING), named("D", Router.State.GONE));
+
+    private MessageDecoder() {}
+
+    static Router.ListKind listKind(MessageFields message) throws MalformedMessageException {
+        return message.oneOf("scope", LIST_KIND);
+    }
+
+    static List<Router.Member> members(MessageFields message) throws MalformedMessageException {
+        List<Router.Member> members = new ArrayList<>();
+        for (Object entry : message.list("membersList")) {
+            members.add(member(entry));
+        }
+        return List.copyOf(members);
+    }
+
+    @SuppressWarnings("unchecked") // JSON objects have text keys only.
+    private static Router.Member member(Object entry) throws MalformedMessageException {
+        if (!(entry instanceof Map)) {
+            throw new MalformedMessageException("field 'membersList' is not a list of objects");
+        }
+        MessageFields fields = new MessageFields((Map<String, Object>) entry);
+        Router.State state = fields.oneOf("status", MEMBER_STATE, Router.State.UP);
+        return new Router.Member(
+                fields.text("member"),
+                (int) fields.whole("site", 0, MAX_COUNT, 0),
+                (int) fields.whole("hw", 0, MAX_COUNT, 0),
+                (int) fields.whole("set", 0, Integer.MAX_VALUE, 0),
+                fields.number("leads", 0) == 1,
+                state,
+                fields.number("scale", 1),
+                fields.micros("cameUpS", 0));
+    }
+
+    static Router.Request request(MessageFields message, int classCount) throws MalformedMessageException {
+        return new Router.Request(
+                message.text("xid"),
+                (int) message.whole("category", 0, classCount - 1, 0),
+                message.whole("sess", 0, MessageFields.MAX_EXACT_INTEGER, NO_SESSION),
+                (int) message.whole("clusterNo", 0, Integer.MAX_VALUE, 0),
+                message.micros("expiresS"),
+                Math.round(message.number("tokenAgeMs", 0) * MICROS_PER_MILLI),
+                (message.whole("attrs", 0, MessageFields.MAX_EXACT_INTEGER, 0) & RETRY_FLAG) != 0);
+    }
+
+    static int attempt(MessageFields message) throws MalformedMessageException {
+        return (int) message.whole("leg", 0, MAX_COUNT, 0);
+    }
+
+    static Outcome outcome(MessageFields message) throws MalformedMessageException {
+        return switch ((int) message.whole("outcome", 0, MAX_OUTCOME_CODE, 0)) {
+            case 0 -> Outcome.OK;
+            case 1 -> Outcome.CANCELLED;
+            case 4 -> Outcome.TIMEOUT;
+            case 5 -> Outcome.WRONG_ROLE_OR_STALE;
+            case 8 -> Outcome.REJECTED;
+            case 9 -> Outcome.NOT_SENT;
+            case 10 -> Outcome.RESET;
+            case 13 -> Outcome.ERROR;
+            case 14 -> Outcome.CONNECT_FAILED;
+            default -> throw new MalformedMessageException("field 'outcome' is not a known outcome");
+        };
+    }
+
+    /** The mark that an answer carries; 0 where it carries none. */
+    static long mark(MessageFields message) throws MalformedMessageException {
+        return message.whole("mark", 0, MessageFields.MAX_EXACT_INTEGER, 0);
+    }
+
+    static Router.Role markedRole(long mark) {
+        long role = mark & MARK_ROLE_MASK;
+        if (role == MARK_ROLE_PRIMARY) {
+            return Router.Role.PRIMARY;
+        }
+        return role == MARK_ROLE_REPLICA ? Router.Role.REPLICA : Router.Role.UNKNOWN;
+    }
+
+    /** The position that a mark holds, 0 where it holds none. */
+    static long markedPositionUs(long mark, long baseTimeUs) {
+        long positionMs = mark >> MARK_ROLE_BITS;
+        return positionMs == 0 ? 0 : baseTimeUs + positionMs * MICROS_PER_MILLI;
+    }
+
+    /** The load report that came with a message, or null where none did. */
+    static Router.Report report(MessageFields message, long baseTimeUs, boolean reportsRole)
+            throws MalformedMessageException {
+        if (!message.has("healthInfo")) {
+            return null;
+        }
+        MessageFields report = message.object("healthInfo");
+        if (report.map().isEmpty()) {
+            return null;
+        }
+        long positionUs =
+                report.has("x0") ? baseTimeUs + (long) Math.floor(report.number("x0") * MICROS_PER_SECOND) : 0;
+        return new Router.Report(
+                positionUs,
+                reportsRole ? reportedRole(report) : Router.Role.UNKNOWN,
+                report.number("load_share", Double.NaN),
+                report.number("depth", Double.NaN),
+                report.number("concurrent", Double.NaN));
+    }
+
+    private static Router.Role reportedRole(MessageFields report) throws MalformedMessageException {
+        return report.number("x1", 0) == 1 ? Router.Role.PRIMARY : Router.Role.REPLICA;
+    }
+}
--- /dev/null
+++ b/decisions/src/main/java/frostreel/simulator/SimulatedInstance.java
@@ -0,0 +1,86 @@
+package frostreel.simulator;
+
+import frostreel.routing.Router;
+import frostreel.wire.MalformedMessageException;
+import frostreel.wire.MessageFields;
+import frostreel.wire.SettingsReader;
+import java.util.List;
+import java.util.function.BiFunction;
+
+/** One router of a simulation: hands it the events that concern it. */
+final class SimulatedInstance {
+    /** Makes routers; replaced in tests. */
+    interface RouterFactory extends BiFunction<Router.Settings, Router.Actions, Router> {}
+
+    private final Router router;
+    /** The time to which the positions in messages are relative. */
+    private final long baseTimeUs;
+    /** Whether reports say which role a member has. */
+    private final boolean reportsRole;
+
+    private final int classCount;
+
+    private SimulatedInstance(Router router, long baseTimeUs, boolean reportsRole, int classCount) {
+        this.router = router;
+        this.baseTimeUs = baseTimeUs;
+        this.reportsRole = reportsRole;
+        this.classCount = classCount;
+    }
+
+    /** Makes the router that a Create message describes. */
+    static SimulatedInstance create(MessageFields message, Router.Actions actions, RouterFactory factory)
+            throws MalformedMessageException {
+        MessageFields options = message.object("options");
+        MessageFields family = options.object("familyInfo");
+        long baseTimeUs = family.micros("baseTimeS", 0);
+        boolean reportsRole = options.has("stats")
+                && options.object("stats").has("names")
+                && options.object("stats").list("names").contains("x1");
+        long seed = message.whole("initSeed", -MessageFields.MAX_EXACT_INTEGER, Long.MAX_VALUE);
+        Router.Settings settings = SettingsReader.read(seed, options);
+        Router router = factory.apply(settings, actions);
+        return new SimulatedInstance(
+                router, baseTimeUs, reportsRole, settings.classes().size());
+    }
+
+    void updateMembers(long nowUs, Router.ListKind kind, List<Router.Member> members) {
+        router.onMembers(nowUs, kind, members);
+    }
+
+    /** Hands the router an event of any other type. */
+    void event(String type, long nowUs, MessageFields message) throws MalformedMessageException {
+        switch (type) {
+            case "Ingress" -> router.onRequest(nowUs, MessageDecoder.request(message, classCount));
+            case "Answer" -> outcome(nowUs, message);
+            case "StatusBack" -> healthCheckResult(nowUs, message);
+            case "Fired" -> router.onTimer(nowUs, message.text("ctx"));
+            case "ClientGone" -> router.onClientDisconnected(nowUs, message.text("xid"));
+            case "Accepted", "Datagram" -> {} // They tell a router nothing.
+            default -> throw new MalformedMessageException("field 't': unknown message " + type);
+        }
+    }
+
+    private void outcome(long nowUs, MessageFields message) throws MalformedMessageException {
+        long mark = MessageDecoder.mark(message);
+        router.onOutcome(
+                nowUs,
+                message.text("xid"),
+                MessageDecoder.attempt(message),
+                message.text("member"),
+                MessageDecoder.outcome(message),
+                message.flag("finished"),
+                message.micros("waitTimeS", 0),
+                MessageDecoder.markedRole(mark),
+                MessageDecoder.markedPositionUs(mark, baseTimeUs),
+                MessageDecoder.report(message, baseTimeUs, reportsRole));
+    }
+
+    private void healthCheckResult(long nowUs, MessageFields message) throws MalformedMessageException {
+        router.onProbe(
+                nowUs,
+                message.text("member"),
+                MessageDecoder.outcome(message) == Router.Outcome.OK,
+                message.micros("waitTimeS", 0),
+                MessageDecoder.report(message, baseTimeUs, reportsRole));
+    }
+}
--- /dev/null
+++ b/decisions/src/main/java/frostreel/simulator/SimulatedInstances.java
@@ -0,0 +1,88 @@
+package frostreel.simulator;
+
+import frostreel.routing.Router;
+import frostreel.wire.MalformedMessageException;
+import frostreel.wire.MessageFields;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+
+/** The instances of a simulation by name, and the member lists that were registered for them. */
+final class SimulatedInstances {
+    /** Class names begin so in the stack frames that a fault names. */
+    private static final String OWN_PACKAGES = "frostreel.";
+
+    private static final int MAX_LIST_NUMBER = 15;
+    private final Map<String, SimulatedInstance> instances = new HashMap<>();
+    private final Map<Long, List<Router.Member>> memberLists = new HashMap<>();
+    private final SimulatedInstance.RouterFactory factory;
+    private final StringBuilder out;
+    private boolean faulted;
+
+    SimulatedInstances(SimulatedInstance.RouterFactory factory, StringBuilder out) {
+        this.factory = factory;
+        this.out = out;
+    }
+
+    /** Whether a router threw an exception; from then on no event is handed on. */
+    boolean faulted() {
+        return faulted;
+    }
+
+    /** Hands an event to the instance that it names, and reports an exception of its router as a fault. */
+    void event(String type, long nowUs, MessageFields message) throws MalformedMessageException {
+        if (type.equals("Register")) {
+            List<Router.Member> members = MessageDecoder.members(message);
+            memberLists.put(listNumber(message), members);
+            return;
+        }
+        String name = message.text("i");
+        SimulatedInstance instance = instances.get(name);
+        if (instance == null && !type.equals("Create")) {
+            throw new MalformedMessageException("field 'i': no instance '" + name + "' was created");
+        }
+        try {
+            switch (type) {
+                case "Create" -> instances.put(name, create(name, message));
+                case "Endpoints" -> updateMembers(instance, nowUs, message);
+                case "Down" -> instances.remove(name);
+                default -> instance.event(type, nowUs, message);
+            }
+        } catch (RuntimeException e) {
+            faulted = true;
+            new ActionWriter(name, out).fault(type + ": " + e + location(e));
+        }
+    }
+
+    private SimulatedInstance create(String name, MessageFields message) throws MalformedMessageException {
+        return SimulatedInstance.create(message, new ActionWriter(name, out), factory);
+    }
+
+    private void updateMembers(SimulatedInstance instance, long nowUs, MessageFields message)
+            throws MalformedMessageException {
+        Router.ListKind kind = MessageDecoder.listKind(message);
+        List<Router.Member> members = kind == Router.ListKind.FAILED ? List.of() : registered(message);
+        instance.updateMembers(nowUs, kind, members);
+    }
+
+    private List<Router.Member> registered(MessageFields message) throws MalformedMessageException {
+        List<Router.Member> members = memberLists.get(listNumber(message));
+        if (members == null) {
+            throw new MalformedMessageException("field 'buffer': no list was registered under this number");
+        }
+        return members;
+    }
+
+    private static long listNumber(MessageFields message) throws MalformedMessageException {
+        return message.whole("buffer", 0, MAX_LIST_NUMBER, 0);
+    }
+
+    private static String location(RuntimeException exception) {
+        for (StackTraceElement frame : exception.getStackTrace()) {
+            if (frame.getClassName().startsWith(OWN_PACKAGES)) {
+                return " at " + frame;
+            }
+        }
+        return "";
+    }
+}
