--- a/decisions/src/test/java/frostreel/simulator/WireAdapterTest.java
+++ b/decisions/src/test/java/frostreel/simulator/WireAdapterTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The wire's words in, the wire's words out. */
+/** The simulator's messages, from the input to the output. */
 class WireAdapterTest {
     private static final String CREATE = """
             {"t":"Create","i":"proxy/1","initSeed":5,"options":{"zone":0,"roundS":0.005,"novelty":[{}],
@@ -31,76 +31,77 @@
             """;
     private static final String START = batch(100, CREATE + LIST);
 
-    private record Played(int exit, String out, String err) {}
+    /** What the adapter did with an input: its exit status, and what it wrote. */
+    private record Result(int exit, String out, String err) {}
 
-    private static String batch(double at, String events) {
-        return "{\"t\":\"Clock\",\"timeS\":" + at + "}\n" + events + "{\"t\":\"EofBatch\"}\n";
+    private static String batch(double timeS, String events) {
+        return "{\"t\":\"Clock\",\"timeS\":" + timeS + "}\n" + events + "{\"t\":\"EofBatch\"}\n";
     }
 
-    private static Played play(String in) throws IOException {
+    private static Result play(String input) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         ByteArrayOutputStream err = new ByteArrayOutputStream();
         int exit = WireAdapter.run(
-                new ByteArrayInputStream(in.getBytes(StandardCharsets.UTF_8)),
+                new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)),
                 new PrintStream(out, true, StandardCharsets.UTF_8),
                 new PrintStream(err, true, StandardCharsets.UTF_8));
-        return new Played(exit, out.toString(StandardCharsets.UTF_8), err.toString(StandardCharsets.UTF_8));
+        return new Result(exit, out.toString(StandardCharsets.UTF_8), err.toString(StandardCharsets.UTF_8));
     }
 
     @Test
     void emptyBatchIsAcknowledgedAndEmptyInputEndsNormally() throws IOException {
-        assertEquals(new Played(0, "{\"t\":\"Ack\"}\n", ""), play(batch(8.41225, "")));
-        assertEquals(new Played(0, "", ""), play(""));
+        assertEquals(new Result(0, "{\"t\":\"Ack\"}\n", ""), play(batch(8.41225, "")));
+        assertEquals(new Result(0, "", ""), play(""));
     }
 
     @Test
     void writeIsForwardedToTheListedPrimary() throws IOException {
-        Played p = play(START
+        Result result = play(START
                 + batch(
                         100.1,
                         "{\"t\":\"Ingress\",\"i\":\"proxy/1\",\"xid\":\"r-a\",\"category\":1,\"sess\":9,"
-                                + "\"clusterNo\":3," + "\"expiresS\":102.1,\"attrs\":4}\n"));
-        assertEquals(0, p.exit, p.err);
+                                + "\"clusterNo\":3,\"expiresS\":102.1,\"attrs\":4}\n"));
+        assertEquals(0, result.exit, result.err);
         assertTrue(
-                p.out.contains("{\"t\":\"PassOn\",\"i\":\"proxy/1\",\"xid\":\"r-a\",\"member\":\"m:1\","
+                result.out.contains("{\"t\":\"PassOn\",\"i\":\"proxy/1\",\"xid\":\"r-a\",\"member\":\"m:1\","
                         + "\"tryForS\":2.000000}\n"),
-                p.out);
+                result.out);
     }
 
     @Test
     void writeRejectedByAReplicaMovesOnAndAnUnknownOutcomeEndsIt() throws IOException {
-        String ask = "{\"t\":\"Ingress\",\"i\":\"proxy/1\",\"xid\":\"r-a\",\"category\":1,\"sess\":9,"
+        String request = "{\"t\":\"Ingress\",\"i\":\"proxy/1\",\"xid\":\"r-a\",\"category\":1,\"sess\":9,"
                 + "\"clusterNo\":3,\"expiresS\":102.1}\n";
-        String miss = "{\"t\":\"Answer\",\"i\":\"proxy/1\",\"xid\":\"r-a\",\"waitTimeS\":0.01,\"mark\":40042,"
+        String rejection = "{\"t\":\"Answer\",\"i\":\"proxy/1\",\"xid\":\"r-a\",\"waitTimeS\":0.01,\"mark\":40042,"
                 + "\"member\":\"m:1\",\"outcome\":5,\"healthInfo\":{\"x0\":10.01,\"x1\":0}}\n";
-        String reset = "{\"t\":\"Answer\",\"i\":\"proxy/1\",\"xid\":\"r-a\",\"leg\":1,\"member\":\"m:2\","
+        String connectionReset = "{\"t\":\"Answer\",\"i\":\"proxy/1\",\"xid\":\"r-a\",\"leg\":1,\"member\":\"m:2\","
                 + "\"outcome\":10}\n";
-        Played p = play(START + batch(100.1, ask) + batch(100.2, miss) + batch(100.3, reset));
-        assertEquals(0, p.exit, p.err);
-        assertTrue(p.out.contains("\"xid\":\"r-a\",\"member\":\"m:2\""), p.out);
-        assertTrue(p.out.contains("{\"t\":\"Surrender\",\"i\":\"proxy/1\",\"xid\":\"r-a\"}\n"), p.out);
+        Result result = play(START + batch(100.1, request) + batch(100.2, rejection) + batch(100.3, connectionReset));
+        assertEquals(0, result.exit, result.err);
+        assertTrue(result.out.contains("\"xid\":\"r-a\",\"member\":\"m:2\""), result.out);
+        assertTrue(result.out.contains("{\"t\":\"Surrender\",\"i\":\"proxy/1\",\"xid\":\"r-a\"}\n"), result.out);
     }
 
     @Test
     void requestThatNoMemberCanServeIsRejectedInTimeWithRetryAfter() throws IOException {
-        Played p = play(START
+        Result result = play(START
                 + batch(
                         100.1,
                         "{\"t\":\"Ingress\",\"i\":\"proxy/1\",\"xid\":\"r-a\",\"category\":1,"
                                 + "\"clusterNo\":77,\"expiresS\":100.11}\n"));
         assertTrue(
-                p.out.contains(
-                        "{\"t\":\"OverloadReply\",\"i\":\"proxy/1\",\"xid\":\"r-a\"," + "\"coolDownS\":0.300000}"),
-                p.out);
+                result.out.contains(
+                        "{\"t\":\"OverloadReply\",\"i\":\"proxy/1\",\"xid\":\"r-a\",\"coolDownS\":0.300000}"),
+                result.out);
     }
 
     @Test
     void instanceThatIsDownTakesNoActions() throws IOException {
-        Played p = play(START
+        Result result = play(START
                 + batch(101, "{\"t\":\"Down\",\"i\":\"proxy/1\"}\n")
                 + batch(102, CREATE + LIST)
                 + batch(103, ""));
-        assertEquals(0, p.exit, p.err);
+        assertEquals(0, result.exit, result.err);
     }
 
     @Test
@@ -111,12 +112,12 @@
                 new PrintStream(out, true, StandardCharsets.UTF_8),
                 System.err,
                 (settings, actions) -> {
-                    throw new IllegalStateException("no module today");
+                    throw new IllegalStateException("no router today");
                 });
         String text = out.toString(StandardCharsets.UTF_8);
         assertEquals(1, exit);
         assertTrue(text.startsWith("{\"t\":\"Fault\",\"i\":\"proxy/1\",\"bodyText\":\"Create: "), text);
-        assertTrue(text.contains("no module today at frostreel.simulator.WireAdapterTest"), text);
+        assertTrue(text.contains("no router today at frostreel.simulator.WireAdapterTest"), text);
         assertTrue(text.endsWith("{\"t\":\"Ack\"}\n"));
     }
 
@@ -136,20 +137,20 @@
                 "{\"t\":\"Answer\",\"i\":\"proxy/1\",\"xid\":\"r\",\"member\":\"m:1\",\"outcome\":77} | 'outcome'",
                 "{\"t\":\"Clock\",\"timeS\":101} | 't'"
             })
-    void badInputIsReportedByLineAndFieldAndNoPartialBatchIsWritten(String line, String names) throws IOException {
-        Played good = play(START);
-        Played p = play(START + "{\"t\":\"Clock\",\"timeS\":100.1}\n" + line + "\n{\"t\":\"EofBatch\"}\n");
-        assertEquals(1, p.exit);
-        assertEquals(good.out, p.out);
-        assertTrue(p.err.contains("line 7") && p.err.contains(names), p.err);
-        assertEquals(1, p.err.lines().count());
+    void badInputIsReportedByLineAndFieldAndNoPartialBatchIsWritten(String line, String expected) throws IOException {
+        Result valid = play(START);
+        Result result = play(START + "{\"t\":\"Clock\",\"timeS\":100.1}\n" + line + "\n{\"t\":\"EofBatch\"}\n");
+        assertEquals(1, result.exit);
+        assertEquals(valid.out, result.out);
+        assertTrue(result.err.contains("line 7") && result.err.contains(expected), result.err);
+        assertEquals(1, result.err.lines().count());
     }
 
     @Test
     void inputThatEndsInsideABatchIsAnError() throws IOException {
-        Played p = play("{\"t\":\"Clock\",\"timeS\":1}\n");
-        assertEquals(1, p.exit);
-        assertTrue(p.err.contains("line 2"), p.err);
-        assertEquals("", p.out);
+        Result result = play("{\"t\":\"Clock\",\"timeS\":1}\n");
+        assertEquals(1, result.exit);
+        assertTrue(result.err.contains("line 2"), result.err);
+        assertEquals("", result.out);
     }
 }
