--- a/decisions/src/test/java/example/Embedding.java
+++ b/decisions/src/test/java/example/Embedding.java
@@ -4,10 +4,52 @@
 import frostreel.routing.Router;
 import java.util.List;
 
-/** A proxy's side of the router: hand in what happens, carry out what it asks for. */
+/** How a proxy embeds the router: it hands in what happens, and carries out the actions that the router asks for. */
 public final class Embedding implements Router.Actions {
+    private static final int WRITE_CLASS = 0;
+    private static final int READ_CLASS = 1;
+    private static final int GROUP = 7;
+    private static final int ZONE = 0;
+    private static final long SESSION = 42;
+    private static final String PRIMARY = "10.0.0.1:5432";
+    private static final String REPLICA = "10.0.0.2:5432";
+
+    /** Plays one write, its answer, and a read of the same session. */
     public static void main(String[] args) {
-        Router.RequestClass post = new Router.RequestClass(
+        Router router = new ChainRouter(settings(), new Embedding());
+        long nowUs = 1_000_000;
+        router.onMembers(nowUs, Router.ListKind.FULL, List.of(member(PRIMARY, true), member(REPLICA, false)));
+        router.onRequest(
+                nowUs, new Router.Request("order-1", WRITE_CLASS, SESSION, GROUP, nowUs + 5_000_000, 0, false));
+        router.onOutcome(
+                nowUs + 30_000, "order-1", 0, PRIMARY, Router.Outcome.OK, true, 30_000, Router.Role.PRIMARY, 0, null);
+        router.onRequest(
+                nowUs + 40_000,
+                new Router.Request("look-1", READ_CLASS, SESSION, GROUP, nowUs + 1_000_000, 30_000, false));
+    }
+
+    private static Router.Member member(String id, boolean primary) {
+        return new Router.Member(id, ZONE, 0, GROUP, primary, Router.State.UP, 1, 0);
+    }
+
+    private static Router.Settings settings() {
+        return new Router.Settings(
+                1,
+                0,
+                ZONE,
+                1_000,
+                List.of(writes(), reads()),
+                Router.StalenessCheck.WAIT,
+                Router.ListRole.LATE,
+                Router.SessionTracking.CARRIED,
+                false,
+                new Router.Limits(
+                        8, Router.Probes.REPORT, true, true, 500_000, false, 0, 250_000, 50_000, 30_000_000, 1),
+                new Router.Rules(20_000, 500_000, false, 0.15, 18_000_000, 3, 3_000_000));
+    }
+
+    private static Router.RequestClass writes() {
+        return new Router.RequestClass(
                 "post",
                 Router.Access.WRITE,
                 Router.Idempotency.NON_IDEMPOTENT,
@@ -18,7 +60,10 @@
                 5_000_000,
                 4,
                 0.3);
-        Router.RequestClass view = new Router.RequestClass(
+    }
+
+    private static Router.RequestClass reads() {
+        return new Router.RequestClass(
                 "view",
                 Router.Access.BOUNDED,
                 Router.Idempotency.IDEMPOTENT,
@@ -29,41 +74,6 @@
                 1_000_000,
                 1,
                 0);
-        Router.Settings settings = new Router.Settings(
-                1,
-                0,
-                0,
-                1_000,
-                List.of(post, view),
-                Router.StalenessCheck.WAIT,
-                Router.ListRole.LATE,
-                Router.SessionTracking.CARRIED,
-                false,
-                new Router.Limits(
-                        8, Router.Probes.REPORT, true, true, 500_000, false, 0, 250_000, 50_000, 30_000_000, 1),
-                new Router.Rules(20_000, 500_000, false, 0.15, 18_000_000, 3, 3_000_000));
-        Router router = new ChainRouter(settings, new Embedding());
-
-        long now = 1_000_000;
-        router.onMembers(
-                now,
-                Router.ListKind.FULL,
-                List.of(
-                        new Router.Member("10.0.0.1:5432", 0, 0, 7, true, Router.State.UP, 1, 0),
-                        new Router.Member("10.0.0.2:5432", 0, 0, 7, false, Router.State.UP, 1, 0)));
-        router.onRequest(now, new Router.Request("order-1", 0, 42, 7, now + 5_000_000, 0, false));
-        router.onOutcome(
-                now + 30_000,
-                "order-1",
-                0,
-                "10.0.0.1:5432",
-                Router.Outcome.OK,
-                true,
-                30_000,
-                Router.Role.PRIMARY,
-                0,
-                null);
-        router.onRequest(now + 40_000, new Router.Request("look-1", 1, 42, 7, now + 1_000_000, 30_000, false));
     }
 
     @Override
@@ -73,7 +83,7 @@
 
     @Override
     public void reject(String requestId, long retryAfterUs) {
-        System.out.println(requestId + " refused, come back in " + retryAfterUs + " us");
+        System.out.println(requestId + " rejected, Retry-After " + retryAfterUs + " us");
     }
 
     @Override
