--- a/decisions/src/main/java/frostreel/routing/DecayingRate.java
+++ b/decisions/src/main/java/frostreel/routing/DecayingRate.java
@@ -2,28 +2,30 @@
 
 import java.util.function.LongSupplier;
 
-/** Work, or a number, per microsecond of the last while; what is older fades. */
+/** An amount per microsecond, averaged over the recent past with exponentially decaying weights. */
 final class DecayingRate {
-    private final LongSupplier spanUs;
-    private double rate;
-    private double sinceUs;
+    private final LongSupplier timeConstantUs;
+    private double perUs;
+    private double updatedUs;
 
-    /** {@code spanUs}: over which it fades to 1/e; asked anew each time, as settings may change it. */
-    DecayingRate(LongSupplier spanUs) {
-        this.spanUs = spanUs;
+    /** {@code timeConstantUs}: over which it decays to 1/e; read anew each time, as settings may change it. */
+    DecayingRate(LongSupplier timeConstantUs) {
+        this.timeConstantUs = timeConstantUs;
     }
 
+    /** The amount per microsecond as of now. */
     double at(long nowUs) {
-        return rate * Math.exp(-(nowUs - sinceUs) / spanUs.getAsLong());
+        return perUs * Math.exp(-(nowUs - updatedUs) / timeConstantUs.getAsLong());
     }
 
+    /** Counts an amount as of now. */
     void add(long nowUs, double amount) {
-        rate = at(nowUs) + amount / spanUs.getAsLong();
-        sinceUs = nowUs;
+        perUs = at(nowUs) + amount / timeConstantUs.getAsLong();
+        updatedUs = nowUs;
     }
 
-    /** Takes what was counted so far for so much of it. */
-    void scale(double by) {
-        rate *= by;
+    /** Multiplies all that was counted so far. */
+    void scale(double factor) {
+        perUs *= factor;
     }
 }
--- a/decisions/src/main/java/frostreel/routing/Goodput.java
+++ b/decisions/src/main/java/frostreel/routing/Goodput.java
@@ -2,40 +2,46 @@
 
 import java.util.function.LongSupplier;
 
-/** Of the requests that ended of late, how many there were, and what their answers were worth. */
+/**
+ * The recent requests that ended, and how many of them were useful. Tells what share of new requests to shed.
+ */
 final class Goodput {
-    /** So many requests are let in for each that ends in time, and at most so many are refused for it. */
-    private static final double OVERRUN = 2;
+    /** How many requests are admitted for each one that ends in time. */
+    private static final double ADMITTED_PER_USEFUL = 2;
+    /** The largest share of requests that is shed. */
+    private static final double MAX_SHED_SHARE = 0.9;
 
-    private static final double MOST_SHED = 0.9;
-    private final LongSupplier spanUs;
-    private final DecayingRate asked;
+    private final LongSupplier timeConstantUs;
+    private final DecayingRate ended;
     private final DecayingRate useful;
 
-    Goodput(LongSupplier spanUs) {
-        this.spanUs = spanUs;
-        asked = new DecayingRate(spanUs);
-        useful = new DecayingRate(spanUs);
+    /** {@code timeConstantUs}: over which requests fade to 1/e; read anew each time, as settings may change it. */
+    Goodput(LongSupplier timeConstantUs) {
+        this.timeConstantUs = timeConstantUs;
+        ended = new DecayingRate(timeConstantUs);
+        useful = new DecayingRate(timeConstantUs);
     }
 
-    /** {@code worth}: of its answer, from 0 to 1. */
-    void add(long nowUs, double worth) {
-        asked.add(nowUs, 1);
-        useful.add(nowUs, worth);
+    /** A request ended; {@code value} of its answer, from 0 for none to 1 for one in time. */
+    void add(long nowUs, double value) {
+        ended.add(nowUs, 1);
+        useful.add(nowUs, value);
     }
 
-    private double over(long nowUs) {
-        return Math.max(0, asked.at(nowUs) - OVERRUN * useful.at(nowUs));
+    private double excessRate(long nowUs) {
+        return Math.max(0, ended.at(nowUs) - ADMITTED_PER_USEFUL * useful.at(nowUs));
     }
 
     /**
-     * The share of requests to refuse at once: no window falls below one attempt, so hundreds of routers jam
-     * a member each at its least. Down to one useful in {@link #OVERRUN} all are let in. One request more
-     * weighs as much as all groups, so that a group's few weigh with all.
+     * The share of requests to shed at once, from 0 to {@value #MAX_SHED_SHARE}. No concurrency window falls below
+     * one attempt, so hundreds of routers overload a member even at their least. As long as one request in
+     * {@link #ADMITTED_PER_USEFUL} is useful, all are admitted. The share of all groups counts as one request
+     * more, so that it decides for a group with few requests of its own.
      */
-    double excess(long nowUs, Goodput all) {
-        double one = 1.0 / spanUs.getAsLong();
-        double share = all.over(nowUs) / (all.asked.at(nowUs) + one);
-        return Math.min(MOST_SHED, (over(nowUs) + share * one) / (asked.at(nowUs) + one));
+    double excess(long nowUs, Goodput allGroups) {
+        double oneRequest = 1.0 / timeConstantUs.getAsLong();
+        double overallShare = allGroups.excessRate(nowUs) / (allGroups.ended.at(nowUs) + oneRequest);
+        return Math.min(
+                MAX_SHED_SHARE, (excessRate(nowUs) + overallShare * oneRequest) / (ended.at(nowUs) + oneRequest));
     }
 }
--- a/decisions/src/main/java/frostreel/routing/NearestZonePolicy.java
+++ b/decisions/src/main/java/frostreel/routing/NearestZonePolicy.java
@@ -1,14 +1,18 @@
 package frostreel.routing;
 
-/** The adviser of an installation that states no tiers: another zone is dearer, and nothing else is said. */
+/**
+ * The policy of an installation that configures no failover between zones: members of other zones cost more than
+ * those of the router's own, and all are admitted. A member's handle is its zone.
+ */
 public final class NearestZonePolicy implements Router.LocalityPolicy {
-    /** Times dearer than a member of one's own zone. */
-    private static final double FAR = 2;
+    private static final double OWN_ZONE_COST_FACTOR = 1;
+    private static final double OTHER_ZONE_COST_FACTOR = 2;
 
-    private final int own;
+    private final int ownZone;
 
+    /** {@code ownZone}: the zone of the router. */
     public NearestZonePolicy(int ownZone) {
-        own = ownZone;
+        this.ownZone = ownZone;
     }
 
     @Override
@@ -29,15 +33,15 @@
     public void probed(long nowUs, int handle, boolean ok) {}
 
     @Override
-    public void sent(long nowUs, int handle, int cls, double workUs) {}
+    public void sent(long nowUs, int handle, int requestClass, double workUs) {}
 
     @Override
     public double costFactor(long nowUs, int handle) {
-        return handle == own ? 1 : FAR;
+        return handle == ownZone ? OWN_ZONE_COST_FACTOR : OTHER_ZONE_COST_FACTOR;
     }
 
     @Override
-    public boolean admits(long nowUs, int handle, int cls) {
+    public boolean admits(long nowUs, int handle, int requestClass) {
         return true;
     }
 
--- a/decisions/src/main/java/frostreel/routing/SessionCommits.java
+++ b/decisions/src/main/java/frostreel/routing/SessionCommits.java
@@ -4,93 +4,105 @@
 import java.util.LinkedHashMap;
 
 /**
- * What the reads of sessions must see of the writes that went through this router, where the settings have it
- * remember them. Owned by {@link ChainRouter}; it decides nothing. Positions and times are microseconds on one
- * clock.
+ * The commits that the reads of a session must see, remembered from the writes that went through this router.
+ * Owned by {@link ChainRouter}; it decides nothing. Positions and times are microseconds on one clock.
  *
- * <p>A write whose answer has come binds by its commit. One that is out, or that ended with no word on its
- * effect, is in doubt: its server may have answered, and the answer may be lost on the way. What an answer
- * tells counts as known {@link Router#KNOWN_AFTER_US} after it was written, arrived or not, so until it is
- * settled such a write binds to all that was committed up to that long ago.
+ * <p>A write whose answer has arrived binds reads by its commit. The outcome of a write that is in flight, or that
+ * ended without telling its effect, is unknown: its server may have answered and the answer may be lost. The
+ * content of an answer counts as known {@link Router#KNOWN_AFTER_US} after it was written, arrived or not; until
+ * its outcome is settled, such a write therefore binds reads to everything committed up to that long ago.
  */
 final class SessionCommits {
-    /** Commits are told in milliseconds. */
+    /** Commits are reported in milliseconds. */
     private static final long ROUNDING_US = 1_000;
-    /** So many sessions are kept; beyond it the longest unused bind all, as those that have aged do. */
-    static final int MOST = 1 << 16;
+    /** How many sessions are kept; the longest unused beyond it bind all reads, as those that have aged do. */
+    static final int MAX_SESSIONS = 1 << 16;
 
-    private static final class Mark {
-        long commitUs;
-        int out;
-        /** Since when a write is out, and until when those that ended in doubt may be answered. */
-        long outSinceUs;
+    private static final class SessionWrites {
+        long lastCommitUs;
+        int inFlight;
+        /** Since when at least one write is in flight. */
+        long inFlightSinceUs;
+        /** Until when writes that ended with unknown outcome may be answered. */
+        long unknownUntilUs;
 
-        long doubtUntilUs;
-
-        /** The latest commit that its writes may have, now that none is out. */
+        /** The latest commit that the writes may have, where none is in flight. */
         long latestUs() {
-            return Math.max(commitUs, doubtUntilUs);
+            return Math.max(lastCommitUs, unknownUntilUs);
         }
     }
 
     /** The longest unused first. */
-    private final LinkedHashMap<Long, Mark> marks = new LinkedHashMap<>();
-    /** Binds every session, for those that were dropped. */
+    private final LinkedHashMap<Long, SessionWrites> sessions = new LinkedHashMap<>();
+    /** Binds the reads of every session, on behalf of the sessions that were dropped. */
     private long floorUs;
 
-    /** A write of the session goes out. */
-    void sent(long now, long session) {
-        Mark m = marks.remove(session);
-        m = m == null ? new Mark() : m;
-        marks.put(session, m);
-        m.outSinceUs = m.out++ == 0 ? now : m.outSinceUs;
+    /** A write of the session was sent. */
+    void sent(long nowUs, long session) {
+        SessionWrites writes = sessions.remove(session);
+        writes = writes == null ? new SessionWrites() : writes;
+        sessions.put(session, writes);
+        writes.inFlightSinceUs = writes.inFlight++ == 0 ? nowUs : writes.inFlightSinceUs;
     }
 
     /**
-     * A write that went out has ended: with its commit, or 0 where that was not told. One that may have run,
-     * and has no commit, is in doubt: its server answered by now, or, where it may run on, answers by its
-     * deadline. What is not needed for so long is forgotten, and binds all.
+     * A write that was sent has ended. One that may have run and has no commit has an unknown outcome: its server
+     * answered by now or, where it may still be running, answers by its deadline.
+     *
+     * @param commitUs its commit, 0 where none was reported
+     * @param retentionUs after which commits are dropped, to bind the reads of all sessions from then on
      */
-    void ended(long now, long session, long deadlineUs, Router.Outcome outcome, long commitUs, long keepUs) {
-        Mark m = marks.get(session);
-        if (m != null) { // Else it was dropped for want of room, and binds all.
-            m.out = Math.max(0, m.out - 1);
-            boolean told = outcome == Router.Outcome.OK && commitUs > 0;
-            boolean runsOn = outcome == Router.Outcome.TIMEOUT || outcome == Router.Outcome.CANCELLED;
-            m.commitUs = told ? Math.max(m.commitUs, commitUs) : m.commitUs;
-            m.doubtUntilUs = told || outcome.provesNotRun
-                    ? m.doubtUntilUs
-                    : Math.max(m.doubtUntilUs, runsOn ? Math.max(now, deadlineUs) : now);
+    void ended(long nowUs, long session, long deadlineUs, Router.Outcome outcome, long commitUs, long retentionUs) {
+        SessionWrites writes = sessions.get(session);
+        if (writes != null) { // A session that was dropped binds all reads already.
+            writes.inFlight = Math.max(0, writes.inFlight - 1);
+            learn(writes, nowUs, deadlineUs, outcome, commitUs);
+        }
+        dropOldest(nowUs, retentionUs);
+    }
+
+    private static void learn(
+            SessionWrites writes, long nowUs, long deadlineUs, Router.Outcome outcome, long commitUs) {
+        if (outcome == Router.Outcome.OK && commitUs > 0) {
+            writes.lastCommitUs = Math.max(writes.lastCommitUs, commitUs);
+        } else if (!outcome.provesNotRun) {
+            boolean mayStillRun = outcome == Router.Outcome.TIMEOUT || outcome == Router.Outcome.CANCELLED;
+            writes.unknownUntilUs = Math.max(writes.unknownUntilUs, mayStillRun ? Math.max(nowUs, deadlineUs) : nowUs);
         }
-        for (Iterator<Mark> oldest = marks.values().iterator(); oldest.hasNext(); ) {
-            Mark o = oldest.next();
-            boolean aged = o.out == 0 && o.latestUs() < now - keepUs;
-            if (!aged && marks.size() <= MOST) {
+    }
+
+    private void dropOldest(long nowUs, long retentionUs) {
+        Iterator<SessionWrites> oldestFirst = sessions.values().iterator();
+        while (oldestFirst.hasNext()) {
+            SessionWrites oldest = oldestFirst.next();
+            boolean aged = oldest.inFlight == 0 && oldest.latestUs() < nowUs - retentionUs;
+            if (!aged && sessions.size() <= MAX_SESSIONS) {
                 break;
             }
-            floorUs = Math.max(floorUs, o.out == 0 ? o.latestUs() : now + keepUs);
-            oldest.remove();
+            floorUs = Math.max(floorUs, oldest.inFlight == 0 ? oldest.latestUs() : nowUs + retentionUs);
+            oldestFirst.remove();
         }
     }
 
     /** The position that a read of the session must see now, 0 for any. */
-    long need(long now, long session) {
-        Mark m = marks.get(session);
-        long need = Math.min(floorUs, now);
-        if (m == null) {
-            return need;
+    long need(long nowUs, long session) {
+        SessionWrites writes = sessions.get(session);
+        long needUs = Math.min(floorUs, nowUs);
+        if (writes == null) {
+            return needUs;
         }
-        if (m.commitUs > 0) {
-            need = Math.max(need, m.commitUs + ROUNDING_US);
+        if (writes.lastCommitUs > 0) {
+            needUs = Math.max(needUs, writes.lastCommitUs + ROUNDING_US);
         }
-        long known = now - Router.KNOWN_AFTER_US;
-        if (m.out > 0 && m.outSinceUs < known) {
-            need = Math.max(need, known);
+        long knownUs = nowUs - Router.KNOWN_AFTER_US;
+        if (writes.inFlight > 0 && writes.inFlightSinceUs < knownUs) {
+            needUs = Math.max(needUs, knownUs);
         }
-        return Math.max(need, Math.min(known, m.doubtUntilUs));
+        return Math.max(needUs, Math.min(knownUs, writes.unknownUntilUs));
     }
 
+    /** How many sessions are kept. */
     int size() {
-        return marks.size();
+        return sessions.size();
     }
 }
--- a/decisions/src/main/java/frostreel/routing/SlowStart.java
+++ b/decisions/src/main/java/frostreel/routing/SlowStart.java
@@ -6,195 +6,227 @@
 import java.util.SplittableRandom;
 
 /**
- * What members that started a short while ago may be sent: each router its part of what such a member can do
- * at the least, so that the sum of all routers pushes none over. It is pure: times are handed in, chance
- * comes from the seed.
+ * Slow start: how much work a member that started a short while ago may be sent. Each router sends its share of
+ * the least that such a member can do, so that all routers together do not overload it. Pure: times are handed in,
+ * and random choices follow from the seed of the settings.
  *
- * <p>Work is counted in the times in which a class's requests are answered where nothing waits: mean times
- * hold the queues, and under overload made a short query seem as dear as a long one.
+ * <p>Work is measured by the time in which the requests of a class are answered when nothing is queued. Mean times
+ * would include queueing, and under overload made a short query seem as expensive as a long one.
  */
 final class SlowStart {
-    /** A member, as its list and its answers tell it. Owned by who asked for it with {@link #meet}. */
+    private static final double NO_REPORT = -1;
+    private static final long NOT_BEGUN = Long.MIN_VALUE;
+
+    /** What the endpoint list and the answers tell of a member; owned by who got it from {@link #meet}. */
     static final class Member {
-        private final DecayingRate served;
-        private int kind;
+        private final DecayingRate servedWork;
+        private int machineKind;
         private double weight = 1;
         private boolean usable = true;
         private long startedUs;
-        private long budgetAtUs;
-        private double budget;
-        /** Of a request's work, what has to be in the budget before it goes: drawn anew at each start. */
-        private double part;
-        /** What of its present capacity is in use, by its last report; below 0 where none has come. */
-        private double util = -1;
-
-        private Member(DecayingRate served) {
-            this.served = served;
+        private long budgetUpdatedUs;
+        /** Work that may be sent now, in microseconds. */
+        private double budgetUs;
+        /** The part of a request's work that the budget must hold before it is sent; drawn anew at each start. */
+        private double sendThreshold;
+        /** The used share of its present capacity by its last report, or {@link #NO_REPORT}. */
+        private double utilization = NO_REPORT;
+
+        private Member(DecayingRate servedWork) {
+            this.servedWork = servedWork;
         }
 
+        /** When it started, by the endpoint list; 0 for the distant past. */
         long startedUs() {
             return startedUs;
         }
     }
 
-    /** Of what it takes to push a member over, with a full budget let out at once. */
-    private static final double MOST_ROOM = 0.6;
-    /** Of the rule's span, how much a budget may hold. */
-    private static final double BURST = 0.5;
-    /** So much of its capacity in use, a member is busy enough. */
-    private static final double FULL = 0.9;
-    /** Less than this in use tells nothing of a capacity. */
-    private static final double LEAST_USE = 0.05;
-    /** How much of a difference the least time takes over, from an answer that was quicker, and slower. */
-    private static final double QUICKER = 0.2;
-
-    private static final double SLOWER = 0.001;
-    private final SplittableRandom draw;
+    /** The share of the work that overloads a member, with a full budget spent at once. */
+    private static final double MAX_OVERLOAD_SHARE = 0.6;
+    /** How much of the overload rule's time span a budget may hold. */
+    private static final double BUDGET_SPAN_SHARE = 0.5;
+    /** A member with this share of its capacity in use is busy enough. */
+    private static final double FULL_UTILIZATION = 0.9;
+    /** A lower utilization than this says nothing about a capacity. */
+    private static final double MIN_UTILIZATION = 0.05;
+    /** Weight of an answer that was quicker than the least time of its class so far. */
+    private static final double QUICKER_WEIGHT = 0.2;
+    /** Weight of an answer that was slower than the least time of its class so far. */
+    private static final double SLOWER_WEIGHT = 0.001;
+    /** A class that nothing is known of is expected to take its latency objective divided by this. */
+    private static final double OBJECTIVE_TO_WORK = 5.0;
+
+    private final SplittableRandom random;
     private final List<Member> members = new ArrayList<>();
-    private Router.Settings set;
+    private Router.Settings settings;
+    /** Per request class, the time of an answer when nothing is queued. */
     private double[] leastUs = {};
+    /** Per request class, whether an answer was seen; {@link #leastUs} is an estimate until then. */
     private boolean[] answered = {};
-    private long beganUs = Long.MIN_VALUE;
+
+    private long begunUs = NOT_BEGUN;
 
     SlowStart(Router.Settings settings) {
-        draw = new SplittableRandom(settings.seed()).split();
+        random = new SplittableRandom(settings.seed()).split();
         settings(settings);
     }
 
-    /** Classes that are known keep what was learned. */
-    void settings(Router.Settings settings) {
-        set = settings;
+    /** Takes new settings; classes that are already known keep what was learned of them. */
+    void settings(Router.Settings newSettings) {
+        settings = newSettings;
         int known = leastUs.length;
-        leastUs = Arrays.copyOf(leastUs, settings.classes().size());
+        leastUs = Arrays.copyOf(leastUs, newSettings.classes().size());
         answered = Arrays.copyOf(answered, leastUs.length);
         for (int i = known; i < leastUs.length; i++) {
-            leastUs[i] = guessUs(i);
+            leastUs[i] = estimateUs(i);
         }
     }
 
-    /** A member newly listed. */
+    /** Starts to track a member that is newly listed. */
     Member meet(long nowUs) {
-        beganUs = beganUs == Long.MIN_VALUE ? nowUs : beganUs;
-        Member m = new Member(new DecayingRate(this::spanUs));
-        m.budgetAtUs = nowUs;
-        members.add(m);
-        return m;
-    }
-
-    void forget(Member m) {
-        members.remove(m);
-    }
-
-    /** What the list says of a member; whether that tells of another start than the last. */
-    boolean listed(long nowUs, Member m, Router.Member entry) {
-        m.kind = entry.kind();
-        m.weight = entry.weight();
-        boolean started = m.startedUs != entry.startedUs();
-        if (started) {
-            m.startedUs = entry.startedUs();
-            m.util = -1;
-            m.served.scale(warmth(nowUs, m)); // As cold as it is now.
-            m.budget = 0;
-            m.budgetAtUs = nowUs;
-            m.part = draw.nextDouble();
+        begunUs = begunUs == NOT_BEGUN ? nowUs : begunUs;
+        Member member = new Member(new DecayingRate(this::timeConstantUs));
+        member.budgetUpdatedUs = nowUs;
+        members.add(member);
+        return member;
+    }
+
+    /** Ends the tracking of a member. */
+    void forget(Member member) {
+        members.remove(member);
+    }
+
+    /**
+     * Takes over what the endpoint list says of a member.
+     *
+     * @return whether the entry tells of another start than the last one
+     */
+    boolean listed(long nowUs, Member member, Router.Member entry) {
+        member.machineKind = entry.kind();
+        member.weight = entry.weight();
+        boolean restarted = member.startedUs != entry.startedUs();
+        if (restarted) {
+            member.startedUs = entry.startedUs();
+            member.utilization = NO_REPORT;
+            member.servedWork.scale(warmth(nowUs, member)); // It can do as little as it is warm now.
+            member.budgetUs = 0;
+            member.budgetUpdatedUs = nowUs;
+            member.sendThreshold = random.nextDouble();
         }
-        return started;
+        return restarted;
+    }
+
+    /** Says whether anything may be sent to a member at all. */
+    void usable(Member member, boolean isUsable) {
+        member.usable = isUsable;
     }
 
-    /** Whether anything may be sent to it at all. */
-    void usable(Member m, boolean isUsable) {
-        m.usable = isUsable;
+    /** Takes the used share of a member's present capacity from a report; NaN where the report holds none. */
+    void reported(Member member, double utilization) {
+        member.utilization = utilization >= 0 ? Math.max(utilization, MIN_UTILIZATION) : member.utilization;
     }
 
-    /** {@code util}: what of its present capacity is in use; not a number where its report did not tell. */
-    void reported(Member m, double util) {
-        m.util = util >= 0 ? Math.max(util, LEAST_USE) : m.util;
+    /** The used share of a member's capacity by its last report; below 0 where none came since it started. */
+    double util(Member member) {
+        return member.utilization;
     }
 
-    /** Its last report's use of its capacity, from 0; below 0 for none since it started. */
-    double util(Member m) {
-        return m.util;
+    /** Learns from an answer that served a request of this class in {@code tookUs}. */
+    void served(long nowUs, Member member, int requestClass, long tookUs) {
+        double weight = weight(requestClass, tookUs);
+        leastUs[requestClass] += weight * (tookUs - leastUs[requestClass]);
+        answered[requestClass] = true;
+        member.servedWork.add(nowUs, leastUs[requestClass]);
+        estimateUnanswered();
+    }
+
+    private double weight(int requestClass, long tookUs) {
+        if (!answered[requestClass]) {
+            return 1;
+        }
+        return tookUs < leastUs[requestClass] ? QUICKER_WEIGHT : SLOWER_WEIGHT;
     }
 
-    /** An answer that served a request of this class. */
-    void served(long nowUs, Member m, int cls, long tookUs) {
-        double weight = !answered[cls] ? 1 : tookUs < leastUs[cls] ? QUICKER : SLOWER;
-        leastUs[cls] += weight * (tookUs - leastUs[cls]);
-        answered[cls] = true;
-        m.served.add(nowUs, leastUs[cls]);
-        double guessed = 0;
-        double least = 0;
+    /** Expects classes without an answer to be off from their estimate as much as the others are from theirs. */
+    private void estimateUnanswered() {
+        double estimatedUs = 0;
+        double measuredUs = 0;
         for (int i = 0; i < leastUs.length; i++) {
-            guessed += answered[i] ? guessUs(i) : 0;
-            least += answered[i] ? leastUs[i] : 0;
+            estimatedUs += answered[i] ? estimateUs(i) : 0;
+            measuredUs += answered[i] ? leastUs[i] : 0;
         }
         for (int i = 0; i < leastUs.length; i++) {
-            leastUs[i] = answered[i] ? leastUs[i] : guessUs(i) * least / guessed;
+            leastUs[i] = answered[i] ? leastUs[i] : estimateUs(i) * measuredUs / estimatedUs;
         }
     }
 
-    /** Until the first answer of a class: by as much of its aim as the others' answers are of theirs. */
-    private double guessUs(int cls) {
-        return set.classes().get(cls).latencyObjectiveUs() / 5.0;
+    private double estimateUs(int requestClass) {
+        return settings.classes().get(requestClass).latencyObjectiveUs() / OBJECTIVE_TO_WORK;
     }
 
-    /** A request of this class goes to it. */
-    void sent(Member m, int cls) {
-        m.budget -= leastUs[cls];
+    /** Takes a request of this class, which is sent to the member, off its budget. */
+    void sent(Member member, int requestClass) {
+        member.budgetUs -= leastUs[requestClass];
     }
 
     /**
-     * Whether it may be sent a request of this class: what it may do grows with its warmth, more where it
-     * says that it has room, or where nothing tells how busy the others are: what they served they can do at
-     * the least. A full budget and what comes meanwhile stay below what pushes it over. Each of hundreds of
-     * routers may owe less than one request: what each waits for before its first one is drawn.
+     * Whether a member may be sent a request of this class now. A warm member always may. The budget of any other
+     * grows with its warmth, and faster where it reports free capacity, or where there are no reports: what the
+     * others served is then the least that they can do. A full budget and what is added meanwhile stay below what
+     * overloads it. Each of hundreds of routers may have a budget below one request, so each draws the part of a
+     * request that it waits for before its first one.
      */
-    boolean admits(long nowUs, Member m, int cls) {
-        double warmth = warmth(nowUs, m);
+    boolean admits(long nowUs, Member member, int requestClass) {
+        double warmth = warmth(nowUs, member);
         if (warmth >= 1) {
             return true;
         }
-        double most = Math.max(1, MOST_ROOM * set.rules().fallMultiple());
-        double room = m.util > 0 ? Math.max(1, Math.min(FULL / m.util, most)) : most;
-        double first = set.instances() > 0 ? warmth / set.instances() : 0; // One core.
-        double perUs = Math.max(share(nowUs, m.kind) * warmth * m.weight * room, first);
-        m.budget = Math.min(
-                Math.max(perUs * set.rules().fallUs() * BURST, leastUs[cls]),
-                m.budget + perUs * (nowUs - m.budgetAtUs));
-        m.budgetAtUs = nowUs;
-        return m.budget > m.part * leastUs[cls];
+        double maxFactor = Math.max(1, MAX_OVERLOAD_SHARE * settings.rules().fallMultiple());
+        double factor = member.utilization > 0
+                ? Math.max(1, Math.min(FULL_UTILIZATION / member.utilization, maxFactor))
+                : maxFactor;
+        double shareOfOneCore = settings.instances() > 0 ? warmth / settings.instances() : 0;
+        double workPerUs = Math.max(share(nowUs, member.machineKind) * warmth * member.weight * factor, shareOfOneCore);
+        member.budgetUs = Math.min(
+                Math.max(workPerUs * settings.rules().fallUs() * BUDGET_SPAN_SHARE, leastUs[requestClass]),
+                member.budgetUs + workPerUs * (nowUs - member.budgetUpdatedUs));
+        member.budgetUpdatedUs = nowUs;
+        return member.budgetUs > member.sendThreshold * leastUs[requestClass];
     }
 
     /**
-     * This router's part of what a warm member of that kind can do: work it has had served there, in cores,
-     * over what of all their capacity is in use by their own word. That holds where none is warm and where
-     * this router has just begun, as the share of a served load does not; without reports, it is that. Whose
-     * use is not told has the others'.
+     * This router's share of what a warm member of that kind can do, in cores: the work that it had served there,
+     * over the used part of all capacity as the members report it. Unlike the share of the served load, that
+     * holds where no member is warm, and where this router has only begun. Without any reports it is the share of
+     * the served load; a member without a report counts with the mean utilization of the others.
      */
-    private double share(long nowUs, int kind) {
-        double did = 0;
-        double used = 0;
-        double told = 0;
-        double all = 0;
-        for (Member o : members) {
-            if (o.kind == kind && o.usable) {
-                double whole = warmth(nowUs, o) * o.weight;
-                did += o.served.at(nowUs);
-                used += o.util > 0 ? o.util * whole : 0;
-                told += o.util > 0 ? whole : 0;
-                all += whole;
+    private double share(long nowUs, int machineKind) {
+        double servedWork = 0;
+        double usedCapacity = 0;
+        double reportedCapacity = 0;
+        double allCapacity = 0;
+        for (Member member : members) {
+            if (member.machineKind == machineKind && member.usable) {
+                double capacity = warmth(nowUs, member) * member.weight;
+                servedWork += member.servedWork.at(nowUs);
+                usedCapacity += member.utilization > 0 ? member.utilization * capacity : 0;
+                reportedCapacity += member.utilization > 0 ? capacity : 0;
+                allCapacity += capacity;
             }
         }
-        double begun = -Math.expm1((beganUs - nowUs - 1) / (double) spanUs());
-        return did / begun / (told > 0 ? used * all / told : all);
+        double observedPart = -Math.expm1((begunUs - nowUs - 1) / (double) timeConstantUs());
+        return servedWork
+                / observedPart
+                / (reportedCapacity > 0 ? usedCapacity * allCapacity / reportedCapacity : allCapacity);
     }
 
-    private double warmth(long nowUs, Member m) {
-        return set.rules().warmth(nowUs, m.startedUs);
+    private double warmth(long nowUs, Member member) {
+        return settings.rules().warmth(nowUs, member.startedUs);
     }
 
-    /** Over about twice the span of the rule on cold members. */
-    private long spanUs() {
-        return 2 * set.rules().fallUs();
+    /** Twice the time span of the rule on overloading members. */
+    private long timeConstantUs() {
+        return 2 * settings.rules().fallUs();
     }
 }
--- a/decisions/src/test/java/frostreel/routing/SessionCommitsTest.java
+++ b/decisions/src/test/java/frostreel/routing/SessionCommitsTest.java
@@ -80,11 +80,11 @@
 
     @Test
     void numberOfSessionsIsBoundedAndADroppedWriteStillBinds() {
-        for (int session = 0; session <= SessionCommits.MOST + 1; session++) {
+        for (int session = 0; session <= SessionCommits.MAX_SESSIONS + 1; session++) {
             commits.sent(START_US, session);
         }
         commits.ended(START_US, 7, afterMs(1), Outcome.WRONG_ROLE_OR_STALE, NO_COMMIT, RETENTION_US);
-        assertThat(commits.size()).isLessThanOrEqualTo(SessionCommits.MOST);
+        assertThat(commits.size()).isLessThanOrEqualTo(SessionCommits.MAX_SESSIONS);
         assertThat(commits.need(afterMs(500), 0)).isEqualTo(afterMs(500));
     }
 }
