--- a/decisions/src/main/java/frostreel/operation/SharedCommitTable.java
+++ b/decisions/src/main/java/frostreel/operation/SharedCommitTable.java
@@ -1,5 +1,6 @@
 package frostreel.operation;
 
+import frostreel.routing.PeerCommits;
 import frostreel.routing.Router;
 
 /**
@@ -23,12 +24,12 @@
  * binds to nothing that every member does not have already. A new process takes over the region whose
  * heartbeat is oldest and keeps what is in it: that goes on to bind, and new values only ever raise it.
  */
-public final class SharedCommitTable implements WriteObserver, Router.PeerCommits {
+public final class SharedCommitTable implements WriteObserver, PeerCommits {
     /**
      * For a process that cannot see the others' writes: any session may have had a commit at any time, and it
      * binds as soon as it counts as known.
      */
-    public static final Router.PeerCommits UNKNOWN_PEERS = (nowUs, session) -> nowUs - Router.KNOWN_AFTER_US;
+    public static final PeerCommits UNKNOWN_PEERS = (nowUs, session) -> nowUs - Router.KNOWN_AFTER_US;
     /** Servers state commits in milliseconds, rounded down. */
     private static final long COMMIT_ROUNDING_US = 1_000;
 
--- a/decisions/src/main/java/frostreel/routing/NearestZonePolicy.java
+++ b/decisions/src/main/java/frostreel/routing/NearestZonePolicy.java
@@ -4,7 +4,7 @@
  * The policy of an installation that configures no failover between zones: members of other zones cost more than
  * those of the router's own, and all are admitted. A member's handle is its zone.
  */
-public final class NearestZonePolicy implements Router.LocalityPolicy {
+public final class NearestZonePolicy implements LocalityPolicy {
     private static final double OWN_ZONE_COST_FACTOR = 1;
     private static final double OTHER_ZONE_COST_FACTOR = 2;
 
--- a/decisions/src/main/java/frostreel/routing/Router.java
+++ b/decisions/src/main/java/frostreel/routing/Router.java
@@ -269,50 +269,6 @@
     /** A member's word on itself, somewhat old; a value it does not hold is NaN, its position 0. */
     record Report(long positionUs, Role role, double util, double queued, double inHand) {}
 
-    /**
-     * A say in which members reads go to, beside the decisions' own. It is told what the decisions are told,
-     * answers at once, and never acts. Members are named by the seats that it gave them.
-     */
-    interface LocalityPolicy {
-        /** New settings, as in {@link Router#onSettings}. */
-        void settings(Settings settings);
-
-        /** A member newly met takes a seat, for good or until {@link #left}. */
-        int memberHandle(int group, int zone);
-
-        /** A member was forgotten; its seat may be given again. */
-        void left(int handle);
-
-        /** An attempt ended; {@code workUs}: what its class usually takes. */
-        void ended(long nowUs, int handle, Outcome outcome, double workUs);
-
-        void probed(long nowUs, int handle, boolean ok);
-
-        /** A read of that class was sent. */
-        void sent(long nowUs, int handle, int cls, double workUs);
-
-        /** How much dearer it is than the nearest; infinite where nothing may go there now. */
-        double costFactor(long nowUs, int handle);
-
-        /** Whether one more read of that class may go there now. */
-        boolean admits(long nowUs, int handle, int cls);
-
-        /**
-         * Whether a probe of it is due, though nothing may go there; asked when one could be made at once.
-         */
-        boolean healthCheckDue(long nowUs, int handle);
-    }
-
-    /**
-     * The commits that sessions may have had through another process of this very pooler, which serves or
-     * served beside this one. Asked with every session read; answers in a few nanoseconds, and allocates
-     * nothing.
-     */
-    interface PeerCommits {
-        /** The position that a read of that session must see at this time, 0 for any. */
-        long boundUs(long nowUs, long session);
-    }
-
     /**
      * New settings hold for requests from now on. Their list of classes begins with the one in force, so that
      * a class keeps its number, and the requests that are open keep their classes and number of attempts.
--- a/decisions/src/main/java/frostreel/zones/ZoneFailoverPolicy.java
+++ b/decisions/src/main/java/frostreel/zones/ZoneFailoverPolicy.java
@@ -1,5 +1,6 @@
 package frostreel.zones;
 
+import frostreel.routing.LocalityPolicy;
 import frostreel.routing.Router;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -21,7 +22,7 @@
  * moment that differs from pooler to pooler, each with its part of what the area served before. An area lost
  * again and again must answer for a while first. Writes are none of its matters.
  */
-public final class ZoneFailoverPolicy implements Router.LocalityPolicy {
+public final class ZoneFailoverPolicy implements LocalityPolicy {
     /** Each farther tier is so many times dearer. */
     private static final double FARTHER = 2;
     /** A tier's budget holds what it gains in this time. */
--- a/pooler/src/main/java/frostreel/control/PeerProcessCommits.java
+++ b/pooler/src/main/java/frostreel/control/PeerProcessCommits.java
@@ -3,6 +3,7 @@
 import frostreel.config.Config;
 import frostreel.operation.SharedCommitTable;
 import frostreel.operation.WriteObserver;
+import frostreel.routing.PeerCommits;
 import frostreel.routing.Router;
 import java.io.IOException;
 import java.util.SplittableRandom;
@@ -16,9 +17,9 @@
  * @param writeObserver learns of the writes of this process, for the others
  * @param peerCommits knows the commits of the others
  */
-public record PeerProcessCommits(WriteObserver writeObserver, Router.PeerCommits peerCommits) {
+public record PeerProcessCommits(WriteObserver writeObserver, PeerCommits peerCommits) {
     private static final Logger LOG = Logger.getLogger(PeerProcessCommits.class.getName());
-    private static final Router.PeerCommits NO_PEERS = (nowUs, session) -> 0;
+    private static final PeerCommits NO_PEERS = (nowUs, session) -> 0;
 
     /** Opens the file if there is to be one. Blocks, so call it before the event loop has work to do. */
     public static PeerProcessCommits open(Config config, long nowUs) {
