--- a/decisions/src/main/java/frostreel/routing/LocalityPolicy.java
+++ b/decisions/src/main/java/frostreel/routing/LocalityPolicy.java
@@ -1,35 +1,34 @@
 package frostreel.routing;
 
 /**
- * A say in which members reads go to, beside the decisions' own. It is told what the decisions are told,
- * answers at once, and never acts. Members are named by the seats that it gave them.
+ * Decides, beside the router, which members reads may go to and at what cost, by their zones. It is told what
+ * the router is told, answers at once and never acts. A member is known by the handle that it was given.
  */
 public interface LocalityPolicy {
-    /** New settings, as in {@link Router#onSettings}. */
+    /** Takes new settings, as in {@link Router#onSettings}. */
     void settings(Router.Settings settings);
 
-    /** A member newly met takes a seat, for good or until {@link #left}. */
+    /** The handle of a member that is newly listed, valid until {@link #left}. */
     int memberHandle(int group, int zone);
 
-    /** A member was forgotten; its seat may be given again. */
+    /** A member was forgotten; its handle may be given to another. */
     void left(int handle);
 
-    /** An attempt ended; {@code workUs}: what its class usually takes. */
+    /** An attempt ended; {@code workUs} is what its class usually takes. */
     void ended(long nowUs, int handle, Router.Outcome outcome, double workUs);
 
+    /** A health check ended. */
     void probed(long nowUs, int handle, boolean ok);
 
-    /** A read of that class was sent. */
-    void sent(long nowUs, int handle, int cls, double workUs);
+    /** A read of this class was sent. */
+    void sent(long nowUs, int handle, int requestClass, double workUs);
 
-    /** How much dearer it is than the nearest; infinite where nothing may go there now. */
+    /** The cost of a member relative to the nearest, from 1; infinite where it may be sent nothing now. */
     double costFactor(long nowUs, int handle);
 
-    /** Whether one more read of that class may go there now. */
-    boolean admits(long nowUs, int handle, int cls);
+    /** Whether one more read of this class may go there now. */
+    boolean admits(long nowUs, int handle, int requestClass);
 
-    /**
-     * Whether a probe of it is due, though nothing may go there; asked when one could be made at once.
-     */
+    /** Whether a health check is due though the member may be sent nothing; asked when one could start now. */
     boolean healthCheckDue(long nowUs, int handle);
 }
--- a/decisions/src/main/java/frostreel/routing/Router.java
+++ b/decisions/src/main/java/frostreel/routing/Router.java
@@ -3,19 +3,21 @@
 import java.util.List;
 
 /**
- * What an embedding proxy sees of the router: it hands in settings and events, and carries out the actions.
+ * The routing decisions, as a proxy that embeds them sees them: it hands in settings and events, and carries out
+ * the {@link Actions} that it is asked for.
  *
- * <p>Times are microseconds on one clock that only advances, handed in with every event. A router is
- * single-threaded, does no I/O and reads no clock; equal events give equal actions. Nothing here decides.
+ * <p>All times are microseconds on one clock that only advances, handed in with every event; a position is the
+ * time up to which a member has applied every commit. A router is used by one thread, does no I/O and reads no
+ * clock; equal events give equal actions.
  */
 public interface Router {
-    /**
-     * The protocol's figure, in microseconds: what an answer tells counts as known so long after it was
-     * written, however it fared on the way.
-     */
+    /** What an answer tells counts as known this long after it was written, whether or not it arrived. */
     long KNOWN_AFTER_US = 100_000;
 
-    /** What a request's class needs of the data that answers it. */
+    /**
+     * What data a class of requests needs: WRITE and FRESH go to the primary, SESSION must see the writes of its
+     * session, BOUNDED data no older than a bound, and ANY may be answered by any member.
+     */
     enum Access {
         WRITE,
         FRESH,
@@ -24,59 +26,62 @@
         ANY
     }
 
-    /** Whether a request may be repeated after an attempt that may have run. */
+    /** Whether a request may be retried after an attempt that may have run: KEYED only with its idempotency key. */
     enum Idempotency {
         IDEMPOTENT,
         KEYED,
         NON_IDEMPOTENT
     }
 
-    /** Which members drop a keyed request's repeats. */
+    /** Which members deduplicate retries of a keyed request: all, those of one zone, or those of its group. */
     enum DeduplicationScope {
         ALL,
         ZONE,
         GROUP
     }
 
-    /** What a member does with a read it is too far behind for. */
+    /** What a member does with a read that it is too stale for: answer all the same, reject, or wait and reject. */
     enum StalenessCheck {
         SILENT,
         REFUSE,
         WAIT
     }
 
-    /** How the member list tracks roles. */
+    /** How the endpoint list tracks roles: some seconds late, as at its start for ever, or not at all. */
     enum ListRole {
         LATE,
         START,
         SILENT
     }
 
-    /** Where a session read's last write is known from. */
+    /** Where the last write of a session is known from: carried by its reads, or remembered by the router. */
     enum SessionTracking {
         CARRIED,
         REMEMBERED
     }
 
+    /** The role of a member in its group. */
     enum Role {
         UNKNOWN,
         PRIMARY,
         REPLICA
     }
 
-    /** Whether probes are allowed, and whether their answers tell role and position, or only that it runs. */
+    /** Whether health checks are permitted, and whether they tell role and position or only that a member runs. */
     enum Probes {
         NONE,
         LIVENESS,
         REPORT
     }
 
+    /** The state of a member by the endpoint list. */
     enum State {
         UP,
         DRAINING,
         GONE
     }
 
+    /** An endpoint list: complete, changed entries, complete but possibly stale, or one that could not be had. */
     enum ListKind {
         FULL,
         CHANGES,
@@ -84,7 +89,7 @@
         FAILED
     }
 
-    /** How an attempt ended, and whether that proves it never ran. */
+    /** How an attempt ended. */
     enum Outcome {
         OK(false),
         ERROR(false),
@@ -96,6 +101,7 @@
         NOT_SENT(true),
         WRONG_ROLE_OR_STALE(true);
 
+        /** Whether it proves that the attempt did not run, so that even a non-idempotent request may be retried. */
         public final boolean provesNotRun;
 
         Outcome(boolean provesNotRun) {
@@ -103,7 +109,16 @@
         }
     }
 
-    /** A class of requests; {@code boundUs} is read for BOUNDED, scope and window for KEYED. */
+    /**
+     * A class of requests.
+     *
+     * @param windowUs how long after a first attempt that may have run a KEYED request is deduplicated
+     * @param boundUs the greatest staleness that a BOUNDED read accepts
+     * @param latencyObjectiveUs from the arrival; an answer after it is late
+     * @param deadlineUs the usual time that clients leave, from the arrival
+     * @param priorityWeight the value of an answer in time, relative to those of other classes
+     * @param lateWeight the value of a late answer, as a share from 0 to 1 of one in time
+     */
     record RequestClass(
             String name,
             Access access,
@@ -117,8 +132,15 @@
             double lateWeight) {}
 
     /**
-     * What the deployment permits; an idle connection closes by itself, and carries so many at once;
-     * {@code concurrentRequestLimit}: how many requests clients may have open here at once, 0 where nothing bounds them.
+     * What the deployment permits.
+     *
+     * @param cancel whether attempts may be cancelled
+     * @param retryAfterAllowed whether clients receive a Retry-After, of at most {@code maxRetryAfterUs}
+     * @param subscribe whether changes of the endpoint list must be subscribed to
+     * @param askWithinUs how old a list may be before it counts as known without having been asked for
+     * @param holdsForUs how long a member that checks staleness by waiting holds a read
+     * @param idleCloseUs after which an idle connection closes
+     * @param concurrentRequestLimit how many requests of clients may be open here, 0 where nothing bounds them
      */
     record Limits(
             int maxAttempts,
@@ -133,6 +155,7 @@
             long idleCloseUs,
             int requestsPerConnection,
             int concurrentRequestLimit) {
+        /** Limits without a bound on the open requests of clients. */
         public Limits(
                 int maxAttempts,
                 Probes probes,
@@ -160,10 +183,9 @@
                     0);
         }
 
-        /** As it is on sockets: a connection carries one attempt at a time. */
-        Limits onSockets(int usual) {
+        private Limits with(int newMaxAttempts, int newRequestsPerConnection, int newConcurrentRequestLimit) {
             return new Limits(
-                    maxAttempts,
+                    newMaxAttempts,
                     probes,
                     cancel,
                     retryAfterAllowed,
@@ -173,12 +195,21 @@
                     connectTimeoutUs,
                     holdsForUs,
                     idleCloseUs,
-                    1,
-                    usual);
+                    newRequestsPerConnection,
+                    newConcurrentRequestLimit);
         }
     }
 
-    /** The figures of the rules. */
+    /**
+     * The figures of the rules that every router keeps.
+     *
+     * @param answerSlackUs after a deadline, in which the final answer still counts
+     * @param stopSendingUs in which sends to a member end after it was listed as draining or gone
+     * @param onlyDrainingBinds whether members that are gone, but were never listed as draining, may be sent to
+     * @param coldFrom the least share from 0 to 1 of its capacity that a member starts with
+     * @param warmAfterUs after its start, a member has all its capacity
+     * @param fallMultiple a starting member that is sent this multiple of its capacity over {@code fallUs} collapses
+     */
     record Rules(
             long answerSlackUs,
             long stopSendingUs,
@@ -187,17 +218,21 @@
             long warmAfterUs,
             double fallMultiple,
             long fallUs) {
-        /**
-         * The part of its capacity that a member has at the least: cold when it starts, warm after a time;
-         * {@code startedUs} is 0 for the distant past.
-         */
+        /** The least share of its capacity that a member has now, to 1; {@code startedUs} 0 is the distant past. */
         double warmth(long nowUs, long startedUs) {
             double age = startedUs == 0 ? warmAfterUs : Math.max(0, nowUs - startedUs);
             return age >= warmAfterUs ? 1 : coldFrom + (1 - coldFrom) * age / warmAfterUs;
         }
     }
 
-    /** All that a router is told at its start; {@code instances}: how many there are, 0 where not told. */
+    /**
+     * All that a router is told of its deployment.
+     *
+     * @param seed from which its random choices follow
+     * @param instances how many routers there are, 0 where that is not known
+     * @param tickUs how often events are handed in at the most
+     * @param positions whether every answer carries a position
+     */
     record Settings(
             long seed,
             int instances,
@@ -210,74 +245,76 @@
             boolean positions,
             Limits limits,
             Rules rules) {
-        /** The same but for the classes and the number of attempts. */
-        public Settings with(List<RequestClass> other, int maxAttempts) {
-            Limits l = new Limits(
-                    maxAttempts,
-                    limits.probes,
-                    limits.cancel,
-                    limits.retryAfterAllowed,
-                    limits.maxRetryAfterUs,
-                    limits.subscribe,
-                    limits.askWithinUs,
-                    limits.connectTimeoutUs,
-                    limits.holdsForUs,
-                    limits.idleCloseUs,
-                    limits.requestsPerConnection,
-                    limits.concurrentRequestLimit);
-            return new Settings(
-                    seed,
-                    instances,
-                    zone,
-                    tickUs,
-                    other,
-                    stalenessCheck,
-                    listRole,
-                    sessionTracking,
-                    positions,
-                    l,
-                    rules);
+        /** The same settings with other classes and another number of attempts. */
+        public Settings with(List<RequestClass> newClasses, int maxAttempts) {
+            return with(
+                    newClasses, limits.with(maxAttempts, limits.requestsPerConnection, limits.concurrentRequestLimit));
         }
 
-        /** The same but for the places of clients. */
+        /** The same settings on sockets: one attempt at a time a connection, and a limit of clients' requests. */
         public Settings onSockets(int concurrentRequestLimit) {
+            return with(classes, limits.with(limits.maxAttempts, 1, concurrentRequestLimit));
+        }
+
+        private Settings with(List<RequestClass> newClasses, Limits newLimits) {
             return new Settings(
                     seed,
                     instances,
                     zone,
                     tickUs,
-                    classes,
+                    newClasses,
                     stalenessCheck,
                     listRole,
                     sessionTracking,
                     positions,
-                    limits.onSockets(concurrentRequestLimit),
+                    newLimits,
                     rules);
         }
     }
 
-    /** A list entry; {@code startedUs} is 0 for the distant past. */
+    /**
+     * An entry of the endpoint list.
+     *
+     * @param kind the kind of machine; members of one kind have equal capacity for equal weight
+     * @param startedUs 0 for the distant past
+     */
     record Member(
             String id, int zone, int kind, int group, boolean primary, State state, double weight, long startedUs) {}
 
     /**
-     * A client's request; {@code sinceWriteUs} is the age of its session's last write, 0 for none, and
-     * {@code repeated} says that the client marked it as a further try.
+     * A client's request.
+     *
+     * @param cls the number of its class in the settings
+     * @param sinceWriteUs the age of its session's last write, 0 where there is none
+     * @param repeated whether the client marked it as a retry
      */
     record Request(String id, int cls, long session, int group, long deadlineUs, long sinceWriteUs, boolean repeated) {}
 
-    /** A member's word on itself, somewhat old; a value it does not hold is NaN, its position 0. */
+    /**
+     * The load report of a member, somewhat old; a value that it does not hold is NaN, its position 0.
+     *
+     * @param util the used share from 0 to 1 of its present capacity
+     * @param inHand how many requests it is working on
+     */
     record Report(long positionUs, Role role, double util, double queued, double inHand) {}
 
     /**
-     * New settings hold for requests from now on. Their list of classes begins with the one in force, so that
-     * a class keeps its number, and the requests that are open keep their classes and number of attempts.
+     * New settings, for requests from now on. Their classes begin with those in force, so that a class keeps its
+     * number; open requests keep their class and number of attempts.
      */
     void onSettings(Settings settings);
 
+    /** A request arrived; it gets exactly one final answer. */
     void onRequest(long nowUs, Request request);
 
-    /** {@code closed}: the request is finished. Role and position are UNKNOWN and 0 where not told. */
+    /**
+     * An attempt ended.
+     *
+     * @param closed whether the request is finished with it
+     * @param role of the member, UNKNOWN where it was not told
+     * @param positionUs of the member, 0 where it was not told
+     * @param report of the member, null where none came
+     */
     void onOutcome(
             long nowUs,
             String requestId,
@@ -291,17 +328,21 @@
             Report report);
 
     /**
-     * Asked right before the first byte of an attempt that had to wait for its connection: whether its member
-     * still is new enough for it. Where not, the attempt ends as NOT_SENT.
+     * Whether an attempt that had to wait for its connection may still begin: asked right before its first byte,
+     * as the member may have become too stale for it. If not, the attempt ends as NOT_SENT.
      */
     boolean mayStillBegin(long nowUs, String requestId);
 
+    /** An endpoint list arrived, or could not be had. */
     void onMembers(long nowUs, ListKind kind, List<Member> members);
 
+    /** A health check ended; {@code report} is null where none came. */
     void onProbe(long nowUs, String memberId, boolean ok, long tookUs, Report report);
 
+    /** A timer fired. */
     void onTimer(long nowUs, String name);
 
+    /** The client of a request disconnected; it needs no answer any more. */
     void onClientDisconnected(long nowUs, String requestId);
 
     /** What the router asks of the proxy that embeds it. */
@@ -309,21 +350,25 @@
         /** Starts an attempt; a request's attempts are numbered 0, 1, 2 ... in this order. */
         void send(String requestId, String memberId, long timeoutUs);
 
-        /** Final answer: nothing ran, or trying again is harmless; with advice on when to come back. */
+        /** Final answer: nothing ran or a retry is harmless; {@code retryAfterUs} is 0 for no advice. */
         void reject(String requestId, long retryAfterUs);
 
-        /** Final answer that promises nothing. */
+        /** Final answer: the request may or may not have run. */
         void fail(String requestId);
 
+        /** Cancels an attempt that is in flight. */
         void cancel(String requestId, int attempt);
 
+        /** Starts a health check. */
         void probe(String memberId);
 
+        /** Sets a timer of this name. */
         void setTimer(long inUs, String name);
 
+        /** Writes a line to the log. */
         void log(String text);
 
-        /** Asks the discovery service to push changes of the member list. */
+        /** Asks the discovery service to push changes of the endpoint list. */
         void subscribe();
     }
 }
