--- a/decisions/src/test/java/frostreel/routing/ConcurrencyLimitTest.java
+++ b/decisions/src/test/java/frostreel/routing/ConcurrencyLimitTest.java
@@ -27,7 +27,7 @@
             for (int j = 0; j < 2 && harness.lastAttempt("q" + i) != null; j++) {
                 harness.complete(
                         "q" + i,
-                        Outcome.REJECTED,
+                        outcome,
                         harness.lastAttempt("q" + i).member().equals("a") ? Role.PRIMARY : Role.REPLICA,
                         0);
             }
