--- a/decisions/src/main/java/frostreel/operation/MaintenanceOverlay.java
+++ b/decisions/src/main/java/frostreel/operation/MaintenanceOverlay.java
@@ -25,6 +25,7 @@
     /** Ids of listed servers that are gone, the one that left first first. */
     private final Set<String> departed = new LinkedHashSet<>();
 
+    /** Overlays these commands, as they are at each call. */
     public MaintenanceOverlay(OperatorCommands commands) {
         this.commands = commands;
     }
--- a/decisions/src/main/java/frostreel/operation/RequestClassRegistry.java
+++ b/decisions/src/main/java/frostreel/operation/RequestClassRegistry.java
@@ -24,6 +24,7 @@
     private Map<String, Integer> previous = Map.of();
     private long changedAtUs = LONG_AGO_US;
 
+    /** Numbers the classes in force at the start, from 0 on. */
     public RequestClassRegistry(List<RequestClass> initial) {
         current = numbersByName(initial);
     }
--- a/decisions/src/main/java/frostreel/operation/SharedCommitTable.java
+++ b/decisions/src/main/java/frostreel/operation/SharedCommitTable.java
@@ -107,14 +107,14 @@
 
     /** Keeps what the former owner left, its writes in flight as uncertain ones, and adds this process's own. */
     private void inheritSlot(int slot) {
-        int at = slotIndex(ownRegion, slot);
-        boolean leftInFlight = memory.get(at + IN_FLIGHT_SINCE_US) > 0;
-        raise(at + UNCERTAIN_UNTIL_US, leftInFlight ? memory.get(at + IN_FLIGHT_UNTIL_US) : 0);
-        inheritedCommitUs[slot] = Math.max(inheritedCommitUs[slot], memory.get(at + LATEST_COMMIT_US));
+        int base = slotIndex(ownRegion, slot);
+        boolean leftInFlight = memory.get(base + IN_FLIGHT_SINCE_US) > 0;
+        raise(base + UNCERTAIN_UNTIL_US, leftInFlight ? memory.get(base + IN_FLIGHT_UNTIL_US) : 0);
+        inheritedCommitUs[slot] = Math.max(inheritedCommitUs[slot], memory.get(base + LATEST_COMMIT_US));
         inheritedUncertainUntilUs[slot] =
-                Math.max(inheritedUncertainUntilUs[slot], memory.get(at + UNCERTAIN_UNTIL_US));
-        raise(at + IN_FLIGHT_UNTIL_US, inFlightUntilUs[slot]);
-        memory.set(at + IN_FLIGHT_SINCE_US, inFlight[slot] > 0 ? inFlightSinceUs[slot] : 0);
+                Math.max(inheritedUncertainUntilUs[slot], memory.get(base + UNCERTAIN_UNTIL_US));
+        raise(base + IN_FLIGHT_UNTIL_US, inFlightUntilUs[slot]);
+        memory.set(base + IN_FLIGHT_SINCE_US, inFlight[slot] > 0 ? inFlightSinceUs[slot] : 0);
     }
 
     /** A process that was suspended while many others started may have lost its region: it claims another. */
@@ -144,12 +144,12 @@
     public void onSent(long nowUs, long session, long deadlineUs) {
         ensureRegion(nowUs);
         int slot = slotOf(session);
-        int at = slotIndex(ownRegion, slot);
+        int base = slotIndex(ownRegion, slot);
         inFlightUntilUs[slot] = Math.max(inFlightUntilUs[slot], deadlineUs);
-        raise(at + IN_FLIGHT_UNTIL_US, inFlightUntilUs[slot]);
+        raise(base + IN_FLIGHT_UNTIL_US, inFlightUntilUs[slot]);
         if (inFlight[slot]++ == 0) {
             inFlightSinceUs[slot] = nowUs;
-            memory.set(at + IN_FLIGHT_SINCE_US, nowUs);
+            memory.set(base + IN_FLIGHT_SINCE_US, nowUs);
         }
     }
 
@@ -158,14 +158,14 @@
     public void onEnded(long nowUs, long session, long deadlineUs, Router.Outcome outcome, long positionUs) {
         ensureRegion(nowUs);
         int slot = slotOf(session);
-        int at = slotIndex(ownRegion, slot);
+        int base = slotIndex(ownRegion, slot);
         if (outcome == Router.Outcome.OK) {
-            raise(at + LATEST_COMMIT_US, positionUs > 0 ? positionUs : nowUs);
+            raise(base + LATEST_COMMIT_US, positionUs > 0 ? positionUs : nowUs);
         } else if (!outcome.provesNotRun) {
-            raise(at + UNCERTAIN_UNTIL_US, mayStillRun(outcome) ? Math.max(nowUs, deadlineUs) : nowUs);
+            raise(base + UNCERTAIN_UNTIL_US, mayStillRun(outcome) ? Math.max(nowUs, deadlineUs) : nowUs);
         }
         if (--inFlight[slot] == 0) {
-            memory.set(at + IN_FLIGHT_SINCE_US, 0);
+            memory.set(base + IN_FLIGHT_SINCE_US, 0);
         }
     }
 
@@ -192,12 +192,12 @@
         return bound;
     }
 
-    /** Reads the write in flight first: one that ends meanwhile has stored what it leaves by then. */
-    private long boundOfSlotUs(long nowUs, int at) {
-        long sinceUs = memory.get(at + IN_FLIGHT_SINCE_US);
-        long commitUs = memory.get(at + LATEST_COMMIT_US);
-        long uncertainUntilUs = memory.get(at + UNCERTAIN_UNTIL_US);
-        long untilUs = sinceUs > 0 ? memory.get(at + IN_FLIGHT_UNTIL_US) : 0;
+    /** Reads whether a write is in flight first: one that ends meanwhile has stored what it leaves by then. */
+    private long boundOfSlotUs(long nowUs, int base) {
+        long sinceUs = memory.get(base + IN_FLIGHT_SINCE_US);
+        long commitUs = memory.get(base + LATEST_COMMIT_US);
+        long uncertainUntilUs = memory.get(base + UNCERTAIN_UNTIL_US);
+        long untilUs = sinceUs > 0 ? memory.get(base + IN_FLIGHT_UNTIL_US) : 0;
         return boundUs(nowUs, commitUs, uncertainUntilUs, sinceUs, untilUs);
     }
 
--- a/pooler/src/main/java/frostreel/control/AdminListener.java
+++ b/pooler/src/main/java/frostreel/control/AdminListener.java
@@ -27,6 +27,7 @@
 
     private final Acceptor acceptor;
 
+    /** Hands all commands to the executor; call {@link #open} to listen. */
     public AdminListener(EventLoop loop, CommandExecutor commands) {
         this.loop = loop;
         this.commands = commands;
