--- a/lab/src/main/java/frostreel/lab/processes/ClientRecorder.java
+++ b/lab/src/main/java/frostreel/lab/processes/ClientRecorder.java
@@ -63,7 +63,7 @@
             Statement s = Statement.parse(sql);
             open.add(s.id());
             witness.asked(
-                    clock.now(), pooler, s.id(), classes.get(s.requestClass()), clock.now() + s.patienceMs() * 1000);
+                    clock.now(), pooler, s.id(), classes.get(s.requestClass()), clock.now() + s.timeoutMs() * 1000);
         } catch (PgException e) {
             open.add(""); // An empty query, or a page.
         }
--- a/lab/src/main/java/frostreel/lab/processes/StatementRecorder.java
+++ b/lab/src/main/java/frostreel/lab/processes/StatementRecorder.java
@@ -22,7 +22,7 @@
     private final RunListener witness;
     private final SendOrder order;
     private final MessageReader said = new MessageReader(type -> MOST_BYTES);
-    private final MessageReader heard = new MessageReader(Reply::longest);
+    private final MessageReader heard = new MessageReader(Reply::maxLength);
     private boolean started;
     private Reply reply = Reply.toStartup();
     /** What is out, null for nothing or a probe; its first byte's time and its last's. */
--- a/lab/src/main/java/frostreel/lab/virtual/Simulation.java
+++ b/lab/src/main/java/frostreel/lab/virtual/Simulation.java
@@ -325,7 +325,7 @@
                     }
 
                     @Override
-                    public void refused(long retryAfterUs) {
+                    public void rejected(long retryAfterUs) {
                         tally.refused++;
                         answered(Answer.REFUSED);
                         if (t.mayRetry && !again) {
@@ -353,7 +353,7 @@
                     }
 
                     @Override
-                    public boolean waits() {
+                    public boolean isClientConnected() {
                         return true;
                     }
                 });
--- a/lab/src/main/java/frostreel/lab/virtual/VirtualPooler.java
+++ b/lab/src/main/java/frostreel/lab/virtual/VirtualPooler.java
@@ -134,7 +134,7 @@
             witness.told(kernel.now(), number, m.id(), m.state());
             bornUs.put(m.id(), m.startedUs());
         });
-        broker.members(kind, members);
+        broker.updateMembers(kind, members);
     }
 
     /**
@@ -309,7 +309,7 @@
     }
 
     @Override
-    public boolean begun(long attempt) {
+    public boolean hasBegun(long attempt) {
         Attempt a = attempts.get(attempt);
         return a == null || a.written;
     }
--- a/lab/src/test/java/frostreel/lab/standin/StandInsTest.java
+++ b/lab/src/test/java/frostreel/lab/standin/StandInsTest.java
@@ -104,7 +104,7 @@
 
     private static Reply answer(Socket s, byte[] query, Reply reply) throws Exception {
         s.getOutputStream().write(query);
-        MessageReader reader = new MessageReader(Reply::longest);
+        MessageReader reader = new MessageReader(Reply::maxLength);
         byte[] some = new byte[4096];
         while (!reply.ended()) {
             int n = s.getInputStream().read(some);
--- a/pooler/src/main/java/frostreel/ConfigReloader.java
+++ b/pooler/src/main/java/frostreel/ConfigReloader.java
@@ -77,16 +77,16 @@
     private void apply(Router.Settings settings) {
         classes.change(loop.clock().now(), settings.classes());
         Router.Settings merged = settings.with(classes.all(), settings.limits().maxAttempts());
-        pool.settings(merged);
+        pool.updateSettings(merged);
         maxAttempts = Math.min(maxAttempts, merged.limits().maxAttempts());
-        broker.settings(settings.with(classes.all(), maxAttempts));
+        broker.updateSettings(settings.with(classes.all(), maxAttempts));
         lifecycle.setLongestDeadlineUs(longestDeadlineUs(settings));
-        loop.stopSendingUs(settings.rules().stopSendingUs());
+        loop.setStopSendingUs(settings.rules().stopSendingUs());
         int appliedGeneration = ++generation;
         loop.deadlines().after(RequestClassRegistry.TRANSITION_US, () -> {
             if (appliedGeneration == generation) {
                 maxAttempts = merged.limits().maxAttempts();
-                broker.settings(merged);
+                broker.updateSettings(merged);
             }
         });
     }
--- a/pooler/src/main/java/frostreel/Pooler.java
+++ b/pooler/src/main/java/frostreel/Pooler.java
@@ -49,7 +49,7 @@
     Pooler(Config config, OperatorSettings operators, long configuredListPatienceUs, long lingerUs) throws IOException {
         loop = new EventLoop(ClockAnchor.clock(config.orders()));
         PeerProcessCommits peer = PeerProcessCommits.open(config, loop.clock().now());
-        loop.onBeat(peer.writeObserver()::onHeartbeat);
+        loop.onHeartbeat(peer.writeObserver()::onHeartbeat);
         ServerPool pool = new ServerPool(loop, config.settings(), config.maxServerConnections());
         broker = broker(config, operators, pool, peer);
         RequestClassRegistry classes =
@@ -58,7 +58,7 @@
                 new ServingLifecycle(config.inherits(), ConfigReloader.longestDeadlineUs(config.settings()), lingerUs);
         listener = listener(config, classes);
         commands = new CommandExecutor(
-                loop, lifecycle, pool, broker, listener::sweep, config.orders(), incarnation(config));
+                loop, lifecycle, pool, broker, listener::applyLifecycle, config.orders(), incarnation(config));
         AdminListener admin = config.control() == null ? null : new AdminListener(loop, commands);
         ClusterMember clusterMember =
                 operators.cluster() == null ? null : new ClusterMember(operators.cluster(), config.name(), loop);
@@ -69,8 +69,8 @@
         reloader = new ConfigReloader(loop, pool, broker, lifecycle, classes, endpoints, zonePolicy, config, operators);
         shutdown = new ShutdownSequence(loop, lifecycle, listener, broker, clusterMember);
         addPages(admin, clusterMember);
-        loop.onNews(endpoints::readNow);
-        loop.stopSendingUs(config.settings().rules().stopSendingUs());
+        loop.onWatchEventPoll(endpoints::readNow);
+        loop.setStopSendingUs(config.settings().rules().stopSendingUs());
         loop.thread().execute(this::start);
     }
 
@@ -121,16 +121,16 @@
     }
 
     private void addPages(AdminListener admin, ClusterMember clusterMember) {
-        listener.page("stats", () -> loop.counters().toString());
-        listener.page("health", this::health);
+        listener.addPage("stats", () -> loop.counters().toString());
+        listener.addPage("health", this::health);
         if (admin != null) {
-            listener.page("operation", commands::statusPage);
+            listener.addPage("operation", commands::statusPage);
         }
         if (zonePolicy != null) {
-            listener.page("zones", zonePolicy::toString);
+            listener.addPage("zones", zonePolicy::toString);
         }
         if (clusterMember != null) {
-            listener.page("fleet", clusterMember::toString);
+            listener.addPage("fleet", clusterMember::toString);
         }
     }
 
@@ -139,9 +139,9 @@
         return "clients=" + lifecycle.status().wireName()
                 + " missing=" + readiness.missing()
                 + " " + endpoints
-                + " open_requests=" + broker.open()
-                + " open_clients=" + listener.open()
-                + " loop_late_ms=" + loop.lateUs() / 1000
+                + " open_requests=" + broker.openRequests()
+                + " open_clients=" + listener.openClients()
+                + " loop_late_ms=" + loop.sinceHeartbeatUs() / 1000
                 + " log_lines_dropped=" + Logging.dropped();
     }
 
--- a/pooler/src/main/java/frostreel/Readiness.java
+++ b/pooler/src/main/java/frostreel/Readiness.java
@@ -52,7 +52,7 @@
         if (complete && lifecycle.status() == ReadinessStatus.STARTING) {
             beforeServing.run();
             lifecycle.markReady();
-            listener.sweep();
+            listener.applyLifecycle();
             LOG.info("ready");
         }
     }
--- a/pooler/src/main/java/frostreel/ShutdownSequence.java
+++ b/pooler/src/main/java/frostreel/ShutdownSequence.java
@@ -51,14 +51,14 @@
 
     private void begin() {
         lifecycle.terminate(loop.clock().now());
-        listener.sweep();
-        loop.deadlines().at(lifecycle.closeIdleAtUs(), listener::sweep);
-        loop.deadlines().at(lifecycle.lastResponseUs(), listener::sweep);
+        listener.applyLifecycle();
+        loop.deadlines().at(lifecycle.closeIdleAtUs(), listener::applyLifecycle);
+        loop.deadlines().at(lifecycle.lastResponseUs(), listener::applyLifecycle);
         awaitDrained();
     }
 
     private void awaitDrained() {
-        if (lifecycle.mayExit(loop.clock().now(), listener.open(), broker.open())) {
+        if (lifecycle.mayExit(loop.clock().now(), listener.openClients(), broker.openRequests())) {
             drained.countDown();
         } else {
             loop.deadlines().after(CHECK_INTERVAL_US, this::awaitDrained);
--- a/pooler/src/main/java/frostreel/broker/BackEnd.java
+++ b/pooler/src/main/java/frostreel/broker/BackEnd.java
@@ -3,59 +3,76 @@
 import frostreel.routing.Router;
 
 /**
- * Carries attempts and probes to servers, and reports each one's end once, at the earliest within the call.
+ * Carries attempts and health checks to servers, and reports the end of each once, at the earliest within the call
+ * that began it. Used on the I/O thread alone.
  */
 public interface BackEnd {
-    /** How an attempt ended, with what the answer told of the server; {@code answer} is set for OK. */
+    /**
+     * How an attempt ended, with what the answer told of its server.
+     *
+     * @param positionUs the commit position that the server told, 0 for none
+     * @param report the server's load report, null for none
+     * @param answer the bytes of the answer, set for {@link Router.Outcome#OK} alone
+     */
     record Result(Router.Outcome outcome, Router.Role role, long positionUs, Router.Report report, byte[] answer) {
+        /** A result without an answer, which tells nothing of the server. */
         public static Result of(Router.Outcome outcome) {
             return new Result(outcome, Router.Role.UNKNOWN, 0, null, null);
         }
     }
 
-    /** The source of a long answer, which waits while the other side is slower. */
+    /** The source of a long response, which can be made to wait for a slow reader. */
     interface ResponseSource {
+        /** Delivers nothing more for now, but for what has been read already. */
         void pause();
 
+        /** Delivers again. */
         void resume();
     }
 
-    /** Where a long answer goes, piece by piece. */
+    /** Takes a long response piece by piece. */
     interface ResponseStream {
-        void part(byte[] bytes);
+        /** Takes the next bytes, which are not changed afterwards. */
+        void write(byte[] bytes);
     }
 
-    /** Where an attempt's or a probe's result goes. */
+    /** Is notified of the course of one attempt or health check. */
     interface AttemptListener {
-        /** For a long answer, what is left of it behind the pieces. */
+        /** It has ended; for a long response, {@code result} holds what is left of it behind the pieces. */
         void ended(Result result);
 
         /**
-         * An answer too long to be held begins. It goes on as it comes, and from now on there is no time-out;
-         * null where nobody wants it any more.
+         * A response too long to be buffered begins; it is delivered as it comes, and has no time-out from now on.
+         *
+         * @return what takes the response, null where nobody wants it any more
          */
-        default ResponseStream begins(ResponseSource from) {
+        default ResponseStream longResponseBegins(ResponseSource source) {
             return null;
         }
 
         /**
-         * Asked right before the first byte is written of an attempt that had to wait for its connection;
-         * false where it must not begin any more. It is then over, as moot.
+         * Asked right before the first byte is written of an attempt that had to wait for its connection. Where it
+         * must not begin any more, it has ended as {@link Router.Outcome#NOT_SENT}.
          */
         default boolean mayBegin() {
             return true;
         }
     }
 
-    /** Begins an attempt; the returned handle names it to {@link #abandon}. */
-    long start(String memberId, Payload payload, long patienceUs, AttemptListener sink);
+    /**
+     * Starts an attempt.
+     *
+     * @param timeoutUs for how long its sender will wait for the answer
+     * @return the handle of the attempt
+     */
+    long start(String memberId, Payload payload, long timeoutUs, AttemptListener listener);
 
     /** Whether a byte of the attempt may have been written; an attempt that has ended has begun. */
-    boolean begun(long attempt);
+    boolean hasBegun(long attemptHandle);
 
-    /** Stops waiting; nothing is reported any more. True where the request may have reached the server. */
-    boolean abandon(long attempt);
+    /** Gives an attempt up; its listener is not called any more. True where the request may have reached the server. */
+    boolean abandon(long attemptHandle);
 
-    /** Asks a server for its report. */
-    void probe(String memberId, AttemptListener sink);
+    /** Asks a server for its load report. */
+    void probe(String memberId, AttemptListener listener);
 }
--- a/pooler/src/main/java/frostreel/broker/Broker.java
+++ b/pooler/src/main/java/frostreel/broker/Broker.java
@@ -24,50 +24,50 @@
             String id, int cls, long session, int group, long deadlineUs, long sinceWriteUs, boolean repeated) {}
 
     private static final class ActiveRequest {
-        final RequestAttributes ask;
+        final RequestAttributes attributes;
         final Payload payload;
-        final ResponseHandler caller;
+        final ResponseHandler handler;
         long handle;
         String id;
         boolean answered;
         /** Its answer has begun, and goes on as it comes. */
-        boolean passing;
+        boolean streaming;
 
-        final Router.RequestClass rules;
-        final int mostAttempts;
+        final Router.RequestClass requestClass;
+        final int maxAttempts;
         int attempts;
-        long inFlight = SlotTable.NONE;
+        long attemptHandle = SlotTable.NONE;
         String memberId;
         long sentUs;
         /** How the last attempt ended, null while none has. */
         Outcome lastOutcome;
         /** When the first attempt was sent that may have run; {@code Long.MAX_VALUE} while none was. */
-        long maybeRanUs = Long.MAX_VALUE;
+        long firstMaybeRunUs = Long.MAX_VALUE;
 
-        Deadlines.Deadline timeout;
-        Deadlines.Deadline overdue;
+        Deadlines.Deadline attemptTimeout;
+        Deadlines.Deadline overdueTimeout;
 
         ActiveRequest(
-                RequestAttributes ask,
+                RequestAttributes attributes,
                 Payload payload,
-                ResponseHandler caller,
-                Router.RequestClass rules,
-                int mostAttempts) {
-            this.rules = rules;
-            this.mostAttempts = mostAttempts;
-            this.ask = ask;
+                ResponseHandler handler,
+                Router.RequestClass requestClass,
+                int maxAttempts) {
+            this.requestClass = requestClass;
+            this.maxAttempts = maxAttempts;
+            this.attributes = attributes;
             this.payload = payload;
-            this.caller = caller;
+            this.handler = handler;
         }
 
         /** From when on no attempt of it may begin: its deadline, or the end of what may be repeated. */
         long beginByUs() {
-            if (maybeRanUs == Long.MAX_VALUE || rules.idempotency() == Router.Idempotency.IDEMPOTENT) {
-                return ask.deadlineUs();
+            if (firstMaybeRunUs == Long.MAX_VALUE || requestClass.idempotency() == Router.Idempotency.IDEMPOTENT) {
+                return attributes.deadlineUs();
             }
-            return rules.idempotency() == Router.Idempotency.NON_IDEMPOTENT
-                    ? maybeRanUs
-                    : Math.min(ask.deadlineUs(), maybeRanUs + rules.windowUs());
+            return requestClass.idempotency() == Router.Idempotency.NON_IDEMPOTENT
+                    ? firstMaybeRunUs
+                    : Math.min(attributes.deadlineUs(), firstMaybeRunUs + requestClass.windowUs());
         }
     }
 
@@ -87,8 +87,8 @@
     private final WriteObserver writeObserver;
     private Router.Settings settings;
     private final SlotTable<ActiveRequest> requests;
-    private final Set<Integer> groups = new HashSet<>();
-    private final Set<String> ids = new HashSet<>();
+    private final Set<Integer> knownGroups = new HashSet<>();
+    private final Set<String> senderIds = new HashSet<>();
     private final ArrayDeque<Runnable> events = new ArrayDeque<>();
     private boolean inEvent;
 
@@ -98,9 +98,18 @@
             Counters counters,
             BackEnd backEnd,
             Router.Settings settings,
-            int maxOpen,
-            BiFunction<Router.Settings, Router.Actions, Router> maker) {
-        this(clock, deadlines, counters, EventLog.silent(), backEnd, settings, maxOpen, maker, WriteObserver.NONE);
+            int maxRequests,
+            BiFunction<Router.Settings, Router.Actions, Router> routerFactory) {
+        this(
+                clock,
+                deadlines,
+                counters,
+                EventLog.silent(),
+                backEnd,
+                settings,
+                maxRequests,
+                routerFactory,
+                WriteObserver.NONE);
     }
 
     /** {@code writeObserver}: is notified of the writes, for the processes that serve beside this one. */
@@ -111,8 +120,8 @@
             EventLog log,
             BackEnd backEnd,
             Router.Settings settings,
-            int maxOpen,
-            BiFunction<Router.Settings, Router.Actions, Router> maker,
+            int maxRequests,
+            BiFunction<Router.Settings, Router.Actions, Router> routerFactory,
             WriteObserver writeObserver) {
         this.writeObserver = writeObserver;
         this.clock = clock;
@@ -121,8 +130,8 @@
         this.log = log;
         this.backEnd = backEnd;
         this.settings = settings;
-        this.requests = new SlotTable<>(maxOpen);
-        this.router = maker.apply(settings, this);
+        this.requests = new SlotTable<>(maxRequests);
+        this.router = routerFactory.apply(settings, this);
     }
 
     /**
@@ -130,7 +139,7 @@
      * reach
      * the module before it has returned.
      */
-    private void event(Runnable event) {
+    private void run(Runnable event) {
         events.add(event);
         if (inEvent) {
             return;
@@ -154,76 +163,76 @@
     // ---- From the front end and from discovery. ----
 
     /** New settings hold for requests from now on; those in hand keep what they came with. */
-    public void settings(Router.Settings settings) {
+    public void updateSettings(Router.Settings settings) {
         this.settings = settings;
-        event(() -> router.onSettings(settings));
+        run(() -> router.onSettings(settings));
     }
 
     /** When to come back, as a refusal may tell it: the settings' most at most, 0 where they allow none. */
-    public long retryAfterUs(long us) {
+    public long retryAfterUs(long wantedUs) {
         Router.Limits limits = settings.limits();
-        return limits.retryAfterAllowed() ? Math.min(us, limits.maxRetryAfterUs()) : 0;
+        return limits.retryAfterAllowed() ? Math.min(wantedUs, limits.maxRetryAfterUs()) : 0;
     }
 
     /** Whether a request of that name is open, or an attempt of it still out: another would be a second. */
-    public boolean holds(String id) {
-        return ids.contains(id);
+    public boolean isActive(String senderId) {
+        return senderIds.contains(senderId);
     }
 
     /** Takes a request; its caller may be answered before this returns. */
-    public long submit(RequestAttributes ask, Payload payload, ResponseHandler caller) {
+    public long submit(RequestAttributes attributes, Payload payload, ResponseHandler handler) {
         counters.requests++;
-        ActiveRequest r = new ActiveRequest(
-                ask,
+        ActiveRequest request = new ActiveRequest(
+                attributes,
                 payload,
-                caller,
-                settings.classes().get(ask.cls()),
+                handler,
+                settings.classes().get(attributes.cls()),
                 settings.limits().maxAttempts());
-        r.handle = requests.add(r);
-        if (r.handle == SlotTable.NONE || !groups.contains(ask.group())) {
-            requests.remove(r.handle);
+        request.handle = requests.add(request);
+        if (request.handle == SlotTable.NONE || !knownGroups.contains(attributes.group())) {
+            requests.remove(request.handle);
             counters.refused++;
-            caller.refused(0);
+            handler.rejected(0);
             return SlotTable.NONE;
         }
-        ids.add(ask.id());
-        r.id = Long.toString(r.handle);
-        r.overdue = deadlines.at(
-                ask.deadlineUs() + (long) (settings.rules().answerSlackUs() * OVERDUE_SHARE),
-                () -> event(() -> overdue(r)));
-        event(() -> router.onRequest(
+        senderIds.add(attributes.id());
+        request.id = Long.toString(request.handle);
+        request.overdueTimeout = deadlines.at(
+                attributes.deadlineUs() + (long) (settings.rules().answerSlackUs() * OVERDUE_SHARE),
+                () -> run(() -> onOverdue(request)));
+        run(() -> router.onRequest(
                 clock.now(),
                 new Router.Request(
-                        r.id,
-                        ask.cls(),
-                        ask.session(),
-                        ask.group(),
-                        ask.deadlineUs(),
-                        ask.sinceWriteUs(),
-                        ask.repeated())));
-        return r.handle;
+                        request.id,
+                        attributes.cls(),
+                        attributes.session(),
+                        attributes.group(),
+                        attributes.deadlineUs(),
+                        attributes.sinceWriteUs(),
+                        attributes.repeated())));
+        return request.handle;
     }
 
     /** The caller went away; a stale handle does nothing. */
-    public void gone(long handle) {
-        event(() -> {
-            ActiveRequest r = requests.get(handle);
-            if (r != null && r.passing) {
+    public void onClientDisconnected(long handle) {
+        run(() -> {
+            ActiveRequest request = requests.get(handle);
+            if (request != null && request.streaming) {
                 counters.longBroken++;
-                backEnd.abandon(r.inFlight);
-                r.inFlight = SlotTable.NONE;
-                release(r);
-            } else if (r != null) {
-                left(r);
+                backEnd.abandon(request.attemptHandle);
+                request.attemptHandle = SlotTable.NONE;
+                removeIfDone(request);
+            } else if (request != null) {
+                withdrawForGoneClient(request);
             }
         });
     }
 
-    private void left(ActiveRequest r) {
-        if (!r.answered) {
+    private void withdrawForGoneClient(ActiveRequest request) {
+        if (!request.answered) {
             counters.clientsGone++;
-            log.tell(EventLog.Kind.REQUEST_WITHDRAWN, () -> story(r) + ": its client has gone");
-            leave(r);
+            log.tell(EventLog.Kind.REQUEST_WITHDRAWN, () -> describe(request) + ": its client has gone");
+            withdraw(request);
         }
     }
 
@@ -231,180 +240,197 @@
      * The caller withdraws its request, and gets its one answer; nothing is done where it has that, or the
      * beginning of it, already.
      */
-    public void cancelled(long handle) {
-        event(() -> {
-            ActiveRequest r = requests.get(handle);
-            if (r != null && !r.answered) {
+    public void onClientCancelled(long handle) {
+        run(() -> {
+            ActiveRequest request = requests.get(handle);
+            if (request != null && !request.answered) {
                 counters.clientsCancelled++;
-                log.tell(EventLog.Kind.REQUEST_WITHDRAWN, () -> story(r) + ": cancelled by its client");
-                leave(r);
-                r.caller.cancelled();
+                log.tell(EventLog.Kind.REQUEST_WITHDRAWN, () -> describe(request) + ": cancelled by its client");
+                withdraw(request);
+                request.handler.cancelled();
             }
         });
     }
 
     /** Nobody wants it any more: an attempt that has not begun never does, whatever the module may cancel. */
-    private void leave(ActiveRequest r) {
-        close(r);
-        router.onClientDisconnected(clock.now(), r.id);
-        if (r.inFlight != SlotTable.NONE && !backEnd.begun(r.inFlight)) {
-            stop(r, r.attempts - 1, Outcome.CANCELLED);
+    private void withdraw(ActiveRequest request) {
+        close(request);
+        router.onClientDisconnected(clock.now(), request.id);
+        if (request.attemptHandle != SlotTable.NONE && !backEnd.hasBegun(request.attemptHandle)) {
+            stopAttempt(request, request.attempts - 1, Outcome.CANCELLED);
         }
-        release(r);
+        removeIfDone(request);
     }
 
-    public void members(Router.ListKind kind, List<Router.Member> members) {
-        members.forEach(m -> groups.add(m.group()));
-        event(() -> router.onMembers(clock.now(), kind, members));
+    public void updateMembers(Router.ListKind kind, List<Router.Member> members) {
+        members.forEach(member -> knownGroups.add(member.group()));
+        run(() -> router.onMembers(clock.now(), kind, members));
     }
 
     /** Requests taken and not yet answered. */
-    public int open() {
-        int[] open = {0};
-        requests.forEach(r -> open[0] += r.answered ? 0 : 1);
-        return open[0];
+    public int openRequests() {
+        int[] count = {0};
+        requests.forEach(request -> count[0] += request.answered ? 0 : 1);
+        return count[0];
     }
 
     /** What is known of a request, for the log: its own id, its attempts and its time. */
-    private String story(ActiveRequest r) {
-        return "request " + r.ask.id() + " of class " + r.rules.name() + ", attempts " + r.attempts
-                + (r.attempts == 0
+    private String describe(ActiveRequest request) {
+        return "request " + request.attributes.id() + " of class " + request.requestClass.name() + ", attempts "
+                + request.attempts
+                + (request.attempts == 0
                         ? ""
-                        : ", last to " + r.memberId
-                                + (r.inFlight != SlotTable.NONE ? " and out" : " ended " + r.lastOutcome))
-                + ", left " + (r.ask.deadlineUs() - clock.now()) / 1000 + " ms";
+                        : ", last to " + request.memberId
+                                + (request.attemptHandle != SlotTable.NONE
+                                        ? " and out"
+                                        : " ended " + request.lastOutcome))
+                + ", left " + (request.attributes.deadlineUs() - clock.now()) / 1000 + " ms";
     }
 
     // ---- What ends a request. ----
 
-    private void close(ActiveRequest r) {
-        r.answered = true;
-        deadlines.cancel(r.overdue);
+    private void close(ActiveRequest request) {
+        request.answered = true;
+        deadlines.cancel(request.overdueTimeout);
     }
 
     /** An answered request keeps its slot until its attempt has ended. */
-    private void release(ActiveRequest r) {
-        if (r.answered && r.inFlight == SlotTable.NONE) {
-            requests.remove(r.handle);
-            ids.remove(r.ask.id());
+    private void removeIfDone(ActiveRequest request) {
+        if (request.answered && request.attemptHandle == SlotTable.NONE) {
+            requests.remove(request.handle);
+            senderIds.remove(request.attributes.id());
         }
     }
 
-    private void overdue(ActiveRequest r) {
-        if (!r.answered) {
+    private void onOverdue(ActiveRequest request) {
+        if (!request.answered) {
             counters.overdue++;
-            log.tell(EventLog.Kind.REQUEST_OVERDUE, () -> story(r) + ": left open by the decisions");
-            close(r);
-            r.caller.failed();
-            router.onClientDisconnected(clock.now(), r.id);
-            release(r);
+            log.tell(EventLog.Kind.REQUEST_OVERDUE, () -> describe(request) + ": left open by the decisions");
+            close(request);
+            request.handler.failed();
+            router.onClientDisconnected(clock.now(), request.id);
+            removeIfDone(request);
         }
     }
 
     /** Looked at right before an attempt's first byte, as what its client did may stand unread until then. */
-    private boolean mayBegin(ActiveRequest r) {
-        if (r.answered || clock.now() >= r.beginByUs()) {
+    private boolean mayBegin(ActiveRequest request) {
+        if (request.answered || clock.now() >= request.beginByUs()) {
             return false;
         }
-        boolean waits = r.caller.waits();
-        if (!waits) {
-            event(() -> left(r));
+        boolean connected = request.handler.isClientConnected();
+        if (!connected) {
+            run(() -> withdrawForGoneClient(request));
         }
-        return waits && !r.answered;
+        return connected && !request.answered;
     }
 
-    private void ended(ActiveRequest r, int attempt, BackEnd.Result result) {
+    private void onAttemptEnded(ActiveRequest request, int attempt, BackEnd.Result result) {
         long now = clock.now();
-        deadlines.cancel(r.timeout);
-        r.inFlight = SlotTable.NONE;
+        deadlines.cancel(request.attemptTimeout);
+        request.attemptHandle = SlotTable.NONE;
         counters.outcome(result.outcome());
-        r.lastOutcome = result.outcome();
+        request.lastOutcome = result.outcome();
         if (result.outcome() != Outcome.OK) {
-            log.tell(EventLog.Kind.ATTEMPT_FAILED, () -> story(r));
+            log.tell(EventLog.Kind.ATTEMPT_FAILED, () -> describe(request));
         }
         if (!result.outcome().provesNotRun) {
-            r.maybeRanUs = Math.min(r.maybeRanUs, r.sentUs);
+            request.firstMaybeRunUs = Math.min(request.firstMaybeRunUs, request.sentUs);
         }
-        if (r.passing) {
+        if (request.streaming) {
             if (result.outcome() == Outcome.OK) {
-                r.caller.served(result.answer());
+                request.handler.served(result.answer());
             } else {
                 counters.longBroken++;
-                r.caller.broken();
+                request.handler.responseBroken();
             }
-            release(r);
+            removeIfDone(request);
             return;
         }
-        settle(now, r, result.outcome(), result.positionUs());
-        if (result.outcome() == Outcome.OK && !r.answered) {
-            close(r);
+        reportWriteEnded(now, request, result.outcome(), result.positionUs());
+        if (result.outcome() == Outcome.OK && !request.answered) {
+            close(request);
             counters.served++;
-            r.caller.served(result.answer());
+            request.handler.served(result.answer());
         }
         router.onOutcome(
                 now,
-                r.id,
+                request.id,
                 attempt,
-                r.memberId,
+                request.memberId,
                 result.outcome(),
-                r.answered,
-                now - r.sentUs,
+                request.answered,
+                now - request.sentUs,
                 result.role(),
                 result.positionUs(),
                 result.report());
-        release(r);
+        removeIfDone(request);
     }
 
     /** Before the answer: its client may read through another process as soon as it has that. */
-    private void settle(long now, ActiveRequest r, Outcome outcome, long positionUs) {
-        if (r.rules.access() == Router.Access.WRITE) {
-            writeObserver.onEnded(now, r.ask.session(), r.ask.deadlineUs(), outcome, positionUs);
+    private void reportWriteEnded(long now, ActiveRequest request, Outcome outcome, long positionUs) {
+        if (request.requestClass.access() == Router.Access.WRITE) {
+            writeObserver.onEnded(
+                    now, request.attributes.session(), request.attributes.deadlineUs(), outcome, positionUs);
         }
     }
 
     /** An answer that has begun is the final one: the module hears of the time to its first bytes. */
-    private BackEnd.ResponseStream begins(ActiveRequest r, int attempt, BackEnd.ResponseSource from) {
-        if (r.answered || attempt != r.attempts - 1) {
+    private BackEnd.ResponseStream longResponseBegins(
+            ActiveRequest request, int attempt, BackEnd.ResponseSource source) {
+        if (request.answered || attempt != request.attempts - 1) {
             return null;
         }
         long now = clock.now();
-        close(r);
-        deadlines.cancel(r.timeout);
-        r.passing = true;
+        close(request);
+        deadlines.cancel(request.attemptTimeout);
+        request.streaming = true;
         counters.served++;
         counters.longAnswers++;
-        settle(now, r, Outcome.OK, 0);
-        BackEnd.ResponseStream passage = r.caller.begins(from);
-        event(() -> router.onOutcome(
-                now, r.id, attempt, r.memberId, Outcome.OK, true, now - r.sentUs, Router.Role.UNKNOWN, 0, null));
-        return passage;
+        reportWriteEnded(now, request, Outcome.OK, 0);
+        BackEnd.ResponseStream stream = request.handler.longResponseBegins(source);
+        run(() -> router.onOutcome(
+                now,
+                request.id,
+                attempt,
+                request.memberId,
+                Outcome.OK,
+                true,
+                now - request.sentUs,
+                Router.Role.UNKNOWN,
+                0,
+                null));
+        return stream;
     }
 
     // ---- What the module asks for; on a slot that was freed or used again nothing is done. ----
 
-    private ActiveRequest entry(String requestId) {
+    private ActiveRequest requestById(String requestId) {
         return requests.get(Long.parseLong(requestId));
     }
 
     @Override
     public void send(String requestId, String memberId, long timeoutUs) {
-        ActiveRequest r = entry(requestId);
-        if (r == null || r.answered) {
+        ActiveRequest request = requestById(requestId);
+        if (request == null || request.answered) {
             return;
         }
-        int attempt = r.attempts++;
+        int attempt = request.attempts++;
         long now = clock.now();
-        long left = Math.min(timeoutUs, r.ask.deadlineUs() - now);
+        long leftUs = Math.min(timeoutUs, request.attributes.deadlineUs() - now);
         // Never two attempts in flight, none past the limit, the deadline or the repeats' end, none for a
         // client that has gone, whatever is asked for.
-        if (r.inFlight != SlotTable.NONE || attempt >= r.mostAttempts || left <= 0 || !mayBegin(r)) {
-            event(() -> router.onOutcome(
+        if (request.attemptHandle != SlotTable.NONE
+                || attempt >= request.maxAttempts
+                || leftUs <= 0
+                || !mayBegin(request)) {
+            run(() -> router.onOutcome(
                     clock.now(),
-                    r.id,
+                    request.id,
                     attempt,
                     memberId,
                     Outcome.NOT_SENT,
-                    r.answered,
+                    request.answered,
                     0,
                     Router.Role.UNKNOWN,
                     0,
@@ -412,78 +438,80 @@
             return;
         }
         counters.attempts++;
-        r.memberId = memberId;
-        r.sentUs = now;
-        if (r.rules.access() == Router.Access.WRITE) {
-            writeObserver.onSent(now, r.ask.session(), r.ask.deadlineUs());
+        request.memberId = memberId;
+        request.sentUs = now;
+        if (request.requestClass.access() == Router.Access.WRITE) {
+            writeObserver.onSent(now, request.attributes.session(), request.attributes.deadlineUs());
         }
-        r.inFlight = backEnd.start(memberId, r.payload, left, new BackEnd.AttemptListener() {
+        request.attemptHandle = backEnd.start(memberId, request.payload, leftUs, new BackEnd.AttemptListener() {
             @Override
             public void ended(BackEnd.Result result) {
-                event(() -> Broker.this.ended(r, attempt, result));
+                run(() -> Broker.this.onAttemptEnded(request, attempt, result));
             }
 
             @Override
-            public BackEnd.ResponseStream begins(BackEnd.ResponseSource from) {
-                return Broker.this.begins(r, attempt, from);
+            public BackEnd.ResponseStream longResponseBegins(BackEnd.ResponseSource source) {
+                return Broker.this.longResponseBegins(request, attempt, source);
             }
 
             @Override
             public boolean mayBegin() {
-                return router.mayStillBegin(clock.now(), r.id) && Broker.this.mayBegin(r);
+                return router.mayStillBegin(clock.now(), request.id) && Broker.this.mayBegin(request);
             }
         });
-        long beginsIn = Math.min(left, r.beginByUs() - now);
-        r.timeout = deadlines.after(
-                beginsIn,
-                () -> event(() -> {
-                    if (beginsIn < left && backEnd.begun(r.inFlight)) {
-                        r.timeout =
-                                deadlines.after(left - beginsIn, () -> event(() -> stop(r, attempt, Outcome.TIMEOUT)));
+        long beginWithinUs = Math.min(leftUs, request.beginByUs() - now);
+        request.attemptTimeout = deadlines.after(
+                beginWithinUs,
+                () -> run(() -> {
+                    if (beginWithinUs < leftUs && backEnd.hasBegun(request.attemptHandle)) {
+                        request.attemptTimeout = deadlines.after(
+                                leftUs - beginWithinUs,
+                                () -> run(() -> stopAttempt(request, attempt, Outcome.TIMEOUT)));
                     } else {
-                        stop(r, attempt, Outcome.TIMEOUT);
+                        stopAttempt(request, attempt, Outcome.TIMEOUT);
                     }
                 }));
     }
 
     /** An attempt that never reached its server is moot: that proves that it never ran. */
-    private void stop(ActiveRequest r, int attempt, Outcome outcome) {
-        if (r.inFlight != SlotTable.NONE && attempt == r.attempts - 1 && !r.passing) {
-            boolean reached = backEnd.abandon(r.inFlight);
-            ended(r, attempt, BackEnd.Result.of(reached ? outcome : Outcome.NOT_SENT));
+    private void stopAttempt(ActiveRequest request, int attempt, Outcome outcome) {
+        if (request.attemptHandle != SlotTable.NONE && attempt == request.attempts - 1 && !request.streaming) {
+            boolean reached = backEnd.abandon(request.attemptHandle);
+            onAttemptEnded(request, attempt, BackEnd.Result.of(reached ? outcome : Outcome.NOT_SENT));
         }
     }
 
     @Override
     public void cancel(String requestId, int attempt) {
-        ActiveRequest r = entry(requestId);
-        if (r != null) {
-            event(() -> stop(r, attempt, Outcome.CANCELLED));
+        ActiveRequest request = requestById(requestId);
+        if (request != null) {
+            run(() -> stopAttempt(request, attempt, Outcome.CANCELLED));
         }
     }
 
     @Override
     public void reject(String requestId, long retryAfterUs) {
-        ActiveRequest r = entry(requestId);
-        if (r != null && !r.answered) {
-            close(r);
+        ActiveRequest request = requestById(requestId);
+        if (request != null && !request.answered) {
+            close(request);
             log.tell(
-                    EventLog.Kind.REQUEST_REFUSED, () -> story(r) + ": to come back in " + retryAfterUs / 1000 + " ms");
+                    EventLog.Kind.REQUEST_REFUSED,
+                    () -> describe(request) + ": to come back in " + retryAfterUs / 1000 + " ms");
             counters.refused++;
-            r.caller.refused(retryAfterUs);
-            release(r);
+            request.handler.rejected(retryAfterUs);
+            removeIfDone(request);
         }
     }
 
     @Override
     public void fail(String requestId) {
-        ActiveRequest r = entry(requestId);
-        if (r != null && !r.answered) {
-            close(r);
-            log.tell(EventLog.Kind.REQUEST_FAILED, () -> story(r));
+        ActiveRequest request = requestById(requestId);
+        if (request != null && !request.answered) {
+            close(request);
+            log.tell(EventLog.Kind.REQUEST_FAILED, () -> describe(request));
             counters.failed++;
-            r.caller.failed();
-            release(r);
+            request.handler.failed();
+            removeIfDone(request);
         }
     }
 
@@ -493,7 +521,7 @@
         long sentUs = clock.now();
         backEnd.probe(
                 memberId,
-                result -> event(() -> {
+                result -> run(() -> {
                     long now = clock.now();
                     router.onProbe(now, memberId, result.outcome() == Outcome.OK, now - sentUs, result.report());
                 }));
@@ -501,7 +529,7 @@
 
     @Override
     public void setTimer(long inUs, String name) {
-        deadlines.after(inUs, () -> event(() -> router.onTimer(clock.now(), name)));
+        deadlines.after(inUs, () -> run(() -> router.onTimer(clock.now(), name)));
     }
 
     @Override
--- a/pooler/src/main/java/frostreel/broker/Clock.java
+++ b/pooler/src/main/java/frostreel/broker/Clock.java
@@ -3,14 +3,15 @@
 import java.time.Instant;
 import java.time.temporal.ChronoUnit;
 
-/** The one clock that all parts of a pooler read: Unix microseconds, and it never goes back. */
+/** The one clock that all parts of a pooler read: Unix microseconds that never go back. */
 public interface Clock {
+    /** The time now, in Unix microseconds. */
     long now();
 
-    /** Anchored once to the system's time, and from then on advanced by the monotonic timer. */
+    /** A clock that is set by the system's once, and advances by the monotonic timer from then on. */
     static Clock system() {
-        long anchorUs = ChronoUnit.MICROS.between(Instant.EPOCH, Instant.now());
-        long anchorNanos = System.nanoTime();
-        return () -> anchorUs + (System.nanoTime() - anchorNanos) / 1000;
+        long startUs = ChronoUnit.MICROS.between(Instant.EPOCH, Instant.now());
+        long startNs = System.nanoTime();
+        return () -> startUs + (System.nanoTime() - startNs) / 1000;
     }
 }
--- a/pooler/src/main/java/frostreel/broker/Deadlines.java
+++ b/pooler/src/main/java/frostreel/broker/Deadlines.java
@@ -4,71 +4,79 @@
 import java.util.logging.Level;
 import java.util.logging.Logger;
 
-/** Owns every deadline and timer of the program, in one ordered structure. */
+/** Owns every deadline and timer of the program, in one ordered structure. Used on the I/O thread alone. */
 public final class Deadlines {
     /** Wakes the I/O thread, which then calls {@link #runDue}. */
     public interface Alarm {
-        void wakeAfter(long us);
+        /** Wakes it in so many microseconds, in place of any wake-up asked for before. */
+        void wakeAfter(long delayUs);
     }
 
-    /** One entry; to cancel it twice, or after it ran, does nothing. */
+    /** A task that is due at a moment. */
     public static final class Deadline implements Comparable<Deadline> {
         private final long atUs;
-        private final long order;
+        private final long sequence;
         private final Runnable task;
 
-        private Deadline(long atUs, long order, Runnable task) {
+        private Deadline(long atUs, long sequence, Runnable task) {
             this.atUs = atUs;
-            this.order = order;
+            this.sequence = sequence;
             this.task = task;
         }
 
         @Override
-        public int compareTo(Deadline o) {
-            return atUs != o.atUs ? Long.compare(atUs, o.atUs) : Long.compare(order, o.order);
+        public int compareTo(Deadline other) {
+            return atUs != other.atUs ? Long.compare(atUs, other.atUs) : Long.compare(sequence, other.sequence);
         }
     }
 
+    /** {@link #wakeAtUs} while no wake-up was asked for. */
+    private static final long NO_WAKE_UP = Long.MAX_VALUE;
+
     private static final Logger LOG = Logger.getLogger(Deadlines.class.getName());
     private final Clock clock;
     private final Alarm alarm;
-    private final TreeSet<Deadline> entries = new TreeSet<>();
-    private long orders;
-    private long wakeAtUs = Long.MAX_VALUE;
+    private final TreeSet<Deadline> pending = new TreeSet<>();
+    private long nextSequence;
+    private long wakeAtUs = NO_WAKE_UP;
 
+    /** Deadlines on that clock, run in time as long as the alarm leads to {@link #runDue}. */
     public Deadlines(Clock clock, Alarm alarm) {
         this.clock = clock;
         this.alarm = alarm;
     }
 
-    public Deadline after(long us, Runnable task) {
-        return at(clock.now() + us, task);
+    /** Runs the task in so many microseconds, unless it is cancelled before. */
+    public Deadline after(long delayUs, Runnable task) {
+        return at(clock.now() + delayUs, task);
     }
 
+    /** Runs the task at that time, or soon where it is past, but never within this call. */
     public Deadline at(long atUs, Runnable task) {
-        Deadline d = new Deadline(atUs, orders++, task);
-        entries.add(d);
+        Deadline deadline = new Deadline(atUs, nextSequence++, task);
+        pending.add(deadline);
         arm();
-        return d;
+        return deadline;
     }
 
-    public void cancel(Deadline d) {
-        if (d != null) {
-            entries.remove(d);
+    /** Does nothing for null, or for a deadline that was cancelled or has run. */
+    public void cancel(Deadline deadline) {
+        if (deadline != null) {
+            pending.remove(deadline);
         }
     }
 
     /** Runs what is due; what a task adds for this very moment waits for the next call. */
     public void runDue() {
-        wakeAtUs = Long.MAX_VALUE;
+        wakeAtUs = NO_WAKE_UP;
         long now = clock.now();
-        long last = orders;
-        while (!entries.isEmpty() && entries.first().atUs <= now && entries.first().order < last) {
-            Deadline d = entries.pollFirst();
+        long firstAdded = nextSequence;
+        while (!pending.isEmpty() && pending.first().atUs <= now && pending.first().sequence < firstAdded) {
+            Deadline due = pending.pollFirst();
             try {
-                d.task.run();
+                due.task.run();
             } catch (RuntimeException | Error e) {
-                // One entry's fault must not take the other deadlines with it.
+                // The fault of one task must not take the other deadlines with it.
                 LOG.log(Level.SEVERE, "a timer failed", e);
             }
         }
@@ -76,8 +84,8 @@
     }
 
     private void arm() {
-        if (!entries.isEmpty() && entries.first().atUs < wakeAtUs) {
-            wakeAtUs = entries.first().atUs;
+        if (!pending.isEmpty() && pending.first().atUs < wakeAtUs) {
+            wakeAtUs = pending.first().atUs;
             alarm.wakeAfter(Math.max(0, wakeAtUs - clock.now()));
         }
     }
--- a/pooler/src/main/java/frostreel/broker/Payload.java
+++ b/pooler/src/main/java/frostreel/broker/Payload.java
@@ -1,7 +1,7 @@
 package frostreel.broker;
 
-/** A request's bytes, opaque to the broker. */
+/** The bytes of a request, opaque to the broker. */
 public interface Payload {
-    /** The bytes to send to a server that will be waited for this long. */
-    byte[] forServer(long patienceUs);
+    /** The bytes to send to a server; {@code timeoutUs}: for how long its answer will be waited for. */
+    byte[] forServer(long timeoutUs);
 }
--- a/pooler/src/main/java/frostreel/broker/ResponseHandler.java
+++ b/pooler/src/main/java/frostreel/broker/ResponseHandler.java
@@ -1,26 +1,36 @@
 package frostreel.broker;
 
-/** The side that handed in a request; it has exactly one answer, once, unless it went away before. */
+/**
+ * The sender's side of one request. Exactly one of its answers is called, once, unless the client disconnects before.
+ * Called on the I/O thread.
+ */
 public interface ResponseHandler {
-    /** {@code answer}: as the back end gave it for this request. */
+    /** The request was served; {@code answer}: the bytes as the back end gave them for this request. */
     void served(byte[] answer);
 
-    /** Trying again is harmless; {@code retryAfterUs} is when to come back, 0 for no advice. */
-    void refused(long retryAfterUs);
+    /**
+     * The request was rejected before it had any effect, so that a retry is harmless; {@code retryAfterUs}: for how
+     * long to wait before, 0 for no advice.
+     */
+    void rejected(long retryAfterUs);
 
+    /** The request failed, and may have taken effect. */
     void failed();
 
-    /** Its own side has withdrawn the request. */
+    /** The client itself has cancelled the request. */
     void cancelled();
 
-    /** Whether the other side is still there, as far as can be seen by looking now. */
-    boolean waits();
+    /** Whether the client is still connected, as far as can be seen by looking now. */
+    boolean isClientConnected();
 
-    /** A long answer begins: in pieces, then {@link #served} has the rest, or it is {@link #broken}. */
-    default BackEnd.ResponseStream begins(BackEnd.ResponseSource from) {
-        throw new IllegalStateException("no long answers are taken here");
+    /**
+     * A long response begins. It comes in pieces; then {@link #served} has the rest, or {@link #responseBroken}
+     * ends it.
+     */
+    default BackEnd.ResponseStream longResponseBegins(BackEnd.ResponseSource source) {
+        throw new IllegalStateException("no long responses are taken here");
     }
 
-    /** The answer that began ends here, unfinished; the other side must be able to tell. */
-    default void broken() {}
+    /** The response that has begun ends here, incomplete; the client must be able to tell. */
+    default void responseBroken() {}
 }
--- a/pooler/src/main/java/frostreel/broker/SlotTable.java
+++ b/pooler/src/main/java/frostreel/broker/SlotTable.java
@@ -4,40 +4,41 @@
 import java.util.function.Consumer;
 
 /**
- * A table of numbered slots. A handle holds the slot's number and its generation, so that a handle kept after
- * its
+ * A table of numbered slots. A handle holds the number of a slot and its generation, so that a handle kept after its
  * slot was freed, or used again, finds nothing.
  */
 public final class SlotTable<T> {
     /** The handle of nothing. */
     public static final long NONE = -1;
 
+    private static final int INITIAL_SLOTS = 16;
     private static final int NUMBER_BITS = 20;
     private static final int NUMBER_MASK = (1 << NUMBER_BITS) - 1;
     private final int capacity;
-    private Object[] items = new Object[16];
-    private long[] generations = new long[16];
-    private int[] free = new int[16];
+    private Object[] items = new Object[INITIAL_SLOTS];
+    private long[] generations = new long[INITIAL_SLOTS];
+    private int[] freeNumbers = new int[INITIAL_SLOTS];
     private int freeCount;
-    private int used;
+    private int usedCount;
 
+    /** A table for at most so many items. */
     public SlotTable(int capacity) {
         this.capacity = Math.min(capacity, NUMBER_MASK);
     }
 
-    /** The new handle, or {@link #NONE} when the table is full. */
+    /** Adds an item, and returns its handle, or {@link #NONE} when the table is full. */
     public long add(T item) {
         int number;
         if (freeCount > 0) {
-            number = free[--freeCount];
-        } else if (used == capacity) {
+            number = freeNumbers[--freeCount];
+        } else if (usedCount == capacity) {
             return NONE;
         } else {
-            number = used++;
+            number = usedCount++;
             if (number == items.length) {
                 items = Arrays.copyOf(items, 2 * number);
                 generations = Arrays.copyOf(generations, 2 * number);
-                free = Arrays.copyOf(free, 2 * number);
+                freeNumbers = Arrays.copyOf(freeNumbers, 2 * number);
             }
         }
         items[number] = item;
@@ -48,24 +49,28 @@
     @SuppressWarnings("unchecked")
     public T get(long handle) {
         int number = (int) (handle & NUMBER_MASK);
-        return handle < 0 || number >= used || generations[number] != handle >> NUMBER_BITS ? null : (T) items[number];
+        boolean stale = handle < 0 || number >= usedCount || generations[number] != handle >> NUMBER_BITS;
+        return stale ? null : (T) items[number];
     }
 
+    /** Frees the slot, and returns its item, or null where the handle is stale. */
     public T remove(long handle) {
         T item = get(handle);
         if (item != null) {
             int number = (int) (handle & NUMBER_MASK);
             items[number] = null;
             generations[number]++;
-            free[freeCount++] = number;
+            freeNumbers[freeCount++] = number;
         }
         return item;
     }
 
+    /** How many items it holds. */
     public int size() {
-        return used - freeCount;
+        return usedCount - freeCount;
     }
 
+    /** Whether it holds as many items as it may. */
     public boolean full() {
         return size() == capacity;
     }
@@ -73,9 +78,9 @@
     /** Visits each item; the visitor may remove it. */
     @SuppressWarnings("unchecked")
     public void forEach(Consumer<T> visitor) {
-        for (int i = 0; i < used; i++) {
-            if (items[i] != null) {
-                visitor.accept((T) items[i]);
+        for (int number = 0; number < usedCount; number++) {
+            if (items[number] != null) {
+                visitor.accept((T) items[number]);
             }
         }
     }
--- a/pooler/src/main/java/frostreel/control/EndpointPublisher.java
+++ b/pooler/src/main/java/frostreel/control/EndpointPublisher.java
@@ -29,9 +29,9 @@
         List<Router.Member> listed =
                 list.hosts().stream().map(EndpointList.Host::member).toList();
         List<Router.Member> effective = overlay.apply(complete, listed);
-        pool.addresses(withAddressesOf(list, effective), complete);
-        broker.members(kind, effective);
-        pool.withdraw();
+        pool.updateEndpoints(withAddressesOf(list, effective), complete);
+        broker.updateMembers(kind, effective);
+        pool.closeUnwanted();
     }
 
     private static List<EndpointList.Host> withAddressesOf(EndpointList list, List<Router.Member> members) {
@@ -45,9 +45,9 @@
     /** Publishes one server anew, after a command on it; does nothing if discovery has not listed it. */
     void republish(String serverId) {
         overlay.effective(serverId).ifPresent(member -> {
-            pool.state(serverId, member.state());
-            broker.members(Router.ListKind.CHANGES, List.of(member));
-            pool.withdraw();
+            pool.updateState(serverId, member.state());
+            broker.updateMembers(Router.ListKind.CHANGES, List.of(member));
+            pool.closeUnwanted();
         });
     }
 }
--- a/pooler/src/main/java/frostreel/net/Acceptor.java
+++ b/pooler/src/main/java/frostreel/net/Acceptor.java
@@ -15,47 +15,51 @@
 import org.xnio.nio.TcpServers;
 
 /**
- * Owns one listening socket. It accepts on XNIO's accept thread, as the JDK tries an aborted accept again and
- * again before it returns, and hands each connection to the I/O thread. Where the system fails an accept, as
- * it does for want of descriptors or buffers, it tries again every {@link #RETRY_MS}, for as long as that
- * lasts: whoever waits in the backlog has been accepted by the system already, and is owed an answer. Its
- * public methods are called on the I/O thread.
+ * Owns one listening socket. It accepts on XNIO's accept thread, as the JDK retries an aborted accept again and again
+ * before it returns, and hands each connection to the I/O thread. Where the system fails an accept, as it does for
+ * want of descriptors or buffers, it retries every {@link #RETRY_MS}, for as long as that lasts: what waits in the
+ * backlog has been accepted by the system already, and is owed an answer. Its public methods are called on the I/O
+ * thread.
  */
 public final class Acceptor {
-    /** From a failed accept to the next try; it does not grow. */
+    /** From a failed accept to the next; it does not grow. */
     static final long RETRY_MS = 20;
 
+    private static final long NOT_FAILING = 0;
     private static final Logger LOG = Logger.getLogger(Acceptor.class.getName());
     private final EventLoop loop;
-    private final String accepted;
-    private final Consumer<StreamConnection> taker;
+    private final String peerName;
+    private final Consumer<StreamConnection> connectionHandler;
     private AcceptingChannel<StreamConnection> channel;
     /** Whether accepting was asked for; written on the I/O thread. */
-    private volatile boolean wanted;
+    private volatile boolean accepting;
     // ---- Of the accept thread alone. ----
-    private long failingSinceUs;
+    private long failingSinceUs = NOT_FAILING;
     private long failures;
-    private boolean retrying;
+    private boolean retryScheduled;
 
     /**
-     * {@code accepted}: what connects, for the log; {@code taker}: owns each connection from then on, and
-     * runs on the I/O thread.
+     * Makes an acceptor that does not listen yet.
+     *
+     * @param peerName what connects, for the log
+     * @param connectionHandler owns each connection from its acceptance on; called on the I/O thread
      */
-    public Acceptor(EventLoop loop, String accepted, Consumer<StreamConnection> taker) {
+    public Acceptor(EventLoop loop, String peerName, Consumer<StreamConnection> connectionHandler) {
         this.loop = loop;
-        this.accepted = accepted;
-        this.taker = taker;
+        this.peerName = peerName;
+        this.connectionHandler = connectionHandler;
     }
 
     /**
-     * Listens, with accepting suspended; where it {@code inherits}, descriptor 0 is the socket.
+     * Listens, with accepting suspended.
      *
+     * @param inherited whether the socket is descriptor 0, in place of a new one at {@code address}
      * @throws IOException where the address is taken or not ours, or the system gives no socket
      */
-    public void open(InetSocketAddress address, boolean inherits, OptionMap options) throws IOException {
-        channel = inherits
-                ? TcpServers.inherit(loop.worker(), c -> accept(), options)
-                : TcpServers.bind(loop.worker(), address, c -> accept(), options);
+    public void open(InetSocketAddress address, boolean inherited, OptionMap options) throws IOException {
+        channel = inherited
+                ? TcpServers.inherit(loop.worker(), ready -> acceptAll(), options)
+                : TcpServers.bind(loop.worker(), address, ready -> acceptAll(), options);
     }
 
     /** Where it listens. */
@@ -65,10 +69,10 @@
 
     /** Accepts from now on. */
     public void resume() {
-        if (!wanted) {
-            wanted = true;
+        if (!accepting) {
+            accepting = true;
             onAcceptThread(() -> {
-                if (!retrying && wanted) {
+                if (!retryScheduled && accepting) {
                     channel.resumeAccepts();
                 }
             });
@@ -77,16 +81,16 @@
 
     /** Accepts nothing more for now, but for what is being accepted; the rest stays in the backlog. */
     public void suspend() {
-        wanted = false;
+        accepting = false;
         channel.suspendAccepts();
     }
 
     /**
-     * Accepts all that waits in the backlog, as a close would reset it, then closes the listening socket;
-     * while accepts fail, that waits too.
+     * Accepts all that waits in the backlog, which a close would reset, then closes the listening socket; while
+     * accepts fail, the close waits.
      */
     public void close() {
-        wanted = false;
+        accepting = false;
         if (channel.isOpen()) {
             onAcceptThread(this::acceptAllAndClose);
         }
@@ -103,67 +107,67 @@
     // ---- On the accept thread. ----
 
     private void acceptAllAndClose() {
-        accept();
-        if (failingSinceUs == 0) {
+        acceptAll();
+        if (failingSinceUs == NOT_FAILING) {
             IoUtils.safeClose(channel);
         } else {
             AcceptBackOff.thread(channel).executeAfter(this::acceptAllAndClose, RETRY_MS, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void accept() {
+    private void acceptAll() {
         try {
-            for (StreamConnection c = channel.accept(); c != null; c = channel.accept()) {
-                recovered();
-                handOver(c);
+            for (StreamConnection connection = channel.accept(); connection != null; connection = channel.accept()) {
+                onAccepted();
+                handOver(connection);
             }
             if (AcceptBackOff.isOn(channel)) {
-                failed();
+                onFailed();
             }
         } catch (ClosedChannelException e) {
             LOG.fine("the listening socket is closed");
         } catch (IOException e) {
-            LOG.warning("accepting " + accepted + " failed: " + e.getMessage());
+            LOG.warning("accepting " + peerName + " failed: " + e.getMessage());
         }
     }
 
-    private void handOver(StreamConnection c) {
+    private void handOver(StreamConnection connection) {
         try {
-            loop.thread().execute(() -> taker.accept(c));
+            loop.thread().execute(() -> connectionHandler.accept(connection));
         } catch (RejectedExecutionException e) {
-            IoUtils.safeClose(c); // The program ends.
+            IoUtils.safeClose(connection); // The program ends.
         }
     }
 
-    private void failed() {
+    private void onFailed() {
         failures++;
-        if (failingSinceUs == 0) {
+        if (failingSinceUs == NOT_FAILING) {
             failingSinceUs = loop.clock().now();
-            LOG.warning("accepting " + accepted + " fails; tried again every " + RETRY_MS + " ms");
+            LOG.warning("accepting " + peerName + " fails; tried again every " + RETRY_MS + " ms");
         }
         loop.thread().execute(() -> loop.counters().acceptFailures++);
-        if (!retrying) {
-            retrying = true;
-            channel.suspendAccepts(); // Or XNIO's own timers, one from each failure, would try in between.
+        if (!retryScheduled) {
+            retryScheduled = true;
+            channel.suspendAccepts(); // Or XNIO's own timers, one from each failure, would retry in between.
             AcceptBackOff.thread(channel).executeAfter(this::retry, RETRY_MS, TimeUnit.MILLISECONDS);
         }
     }
 
     private void retry() {
-        retrying = false;
+        retryScheduled = false;
         if (channel.isOpen()) {
             AcceptBackOff.end(channel);
-            if (wanted) {
+            if (accepting) {
                 channel.resumeAccepts();
             }
         }
     }
 
-    private void recovered() {
-        if (failingSinceUs != 0) {
-            long ms = (loop.clock().now() - failingSinceUs) / 1000;
-            LOG.info("accept recovered after " + ms + " ms, " + failures + " failures (" + accepted + ")");
-            failingSinceUs = 0;
+    private void onAccepted() {
+        if (failingSinceUs != NOT_FAILING) {
+            long failedForMs = (loop.clock().now() - failingSinceUs) / 1000;
+            LOG.info("accept recovered after " + failedForMs + " ms, " + failures + " failures (" + peerName + ")");
+            failingSinceUs = NOT_FAILING;
             failures = 0;
         }
     }
--- a/pooler/src/main/java/frostreel/net/ClientConnection.java
+++ b/pooler/src/main/java/frostreel/net/ClientConnection.java
@@ -28,25 +28,25 @@
     }
 
     /** The longest query: a value of 64 KiB as hexadecimal text, twice as long, with room for the rest. */
-    private static final int MOST_BYTES = (1 << 17) + (1 << 12);
+    private static final int MAX_MESSAGE_BYTES = (1 << 17) + (1 << 12);
     /**
      * So much may wait behind a request, and so much where all that is held for clients is more than its part
      * of the memory. What comes beyond is dropped, and the client's connection ends with its last answer: to
      * leave it unread instead would hide that the client has gone.
      */
-    private static final int BACKLOG_BYTES = 1 << 20;
+    private static final int MAX_BACKLOG_BYTES = 1 << 20;
 
-    private static final int LEAST_BACKLOG_BYTES = 1 << 16;
+    private static final int MAX_BACKLOG_BYTES_SHORT_OF_MEMORY = 1 << 16;
     /** So much of a long answer may wait for its reader; beyond it the server is not read from. */
-    private static final int MOST_WAITING = 1 << 17;
+    private static final int MAX_PENDING_BYTES = 1 << 17;
     /** So long after connecting, or after the first byte of a message, a whole one must have come. */
-    private static final long OWING_US = 2_300_000;
+    private static final long MESSAGE_TIMEOUT_US = 2_300_000;
     /** So many queries in a row may be no good before the connection ends: answering them is work, too. */
-    private static final int MOST_FAULTS = 16;
+    private static final int MAX_FAULTS_IN_A_ROW = 16;
     /** So much is read only to be dropped; it costs time that others need. */
-    private static final int DROPPED_BYTES = 1 << 20;
+    private static final int MAX_DROPPED_BYTES = 1 << 20;
     /** A reader of an answer that takes nothing of it for so long holds its place for nothing. */
-    private static final long STILL_US = 30_000_000;
+    private static final long READER_TIMEOUT_US = 30_000_000;
     /** When to come back after a refusal for want of a place, where the settings allow to tell so much. */
     private static final long CROWDED_RETRY_AFTER_US = 200_000;
     /** Between the client's sending, from which its patience counts, and our reading, and back again. */
@@ -55,37 +55,37 @@
     private final EventLoop loop;
     private final Listener listener;
     private final SocketStream stream;
-    private final MessageReader reader = new MessageReader(ClientConnection::longest);
+    private final MessageReader reader = new MessageReader(ClientConnection::maxLength);
     /** Of the key by which this client may cancel; the other half is its slot's number. */
     private final int secret;
 
     long slot;
     private Phase phase = Phase.STARTUP;
     private boolean busy;
-    private boolean taking;
-    private boolean skipsToSync;
-    private boolean asked;
-    private int faults;
+    private boolean takingMessages;
+    private boolean skippingToSync;
+    private boolean hasAsked;
+    private int faultsInARow;
     /** More came than may wait; what comes on is dropped. */
-    private boolean overrun;
+    private boolean backlogOverrun;
 
-    private int dropped;
+    private int droppedBytes;
     /** How much memory for what waits to be taken is counted with all that is held. */
-    private int held;
+    private int countedBytes;
     /** When all that had come was last read. */
-    private long readUs;
+    private long lastReadUs;
 
     private final ArrivalTimes arrivals = new ArrivalTimes();
     /** Since when the message that is being taken may have been here, by its last byte. */
-    private long cameUs;
+    private long arrivedUs;
     /** Its socket was read empty in this very call, so that there is no need to look again. */
-    private boolean justLooked;
+    private boolean readJustNow;
 
     private long sinceUs;
-    private Deadlines.Deadline patience;
-    private long request = SlotTable.NONE;
+    private Deadlines.Deadline timeout;
+    private long requestHandle = SlotTable.NONE;
     /** The source of the long answer that is being passed on, null for none. */
-    private BackEnd.ResponseSource flow;
+    private BackEnd.ResponseSource responseSource;
 
     ClientConnection(EventLoop loop, Listener listener, StreamConnection connection, int secret) {
         this.loop = loop;
@@ -94,12 +94,12 @@
         stream = new SocketStream(loop, connection, this);
     }
 
-    private static int longest(byte type) {
-        return "QPBEDCFSHX".indexOf(type) >= 0 ? MOST_BYTES : -1;
+    private static int maxLength(byte type) {
+        return "QPBEDCFSHX".indexOf(type) >= 0 ? MAX_MESSAGE_BYTES : -1;
     }
 
     void begin() {
-        await();
+        awaitMessage();
         stream.resumeReads();
     }
 
@@ -109,148 +109,149 @@
     }
 
     /** A whole message is owed from now on. */
-    private void await() {
-        if (patience == null) {
+    private void awaitMessage() {
+        if (timeout == null) {
             sinceUs = loop.clock().now();
-            patience = loop.deadlines().after(OWING_US, this::silent);
-            listener.owes(this);
+            timeout = loop.deadlines().after(MESSAGE_TIMEOUT_US, this::onMessageTimeout);
+            listener.onMessageAwaited(this);
         }
     }
 
-    private void silent() {
+    private void onMessageTimeout() {
         loop.counters().clientsSilent++;
-        fatal(Messages.IDLE, "nothing whole came in time");
+        closeWithError(Messages.IDLE, "nothing whole came in time");
     }
 
-    private void heard() {
-        loop.deadlines().cancel(patience);
-        patience = null;
+    private void cancelTimeout() {
+        loop.deadlines().cancel(timeout);
+        timeout = null;
     }
 
     @Override
     public void received(ByteBuffer in) {
-        if (phase == Phase.LINGERING || overrun) {
-            dropped += in.remaining();
-            if (dropped > DROPPED_BYTES && phase == Phase.LINGERING) {
+        if (phase == Phase.LINGERING || backlogOverrun) {
+            droppedBytes += in.remaining();
+            if (droppedBytes > MAX_DROPPED_BYTES && phase == Phase.LINGERING) {
                 close();
-            } else if (dropped > DROPPED_BYTES) {
+            } else if (droppedBytes > MAX_DROPPED_BYTES) {
                 stream.suspendReads();
             }
             return;
         }
-        arrivals.add(in.remaining(), Math.max(loop.cameSinceUs(), readUs));
+        arrivals.add(in.remaining(), Math.max(loop.earliestArrivalUs(), lastReadUs));
         reader.feed(in);
     }
 
     /** Only now, as a client that asked and went is not to be asked for any more. */
     @Override
     public void caughtUp() {
-        readUs = loop.clock().now();
-        boolean before = justLooked;
-        justLooked = true;
-        take();
-        justLooked = before;
-        if (!overrun
+        lastReadUs = loop.clock().now();
+        boolean readBefore = readJustNow;
+        readJustNow = true;
+        takeMessages();
+        readJustNow = readBefore;
+        if (!backlogOverrun
                 && phase.compareTo(Phase.LINGERING) < 0
                 && (busy || !stream.flushed())
-                && reader.buffered() > (loop.holdsMuch() ? LEAST_BACKLOG_BYTES : BACKLOG_BYTES)) {
-            overrun = true;
+                && reader.buffered()
+                        > (loop.buffersAreFull() ? MAX_BACKLOG_BYTES_SHORT_OF_MEMORY : MAX_BACKLOG_BYTES)) {
+            backlogOverrun = true;
             loop.counters().malformed++;
         }
     }
 
     /** Counts the memory of what waits to be taken with all that is held. */
-    private void hold(int bytes) {
-        loop.held(bytes - held);
-        held = bytes;
+    private void countMemory(int bytes) {
+        loop.addBufferedBytes(bytes - countedBytes);
+        countedBytes = bytes;
     }
 
     @Override
     public void drained() {
-        if (flow != null) {
-            flow.resume();
+        if (responseSource != null) {
+            responseSource.resume();
         }
-        take();
+        takeMessages();
     }
 
     /** Takes what has come, up to the first request that must be waited for. */
-    private void take() {
-        if (taking) {
+    private void takeMessages() {
+        if (takingMessages) {
             return;
         }
-        taking = true;
+        takingMessages = true;
         try {
             // A slow reader's next request waits until it has taken its last answer.
             while (phase.compareTo(Phase.LINGERING) < 0 && !busy && stream.flushed()) {
                 if (phase == Phase.STARTUP ? !reader.nextStartup() : !reader.next()) {
-                    if (overrun) {
-                        fatal(Messages.PROTOCOL_VIOLATION, "too much at once behind a request in hand");
+                    if (backlogOverrun) {
+                        closeWithError(Messages.PROTOCOL_VIOLATION, "too much at once behind a request in hand");
                     }
                     break;
                 }
-                cameUs = arrivals.take(reader.buffered());
+                arrivedUs = arrivals.take(reader.buffered());
                 if (phase == Phase.STARTUP) {
-                    startup();
+                    onStartup();
                 } else {
-                    message();
+                    onMessage();
                 }
             }
         } catch (PgException e) {
             loop.counters().malformed++;
-            fatal(Messages.PROTOCOL_VIOLATION, e.getMessage());
+            closeWithError(Messages.PROTOCOL_VIOLATION, e.getMessage());
         } finally {
-            taking = false;
-            hold(phase.compareTo(Phase.LINGERING) < 0 ? reader.memory() + arrivals.memory() : 0);
+            takingMessages = false;
+            countMemory(phase.compareTo(Phase.LINGERING) < 0 ? reader.memoryBytes() + arrivals.memoryBytes() : 0);
         }
         if (phase.compareTo(Phase.LINGERING) < 0 && !busy) {
             stream.resumeReads();
-            rest();
+            awaitNext();
         }
     }
 
-    private void rest() {
+    private void awaitNext() {
         if (!stream.flushed()) {
             awaitReader();
             return;
         }
-        if (!restsBetweenRequests() || !asked && !listener.closing()) {
-            await();
+        if (!isIdle() || !hasAsked && !listener.closesAll()) {
+            awaitMessage();
             return;
         }
-        heard();
+        cancelTimeout();
         sinceUs = loop.clock().now();
-        listener.rested(this);
+        listener.onIdle(this);
     }
 
     /** Its answer waits for it, and not the other way round. */
     private void awaitReader() {
-        heard();
-        listener.busy(this);
-        int waiting = stream.waiting();
-        patience = loop.deadlines().after(STILL_US, () -> {
-            patience = null;
-            if (stream.waiting() < waiting) {
+        cancelTimeout();
+        listener.onBusy(this);
+        int pendingBytes = stream.pendingBytes();
+        timeout = loop.deadlines().after(READER_TIMEOUT_US, () -> {
+            timeout = null;
+            if (stream.pendingBytes() < pendingBytes) {
                 awaitReader();
             } else {
                 loop.events()
                         .tell(
                                 EventLog.Kind.CLIENT_CLOSED,
-                                () -> "it takes nothing of its answer, " + waiting + " bytes wait");
+                                () -> "it takes nothing of its answer, " + pendingBytes + " bytes wait");
                 close();
             }
         });
     }
 
-    private void startup() throws PgException {
-        int version = reader.intOfBody(0);
+    private void onStartup() throws PgException {
+        int version = reader.bodyInt(0);
         if (version == Messages.SSL_REQUEST || version == Messages.GSS_REQUEST) {
             stream.write(new byte[] {'N'});
         } else if (version == Messages.CANCEL_REQUEST) {
-            listener.cancel(reader.intOfBody(1), reader.intOfBody(2));
+            listener.cancel(reader.bodyInt(1), reader.bodyInt(2));
             close();
         } else if (version >> 16 != Messages.PROTOCOL_3 >> 16) {
             loop.counters().malformed++;
-            fatal(Messages.NOT_SUPPORTED, "only version 3 of the protocol is spoken here");
+            closeWithError(Messages.NOT_SUPPORTED, "only version 3 of the protocol is spoken here");
         } else {
             phase = Phase.RUNNING;
             stream.write(Messages.welcome(process(), secret));
@@ -263,105 +264,108 @@
     }
 
     /** Withdraws the request in hand, if the key is its own. */
-    void cancel(int process, int itsSecret) {
-        if (process == process() && itsSecret == secret && phase == Phase.RUNNING) {
-            listener.broker().cancelled(request);
+    void cancel(int process, int cancelSecret) {
+        if (process == process() && cancelSecret == secret && phase == Phase.RUNNING) {
+            listener.broker().onClientCancelled(requestHandle);
         }
     }
 
-    private void message() throws PgException {
+    private void onMessage() throws PgException {
         byte type = reader.type();
         if (type == 'X') {
             close();
         } else if (type == 'Q') {
-            query(reader.body());
+            onQuery(reader.body());
         } else if (type == 'S' || type == 'H') {
-            skipsToSync &= type != 'S';
+            skippingToSync &= type != 'S';
             if (type == 'S') {
                 stream.write(Messages.readyForQuery());
             }
         } else {
-            if (!skipsToSync) {
+            if (!skippingToSync) {
                 loop.counters().malformed++;
                 stream.write(Messages.error(false, Messages.NOT_SUPPORTED, "only simple queries", null));
             }
-            skipsToSync = true;
+            skippingToSync = true;
         }
     }
 
-    private void query(byte[] body) throws PgException {
+    private void onQuery(byte[] body) throws PgException {
         if (Statement.isEmpty(body)) {
-            asked = true;
-            ReadinessStatus status = listener.status();
-            answer(
-                    status == ReadinessStatus.READY
+            hasAsked = true;
+            ReadinessStatus readiness = listener.readiness();
+            sendAnswer(
+                    readiness == ReadinessStatus.READY
                             ? Messages.emptyQueryResponse()
-                            : Messages.error(false, Messages.STARTING, "takes no clients: " + status.wireName(), null));
+                            : Messages.error(
+                                    false, Messages.STARTING, "takes no clients: " + readiness.wireName(), null));
             return;
         }
         Supplier<String> page = listener.page(body);
         if (page != null) {
-            asked = true;
-            answer(Messages.row("page", page.get()));
+            hasAsked = true;
+            sendAnswer(Messages.row("page", page.get()));
             return;
         }
-        Statement s;
+        Statement statement;
         try {
-            s = Statement.parse(body);
+            statement = Statement.parse(body);
         } catch (PgException e) {
-            fault(e.getMessage());
+            answerFault(e.getMessage());
             return;
         }
-        Integer cls = listener.classNumber(s);
-        if (cls == null) {
-            fault("a class that the settings do not name, or a statement that is none of its class");
+        Integer requestClass = listener.classNumber(statement);
+        if (requestClass == null) {
+            answerFault("a class that the settings do not name, or a statement that is none of its class");
             return;
         }
-        if (listener.broker().holds(s.id())) {
-            fault("the id of a request that is open"); // Sent on, it would be a second copy in flight.
+        if (listener.broker().isActive(statement.id())) {
+            answerFault("the id of a request that is open"); // Sent on, it would be a second copy in flight.
             return;
         }
-        asked = true;
-        faults = 0;
-        if (listener.full()) {
+        hasAsked = true;
+        faultsInARow = 0;
+        if (listener.isFull()) {
             loop.counters().crowdedOut++;
-            answer(refusal(listener.broker().retryAfterUs(CROWDED_RETRY_AFTER_US)));
+            sendAnswer(rejection(listener.broker().retryAfterUs(CROWDED_RETRY_AFTER_US)));
             return;
         }
         long now = loop.clock().now();
         // Of now: the module takes it as of when it hears of the request, however long that waited here.
-        long sinceWriteUs = s.afterMs() == 0 ? 0 : Math.max(1, now - s.afterMs() * 1000);
+        long sinceWriteUs = statement.afterMs() == 0 ? 0 : Math.max(1, now - statement.afterMs() * 1000);
         busy = true;
-        heard();
-        listener.busy(this);
+        cancelTimeout();
+        listener.onBusy(this);
         long handle = listener.broker()
                 .submit(
                         new Broker.RequestAttributes(
-                                s.id(),
-                                cls,
-                                s.session(),
-                                s.cluster(),
-                                Math.min(cameUs + s.patienceMs() * 1000 - TRANSIT_US, listener.answerBy()),
+                                statement.id(),
+                                requestClass,
+                                statement.session(),
+                                statement.group(),
+                                Math.min(
+                                        arrivedUs + statement.timeoutMs() * 1000 - TRANSIT_US,
+                                        listener.answerDeadlineUs()),
                                 sinceWriteUs,
-                                s.repeated()),
-                        s,
+                                statement.repeated()),
+                        statement,
                         this);
         if (busy) {
-            request = handle;
+            requestHandle = handle;
         }
     }
 
     /** A query that is no good has its error, and the next may be better; a long row of them has an end. */
-    private void fault(String text) {
+    private void answerFault(String text) {
         loop.counters().malformed++;
-        if (++faults < MOST_FAULTS) {
-            answer(Messages.error(false, Messages.INVALID_STATEMENT, text, null));
+        if (++faultsInARow < MAX_FAULTS_IN_A_ROW) {
+            sendAnswer(Messages.error(false, Messages.INVALID_STATEMENT, text, null));
         } else {
-            fatal(Messages.INVALID_STATEMENT, text);
+            closeWithError(Messages.INVALID_STATEMENT, text);
         }
     }
 
-    private void answer(byte[] message) {
+    private void sendAnswer(byte[] message) {
         byte[] ready = Messages.readyForQuery();
         byte[] out = new byte[message.length + ready.length];
         System.arraycopy(message, 0, out, 0, message.length);
@@ -369,41 +373,41 @@
         stream.write(out);
     }
 
-    private void settle(byte[] message) {
+    private void finishRequest(byte[] message) {
         busy = false;
-        flow = null;
-        request = SlotTable.NONE;
-        answer(message);
-        take();
+        responseSource = null;
+        requestHandle = SlotTable.NONE;
+        sendAnswer(message);
+        takeMessages();
     }
 
     @Override
     public void served(byte[] answer) {
-        settle(answer);
+        finishRequest(answer);
     }
 
     @Override
-    public BackEnd.ResponseStream begins(BackEnd.ResponseSource from) {
-        flow = from;
+    public BackEnd.ResponseStream longResponseBegins(BackEnd.ResponseSource source) {
+        responseSource = source;
         return piece -> {
             stream.write(piece);
-            if (stream.waiting() > MOST_WAITING || loop.holdsMuch() && !stream.flushed()) {
-                from.pause();
+            if (stream.pendingBytes() > MAX_PENDING_BYTES || loop.buffersAreFull() && !stream.flushed()) {
+                source.pause();
             }
         };
     }
 
     @Override
-    public void broken() {
+    public void responseBroken() {
         close();
     }
 
     @Override
-    public void refused(long retryAfterUs) {
-        settle(refusal(retryAfterUs));
+    public void rejected(long retryAfterUs) {
+        finishRequest(rejection(retryAfterUs));
     }
 
-    private static byte[] refusal(long retryAfterUs) {
+    private static byte[] rejection(long retryAfterUs) {
         return Messages.error(
                 false,
                 Messages.REFUSED,
@@ -413,12 +417,12 @@
 
     @Override
     public void cancelled() {
-        settle(Messages.error(false, Messages.CANCELLED, "cancelled by its client", null));
+        finishRequest(Messages.error(false, Messages.CANCELLED, "cancelled by its client", null));
     }
 
     @Override
-    public boolean waits() {
-        if (!justLooked) {
+    public boolean isClientConnected() {
+        if (!readJustNow) {
             stream.readNow();
         }
         return phase != Phase.CLOSED;
@@ -426,13 +430,14 @@
 
     @Override
     public void failed() {
-        settle(Messages.error(false, Messages.UNKNOWN_EFFECT, "failed: whether it took effect is not known", null));
+        finishRequest(
+                Messages.error(false, Messages.UNKNOWN_EFFECT, "failed: whether it took effect is not known", null));
     }
 
-    private void fatal(String code, String text) {
+    private void closeWithError(String code, String text) {
         loop.events().tell(EventLog.Kind.CLIENT_CLOSED, () -> "in " + phase + ": " + text);
         stream.write(Messages.error(true, code, text, null));
-        leave();
+        linger();
     }
 
     /**
@@ -440,13 +445,13 @@
      * what comes after that is read and dropped, never sent on, until the client has ended its own. A close
      * over unread bytes would reset the connection, and the last answer might be lost with it.
      */
-    private void leave() {
+    private void linger() {
         if (phase.compareTo(Phase.LINGERING) < 0) {
             phase = Phase.LINGERING;
-            dropped = 0;
-            heard();
-            patience = loop.deadlines().after(listener.lingerUs(), this::close);
-            listener.leaves(this);
+            droppedBytes = 0;
+            cancelTimeout();
+            timeout = loop.deadlines().after(listener.lingerUs(), this::close);
+            listener.onLingering(this);
             stream.end();
             stream.resumeReads();
         }
@@ -457,8 +462,8 @@
         try {
             if (phase == Phase.STARTUP
                     && reader.nextStartup()
-                    && reader.intOfBody(0) == Messages.CANCEL_REQUEST) { // Nobody waits behind such a one.
-                listener.cancel(reader.intOfBody(1), reader.intOfBody(2));
+                    && reader.bodyInt(0) == Messages.CANCEL_REQUEST) { // Nobody waits behind such a one.
+                listener.cancel(reader.bodyInt(1), reader.bodyInt(2));
             }
         } catch (PgException e) {
             loop.counters().malformed++;
@@ -467,7 +472,7 @@
     }
 
     /** Whether nothing of the client's is in hand; one that was closed does not rest, it is gone. */
-    boolean restsBetweenRequests() {
+    boolean isIdle() {
         return phase == Phase.RUNNING && !busy && stream.flushed() && reader.buffered() == 0;
     }
 
@@ -475,15 +480,15 @@
      * Ends it unless a request has come meanwhile: while the thread is busy many wait unread, and one on a
      * connection that we end costs its client the way here, or, the second time, the answer.
      */
-    boolean leaveUnlessAsking() {
-        boolean heard = stream.readNow();
-        if (phase.compareTo(Phase.LINGERING) >= 0 || heard && busy) {
+    boolean closeUnlessAsking() {
+        boolean received = stream.readNow();
+        if (phase.compareTo(Phase.LINGERING) >= 0 || received && busy) {
             return false;
         }
-        if (heard && restsBetweenRequests()) {
+        if (received && isIdle()) {
             return false; // It asked, and has its answer: no longer the longest idle.
         }
-        leave();
+        linger();
         return true;
     }
 
@@ -492,11 +497,11 @@
             return;
         }
         phase = Phase.CLOSED;
-        heard();
-        hold(0);
+        cancelTimeout();
+        countMemory(0);
         loop.counters().clientsClosed++;
         stream.close();
-        listener.closed(this);
-        listener.broker().gone(request);
+        listener.onClosed(this);
+        listener.broker().onClientDisconnected(requestHandle);
     }
 }
--- a/pooler/src/main/java/frostreel/net/EventLoop.java
+++ b/pooler/src/main/java/frostreel/net/EventLoop.java
@@ -15,26 +15,33 @@
 import org.xnio.XnioIoThread;
 import org.xnio.XnioWorker;
 
-/** Owns the one I/O thread on which all else runs, its clock, its deadlines and the buffer it reads into. */
+/**
+ * Owns the one I/O thread on which all else runs, its clock, its deadlines and the buffer it reads into. Unless said
+ * otherwise, methods are called on that thread.
+ */
 public final class EventLoop {
-    private static final int READ_BYTES = 1 << 16;
+    private static final int READ_BUFFER_BYTES = 1 << 16;
     /** A fourth of the heap: the rest is for statements, short answers, tables, and the collector. */
-    private static final long MOST_HELD = Runtime.getRuntime().maxMemory() / 4;
+    private static final long MAX_BUFFERED_BYTES = Runtime.getRuntime().maxMemory() / 4;
     /**
-     * What discovery tells is looked for once in such a part of the time in which sends to a drained server
-     * have to stop: the rest is for a pause between the look and a send. More often, a look costs too much.
+     * Watch events are polled for once in such a part of the time in which sends to a draining server have to stop:
+     * the rest is for a pause between the poll and a send. More often, polling costs too much.
      */
-    private static final int LOOK_PART = 5;
+    private static final int POLLS_PER_STOP_TIME = 5;
 
-    private static final long LOOK_LEAST_US = 10_000;
+    private static final long MIN_POLL_INTERVAL_US = 10_000;
     /**
-     * The loop shows so often that it runs, and is late where it was not seen to for so long: a little less
-     * than the half second by which an answer may be late. A process that has part of a core is often kept
-     * waiting for less, and its clients' times must not be cut for each of these.
+     * The interval of the heartbeat. The loop is late where it has missed one: a little less than the half second by
+     * which an answer may be late. A process that has part of a core is often kept waiting for less, and its clients'
+     * times must not be cut for each of these.
      */
-    private static final long BEAT_US = 200_000;
+    private static final long HEARTBEAT_US = 200_000;
 
-    private static final long LATE_US = 2 * BEAT_US;
+    private static final long LATE_AFTER_US = 2 * HEARTBEAT_US;
+    /** {@link #lateSinceUs} while the loop is not late. */
+    private static final long NOT_LATE = Long.MAX_VALUE;
+
+    private static final long SHUTDOWN_WAIT_S = 1;
     private final EventLoopWatchdog watchdog;
     private final EventLog events;
     private final XnioWorker worker;
@@ -42,28 +49,29 @@
     private final Clock clock;
     private final Deadlines deadlines;
     private final Counters counters = new Counters();
-    private final ByteBuffer readBuffer = ByteBuffer.allocateDirect(READ_BYTES);
+    private final ByteBuffer readBuffer = ByteBuffer.allocateDirect(READ_BUFFER_BYTES);
     private XnioExecutor.Key alarm;
     private boolean ending;
-    private Runnable look = () -> {};
-    private LongConsumer beaten = nowUs -> {};
-    private long lookEveryUs;
-    private long lookedUs;
-    private long heldBytes;
-    private long beatUs;
-    /** While the loop catches up: since when what it reads may have waited; else {@code Long.MAX_VALUE}. */
-    private long lateSinceUs = Long.MAX_VALUE;
-
+    private Runnable watchEventPoll = () -> {};
+    private LongConsumer heartbeatListener = nowUs -> {};
+    private long pollIntervalUs;
+    private long lastPollUs;
+    private long bufferedBytes;
+    private long lastHeartbeatUs;
+    /** While the loop catches up: since when what it reads may have waited. */
+    private long lateSinceUs = NOT_LATE;
+
+    /** A loop on the system's clock. */
     public EventLoop() throws IOException {
         this(Clock.system());
     }
 
-    /** On a clock of the caller's. */
+    /** A loop on a clock of the caller's. */
     public EventLoop(Clock clock) throws IOException {
         this.clock = clock;
         deadlines = new Deadlines(clock, this::wakeAfter);
-        lookedUs = clock.now();
-        beatUs = lookedUs;
+        lastPollUs = clock.now();
+        lastHeartbeatUs = lastPollUs;
         worker = Xnio.getInstance()
                 .createWorker(OptionMap.builder()
                         .set(Options.WORKER_IO_THREADS, 1)
@@ -76,7 +84,7 @@
         watchdog = new EventLoopWatchdog(thread);
     }
 
-    private void wakeAfter(long us) {
+    private void wakeAfter(long delayUs) {
         if (ending) {
             return; // A thread that terminates takes no more timers, and none is wanted.
         }
@@ -86,128 +94,132 @@
         alarm = thread.executeAfter(
                 () -> {
                     alarm = null;
-                    awake();
+                    pollWatchEventsIfDue();
                     deadlines.runDue();
                 },
-                wholeMillis(us),
+                roundedUpToMs(delayUs),
                 TimeUnit.MILLISECONDS);
     }
 
     /**
-     * Never less than what is asked for: XNIO drops what is beyond whole milliseconds, and runs a timer that
-     * is less than one away at once. It would find nothing due and be set anew, over and over until it is
-     * due; meanwhile the thread is busy, and looks at no socket.
+     * Never less than what is asked for: XNIO cuts delays to whole milliseconds, and runs a timer that is less than
+     * one away at once. It would find nothing due and be set again, over and over until it is due; meanwhile the
+     * thread is busy, and looks at no socket.
      */
-    private static long wholeMillis(long us) {
+    private static long roundedUpToMs(long us) {
         return (us + 999) / 1000;
     }
 
-    /** What looks for news: what this process was told, and has yet to read. */
-    public void onNews(Runnable look) {
-        this.look = look;
+    /** Sets what reads the watch events that discovery has sent and that are still unread. */
+    public void onWatchEventPoll(Runnable watchEventPoll) {
+        this.watchEventPoll = watchEventPoll;
     }
 
-    /** How soon sends to a server have to stop from when discovery told of its drain. */
-    public void stopSendingUs(long us) {
-        lookEveryUs = Math.max(LOOK_LEAST_US, us / LOOK_PART);
+    /** Sets how soon sends to a server have to stop once discovery has told that it is draining. */
+    public void setStopSendingUs(long stopSendingUs) {
+        pollIntervalUs = Math.max(MIN_POLL_INTERVAL_US, stopSendingUs / POLLS_PER_STOP_TIME);
     }
 
     /**
-     * Called before whatever comes from outside is handled. A process that was paused, had no part of a core,
-     * or is in a long turn, finds much at once: what it was told meanwhile has to be known before the rest is
-     * acted upon, in whichever order it stands on the sockets.
+     * Called before whatever comes from outside is handled. A process that was paused, had no part of a core, or is
+     * in a long turn, finds much at once: the watch events among it have to be known before the rest is acted upon,
+     * in whichever order it stands on the sockets.
      */
-    void awake() {
+    void pollWatchEventsIfDue() {
         long now = clock.now();
-        if (now - lookedUs > lookEveryUs) {
-            lookedUs = now;
-            look.run();
+        if (now - lastPollUs > pollIntervalUs) {
+            lastPollUs = now;
+            watchEventPoll.run();
         }
     }
 
-    /** Begins to watch over the loop, from outside too; on its thread, before anything comes from outside. */
+    /** Starts the heartbeat and the watchdog; called before anything comes from outside. */
     public void begin() {
         watchdog.start();
         beat();
     }
 
     private void beat() {
-        watchdog.beat();
-        lateSinceUs = clock.now() - beatUs > LATE_US ? beatUs : Long.MAX_VALUE;
-        beatUs = clock.now();
-        deadlines.after(BEAT_US, this::beat);
-        beaten.accept(beatUs);
+        watchdog.onHeartbeat();
+        lateSinceUs = clock.now() - lastHeartbeatUs > LATE_AFTER_US ? lastHeartbeatUs : NOT_LATE;
+        lastHeartbeatUs = clock.now();
+        deadlines.after(HEARTBEAT_US, this::beat);
+        heartbeatListener.accept(lastHeartbeatUs);
     }
 
-    /** What is told the time at each beat, five times a second. */
-    public void onBeat(LongConsumer beaten) {
-        this.beaten = beaten;
+    /** Sets what is called with the time at each heartbeat, five times a second. */
+    public void onHeartbeat(LongConsumer heartbeatListener) {
+        this.heartbeatListener = heartbeatListener;
     }
 
     /**
-     * The earliest time at which what is read now may have come, where that is long ago. Its sender's time
-     * began then: what waited while this process was paused, had no core, or was in a long turn, must not be
-     * given that time twice.
+     * The earliest time at which what is read now may have arrived. That is now, unless the loop is late: what waited
+     * while this process was paused, had no core, or was in a long turn, must not have that time once more.
      */
-    long cameSinceUs() {
+    public long earliestArrivalUs() {
         long now = clock.now();
-        if (now - beatUs > LATE_US) {
-            lateSinceUs = beatUs;
+        if (now - lastHeartbeatUs > LATE_AFTER_US) {
+            lateSinceUs = lastHeartbeatUs;
         }
         return Math.min(now, lateSinceUs);
     }
 
-    /** Ends the thread and waits, a little at the most, until it has ended. */
+    /** Ends the thread, and waits until it has ended, for a second at most. From any other thread. */
     public void end() throws InterruptedException {
         watchdog.end();
         thread.execute(() -> {
             ending = true;
             worker.shutdownNow();
         });
-        worker.awaitTermination(1, TimeUnit.SECONDS);
+        worker.awaitTermination(SHUTDOWN_WAIT_S, TimeUnit.SECONDS);
     }
 
+    /** XNIO's worker, which has the accept thread. */
     public XnioWorker worker() {
         return worker;
     }
 
+    /** The I/O thread; tasks may be handed to it from any thread. */
     public XnioIoThread thread() {
         return thread;
     }
 
+    /** The clock that all on this loop read; from any thread. */
     public Clock clock() {
         return clock;
     }
 
+    /** The timers of this loop. */
     public Deadlines deadlines() {
         return deadlines;
     }
 
+    /** The counters of all that runs on this loop. */
     public Counters counters() {
         return counters;
     }
 
-    /** Lines on single requests and connections. */
+    /** The log of single requests and connections. */
     public EventLog events() {
         return events;
     }
 
-    /** How long ago the loop last showed that it runs. */
-    public long lateUs() {
-        return clock.now() - beatUs;
+    /** For how long the loop has had no heartbeat. */
+    public long sinceHeartbeatUs() {
+        return clock.now() - lastHeartbeatUs;
     }
 
-    /** So many more bytes, or fewer, wait for sockets to take them. */
-    void held(int more) {
-        heldBytes += more;
+    /** So many more bytes, or fewer where negative, are buffered for slow clients and servers. */
+    public void addBufferedBytes(int change) {
+        bufferedBytes += change;
     }
 
-    /** Whether all that waits for slow readers is more than its part of the memory. */
-    boolean holdsMuch() {
-        return heldBytes > MOST_HELD;
+    /** Whether more bytes are buffered than their part of the memory. */
+    public boolean buffersAreFull() {
+        return bufferedBytes > MAX_BUFFERED_BYTES;
     }
 
-    /** The buffer for one read, emptied; what is in it lasts only until the next. */
+    /** The buffer for one read, emptied; its content lasts only until the next. */
     ByteBuffer readBuffer() {
         return readBuffer.clear();
     }
--- a/pooler/src/main/java/frostreel/net/Listener.java
+++ b/pooler/src/main/java/frostreel/net/Listener.java
@@ -20,21 +20,21 @@
 import org.xnio.Options;
 import org.xnio.StreamConnection;
 
-/** Owns the listening socket and the clients' connections, up to their cap. */
+/** Owns the listening socket and the connections of clients, up to a limit. Used on the I/O thread. */
 public final class Listener {
     private static final int BACKLOG = 1024;
-    /** Queries longer than this ask for no page, and are not looked up. */
-    private static final int MOST_PAGE_BYTES = 32;
-    /** So many descriptors are kept free by closing clients that ask for nothing. */
-    private static final int ROOM = 16;
-    /** With so few left, those that were told to leave are not waited for. */
-    private static final int LAST_ROOM = 4;
-    /** A client that asked before may be closed once it has been idle for so long. */
-    private static final long IDLE_US = 2_000_000;
-    /** While there is no room, those that ask for nothing are looked at so often. */
-    private static final long ROOM_CHECK_US = 50_000;
-    /** Nobody who has something to ask is silent for so long after connecting. */
-    private static final long SILENT_US = 300_000;
+    /** No query for a page is longer than this. */
+    private static final int MAX_PAGE_QUERY_BYTES = 32;
+    /** So many connections below the limit are kept free by closing clients that have no request. */
+    private static final int RESERVED_CONNECTIONS = 16;
+    /** With so few left, lingering clients are closed at once. */
+    private static final int RESERVED_FROM_LINGERING = 4;
+    /** A client that has had a request before may be evicted once it has been idle for so long. */
+    private static final long MIN_IDLE_US = 2_000_000;
+    /** How often evictions are tried while too many clients are connected. */
+    private static final long EVICTION_INTERVAL_US = 50_000;
+    /** A client that has yet to send a message may be evicted at once after so long, before any idle one. */
+    private static final long MIN_SILENT_US = 300_000;
 
     private final EventLoop loop;
     private final Broker broker;
@@ -42,26 +42,33 @@
     private final RequestClassRegistry classes;
     private final Map<String, Supplier<String>> pages = new HashMap<>();
     private final int maxClients;
-    /** Beyond so many clients that may ask, of which so many are idle, the longest idle is closed. */
-    private final int usualBound;
+    /** Beyond so many clients that may have requests, of which so many are idle, the longest idle is closed. */
+    private final int activeLimit;
 
-    private final int idleBound;
+    private final int idleLimit;
     private final SlotTable<ClientConnection> clients;
     private final Acceptor acceptor;
     private boolean inherited;
-    /** Clients between requests, and clients that have yet to send a whole one; the longest so first. */
+    /** Clients between requests, and clients that owe a complete message; in both, the longest so first. */
     private final Set<ClientConnection> idle = new LinkedHashSet<>();
 
-    private final Set<ClientConnection> owing = new LinkedHashSet<>();
+    private final Set<ClientConnection> awaitingMessage = new LinkedHashSet<>();
     /** Clients whose connection we have ended, and that have yet to end it too; the longest so first. */
-    private final Set<ClientConnection> leaving = new LinkedHashSet<>();
-    /** For the keys by which clients cancel. */
+    private final Set<ClientConnection> lingering = new LinkedHashSet<>();
+    /** Half of the key by which a client cancels its request. */
     private final SplittableRandom secrets;
 
-    private boolean lookingForRoom;
-    private boolean sparing;
+    private boolean evictionScheduled;
+    private boolean closingIdle;
 
-    /** Of the {@code usualClients} that come to ask, three quarters may stay without a bound on idle ones. */
+    /**
+     * Makes a listener that does not listen yet.
+     *
+     * @param maxClients the limit on open connections
+     * @param usualClients how many clients are expected; up to three quarters of them stay connected however many are
+     *     idle
+     * @param seed for the keys by which clients cancel
+     */
     public Listener(
             EventLoop loop,
             Broker broker,
@@ -76,18 +83,20 @@
         this.lifecycle = lifecycle;
         this.classes = classes;
         this.maxClients = maxClients;
-        usualBound = usualClients * 3 / 4;
-        idleBound = usualClients / 3;
+        activeLimit = usualClients * 3 / 4;
+        idleLimit = usualClients / 3;
         clients = new SlotTable<>(maxClients + 1);
-        acceptor = new Acceptor(loop, "a client", this::accepted);
+        acceptor = new Acceptor(loop, "a client", this::onAccepted);
     }
 
     /**
-     * Listens; past the cap of connections no more are accepted until some have closed. A socket that was
-     * inherited is listened on by another process as well, so nothing is accepted until {@link #sweep} finds
-     * that the lifecycle accepts clients.
+     * Listens; beyond the limit of connections no more are accepted until some have closed.
+     *
+     * @param inherited whether the socket is descriptor 0: another process listens on it as well, so nothing is
+     *     accepted until the lifecycle lets {@link #applyLifecycle} do so
+     * @throws IOException where the address is taken or not ours, or the system gives no socket
      */
-    public void open(InetSocketAddress address, boolean inherits) throws IOException {
+    public void open(InetSocketAddress address, boolean inherited) throws IOException {
         OptionMap options = OptionMap.builder()
                 .set(Options.TCP_NODELAY, true)
                 .set(Options.REUSE_ADDRESSES, true)
@@ -95,56 +104,57 @@
                 .set(Options.CONNECTION_HIGH_WATER, maxClients)
                 .set(Options.CONNECTION_LOW_WATER, maxClients - 1)
                 .getMap();
-        inherited = inherits;
-        acceptor.open(address, inherits, options);
+        this.inherited = inherited;
+        acceptor.open(address, inherited, options);
         if (lifecycle.accepts(loop.clock().now())) {
             acceptor.resume();
         }
     }
 
+    /** Where it listens. */
     public InetSocketAddress address() {
         return acceptor.address();
     }
 
-    private void accepted(StreamConnection c) {
+    private void onAccepted(StreamConnection connection) {
         loop.counters().clientsAccepted++;
-        ClientConnection client = new ClientConnection(loop, this, c, secrets.nextInt());
+        ClientConnection client = new ClientConnection(loop, this, connection, secrets.nextInt());
         client.slot = clients.add(client);
         if (client.slot == SlotTable.NONE) {
             client.close();
             return;
         }
-        makeRoom();
+        evictIfCrowded();
         client.begin();
     }
 
-    /** Withdraws the request that the client of that key has in hand; another key does nothing. */
+    /** Cancels the active request of the client that has this key; another key does nothing. */
     void cancel(int process, int secret) {
-        clients.forEach(c -> c.cancel(process, secret));
+        clients.forEach(client -> client.cancel(process, secret));
     }
 
-    /** Shows a page to whoever asks for it by SHOW and its name. */
-    public void page(String name, Supplier<String> text) {
+    /** Adds a page that is the answer to {@code SHOW} with its name. */
+    public void addPage(String name, Supplier<String> text) {
         pages.put("SHOW " + name + "\0", text);
     }
 
     /** The page that a query asks for, null where it asks for none. */
     Supplier<String> page(byte[] query) {
-        return query.length > MOST_PAGE_BYTES ? null : pages.get(new String(query, StandardCharsets.US_ASCII));
+        return query.length > MAX_PAGE_QUERY_BYTES ? null : pages.get(new String(query, StandardCharsets.US_ASCII));
     }
 
-    /** Whether those that have yet to ask are closed, too. */
-    boolean closing() {
+    /** Whether even clients are closed that have not had a request yet. */
+    boolean closesAll() {
         return lifecycle.closesUnused(loop.clock().now());
     }
 
-    /** For how long a client is waited for whose connection we ended. */
+    /** For how long a client whose connection we ended may take to end it too. */
     long lingerUs() {
         return lifecycle.lingerUs();
     }
 
-    /** What the empty query is answered. */
-    ReadinessStatus status() {
+    /** Whether this process takes clients, as the empty query tells. */
+    ReadinessStatus readiness() {
         return lifecycle.status();
     }
 
@@ -152,124 +162,131 @@
         return broker;
     }
 
-    /** The class that a statement names, null where there is none or the statement is none of that class. */
-    Integer classNumber(Statement s) {
-        return classes.number(loop.clock().now(), s.requestClass(), s.write(), s.keyed());
+    /** The number of the class that a statement names; null where there is none, or the statement does not fit it. */
+    Integer classNumber(Statement statement) {
+        return classes.number(loop.clock().now(), statement.requestClass(), statement.write(), statement.keyed());
     }
 
-    /** A client has nothing in hand; where clients are to leave, it is closed then. */
-    void rested(ClientConnection c) {
-        if (c.restsBetweenRequests()) {
-            owing.remove(c);
-            idle.remove(c); // It has asked again, and is no longer the longest idle.
+    /** A client has no request; where the lifecycle has clients leave, it is closed. */
+    void onIdle(ClientConnection client) {
+        if (client.isIdle()) {
+            awaitingMessage.remove(client);
+            idle.remove(client); // It has had a request, and is no longer the longest idle.
             if (lifecycle.closesAfterResponse(loop.clock().now())) {
-                c.leaveUnlessAsking();
+                client.closeUnlessAsking();
             } else {
-                idle.add(c);
-                spareIdle();
+                idle.add(client);
+                closeExcessIdle();
             }
         }
     }
 
     /**
-     * Clients that ask once and keep their connection use up the places from which usual clients may ask,
-     * long before our own cap is near: those that come later then find no connection to ask on, and are never
-     * heard. So where most of these places are taken, the longest idle gives its own up; in calm all stay.
+     * Clients that send one request and keep their connection use up the connections that clients may have to us, long
+     * before our own limit is near: those that come later then find none, and are never served. So where most of them
+     * are in use, the longest idle one is closed; in calm all stay.
      */
-    private void spareIdle() {
-        if (sparing) {
-            return; // By a request that was found while looking for one to close.
+    private void closeExcessIdle() {
+        if (closingIdle) {
+            return; // Called by a request that was found while looking for a client to close.
         }
-        sparing = true;
-        for (int looks = idle.size();
-                looks > 0 && idle.size() > idleBound && clients.size() - owing.size() - leaving.size() > usualBound;
-                looks--) {
-            if (idle.iterator().next().leaveUnlessAsking()) {
+        closingIdle = true;
+        for (int candidates = idle.size();
+                candidates > 0
+                        && idle.size() > idleLimit
+                        && clients.size() - awaitingMessage.size() - lingering.size() > activeLimit;
+                candidates--) {
+            if (idle.iterator().next().closeUnlessAsking()) {
                 loop.counters().clientsSpared++;
             }
         }
-        sparing = false;
+        closingIdle = false;
     }
 
-    /** A client has begun, and not yet finished, what it wants to say. */
-    void owes(ClientConnection c) {
-        idle.remove(c);
-        owing.add(c);
+    /** A client owes a complete message. */
+    void onMessageAwaited(ClientConnection client) {
+        idle.remove(client);
+        awaitingMessage.add(client);
     }
 
-    /** A client has a request in hand. */
-    void busy(ClientConnection c) {
-        idle.remove(c);
-        owing.remove(c);
+    /** A client has an active request, or an answer that it has not read yet. */
+    void onBusy(ClientConnection client) {
+        idle.remove(client);
+        awaitingMessage.remove(client);
     }
 
-    /** We have ended its connection, and it has yet to do so; its place counts as free. */
-    void leaves(ClientConnection c) {
-        busy(c);
-        leaving.add(c);
+    /** We have ended a connection, and its client has yet to do so; the connection counts as free. */
+    void onLingering(ClientConnection client) {
+        onBusy(client);
+        lingering.add(client);
     }
 
-    void closed(ClientConnection c) {
-        busy(c);
-        leaving.remove(c);
-        clients.remove(c.slot);
+    /** A connection is closed. */
+    void onClosed(ClientConnection client) {
+        onBusy(client);
+        lingering.remove(client);
+        clients.remove(client.slot);
     }
 
     /**
-     * Near the cap, clients that ask for nothing make room: the one silent for longest, or the one idle for
-     * longest. A request on a connection that waits to be accepted counts as taken, so accepting must not
-     * have to pause while such clients hold descriptors.
+     * Near the limit, clients without a request are evicted: the one that has owed a message for longest, or the one
+     * idle for longest. A request on a connection that waits to be accepted counts as taken, so accepting must not have
+     * to pause while such clients hold descriptors.
      */
-    private void makeRoom() {
-        for (ClientConnection c = evictable(); crowded() && c != null; c = evictable()) {
-            if (c.leaveUnlessAsking()) {
+    private void evictIfCrowded() {
+        for (ClientConnection client = evictable(); isCrowded() && client != null; client = evictable()) {
+            if (client.closeUnlessAsking()) {
                 loop.counters().clientsEvicted++;
             }
         }
-        while (clients.size() > maxClients - LAST_ROOM && !leaving.isEmpty()) {
-            leaving.iterator().next().close(); // Whoever comes needs the descriptor itself.
+        while (clients.size() > maxClients - RESERVED_FROM_LINGERING && !lingering.isEmpty()) {
+            lingering.iterator().next().close(); // The next client needs the descriptor itself.
         }
-        if (crowded() && !lookingForRoom) {
-            lookingForRoom = true;
-            loop.deadlines().after(ROOM_CHECK_US, () -> {
-                lookingForRoom = false;
-                makeRoom();
+        if (isCrowded() && !evictionScheduled) {
+            evictionScheduled = true;
+            loop.deadlines().after(EVICTION_INTERVAL_US, () -> {
+                evictionScheduled = false;
+                evictIfCrowded();
             });
         }
     }
 
     private ClientConnection evictable() {
         long now = loop.clock().now();
-        ClientConnection silent = owing.isEmpty() ? null : owing.iterator().next();
-        ClientConnection rested = idle.isEmpty() ? null : idle.iterator().next();
-        boolean rests = rested != null && now - rested.sinceUs() > IDLE_US;
-        return rests && (silent == null || now - silent.sinceUs() < SILENT_US) ? rested : silent;
+        ClientConnection longestSilent =
+                awaitingMessage.isEmpty() ? null : awaitingMessage.iterator().next();
+        ClientConnection longestIdle = idle.isEmpty() ? null : idle.iterator().next();
+        boolean idleLongEnough = longestIdle != null && now - longestIdle.sinceUs() > MIN_IDLE_US;
+        return idleLongEnough && (longestSilent == null || now - longestSilent.sinceUs() < MIN_SILENT_US)
+                ? longestIdle
+                : longestSilent;
     }
 
-    private boolean crowded() {
-        return clients.size() - leaving.size() > maxClients - ROOM;
+    private boolean isCrowded() {
+        return clients.size() - lingering.size() > maxClients - RESERVED_CONNECTIONS;
     }
 
     /**
-     * Whether requests in hand hold nearly all places. One that would wait for a place, unaccepted, could not
-     * be answered in time; so what comes on the last places is refused at once.
+     * Whether clients with active requests hold nearly all connections. A request that waited for a connection,
+     * unaccepted, could not be answered in time; so one that comes on the last connections is rejected at once.
      */
-    boolean full() {
-        return clients.size() - idle.size() - owing.size() - leaving.size() >= maxClients - ROOM;
+    boolean isFull() {
+        return clients.size() - idle.size() - awaitingMessage.size() - lingering.size()
+                >= maxClients - RESERVED_CONNECTIONS;
     }
 
-    /** By when a request that comes now has to be answered: the process may not live longer. */
-    long answerBy() {
+    /** By when a request that comes now has to be answered, as the process may not run longer. */
+    long answerDeadlineUs() {
         return lifecycle.responseDueUs(loop.clock().now());
     }
 
-    /** Closes whoever is between requests, as the lifecycle has it, and accepts no more once that does not. */
-    public void sweep() {
+    /** Accepts, or no longer does, and closes idle clients, as the lifecycle has it now. */
+    public void applyLifecycle() {
         long now = loop.clock().now();
         if (lifecycle.accepts(now)) {
             acceptor.resume();
         } else if (inherited) {
-            acceptor.suspend(); // What waits there is the other process's.
+            acceptor.suspend(); // What waits there is for the other process.
         } else {
             acceptor.close();
         }
@@ -277,13 +294,14 @@
             return;
         }
         if (lifecycle.closesUnused(now)) {
-            clients.forEach(this::rested);
+            clients.forEach(this::onIdle);
         } else {
-            List.copyOf(idle).forEach(this::rested);
+            List.copyOf(idle).forEach(this::onIdle);
         }
     }
 
-    public int open() {
+    /** How many clients are connected. */
+    public int openClients() {
         return clients.size();
     }
 }
--- a/pooler/src/main/java/frostreel/net/ServerConnection.java
+++ b/pooler/src/main/java/frostreel/net/ServerConnection.java
@@ -17,7 +17,7 @@
 import org.xnio.Options;
 import org.xnio.StreamConnection;
 
-/** One connection to a server, with at most one attempt on it. */
+/** One connection to a server, with at most one attempt on it. Used on the I/O thread. */
 final class ServerConnection implements SocketStream.Handler, BackEnd.ResponseSource {
     private enum Phase {
         CONNECTING,
@@ -27,8 +27,8 @@
         CLOSED
     }
 
-    /** Peers need seconds to read or write; a row of which nothing moves for so long is given up. */
-    private static final long STILL_US = 30_000_000;
+    /** Slow peers take seconds to read or write; a long row of which nothing came for so long is given up. */
+    private static final long STALL_TIMEOUT_US = 30_000_000;
 
     private static final OptionMap OPTIONS = OptionMap.create(Options.TCP_NODELAY, true);
     final ServerPool.Server server;
@@ -36,18 +36,18 @@
     long handle;
     private final EventLoop loop;
     private final ServerPool pool;
-    private final MessageReader reader = new MessageReader(Reply::longest);
+    private final MessageReader reader = new MessageReader(Reply::maxLength);
     private Phase phase = Phase.CONNECTING;
     private IoFuture<StreamConnection> connecting;
     private SocketStream stream;
     private Reply reply = Reply.toStartup();
     private ServerPool.Attempt attempt;
     private Deadlines.Deadline deadline;
-    /** Where a long row goes, and how much of it is still to come. */
-    private BackEnd.ResponseStream passage;
+    /** Takes a long row, of which so many bytes are still to come. */
+    private BackEnd.ResponseStream responseStream;
 
-    private int passing;
-    private boolean moved;
+    private int streamedBytesLeft;
+    private boolean receivedSinceCheck;
 
     ServerConnection(EventLoop loop, ServerPool pool, ServerPool.Server server) {
         this.loop = loop;
@@ -56,17 +56,18 @@
         this.address = server.address;
     }
 
+    /** Connects; where that takes too long, or fails, the pool is notified. */
     void open(long timeoutUs) {
         deadline = loop.deadlines().after(timeoutUs, () -> {
             loop.events()
                     .tell(
                             EventLog.Kind.SERVER_CONNECTION_FAILED,
                             () -> "to " + address + ": not up in " + timeoutUs / 1000 + " ms, in " + phase);
-            fail(Outcome.CONNECT_FAILED);
+            failOpening(Outcome.CONNECT_FAILED);
         });
         try {
             connecting = loop.thread().openStreamConnection(address, null, OPTIONS);
-        } catch (RuntimeException e) { // As for an address of a family that this process does not speak.
+        } catch (RuntimeException e) { // For an address of a family that this process does not speak.
             connecting = new FailedIoFuture<>(new IOException(e));
         }
         connecting.addNotifier(
@@ -79,7 +80,7 @@
                     @Override
                     public void handleFailed(IOException e, Void none) {
                         loop.events().tell(EventLog.Kind.SERVER_CONNECTION_FAILED, () -> "to " + address + ": " + e);
-                        fail(Outcome.CONNECT_FAILED);
+                        failOpening(Outcome.CONNECT_FAILED);
                     }
                 },
                 null);
@@ -88,7 +89,7 @@
     private void connected(StreamConnection connection) {
         stream = new SocketStream(loop, connection, this);
         if (phase == Phase.CLOSED) {
-            stream.close(); // It came up after the time-out.
+            stream.close(); // It is up after the time-out.
             return;
         }
         phase = Phase.STARTUP;
@@ -97,30 +98,31 @@
     }
 
     /**
-     * Runs an attempt, where the connection is clean: a byte that came since the last answer's end belongs to
-     * no request, and would be read as the beginning of this one's answer.
+     * Runs an attempt where the connection is clean, and closes it else: a byte that came since the end of the last
+     * answer belongs to no request, and would be read as the beginning of this one's answer.
      */
-    boolean run(ServerPool.Attempt a) {
-        if (!stream.quiet()) {
+    boolean tryRun(ServerPool.Attempt newAttempt) {
+        if (!stream.isQuiet()) {
             loop.counters().strayBytes++;
             close();
             return false;
         }
         loop.deadlines().cancel(deadline);
         phase = Phase.BUSY;
-        attempt = a;
-        a.on = this;
+        attempt = newAttempt;
+        newAttempt.connection = this;
         reply = Reply.toQuery();
-        stream.write(a.query(loop.clock().now()));
+        stream.write(newAttempt.query(loop.clock().now()));
         return true;
     }
 
-    void rest(long idleUs) {
-        deadline = loop.deadlines().after(idleUs, this::close);
+    /** The connection is idle, and is closed after so long. */
+    void onIdle(long idleCloseUs) {
+        deadline = loop.deadlines().after(idleCloseUs, this::close);
     }
 
-    /** Whether the attempt's last byte was written. */
-    boolean wroteAll() {
+    /** Whether the last byte of the attempt was written. */
+    boolean hasWrittenAll() {
         return stream.flushed();
     }
 
@@ -131,16 +133,16 @@
             close();
             return;
         }
-        pass(in);
+        streamPiece(in);
         reader.feed(in);
         try {
-            boolean whole = false;
-            while (!whole && !beginsLong() && reader.next()) {
+            boolean complete = false;
+            while (!complete && !streamsLongRow() && reader.next()) {
                 reply.accept(reader);
-                whole = reply.ended();
+                complete = reply.ended();
             }
-            if (whole) {
-                answered(reply);
+            if (complete) {
+                onAnswered(reply);
             }
         } catch (PgException e) {
             loop.counters().malformed++;
@@ -148,50 +150,50 @@
         }
     }
 
-    /** The next piece of a long row. */
-    private void pass(ByteBuffer in) {
-        if (passing > 0 && in.hasRemaining()) {
-            byte[] piece = new byte[Math.min(passing, in.remaining())];
+    /** Passes the next piece of a long row on. */
+    private void streamPiece(ByteBuffer in) {
+        if (streamedBytesLeft > 0 && in.hasRemaining()) {
+            byte[] piece = new byte[Math.min(streamedBytesLeft, in.remaining())];
             in.get(piece);
-            passing -= piece.length;
-            moved = true;
-            if (passing == 0) {
+            streamedBytesLeft -= piece.length;
+            receivedSinceCheck = true;
+            if (streamedBytesLeft == 0) {
                 loop.deadlines().cancel(deadline);
             }
-            passage.part(piece);
+            responseStream.write(piece);
         }
     }
 
-    /** Whether a row that is passed on is on its way; begins to pass one on that comes next. */
-    private boolean beginsLong() throws PgException {
-        int length = passing > 0 ? 0 : reader.longRow(Reply.HELD_ROW);
+    /** Whether a long row is being passed on; where one comes next, begins to do so. */
+    private boolean streamsLongRow() throws PgException {
+        int length = streamedBytesLeft > 0 ? 0 : reader.longRowLength(Reply.MAX_BUFFERED_ROW);
         if (length > 0) {
-            byte[] before = reply.passRow(attempt != null && !attempt.probe && reader.rowHoldsOneValue());
-            ServerPool.Attempt mine = attempt;
-            passage = mine.sink.begins(this);
-            if (passage == null) {
+            byte[] before = reply.beginLongRow(attempt != null && !attempt.probe && reader.rowHoldsOneValue());
+            ServerPool.Attempt longAttempt = attempt;
+            responseStream = longAttempt.listener.longResponseBegins(this);
+            if (responseStream == null) {
                 end(BackEnd.Result.of(Outcome.CANCELLED));
                 return true;
             }
-            byte[] held = reader.takeHeld(length + MessageReader.HEADER);
-            passing = length + MessageReader.HEADER - held.length;
-            moved = true;
-            if (passing > 0) {
-                deadline = loop.deadlines().after(STILL_US, this::still);
+            byte[] buffered = reader.takeBuffered(length + MessageReader.HEADER_BYTES);
+            streamedBytesLeft = length + MessageReader.HEADER_BYTES - buffered.length;
+            receivedSinceCheck = true;
+            if (streamedBytesLeft > 0) {
+                deadline = loop.deadlines().after(STALL_TIMEOUT_US, this::onStallTimeout);
             }
-            passage.part(before);
-            passage.part(held);
+            responseStream.write(before);
+            responseStream.write(buffered);
         }
-        return passing > 0;
+        return streamedBytesLeft > 0;
     }
 
-    /** A row that stands still for too long holds a place on both sides for nothing. */
-    private void still() {
-        if (passing > 0 && !moved) {
+    /** A long row that has stalled would keep connections on both sides for nothing. */
+    private void onStallTimeout() {
+        if (streamedBytesLeft > 0 && !receivedSinceCheck) {
             end(BackEnd.Result.of(Outcome.RESET));
-        } else if (passing > 0) {
-            moved = false;
-            deadline = loop.deadlines().after(STILL_US, this::still);
+        } else if (streamedBytesLeft > 0) {
+            receivedSinceCheck = false;
+            deadline = loop.deadlines().after(STALL_TIMEOUT_US, this::onStallTimeout);
         }
     }
 
@@ -205,62 +207,65 @@
         stream.resumeReads();
     }
 
-    /** Takes the whole answer; with a byte behind it, the connection is not used again. */
-    private void answered(Reply whole) {
-        boolean clean = whole.ready() && reader.buffered() == 0;
-        if (whole.ready() && !clean) {
+    /** Takes a complete answer; where a byte came behind it, the connection is not used again. */
+    private void onAnswered(Reply answer) {
+        boolean clean = answer.ready() && reader.buffered() == 0;
+        if (answer.ready() && !clean) {
             loop.counters().strayBytes++;
         }
-        if (phase == Phase.STARTUP && (whole.errorCode() != null || !clean)) {
-            fail(whole.result(false).outcome() == Outcome.REJECTED ? Outcome.REJECTED : Outcome.CONNECT_FAILED);
+        if (phase == Phase.STARTUP && (answer.errorCode() != null || !clean)) {
+            failOpening(answer.result(false).outcome() == Outcome.REJECTED ? Outcome.REJECTED : Outcome.CONNECT_FAILED);
         } else if (!clean) {
-            end(result(whole, !whole.ready()));
+            end(result(answer, !answer.ready()));
         } else if (phase == Phase.STARTUP) {
             loop.deadlines().cancel(deadline);
             phase = Phase.IDLE;
-            pool.opened(this);
+            pool.onOpened(this);
         } else {
             ServerPool.Attempt done = attempt;
-            BackEnd.Result result = result(whole, false);
+            BackEnd.Result result = result(answer, false);
             attempt = null;
             phase = Phase.IDLE;
-            pool.free(this);
+            pool.onFree(this);
             pool.finish(done, result);
         }
     }
 
-    private BackEnd.Result result(Reply whole, boolean broken) {
-        BackEnd.Result result = attempt.probe ? whole.probeResult(broken) : whole.result(broken);
-        loop.counters().unreadReports += whole.unread();
+    private BackEnd.Result result(Reply answer, boolean broken) {
+        BackEnd.Result result = attempt.probe ? answer.probeResult(broken) : answer.result(broken);
+        loop.counters().unreadReports += answer.unreadableReports();
         return result;
     }
 
     @Override
     public void ended() {
         if (phase == Phase.STARTUP) {
-            fail(Outcome.CONNECT_FAILED);
+            failOpening(Outcome.CONNECT_FAILED);
         } else if (phase == Phase.BUSY) {
-            // Broken before the last byte was written: it never ran.
+            // It broke before the last byte was written: the request was not executed.
             BackEnd.Result broken = reply.result(true);
-            end(broken.outcome() == Outcome.RESET && !wroteAll() ? BackEnd.Result.of(Outcome.CONNECT_FAILED) : broken);
+            end(
+                    broken.outcome() == Outcome.RESET && !hasWrittenAll()
+                            ? BackEnd.Result.of(Outcome.CONNECT_FAILED)
+                            : broken);
         } else {
             close();
         }
     }
 
-    /** It did not come up. */
-    private void fail(Outcome outcome) {
+    /** The connection did not come up. */
+    private void failOpening(Outcome outcome) {
         if (phase == Phase.CONNECTING || phase == Phase.STARTUP) {
             close();
-            pool.openFailed(this, outcome);
+            pool.onOpenFailed(this, outcome);
         }
     }
 
-    /** It ends with its attempt. */
+    /** Ends the connection with its attempt. */
     private void end(BackEnd.Result result) {
         ServerPool.Attempt done = attempt;
         if (phase == Phase.STARTUP) {
-            fail(Outcome.CONNECT_FAILED);
+            failOpening(Outcome.CONNECT_FAILED);
             return;
         }
         close();
@@ -269,20 +274,20 @@
         }
     }
 
-    /** Closes it; an attempt on it is no longer reported from here. */
+    /** Closes the connection; the end of an attempt on it is not reported from here. */
     void close() {
         if (phase == Phase.CLOSED) {
             return;
         }
         phase = Phase.CLOSED;
         attempt = null;
-        passing = 0;
+        streamedBytesLeft = 0;
         loop.deadlines().cancel(deadline);
         if (stream != null) {
             stream.close();
         } else if (connecting != null) {
             connecting.cancel();
         }
-        pool.closed(this);
+        pool.onClosed(this);
     }
 }
--- a/pooler/src/main/java/frostreel/net/ServerPool.java
+++ b/pooler/src/main/java/frostreel/net/ServerPool.java
@@ -21,266 +21,280 @@
 import java.util.Set;
 
 /**
- * Owns the connections to servers. An attempt takes a clean idle connection, or waits for the one opened for
- * it or
- * for whichever becomes free first; the number being opened to a server is never below the number that waits.
+ * Owns the connections to servers. An attempt takes a clean idle connection, or waits for the one opened for it or for
+ * whichever becomes free first; never fewer connections are being opened to a server than attempts wait for it. Used
+ * on the I/O thread.
  */
 public final class ServerPool implements BackEnd {
-    /** What runs on a connection, or waits for one. */
+    /** An attempt or a health check that runs on a connection, or waits for one. */
     static final class Attempt {
         final Server server;
         final boolean probe;
-        final AttemptListener sink;
-        /** The request, null for a probe, and until when its server is waited for. */
+        final AttemptListener listener;
+        /** The request, null for a health check. */
         private final Payload payload;
 
-        private final long untilUs;
+        private final long timeoutAtUs;
         long handle;
-        ServerConnection on;
+        /** The connection that it runs on, null while it waits for one. */
+        ServerConnection connection;
+
         Deadlines.Deadline timeout;
 
-        private Attempt(Server server, Payload payload, long untilUs, AttemptListener sink) {
+        private Attempt(Server server, Payload payload, long timeoutAtUs, AttemptListener listener) {
             this.server = server;
             this.payload = payload;
-            this.untilUs = untilUs;
+            this.timeoutAtUs = timeoutAtUs;
             probe = payload == null;
-            this.sink = sink;
+            this.listener = listener;
         }
 
-        /** What is sent if it begins now: how long it is waited for counts from then. */
+        /** The message to send where it begins now, with the time that is left from now on. */
         byte[] query(long nowUs) {
-            return probe ? SHOW_LOAD : payload.forServer(untilUs - nowUs);
+            return probe ? SHOW_LOAD : payload.forServer(timeoutAtUs - nowUs);
         }
     }
 
-    /**
-     * One server: its address, the connections being opened to it, its idle ones (the last used first) and
-     * the attempts that wait.
-     */
+    /** A server, its connections, and the attempts that wait for one of them. */
     static final class Server {
         InetSocketAddress address;
-        /** Whether it may be sent something new; one that drained is so no more, whatever it is later. */
+        /** Whether it may be sent new attempts. */
         boolean usable;
-
+        /** Whether it has ever been draining. */
         boolean drained;
+
         final Set<ServerConnection> opening = new LinkedHashSet<>();
+        /** The last used first. */
         final ArrayDeque<ServerConnection> idle = new ArrayDeque<>();
+
         final ArrayDeque<Attempt> waiting = new ArrayDeque<>();
     }
 
-    /** An idle connection is closed after this share of the time at which its server would. */
-    private static final double IDLE_SHARE = 0.8;
+    /** An idle connection is closed after this share of the time after which its server would close it. */
+    private static final double IDLE_CLOSE_SHARE = 0.8;
 
+    private static final int MAX_ATTEMPTS = 1 << 16;
     private static final byte[] SHOW_LOAD = Messages.query("SHOW load\0".getBytes(StandardCharsets.US_ASCII));
     private final EventLoop loop;
-    private final boolean onlyDrainingBinds;
+    private final boolean onlyDrainingStopsSends;
     private long connectTimeoutUs;
-    private long idleUs;
+    private long idleCloseUs;
     private final Map<String, Server> servers = new HashMap<>();
     private final SlotTable<ServerConnection> connections;
-    /** All idle connections of all servers, in the order in which they came to rest. */
-    private final LinkedHashSet<ServerConnection> resting = new LinkedHashSet<>();
+    /** The idle connections of all servers, the longest idle first. */
+    private final LinkedHashSet<ServerConnection> idleConnections = new LinkedHashSet<>();
 
-    private final SlotTable<Attempt> attempts = new SlotTable<>(1 << 16);
+    private final SlotTable<Attempt> attempts = new SlotTable<>(MAX_ATTEMPTS);
 
+    /** An empty pool for at most so many connections. */
     public ServerPool(EventLoop loop, Router.Settings settings, int maxConnections) {
         this.loop = loop;
-        onlyDrainingBinds = settings.rules().onlyDrainingBinds();
+        onlyDrainingStopsSends = settings.rules().onlyDrainingBinds();
         connections = new SlotTable<>(maxConnections);
-        settings(settings);
+        updateSettings(settings);
     }
 
-    /** Other limits on time, for what begins from now on. */
-    public void settings(Router.Settings settings) {
+    /** Takes the time-outs of new settings, for what begins from now on. */
+    public void updateSettings(Router.Settings settings) {
         connectTimeoutUs = settings.limits().connectTimeoutUs();
-        idleUs = (long) (settings.limits().idleCloseUs() * IDLE_SHARE);
+        idleCloseUs = (long) (settings.limits().idleCloseUs() * IDLE_CLOSE_SHARE);
     }
 
-    /** Takes the addresses of a list, and what wants nothing new; {@link #withdraw} has to follow. */
-    public void addresses(List<EndpointList.Host> hosts, boolean whole) {
+    /**
+     * Takes the addresses and states of an endpoint list; {@link #closeUnwanted} has to follow.
+     *
+     * @param complete whether the list names all endpoints, so that one not on it is gone
+     */
+    public void updateEndpoints(List<EndpointList.Host> hosts, boolean complete) {
         Set<Server> listed = new HashSet<>();
-        for (EndpointList.Host h : hosts) {
-            Server s = servers.computeIfAbsent(h.member().id(), id -> new Server());
-            listed.add(s);
-            s.address = h.dial();
-            is(s, h.member().state());
+        for (EndpointList.Host host : hosts) {
+            Server server = servers.computeIfAbsent(host.member().id(), id -> new Server());
+            listed.add(server);
+            server.address = host.dial();
+            setState(server, host.member().state());
         }
-        if (whole) {
-            servers.values().stream().filter(s -> !listed.contains(s)).forEach(s -> is(s, Router.State.GONE));
+        if (complete) {
+            servers.values().stream()
+                    .filter(server -> !listed.contains(server))
+                    .forEach(server -> setState(server, Router.State.GONE));
         }
     }
 
-    /** Takes a word on one server that changes no address; {@link #withdraw} has to follow. */
-    public void state(String id, Router.State state) {
-        Server s = servers.get(id);
-        if (s != null) {
-            is(s, state);
+    /** Takes a new state of one server, at the same address; {@link #closeUnwanted} has to follow. */
+    public void updateState(String memberId, Router.State state) {
+        Server server = servers.get(memberId);
+        if (server != null) {
+            setState(server, state);
         }
     }
 
-    private void is(Server s, Router.State state) {
-        s.drained |= state == Router.State.DRAINING;
-        s.usable = state == Router.State.UP || state == Router.State.GONE && onlyDrainingBinds && !s.drained;
+    private void setState(Server server, Router.State state) {
+        server.drained |= state == Router.State.DRAINING;
+        server.usable =
+                state == Router.State.UP || state == Router.State.GONE && onlyDrainingStopsSends && !server.drained;
     }
 
     /**
-     * Closes what is idle or being opened to servers that want nothing new, or that have moved, and ends the
-     * attempts that wait there: a handshake may take longer than the rule on drains allows, and would be
-     * followed by its attempt. The module must have been told of the list: it sends these elsewhere at once.
+     * Closes connections that are idle or being opened to servers that take nothing new, or have another address now,
+     * and ends the attempts that wait for them: a handshake may take longer than sends to a draining server may go on,
+     * and would be followed by its attempt. The router must have the list already, as it retries these at once.
      */
-    public void withdraw() {
-        for (Server s : List.copyOf(servers.values())) {
-            List<ServerConnection> unwanted = new ArrayList<>(s.idle);
-            unwanted.addAll(s.opening);
-            unwanted.removeIf(c -> s.usable && c.address.equals(s.address));
+    public void closeUnwanted() {
+        for (Server server : List.copyOf(servers.values())) {
+            List<ServerConnection> unwanted = new ArrayList<>(server.idle);
+            unwanted.addAll(server.opening);
+            unwanted.removeIf(connection -> server.usable && connection.address.equals(server.address));
             unwanted.forEach(ServerConnection::close);
-            for (int more = s.waiting.size() - s.opening.size(); more > 0; more--) {
-                finish(s.waiting.pollFirst(), Result.of(Outcome.NOT_SENT));
+            for (int unserved = server.waiting.size() - server.opening.size(); unserved > 0; unserved--) {
+                finish(server.waiting.pollFirst(), Result.of(Outcome.NOT_SENT));
             }
         }
     }
 
     @Override
-    public long start(String memberId, Payload payload, long patienceUs, AttemptListener sink) {
-        return begin(memberId, payload, loop.clock().now() + patienceUs, sink).handle;
+    public long start(String memberId, Payload payload, long timeoutUs, AttemptListener listener) {
+        return begin(memberId, payload, loop.clock().now() + timeoutUs, listener).handle;
     }
 
     @Override
-    public void probe(String memberId, AttemptListener sink) {
-        Attempt a = begin(memberId, null, 0, sink);
-        a.timeout = loop.deadlines().after(connectTimeoutUs, () -> {
-            if (attempts.get(a.handle) != null) {
-                abandon(a.handle);
-                a.sink.ended(Result.of(Outcome.TIMEOUT));
+    public void probe(String memberId, AttemptListener listener) {
+        Attempt attempt = begin(memberId, null, 0, listener);
+        attempt.timeout = loop.deadlines().after(connectTimeoutUs, () -> {
+            if (attempts.get(attempt.handle) != null) {
+                abandon(attempt.handle);
+                attempt.listener.ended(Result.of(Outcome.TIMEOUT));
             }
         });
     }
 
-    private Attempt begin(String memberId, Payload payload, long untilUs, AttemptListener sink) {
-        Server s = servers.get(memberId);
-        Attempt a = new Attempt(s, payload, untilUs, sink);
-        a.handle = attempts.add(a);
-        if (s == null || !s.usable) {
-            finish(a, Result.of(s == null ? Outcome.CONNECT_FAILED : Outcome.NOT_SENT));
-            return a;
+    private Attempt begin(String memberId, Payload payload, long timeoutAtUs, AttemptListener listener) {
+        Server server = servers.get(memberId);
+        Attempt attempt = new Attempt(server, payload, timeoutAtUs, listener);
+        attempt.handle = attempts.add(attempt);
+        if (server == null || !server.usable) {
+            finish(attempt, Result.of(server == null ? Outcome.CONNECT_FAILED : Outcome.NOT_SENT));
+            return attempt;
         }
-        for (ServerConnection c = s.idle.pollFirst(); c != null; c = s.idle.pollFirst()) {
-            resting.remove(c);
-            if (c.run(a)) {
-                return a;
+        for (ServerConnection connection = server.idle.pollFirst();
+                connection != null;
+                connection = server.idle.pollFirst()) {
+            idleConnections.remove(connection);
+            if (connection.tryRun(attempt)) {
+                return attempt;
             }
         }
-        s.waiting.add(a);
+        server.waiting.add(attempt);
         if (connections.full()) {
             evictIdle();
         }
         if (connections.full()) {
-            // At our own cap of connections: as with a full server, the module lets it rest a little.
-            s.waiting.remove(a);
-            finish(a, Result.of(Outcome.REJECTED));
-            return a;
+            // At our own limit of connections: as for a server at its limit, the router backs off a little.
+            server.waiting.remove(attempt);
+            finish(attempt, Result.of(Outcome.REJECTED));
+            return attempt;
         }
-        ServerConnection opened = new ServerConnection(loop, this, s);
+        ServerConnection opened = new ServerConnection(loop, this, server);
         opened.handle = connections.add(opened);
-        s.opening.add(opened);
+        server.opening.add(opened);
         loop.counters().serverConnections++;
         opened.open(connectTimeoutUs);
-        return a;
+        return attempt;
     }
 
     /**
-     * The connection that has rested longest gives its place up, whosever it is: closing one that is needed
-     * again at once costs its server a handshake each time, and where many poolers do so to the same server,
-     * most of what it can do.
+     * Closes the longest idle connection, to whichever server: to close one that is needed again at once would cost its
+     * server a handshake each time, and, where many poolers do so to the same server, most of its capacity.
      */
     private void evictIdle() {
-        Iterator<ServerConnection> longest = resting.iterator();
-        if (longest.hasNext()) {
+        Iterator<ServerConnection> longestIdle = idleConnections.iterator();
+        if (longestIdle.hasNext()) {
             loop.counters().serverConnectionsEvicted++;
-            longest.next().close();
+            longestIdle.next().close();
         }
     }
 
     @Override
-    public boolean begun(long attempt) {
-        Attempt a = attempts.get(attempt);
-        return a == null || a.on != null;
+    public boolean hasBegun(long attemptHandle) {
+        Attempt attempt = attempts.get(attemptHandle);
+        return attempt == null || attempt.connection != null;
     }
 
     @Override
-    public boolean abandon(long attempt) {
-        Attempt a = attempts.remove(attempt);
-        if (a == null) {
+    public boolean abandon(long attemptHandle) {
+        Attempt attempt = attempts.remove(attemptHandle);
+        if (attempt == null) {
             return false;
         }
-        loop.deadlines().cancel(a.timeout);
-        if (a.on == null) {
-            a.server.waiting.remove(a); // What is being opened for it goes on, for the next.
+        loop.deadlines().cancel(attempt.timeout);
+        if (attempt.connection == null) {
+            attempt.server.waiting.remove(attempt); // The connection opened for it serves the next.
             return false;
         }
-        boolean reached = a.on.wroteAll();
-        a.on.close();
+        boolean reached = attempt.connection.hasWrittenAll();
+        attempt.connection.close();
         return reached;
     }
 
-    void finish(Attempt a, Result result) {
-        if (attempts.remove(a.handle) != null) {
-            loop.deadlines().cancel(a.timeout);
-            a.sink.ended(result);
+    /** Ends an attempt, unless it has ended, and notifies its listener. */
+    void finish(Attempt attempt, Result result) {
+        if (attempts.remove(attempt.handle) != null) {
+            loop.deadlines().cancel(attempt.timeout);
+            attempt.listener.ended(result);
         }
     }
 
     // ---- From the connections. ----
 
     /**
-     * A connection is clean and free: it takes the attempt that has waited longest and may still begin, or
-     * rests. One to where its server was before it moved takes nothing more.
+     * A connection is clean and free: it takes the attempt that has waited longest and may still begin, or becomes
+     * idle. One to a former address of its server takes nothing more.
      */
-    void free(ServerConnection c) {
-        Server s = c.server;
-        Attempt next = s.waiting.peekFirst();
-        while (next != null && !next.sink.mayBegin()) { // Which may end other attempts that wait.
-            s.waiting.remove(next);
+    void onFree(ServerConnection connection) {
+        Server server = connection.server;
+        Attempt next = server.waiting.peekFirst();
+        while (next != null && !next.listener.mayBegin()) { // Which may end other attempts that wait.
+            server.waiting.remove(next);
             finish(next, Result.of(Outcome.NOT_SENT));
-            next = s.waiting.peekFirst();
+            next = server.waiting.peekFirst();
         }
-        if (!s.usable || !c.address.equals(s.address)) {
-            c.close();
-            failUnserved(s, Outcome.CONNECT_FAILED);
+        if (!server.usable || !connection.address.equals(server.address)) {
+            connection.close();
+            failUnserved(server, Outcome.CONNECT_FAILED);
         } else if (next == null) {
-            s.idle.addFirst(c);
-            resting.add(c);
-            c.rest(idleUs);
-        } else if (c.run(next)) {
-            s.waiting.remove(next);
+            server.idle.addFirst(connection);
+            idleConnections.add(connection);
+            connection.onIdle(idleCloseUs);
+        } else if (connection.tryRun(next)) {
+            server.waiting.remove(next);
         } else {
-            failUnserved(s, Outcome.CONNECT_FAILED);
+            failUnserved(server, Outcome.CONNECT_FAILED);
         }
     }
 
-    void opened(ServerConnection c) {
-        c.server.opening.remove(c);
-        free(c);
+    /** A connection is up, and its server has answered the startup message. */
+    void onOpened(ServerConnection connection) {
+        connection.server.opening.remove(connection);
+        onFree(connection);
     }
 
     /** A connection did not come up. */
-    void openFailed(ServerConnection c, Outcome outcome) {
+    void onOpenFailed(ServerConnection connection, Outcome outcome) {
         loop.counters().serverConnectFailures++;
-        failUnserved(c.server, outcome);
+        failUnserved(connection.server, outcome);
     }
 
-    /** Where more wait than connections are being opened, the one that waited longest bears the failure. */
-    private void failUnserved(Server s, Outcome outcome) {
-        if (s.waiting.size() > s.opening.size()) {
-            finish(s.waiting.pollFirst(), Result.of(outcome));
+    /** Fails the attempt that has waited longest, where more wait than connections are being opened. */
+    private void failUnserved(Server server, Outcome outcome) {
+        if (server.waiting.size() > server.opening.size()) {
+            finish(server.waiting.pollFirst(), Result.of(outcome));
         }
     }
 
-    /** The connection has ended. */
-    void closed(ServerConnection c) {
-        connections.remove(c.handle);
-        c.server.idle.remove(c);
-        c.server.opening.remove(c);
-        resting.remove(c);
+    /** A connection is closed. */
+    void onClosed(ServerConnection connection) {
+        connections.remove(connection.handle);
+        connection.server.idle.remove(connection);
+        connection.server.opening.remove(connection);
+        idleConnections.remove(connection);
     }
 }
--- a/pooler/src/main/java/frostreel/net/SocketStream.java
+++ b/pooler/src/main/java/frostreel/net/SocketStream.java
@@ -11,35 +11,32 @@
 import org.xnio.conduits.ConduitStreamSourceChannel;
 
 /**
- * One connection's bytes, both ways: owns the output that the socket did not take yet. A handler's fault ends
- * this
- * connection alone.
+ * The bytes of one connection, both ways: owns the output that the socket has not taken yet. An exception of its
+ * handler ends this connection alone. Used on the I/O thread.
  */
 public final class SocketStream {
-    /** What is done with a connection's bytes. */
+    /** What is done with the bytes of a connection. */
     public interface Handler {
-        /** Bytes came; all are to be taken. */
+        /** Bytes have come, all of which have to be taken. */
         void received(ByteBuffer in);
 
         /**
-         * All that had come, or as much as is read in one go, was handed on, and the other side has not ended
-         * its sending behind it, as far as that went.
+         * All that had come, or as much as is read in one go, was passed to {@link #received}, and the peer had not
+         * ended its output behind it, as far as that went.
          */
         default void caughtUp() {}
 
-        /** All output is with the socket. */
+        /** The socket has taken all output. */
         default void drained() {}
 
-        /**
-         * The other side ended its sending, or the connection broke; told once, and not after {@link
-         * #close}.
-         */
+        /** The peer has ended its output, or the connection broke; called once, and not after {@link #close}. */
         void ended();
     }
 
     /** Reads in one go, so that one busy connection does not keep the others waiting. */
-    private static final int READS_AT_ONCE = 4;
+    private static final int MAX_READS_AT_ONCE = 4;
 
+    private static final int END_OF_STREAM = -1;
     private static final Logger LOG = Logger.getLogger(SocketStream.class.getName());
     private final EventLoop loop;
     private final StreamConnection connection;
@@ -47,29 +44,31 @@
     private final ConduitStreamSinkChannel sink;
     private final Handler handler;
     private final ArrayDeque<ByteBuffer> output = new ArrayDeque<>();
-    private int waiting;
+    private int pendingBytes;
     private long reads;
-    private boolean ending;
+    private boolean outputEnding;
     private boolean reset;
     private boolean closed;
 
+    /** Takes the connection over; nothing is read until {@link #resumeReads}. */
     public SocketStream(EventLoop loop, StreamConnection connection, Handler handler) {
         this.loop = loop;
         this.connection = connection;
         this.handler = handler;
         source = connection.getSourceChannel();
         sink = connection.getSinkChannel();
-        source.setReadListener(c -> guarded(() -> readable(false)));
-        sink.setWriteListener(c -> guarded(this::writable));
+        source.setReadListener(channel -> guarded(() -> readable(false)));
+        sink.setWriteListener(channel -> guarded(this::writable));
     }
 
-    /** Begins to read; a separate step, so that the handler may first keep the stream. */
+    /** Reads from now on; a separate step, so that the handler may first store the stream. */
     public void resumeReads() {
         if (!closed) {
             source.resumeReads();
         }
     }
 
+    /** Reads nothing more for now. */
     public void suspendReads() {
         if (!closed) {
             source.suspendReads();
@@ -77,7 +76,7 @@
     }
 
     private void guarded(Runnable task) {
-        loop.awake(); // Which may close this very connection.
+        loop.pollWatchEventsIfDue(); // Which may close this very connection.
         if (closed) {
             return;
         }
@@ -90,71 +89,71 @@
         }
     }
 
-    /** {@code anyway}: also where reading is suspended, as far as one go takes it. */
-    private void readable(boolean anyway) {
-        long before = reads;
+    /** {@code evenIfSuspended}: reads, as far as one go takes it, also where reading is suspended. */
+    private void readable(boolean evenIfSuspended) {
+        long readsBefore = reads;
         boolean more = true;
-        for (int i = 0; i < READS_AT_ONCE && more && !closed && (anyway || source.isReadResumed()); i++) {
+        for (int i = 0; i < MAX_READS_AT_ONCE && more && !closed && (evenIfSuspended || source.isReadResumed()); i++) {
             ByteBuffer in = loop.readBuffer();
-            int n;
+            int count;
             try {
-                n = source.read(in);
+                count = source.read(in);
             } catch (IOException e) {
                 reset = true;
-                n = -1;
+                count = END_OF_STREAM;
             }
-            if (n < 0) {
+            if (count < 0) {
                 broken();
                 return;
             }
-            more = n > 0;
+            more = count > 0;
             if (more) {
                 reads++;
                 handler.received(in.flip());
             }
         }
-        if (!closed && reads != before) {
+        if (!closed && reads != readsBefore) {
             handler.caughtUp();
         }
     }
 
-    /** Hands on what has come and is still unread; whether there was any, or the other side had ended. */
+    /** Passes on what has come and is still unread. True where there was any, or the connection has ended. */
     public boolean readNow() {
-        long before = reads;
+        long readsBefore = reads;
         guarded(() -> readable(true));
-        return closed || reads != before;
+        return closed || reads != readsBefore;
     }
 
-    private void hold(int more) {
-        waiting += more;
-        loop.held(more);
+    private void addPendingBytes(int change) {
+        pendingBytes += change;
+        loop.addBufferedBytes(change);
     }
 
-    /** Writes what the socket takes now; the rest waits until it is writable. */
+    /** Writes what the socket takes now; the rest waits until the socket is writable. */
     public void write(byte[] bytes) {
         if (closed) {
             return;
         }
         output.add(ByteBuffer.wrap(bytes));
-        hold(bytes.length);
+        addPendingBytes(bytes.length);
         if (output.size() == 1 && !flush() && !closed) {
             sink.resumeWrites();
         }
     }
 
     /** How many bytes the socket has not taken yet. */
-    public int waiting() {
-        return waiting;
+    public int pendingBytes() {
+        return pendingBytes;
     }
 
-    /** Ends our sending once all is with the socket; the other side may still send. */
+    /** Ends our output once the socket has all of it; the peer may still send. */
     public void end() {
-        ending = true;
-        shutWhenFlushed();
+        outputEnding = true;
+        shutDownWhenFlushed();
     }
 
-    private void shutWhenFlushed() {
-        if (ending && !closed && flushed()) {
+    private void shutDownWhenFlushed() {
+        if (outputEnding && !closed && flushed()) {
             try {
                 sink.shutdownWrites();
                 sink.flush();
@@ -167,7 +166,7 @@
     private void writable() {
         if (flush() && !closed) {
             sink.suspendWrites();
-            shutWhenFlushed();
+            shutDownWhenFlushed();
             handler.drained();
         }
     }
@@ -176,7 +175,7 @@
         try {
             while (!output.isEmpty()) {
                 ByteBuffer head = output.peek();
-                hold(-sink.write(head));
+                addPendingBytes(-sink.write(head));
                 if (head.hasRemaining()) {
                     return false;
                 }
@@ -191,8 +190,8 @@
         }
     }
 
-    /** Whether the other side neither sent what is still unread nor ended; what is read here is lost. */
-    boolean quiet() {
+    /** Whether there is nothing to read, and the peer has not ended its output; what is read here is lost. */
+    public boolean isQuiet() {
         try {
             return !closed && source.read(loop.readBuffer()) == 0;
         } catch (IOException e) {
@@ -200,12 +199,12 @@
         }
     }
 
-    /** Whether the connection broke, so that what came may lack its end; told after {@link Handler#ended}. */
+    /** Whether the connection broke, so that its last bytes may be missing; known once {@link Handler#ended} runs. */
     public boolean wasReset() {
         return reset;
     }
 
-    /** Whether all that was written is, or at its end was, with the socket. */
+    /** Whether the socket has taken all that was written, or had when the connection was closed. */
     public boolean flushed() {
         return output.isEmpty();
     }
@@ -217,10 +216,11 @@
         }
     }
 
+    /** Closes the connection; the handler is not called any more. */
     public void close() {
         if (!closed) {
             closed = true;
-            hold(-waiting);
+            addPendingBytes(-pendingBytes);
             IoUtils.safeClose(connection);
         }
     }
--- a/pooler/src/main/java/frostreel/pg/LoadReport.java
+++ b/pooler/src/main/java/frostreel/pg/LoadReport.java
@@ -2,42 +2,49 @@
 
 import frostreel.routing.Router;
 
-/** Reads a server's word on itself, {@code inflight=7,util=0.61}. */
+/** Parses a server's load report, as {@code inflight=7,util=0.61}. */
 final class LoadReport {
+    /** Numbers of this size and beyond are taken for noise. */
+    private static final double MAX_NUMBER = 1e15;
+
+    private static final double US_PER_SECOND = 1e6;
+
     private LoadReport() {}
 
+    /** Fields that it does not know are skipped, and those that are not there are NaN, UNKNOWN or 0. */
     static Router.Report parse(String text) throws PgException {
         long positionUs = 0;
         Router.Role role = Router.Role.UNKNOWN;
-        double util = Double.NaN;
+        double utilization = Double.NaN;
         double queued = Double.NaN;
-        double inHand = Double.NaN;
+        double inFlight = Double.NaN;
         for (String field : text.split(",")) {
             int equals = field.indexOf('=');
             if (equals < 0) {
                 continue;
             }
-            double value = number(field.substring(equals + 1));
+            double value = parseNumber(field.substring(equals + 1));
             switch (field.substring(0, equals).trim()) {
-                case "x0" -> positionUs = (long) Math.floor(value * 1e6);
+                case "x0" -> positionUs = (long) Math.floor(value * US_PER_SECOND);
                 case "x1" -> role = value == 1 ? Router.Role.PRIMARY : Router.Role.REPLICA;
-                case "util", "load_share" -> util = value;
+                case "util", "load_share" -> utilization = value;
                 case "queue", "depth" -> queued = value;
-                case "inflight", "concurrent" -> inHand = value;
+                case "inflight", "concurrent" -> inFlight = value;
                 default -> {}
             }
         }
-        return new Router.Report(positionUs, role, util, queued, inHand);
+        return new Router.Report(positionUs, role, utilization, queued, inFlight);
     }
 
-    static double number(String text) throws PgException {
+    /** A decimal number, of either sign. */
+    static double parseNumber(String text) throws PgException {
         try {
-            double d = Double.parseDouble(text.trim());
-            if (Double.isFinite(d) && Math.abs(d) < 1e15) {
-                return d;
+            double number = Double.parseDouble(text.trim());
+            if (Double.isFinite(number) && Math.abs(number) < MAX_NUMBER) {
+                return number;
             }
         } catch (NumberFormatException e) {
-            // Told below, like a number out of range.
+            // Thrown below, as for a number out of range.
         }
         throw new PgException("a figure that is no number");
     }
--- a/pooler/src/main/java/frostreel/pg/MessageReader.java
+++ b/pooler/src/main/java/frostreel/pg/MessageReader.java
@@ -4,109 +4,122 @@
 import java.nio.ByteBuffer;
 import java.util.Arrays;
 
-/** Cuts a byte stream, however it was split, into messages; owns the bytes not yet taken. */
+/**
+ * Splits a byte stream into messages, in whichever pieces it comes; owns the bytes that are not yet taken. Used by one
+ * connection, on the I/O thread.
+ */
 public final class MessageReader {
-    /** The longest body accepted of a message, by its type; negative for a type that is not accepted. */
-    public interface Bounds {
-        int longest(byte type);
+    /** Limits the length of messages. */
+    public interface LengthLimit {
+        /** The longest body accepted of a message of this type; negative where no message of the type is. */
+        int maxLength(byte type);
     }
 
-    private static final int SMALL = 2048;
-    /** The bytes of a message before its body. */
-    public static final int HEADER = 5;
-    /** A row begins with the number of its columns and the first one's length. */
-    private static final int ROW_HEAD = 6;
+    private static final int INITIAL_BUFFER_BYTES = 2048;
+    /** The type and the length, before the body of a message. */
+    public static final int HEADER_BYTES = 5;
+    /** The number of columns and the length of the first, at the beginning of a row. */
+    static final int ROW_HEADER_BYTES = 6;
 
-    private static final int STARTUP_MOST = 10_000;
-    private final Bounds bounds;
-    private byte[] buffer = new byte[SMALL];
+    private static final int MAX_STARTUP_BYTES = 10_000;
+    private final LengthLimit limit;
+    private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
     private int from;
     private int to;
     private byte type;
     private int bodyFrom;
     private int bodyTo;
 
-    public MessageReader(Bounds bounds) {
-        this.bounds = bounds;
+    /** A reader that accepts messages within the limits alone. */
+    public MessageReader(LengthLimit limit) {
+        this.limit = limit;
     }
 
+    /** Takes all bytes of the buffer in. */
     public void feed(ByteBuffer in) {
         if (from == to) {
             from = 0;
             to = 0;
-            if (buffer.length > SMALL && in.remaining() <= SMALL) {
+            if (buffer.length > INITIAL_BUFFER_BYTES && in.remaining() <= INITIAL_BUFFER_BYTES) {
                 // A long message must not leave a long buffer behind on every connection.
-                buffer = new byte[SMALL];
+                buffer = new byte[INITIAL_BUFFER_BYTES];
             }
         }
-        int n = in.remaining();
-        if (to + n > buffer.length) {
-            int kept = to - from;
-            byte[] into = kept + n <= buffer.length ? buffer : new byte[Math.max(2 * buffer.length, kept + n)];
-            System.arraycopy(buffer, from, into, 0, kept);
-            buffer = into;
+        int added = in.remaining();
+        if (to + added > buffer.length) {
+            int buffered = to - from;
+            byte[] target = buffered + added <= buffer.length
+                    ? buffer
+                    : new byte[Math.max(2 * buffer.length, buffered + added)];
+            System.arraycopy(buffer, from, target, 0, buffered);
+            buffer = target;
             from = 0;
-            to = kept;
+            to = buffered;
         }
-        in.get(buffer, to, n);
-        to += n;
+        in.get(buffer, to, added);
+        to += added;
     }
 
+    /** How many bytes are not yet taken. */
     public int buffered() {
         return to - from;
     }
 
-    /** How many bytes of memory it takes up, which may be twice what is buffered. */
-    public int memory() {
+    /** The size of its buffer, which may be twice what is buffered. */
+    public int memoryBytes() {
         return buffer.length;
     }
 
-    /** Moves to the next whole message; false where more bytes are needed. */
+    /**
+     * Moves to the next message; false where more bytes are needed for it.
+     *
+     * @throws PgException where no such message is accepted
+     */
     public boolean next() throws PgException {
-        if (buffered() < HEADER) {
+        if (buffered() < HEADER_BYTES) {
             return false;
         }
-        // By the head alone: noise must not be waited on for the rest of a message that it seems to begin.
-        int longest = bounds.longest(buffer[from]);
-        if (longest < 0) {
+        // Checked by the type alone: noise must not be waited on for the rest of a message that it seems to begin.
+        int maxLength = limit.maxLength(buffer[from]);
+        if (maxLength < 0) {
             throw new PgException("a message of unknown type");
         }
-        return take(1, longest);
+        return take(1, maxLength);
     }
 
     /**
-     * The length of the row that comes next, where its body is longer than that and its own head is here: its
-     * bytes are to be taken as they come, by {@link #takeHeld}. Else 0.
+     * The length of the row that comes next, where that is longer than {@code maxBuffered} and its header is buffered;
+     * its bytes are then to be taken as they come, by {@link #takeBuffered}. Else 0.
      */
-    public int longRow(int most) {
-        int head = HEADER + ROW_HEAD;
-        int length = buffered() < head || buffer[from] != 'D' ? 0 : intAt(from + 1) - Integer.BYTES;
-        return length > most ? length : 0;
+    public int longRowLength(int maxBuffered) {
+        int headers = HEADER_BYTES + ROW_HEADER_BYTES;
+        int length = buffered() < headers || buffer[from] != 'D' ? 0 : intAt(from + 1) - Integer.BYTES;
+        return length > maxBuffered ? length : 0;
     }
 
-    /** Whether the row that comes next is one column whose length fits the row's. */
+    /** Whether the row that comes next has one column, whose length agrees with that of the row. */
     public boolean rowHoldsOneValue() {
-        return buffer[from + HEADER] == 0
-                && buffer[from + HEADER + 1] == 1
-                && intAt(from + HEADER + 2) == intAt(from + 1) - Integer.BYTES - ROW_HEAD;
+        return buffer[from + HEADER_BYTES] == 0
+                && buffer[from + HEADER_BYTES + 1] == 1
+                && intAt(from + HEADER_BYTES + 2) == intAt(from + 1) - Integer.BYTES - ROW_HEADER_BYTES;
     }
 
-    /** Takes what is here, up to so many bytes. */
-    public byte[] takeHeld(int most) {
-        byte[] taken = Arrays.copyOfRange(buffer, from, Math.min(to, from + most));
+    /** Takes what is buffered, up to so many bytes. */
+    public byte[] takeBuffered(int maxBytes) {
+        byte[] taken = Arrays.copyOfRange(buffer, from, Math.min(to, from + maxBytes));
         from += taken.length;
         return taken;
     }
 
-    /** The same for a startup message, which has no type. */
+    /** Moves to a startup message, which has no type; false where more bytes are needed for it. */
     public boolean nextStartup() throws PgException {
-        return buffered() >= Integer.BYTES && take(0, STARTUP_MOST);
+        return buffered() >= Integer.BYTES && take(0, MAX_STARTUP_BYTES);
     }
 
-    private boolean take(int typeBytes, int longest) throws PgException {
+    private boolean take(int typeBytes, int maxLength) throws PgException {
         int length = intAt(from + typeBytes);
-        // The length is checked before any byte is waited for, so that none makes the buffer grow past it.
-        if (length < Integer.BYTES || length - Integer.BYTES > longest) {
+        // Checked before the body is waited for, so that no message makes the buffer grow beyond the limit.
+        if (length < Integer.BYTES || length - Integer.BYTES > maxLength) {
             throw new PgException("a message of length " + length);
         }
         if (buffered() < typeBytes + length) {
@@ -119,33 +132,35 @@
         return true;
     }
 
+    /** The type of the current message; 0 for a startup message. */
     public byte type() {
         return type;
     }
 
+    /** The length of its body. */
     public int length() {
         return bodyTo - bodyFrom;
     }
 
-    /** The n-th four bytes of the body, from 0 on. */
-    public int intOfBody(int n) throws PgException {
-        if (length() < (n + 1) * Integer.BYTES) {
+    /** The four bytes of its body at {@code 4 * index}, as a number. */
+    public int bodyInt(int index) throws PgException {
+        if (length() < (index + 1) * Integer.BYTES) {
             throw new PgException("a body of " + length() + " bytes");
         }
-        return intAt(bodyFrom + n * Integer.BYTES);
+        return intAt(bodyFrom + index * Integer.BYTES);
     }
 
     private int intAt(int at) {
         return buffer[at] << 24 | (buffer[at + 1] & 255) << 16 | (buffer[at + 2] & 255) << 8 | buffer[at + 3] & 255;
     }
 
-    /** A copy of the body, without its length. */
+    /** A copy of its body. */
     public byte[] body() {
         return Arrays.copyOfRange(buffer, bodyFrom, bodyTo);
     }
 
-    /** The whole message, as it came, into {@code out}. */
+    /** Appends the message, as it came, to {@code out}. */
     void copyTo(ByteArrayOutputStream out) {
-        out.write(buffer, bodyFrom - HEADER, bodyTo - bodyFrom + HEADER);
+        out.write(buffer, bodyFrom - HEADER_BYTES, bodyTo - bodyFrom + HEADER_BYTES);
     }
 }
--- a/pooler/src/main/java/frostreel/pg/Messages.java
+++ b/pooler/src/main/java/frostreel/pg/Messages.java
@@ -3,13 +3,17 @@
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
 
-/** Writes the messages that the pooler words itself. */
+/** Makes the messages that the pooler itself sends, to clients and to servers. */
 public final class Messages {
+    /** Version 3.0 of the protocol, as in a startup message. */
     public static final int PROTOCOL_3 = 3 << 16;
+    /** Codes that stand in place of the version. */
     public static final int SSL_REQUEST = 80877103;
+
     public static final int GSS_REQUEST = 80877104;
     public static final int CANCEL_REQUEST = 80877102;
 
+    // SQLSTATE codes.
     public static final String REFUSED = "53300";
     public static final String STARTING = "57P03";
     public static final String PROTOCOL_VIOLATION = "08P01";
@@ -22,18 +26,18 @@
     private Messages() {}
 
     private static byte[] message(char type, byte[] body) {
-        ByteArrayOutputStream out = new ByteArrayOutputStream(body.length + 5);
+        ByteArrayOutputStream out = new ByteArrayOutputStream(body.length + MessageReader.HEADER_BYTES);
         out.write(type);
-        writeInt(out, body.length + 4);
+        writeInt(out, body.length + Integer.BYTES);
         out.writeBytes(body);
         return out.toByteArray();
     }
 
-    private static void writeInt(ByteArrayOutputStream out, int n) {
-        out.write(n >> 24);
-        out.write(n >> 16);
-        out.write(n >> 8);
-        out.write(n);
+    private static void writeInt(ByteArrayOutputStream out, int number) {
+        out.write(number >> 24);
+        out.write(number >> 16);
+        out.write(number >> 8);
+        out.write(number);
     }
 
     private static void writeText(ByteArrayOutputStream out, String text) {
@@ -42,8 +46,8 @@
     }
 
     /**
-     * What welcomes a client: AuthenticationOk, the usual parameters, the key by which it may cancel, and
-     * ReadyForQuery.
+     * The answer to a client's startup message: AuthenticationOk, the usual parameters, the key by which it may cancel
+     * a request, and ReadyForQuery.
      */
     public static byte[] welcome(int process, int secret) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
@@ -72,15 +76,23 @@
         return out.toByteArray();
     }
 
+    /** ReadyForQuery, outside of any transaction. */
     public static byte[] readyForQuery() {
         return message('Z', new byte[] {'I'});
     }
 
+    /** The answer to an empty query. */
     public static byte[] emptyQueryResponse() {
         return message('I', new byte[0]);
     }
 
-    /** {@code detail} is the field D, null for none. */
+    /**
+     * An ErrorResponse.
+     *
+     * @param fatal whether the connection ends with it
+     * @param code the SQLSTATE
+     * @param detail the field D, null for none
+     */
     public static byte[] error(boolean fatal, String code, String text, String detail) {
         ByteArrayOutputStream body = new ByteArrayOutputStream();
         String severity = fatal ? "FATAL" : "ERROR";
@@ -99,17 +111,17 @@
     public static byte[] startup() {
         ByteArrayOutputStream body = new ByteArrayOutputStream();
         writeInt(body, PROTOCOL_3);
-        for (String word : new String[] {"user", "svc", "database", "main", "application_name", "frostreel"}) {
-            writeText(body, word);
+        for (String text : new String[] {"user", "svc", "database", "main", "application_name", "frostreel"}) {
+            writeText(body, text);
         }
         body.write(0);
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        writeInt(out, body.size() + 4);
+        writeInt(out, body.size() + Integer.BYTES);
         out.writeBytes(body.toByteArray());
         return out.toByteArray();
     }
 
-    /** A simple query; {@code sql} with its end mark. */
+    /** A simple query; {@code sql}: the statement and its terminating zero byte. */
     public static byte[] query(byte[] sql) {
         return message('Q', sql);
     }
--- a/pooler/src/main/java/frostreel/pg/Reply.java
+++ b/pooler/src/main/java/frostreel/pg/Reply.java
@@ -8,15 +8,16 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * What a server has answered so far to one query, or to the startup message; owns the row's bytes until
- * whole. Messages are taken in the protocol's order and whole inner form alone: a spoilt answer may look much
- * like a good one, and what is passed on has to be what the server made for this request.
+ * What a server has answered so far to one query, or to the startup message; owns the bytes of the answer until it is
+ * complete. Messages are accepted in the protocol's order and in their complete inner form alone: a damaged answer may
+ * look much like a good one, and what is passed on has to be what the server made for this request.
  */
 public final class Reply {
+    /** How far the answer has come, by its last message. */
     private enum Part {
-        CALLED,
-        WELCOMED,
-        ASKED,
+        STARTUP_SENT,
+        AUTHENTICATED,
+        QUERY_SENT,
         DESCRIBED,
         ROW,
         COMPLETE,
@@ -24,118 +25,135 @@
         READY
     }
 
-    /** The longest row that is held until it is whole: a value of 64 KiB with its head. */
-    public static final int HELD_ROW = (1 << 16) + 6;
-    /** The longest row that is passed on; what claims to be longer is noise. */
-    private static final int MOST_ROW = 1 << 24;
+    /** The longest row that is buffered until it is complete: a value of 64 KiB with its header. */
+    public static final int MAX_BUFFERED_ROW = (1 << 16) + MessageReader.ROW_HEADER_BYTES;
+    /** The longest row that is streamed; one that claims to be longer is noise. */
+    private static final int MAX_ROW = 1 << 24;
 
-    private static final int MOST_OTHER = 1 << 13;
-    /** All messages of one answer together; notices without end are no answer either. */
-    private static final int MOST_BYTES = HELD_ROW + (1 << 16);
-    /** After its name, a described column has six numbers: table, place, type, length, modifier, format. */
-    private static final int COLUMN_NUMBERS = 18;
+    private static final int MAX_OTHER_MESSAGE = 1 << 13;
+    /** All messages of one answer together, as notices without end are no answer either. */
+    private static final int MAX_ANSWER = MAX_BUFFERED_ROW + (1 << 16);
+    /** What follows the name of a described column: table, number, type, length, modifier, format. */
+    private static final int COLUMN_DESCRIPTION_BYTES = 18;
 
-    private final ByteArrayOutputStream rows = new ByteArrayOutputStream(256);
+    private static final String TOO_MANY_CONNECTIONS = "53300";
+    private static final String READ_ONLY_TRANSACTION = "25006";
+    private static final String TOO_STALE = "72000";
+    private static final int INITIAL_ANSWER_BYTES = 256;
+    private final ByteArrayOutputStream answer = new ByteArrayOutputStream(INITIAL_ANSWER_BYTES);
     private Part part;
-    private int bytes;
+    private int receivedBytes;
     private byte[] row;
     private String errorCode;
-    private boolean errorAlone;
+    private boolean errorIsWholeAnswer;
     private boolean fatal;
     private Router.Role role = Router.Role.UNKNOWN;
     private long positionUs;
     private Router.Report report;
-    private int unread;
+    private int unreadableReports;
 
     private Reply(Part first) {
         part = first;
     }
 
+    /** The answer to the startup message, of which nothing has come. */
     public static Reply toStartup() {
-        return new Reply(Part.CALLED);
+        return new Reply(Part.STARTUP_SENT);
     }
 
+    /** The answer to a query, of which nothing has come. */
     public static Reply toQuery() {
-        return new Reply(Part.ASKED);
+        return new Reply(Part.QUERY_SENT);
     }
 
-    /** The longest body of a server's message, by its type; negative where none has that type. */
-    public static int longest(byte type) {
+    /** The longest body of a server's message of this type; negative where there is none. */
+    public static int maxLength(byte type) {
         return switch (type) {
-            case 'D' -> MOST_ROW;
+            case 'D' -> MAX_ROW;
             case 'Z' -> 1;
-            case 'T', 'C', 'S', 'E', 'R', 'N', 'K', 'A' -> MOST_OTHER;
+            case 'T', 'C', 'S', 'E', 'R', 'N', 'K', 'A' -> MAX_OTHER_MESSAGE;
             default -> -1;
         };
     }
 
-    /** Takes one message in. */
-    public void accept(MessageReader in) throws PgException {
-        bytes += in.length();
-        if (bytes > MOST_BYTES) {
-            throw new PgException("an answer of over " + MOST_BYTES + " bytes");
+    /**
+     * Takes the current message of the reader in.
+     *
+     * @throws PgException where it does not fit behind what came before
+     */
+    public void accept(MessageReader reader) throws PgException {
+        receivedBytes += reader.length();
+        if (receivedBytes > MAX_ANSWER) {
+            throw new PgException("an answer of over " + MAX_ANSWER + " bytes");
         }
-        switch (in.type()) {
+        switch (reader.type()) {
             case 'T' -> {
-                advance(part == Part.ASKED && describesOneColumn(in.body()), Part.DESCRIBED);
-                in.copyTo(rows);
+                advance(part == Part.QUERY_SENT && describesOneColumn(reader.body()), Part.DESCRIBED);
+                reader.copyTo(answer);
             }
             case 'D' -> {
-                row = in.body();
+                row = reader.body();
                 advance(part == Part.DESCRIBED && holdsOneValue(row), Part.ROW);
-                in.copyTo(rows);
+                reader.copyTo(answer);
             }
             case 'C' -> {
-                byte[] tag = in.body();
+                byte[] tag = reader.body();
                 advance(part == Part.ROW && tag.length > 1 && textEnd(tag, 0) == tag.length - 1, Part.COMPLETE);
-                in.copyTo(rows);
+                reader.copyTo(answer);
             }
             case 'E' -> {
-                errorAlone = part == Part.ASKED || part == Part.CALLED || part == Part.WELCOMED;
+                errorIsWholeAnswer = part == Part.QUERY_SENT || part == Part.STARTUP_SENT || part == Part.AUTHENTICATED;
                 advance(part != Part.COMPLETE && part != Part.ERROR, Part.ERROR);
-                error(in.body());
+                readError(reader.body());
             }
             case 'Z' ->
                 advance(
-                        (part == Part.WELCOMED || part == Part.COMPLETE || part == Part.ERROR)
-                                && in.length() == 1
-                                && in.body()[0] == 'I',
+                        (part == Part.AUTHENTICATED || part == Part.COMPLETE || part == Part.ERROR)
+                                && reader.length() == 1
+                                && reader.body()[0] == 'I',
                         Part.READY);
-            case 'R' -> advance(part == Part.CALLED && in.intOfBody(0) == 0, Part.WELCOMED);
-            case 'K' -> advance(part == Part.WELCOMED, Part.WELCOMED);
-            case 'S' -> parameter(in.body());
+            case 'R' -> advance(part == Part.STARTUP_SENT && reader.bodyInt(0) == 0, Part.AUTHENTICATED);
+            case 'K' -> advance(part == Part.AUTHENTICATED, Part.AUTHENTICATED);
+            case 'S' -> readParameter(reader.body());
             default -> {} // Notices and notifications.
         }
     }
 
     /**
-     * A row too long to be held comes next, and is passed on from here; what came before it is handed over,
-     * and only what comes after it is kept.
+     * Begins to stream a row that is too long to be buffered.
+     *
+     * @param holdsOneValue whether the row has the one column that was described
+     * @return what came before it; only what comes after it will be in the result
      */
-    public byte[] passRow(boolean holdsOneValue) throws PgException {
+    public byte[] beginLongRow(boolean holdsOneValue) throws PgException {
         advance(part == Part.DESCRIBED && holdsOneValue, Part.ROW);
-        byte[] before = rows.toByteArray();
-        rows.reset();
+        byte[] before = answer.toByteArray();
+        answer.reset();
         return before;
     }
 
-    private void advance(boolean proper, Part next) throws PgException {
-        if (!proper) {
+    private void advance(boolean fits, Part next) throws PgException {
+        if (!fits) {
             throw new PgException("a message that does not fit after " + part);
         }
         part = next;
     }
 
     private static boolean describesOneColumn(byte[] body) throws PgException {
-        return body.length > 2 && body[0] == 0 && body[1] == 1 && textEnd(body, 2) + 1 + COLUMN_NUMBERS == body.length;
+        return body.length > 2
+                && body[0] == 0
+                && body[1] == 1
+                && textEnd(body, 2) + 1 + COLUMN_DESCRIPTION_BYTES == body.length;
     }
 
     private static boolean holdsOneValue(byte[] body) {
-        ByteBuffer in = ByteBuffer.wrap(body);
-        return in.remaining() >= 6 && in.getShort() == 1 && in.getInt() == in.remaining();
+        ByteBuffer row = ByteBuffer.wrap(body);
+        return row.remaining() >= MessageReader.ROW_HEADER_BYTES
+                && row.getShort() == 1
+                && row.getInt() == row.remaining();
     }
 
-    /** Text by text, each ended by a zero byte; the offset of the one that ends the text at {@code from}. */
+    /** The offset of the zero byte that ends the text at {@code from}. */
     private static int textEnd(byte[] body, int from) throws PgException {
         for (int i = from; i < body.length; i++) {
             if (body[i] == 0) {
@@ -145,8 +163,8 @@
         throw new PgException("a text without its end mark");
     }
 
-    /** What a server tells of itself beside a value: unreadable, it is dropped, and the value stays good. */
-    private void parameter(byte[] body) {
+    /** What a server reports of itself beside a value; an unreadable report is skipped, and the value is valid. */
+    private void readParameter(byte[] body) {
         try {
             int end = textEnd(body, 0);
             String name = new String(body, 0, end, StandardCharsets.UTF_8);
@@ -156,16 +174,16 @@
                     role = value.equals("primary")
                             ? Router.Role.PRIMARY
                             : value.equals("replica") ? Router.Role.REPLICA : Router.Role.UNKNOWN;
-                case "applied_ms" -> positionUs = (long) (LoadReport.number(value) * 1000);
+                case "applied_ms" -> positionUs = (long) (LoadReport.parseNumber(value) * 1000);
                 case "load" -> report = LoadReport.parse(value);
                 default -> {}
             }
         } catch (PgException e) {
-            unread++;
+            unreadableReports++;
         }
     }
 
-    private void error(byte[] body) throws PgException {
+    private void readError(byte[] body) throws PgException {
         int at = 0;
         while (at < body.length && body[at] != 0) {
             int end = textEnd(body, at);
@@ -182,52 +200,58 @@
         }
     }
 
-    /** Whether the server has said ReadyForQuery: the connection is clean. */
+    /** Whether ReadyForQuery has come, so that the connection may be used again. */
     public boolean ready() {
         return part == Part.READY;
     }
 
-    /** Whether nothing more is to come. */
+    /** Whether nothing more is to come of this answer. */
     public boolean ended() {
         return ready() || fatal;
     }
 
+    /** The SQLSTATE of an error, null while none has come. */
     public String errorCode() {
         return errorCode;
     }
 
-    /** How many words of the server on itself could not be read. */
-    public int unread() {
-        return unread;
+    /** How many of the reports in it could not be read. */
+    public int unreadableReports() {
+        return unreadableReports;
     }
 
-    /** What the answer means, by the protocol's table; {@code broken} where the connection ended first. */
+    /** How the attempt ended; {@code broken}: whether the connection ended before the answer did. */
     public BackEnd.Result result(boolean broken) {
         Outcome outcome;
         if (errorCode != null) {
-            outcome = !errorAlone
+            outcome = !errorIsWholeAnswer
                     ? Outcome.ERROR
                     : switch (errorCode) {
-                        case "53300" -> Outcome.REJECTED;
-                        case "25006", "72000" -> Outcome.WRONG_ROLE_OR_STALE;
+                        case TOO_MANY_CONNECTIONS -> Outcome.REJECTED;
+                        case READ_ONLY_TRANSACTION, TOO_STALE -> Outcome.WRONG_ROLE_OR_STALE;
                         default -> Outcome.ERROR;
                     };
         } else {
             outcome = broken || !ready() ? Outcome.RESET : Outcome.OK;
         }
-        return new BackEnd.Result(outcome, role, positionUs, report, outcome == Outcome.OK ? rows.toByteArray() : null);
+        return new BackEnd.Result(
+                outcome, role, positionUs, report, outcome == Outcome.OK ? answer.toByteArray() : null);
     }
 
-    /** The same for a probe: the report stands in the row. */
+    /** The same for a health check, whose row holds the load report. */
     public BackEnd.Result probeResult(boolean broken) {
-        BackEnd.Result r = result(broken);
-        if (r.outcome() != Outcome.OK) {
-            return r;
+        BackEnd.Result result = result(broken);
+        if (result.outcome() != Outcome.OK) {
+            return result;
         }
         try {
-            report = LoadReport.parse(new String(row, 6, row.length - 6, StandardCharsets.UTF_8));
+            report = LoadReport.parse(new String(
+                    row,
+                    MessageReader.ROW_HEADER_BYTES,
+                    row.length - MessageReader.ROW_HEADER_BYTES,
+                    StandardCharsets.UTF_8));
         } catch (PgException e) {
-            unread++;
+            unreadableReports++;
         }
         return new BackEnd.Result(Outcome.OK, role, positionUs, report, null);
     }
