--- a/pooler/src/main/java/frostreel/pg/Statement.java
+++ b/pooler/src/main/java/frostreel/pg/Statement.java
@@ -5,54 +5,65 @@
 import java.util.Arrays;
 
 /**
- * A statement in one of the protocol's two forms, with its comment of names and values. Its bytes are kept
- * as they came; the fields that the decisions need are taken out, and only the value of {@code d} is written
- * anew for a server. Any other statement stays here: a server that cannot use one may close, and the fault
- * would be put down to the server.
+ * A statement in one of the protocol's two forms, with its comment of names and values. Its bytes are forwarded as they
+ * came, but for the value of {@code d}, the time for which the answer is waited for, which is written anew for each
+ * server. Any other statement is not forwarded: a server that cannot parse one may close its connection, and would be
+ * blamed for it.
  */
 public final class Statement implements Payload {
-    private static final long KEY_MASK = (1L << 53) - 1;
-    private static final int MOST_KEY = 256;
-    private static final int MOST_ID = 64;
-    private static final byte[] READ = ascii("SELECT v FROM records WHERE k = '");
-    private static final byte[] READ_COMMENT = ascii("' /* ");
-    private static final byte[] WRITE = ascii("INSERT INTO records (k, v) VALUES ('");
-    private static final byte[] WRITE_VALUE = ascii("', '\\x");
-    private static final byte[] WRITE_COMMENT = ascii("') RETURNING v /* ");
-    private static final byte[] END = ascii(" */\0");
-    private final byte[] sql; // With its end mark.
+    /** Sessions are numbers that a JSON number holds exactly. */
+    private static final long SESSION_MASK = (1L << 53) - 1;
+
+    private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
+    private static final long FNV_PRIME = 0x100000001b3L;
+    private static final int MAX_KEY_BYTES = 256;
+    private static final int MAX_ID_CHARS = 64;
+    private static final int UNSET = -1;
+    private static final byte[] READ_PREFIX = ascii("SELECT v FROM records WHERE k = '");
+    private static final byte[] READ_COMMENT_START = ascii("' /* ");
+    private static final byte[] WRITE_PREFIX = ascii("INSERT INTO records (k, v) VALUES ('");
+    private static final byte[] WRITE_VALUE_START = ascii("', '\\x");
+    private static final byte[] WRITE_COMMENT_START = ascii("') RETURNING v /* ");
+    private static final byte[] COMMENT_END = ascii(" */\0");
+    /** The text and its terminating zero byte. */
+    private final byte[] sql;
+
     private final boolean write;
-    private int at;
-    private long session = 0xcbf29ce484222325L;
-    private int patienceFrom = -1;
-    private int patienceTo;
+    private int position;
+    private long sessionHash = FNV_OFFSET_BASIS;
+    private int timeoutFrom = UNSET;
+    private int timeoutTo;
     private String id;
     private boolean keyed;
     private String requestClass;
-    private long patienceMs;
-    private int cluster;
+    private long timeoutMs;
+    private int group;
     private long afterMs;
     private boolean repeated;
 
     private Statement(byte[] sql) throws PgException {
         this.sql = sql;
-        write = starts(WRITE);
-        take(write ? WRITE : READ);
-        key();
+        write = startsWith(WRITE_PREFIX);
+        take(write ? WRITE_PREFIX : READ_PREFIX);
+        readKey();
         if (write) {
-            take(WRITE_VALUE);
-            value();
+            take(WRITE_VALUE_START);
+            skipValue();
         }
-        take(write ? WRITE_COMMENT : READ_COMMENT);
-        readComment(at, sql.length - END.length);
-        at = sql.length - END.length;
-        take(END);
-        if (requestClass == null || patienceFrom < 0 || id == null) {
+        take(write ? WRITE_COMMENT_START : READ_COMMENT_START);
+        readComment(position, sql.length - COMMENT_END.length);
+        position = sql.length - COMMENT_END.length;
+        take(COMMENT_END);
+        if (requestClass == null || timeoutFrom < 0 || id == null) {
             throw new PgException("a comment without id, c or d");
         }
     }
 
-    /** Parses the body of a Query message: the statement and its end mark. */
+    /**
+     * Parses the body of a Query message: the statement and its terminating zero byte.
+     *
+     * @throws PgException where it has neither of the two forms
+     */
     public static Statement parse(byte[] body) throws PgException {
         return new Statement(body);
     }
@@ -61,39 +72,40 @@
         return text.getBytes(StandardCharsets.US_ASCII);
     }
 
-    private boolean starts(byte[] word) {
-        return sql.length - at >= word.length && Arrays.equals(sql, at, at + word.length, word, 0, word.length);
+    private boolean startsWith(byte[] text) {
+        return sql.length - position >= text.length
+                && Arrays.equals(sql, position, position + text.length, text, 0, text.length);
     }
 
-    private void take(byte[] word) throws PgException {
-        if (at < 0 || !starts(word)) {
+    private void take(byte[] text) throws PgException {
+        if (position < 0 || !startsWith(text)) {
             throw new PgException("a statement in neither of the two forms served here");
         }
-        at += word.length;
+        position += text.length;
     }
 
-    /** The quoted key, of which the session's number is made. */
-    private void key() throws PgException {
-        int from = at;
-        for (; at < sql.length && sql[at] != '\''; at++) {
-            if (sql[at] < ' ' || sql[at] == '\\' || at - from >= MOST_KEY) {
+    /** Reads the quoted key, of which the number of the session is made: FNV-1a. */
+    private void readKey() throws PgException {
+        int from = position;
+        for (; position < sql.length && sql[position] != '\''; position++) {
+            if (sql[position] < ' ' || sql[position] == '\\' || position - from >= MAX_KEY_BYTES) {
                 throw new PgException("a key that is not plain text");
             }
-            session = (session ^ sql[at]) * 0x100000001b3L;
+            sessionHash = (sessionHash ^ sql[position]) * FNV_PRIME;
         }
     }
 
-    private void value() throws PgException {
-        int from = at;
-        while (at < sql.length && Character.digit(sql[at], 16) >= 0) {
-            at++;
+    private void skipValue() throws PgException {
+        int from = position;
+        while (position < sql.length && Character.digit(sql[position], 16) >= 0) {
+            position++;
         }
-        if ((at - from) % 2 != 0) {
+        if ((position - from) % 2 != 0) {
             throw new PgException("a value that is not hexadecimal");
         }
     }
 
-    /** Whether a query holds nothing but blanks. */
+    /** Whether the body of a Query message holds nothing but blanks. */
     public static boolean isEmpty(byte[] body) throws PgException {
         if (body.length == 0 || body[body.length - 1] != 0) {
             throw new PgException("a query without its end mark");
@@ -108,7 +120,7 @@
 
     private void readComment(int from, int to) throws PgException {
         for (int start = from, end; start < to; start = end + 1) {
-            int equals = -1;
+            int equals = UNSET;
             for (end = start; end < to && sql[end] != ','; end++) {
                 if (sql[end] <= ' ' || sql[end] == '*') {
                     throw new PgException("a comment of more than names and values");
@@ -126,61 +138,65 @@
         String value = new String(sql, from, to - from, StandardCharsets.US_ASCII);
         switch (name) {
             case "id" -> {
-                if (value.isEmpty() || value.length() > MOST_ID || id != null) {
+                if (value.isEmpty() || value.length() > MAX_ID_CHARS || id != null) {
                     throw new PgException("a comment whose id is none");
                 }
                 id = value;
             }
             case "c" -> requestClass = value;
             case "d" -> {
-                patienceMs = number(name, value, Integer.MAX_VALUE);
-                patienceFrom = from;
-                patienceTo = to;
+                timeoutMs = parseNumber(name, value, Integer.MAX_VALUE);
+                timeoutFrom = from;
+                timeoutTo = to;
             }
-            case "cluster" -> cluster = (int) number(name, value, Integer.MAX_VALUE);
-            case "after" -> afterMs = number(name, value, Long.MAX_VALUE / 1000);
+            case "cluster" -> group = (int) parseNumber(name, value, Integer.MAX_VALUE);
+            case "after" -> afterMs = parseNumber(name, value, Long.MAX_VALUE / 1000);
             case "k" -> keyed = !value.isEmpty();
             case "r" -> repeated = value.equals("1");
             default -> {}
         }
     }
 
-    private static long number(String name, String value, long most) throws PgException {
+    private static long parseNumber(String name, String value, long max) throws PgException {
         try {
-            long n = Long.parseLong(value);
-            if (n >= 0 && n <= most) {
-                return n;
+            long number = Long.parseLong(value);
+            if (number >= 0 && number <= max) {
+                return number;
             }
         } catch (NumberFormatException e) {
-            // Told below, like a number out of range.
+            // Thrown below, as for a number out of range.
         }
         throw new PgException("a comment whose " + name + " is no number in range");
     }
 
-    /** The request's own name, new with every request. */
+    /** The id of the request, a new one for each. */
     public String id() {
         return id;
     }
 
+    /** Whether it is a write. */
     public boolean write() {
         return write;
     }
 
-    /** Whether it carries the key by which servers drop its repeats. */
+    /** Whether it carries an idempotency key. */
     public boolean keyed() {
         return keyed;
     }
 
+    /** The name of its class. */
     public String requestClass() {
         return requestClass;
     }
 
-    public long patienceMs() {
-        return patienceMs;
+    /** For how long its client waits for the answer. */
+    public long timeoutMs() {
+        return timeoutMs;
     }
 
-    public int cluster() {
-        return cluster;
+    /** The replica group that it is for. */
+    public int group() {
+        return group;
     }
 
     /** The position that a read has to see, in Unix milliseconds; 0 for none. */
@@ -188,22 +204,23 @@
         return afterMs;
     }
 
+    /** Whether its client has sent it before. */
     public boolean repeated() {
         return repeated;
     }
 
-    /** The session: a number made of the key. */
+    /** The number of its session, made of the key. */
     public long session() {
-        return (session ^ session >>> 32) & KEY_MASK;
+        return (sessionHash ^ sessionHash >>> 32) & SESSION_MASK;
     }
 
     @Override
-    public byte[] forServer(long patienceUs) {
-        byte[] digits = Long.toString(Math.max(1, patienceUs / 1000)).getBytes(StandardCharsets.US_ASCII);
-        byte[] out = new byte[sql.length - (patienceTo - patienceFrom) + digits.length];
-        System.arraycopy(sql, 0, out, 0, patienceFrom);
-        System.arraycopy(digits, 0, out, patienceFrom, digits.length);
-        System.arraycopy(sql, patienceTo, out, patienceFrom + digits.length, sql.length - patienceTo);
+    public byte[] forServer(long timeoutUs) {
+        byte[] digits = Long.toString(Math.max(1, timeoutUs / 1000)).getBytes(StandardCharsets.US_ASCII);
+        byte[] out = new byte[sql.length - (timeoutTo - timeoutFrom) + digits.length];
+        System.arraycopy(sql, 0, out, 0, timeoutFrom);
+        System.arraycopy(digits, 0, out, timeoutFrom, digits.length);
+        System.arraycopy(sql, timeoutTo, out, timeoutFrom + digits.length, sql.length - timeoutTo);
         return Messages.query(out);
     }
 }
--- a/pooler/src/main/java/org/xnio/nio/AcceptBackOff.java
+++ b/pooler/src/main/java/org/xnio/nio/AcceptBackOff.java
@@ -5,14 +5,14 @@
 import org.xnio.channels.AcceptingChannel;
 
 /**
- * What XNIO does where the system fails an accept: it stops accepting, for 250 ms and then four times as long
- * at each next failure, up to 30 s. XNIO has no public way to see that or to end it; the methods used here
- * are this package's own, and are to be looked at when XNIO is renewed. Called on the accept thread.
+ * XNIO's back-off from accepting: where the system fails an accept, XNIO accepts nothing for 250 ms, and for four times
+ * as long at each further failure, up to 30 s. XNIO has no public way to see or to end that; the methods used here are
+ * package-private in XNIO, and have to be checked at each update of XNIO. Called on the accept thread.
  */
 public final class AcceptBackOff {
     private AcceptBackOff() {}
 
-    /** The thread on which it accepts. */
+    /** The thread on which the channel accepts; from any thread. */
     public static XnioIoThread thread(AcceptingChannel<StreamConnection> channel) {
         return handle(channel).getWorkerThread();
     }
--- a/pooler/src/main/java/org/xnio/nio/TcpServers.java
+++ b/pooler/src/main/java/org/xnio/nio/TcpServers.java
@@ -12,13 +12,12 @@
 import org.xnio.channels.AcceptingChannel;
 
 /**
- * Makes XNIO's accept thread accept from a listening socket that is open already, and call the listener on
- * that thread. XNIO has no public way to take one, and its own hides behind a queue what
- * {@link AcceptBackOff} has to see; the constructor used here is this package's own, and is to be looked at
- * when XNIO is renewed.
+ * Makes XNIO's accept thread accept from a listening socket that is open already, and call the listener on that thread.
+ * XNIO has no public way to take one, and its own server hides behind a queue what {@link AcceptBackOff} has to see;
+ * the constructor used here is package-private in XNIO, and has to be checked at each update of XNIO.
  */
 public final class TcpServers {
-    private static final int BACKLOG = 1024;
+    private static final int DEFAULT_BACKLOG = 1024;
 
     private TcpServers() {}
 
@@ -36,7 +35,7 @@
         ServerSocketChannel channel = ServerSocketChannel.open();
         try {
             channel.socket().setReuseAddress(true);
-            channel.bind(address, options.get(Options.BACKLOG, BACKLOG));
+            channel.bind(address, options.get(Options.BACKLOG, DEFAULT_BACKLOG));
             return accepting(worker, channel, listener, options);
         } catch (IOException | RuntimeException e) {
             channel.close();
@@ -45,8 +44,8 @@
     }
 
     /**
-     * The socket is descriptor 0. The channel must never be closed, only suspended: with it the JDK gives
-     * descriptors 0 to 2 to {@code /dev/null}, and the last log lines are lost.
+     * Takes descriptor 0 for the socket. The channel must only be suspended, never closed: on its close the JDK
+     * redirects descriptors 0 to 2 to {@code /dev/null}, and the last log lines are lost.
      *
      * @throws IOException where descriptor 0 is no listening socket
      */
--- a/pooler/src/test/java/frostreel/PipelineTest.java
+++ b/pooler/src/test/java/frostreel/PipelineTest.java
@@ -166,18 +166,18 @@
     @Test
     void singleByteArrivalsUseBoundedMemoryAndKeepTheirTimes() {
         ArrivalTimes times = new ArrivalTimes();
-        int idle = times.memory();
+        int idle = times.memoryBytes();
         int count = 100_000;
         long apartUs = 1500;
         for (int i = 0; i < count; i++) {
             times.add(1, i * apartUs);
         }
-        assertThat(times.memory()).isLessThanOrEqualTo(ArrivalTimes.MOST * 2 * Long.BYTES);
+        assertThat(times.memoryBytes()).isLessThanOrEqualTo(ArrivalTimes.MAX_ARRIVALS * 2 * Long.BYTES);
         for (int i = 0; i < count; i++) {
             assertThat(times.take(count - 1 - i)).isBetween(i * apartUs - count * apartUs / 60, i * apartUs);
         }
         times.add(1, count * apartUs);
-        assertThat(times.memory()).isEqualTo(idle);
+        assertThat(times.memoryBytes()).isEqualTo(idle);
         assertThat(times.take(0)).isEqualTo(count * apartUs);
     }
 }
--- a/pooler/src/test/java/frostreel/broker/BrokerTest.java
+++ b/pooler/src/test/java/frostreel/broker/BrokerTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What the broker sees to by itself where the decision module does nothing, on a clock that tests move. */
+/** What the broker ensures by itself where the router does nothing, on a clock that tests move. */
 class BrokerTest {
     private static final long DEADLINE_US = 1_000_000;
     private long nowUs;
@@ -16,7 +16,7 @@
     private final List<String> failed = new ArrayList<>();
 
     private static Router.Settings settings(long answerSlackUs) {
-        Router.RequestClass read = new Router.RequestClass(
+        Router.RequestClass readClass = new Router.RequestClass(
                 "look",
                 Router.Access.ANY,
                 Router.Idempotency.IDEMPOTENT,
@@ -32,7 +32,7 @@
                 1,
                 0,
                 5_000,
-                List.of(read),
+                List.of(readClass),
                 Router.StalenessCheck.WAIT,
                 Router.ListRole.LATE,
                 Router.SessionTracking.CARRIED,
@@ -41,23 +41,24 @@
                 new Router.Rules(answerSlackUs, 1_000_000, false, 1, 0, 1, 0));
     }
 
-    /** By a module that leaves every request unanswered. */
+    /** A broker whose router leaves every request unanswered. */
     private Broker broker(Router.Settings settings) {
-        Broker broker =
-                new Broker(() -> nowUs, deadlines, new Counters(), null, settings, 16, (told, actions) -> new Idle());
-        broker.members(Router.ListKind.FULL, List.of(new Router.Member("a", 0, 0, 2, true, Router.State.UP, 1, 0)));
+        Broker broker = new Broker(
+                () -> nowUs, deadlines, new Counters(), null, settings, 16, (given, actions) -> new IdleRouter());
+        broker.updateMembers(
+                Router.ListKind.FULL, List.of(new Router.Member("a", 0, 0, 2, true, Router.State.UP, 1, 0)));
         return broker;
     }
 
-    private void ask(Broker broker, String id) {
+    private void submit(Broker broker, String id) {
         broker.submit(
                 new Broker.RequestAttributes(id, 0, 0, 2, DEADLINE_US, 0, false),
-                patienceUs -> new byte[0],
-                new Waiting(id));
+                timeoutUs -> new byte[0],
+                new FailureRecorder(id));
     }
 
-    private void at(long us) {
-        nowUs = us;
+    private void advanceTo(long atUs) {
+        nowUs = atUs;
         deadlines.runDue();
     }
 
@@ -66,11 +67,11 @@
         for (long slackUs : new long[] {0, 4_000, 20_000, 100_000}) {
             failed.clear();
             nowUs = 0;
-            ask(broker(settings(slackUs)), "1");
+            submit(broker(settings(slackUs)), "1");
             long dueUs = DEADLINE_US + slackUs * 3 / 4;
-            at(dueUs - 1);
+            advanceTo(dueUs - 1);
             assertThat(failed).as("slack %d", slackUs).isEmpty();
-            at(dueUs);
+            advanceTo(dueUs);
             assertThat(failed).as("slack %d", slackUs).containsExactly("1");
         }
     }
@@ -78,21 +79,21 @@
     @Test
     void newSettingsBindTheSlackOfRequestsThatComeAfterThem() {
         Broker broker = broker(settings(20_000));
-        ask(broker, "before");
-        broker.settings(settings(4_000));
-        ask(broker, "after");
-        at(DEADLINE_US + 3_000);
+        submit(broker, "before");
+        broker.updateSettings(settings(4_000));
+        submit(broker, "after");
+        advanceTo(DEADLINE_US + 3_000);
         assertThat(failed).containsExactly("after");
-        at(DEADLINE_US + 14_999);
+        advanceTo(DEADLINE_US + 14_999);
         assertThat(failed).containsExactly("after");
-        at(DEADLINE_US + 15_000);
+        advanceTo(DEADLINE_US + 15_000);
         assertThat(failed).containsExactly("after", "before");
     }
 
-    private final class Waiting implements ResponseHandler {
+    private final class FailureRecorder implements ResponseHandler {
         private final String id;
 
-        Waiting(String id) {
+        FailureRecorder(String id) {
             this.id = id;
         }
 
@@ -102,7 +103,7 @@
         }
 
         @Override
-        public void refused(long retryAfterUs) {
+        public void rejected(long retryAfterUs) {
             throw new AssertionError(id);
         }
 
@@ -117,12 +118,12 @@
         }
 
         @Override
-        public boolean waits() {
+        public boolean isClientConnected() {
             return true;
         }
     }
 
-    private static final class Idle implements Router {
+    private static final class IdleRouter implements Router {
         @Override
         public void onSettings(Settings settings) {}
 
--- a/pooler/src/test/java/frostreel/net/EventLoopTest.java
+++ b/pooler/src/test/java/frostreel/net/EventLoopTest.java
@@ -6,21 +6,21 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** When the loop looks for news, on a clock that tests move. */
+/** When the loop polls for watch events, on a clock that tests move. */
 class EventLoopTest {
     private static final long SECOND_US = 1_000_000;
     private static final long STEP_US = 1_000;
     private long nowUs;
-    private int looks;
-    private long lookedUs;
+    private int polls;
+    private long lastPollUs;
     private EventLoop loop;
 
     @BeforeEach
     void begin() throws Exception {
         loop = new EventLoop(() -> nowUs);
-        loop.onNews(() -> {
-            looks++;
-            lookedUs = nowUs;
+        loop.onWatchEventPoll(() -> {
+            polls++;
+            lastPollUs = nowUs;
         });
     }
 
@@ -29,53 +29,53 @@
         loop.end();
     }
 
-    private boolean looksAfter(long us) {
-        int before = looks;
+    private boolean pollsAfter(long us) {
+        int before = polls;
         nowUs += us;
-        loop.awake();
-        return looks > before;
+        loop.pollWatchEventsIfDue();
+        return polls > before;
     }
 
-    /** By how often it looked and how long it did not, in a second that is one thing after another. */
-    private void busySecond(int mostLooks, long mostUs) {
-        looks = 0;
-        lookedUs = nowUs;
+    /** How often it polls, and how long it pauses, in a second in which it is never idle. */
+    private void busySecond(int maxPolls, long maxPauseUs) {
+        polls = 0;
+        lastPollUs = nowUs;
         for (int i = 0; i < SECOND_US / STEP_US; i++) {
-            looksAfter(STEP_US);
-            assertThat(nowUs - lookedUs).isLessThanOrEqualTo(mostUs + STEP_US);
+            pollsAfter(STEP_US);
+            assertThat(nowUs - lastPollUs).isLessThanOrEqualTo(maxPauseUs + STEP_US);
         }
-        assertThat(looks).isBetween(1, mostLooks);
+        assertThat(polls).isBetween(1, maxPolls);
     }
 
     @Test
-    void underWorkItLooksOnceInAFifthOfTheTimeInWhichSendsHaveToStop() {
-        loop.stopSendingUs(SECOND_US);
+    void whileBusyItPollsOnceInAFifthOfTheTimeInWhichSendsHaveToStop() {
+        loop.setStopSendingUs(SECOND_US);
         busySecond(5, 200_000);
-        loop.stopSendingUs(250_000);
+        loop.setStopSendingUs(250_000);
         busySecond(20, 50_000);
-        loop.stopSendingUs(0);
+        loop.setStopSendingUs(0);
         busySecond(100, 10_000);
     }
 
     @Test
-    void afterAPauseItLooksFirstWhereThatWasLongForTheRule() {
-        loop.stopSendingUs(250_000);
-        assertThat(looksAfter(50_000)).isFalse();
-        assertThat(looksAfter(1)).isTrue();
-        assertThat(looksAfter(51_000)).isTrue();
-        loop.stopSendingUs(SECOND_US);
-        assertThat(looksAfter(51_000)).isFalse();
-        assertThat(looksAfter(150_000)).isTrue();
+    void afterAPauseItPollsFirstWhereThatWasLongForTheRule() {
+        loop.setStopSendingUs(250_000);
+        assertThat(pollsAfter(50_000)).isFalse();
+        assertThat(pollsAfter(1)).isTrue();
+        assertThat(pollsAfter(51_000)).isTrue();
+        loop.setStopSendingUs(SECOND_US);
+        assertThat(pollsAfter(51_000)).isFalse();
+        assertThat(pollsAfter(150_000)).isTrue();
     }
 
     @Test
-    void whatALookBringsMayAwakeItAgainWithoutEnd() {
-        loop.stopSendingUs(0);
-        loop.onNews(() -> {
-            looks++;
-            loop.awake();
+    void whatAPollBringsMayCallForTheNextPollWithoutRecursion() {
+        loop.setStopSendingUs(0);
+        loop.onWatchEventPoll(() -> {
+            polls++;
+            loop.pollWatchEventsIfDue();
         });
-        assertThat(looksAfter(SECOND_US)).isTrue();
-        assertThat(looks).isEqualTo(1);
+        assertThat(pollsAfter(SECOND_US)).isTrue();
+        assertThat(polls).isEqualTo(1);
     }
 }
--- a/pooler/src/test/java/frostreel/net/EventLoopTimersTest.java
+++ b/pooler/src/test/java/frostreel/net/EventLoopTimersTest.java
@@ -16,18 +16,18 @@
 
 /** Timers beside sockets, on the one thread. */
 class EventLoopTimersTest {
-    /** So often a timer is set again that is due in less than a millisecond. */
-    private static final int TIMES = 2_000;
+    /** How many times a timer is set that is due in less than a millisecond. */
+    private static final int TIMER_COUNT = 2_000;
 
     private final CompletableFuture<Boolean> readInTime = new CompletableFuture<>();
     private EventLoop loop;
     private boolean read;
 
-    private void again(int left) {
+    private void setTimers(int left) {
         if (read || left == 0) {
             readInTime.complete(read);
         } else {
-            loop.deadlines().after(500, () -> again(left - 1));
+            loop.deadlines().after(500, () -> setTimers(left - 1));
         }
     }
 
@@ -46,7 +46,7 @@
                 }
             });
             stream.resumeReads(); // What is there to read was sent before.
-            again(TIMES);
+            setTimers(TIMER_COUNT);
         } catch (IOException e) {
             readInTime.completeExceptionally(e);
         }
