--- a/lab/src/main/java/frostreel/lab/virtual/Simulation.java
+++ b/lab/src/main/java/frostreel/lab/virtual/Simulation.java
@@ -1,6 +1,6 @@
 package frostreel.lab.virtual;
 
-import frostreel.broker.Broker;
+import frostreel.broker.RequestAttributes;
 import frostreel.broker.ResponseHandler;
 import frostreel.lab.model.Cluster;
 import frostreel.lab.model.Server;
@@ -293,7 +293,7 @@
         boolean isLost = reads && !carried && cluster.lost(t.group, wroteUs);
         long ledUs = isLost ? ledUs(t.group) : 0;
         t.pooler.submit(
-                new Broker.RequestAttributes(
+                new RequestAttributes(
                         id,
                         t.cls,
                         t.session,
--- a/lab/src/main/java/frostreel/lab/virtual/VirtualPooler.java
+++ b/lab/src/main/java/frostreel/lab/virtual/VirtualPooler.java
@@ -4,6 +4,7 @@
 import frostreel.broker.Broker;
 import frostreel.broker.Deadlines;
 import frostreel.broker.Payload;
+import frostreel.broker.RequestAttributes;
 import frostreel.broker.ResponseHandler;
 import frostreel.broker.SlotTable;
 import frostreel.lab.model.Links;
@@ -125,7 +126,7 @@
         broker = new Broker(kernel::now, deadlines[0], counters, this, settings, 1 << 16, maker);
     }
 
-    void submit(Broker.RequestAttributes ask, Order order, ResponseHandler caller) {
+    void submit(RequestAttributes ask, Order order, ResponseHandler caller) {
         broker.submit(ask, order, caller);
     }
 
--- a/pooler/src/main/java/frostreel/net/ClientConnection.java
+++ b/pooler/src/main/java/frostreel/net/ClientConnection.java
@@ -1,8 +1,8 @@
 package frostreel.net;
 
 import frostreel.broker.BackEnd;
-import frostreel.broker.Broker;
 import frostreel.broker.Deadlines;
+import frostreel.broker.RequestAttributes;
 import frostreel.broker.ResponseHandler;
 import frostreel.broker.SlotTable;
 import frostreel.log.EventLog;
@@ -338,7 +338,7 @@
         listener.onBusy(this);
         long handle = listener.broker()
                 .submit(
-                        new Broker.RequestAttributes(
+                        new RequestAttributes(
                                 statement.id(),
                                 requestClass,
                                 statement.session(),
--- a/pooler/src/test/java/frostreel/broker/BrokerTest.java
+++ b/pooler/src/test/java/frostreel/broker/BrokerTest.java
@@ -52,7 +52,7 @@
 
     private void submit(Broker broker, String id) {
         broker.submit(
-                new Broker.RequestAttributes(id, 0, 0, 2, DEADLINE_US, 0, false),
+                new RequestAttributes(id, 0, 0, 2, DEADLINE_US, 0, false),
                 timeoutUs -> new byte[0],
                 new FailureRecorder(id));
     }
