--- /dev/null
+++ b/pooler/src/main/java/frostreel/net/Answers.java
@@ -0,0 +1,59 @@
+package frostreel.net;
+
+import frostreel.operation.ReadinessStatus;
+import frostreel.pg.Messages;
+
+/** The answers to clients that the front end itself makes. */
+final class Answers {
+    private static final String NO_DETAIL = null;
+
+    private Answers() {}
+
+    /** The message, and behind it that the next query may come. */
+    static byte[] withReadyForQuery(byte[] message) {
+        byte[] ready = Messages.readyForQuery();
+        byte[] answer = new byte[message.length + ready.length];
+        System.arraycopy(message, 0, answer, 0, message.length);
+        System.arraycopy(ready, 0, answer, message.length, ready.length);
+        return answer;
+    }
+
+    /** What the empty query is answered: whether this process takes clients. */
+    static byte[] readiness(ReadinessStatus status) {
+        if (status == ReadinessStatus.READY) {
+            return Messages.emptyQueryResponse();
+        }
+        return error(Messages.STARTING, "takes no clients: " + status.wireName());
+    }
+
+    /** The request was rejected; {@code retryAfterUs}: for how long to wait before a retry, 0 for no advice. */
+    static byte[] rejected(long retryAfterUs) {
+        return Messages.error(
+                false,
+                Messages.REFUSED,
+                "refused: trying again is harmless",
+                retryAfterUs <= 0 ? NO_DETAIL : Long.toString(roundedUpToMs(retryAfterUs)));
+    }
+
+    private static long roundedUpToMs(long us) {
+        return (us + 999) / 1000;
+    }
+
+    static byte[] cancelled() {
+        return error(Messages.CANCELLED, "cancelled by its client");
+    }
+
+    static byte[] failed() {
+        return error(Messages.UNKNOWN_EFFECT, "failed: whether it took effect is not known");
+    }
+
+    /** An error behind which the connection goes on. */
+    static byte[] error(String code, String text) {
+        return Messages.error(false, code, text, NO_DETAIL);
+    }
+
+    /** An error that ends the connection. */
+    static byte[] fatal(String code, String text) {
+        return Messages.error(true, code, text, NO_DETAIL);
+    }
+}
--- /dev/null
+++ b/pooler/src/main/java/frostreel/net/ClientRequest.java
@@ -0,0 +1,130 @@
+package frostreel.net;
+
+import frostreel.broker.BackEnd;
+import frostreel.broker.Broker;
+import frostreel.broker.RequestAttributes;
+import frostreel.broker.ResponseHandler;
+import frostreel.broker.SlotTable;
+import frostreel.pg.Statement;
+
+/**
+ * The active request of one client's connection, of which there is at most one: submits it to the broker, and takes its
+ * answer. Used for one request after another, on the I/O thread.
+ */
+final class ClientRequest implements ResponseHandler {
+    /** Beyond so many bytes of a long response that wait for their reader, the server is not read from. */
+    private static final int MAX_PENDING_BYTES = 1 << 17;
+    /** From the client's sending, at which its timeout starts, to our reading, and back again. */
+    private static final long TRANSIT_US = 4_000;
+
+    private static final long US_PER_MS = 1000;
+
+    private final EventLoop loop;
+    private final Listener listener;
+    private final Broker broker;
+    private final SocketStream stream;
+    private final ClientConnection connection;
+    private boolean active;
+    private long handle = SlotTable.NONE;
+    /** The source of the long response that is being passed on, null for none. */
+    private BackEnd.ResponseSource responseSource;
+
+    ClientRequest(EventLoop loop, Listener listener, SocketStream stream, ClientConnection connection) {
+        this.loop = loop;
+        this.listener = listener;
+        broker = listener.broker();
+        this.stream = stream;
+        this.connection = connection;
+    }
+
+    /** Whether a request was submitted and is not answered. */
+    boolean isActive() {
+        return active;
+    }
+
+    /** Submits a request; it may be answered before this returns. */
+    void submit(Statement statement, int requestClass, long arrivedUs) {
+        long now = loop.clock().now();
+        // As of now: the router takes it as of when it receives the request, however long that waited here.
+        long sinceWriteUs = statement.afterMs() == 0 ? 0 : Math.max(1, now - statement.afterMs() * US_PER_MS);
+        long timeoutAtUs = arrivedUs + statement.timeoutMs() * US_PER_MS - TRANSIT_US;
+        RequestAttributes attributes = new RequestAttributes(
+                statement.id(),
+                requestClass,
+                statement.session(),
+                statement.group(),
+                Math.min(timeoutAtUs, listener.answerDeadlineUs()),
+                sinceWriteUs,
+                statement.repeated());
+        active = true;
+        long submitted = broker.submit(attributes, statement, this);
+        if (active) {
+            handle = submitted;
+        }
+    }
+
+    /** The client cancels its request; nothing is done where none is active. */
+    void cancel() {
+        broker.onClientCancelled(handle);
+    }
+
+    /** The client has disconnected; nothing is done where no request is active. */
+    void onClientDisconnected() {
+        broker.onClientDisconnected(handle);
+    }
+
+    /** The client has read all that was written of a long response. */
+    void onDrained() {
+        if (responseSource != null) {
+            responseSource.resume();
+        }
+    }
+
+    private void end(byte[] answer) {
+        active = false;
+        responseSource = null;
+        handle = SlotTable.NONE;
+        connection.onRequestEnded(answer);
+    }
+
+    @Override
+    public void served(byte[] answer) {
+        end(answer);
+    }
+
+    @Override
+    public BackEnd.ResponseStream longResponseBegins(BackEnd.ResponseSource source) {
+        responseSource = source;
+        return piece -> {
+            stream.write(piece);
+            if (stream.pendingBytes() > MAX_PENDING_BYTES || loop.buffersAreFull() && !stream.flushed()) {
+                source.pause();
+            }
+        };
+    }
+
+    @Override
+    public void responseBroken() {
+        connection.close();
+    }
+
+    @Override
+    public void rejected(long retryAfterUs) {
+        end(Answers.rejected(retryAfterUs));
+    }
+
+    @Override
+    public void cancelled() {
+        end(Answers.cancelled());
+    }
+
+    @Override
+    public void failed() {
+        end(Answers.failed());
+    }
+
+    @Override
+    public boolean isClientConnected() {
+        return connection.isClientConnected();
+    }
+}
