--- /dev/null
+++ b/pooler/src/test/java/frostreel/log/EventLogTest.java
@@ -0,0 +1,86 @@
+package frostreel.log;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.logging.Handler;
+import java.util.logging.LogRecord;
+import java.util.logging.Logger;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+
+/** The rate limit of lines on single requests and connections, on a clock that the tests move. */
+class EventLogTest {
+    private static final long SECOND_US = 1_000_000;
+
+    private final Logger logger = Logger.getLogger(EventLog.class.getName());
+    private final List<String> lines = new ArrayList<>();
+    private final Handler recorder = new Handler() {
+        @Override
+        public void publish(LogRecord entry) {
+            lines.add(entry.getMessage());
+        }
+
+        @Override
+        public void flush() {}
+
+        @Override
+        public void close() {}
+    };
+    private long nowUs;
+    private final EventLog log = new EventLog(() -> nowUs);
+
+    @BeforeEach
+    void record() {
+        logger.addHandler(recorder);
+    }
+
+    @AfterEach
+    void stopRecording() {
+        logger.removeHandler(recorder);
+    }
+
+    private void tell(EventLog.Kind kind, int count) {
+        for (int i = 0; i < count; i++) {
+            log.tell(kind, () -> "text");
+        }
+    }
+
+    @Test
+    void writesTwoLinesOfEachKindASecond() {
+        tell(EventLog.Kind.REQUEST_FAILED, 5);
+        tell(EventLog.Kind.CLIENT_CLOSED, 3);
+        assertThat(lines)
+                .containsExactly(
+                        "REQUEST_FAILED text", "REQUEST_FAILED text", "CLIENT_CLOSED text", "CLIENT_CLOSED text");
+    }
+
+    @Test
+    void theNextLineOfAKindSaysHowManyWereLeftOut() {
+        tell(EventLog.Kind.REQUEST_FAILED, 5);
+        nowUs = SECOND_US - 1;
+        tell(EventLog.Kind.REQUEST_FAILED, 1);
+        lines.clear();
+        nowUs = SECOND_US;
+        tell(EventLog.Kind.REQUEST_FAILED, 2);
+        assertThat(lines).containsExactly("REQUEST_FAILED text (4 more before)", "REQUEST_FAILED text");
+    }
+
+    @Test
+    void textOfALineThatIsLeftOutIsNotBuilt() {
+        tell(EventLog.Kind.REQUEST_FAILED, EventLog.MAX_LINES_PER_SECOND);
+        log.tell(EventLog.Kind.REQUEST_FAILED, () -> {
+            throw new AssertionError("built");
+        });
+        assertThat(lines).hasSize(EventLog.MAX_LINES_PER_SECOND);
+    }
+
+    @Test
+    void theSilentLogWritesNothing() {
+        EventLog silent = EventLog.silent();
+        silent.tell(EventLog.Kind.REQUEST_FAILED, () -> "text");
+        assertThat(lines).isEmpty();
+    }
+}
