--- a/decisions/src/test/java/frostreel/routing/ChainRouterTest.java
+++ b/decisions/src/test/java/frostreel/routing/ChainRouterTest.java
@@ -23,7 +23,7 @@
     void everyRequestIsAnsweredExactlyOnceBeforeItsDeadline() {
         RouterHarness harness = new SettingsBuilder().start();
         for (int requestClass = 0; requestClass <= KEYED_WRITE_ALL_ZONES; requestClass++) {
-            harness.submit("q" + requestClass, requestClass, 0, 900_000);
+            harness.submit("request" + requestClass, requestClass, 0, 900_000);
         }
         harness.advance(900_000);
         assertEquals(7, harness.rejected.stream().distinct().count());
@@ -35,9 +35,9 @@
     @Test
     void idleRouterNeitherChecksHealthNorSetsTimers() {
         RouterHarness harness = threeMembers();
-        harness.submit("q", ANY_READ);
+        harness.submit("read", ANY_READ);
         harness.advance(20_000);
-        harness.complete("q", Outcome.OK, Role.REPLICA, harness.nowUs);
+        harness.complete("read", Outcome.OK, Role.REPLICA, harness.nowUs);
         harness.advance(5_000_000);
         assertTrue(harness.healthChecked.isEmpty(), "health-checked " + harness.healthChecked);
         assertEquals(0, harness.timersSet);
@@ -46,13 +46,13 @@
     @Test
     void requestOfADisconnectedClientIsForgottenAndItsAttemptCancelled() {
         RouterHarness harness = threeMembers();
-        harness.submit("w", KEYED_WRITE);
-        harness.clientDisconnected("w");
+        harness.submit("write", KEYED_WRITE);
+        harness.clientDisconnected("write");
         harness.clientDisconnected("never seen");
-        assertEquals(List.of("w/0"), harness.cancelled);
-        harness.complete("w", Outcome.CANCELLED);
+        assertEquals(List.of("write/0"), harness.cancelled);
+        harness.complete("write", Outcome.CANCELLED);
         harness.advance(5_000_000);
-        assertEquals(1, harness.attemptCount("w"));
+        assertEquals(1, harness.attemptCount("write"));
         assertTrue(harness.failed.isEmpty() && harness.rejected.isEmpty());
     }
 
@@ -67,9 +67,9 @@
                 .seed(seed)
                 .start(primary("a", 0), replica("b", 0), replica("c", 0), replica("d", 0));
         for (int i = 0; i < 30; i++) {
-            harness.submit("q" + i, ANY_READ);
+            harness.submit("read" + i, ANY_READ);
             harness.advance(7_000);
-            harness.complete("q" + i, Outcome.OK, Role.REPLICA, harness.nowUs);
+            harness.complete("read" + i, Outcome.OK, Role.REPLICA, harness.nowUs);
         }
         return harness.attempts;
     }
--- a/decisions/src/test/java/frostreel/routing/ConcurrencyLimitTest.java
+++ b/decisions/src/test/java/frostreel/routing/ConcurrencyLimitTest.java
@@ -23,12 +23,12 @@
     void rejectingOrUnreachableMemberIsPausedForAWhile(Outcome outcome) {
         RouterHarness harness = new SettingsBuilder().start(primary("a", 0), replica("b", 0));
         for (int i = 0; i < 100; i++) {
-            harness.submit("q" + i, ANY_READ);
-            for (int j = 0; j < 2 && harness.lastAttempt("q" + i) != null; j++) {
+            harness.submit("read" + i, ANY_READ);
+            for (int j = 0; j < 2 && harness.lastAttempt("read" + i) != null; j++) {
                 harness.complete(
-                        "q" + i,
+                        "read" + i,
                         outcome,
-                        harness.lastAttempt("q" + i).member().equals("a") ? Role.PRIMARY : Role.REPLICA,
+                        harness.lastAttempt("read" + i).member().equals("a") ? Role.PRIMARY : Role.REPLICA,
                         0);
             }
             harness.advance(1_000);
@@ -44,10 +44,10 @@
     void memberWhoseServiceTimeIsAThirdOfTheObjectiveReceivesConcurrentRequests() {
         RouterHarness harness = new SettingsBuilder().start(replica("b", 0));
         for (int i = 0; i < 200; i++) {
-            harness.submit("q" + i, ANY_READ);
+            harness.submit("read" + i, ANY_READ);
             harness.advance(200_000);
-            if (harness.lastAttempt("q" + i) != null) {
-                harness.answer(harness.lastAttempt("q" + i), 200_000, Role.REPLICA);
+            if (harness.lastAttempt("read" + i) != null) {
+                harness.answer(harness.lastAttempt("read" + i), 200_000, Role.REPLICA);
             }
         }
         assertSentAtOnce(harness, ANY_READ);
@@ -58,9 +58,9 @@
     void errorsThatArriveInTimeDoNotNarrowTheWindow() {
         RouterHarness harness = new SettingsBuilder().start(primary("a", 0));
         for (int i = 0; i < 30; i++) {
-            harness.submit("w" + i, NON_IDEMPOTENT_WRITE);
+            harness.submit("write" + i, NON_IDEMPOTENT_WRITE);
             harness.advance(200_000);
-            harness.complete("w" + i, Outcome.ERROR, Role.PRIMARY, 0);
+            harness.complete("write" + i, Outcome.ERROR, Role.PRIMARY, 0);
         }
         assertSentAtOnce(harness, NON_IDEMPOTENT_WRITE);
     }
@@ -76,12 +76,12 @@
     @Test
     void readWithoutLateWeightTimesOutAtItsObjectiveOnceTheWindowIsAtItsMinimum() {
         RouterHarness harness = new SettingsBuilder().start(replica("a", 0));
-        harness.submit("q", ANY_READ);
+        harness.submit("read", ANY_READ);
         harness.advance(700_000);
-        harness.complete("q", Outcome.TIMEOUT);
+        harness.complete("read", Outcome.TIMEOUT);
         harness.advance(60_000_000);
-        harness.submit("q2", ANY_READ);
-        assertTrue(harness.lastAttempt("q2").timeoutUs() <= 600_000);
-        assertTrue(harness.lastAttempt("q2").timeoutUs() > 100_000);
+        harness.submit("read2", ANY_READ);
+        assertTrue(harness.lastAttempt("read2").timeoutUs() <= 600_000);
+        assertTrue(harness.lastAttempt("read2").timeoutUs() > 100_000);
     }
 }
--- a/decisions/src/test/java/frostreel/routing/FleetTest.java
+++ b/decisions/src/test/java/frostreel/routing/FleetTest.java
@@ -41,7 +41,7 @@
         List<RouterHarness> all = fleet(restarted, startedAt(replica("b", 0), 99_900_000));
         for (RouterHarness harness : all) {
             for (int i = 0; i < 4; i++) {
-                harness.submit("w" + i, NON_IDEMPOTENT_WRITE);
+                harness.submit("write" + i, NON_IDEMPOTENT_WRITE);
                 harness.advance(500_000);
             }
         }
@@ -67,7 +67,7 @@
                 .instances(INSTANCES)
                 .start(primary("a", 0), replica("b", 0), startedAt(replica("c", 0), 99_900_000));
         for (int i = 0; i < 400; i++) {
-            String id = "q" + i;
+            String id = "read" + i;
             harness.submit(id, ANY_READ);
             harness.advance(10_000);
             RouterHarness.Attempt sent = harness.lastAttempt(id);
@@ -102,9 +102,9 @@
         for (RouterHarness harness : all) {
             for (int i = 0; i < 30; i++) {
                 int before = harness.healthChecked.size();
-                harness.submit("q" + i, BOUNDED_READ);
+                harness.submit("read" + i, BOUNDED_READ);
                 harness.advance(100_000);
-                harness.complete("q" + i, Outcome.OK, Role.PRIMARY, harness.nowUs); // No replica is fresh enough.
+                harness.complete("read" + i, Outcome.OK, Role.PRIMARY, harness.nowUs); // No replica is fresh enough.
                 answerHealthChecks(harness, before, 5_000_000);
             }
         }
@@ -117,9 +117,9 @@
         RouterHarness harness = new SettingsBuilder()
                 .stalenessCheck(Router.StalenessCheck.WAIT)
                 .start(primary("a", 0), replica("b", 0));
-        harness.submit("q", BOUNDED_READ);
-        assertThat(harness.lastAttempt("q").member()).isEqualTo("b");
-        harness.complete("q", Outcome.WRONG_ROLE_OR_STALE, Role.REPLICA, harness.nowUs - 3_000_000);
+        harness.submit("read", BOUNDED_READ);
+        assertThat(harness.lastAttempt("read").member()).isEqualTo("b");
+        harness.complete("read", Outcome.WRONG_ROLE_OR_STALE, Role.REPLICA, harness.nowUs - 3_000_000);
         assertThat(harness.healthChecked).isEmpty();
     }
 
@@ -138,7 +138,7 @@
         List<RouterHarness> all = fleet(primary("a", 0), replica("b", 0), replica("c", 0));
         for (RouterHarness harness : all) {
             for (int i = 0; i < writes; i++) {
-                harness.submit("w" + i, NON_IDEMPOTENT_WRITE);
+                harness.submit("write" + i, NON_IDEMPOTENT_WRITE);
             }
             for (int i = 0;
                     i < harness.attempts.size();
--- a/decisions/src/test/java/frostreel/routing/FreshnessTest.java
+++ b/decisions/src/test/java/frostreel/routing/FreshnessTest.java
@@ -25,8 +25,8 @@
         RouterHarness harness = threeMembers();
         harness.healthCheckSucceeded("b", Role.REPLICA, harness.nowUs - 900_000);
         harness.healthCheckSucceeded("c", Role.REPLICA, harness.nowUs - 700_000);
-        harness.submit("q", BOUNDED_READ);
-        assertEquals("c", harness.lastAttempt("q").member());
+        harness.submit("read", BOUNDED_READ);
+        assertEquals("c", harness.lastAttempt("read").member());
     }
 
     @Test
@@ -48,15 +48,15 @@
                 .sessionTracking(SessionTracking.REMEMBERED)
                 .start(primary("a", 0), replica("b", 0));
         harness.healthCheckSucceeded("b", Role.REPLICA, harness.nowUs - 100_000);
-        harness.submit("w", NON_IDEMPOTENT_WRITE);
-        harness.complete("w", Outcome.OK, Role.PRIMARY, harness.nowUs - 5_000);
+        harness.submit("write", NON_IDEMPOTENT_WRITE);
+        harness.complete("write", Outcome.OK, Role.PRIMARY, harness.nowUs - 5_000);
         harness.advance(10_000);
-        harness.submit("q", SESSION_READ);
+        harness.submit("read", SESSION_READ);
         harness.advance(700_000);
         assertEquals(0, harness.attemptCountTo("b"));
         harness.healthCheckSucceeded("b", Role.REPLICA, harness.nowUs - 50_000);
-        harness.submit("q2", SESSION_READ);
-        assertEquals("b", harness.lastAttempt("q2").member());
+        harness.submit("read2", SESSION_READ);
+        assertEquals("b", harness.lastAttempt("read2").member());
     }
 
     /** The server may have answered and the answer may be lost: what it contained counts as known all the same. */
@@ -66,10 +66,10 @@
                 .sessionTracking(SessionTracking.REMEMBERED)
                 .start(primary("a", 0), replica("b", 0));
         harness.healthCheckSucceeded("b", Role.REPLICA, harness.nowUs - 10_000);
-        harness.submit("w", NON_IDEMPOTENT_WRITE);
+        harness.submit("write", NON_IDEMPOTENT_WRITE);
         harness.advance(150_000);
         harness.submit("while out", SESSION_READ);
-        harness.complete("w", Outcome.RESET);
+        harness.complete("write", Outcome.RESET);
         harness.submit("after", SESSION_READ);
         harness.advance(150_000);
         assertEquals(0, harness.attemptCountTo("b"));
@@ -85,14 +85,14 @@
                 .sessionTracking(SessionTracking.REMEMBERED)
                 .start(primary("a", 0), replica("b", 0));
         harness.healthCheckSucceeded("b", Role.REPLICA, harness.nowUs - 100_000);
-        harness.submit("w", NON_IDEMPOTENT_WRITE);
-        harness.submit("q", SESSION_READ);
-        assertEquals("b", harness.lastAttempt("q").member());
-        assertTrue(harness.mayStillBegin("q"));
-        harness.complete("w", Outcome.OK, Role.PRIMARY, harness.nowUs - 5_000);
-        assertFalse(harness.mayStillBegin("q"));
-        harness.complete("q", Outcome.NOT_SENT);
-        assertEquals("a", harness.lastAttempt("q").member());
+        harness.submit("write", NON_IDEMPOTENT_WRITE);
+        harness.submit("read", SESSION_READ);
+        assertEquals("b", harness.lastAttempt("read").member());
+        assertTrue(harness.mayStillBegin("read"));
+        harness.complete("write", Outcome.OK, Role.PRIMARY, harness.nowUs - 5_000);
+        assertFalse(harness.mayStillBegin("read"));
+        harness.complete("read", Outcome.NOT_SENT);
+        assertEquals("a", harness.lastAttempt("read").member());
     }
 
     /** Forgetting a commit must not permit its session to read data that is older than its write. */
@@ -101,15 +101,15 @@
         RouterHarness harness = new SettingsBuilder()
                 .sessionTracking(SessionTracking.REMEMBERED)
                 .start(primary("a", 0), replica("b", 0));
-        harness.submit("w", NON_IDEMPOTENT_WRITE);
+        harness.submit("write", NON_IDEMPOTENT_WRITE);
         long commitUs = harness.nowUs;
-        harness.complete("w", Outcome.OK, Role.PRIMARY, commitUs);
+        harness.complete("write", Outcome.OK, Role.PRIMARY, commitUs);
         harness.healthCheckSucceeded("b", Role.REPLICA, commitUs - 1_000_000);
         harness.advance(200_000_000);
         harness.submitFor(43, "other", NON_IDEMPOTENT_WRITE, 2_000_000);
         harness.complete("other", Outcome.OK, Role.PRIMARY, harness.nowUs);
         harness.advance(10_000);
-        harness.submit("q", SESSION_READ);
+        harness.submit("read", SESSION_READ);
         harness.advance(700_000);
         assertEquals(0, harness.attemptCountTo("b"));
     }
@@ -117,20 +117,20 @@
     @Test
     void demotedPrimaryServesNoReadsWithoutProofOfFreshness() {
         RouterHarness harness = threeMembers();
-        harness.submit("w", NON_IDEMPOTENT_WRITE);
-        harness.rejectAsReplicas("w", 3);
-        harness.submit("q", BOUNDED_READ);
+        harness.submit("write", NON_IDEMPOTENT_WRITE);
+        harness.rejectAsReplicas("write", 3);
+        harness.submit("read", BOUNDED_READ);
         harness.advance(300_000);
-        assertNull(harness.lastAttempt("q"), "no member is proven fresh enough");
+        assertNull(harness.lastAttempt("read"), "no member is proven fresh enough");
     }
 
     @Test
     void replicaThatChecksStalenessItselfMayBeTriedWithoutProof() {
         RouterHarness harness =
                 new SettingsBuilder().stalenessCheck(StalenessCheck.WAIT).start(primary("a", 0), replica("b", 0));
-        harness.submit("q", BOUNDED_READ);
-        assertEquals("b", harness.lastAttempt("q").member());
-        harness.complete("q", Outcome.WRONG_ROLE_OR_STALE, Role.REPLICA, 0);
-        assertEquals("a", harness.lastAttempt("q").member());
+        harness.submit("read", BOUNDED_READ);
+        assertEquals("b", harness.lastAttempt("read").member());
+        harness.complete("read", Outcome.WRONG_ROLE_OR_STALE, Role.REPLICA, 0);
+        assertEquals("a", harness.lastAttempt("read").member());
     }
 }
--- a/decisions/src/test/java/frostreel/routing/LoadSheddingTest.java
+++ b/decisions/src/test/java/frostreel/routing/LoadSheddingTest.java
@@ -29,20 +29,22 @@
         RouterHarness harness = threeMembers();
         int rejectedAtOnce = 0;
         for (int i = 0; i < 60; i++) {
-            harness.submit("q" + i, ANY_READ);
-            rejectedAtOnce += harness.lastAttempt("q" + i) == null ? 1 : 0;
+            harness.submit("read" + i, ANY_READ);
+            rejectedAtOnce += harness.lastAttempt("read" + i) == null ? 1 : 0;
             harness.advance(200_000);
-            if (harness.lastAttempt("q" + i) != null && !harness.rejected.contains("q" + i)) {
-                harness.complete("q" + i, Outcome.TIMEOUT);
+            if (harness.lastAttempt("read" + i) != null && !harness.rejected.contains("read" + i)) {
+                harness.complete("read" + i, Outcome.TIMEOUT);
             }
         }
         assertTrue(rejectedAtOnce > 20, "rejected at once: " + rejectedAtOnce);
         for (int i = 0; i < 100; i++) {
-            harness.submit("w" + i, ANY_READ);
-            assertTrue(i < 80 || harness.lastAttempt("w" + i) != null, "request " + i + " though all is well again");
+            harness.submit("recovered" + i, ANY_READ);
+            assertTrue(
+                    i < 80 || harness.lastAttempt("recovered" + i) != null,
+                    "request " + i + " though all is well again");
             harness.advance(200_000);
-            if (harness.lastAttempt("w" + i) != null) {
-                harness.complete("w" + i, Outcome.OK, Role.REPLICA, harness.nowUs);
+            if (harness.lastAttempt("recovered" + i) != null) {
+                harness.complete("recovered" + i, Outcome.OK, Role.REPLICA, harness.nowUs);
             }
         }
     }
@@ -57,18 +59,18 @@
         int ended = 0;
         for (int i = 0; i < 60; i++) {
             for (int j = 0; j < 6; j++) {
-                harness.submit("q" + i + j, ANY_READ);
+                harness.submit("read" + i + j, ANY_READ);
             }
             harness.advance(200_000);
             for (; ended < harness.attempts.size(); ended++) { // Each completion may start another attempt.
                 RouterHarness.Attempt read = harness.attempts.get(ended);
-                if (read.requestId().startsWith("q")) {
+                if (read.requestId().startsWith("read")) {
                     harness.complete(read.requestId(), read.member().equals("a") ? Outcome.ERROR : Outcome.TIMEOUT);
                 }
             }
-            harness.submit("w" + i, NON_IDEMPOTENT_WRITE);
-            assertEquals("a", harness.lastAttempt("w" + i).member(), "write " + i);
-            harness.complete("w" + i, Outcome.OK, Role.PRIMARY, harness.nowUs);
+            harness.submit("write" + i, NON_IDEMPOTENT_WRITE);
+            assertEquals("a", harness.lastAttempt("write" + i).member(), "write " + i);
+            harness.complete("write" + i, Outcome.OK, Role.PRIMARY, harness.nowUs);
         }
         assertTrue(harness.rejected.size() > 10, "reads rejected: " + harness.rejected.size());
     }
@@ -78,10 +80,10 @@
     void failureOfAThirdOfTheRequestsShedsNoLoad() {
         RouterHarness harness = threeMembers();
         for (int i = 0; i < 90; i++) {
-            harness.submit("q" + i, NON_IDEMPOTENT_WRITE);
-            assertNotNull(harness.lastAttempt("q" + i), "request " + i);
+            harness.submit("write" + i, NON_IDEMPOTENT_WRITE);
+            assertNotNull(harness.lastAttempt("write" + i), "request " + i);
             harness.advance(100_000);
-            harness.complete("q" + i, i % 3 == 2 ? Outcome.ERROR : Outcome.OK, Role.PRIMARY, harness.nowUs);
+            harness.complete("write" + i, i % 3 == 2 ? Outcome.ERROR : Outcome.OK, Role.PRIMARY, harness.nowUs);
         }
     }
 
@@ -90,9 +92,9 @@
     void errorsAloneShedNoLoad() {
         RouterHarness harness = threeMembers();
         for (int i = 0; i < 60; i++) {
-            harness.submit("w" + i, NON_IDEMPOTENT_WRITE);
-            assertNotNull(harness.lastAttempt("w" + i), "request " + i);
-            harness.complete("w" + i, Outcome.ERROR, Role.PRIMARY, 0);
+            harness.submit("write" + i, NON_IDEMPOTENT_WRITE);
+            assertNotNull(harness.lastAttempt("write" + i), "request " + i);
+            harness.complete("write" + i, Outcome.ERROR, Role.PRIMARY, 0);
             harness.advance(100_000);
         }
     }
--- a/decisions/src/test/java/frostreel/routing/MembershipTest.java
+++ b/decisions/src/test/java/frostreel/routing/MembershipTest.java
@@ -32,7 +32,7 @@
             RouterHarness harness = threeMembers();
             harness.updateMembers(ListKind.CHANGES, inState(primary("a", 0), state));
             harness.healthCheckSucceeded("a", Role.PRIMARY, harness.nowUs);
-            harness.submit("q", requestClass);
+            harness.submit("request", requestClass);
             harness.advance(3_000_000);
             assertEquals(0, harness.attemptCountTo("a"));
         }
@@ -46,9 +46,9 @@
         harness.advance(200_000_000);
         harness.updateMembers(ListKind.FULL, replica("b", 0), replica("c", 1));
         harness.healthCheckFailed("a");
-        harness.submit("w", NON_IDEMPOTENT_WRITE);
+        harness.submit("write", NON_IDEMPOTENT_WRITE);
         harness.advance(50_000);
-        harness.complete("w", Outcome.OK, Role.PRIMARY, 0);
+        harness.complete("write", Outcome.OK, Role.PRIMARY, 0);
         assertEquals(0, harness.attemptCountTo("a"));
         assertEquals(1, harness.attempts.size());
     }
@@ -57,7 +57,7 @@
     void memberMissingFromAFullListReceivesNothing() {
         RouterHarness harness = threeMembers();
         harness.updateMembers(ListKind.FULL, replica("b", 0), replica("c", 1));
-        harness.submit("w", NON_IDEMPOTENT_WRITE);
+        harness.submit("write", NON_IDEMPOTENT_WRITE);
         harness.advance(500_000);
         assertEquals(0, harness.attemptCountTo("a"));
     }
@@ -67,11 +67,11 @@
         RouterHarness harness =
                 new SettingsBuilder().onlyDrainingIsBinding(true).start(primary("a", 0));
         harness.updateMembers(ListKind.FULL);
-        harness.submit("w", NON_IDEMPOTENT_WRITE);
-        assertEquals("a", harness.lastAttempt("w").member());
+        harness.submit("write", NON_IDEMPOTENT_WRITE);
+        assertEquals("a", harness.lastAttempt("write").member());
         harness.updateMembers(ListKind.CHANGES, inState(primary("a", 0), State.DRAINING));
-        harness.submit("x", NON_IDEMPOTENT_WRITE);
-        assertNull(harness.lastAttempt("x"));
+        harness.submit("second write", NON_IDEMPOTENT_WRITE);
+        assertNull(harness.lastAttempt("second write"));
     }
 
     @Test
@@ -79,8 +79,8 @@
         RouterHarness harness = new SettingsBuilder().subscribe(true).start(primary("a", 0));
         assertEquals(1, harness.subscriptions);
         harness.updateMembers(ListKind.FAILED);
-        harness.submit("w", NON_IDEMPOTENT_WRITE);
-        assertEquals("a", harness.lastAttempt("w").member());
+        harness.submit("write", NON_IDEMPOTENT_WRITE);
+        assertEquals("a", harness.lastAttempt("write").member());
         harness.advance(1_000_000);
         assertEquals(2, harness.subscriptions);
     }
@@ -94,18 +94,18 @@
         RouterHarness harness =
                 new SettingsBuilder().onlyDrainingIsBinding(true).start(primary("b", 0), replica("c", 1));
         harness.updateMembers(ListKind.CHANGES, replica("a", 0));
-        harness.submit("q", ANY_READ);
-        harness.submit("w", NON_IDEMPOTENT_WRITE);
-        assertEquals("c", harness.lastAttempt("q").member());
+        harness.submit("read", ANY_READ);
+        harness.submit("write", NON_IDEMPOTENT_WRITE);
+        assertEquals("c", harness.lastAttempt("read").member());
         assertEquals(List.of("a"), harness.healthChecked);
-        harness.complete("w", Outcome.WRONG_ROLE_OR_STALE, Role.REPLICA, 0);
-        assertEquals("c", harness.lastAttempt("w").member(), "an unverified member is the last of the chain");
+        harness.complete("write", Outcome.WRONG_ROLE_OR_STALE, Role.REPLICA, 0);
+        assertEquals("c", harness.lastAttempt("write").member(), "an unverified member is the last of the chain");
         harness.healthCheckFailed("a");
-        harness.submit("q2", ANY_READ);
+        harness.submit("read2", ANY_READ);
         assertEquals(0, harness.attemptCountTo("a"));
         harness.healthCheckSucceeded("a", Role.REPLICA, harness.nowUs);
-        harness.submit("q3", ANY_READ);
-        assertEquals("a", harness.lastAttempt("q3").member());
+        harness.submit("read3", ANY_READ);
+        assertEquals("a", harness.lastAttempt("read3").member());
     }
 
     /** Unverified members must not stay for ever where only draining is binding. */
@@ -116,8 +116,8 @@
         harness.updateMembers(ListKind.FULL, replica("a", 0), primary("b", 0));
         harness.updateMembers(ListKind.FULL, primary("b", 0));
         harness.updateMembers(ListKind.FULL, primary("b", 0));
-        harness.submit("w", NON_IDEMPOTENT_WRITE);
-        harness.complete("w", Outcome.WRONG_ROLE_OR_STALE, Role.REPLICA, 0);
+        harness.submit("write", NON_IDEMPOTENT_WRITE);
+        harness.complete("write", Outcome.WRONG_ROLE_OR_STALE, Role.REPLICA, 0);
         harness.advance(1_000_000);
         assertEquals(0, harness.attemptCountTo("a"));
         assertFalse(harness.healthChecked.contains("a"));
--- a/decisions/src/test/java/frostreel/routing/OutlierDetectionTest.java
+++ b/decisions/src/test/java/frostreel/routing/OutlierDetectionTest.java
@@ -16,13 +16,13 @@
     void failingReplicaLosesItsReadsButIsTriedAgainLater() {
         RouterHarness harness = new SettingsBuilder().start(primary("a", 0), replica("b", 0), replica("c", 0));
         for (int i = 0; i < 400; i++) {
-            harness.submit("q" + i, ANY_READ);
+            harness.submit("read" + i, ANY_READ);
             harness.advance(10_000);
-            RouterHarness.Attempt attempt = harness.lastAttempt("q" + i);
+            RouterHarness.Attempt attempt = harness.lastAttempt("read" + i);
             if (attempt.member().equals("b")) {
-                harness.complete("q" + i, Outcome.ERROR, Role.REPLICA, 0);
+                harness.complete("read" + i, Outcome.ERROR, Role.REPLICA, 0);
             }
-            harness.complete("q" + i, Outcome.OK, Role.REPLICA, harness.nowUs);
+            harness.complete("read" + i, Outcome.OK, Role.REPLICA, harness.nowUs);
         }
         assertTrue(
                 harness.attemptCountTo("b") < harness.attemptCountTo("c") / 4,
@@ -40,9 +40,9 @@
     void slowReplicaReceivesLessThanItsPeer() {
         RouterHarness harness = new SettingsBuilder().start(primary("a", 0), replica("b", 0), replica("c", 0));
         for (int i = 0; i < 300; i++) {
-            harness.submit("q" + i, ANY_READ);
+            harness.submit("read" + i, ANY_READ);
             harness.advance(10_000);
-            RouterHarness.Attempt attempt = harness.lastAttempt("q" + i);
+            RouterHarness.Attempt attempt = harness.lastAttempt("read" + i);
             harness.answer(attempt, attempt.member().equals("b") ? 500_000 : 50_000, Role.REPLICA);
         }
         assertTrue(
@@ -55,9 +55,9 @@
     void allMembersKeepServingWhenAllAreSlow() {
         RouterHarness harness = new SettingsBuilder().start(primary("a", 0), replica("b", 0), replica("c", 0));
         for (int i = 0; i < 200; i++) {
-            harness.submit("q" + i, ANY_READ);
+            harness.submit("read" + i, ANY_READ);
             harness.advance(10_000);
-            RouterHarness.Attempt attempt = harness.lastAttempt("q" + i);
+            RouterHarness.Attempt attempt = harness.lastAttempt("read" + i);
             assertNotNull(attempt, "request " + i + " waits although nothing is in flight");
             harness.answer(attempt, 900_000, attempt.member().equals("a") ? Role.PRIMARY : Role.REPLICA);
         }
--- a/decisions/src/test/java/frostreel/routing/PrimarySearchTest.java
+++ b/decisions/src/test/java/frostreel/routing/PrimarySearchTest.java
@@ -20,28 +20,28 @@
     @Test
     void writeGoesToTheListedPrimaryAndMovesToTheNextMemberWhenTheRoleIsWrong() {
         RouterHarness harness = threeMembers();
-        harness.submit("w", NON_IDEMPOTENT_WRITE);
-        assertEquals("a", harness.lastAttempt("w").member());
-        harness.complete("w", Outcome.WRONG_ROLE_OR_STALE, Role.REPLICA, 0);
-        assertEquals("b", harness.lastAttempt("w").member());
-        harness.complete("w", Outcome.WRONG_ROLE_OR_STALE, Role.REPLICA, 0);
-        assertEquals("c", harness.lastAttempt("w").member());
+        harness.submit("write", NON_IDEMPOTENT_WRITE);
+        assertEquals("a", harness.lastAttempt("write").member());
+        harness.complete("write", Outcome.WRONG_ROLE_OR_STALE, Role.REPLICA, 0);
+        assertEquals("b", harness.lastAttempt("write").member());
+        harness.complete("write", Outcome.WRONG_ROLE_OR_STALE, Role.REPLICA, 0);
+        assertEquals("c", harness.lastAttempt("write").member());
     }
 
     @Test
     void writesAreQueuedOnceEveryMemberRejectedTheRoleAndReleasedWhenAPrimaryReports() {
         RouterHarness harness = threeMembers();
-        harness.submit("w", NON_IDEMPOTENT_WRITE);
-        harness.rejectAsReplicas("w", 3);
-        harness.submit("x", NON_IDEMPOTENT_WRITE);
-        assertEquals(3, harness.attemptCount("w"));
-        assertNull(harness.lastAttempt("x"));
+        harness.submit("write", NON_IDEMPOTENT_WRITE);
+        harness.rejectAsReplicas("write", 3);
+        harness.submit("second write", NON_IDEMPOTENT_WRITE);
+        assertEquals(3, harness.attemptCount("write"));
+        assertNull(harness.lastAttempt("second write"));
         harness.advance(1_000_000);
         assertTrue(harness.healthChecked.containsAll(List.of("a", "b", "c")), "the search visits the whole chain");
         assertTrue(harness.rejected.isEmpty() && harness.failed.isEmpty());
         harness.healthCheckSucceeded("c", Role.PRIMARY, harness.nowUs - 50_000);
-        assertEquals("c", harness.lastAttempt("w").member());
-        assertEquals("c", harness.lastAttempt("x").member());
+        assertEquals("c", harness.lastAttempt("write").member());
+        assertEquals("c", harness.lastAttempt("second write").member());
     }
 
     @ParameterizedTest
@@ -49,12 +49,14 @@
     void searchSendsASingleTrialWriteWhereHealthChecksReportNoRoles(Router.Probes probes) {
         RouterHarness harness =
                 new SettingsBuilder().probes(probes).start(primary("a", 0), replica("b", 0), replica("c", 1));
-        harness.submit("w", NON_IDEMPOTENT_WRITE);
-        harness.rejectAsReplicas("w", 3);
-        harness.submit("x", NON_IDEMPOTENT_WRITE);
+        harness.submit("write", NON_IDEMPOTENT_WRITE);
+        harness.rejectAsReplicas("write", 3);
+        harness.submit("second write", NON_IDEMPOTENT_WRITE);
         harness.advance(100_000);
         assertTrue(harness.healthChecked.isEmpty());
         assertEquals(
-                4, harness.attemptCount("w") + harness.attemptCount("x"), "one queued write is sent, the rest wait");
+                4,
+                harness.attemptCount("write") + harness.attemptCount("second write"),
+                "one queued write is sent, the rest wait");
     }
 }
--- a/decisions/src/test/java/frostreel/routing/PrimaryTrackingTest.java
+++ b/decisions/src/test/java/frostreel/routing/PrimaryTrackingTest.java
@@ -18,24 +18,24 @@
     @Test
     void primaryConfirmedByAnAnswerIsNotReplacedByALateMemberList() {
         RouterHarness harness = threeMembers();
-        harness.submit("w", KEYED_WRITE);
-        harness.complete("w", Outcome.WRONG_ROLE_OR_STALE, Role.REPLICA, 0);
-        harness.complete("w", Outcome.OK, Role.PRIMARY, 0);
+        harness.submit("write", KEYED_WRITE);
+        harness.complete("write", Outcome.WRONG_ROLE_OR_STALE, Role.REPLICA, 0);
+        harness.complete("write", Outcome.OK, Role.PRIMARY, 0);
         harness.advance(20_000);
         harness.updateMembers(ListKind.FULL, primary("a", 0), replica("b", 0), replica("c", 1));
-        harness.submit("x", KEYED_WRITE);
-        assertEquals("b", harness.lastAttempt("x").member());
+        harness.submit("second write", KEYED_WRITE);
+        assertEquals("b", harness.lastAttempt("second write").member());
     }
 
     @Test
     void primaryConfirmedByAnAnswerIsNotReplacedByAnOldReport() {
         RouterHarness harness = threeMembers();
-        harness.submit("w", KEYED_WRITE);
-        harness.complete("w", Outcome.WRONG_ROLE_OR_STALE, Role.REPLICA, 0);
-        harness.complete("w", Outcome.OK, Role.PRIMARY, 0);
+        harness.submit("write", KEYED_WRITE);
+        harness.complete("write", Outcome.WRONG_ROLE_OR_STALE, Role.REPLICA, 0);
+        harness.complete("write", Outcome.OK, Role.PRIMARY, 0);
         harness.healthCheckSucceeded("a", Role.PRIMARY, harness.nowUs - 300_000);
-        harness.submit("x", KEYED_WRITE);
-        assertEquals("b", harness.lastAttempt("x").member());
+        harness.submit("second write", KEYED_WRITE);
+        assertEquals("b", harness.lastAttempt("second write").member());
     }
 
     @Test
--- a/decisions/src/test/java/frostreel/routing/ReplicaSelectionTest.java
+++ b/decisions/src/test/java/frostreel/routing/ReplicaSelectionTest.java
@@ -22,30 +22,30 @@
     @Test
     void replicaInTheOwnZoneIsPreferredAndThePrimarySpared() {
         RouterHarness harness = threeMembers();
-        harness.submit("q", ANY_READ);
-        assertEquals("b", harness.lastAttempt("q").member());
+        harness.submit("read", ANY_READ);
+        assertEquals("b", harness.lastAttempt("read").member());
     }
 
     @Test
     void readsWaitForAHealthCheckWhereTheListNamesNoRoles() {
         RouterHarness harness = new SettingsBuilder().listRole(ListRole.SILENT).start(replica("a", 0), replica("b", 0));
-        harness.submit("q", BOUNDED_READ);
-        assertNull(harness.lastAttempt("q"));
+        harness.submit("read", BOUNDED_READ);
+        assertNull(harness.lastAttempt("read"));
         assertFalse(harness.healthChecked.isEmpty());
         harness.healthCheckSucceeded(harness.healthChecked.get(0), Role.REPLICA, harness.nowUs - 100_000);
-        assertEquals(harness.healthChecked.get(0), harness.lastAttempt("q").member());
+        assertEquals(harness.healthChecked.get(0), harness.lastAttempt("read").member());
     }
 
     /** Checking every replica for a single read costs a fleet of low-traffic routers more than the reads themselves. */
     @Test
     void readWithoutAProvenReplicaChecksOneReplicaAtATimeAndThePrimaryLast() {
         RouterHarness harness = threeMembers();
-        harness.submit("q", BOUNDED_READ);
+        harness.submit("read", BOUNDED_READ);
         assertEquals(List.of("b"), harness.healthChecked);
         harness.healthCheckSucceeded("b", Role.REPLICA, harness.nowUs - 2_000_000);
         assertEquals(List.of("b", "c"), harness.healthChecked);
         harness.healthCheckSucceeded("c", Role.REPLICA, harness.nowUs - 200_000);
-        assertEquals("c", harness.lastAttempt("q").member());
+        assertEquals("c", harness.lastAttempt("read").member());
     }
 
     /** Hundreds of routers that each rotate over all members would fill the connection tables of the members. */
@@ -53,9 +53,9 @@
     void lowTrafficRouterKeepsToTheReplicaItIsConnectedTo() {
         RouterHarness harness = new SettingsBuilder().start(primary("a", 0), replica("b", 0), replica("c", 0));
         for (int i = 0; i < 8; i++) {
-            harness.submit("q" + i, ANY_READ);
+            harness.submit("read" + i, ANY_READ);
             harness.advance(50_000);
-            harness.complete("q" + i, Outcome.OK, Role.REPLICA, harness.nowUs);
+            harness.complete("read" + i, Outcome.OK, Role.REPLICA, harness.nowUs);
             harness.advance(4_000_000);
         }
         assertTrue(harness.attemptCountTo("b") == 8 || harness.attemptCountTo("c") == 8);
--- a/decisions/src/test/java/frostreel/routing/RetryTest.java
+++ b/decisions/src/test/java/frostreel/routing/RetryTest.java
@@ -26,17 +26,17 @@
     @EnumSource(Outcome.class)
     void nonIdempotentWriteIsRetriedOnlyAfterProofThatItDidNotRun(Outcome outcome) {
         RouterHarness harness = threeMembers();
-        harness.submit("w", NON_IDEMPOTENT_WRITE);
-        harness.complete("w", outcome);
+        harness.submit("write", NON_IDEMPOTENT_WRITE);
+        harness.complete("write", outcome);
         harness.advance(1_000_000);
         if (outcome == Outcome.OK) {
             assertTrue(harness.failed.isEmpty() && harness.rejected.isEmpty());
         } else if (outcome.provesNotRun) {
-            assertTrue(harness.attemptCount("w") > 1, "retried");
+            assertTrue(harness.attemptCount("write") > 1, "retried");
             assertTrue(harness.failed.isEmpty());
         } else {
-            assertEquals(1, harness.attemptCount("w"));
-            assertEquals(List.of("w"), harness.failed);
+            assertEquals(1, harness.attemptCount("write"));
+            assertEquals(List.of("write"), harness.failed);
             assertTrue(harness.rejected.isEmpty(), "a rejection would say that it never ran");
         }
     }
@@ -47,20 +47,20 @@
             names = {"ERROR", "TIMEOUT", "RESET", "CANCELLED"})
     void keyedWriteIsRetriedWithinItsDeduplicationWindowAndFailsAfterIt(Outcome unknown) {
         RouterHarness harness = threeMembers();
-        harness.submit("w", KEYED_WRITE, 0, 4_900_000);
+        harness.submit("write", KEYED_WRITE, 0, 4_900_000);
         long startUs = harness.nowUs;
         long attempts = 0;
         while (harness.failed.isEmpty() && harness.nowUs < startUs + 4_900_000) {
-            if (harness.attemptCount("w") > attempts) {
-                attempts = harness.attemptCount("w");
+            if (harness.attemptCount("write") > attempts) {
+                attempts = harness.attemptCount("write");
                 assertTrue(harness.nowUs < startUs + 3_000_000, "retried after the window");
                 harness.advance(30_000);
-                harness.complete("w", unknown);
+                harness.complete("write", unknown);
             }
             harness.advance(10_000);
         }
         assertTrue(attempts > 1);
-        assertEquals(List.of("w"), harness.failed);
+        assertEquals(List.of("write"), harness.failed);
         assertTrue(harness.rejected.isEmpty());
         assertTrue(harness.nowUs < startUs + 3_100_000, "fails as soon as no retry is possible");
     }
@@ -74,13 +74,14 @@
     void keyedWriteToAPrimaryThatReportsHighUtilizationIsNotTimedOutForARetry(
             double utilization, boolean untilDeadline) {
         RouterHarness harness = threeMembers();
-        harness.submit("v", KEYED_WRITE);
-        harness.complete("v", Outcome.OK, Role.PRIMARY, 0);
+        harness.submit("first write", KEYED_WRITE);
+        harness.complete("first write", Outcome.OK, Role.PRIMARY, 0);
         harness.healthCheckSucceeded(
                 "a", new Router.Report(harness.nowUs, Role.PRIMARY, utilization, Double.NaN, Double.NaN));
-        harness.submit("w", KEYED_WRITE, 0, 2_900_000);
-        assertEquals("a", harness.lastAttempt("w").member());
-        assertEquals(untilDeadline, harness.lastAttempt("w").timeoutUs() == 2_900_000, "timeout up to the deadline");
+        harness.submit("write", KEYED_WRITE, 0, 2_900_000);
+        assertEquals("a", harness.lastAttempt("write").member());
+        assertEquals(
+                untilDeadline, harness.lastAttempt("write").timeoutUs() == 2_900_000, "timeout up to the deadline");
     }
 
     /** Where no report tells that a primary is busy, its late answers do: a retried write would add to its queue. */
@@ -90,12 +91,12 @@
         RouterHarness late = settings.start(primary("a", 0), replica("b", 0));
         RouterHarness soon = settings.start(primary("a", 0), replica("b", 0));
         for (int i = 0; i < 8; i++) {
-            late.submit("w" + i, KEYED_WRITE);
-            soon.submit("w" + i, KEYED_WRITE);
-            soon.complete("w" + i, Outcome.OK, Role.PRIMARY, soon.nowUs);
+            late.submit("write" + i, KEYED_WRITE);
+            soon.submit("write" + i, KEYED_WRITE);
+            soon.complete("write" + i, Outcome.OK, Role.PRIMARY, soon.nowUs);
             late.advance(400_000);
             soon.advance(400_000);
-            late.answer(late.lastAttempt("w" + i), 800_000, Role.PRIMARY);
+            late.answer(late.lastAttempt("write" + i), 800_000, Role.PRIMARY);
         }
         late.submit("last", KEYED_WRITE);
         soon.submit("last", KEYED_WRITE);
@@ -108,9 +109,9 @@
     @Test
     void writeKeyedAcrossAllMembersMayBeRejectedAfterAnUnknownOutcome() {
         RouterHarness harness = new SettingsBuilder().maxAttempts(1).start(primary("a", 0));
-        harness.submit("w", KEYED_WRITE_ALL_ZONES);
-        harness.complete("w", Outcome.TIMEOUT);
-        assertEquals(List.of("w"), harness.rejected);
+        harness.submit("write", KEYED_WRITE_ALL_ZONES);
+        harness.complete("write", Outcome.TIMEOUT);
+        assertEquals(List.of("write"), harness.rejected);
     }
 
     /**
@@ -127,31 +128,31 @@
     })
     void writeKeyedWithinOneZoneIsRetriedInThatZoneOnly(Outcome first, String primary, boolean again) {
         RouterHarness harness = threeMembers(); // a and b are in one zone, c is in another.
-        harness.submit("w", KEYED_WRITE_ONE_ZONE);
-        assertEquals("a", harness.lastAttempt("w").member());
-        harness.complete("w", first);
+        harness.submit("write", KEYED_WRITE_ONE_ZONE);
+        assertEquals("a", harness.lastAttempt("write").member());
+        harness.complete("write", first);
         harness.healthCheckSucceeded(primary, Role.PRIMARY, harness.nowUs + 1);
         harness.advance(3_200_000);
         assertEquals(again, harness.attemptCountTo(primary) > 0);
-        assertEquals(again ? List.of() : List.of("w"), harness.failed);
+        assertEquals(again ? List.of() : List.of("write"), harness.failed);
         assertEquals(List.of(), harness.rejected);
     }
 
     @Test
     void outcomeAtTheDeadlineEndsTheRequestAtOnce() {
         RouterHarness harness = threeMembers();
-        harness.submit("w", NON_IDEMPOTENT_WRITE, 0, 1_000_000);
+        harness.submit("write", NON_IDEMPOTENT_WRITE, 0, 1_000_000);
         harness.advance(1_005_000);
-        harness.complete("w", Outcome.TIMEOUT);
-        assertEquals(List.of("w"), harness.failed);
+        harness.complete("write", Outcome.TIMEOUT);
+        assertEquals(List.of("write"), harness.failed);
     }
 
     @Test
     void requestNeverHasTwoAttemptsInFlight() {
         RouterHarness harness = threeMembers();
-        harness.submit("w", KEYED_WRITE);
+        harness.submit("write", KEYED_WRITE);
         harness.advance(2_900_000);
-        assertEquals(1, harness.attemptCount("w"));
+        assertEquals(1, harness.attemptCount("write"));
     }
 
     /** Members that were gone once kept a read from its second round. */
@@ -159,10 +160,10 @@
     void readThatFailedOnEveryUsableMemberGetsASecondRound() {
         RouterHarness harness = threeMembers();
         harness.updateMembers(ListKind.FULL, primary("a", 0), replica("b", 0));
-        harness.submit("q", ANY_READ);
-        harness.complete("q", Outcome.ERROR, Role.REPLICA, 0);
-        harness.complete("q", Outcome.ERROR, Role.PRIMARY, 0);
+        harness.submit("read", ANY_READ);
+        harness.complete("read", Outcome.ERROR, Role.REPLICA, 0);
+        harness.complete("read", Outcome.ERROR, Role.PRIMARY, 0);
         harness.advance(200_000);
-        assertEquals(3, harness.attemptCount("q"));
+        assertEquals(3, harness.attemptCount("read"));
     }
 }
--- a/decisions/src/test/java/frostreel/routing/SlowStartRoutingTest.java
+++ b/decisions/src/test/java/frostreel/routing/SlowStartRoutingTest.java
@@ -20,10 +20,10 @@
         RouterHarness harness =
                 new SettingsBuilder().start(primary("a", 0), replica("b", 0), startedAt(replica("c", 0), 99_900_000));
         for (int i = 0; i < 400; i++) {
-            harness.submit("q" + i, ANY_READ);
+            harness.submit("read" + i, ANY_READ);
             harness.advance(10_000);
-            if (harness.lastAttempt("q" + i) != null) {
-                harness.complete("q" + i, Outcome.OK, Role.REPLICA, harness.nowUs);
+            if (harness.lastAttempt("read" + i) != null) {
+                harness.complete("read" + i, Outcome.OK, Role.REPLICA, harness.nowUs);
             }
         }
         assertTrue(harness.attemptCountTo("c") > 0, "it gets some");
@@ -38,13 +38,13 @@
         RouterHarness harness =
                 new SettingsBuilder().start(primary("a", 0), replica("b", 0), startedAt(replica("c", 0), 99_900_000));
         for (int i = 0; i < 300; i++) {
-            harness.submit("q" + i, ANY_READ);
+            harness.submit("read" + i, ANY_READ);
             for (int j = 0;
                     j < 3
-                            && harness.lastAttempt("q" + i) != null
-                            && !harness.lastAttempt("q" + i).member().equals("c");
+                            && harness.lastAttempt("read" + i) != null
+                            && !harness.lastAttempt("read" + i).member().equals("c");
                     j++) {
-                harness.complete("q" + i, Outcome.REJECTED, Role.REPLICA, harness.nowUs);
+                harness.complete("read" + i, Outcome.REJECTED, Role.REPLICA, harness.nowUs);
             }
             harness.advance(5_000);
         }
@@ -59,12 +59,12 @@
     void attemptThatWaitsForAConnectionIsHeldToSlowStartWhenItsMemberRestartedMeanwhile() {
         RouterHarness harness = new SettingsBuilder().start(primary("a", 0), replica("b", 0));
         harness.healthCheckSucceeded("b", Role.REPLICA, harness.nowUs);
-        harness.submit("q", ANY_READ);
-        assertEquals("b", harness.lastAttempt("q").member());
+        harness.submit("read", ANY_READ);
+        assertEquals("b", harness.lastAttempt("read").member());
         harness.updateMembers(ListKind.CHANGES, startedAt(replica("b", 0), harness.nowUs));
-        assertFalse(harness.mayStillBegin("q"));
-        harness.complete("q", Outcome.NOT_SENT);
-        assertEquals("a", harness.lastAttempt("q").member());
+        assertFalse(harness.mayStillBegin("read"));
+        harness.complete("read", Outcome.NOT_SENT);
+        assertEquals("a", harness.lastAttempt("read").member());
     }
 
     /**
@@ -84,10 +84,10 @@
                     warmMemberAttempts -= harness.attemptCountTo("b");
                     harness.updateMembers(ListKind.CHANGES, startedAt(replica("c", 0), harness.nowUs));
                 }
-                harness.submit("q" + i, ANY_READ);
+                harness.submit("read" + i, ANY_READ);
                 harness.advance(50_000);
-                if (harness.lastAttempt("q" + i) != null) {
-                    harness.complete("q" + i, Outcome.OK, Role.REPLICA, harness.nowUs);
+                if (harness.lastAttempt("read" + i) != null) {
+                    harness.complete("read" + i, Outcome.OK, Role.REPLICA, harness.nowUs);
                 }
                 harness.advance(500_000);
             }
--- a/decisions/src/test/java/frostreel/routing/WaitingReadsTest.java
+++ b/decisions/src/test/java/frostreel/routing/WaitingReadsTest.java
@@ -24,17 +24,17 @@
     void unsentReadIsRejectedAtAlmostHalfItsTimeWhileSentReadsContinue() {
         RouterHarness harness = threeMembers();
         for (int i = 0; i < 30; i++) {
-            harness.submit("r" + i, ANY_READ, 0, 800_000);
+            harness.submit("read" + i, ANY_READ, 0, 800_000);
         }
         List<String> unsent = IntStream.range(0, 30)
-                .mapToObj(i -> "r" + i)
+                .mapToObj(i -> "read" + i)
                 .filter(id -> harness.attemptCount(id) == 0)
                 .toList();
         assertFalse(unsent.isEmpty());
         harness.advance(320_000);
         assertEquals(List.of(), harness.rejected);
         harness.advance(50_000);
-        Comparator<String> byNumber = Comparator.comparing(id -> Integer.valueOf(id.substring(1)));
+        Comparator<String> byNumber = Comparator.comparing(id -> Integer.valueOf(id.substring("read".length())));
         assertEquals(unsent, harness.rejected.stream().sorted(byNumber).toList());
     }
 
@@ -43,11 +43,11 @@
         RouterHarness harness = new SettingsBuilder().start(primary("a", 0), replica("b", 0));
         int waiting = submitUntilOneWaits(harness);
         harness.submit("newest", ANY_READ);
-        harness.complete("q1", Outcome.OK, Role.REPLICA, harness.nowUs);
+        harness.complete("read1", Outcome.OK, Role.REPLICA, harness.nowUs);
         int newest = harness.attempts.indexOf(harness.lastAttempt("newest"));
         assertTrue(newest > 0, "sent");
-        assertTrue(harness.lastAttempt("q" + waiting) == null
-                || harness.attempts.indexOf(harness.lastAttempt("q" + waiting)) > newest);
+        assertTrue(harness.lastAttempt("read" + waiting) == null
+                || harness.attempts.indexOf(harness.lastAttempt("read" + waiting)) > newest);
     }
 
     /** Submits reads q1, q2 ... until one is not sent at once, and tells its number. */
@@ -55,8 +55,8 @@
         int number = 0;
         do {
             number++;
-            harness.submit("q" + number, ANY_READ);
-        } while (harness.lastAttempt("q" + number) != null);
+            harness.submit("read" + number, ANY_READ);
+        } while (harness.lastAttempt("read" + number) != null);
         return number;
     }
 
@@ -70,21 +70,21 @@
         int waiting = submitUntilOneWaits(harness);
         harness.submitRetry("retry", ANY_READ);
         for (int i = 1; i < waiting && harness.lastAttempt("retry") == null; i++) {
-            harness.complete("q" + i, Outcome.OK, Role.REPLICA, harness.nowUs);
+            harness.complete("read" + i, Outcome.OK, Role.REPLICA, harness.nowUs);
         }
         int retry = harness.attempts.indexOf(harness.lastAttempt("retry"));
         assertTrue(retry > 0);
         assertTrue(
-                harness.attempts.indexOf(harness.lastAttempt("q" + waiting)) < retry,
+                harness.attempts.indexOf(harness.lastAttempt("read" + waiting)) < retry,
                 "the waiting first attempt went before it");
-        assertNotNull(harness.lastAttempt("q" + waiting));
+        assertNotNull(harness.lastAttempt("read" + waiting));
     }
 
     /** A read that waits for capacity once triggered health checks at every sweep: 16 a request under overload. */
     @Test
     void waitingReadDoesNotRepeatHealthChecksContinuously() {
         RouterHarness harness = new SettingsBuilder().start(replica("a", 0), replica("b", 0), replica("c", 0));
-        harness.submit("q", BOUNDED_READ);
+        harness.submit("read", BOUNDED_READ);
         for (int i = 0; i < 40; i++) {
             for (String member : List.of("a", "b", "c")) {
                 harness.healthCheckSucceeded(member, Role.REPLICA, harness.nowUs - 2_000_000);
--- a/decisions/src/test/java/frostreel/routing/WriteQueueTest.java
+++ b/decisions/src/test/java/frostreel/routing/WriteQueueTest.java
@@ -21,10 +21,10 @@
     @Test
     void queuedWritesAreReleasedToTheNewPrimaryGradually() {
         RouterHarness harness = threeMembers();
-        harness.submit("w0", NON_IDEMPOTENT_WRITE);
-        harness.rejectAsReplicas("w0", 3);
+        harness.submit("write0", NON_IDEMPOTENT_WRITE);
+        harness.rejectAsReplicas("write0", 3);
         for (int i = 1; i < 50; i++) {
-            harness.submit("w" + i, NON_IDEMPOTENT_WRITE);
+            harness.submit("write" + i, NON_IDEMPOTENT_WRITE);
         }
         long before = harness.attemptCountTo("b");
         harness.advance(50_000);
@@ -36,10 +36,10 @@
     @Test
     void writeThatFindsNoPrimaryIsRejectedBeforeItsDeadline() {
         RouterHarness harness = threeMembers();
-        harness.submit("w", NON_IDEMPOTENT_WRITE, 0, 2_000_000);
-        harness.rejectAsReplicas("w", 3);
+        harness.submit("write", NON_IDEMPOTENT_WRITE, 0, 2_000_000);
+        harness.rejectAsReplicas("write", 3);
         harness.advance(2_000_000);
-        assertEquals(List.of("w"), harness.rejected);
+        assertEquals(List.of("write"), harness.rejected);
         assertTrue(harness.retryAftersUs.get(0) > 0);
         assertTrue(harness.failed.isEmpty());
     }
@@ -50,12 +50,12 @@
         harness.updateMembers(ListKind.FULL, inState(primary("a", 0), State.DRAINING), replica("b", 0));
         harness.submit("first", KEYED_WRITE, 0, 2_000_000);
         harness.complete("first", Outcome.WRONG_ROLE_OR_STALE, Role.REPLICA, 0);
-        harness.submit("w", KEYED_WRITE, 0, 2_000_000);
+        harness.submit("write", KEYED_WRITE, 0, 2_000_000);
         harness.advance(800_000);
         assertEquals(List.of(), harness.rejected);
         harness.advance(150_000);
-        assertEquals(List.of("w"), harness.rejected);
+        assertEquals(List.of("write"), harness.rejected);
         harness.advance(1_100_000);
-        assertEquals(List.of("w", "first"), harness.rejected);
+        assertEquals(List.of("write", "first"), harness.rejected);
     }
 }
