--- a/decisions/src/test/java/frostreel/simulator/MessageDecoderTest.java
+++ b/decisions/src/test/java/frostreel/simulator/MessageDecoderTest.java
@@ -86,7 +86,8 @@
     @CsvSource({"0, false", "1, false", "2, true", "7, true"})
     void aRequestIsARetryByItsAttributes(long attributes, boolean retry) throws MalformedMessageException {
         MessageFields request = message("""
-                {"xid":"r","category":1,"sess":9,"clusterNo":3,"expiresS":2,"tokenAgeMs":412.5,"attrs":%d}""".formatted(attributes));
+                {"xid":"r","category":1,"sess":9,"clusterNo":3,"expiresS":2,"tokenAgeMs":412.5,
+                "attrs":%d}""".formatted(attributes));
         assertThat(MessageDecoder.request(request, 2))
                 .isEqualTo(new Router.Request("r", 1, 9, 3, 2_000_000, 412_500, retry));
     }
