--- a/lab/src/test/java/frostreel/lab/DeployedRunTest.java
+++ b/lab/src/test/java/frostreel/lab/DeployedRunTest.java
@@ -117,7 +117,7 @@
             }
         }
         String loaded = Files.readString(classes);
-        assertThat(loaded).contains(" frostreel.net.ClientConnection ");
+        assertThat(loaded).contains(" frostreel.frontend.ClientConnection ");
         for (String optional : Packages.OPTIONAL) {
             assertThat(loaded).doesNotContain(" " + optional + ".");
         }
--- a/lab/src/test/java/frostreel/lab/LayersTest.java
+++ b/lab/src/test/java/frostreel/lab/LayersTest.java
@@ -68,14 +68,26 @@
                         .resideInAPackage("frostreel.broker..")
                         .should()
                         .dependOnClassesThat()
-                        .resideInAnyPackage("frostreel.pg..", "frostreel.net..", "org.xnio..", "java.net..")
+                        .resideInAnyPackage(
+                                "frostreel.pg..",
+                                "frostreel.net..",
+                                "frostreel.frontend..",
+                                "frostreel.backend..",
+                                "org.xnio..",
+                                "java.net..")
                         .because("the broker knows no protocol"),
                 noClasses()
                         .that()
                         .resideInAPackage("frostreel.pg..")
                         .should()
                         .dependOnClassesThat()
-                        .resideInAnyPackage("org.xnio..", "java.net..", "java.nio.channels..", "frostreel.net..")
+                        .resideInAnyPackage(
+                                "org.xnio..",
+                                "java.net..",
+                                "java.nio.channels..",
+                                "frostreel.net..",
+                                "frostreel.frontend..",
+                                "frostreel.backend..")
                         .because("a parser has no sockets"),
                 noClasses()
                         .that()
@@ -100,6 +112,31 @@
                         .because("the lab is not on the serving class path"));
     }
 
+    private static Stream<ArchRule> socketRules() {
+        return Stream.of(
+                noClasses()
+                        .that()
+                        .resideInAPackage("frostreel.net..")
+                        .should()
+                        .dependOnClassesThat()
+                        .resideInAnyPackage("frostreel.frontend..", "frostreel.backend..", "frostreel.pg..")
+                        .because("the event loop and its streams know no protocol"),
+                noClasses()
+                        .that()
+                        .resideInAPackage("frostreel.frontend..")
+                        .should()
+                        .dependOnClassesThat()
+                        .resideInAPackage("frostreel.backend..")
+                        .because("clients and servers meet in the broker alone"),
+                noClasses()
+                        .that()
+                        .resideInAPackage("frostreel.backend..")
+                        .should()
+                        .dependOnClassesThat()
+                        .resideInAPackage("frostreel.frontend..")
+                        .because("clients and servers meet in the broker alone"));
+    }
+
     @Test
     void everyPackageIsKnownToServeOrToBeOptional() {
         Set<String> packages = ALL.stream()
@@ -115,6 +152,7 @@
 
     @TestFactory
     Stream<DynamicTest> layersHold() {
-        return rules().map(rule -> DynamicTest.dynamicTest(rule.getDescription(), () -> rule.check(ALL)));
+        return Stream.concat(rules(), socketRules())
+                .map(rule -> DynamicTest.dynamicTest(rule.getDescription(), () -> rule.check(ALL)));
     }
 }
--- a/lab/src/test/java/frostreel/lab/Packages.java
+++ b/lab/src/test/java/frostreel/lab/Packages.java
@@ -10,11 +10,13 @@
 
     static final List<String> SERVING = List.of(
             "frostreel",
+            "frostreel.backend",
             "frostreel.broker",
             "frostreel.cli",
             "frostreel.config",
             "frostreel.control",
             "frostreel.discovery",
+            "frostreel.frontend",
             "frostreel.log",
             "frostreel.net",
             "frostreel.operation",
--- a/pooler/src/main/java/frostreel/ConfigReloader.java
+++ b/pooler/src/main/java/frostreel/ConfigReloader.java
@@ -1,9 +1,9 @@
 package frostreel;
 
+import frostreel.backend.ServerPool;
 import frostreel.broker.Broker;
 import frostreel.config.Config;
 import frostreel.net.EventLoop;
-import frostreel.net.ServerPool;
 import frostreel.operation.RequestClassRegistry;
 import frostreel.operation.ServingLifecycle;
 import frostreel.routing.Router;
--- a/pooler/src/main/java/frostreel/Pooler.java
+++ b/pooler/src/main/java/frostreel/Pooler.java
@@ -1,5 +1,6 @@
 package frostreel;
 
+import frostreel.backend.ServerPool;
 import frostreel.broker.Broker;
 import frostreel.config.Config;
 import frostreel.control.AdminListener;
@@ -7,10 +8,9 @@
 import frostreel.control.CommandExecutor;
 import frostreel.control.PeerProcessCommits;
 import frostreel.fleet.ClusterMember;
+import frostreel.frontend.Listener;
 import frostreel.log.Logging;
 import frostreel.net.EventLoop;
-import frostreel.net.Listener;
-import frostreel.net.ServerPool;
 import frostreel.operation.RequestClassRegistry;
 import frostreel.operation.ServingLifecycle;
 import frostreel.routing.ChainRouter;
--- a/pooler/src/main/java/frostreel/Readiness.java
+++ b/pooler/src/main/java/frostreel/Readiness.java
@@ -1,6 +1,6 @@
 package frostreel;
 
-import frostreel.net.Listener;
+import frostreel.frontend.Listener;
 import frostreel.operation.ReadinessStatus;
 import frostreel.operation.ServingLifecycle;
 import java.util.logging.Logger;
--- a/pooler/src/main/java/frostreel/ServingSockets.java
+++ b/pooler/src/main/java/frostreel/ServingSockets.java
@@ -2,8 +2,8 @@
 
 import frostreel.config.Config;
 import frostreel.control.AdminListener;
+import frostreel.frontend.Listener;
 import frostreel.net.EventLoop;
-import frostreel.net.Listener;
 import java.io.IOException;
 import java.net.BindException;
 import java.net.InetSocketAddress;
--- a/pooler/src/main/java/frostreel/ShutdownSequence.java
+++ b/pooler/src/main/java/frostreel/ShutdownSequence.java
@@ -2,8 +2,8 @@
 
 import frostreel.broker.Broker;
 import frostreel.fleet.ClusterMember;
+import frostreel.frontend.Listener;
 import frostreel.net.EventLoop;
-import frostreel.net.Listener;
 import frostreel.operation.ServingLifecycle;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
--- a/pooler/src/main/java/frostreel/net/ServerConnection.java
+++ b/pooler/src/main/java/frostreel/backend/ServerConnection.java
@@ -1,8 +1,10 @@
-package frostreel.net;
+package frostreel.backend;
 
 import frostreel.broker.BackEnd;
 import frostreel.broker.Deadlines;
 import frostreel.log.EventLog;
+import frostreel.net.EventLoop;
+import frostreel.net.SocketStream;
 import frostreel.pg.MessageReader;
 import frostreel.pg.Messages;
 import frostreel.pg.PgException;
--- a/pooler/src/main/java/frostreel/net/ServerPool.java
+++ b/pooler/src/main/java/frostreel/backend/ServerPool.java
@@ -1,10 +1,11 @@
-package frostreel.net;
+package frostreel.backend;
 
 import frostreel.broker.BackEnd;
 import frostreel.broker.Deadlines;
 import frostreel.broker.Payload;
 import frostreel.broker.SlotTable;
 import frostreel.config.EndpointList;
+import frostreel.net.EventLoop;
 import frostreel.pg.Messages;
 import frostreel.routing.Router;
 import frostreel.routing.Router.Outcome;
--- a/pooler/src/main/java/frostreel/control/CommandExecutor.java
+++ b/pooler/src/main/java/frostreel/control/CommandExecutor.java
@@ -1,9 +1,9 @@
 package frostreel.control;
 
+import frostreel.backend.ServerPool;
 import frostreel.broker.Broker;
 import frostreel.config.EndpointList;
 import frostreel.net.EventLoop;
-import frostreel.net.ServerPool;
 import frostreel.operation.CommandState;
 import frostreel.operation.CommandTarget;
 import frostreel.operation.MaintenanceOverlay;
--- a/pooler/src/main/java/frostreel/control/EndpointPublisher.java
+++ b/pooler/src/main/java/frostreel/control/EndpointPublisher.java
@@ -1,8 +1,8 @@
 package frostreel.control;
 
+import frostreel.backend.ServerPool;
 import frostreel.broker.Broker;
 import frostreel.config.EndpointList;
-import frostreel.net.ServerPool;
 import frostreel.operation.MaintenanceOverlay;
 import frostreel.routing.Router;
 import java.util.ArrayList;
--- a/pooler/src/main/java/frostreel/net/Answers.java
+++ b/pooler/src/main/java/frostreel/frontend/Answers.java
@@ -1,4 +1,4 @@
-package frostreel.net;
+package frostreel.frontend;
 
 import frostreel.operation.ReadinessStatus;
 import frostreel.pg.Messages;
--- a/pooler/src/main/java/frostreel/net/ClientBacklog.java
+++ b/pooler/src/main/java/frostreel/frontend/ClientBacklog.java
@@ -1,5 +1,6 @@
-package frostreel.net;
+package frostreel.frontend;
 
+import frostreel.net.EventLoop;
 import frostreel.pg.MessageReader;
 import frostreel.pg.PgException;
 import java.nio.ByteBuffer;
--- a/pooler/src/main/java/frostreel/net/ClientConnection.java
+++ b/pooler/src/main/java/frostreel/frontend/ClientConnection.java
@@ -1,6 +1,8 @@
-package frostreel.net;
+package frostreel.frontend;
 
 import frostreel.log.EventLog;
+import frostreel.net.EventLoop;
+import frostreel.net.SocketStream;
 import frostreel.pg.MessageReader;
 import frostreel.pg.Messages;
 import frostreel.pg.PgException;
--- a/pooler/src/main/java/frostreel/net/ClientRequest.java
+++ b/pooler/src/main/java/frostreel/frontend/ClientRequest.java
@@ -1,10 +1,12 @@
-package frostreel.net;
+package frostreel.frontend;
 
 import frostreel.broker.BackEnd;
 import frostreel.broker.Broker;
 import frostreel.broker.RequestAttributes;
 import frostreel.broker.ResponseHandler;
 import frostreel.broker.SlotTable;
+import frostreel.net.EventLoop;
+import frostreel.net.SocketStream;
 import frostreel.pg.Statement;
 
 /**
--- a/pooler/src/main/java/frostreel/net/IdleTimer.java
+++ b/pooler/src/main/java/frostreel/frontend/IdleTimer.java
@@ -1,6 +1,8 @@
-package frostreel.net;
+package frostreel.frontend;
 
 import frostreel.broker.Deadlines;
+import frostreel.net.EventLoop;
+import frostreel.net.SocketStream;
 
 /**
  * The time-outs of a client that has no active request: for the complete message that it owes, or for taking its
--- a/pooler/src/main/java/frostreel/net/Lingering.java
+++ b/pooler/src/main/java/frostreel/frontend/Lingering.java
@@ -1,6 +1,7 @@
-package frostreel.net;
+package frostreel.frontend;
 
 import frostreel.broker.Deadlines;
+import frostreel.net.EventLoop;
 
 /**
  * How long, and for how many bytes, a client is still read from whose input is only dropped. Used on the I/O thread.
--- a/pooler/src/main/java/frostreel/net/Listener.java
+++ b/pooler/src/main/java/frostreel/frontend/Listener.java
@@ -1,7 +1,9 @@
-package frostreel.net;
+package frostreel.frontend;
 
 import frostreel.broker.Broker;
 import frostreel.broker.SlotTable;
+import frostreel.net.Acceptor;
+import frostreel.net.EventLoop;
 import frostreel.operation.ReadinessStatus;
 import frostreel.operation.RequestClassRegistry;
 import frostreel.operation.ServingLifecycle;
--- a/pooler/src/test/java/frostreel/PipelineTest.java
+++ b/pooler/src/test/java/frostreel/PipelineTest.java
@@ -7,7 +7,7 @@
 import static frostreel.TestMessages.writeSql;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import frostreel.net.ArrivalTimes;
+import frostreel.frontend.ArrivalTimes;
 import java.io.ByteArrayOutputStream;
 import java.util.List;
 import java.util.concurrent.BlockingQueue;
