--- a/lab/src/main/java/frostreel/lab/processes/StatementRecorder.java
+++ b/lab/src/main/java/frostreel/lab/processes/StatementRecorder.java
@@ -1,12 +1,12 @@
 package frostreel.lab.processes;
 
-import frostreel.broker.BackEnd;
 import frostreel.broker.Clock;
 import frostreel.lab.rules.RunListener;
 import frostreel.pg.MessageReader;
 import frostreel.pg.PgException;
 import frostreel.pg.Reply;
 import frostreel.pg.Statement;
+import frostreel.request.BackEnd;
 import frostreel.routing.Router;
 import frostreel.routing.Router.Outcome;
 import java.nio.ByteBuffer;
--- a/lab/src/main/java/frostreel/lab/virtual/Simulation.java
+++ b/lab/src/main/java/frostreel/lab/virtual/Simulation.java
@@ -1,12 +1,12 @@
 package frostreel.lab.virtual;
 
-import frostreel.broker.RequestAttributes;
-import frostreel.broker.ResponseHandler;
 import frostreel.lab.model.Cluster;
 import frostreel.lab.model.Server;
 import frostreel.lab.model.VirtualTime;
 import frostreel.lab.rules.InvariantChecker;
 import frostreel.lab.rules.RunListener.Answer;
+import frostreel.request.RequestAttributes;
+import frostreel.request.ResponseHandler;
 import frostreel.routing.Router;
 import java.util.ArrayList;
 import java.util.Arrays;
--- a/lab/src/main/java/frostreel/lab/virtual/VirtualPooler.java
+++ b/lab/src/main/java/frostreel/lab/virtual/VirtualPooler.java
@@ -1,16 +1,16 @@
 package frostreel.lab.virtual;
 
-import frostreel.broker.BackEnd;
 import frostreel.broker.Broker;
 import frostreel.broker.Deadlines;
-import frostreel.broker.Payload;
-import frostreel.broker.RequestAttributes;
-import frostreel.broker.ResponseHandler;
 import frostreel.broker.SlotTable;
 import frostreel.lab.model.Links;
 import frostreel.lab.model.Scheduler;
 import frostreel.lab.model.Server;
 import frostreel.lab.rules.RunListener;
+import frostreel.request.BackEnd;
+import frostreel.request.Payload;
+import frostreel.request.RequestAttributes;
+import frostreel.request.ResponseHandler;
 import frostreel.routing.Router;
 import frostreel.routing.Router.Outcome;
 import frostreel.routing.Router.Role;
--- a/lab/src/test/java/frostreel/lab/LayersTest.java
+++ b/lab/src/test/java/frostreel/lab/LayersTest.java
@@ -85,10 +85,11 @@
                                 "org.xnio..",
                                 "java.net..",
                                 "java.nio.channels..",
+                                "frostreel.broker..",
                                 "frostreel.net..",
                                 "frostreel.frontend..",
                                 "frostreel.backend..")
-                        .because("a parser has no sockets"),
+                        .because("a parser has no sockets, and knows no broker"),
                 noClasses()
                         .that()
                         .resideOutsideOfPackages("frostreel.cli..", "frostreel.lab..")
@@ -121,6 +122,18 @@
                         .dependOnClassesThat()
                         .resideInAnyPackage("frostreel.frontend..", "frostreel.backend..", "frostreel.pg..")
                         .because("the event loop and its streams know no protocol"),
+                noClasses()
+                        .that()
+                        .resideInAPackage("frostreel.request..")
+                        .should()
+                        .dependOnClassesThat()
+                        .resideInAnyPackage(
+                                "frostreel.broker..",
+                                "frostreel.net..",
+                                "frostreel.frontend..",
+                                "frostreel.backend..",
+                                "frostreel.pg..")
+                        .because("what the sides tell each other of a request belongs to none of them"),
                 noClasses()
                         .that()
                         .resideInAPackage("frostreel.frontend..")
--- a/lab/src/test/java/frostreel/lab/Packages.java
+++ b/lab/src/test/java/frostreel/lab/Packages.java
@@ -22,6 +22,7 @@
             "frostreel.operation",
             "frostreel.pg",
             "frostreel.routing",
+            "frostreel.request",
             "frostreel.settings",
             "frostreel.simulator",
             "frostreel.stats",
--- a/pooler/src/main/java/frostreel/backend/ServerConnection.java
+++ b/pooler/src/main/java/frostreel/backend/ServerConnection.java
@@ -1,6 +1,5 @@
 package frostreel.backend;
 
-import frostreel.broker.BackEnd;
 import frostreel.broker.Deadlines;
 import frostreel.log.EventLog;
 import frostreel.net.EventLoop;
@@ -9,6 +8,7 @@
 import frostreel.pg.Messages;
 import frostreel.pg.PgException;
 import frostreel.pg.Reply;
+import frostreel.request.BackEnd;
 import frostreel.routing.Router.Outcome;
 import java.io.IOException;
 import java.net.InetSocketAddress;
--- a/pooler/src/main/java/frostreel/backend/ServerPool.java
+++ b/pooler/src/main/java/frostreel/backend/ServerPool.java
@@ -1,12 +1,12 @@
 package frostreel.backend;
 
-import frostreel.broker.BackEnd;
 import frostreel.broker.Deadlines;
-import frostreel.broker.Payload;
 import frostreel.broker.SlotTable;
 import frostreel.config.EndpointList;
 import frostreel.net.EventLoop;
 import frostreel.pg.Messages;
+import frostreel.request.BackEnd;
+import frostreel.request.Payload;
 import frostreel.routing.Router;
 import frostreel.routing.Router.Outcome;
 import java.net.InetSocketAddress;
--- a/pooler/src/main/java/frostreel/broker/ActiveRequest.java
+++ b/pooler/src/main/java/frostreel/broker/ActiveRequest.java
@@ -1,5 +1,8 @@
 package frostreel.broker;
 
+import frostreel.request.Payload;
+import frostreel.request.RequestAttributes;
+import frostreel.request.ResponseHandler;
 import frostreel.routing.Router;
 import frostreel.routing.Router.Outcome;
 
--- a/pooler/src/main/java/frostreel/broker/AttemptRunner.java
+++ b/pooler/src/main/java/frostreel/broker/AttemptRunner.java
@@ -2,6 +2,7 @@
 
 import frostreel.log.EventLog;
 import frostreel.operation.WriteObserver;
+import frostreel.request.BackEnd;
 import frostreel.routing.Router;
 import frostreel.routing.Router.Outcome;
 import frostreel.stats.Counters;
--- a/pooler/src/main/java/frostreel/broker/Broker.java
+++ b/pooler/src/main/java/frostreel/broker/Broker.java
@@ -2,6 +2,10 @@
 
 import frostreel.log.EventLog;
 import frostreel.operation.WriteObserver;
+import frostreel.request.BackEnd;
+import frostreel.request.Payload;
+import frostreel.request.RequestAttributes;
+import frostreel.request.ResponseHandler;
 import frostreel.routing.Router;
 import frostreel.routing.Router.Outcome;
 import frostreel.stats.Counters;
--- a/pooler/src/main/java/frostreel/frontend/ClientRequest.java
+++ b/pooler/src/main/java/frostreel/frontend/ClientRequest.java
@@ -1,13 +1,13 @@
 package frostreel.frontend;
 
-import frostreel.broker.BackEnd;
 import frostreel.broker.Broker;
-import frostreel.broker.RequestAttributes;
-import frostreel.broker.ResponseHandler;
 import frostreel.broker.SlotTable;
 import frostreel.net.EventLoop;
 import frostreel.net.SocketStream;
 import frostreel.pg.Statement;
+import frostreel.request.BackEnd;
+import frostreel.request.RequestAttributes;
+import frostreel.request.ResponseHandler;
 
 /**
  * The active request of one client's connection, of which there is at most one: submits it to the broker, and takes its
--- a/pooler/src/main/java/frostreel/pg/Reply.java
+++ b/pooler/src/main/java/frostreel/pg/Reply.java
@@ -1,6 +1,6 @@
 package frostreel.pg;
 
-import frostreel.broker.BackEnd;
+import frostreel.request.BackEnd;
 import frostreel.routing.Router;
 import frostreel.routing.Router.Outcome;
 import java.io.ByteArrayOutputStream;
--- a/pooler/src/main/java/frostreel/pg/Statement.java
+++ b/pooler/src/main/java/frostreel/pg/Statement.java
@@ -1,6 +1,6 @@
 package frostreel.pg;
 
-import frostreel.broker.Payload;
+import frostreel.request.Payload;
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
--- a/pooler/src/main/java/frostreel/broker/BackEnd.java
+++ b/pooler/src/main/java/frostreel/request/BackEnd.java
@@ -1,4 +1,4 @@
-package frostreel.broker;
+package frostreel.request;
 
 import frostreel.routing.Router;
 
--- a/pooler/src/main/java/frostreel/broker/Payload.java
+++ b/pooler/src/main/java/frostreel/request/Payload.java
@@ -1,4 +1,4 @@
-package frostreel.broker;
+package frostreel.request;
 
 /** The bytes of a request, opaque to the broker. */
 public interface Payload {
--- a/pooler/src/main/java/frostreel/broker/RequestAttributes.java
+++ b/pooler/src/main/java/frostreel/request/RequestAttributes.java
@@ -1,4 +1,4 @@
-package frostreel.broker;
+package frostreel.request;
 
 /**
  * What the decisions need to know of a request.
--- a/pooler/src/main/java/frostreel/broker/ResponseHandler.java
+++ b/pooler/src/main/java/frostreel/request/ResponseHandler.java
@@ -1,4 +1,4 @@
-package frostreel.broker;
+package frostreel.request;
 
 /**
  * The sender's side of one request. Exactly one of its answers is called, once, unless the client disconnects before.
--- a/pooler/src/test/java/frostreel/broker/BrokerTest.java
+++ b/pooler/src/test/java/frostreel/broker/BrokerTest.java
@@ -2,6 +2,8 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import frostreel.request.RequestAttributes;
+import frostreel.request.ResponseHandler;
 import frostreel.routing.Router;
 import frostreel.stats.Counters;
 import java.util.ArrayList;
