--- /dev/null
+++ b/pooler/src/test/java/frostreel/broker/RequestTableTest.java
@@ -0,0 +1,66 @@
+package frostreel.broker;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import frostreel.request.RequestAttributes;
+import org.junit.jupiter.api.Test;
+
+/** When a request is found, and by which of its ids. */
+class RequestTableTest {
+    private static final long ATTEMPT = 7;
+    private final RequestTable requests = new RequestTable(1);
+
+    private static ActiveRequest request(String senderId) {
+        RequestAttributes attributes = new RequestAttributes(senderId, 0, 0, 0, 0, 0, false);
+        return new ActiveRequest(attributes, null, null, null, 1);
+    }
+
+    private ActiveRequest opened(String senderId) {
+        ActiveRequest request = request(senderId);
+        assertThat(requests.reserveSlot(request)).isTrue();
+        requests.open(request);
+        return request;
+    }
+
+    @Test
+    void anOpenRequestIsFoundByItsHandleItsIdAndItsSendersId() {
+        ActiveRequest request = opened("a");
+        assertThat(requests.get(request.handle)).isSameAs(request);
+        assertThat(requests.byId(request.id)).isSameAs(request);
+        assertThat(requests.containsSenderId("a")).isTrue();
+        assertThat(requests.countUnanswered()).isEqualTo(1);
+    }
+
+    @Test
+    void aFullTableTakesNoMoreUntilASlotIsFreed() {
+        ActiveRequest request = request("a");
+        assertThat(requests.reserveSlot(request)).isTrue();
+        assertThat(requests.reserveSlot(request("b"))).isFalse();
+        requests.freeSlot(request);
+        assertThat(requests.reserveSlot(request("c"))).isTrue();
+    }
+
+    @Test
+    void anAnsweredRequestStaysUntilItsAttemptHasEnded() {
+        ActiveRequest request = opened("a");
+        request.answered = true;
+        request.attemptHandle = ATTEMPT;
+        requests.removeIfDone(request);
+        assertThat(requests.containsSenderId("a")).isTrue();
+        assertThat(requests.countUnanswered()).isZero();
+        request.attemptHandle = SlotTable.NONE;
+        requests.removeIfDone(request);
+        assertThat(requests.get(request.handle)).isNull();
+        assertThat(requests.containsSenderId("a")).isFalse();
+    }
+
+    @Test
+    void theIdOfARequestThatIsDoneDoesNotFindTheNextInItsSlot() {
+        ActiveRequest first = opened("a");
+        first.answered = true;
+        requests.removeIfDone(first);
+        ActiveRequest second = opened("b");
+        assertThat(requests.byId(first.id)).isNull();
+        assertThat(requests.byId(second.id)).isSameAs(second);
+    }
+}
