--- a/decisions/src/main/java/frostreel/routing/ChainRouter.java
+++ b/decisions/src/main/java/frostreel/routing/ChainRouter.java
@@ -64,46 +64,46 @@
         State state = State.UP;
         boolean drained;
         /** Listed from the start, or heard from: else it may be none of ours, whatever the list says. */
-        boolean known;
+        boolean verified;
 
-        long goneAt;
+        long goneSinceUs;
         double weight = 1;
-        long position; // A time up to which it has applied every commit: a lower bound that stays true.
+        long appliedUpToUs; // A time up to which it has applied every commit: a lower bound that stays true.
         /** When it last was known primary or replica; an answer's word counts from its arrival. */
-        long primaryAt = -1, replicaAt = -1;
+        long primaryAtUs = -1, replicaAtUs = -1;
         /** How far its last report stood behind, and when it last turned a read away. */
-        long lag, reportAt = LONG_AGO, missAt = LONG_AGO;
-
-        boolean probing;
-        long askedAt = LONG_AGO;
-        int out, links; // Attempts out, and connections held open as far as this router can tell.
-        long linkedAt, progressAt, markedAt, cutAt;
-        double ratio = 1, fail, slowest;
-        final SlowStart.Member start;
+        long lagUs, positionAtUs = LONG_AGO, staleAtUs = LONG_AGO;
+
+        boolean healthCheckPending;
+        long healthCheckAtUs = LONG_AGO;
+        int inFlight, connections; // Attempts out, and connections held open as far as this router can tell.
+        long lastUsedAtUs, lastProgressUs, outcomeAtUs, shrunkAtUs;
+        double latencyRatio = 1, failureRate, slowestExpectedUs;
+        final SlowStart.Member slowStartState;
         /** How many attempts may be out to it at once, grown by answers in time and cut by trouble. */
         double window = FIRST_WINDOW;
 
-        boolean opening = true;
-        long pausedUntil; // Turned away as full: left alone until then, longer each time.
-        int turnedAway;
+        boolean growingFast = true;
+        long pausedUntilUs; // Turned away as full: left alone until then, longer each time.
+        int rejections;
 
-        MemberState(String named, GroupState in, long now) {
-            id = named;
-            group = in;
-            start = slow.meet(now);
+        MemberState(String memberId, GroupState memberGroup, long now) {
+            id = memberId;
+            group = memberGroup;
+            slowStartState = slowStart.meet(now);
         }
     }
 
     private final class GroupState {
         final int number;
         final List<MemberState> chain = new ArrayList<>();
-        final ArrayList<PendingRequest> held = new ArrayList<>(), parked = new ArrayList<>();
-        MemberState head;
-        long headAt = -1; // When the head was last heard as primary, and whether by an answer.
-        MemberState start, keeper; // Where its long queries go.
-        boolean headAnswered, holding, doubted;
-        long walkAt, canaryAt, probedAt;
-        int walk, turn, sinceLink;
+        final ArrayList<PendingRequest> queuedWrites = new ArrayList<>(), waitingReads = new ArrayList<>();
+        MemberState primary;
+        long primaryAtUs = -1; // When the head was last heard as primary, and whether by an answer.
+        MemberState searchStart, longQueryReplica; // Where its long queries go.
+        boolean primaryConfirmed, holdingWrites, primarySuspected;
+        long lastSearchUs, lastTrialUs, lastFreshnessCheckUs;
+        int searchIndex, rotation, sendsSinceConnect;
         final Goodput goodput = new Goodput(spanUs);
 
         GroupState(int number) {
@@ -112,54 +112,54 @@
     }
 
     private final class PendingRequest {
-        final Request q;
-        final RequestClass k;
-        final GroupState g;
+        final Request original;
+        final RequestClass requestClass;
+        final GroupState group;
         final long arrivedUs;
-        final boolean toHead;
-        final int mostAttempts = set.limits().maxAttempts();
-        final ArrayList<MemberState> missed = new ArrayList<>(4);
-        MemberState on;
-        int attempts, keyZone = -1; // The one zone that may know its key; -1 while it may go anywhere.
-        long startedUs, sentAt, firstMaybe, notBefore, patienceUs;
-        boolean mayHaveRun, parked, ended, crowded;
-
-        PendingRequest(Request request, GroupState group, long now) {
-            q = request;
-            k = set.classes().get(q.cls());
-            g = group;
+        final boolean needsPrimary;
+        final int maxAttempts = settings.limits().maxAttempts();
+        final ArrayList<MemberState> triedMembers = new ArrayList<>(4);
+        MemberState currentMember;
+        int attempts, deduplicationZone = -1; // The one zone that may know its key; -1 while it may go anywhere.
+        long memberStartedUs, sentAtUs, firstUncertainSendUs, notBeforeUs, healthCheckWaitUntilUs;
+        boolean mayHaveRun, waitsAsRead, ended, overloaded;
+
+        PendingRequest(Request received, GroupState replicaGroup, long now) {
+            original = received;
+            requestClass = settings.classes().get(original.cls());
+            group = replicaGroup;
             arrivedUs = now;
-            toHead = k.access() == Access.WRITE || k.access() == Access.FRESH;
+            needsPrimary = requestClass.access() == Access.WRITE || requestClass.access() == Access.FRESH;
         }
     }
 
-    private Settings set;
+    private Settings settings;
     /** Over about twice the span of the rule on cold members. */
-    private final LongSupplier spanUs = () -> 2 * set.rules().fallUs();
+    private final LongSupplier spanUs = () -> 2 * settings.rules().fallUs();
 
-    private final SlowStart slow;
-    private final Actions act;
+    private final SlowStart slowStart;
+    private final Actions actions;
     private final LocalityPolicy localityPolicy;
-    private final PeerCommits elsewhere;
+    private final PeerCommits peerCommits;
     private final long sweepUs;
-    private long keepUs;
-    private double[] expect = {};
-    private final Map<String, MemberState> nodes = new HashMap<>();
+    private long retentionUs;
+    private double[] meanLatencyUs = {};
+    private final Map<String, MemberState> members = new HashMap<>();
     private final Map<Integer, GroupState> groups = new TreeMap<>();
     /** The groups in which a request waits unsent; the sweep runs while there is one, over these alone. */
     private final Map<Integer, GroupState> waiting = new TreeMap<>();
 
     private boolean sweeping, started;
-    private final Map<String, PendingRequest> calls = new HashMap<>();
-    private final SessionCommits commits = new SessionCommits();
+    private final Map<String, PendingRequest> requests = new HashMap<>();
+    private final SessionCommits sessionCommits = new SessionCommits();
     private double retryTokens = RETRY_BURST;
-    private double baseLag = WALK_US / 2.0;
+    private double usualLagUs = WALK_US / 2.0;
     /** Where rotation begins: from the seed, so that routers do not all start at the same member. */
-    private final int turnSeed;
+    private final int rotationSeed;
 
-    private final SplittableRandom draw;
+    private final SplittableRandom random;
     /** The mean work of a request in microseconds. */
-    private double work = Double.MAX_VALUE;
+    private double meanWorkUs = Double.MAX_VALUE;
 
     private final Goodput goodput = new Goodput(spanUs);
 
@@ -171,162 +171,165 @@
         this(settings, actions, localityPolicy, (now, session) -> 0);
     }
 
-    public ChainRouter(Settings settings, Actions actions, LocalityPolicy localityPolicy, PeerCommits elsewhere) {
-        act = actions;
+    public ChainRouter(Settings settings, Actions actions, LocalityPolicy localityPolicy, PeerCommits peerCommits) {
+        this.actions = actions;
         this.localityPolicy = localityPolicy;
-        this.elsewhere = elsewhere;
+        this.peerCommits = peerCommits;
         sweepUs = Math.max(settings.tickUs(), WALK_US / 50);
-        slow = new SlowStart(settings);
+        slowStart = new SlowStart(settings);
         onSettings(settings);
-        work = Arrays.stream(expect).min().orElse(work);
-        draw = new SplittableRandom(settings.seed());
-        turnSeed = (int) (draw.nextLong() >>> 40);
+        meanWorkUs = Arrays.stream(meanLatencyUs).min().orElse(meanWorkUs);
+        random = new SplittableRandom(settings.seed());
+        rotationSeed = (int) (random.nextLong() >>> 40);
     }
 
     @Override
     public void onSettings(Settings settings) {
-        set = settings;
-        int known = expect.length;
-        expect = Arrays.copyOf(expect, settings.classes().size());
-        for (int i = 0; i < expect.length; i++) {
-            RequestClass k = settings.classes().get(i);
-            keepUs = Math.max(keepUs, KEEP * k.deadlineUs());
-            expect[i] = i < known ? expect[i] : k.latencyObjectiveUs() / 5.0;
-        }
-        slow.settings(settings);
+        this.settings = settings;
+        int known = meanLatencyUs.length;
+        meanLatencyUs = Arrays.copyOf(meanLatencyUs, settings.classes().size());
+        for (int i = 0; i < meanLatencyUs.length; i++) {
+            RequestClass requestClass = settings.classes().get(i);
+            retentionUs = Math.max(retentionUs, KEEP * requestClass.deadlineUs());
+            meanLatencyUs[i] = i < known ? meanLatencyUs[i] : requestClass.latencyObjectiveUs() / 5.0;
+        }
+        slowStart.settings(settings);
         localityPolicy.settings(settings);
     }
 
     // ---- The chain: who heads a group, and by what evidence. ----
 
     @Override
-    public void onMembers(long now, ListKind kind, List<Member> members) {
+    public void onMembers(long now, ListKind kind, List<Member> entries) {
         boolean first = !started;
         started = true;
-        if (first && set.limits().subscribe()) {
-            act.subscribe();
+        if (first && settings.limits().subscribe()) {
+            actions.subscribe();
         }
         if (kind == ListKind.FAILED) {
-            if (!first && set.limits().subscribe()) {
-                act.setTimer(WALK_US, "subscribe");
+            if (!first && settings.limits().subscribe()) {
+                actions.setTimer(WALK_US, "subscribe");
             }
             return;
         }
         if (kind != ListKind.CHANGES) {
-            nodes.values().forEach(n -> n.state = State.GONE);
+            members.values().forEach(member -> member.state = State.GONE);
         }
-        for (Member m : members) {
-            listed(now, m, first);
+        for (Member entry : entries) {
+            applyEntry(now, entry, first);
         }
-        nodes.values().forEach(n -> slow.usable(n.start, usable(n)));
-        for (GroupState g : groups.values()) {
-            g.chain.removeIf(n -> forgotten(now, n) && forget(n));
-            if (g.head != null && !usable(g.head)) {
-                loseHead(g);
+        members.values().forEach(member -> slowStart.usable(member.slowStartState, isUsable(member)));
+        for (GroupState group : groups.values()) {
+            group.chain.removeIf(member -> isForgettable(now, member) && forget(member));
+            if (group.primary != null && !isUsable(group.primary)) {
+                clearPrimary(group);
             }
         }
     }
 
-    private void listed(long now, Member m, boolean atStart) {
-        MemberState n = nodes.get(m.id());
-        if (n == null) {
-            GroupState g = groups.computeIfAbsent(m.group(), GroupState::new);
-            n = new MemberState(m.id(), g, now);
-            n.known = atStart;
-            n.handle = localityPolicy.memberHandle(m.group(), m.zone());
-            n.progressAt = n.markedAt = now;
-            nodes.put(m.id(), n);
+    private void applyEntry(long now, Member entry, boolean atStart) {
+        MemberState member = members.get(entry.id());
+        if (member == null) {
+            GroupState group = groups.computeIfAbsent(entry.group(), GroupState::new);
+            member = new MemberState(entry.id(), group, now);
+            member.verified = atStart;
+            member.handle = localityPolicy.memberHandle(entry.group(), entry.zone());
+            member.lastProgressUs = member.outcomeAtUs = now;
+            members.put(entry.id(), member);
             int at = 0;
-            while (at < g.chain.size() && g.chain.get(at).id.compareTo(n.id) < 0) {
+            while (at < group.chain.size() && group.chain.get(at).id.compareTo(member.id) < 0) {
                 at++;
             }
-            g.chain.add(at, n);
-        }
-        if (slow.listed(now, n.start, m)) {
-            n.fail = 0;
-            n.ratio = 1;
-        }
-        n.zone = m.zone();
-        n.kind = m.kind();
-        n.weight = m.weight();
-        n.state = m.state();
-        n.drained |= m.state() == State.DRAINING;
-        if (m.primary() && usable(n)) {
-            n.group.start = n;
-            if (n.group.headAt < 0 && n.replicaAt < 0) {
-                n.primaryAt = Math.max(n.primaryAt, 0);
-                setHead(now, n, 0, false);
+            group.chain.add(at, member);
+        }
+        if (slowStart.listed(now, member.slowStartState, entry)) {
+            member.failureRate = 0;
+            member.latencyRatio = 1;
+        }
+        member.zone = entry.zone();
+        member.kind = entry.kind();
+        member.weight = entry.weight();
+        member.state = entry.state();
+        member.drained |= entry.state() == State.DRAINING;
+        if (entry.primary() && isUsable(member)) {
+            member.group.searchStart = member;
+            if (member.group.primaryAtUs < 0 && member.replicaAtUs < 0) {
+                member.primaryAtUs = Math.max(member.primaryAtUs, 0);
+                setPrimary(now, member, 0, false);
             }
         }
     }
 
-    private boolean forgotten(long now, MemberState n) {
-        n.goneAt = n.state != State.GONE ? 0 : n.goneAt == 0 ? now : n.goneAt;
-        boolean kept = n.known && (set.rules().onlyDrainingBinds() || now - n.goneAt <= keepUs);
-        return n.goneAt > 0 && n.out == 0 && !kept;
+    private boolean isForgettable(long now, MemberState member) {
+        member.goneSinceUs = member.state != State.GONE ? 0 : member.goneSinceUs == 0 ? now : member.goneSinceUs;
+        boolean kept =
+                member.verified && (settings.rules().onlyDrainingBinds() || now - member.goneSinceUs <= retentionUs);
+        return member.goneSinceUs > 0 && member.inFlight == 0 && !kept;
     }
 
-    private boolean forget(MemberState n) {
-        localityPolicy.left(n.handle);
-        slow.forget(n.start);
-        return nodes.remove(n.id, n);
+    private boolean forget(MemberState member) {
+        localityPolicy.left(member.handle);
+        slowStart.forget(member.slowStartState);
+        return members.remove(member.id, member);
     }
 
-    private boolean usable(MemberState n) {
-        return n.state == State.UP || n.state == State.GONE && set.rules().onlyDrainingBinds() && !n.drained;
+    private boolean isUsable(MemberState member) {
+        return member.state == State.UP
+                || member.state == State.GONE && settings.rules().onlyDrainingBinds() && !member.drained;
     }
 
     /** Role evidence: an answer beats a probe beats the list, and what is older than the head's is passed
      * over. */
-    private void noteRole(long now, MemberState n, Role role, long at, boolean answer) {
-        GroupState g = n.group;
-        if (role == Role.PRIMARY && at > n.replicaAt) {
-            n.primaryAt = Math.max(n.primaryAt, at);
-            boolean open = g.head == null || g.doubted || !g.headAnswered;
-            if (!usable(n)) {
+    private void noteRole(long now, MemberState member, Role role, long at, boolean answer) {
+        GroupState group = member.group;
+        if (role == Role.PRIMARY && at > member.replicaAtUs) {
+            member.primaryAtUs = Math.max(member.primaryAtUs, at);
+            boolean open = group.primary == null || group.primarySuspected || !group.primaryConfirmed;
+            if (!isUsable(member)) {
                 return;
             }
-            if (g.head == n) {
-                g.headAt = Math.max(g.headAt, at);
-                g.headAnswered |= answer;
-            } else if (at > g.headAt && (answer || open)) {
-                setHead(now, n, at, answer);
+            if (group.primary == member) {
+                group.primaryAtUs = Math.max(group.primaryAtUs, at);
+                group.primaryConfirmed |= answer;
+            } else if (at > group.primaryAtUs && (answer || open)) {
+                setPrimary(now, member, at, answer);
             }
-        } else if (role == Role.REPLICA && at > n.primaryAt) {
-            n.replicaAt = Math.max(n.replicaAt, at);
-            if (g.head == n) {
-                loseHead(g);
+        } else if (role == Role.REPLICA && at > member.primaryAtUs) {
+            member.replicaAtUs = Math.max(member.replicaAtUs, at);
+            if (group.primary == member) {
+                clearPrimary(group);
             }
         }
     }
 
-    private void setHead(long now, MemberState n, long at, boolean answer) {
-        GroupState g = n.group;
-        if (g.holding || g.doubted) {
-            n.window = Math.min(n.window, FIRST_WINDOW);
-            n.opening = true;
+    private void setPrimary(long now, MemberState member, long at, boolean answer) {
+        GroupState group = member.group;
+        if (group.holdingWrites || group.primarySuspected) {
+            member.window = Math.min(member.window, FIRST_WINDOW);
+            member.growingFast = true;
         }
-        g.head = g.start = n;
-        g.headAt = at;
-        g.headAnswered = answer;
-        g.holding = g.doubted = false;
+        group.primary = group.searchStart = member;
+        group.primaryAtUs = at;
+        group.primaryConfirmed = answer;
+        group.holdingWrites = group.primarySuspected = false;
     }
 
-    private void loseHead(GroupState g) {
-        g.head = null;
-        g.headAnswered = false;
-        g.doubted = false;
+    private void clearPrimary(GroupState group) {
+        group.primary = null;
+        group.primaryConfirmed = false;
+        group.primarySuspected = false;
     }
 
     /** The next of the chain for a write: from the head or where it last was, each once, strangers last. */
-    private MemberState next(PendingRequest c) {
-        List<MemberState> chain = c.g.chain;
-        int from = c.g.start == null ? 0 : Math.max(0, chain.indexOf(c.g.start));
+    private MemberState nextCandidate(PendingRequest request) {
+        List<MemberState> chain = request.group.chain;
+        int from = request.group.searchStart == null ? 0 : Math.max(0, chain.indexOf(request.group.searchStart));
         for (int i = 0; i < 2 * chain.size(); i++) {
-            MemberState n = chain.get((from + i) % chain.size());
-            boolean last = !n.known || c.keyZone >= 0 && n.zone != c.keyZone;
-            if (usable(n) && !c.missed.contains(n) && (!last || i >= chain.size())) {
-                return n;
+            MemberState member = chain.get((from + i) % chain.size());
+            boolean last =
+                    !member.verified || request.deduplicationZone >= 0 && member.zone != request.deduplicationZone;
+            if (isUsable(member) && !request.triedMembers.contains(member) && (!last || i >= chain.size())) {
+                return member;
             }
         }
         return null;
@@ -334,206 +337,220 @@
 
     /** The walk: probes the next member, once a group; a full round each half second where as many wait, less
      * where fewer do, as every router walks so. A head that answered of late needs none. */
-    private void walk(long now, GroupState g) {
-        boolean urgent = g.head == null || g.holding || g.doubted;
-        long step = WALK_US / Math.max(1, Math.min(g.chain.size(), g.held.size()));
-        boolean idle = !urgent && (g.held.isEmpty() || now - g.headAt < KEEP * WALK_US / 5);
-        if (now - g.walkAt < step || g.chain.isEmpty() || idle) {
+    private void searchPrimary(long now, GroupState group) {
+        boolean urgent = group.primary == null || group.holdingWrites || group.primarySuspected;
+        long step = WALK_US / Math.max(1, Math.min(group.chain.size(), group.queuedWrites.size()));
+        boolean idle = !urgent && (group.queuedWrites.isEmpty() || now - group.primaryAtUs < KEEP * WALK_US / 5);
+        if (now - group.lastSearchUs < step || group.chain.isEmpty() || idle) {
             return;
         }
-        g.walkAt = now;
-        for (int i = 0; i < g.chain.size(); i++) {
-            MemberState n = g.chain.get(g.walk++ % g.chain.size());
-            if (!usable(n) || n.probing) {
+        group.lastSearchUs = now;
+        for (int i = 0; i < group.chain.size(); i++) {
+            MemberState member = group.chain.get(group.searchIndex++ % group.chain.size());
+            if (!isUsable(member) || member.healthCheckPending) {
                 continue;
             }
-            if (set.limits().probes() == Probes.REPORT) {
-                probe(now, n);
+            if (settings.limits().probes() == Probes.REPORT) {
+                checkHealth(now, member);
                 return;
             }
-            for (int j = 0; urgent && j < g.held.size(); j++) {
-                PendingRequest c = g.held.get(j);
-                if (!c.mayHaveRun && send(now, c, n, WALK_US)) {
-                    g.held.remove(j);
+            for (int j = 0; urgent && j < group.queuedWrites.size(); j++) {
+                PendingRequest request = group.queuedWrites.get(j);
+                if (!request.mayHaveRun && send(now, request, member, WALK_US)) {
+                    group.queuedWrites.remove(j);
                     return;
                 }
             }
         }
     }
 
-    private void probe(long now, MemberState n) {
-        if (set.limits().probes() != Probes.NONE && !n.probing && usable(n)) {
-            n.probing = true;
-            n.askedAt = now;
-            act.probe(n.id);
+    private void checkHealth(long now, MemberState member) {
+        if (settings.limits().probes() != Probes.NONE && !member.healthCheckPending && isUsable(member)) {
+            member.healthCheckPending = true;
+            member.healthCheckAtUs = now;
+            actions.probe(member.id);
         }
     }
 
     @Override
     public void onProbe(long now, String memberId, boolean ok, long tookUs, Report report) {
-        MemberState n = nodes.get(memberId);
-        if (n == null) {
+        MemberState member = members.get(memberId);
+        if (member == null) {
             return;
         }
-        n.probing = false;
-        n.group.probedAt = 0;
-        n.known |= ok;
-        localityPolicy.probed(now, n.handle, ok);
+        member.healthCheckPending = false;
+        member.group.lastFreshnessCheckUs = 0;
+        member.verified |= ok;
+        localityPolicy.probed(now, member.handle, ok);
         if (ok && report != null) {
-            learnReport(now, n, report);
+            recordReport(now, member, report);
         }
-        pump(now, n.group);
+        releaseWaiting(now, member.group);
     }
 
-    private void learnReport(long now, MemberState n, Report r) {
-        slow.reported(n.start, r.util());
-        if (r.positionUs() > 0) {
-            n.position = Math.max(n.position, r.positionUs());
-            n.reportAt = now;
-            n.lag = Math.max(0, now - n.position);
-            baseLag = Math.min(baseLag + n.lag * 0.01, n.lag);
+    private void recordReport(long now, MemberState member, Report report) {
+        slowStart.reported(member.slowStartState, report.util());
+        if (report.positionUs() > 0) {
+            member.appliedUpToUs = Math.max(member.appliedUpToUs, report.positionUs());
+            member.positionAtUs = now;
+            member.lagUs = Math.max(0, now - member.appliedUpToUs);
+            usualLagUs = Math.min(usualLagUs + member.lagUs * 0.01, member.lagUs);
         }
-        long at = r.positionUs() > 0 ? r.positionUs() : now - WALK_US;
-        noteRole(now, n, r.role(), at, false);
+        long at = report.positionUs() > 0 ? report.positionUs() : now - WALK_US;
+        noteRole(now, member, report.role(), at, false);
     }
 
     // ---- Writes, and reads that must be current. ----
 
     @Override
-    public void onRequest(long now, Request q) {
+    public void onRequest(long now, Request original) {
         retryTokens = Math.min(RETRY_BURST, retryTokens + RETRY_SHARE);
-        GroupState g = groups.computeIfAbsent(q.group(), GroupState::new);
-        PendingRequest c = new PendingRequest(q, g, now);
-        calls.put(q.id(), c);
-        c.crowded = jammed(c) && draw.nextDouble() < g.goodput.excess(now, goodput);
-        if (c.crowded) {
-            giveUp(now, c);
+        GroupState group = groups.computeIfAbsent(original.group(), GroupState::new);
+        PendingRequest request = new PendingRequest(original, group, now);
+        requests.put(original.id(), request);
+        request.overloaded = atSmallestWindow(request) && random.nextDouble() < group.goodput.excess(now, goodput);
+        if (request.overloaded) {
+            giveUp(now, request);
         } else {
-            route(now, c);
+            route(now, request);
         }
-        if (set.limits().concurrentRequestLimit() > 0
-                && calls.size() > OPEN * set.limits().concurrentRequestLimit()) {
+        if (settings.limits().concurrentRequestLimit() > 0
+                && requests.size() > OPEN * settings.limits().concurrentRequestLimit()) {
             waiting.values().stream()
-                    .flatMap(w -> Stream.concat(w.held.stream(), w.parked.stream()))
-                    .min(Comparator.comparingLong(w -> w.arrivedUs))
+                    .flatMap(waiter -> Stream.concat(waiter.queuedWrites.stream(), waiter.waitingReads.stream()))
+                    .min(Comparator.comparingLong(waiter -> waiter.arrivedUs))
                     .ifPresent(oldest -> {
-                        oldest.g.held.remove(oldest);
-                        oldest.g.parked.remove(oldest);
+                        oldest.group.queuedWrites.remove(oldest);
+                        oldest.group.waitingReads.remove(oldest);
                         giveUp(now, oldest);
                     });
         }
     }
 
     /** Whether a member where it may go lets out one attempt at a time: a slow replica jams no write. */
-    private boolean jammed(PendingRequest c) {
-        return c.toHead
-                ? c.g.head != null && !c.g.doubted && c.g.head.window <= 1
-                : c.g.chain.stream().anyMatch(n -> n.window <= 1);
+    private boolean atSmallestWindow(PendingRequest request) {
+        return request.needsPrimary
+                ? request.group.primary != null && !request.group.primarySuspected && request.group.primary.window <= 1
+                : request.group.chain.stream().anyMatch(member -> member.window <= 1);
     }
 
-    private void conclude(long now, PendingRequest c, double worth) {
-        if (!c.ended && (worth > 0 || c.crowded)) { // Refusing cures no error, and no want of a primary.
+    private void recordEnd(long now, PendingRequest request, double worth) {
+        if (!request.ended && (worth > 0 || request.overloaded)) { // Refusing cures no error, and no want of a primary.
             goodput.add(now, worth);
-            c.g.goodput.add(now, worth);
+            request.group.goodput.add(now, worth);
         }
-        c.ended = true;
+        request.ended = true;
     }
 
-    private void route(long now, PendingRequest c) {
-        if (!c.toHead) {
-            routeRead(now, c);
-        } else if (spent(now, c)) {
-            giveUp(now, c);
+    private void route(long now, PendingRequest request) {
+        if (!request.needsPrimary) {
+            routeRead(now, request);
+        } else if (exhausted(now, request)) {
+            giveUp(now, request);
         } else {
-            enqueue(c, c.g.held, c.g.held.size());
-            pump(now, c.g);
+            addWaiting(request, request.group.queuedWrites, request.group.queuedWrites.size());
+            releaseWaiting(now, request.group);
         }
     }
 
     /** Only a request that waits keeps the sweep going: an idle router costs nobody anything. */
-    private void enqueue(PendingRequest c, List<PendingRequest> queue, int at) {
-        queue.add(at, c);
-        waiting.put(c.g.number, c.g);
+    private void addWaiting(PendingRequest request, List<PendingRequest> queue, int at) {
+        queue.add(at, request);
+        waiting.put(request.group.number, request.group);
         if (!sweeping) {
             sweeping = true;
-            act.setTimer(sweepUs, SWEEP);
+            actions.setTimer(sweepUs, SWEEP);
         }
     }
 
     /** Whether nothing more may be tried: time, attempts or the key's window have run out. */
-    private boolean spent(long now, PendingRequest c) {
-        return now + 2 * sweepUs >= c.q.deadlineUs()
-                || c.attempts >= c.mostAttempts
-                || c.mayHaveRun
-                        && (c.k.idempotency() == Idempotency.NON_IDEMPOTENT
-                                || c.k.idempotency() == Idempotency.KEYED
-                                        && now + sweepUs > c.firstMaybe + c.k.windowUs());
+    private boolean exhausted(long now, PendingRequest request) {
+        return now + 2 * sweepUs >= request.original.deadlineUs()
+                || request.attempts >= request.maxAttempts
+                || request.mayHaveRun
+                        && (request.requestClass.idempotency() == Idempotency.NON_IDEMPOTENT
+                                || request.requestClass.idempotency() == Idempotency.KEYED
+                                        && now + sweepUs
+                                                > request.firstUncertainSendUs + request.requestClass.windowUs());
     }
 
     /** Lets out what waits: held writes as the head's window allows, then parked reads. Newest first: oldest
      * first, a backlog makes every request late; this way only those that are late already wait on. */
-    private void pump(long now, GroupState g) {
-        doubt(now, g);
-        boolean canary = g.doubted && now - g.canaryAt >= WALK_US;
-        for (int i = g.held.size() - 1; i >= 0; i--) {
-            PendingRequest c = g.held.get(i);
-            if (g.holding || g.head != null && !g.doubted && !room(now, g.head, 1)) {
+    private void releaseWaiting(long now, GroupState group) {
+        suspectSilentPrimary(now, group);
+        boolean canary = group.primarySuspected && now - group.lastTrialUs >= WALK_US;
+        for (int i = group.queuedWrites.size() - 1; i >= 0; i--) {
+            PendingRequest request = group.queuedWrites.get(i);
+            if (group.holdingWrites
+                    || group.primary != null && !group.primarySuspected && !hasRoom(now, group.primary, 1)) {
                 break;
             }
-            if (now < c.notBefore || g.doubted && (!canary || c.k.idempotency() == Idempotency.NON_IDEMPOTENT)) {
+            if (now < request.notBeforeUs
+                    || group.primarySuspected
+                            && (!canary || request.requestClass.idempotency() == Idempotency.NON_IDEMPOTENT)) {
                 continue;
             }
-            MemberState to = g.head != null ? g.head : next(c);
+            MemberState to = group.primary != null ? group.primary : nextCandidate(request);
             if (to == null) {
-                g.holding = true;
+                group.holdingWrites = true;
                 break;
             }
-            if (send(now, c, to, writeTimeout(now, c, to))) {
-                g.held.remove(i);
-                if (g.doubted) {
-                    g.canaryAt = now;
+            if (send(now, request, to, writeTimeout(now, request, to))) {
+                group.queuedWrites.remove(i);
+                if (group.primarySuspected) {
+                    group.lastTrialUs = now;
                     canary = false;
                 }
             }
         }
-        for (int i = g.parked.size() - 1; i >= 0; i--) {
-            PendingRequest c = g.parked.get(i);
-            c.parked = false;
-            routeRead(now, c);
+        for (int i = group.waitingReads.size() - 1; i >= 0; i--) {
+            PendingRequest request = group.waitingReads.get(i);
+            request.waitsAsRead = false;
+            routeRead(now, request);
         }
-        g.parked.removeIf(c -> !c.parked);
+        group.waitingReads.removeIf(request -> !request.waitsAsRead);
     }
 
     /** A primary that says it is busy, or that says nothing and was late of late, is not silent: the same
      * write again would only add to its work. */
-    private long writeTimeout(long now, PendingRequest c, MemberState n) {
-        long left = c.q.deadlineUs() - now;
-        double util = slow.util(n.start);
-        if (c.k.idempotency() == Idempotency.NON_IDEMPOTENT || util >= FULL || util < 0 && n.window < FIRST_WINDOW) {
+    private long writeTimeout(long now, PendingRequest request, MemberState member) {
+        long left = request.original.deadlineUs() - now;
+        double util = slowStart.util(member.slowStartState);
+        if (request.requestClass.idempotency() == Idempotency.NON_IDEMPOTENT
+                || util >= FULL
+                || util < 0 && member.window < FIRST_WINDOW) {
             return left;
         }
-        long t = (long) Math.max(c.k.latencyObjectiveUs(), SILENCE * expected(c, n, now));
-        boolean again = c.attempts + 1 < c.mostAttempts
-                && (c.k.idempotency() == Idempotency.IDEMPOTENT
-                        || now + t + sweepUs < (c.mayHaveRun ? c.firstMaybe : now) + c.k.windowUs());
-        return again ? Math.min(left, t) : left;
+        long timeoutUs = (long)
+                Math.max(request.requestClass.latencyObjectiveUs(), SILENCE * expectedLatencyUs(request, member, now));
+        boolean again = request.attempts + 1 < request.maxAttempts
+                && (request.requestClass.idempotency() == Idempotency.IDEMPOTENT
+                        || now + timeoutUs + sweepUs
+                                < (request.mayHaveRun ? request.firstUncertainSendUs : now)
+                                        + request.requestClass.windowUs());
+        return again ? Math.min(left, timeoutUs) : left;
     }
 
     // ---- Reads: the pick of a replica. ----
 
     /** Whether sessions' writes are remembered here, and this is one. */
-    private boolean marks(PendingRequest c) {
-        return c.k.access() == Access.WRITE && set.sessionTracking() == SessionTracking.REMEMBERED;
+    private boolean isTrackedWrite(PendingRequest request) {
+        return request.requestClass.access() == Access.WRITE
+                && settings.sessionTracking() == SessionTracking.REMEMBERED;
     }
 
-    private long need(long now, PendingRequest c) {
-        return switch (c.k.access()) {
-            case BOUNDED -> now - c.k.boundUs() + 2000;
+    private long requiredPosition(long now, PendingRequest request) {
+        return switch (request.requestClass.access()) {
+            case BOUNDED -> now - request.requestClass.boundUs() + 2000;
             case SESSION -> {
-                if (set.sessionTracking() == SessionTracking.CARRIED) {
-                    yield c.q.sinceWriteUs() <= 0 ? 0 : c.arrivedUs - c.q.sinceWriteUs() + 2000;
+                if (settings.sessionTracking() == SessionTracking.CARRIED) {
+                    yield request.original.sinceWriteUs() <= 0
+                            ? 0
+                            : request.arrivedUs - request.original.sinceWriteUs() + 2000;
                 }
-                yield Math.max(commits.need(now, c.q.session()), elsewhere.boundUs(now, c.q.session()));
+                yield Math.max(
+                        sessionCommits.need(now, request.original.session()),
+                        peerCommits.boundUs(now, request.original.session()));
             }
             case ANY -> 0;
             default -> Long.MAX_VALUE;
@@ -541,65 +558,72 @@
     }
 
     /** Whether a member checks and nothing says that it is too far behind; the baseline is report age. */
-    private boolean likely(long now, MemberState n, long need) {
-        return set.stalenessCheck() != StalenessCheck.SILENT
-                && now - n.missAt > WALK_US
-                && now - need + set.limits().holdsForUs() >= n.lag - Math.min(baseLag, n.lag);
+    private boolean isLikelyFresh(long now, MemberState member, long requiredUs) {
+        return settings.stalenessCheck() != StalenessCheck.SILENT
+                && now - member.staleAtUs > WALK_US
+                && now - requiredUs + settings.limits().holdsForUs()
+                        >= member.lagUs - Math.min(usualLagUs, member.lagUs);
     }
 
     /** Whether a probe might show that a member has what is needed: that is not all too recent, and it was
      * not asked just now. A waiting read that asks on and on costs more than it is worth, and of one that
      * stood far behind each router would know without asking that it cannot have caught up yet. */
-    private boolean provable(long now, MemberState n, long need) {
-        long behind = n.lag - (now - need); // When it last told its position.
-        return set.limits().probes() == Probes.REPORT
-                && now - need > baseLag
-                && now - n.askedAt > WALK_US / 2
-                && now - n.reportAt > CATCH_UP * behind;
+    private boolean mayProveFresh(long now, MemberState member, long requiredUs) {
+        long behind = member.lagUs - (now - requiredUs); // When it last told its position.
+        return settings.limits().probes() == Probes.REPORT
+                && now - requiredUs > usualLagUs
+                && now - member.healthCheckAtUs > WALK_US / 2
+                && now - member.positionAtUs > CATCH_UP * behind;
     }
 
     /** A member listed later gets reads once it answered a probe: a list may name what is none of ours. */
-    private boolean stranger(long now, MemberState n) {
-        if (!n.known && now - n.askedAt > KEEP * WALK_US / 2) {
-            probe(now, n);
+    private boolean isUnverified(long now, MemberState member) {
+        if (!member.verified && now - member.healthCheckAtUs > KEEP * WALK_US / 2) {
+            checkHealth(now, member);
         }
-        return !n.known && set.limits().probes() != Probes.NONE;
+        return !member.verified && settings.limits().probes() != Probes.NONE;
     }
 
     /** Whether to wait for a probe that is out and may tell a position, a tenth of the aim at most. */
-    private boolean asks(long now, PendingRequest c) {
-        if (c.patienceUs == 0) {
-            c.patienceUs = now + Math.max(2 * set.tickUs(), c.k.latencyObjectiveUs() / 10);
+    private boolean awaitsHealthCheck(long now, PendingRequest request) {
+        if (request.healthCheckWaitUntilUs == 0) {
+            request.healthCheckWaitUntilUs =
+                    now + Math.max(2 * settings.tickUs(), request.requestClass.latencyObjectiveUs() / 10);
         }
         boolean any = false;
-        for (MemberState n : c.g.chain) {
-            any |= n.probing && usable(n) && !c.missed.contains(n);
+        for (MemberState member : request.group.chain) {
+            any |= member.healthCheckPending && isUsable(member) && !request.triedMembers.contains(member);
         }
-        return any && now < c.patienceUs && set.limits().probes() == Probes.REPORT;
+        return any && now < request.healthCheckWaitUntilUs && settings.limits().probes() == Probes.REPORT;
     }
 
     /** So much of its time gone, nothing sent: its client does better to ask elsewhere than to wait on. So
      * with a write while no primary is known; for room at one that is, it waits as long as it may. */
-    private boolean stuck(long now, PendingRequest c) {
-        double wait = WAIT * (c.q.deadlineUs() - c.arrivedUs);
-        return c.attempts == 0 && now + 2 * sweepUs > c.arrivedUs + wait;
+    private boolean waitedTooLong(long now, PendingRequest request) {
+        double wait = WAIT * (request.original.deadlineUs() - request.arrivedUs);
+        return request.attempts == 0 && now + 2 * sweepUs > request.arrivedUs + wait;
     }
 
-    private void routeRead(long now, PendingRequest c) {
-        GroupState g = c.g;
-        boolean late = now + expect[c.q.cls()] / 2 > until(c) && (c.attempts > 0 || now > c.arrivedUs);
-        if (late || stuck(now, c) || spent(now, c)) {
-            giveUp(now, c);
+    private void routeRead(long now, PendingRequest request) {
+        GroupState group = request.group;
+        boolean late = now + meanLatencyUs[request.original.cls()] / 2 > usefulUntilUs(request)
+                && (request.attempts > 0 || now > request.arrivedUs);
+        if (late || waitedTooLong(now, request) || exhausted(now, request)) {
+            giveUp(now, request);
             return;
         }
-        if (now < c.notBefore) {
-            park(c);
+        if (now < request.notBeforeUs) {
+            waitForCapacity(request);
             return;
         }
-        long need = need(now, c);
-        boolean canary = g.doubted && now - g.canaryAt >= WALK_US && c.k.idempotency() == Idempotency.IDEMPOTENT;
-        if (canary && !c.missed.contains(g.head) && send(now, c, g.head, readTimeout(now, c, g.head))) {
-            g.canaryAt = now;
+        long requiredUs = requiredPosition(now, request);
+        boolean canary = group.primarySuspected
+                && now - group.lastTrialUs >= WALK_US
+                && request.requestClass.idempotency() == Idempotency.IDEMPOTENT;
+        if (canary
+                && !request.triedMembers.contains(group.primary)
+                && send(now, request, group.primary, readTimeout(now, request, group.primary))) {
+            group.lastTrialUs = now;
             return;
         }
         MemberState best = null;
@@ -607,202 +631,220 @@
         double bestCost = Double.MAX_VALUE;
         double askCost = Double.MAX_VALUE;
         boolean waits = false, denied = false;
-        boolean longer = lengthy(c);
-        double part = c.k.access() == Access.ANY && !longer ? LEAVE : 1;
-        MemberState only = longer && now - c.arrivedUs < PATIENT * c.k.latencyObjectiveUs() ? keeper(now, c) : null;
-        int size = g.chain.size();
+        boolean longer = isLongRunning(request);
+        double part = request.requestClass.access() == Access.ANY && !longer ? LEAVE : 1;
+        MemberState only = longer && now - request.arrivedUs < PATIENT * request.requestClass.latencyObjectiveUs()
+                ? longQueryReplica(now, request)
+                : null;
+        int size = group.chain.size();
         for (int i = 0; i < size; i++) {
-            MemberState n = g.chain.get((turnSeed + g.turn + i) % size);
-            if (n == g.head || !usable(n) || c.missed.contains(n) || stranger(now, n) || only != null && n != only) {
+            MemberState member = group.chain.get((rotationSeed + group.rotation + i) % size);
+            if (member == group.primary
+                    || !isUsable(member)
+                    || request.triedMembers.contains(member)
+                    || isUnverified(now, member)
+                    || only != null && member != only) {
                 continue;
             }
-            double costFactor = localityPolicy.costFactor(now, n.handle);
+            double costFactor = localityPolicy.costFactor(now, member.handle);
             if (costFactor == Double.POSITIVE_INFINITY) {
-                if (!n.probing && localityPolicy.healthCheckDue(now, n.handle)) {
-                    probe(now, n);
+                if (!member.healthCheckPending && localityPolicy.healthCheckDue(now, member.handle)) {
+                    checkHealth(now, member);
                 }
                 continue;
             }
-            boolean proven = n.position >= need || likely(now, n, need);
+            boolean proven = member.appliedUpToUs >= requiredUs || isLikelyFresh(now, member, requiredUs);
             if (proven
-                    ? !room(now, n, part) || !slow.admits(now, n.start, c.q.cls())
-                    : n.probing || !provable(now, n, need)) {
+                    ? !hasRoom(now, member, part)
+                            || !slowStart.admits(now, member.slowStartState, request.original.cls())
+                    : member.healthCheckPending || !mayProveFresh(now, member, requiredUs)) {
                 waits = true;
                 continue;
             }
-            if (proven && !localityPolicy.admits(now, n.handle, c.q.cls())) {
+            if (proven && !localityPolicy.admits(now, member.handle, request.original.cls())) {
                 denied = true;
                 continue;
             }
-            double cost = cost(now, n)
+            double cost = cost(now, member)
                     * costFactor
-                    / leisure(c, n)
-                    * (linked(now, n) || g.sinceLink >= LINK_EVERY ? 1 : NEW_LINK);
+                    / replicaPreference(request, member)
+                    * (hasFreeConnection(now, member) || group.sendsSinceConnect >= LINK_EVERY ? 1 : NEW_LINK);
             if (proven && cost * EQUAL < bestCost) {
                 bestCost = cost;
-                best = n;
+                best = member;
             } else if (!proven && cost * EQUAL < askCost) {
                 askCost = cost;
-                unproven = n;
+                unproven = member;
             }
         }
-        if (best != null && send(now, c, best, readTimeout(now, c, best))) {
-            g.turn++;
+        if (best != null && send(now, request, best, readTimeout(now, request, best))) {
+            group.rotation++;
             return;
         }
-        if (unproven != null && now - g.probedAt >= sweepUs) {
-            g.probedAt = now;
-            probe(now, unproven);
+        if (unproven != null && now - group.lastFreshnessCheckUs >= sweepUs) {
+            group.lastFreshnessCheckUs = now;
+            checkHealth(now, unproven);
         }
-        if (set.stalenessCheck() == StalenessCheck.SILENT && asks(now, c)) {
-            park(c);
+        if (settings.stalenessCheck() == StalenessCheck.SILENT && awaitsHealthCheck(now, request)) {
+            waitForCapacity(request);
             return;
         }
         if (only == null
-                && g.head != null
-                && !g.doubted
-                && !c.missed.contains(g.head)
-                && room(now, g.head, SPARED)
-                && localityPolicy.costFactor(now, g.head.handle) < Double.POSITIVE_INFINITY
-                && localityPolicy.admits(now, g.head.handle, c.q.cls())
-                && send(now, c, g.head, readTimeout(now, c, g.head))) {
+                && group.primary != null
+                && !group.primarySuspected
+                && !request.triedMembers.contains(group.primary)
+                && hasRoom(now, group.primary, SPARED)
+                && localityPolicy.costFactor(now, group.primary.handle) < Double.POSITIVE_INFINITY
+                && localityPolicy.admits(now, group.primary.handle, request.original.cls())
+                && send(now, request, group.primary, readTimeout(now, request, group.primary))) {
             return;
         }
         if (denied && !waits && unproven == null) { // More than may be sent elsewhere, and no use in waiting.
-            giveUp(now, c);
+            giveUp(now, request);
             return;
         }
-        if (next(c) == null) {
-            c.missed.clear();
-            c.notBefore = now + WALK_US / 10;
+        if (nextCandidate(request) == null) {
+            request.triedMembers.clear();
+            request.notBeforeUs = now + WALK_US / 10;
         }
-        park(c);
+        waitForCapacity(request);
     }
 
     /** Whether an open connection is free: a new one costs the member work and the request time, and hundreds
      * of routers that each rotate over all members would fill their tables. */
-    private boolean linked(long now, MemberState n) {
-        return n.out < n.links * set.limits().requestsPerConnection()
-                && now - n.linkedAt < set.limits().idleCloseUs();
+    private boolean hasFreeConnection(long now, MemberState member) {
+        return member.inFlight < member.connections * settings.limits().requestsPerConnection()
+                && now - member.lastUsedAtUs < settings.limits().idleCloseUs();
     }
 
     /** A long query that any member may answer: its own work, not a queue, makes its time. */
-    private boolean lengthy(PendingRequest c) {
-        return c.k.access() == Access.ANY && expect[c.q.cls()] > LENGTHY * work;
+    private boolean isLongRunning(PendingRequest request) {
+        return request.requestClass.access() == Access.ANY
+                && meanLatencyUs[request.original.cls()] > LENGTHY * meanWorkUs;
     }
 
     /** The replica that a group's long queries keep to: one that holds any may apply nothing, so spread over
      * all they would leave none that is new enough for other reads. The furthest behind, as routers agree on
      * that one, and kept until another is well behind it or it can't serve. */
-    private MemberState keeper(long now, PendingRequest c) {
+    private MemberState longQueryReplica(long now, PendingRequest request) {
         MemberState best = null;
         double furthest = -1;
-        for (MemberState n : c.g.chain) {
-            double costFactor = localityPolicy.costFactor(now, n.handle);
-            if (n != c.g.head
-                    && usable(n)
-                    && n.known
-                    && !c.missed.contains(n)
-                    && now >= n.pausedUntil
-                    && !silent(now, n)
+        for (MemberState member : request.group.chain) {
+            double costFactor = localityPolicy.costFactor(now, member.handle);
+            if (member != request.group.primary
+                    && isUsable(member)
+                    && member.verified
+                    && !request.triedMembers.contains(member)
+                    && now >= member.pausedUntilUs
+                    && !isSilent(now, member)
                     && costFactor < Double.POSITIVE_INFINITY) {
-                long behind = n.position == 0 ? 0 : now - n.position + (n == c.g.keeper ? 2 * WALK_US : 0);
-                best = behind / costFactor > furthest ? n : best;
+                long behind = member.appliedUpToUs == 0
+                        ? 0
+                        : now - member.appliedUpToUs + (member == request.group.longQueryReplica ? 2 * WALK_US : 0);
+                best = behind / costFactor > furthest ? member : best;
                 furthest = Math.max(furthest, behind / costFactor);
             }
         }
-        c.g.keeper = best != null ? best : c.g.keeper;
+        request.group.longQueryReplica = best != null ? best : request.group.longQueryReplica;
         return best;
     }
 
     /** A read that any member may answer leans to a replica that is behind and can serve little else, so that
      * long queries, which may stop a replica from applying, keep to few of them; the others stay fresh. */
-    private double leisure(PendingRequest c, MemberState n) {
-        return c.k.access() != Access.ANY
+    private double replicaPreference(PendingRequest request, MemberState member) {
+        return request.requestClass.access() != Access.ANY
                 ? 1
                 : 1
-                        + Math.min(1, expect[c.q.cls()] / WALK_US)
-                                * Math.min(n.lag - Math.min(baseLag, n.lag), 4 * WALK_US)
+                        + Math.min(1, meanLatencyUs[request.original.cls()] / WALK_US)
+                                * Math.min(member.lagUs - Math.min(usualLagUs, member.lagUs), 4 * WALK_US)
                                 / WALK_US;
     }
 
     /** Waits for room. A marked repeat waits behind first tries: part of its aim has gone, and under overload
      * repeats would else take the room in which first tries still make theirs. */
-    private void park(PendingRequest c) {
-        if (!c.parked && !c.g.parked.contains(c)) {
-            enqueue(c, c.g.parked, c.q.repeated() ? 0 : c.g.parked.size());
-        }
-        c.parked = true;
+    private void waitForCapacity(PendingRequest request) {
+        if (!request.waitsAsRead && !request.group.waitingReads.contains(request)) {
+            addWaiting(
+                    request,
+                    request.group.waitingReads,
+                    request.original.repeated() ? 0 : request.group.waitingReads.size());
+        }
+        request.waitsAsRead = true;
     }
 
     /** Until when an answer is worth anything: the deadline, or the aim where lateness earns nothing. */
-    private static long until(PendingRequest c) {
-        return c.k.lateWeight() > 0
-                ? c.q.deadlineUs()
-                : Math.min(c.q.deadlineUs(), c.arrivedUs + c.k.latencyObjectiveUs());
+    private static long usefulUntilUs(PendingRequest request) {
+        return request.requestClass.lateWeight() > 0
+                ? request.original.deadlineUs()
+                : Math.min(
+                        request.original.deadlineUs(), request.arrivedUs + request.requestClass.latencyObjectiveUs());
     }
 
     /** Where no window bounds a member's queue, a time-out takes out of it what is past its use. */
-    private long readTimeout(long now, PendingRequest c, MemberState n) {
-        long left = (n.window <= 1 ? until(c) : c.q.deadlineUs()) - now;
-        double mean = expected(c, n, now);
-        double spare = c.arrivedUs + c.k.latencyObjectiveUs() - now - 1.5 * mean;
+    private long readTimeout(long now, PendingRequest request, MemberState member) {
+        long left = (member.window <= 1 ? usefulUntilUs(request) : request.original.deadlineUs()) - now;
+        double mean = expectedLatencyUs(request, member, now);
+        double spare = request.arrivedUs + request.requestClass.latencyObjectiveUs() - now - 1.5 * mean;
         return spare > SILENCE * mean && retryTokens >= 1 ? (long) Math.min(left, spare) : left;
     }
 
     // ---- Health: what outcomes say of a member, against its peers. ----
 
-    private double fade(long now, MemberState n) {
-        return Math.exp(-(now - n.markedAt) / FADE_US);
+    private double fade(long now, MemberState member) {
+        return Math.exp(-(now - member.outcomeAtUs) / FADE_US);
     }
 
-    private double expected(PendingRequest c, MemberState n, long now) {
-        return expect[c.q.cls()] * (1 + (n.ratio - 1) * fade(now, n));
+    private double expectedLatencyUs(PendingRequest request, MemberState member, long now) {
+        return meanLatencyUs[request.original.cls()] * (1 + (member.latencyRatio - 1) * fade(now, member));
     }
 
-    private double cost(long now, MemberState n) {
-        double f = fade(now, n);
-        double c = (1 + (n.ratio - 1) * f) * (1 + 0.5 * n.out / Math.max(0.1, n.weight)) * (1 + FAIL_COST * n.fail * f);
-        return silent(now, n) ? c * FAIL_COST : c;
+    private double cost(long now, MemberState member) {
+        double fade = fade(now, member);
+        double cost = (1 + (member.latencyRatio - 1) * fade)
+                * (1 + 0.5 * member.inFlight / Math.max(0.1, member.weight))
+                * (1 + FAIL_COST * member.failureRate * fade);
+        return isSilent(now, member) ? cost * FAIL_COST : cost;
     }
 
-    private boolean silent(long now, MemberState n) {
-        return n.out > 0 && now - n.progressAt > SILENCE * n.slowest;
+    private boolean isSilent(long now, MemberState member) {
+        return member.inFlight > 0 && now - member.lastProgressUs > SILENCE * member.slowestExpectedUs;
     }
 
     /** The window: one bound against overload, hangs, crawling members and floods after a release alike. */
-    private boolean room(long now, MemberState n, double share) {
-        return now >= n.pausedUntil && n.out < Math.max(1, n.window * share);
+    private boolean hasRoom(long now, MemberState member, double share) {
+        return now >= member.pausedUntilUs && member.inFlight < Math.max(1, member.window * share);
     }
 
-    private void widen(MemberState n) {
-        n.turnedAway = 0;
-        if (n.out + 1 >= n.window / 2) {
-            n.window += n.opening ? 1 : 1 / n.window;
+    private void growWindow(MemberState member) {
+        member.rejections = 0;
+        if (member.inFlight + 1 >= member.window / 2) {
+            member.window += member.growingFast ? 1 : 1 / member.window;
         }
     }
 
-    private void narrow(long now, MemberState n, double aboutUs) {
-        n.opening = false;
-        if (now - n.cutAt > aboutUs) {
-            n.window = Math.max(1, Math.min(n.window, n.out + 1) * CUT);
-            n.cutAt = now;
+    private void shrinkWindow(long now, MemberState member, double aboutUs) {
+        member.growingFast = false;
+        if (now - member.shrunkAtUs > aboutUs) {
+            member.window = Math.max(1, Math.min(member.window, member.inFlight + 1) * CUT);
+            member.shrunkAtUs = now;
         }
     }
 
     /** A member that turns away or cannot be reached does so at once, and would draw a storm of attempts. */
-    private void pause(long now, MemberState n, PendingRequest c) {
-        n.pausedUntil = now + Math.min(WALK_US, (long) expect[c.q.cls()] / 4 << Math.min(n.turnedAway++, 8));
+    private void pause(long now, MemberState member, PendingRequest request) {
+        member.pausedUntilUs = now
+                + Math.min(
+                        WALK_US, (long) meanLatencyUs[request.original.cls()] / 4 << Math.min(member.rejections++, 8));
     }
 
-    private void mark(long now, MemberState n, double ratio, boolean failed) {
-        double f = fade(now, n);
-        n.fail = n.fail * f * (1 - 2 * MEAN) + (failed ? 2 * MEAN : 0);
-        n.ratio = 1 + (n.ratio - 1) * f;
+    private void recordLatency(long now, MemberState member, double ratio, boolean failed) {
+        double fade = fade(now, member);
+        member.failureRate = member.failureRate * fade * (1 - 2 * MEAN) + (failed ? 2 * MEAN : 0);
+        member.latencyRatio = 1 + (member.latencyRatio - 1) * fade;
         if (ratio > 0) {
-            n.ratio += MEAN * (Math.min(ratio, 10) - n.ratio);
+            member.latencyRatio += MEAN * (Math.min(ratio, 10) - member.latencyRatio);
         }
-        n.markedAt = now;
+        member.outcomeAtUs = now;
     }
 
     @Override
@@ -817,177 +859,190 @@
             Role role,
             long positionUs,
             Report report) {
-        PendingRequest c = calls.get(requestId);
-        MemberState n = nodes.get(memberId);
-        if (n == null || c == null || c.on == null) {
+        PendingRequest request = requests.get(requestId);
+        MemberState member = members.get(memberId);
+        if (member == null || request == null || request.currentMember == null) {
             return;
         }
-        c.on = null;
-        c.crowded = outcome == Outcome.OK || outcome == Outcome.REJECTED || outcome == Outcome.TIMEOUT;
-        n.out--;
-        n.linkedAt = now;
-        localityPolicy.ended(now, n.handle, outcome, expect[c.q.cls()]);
-        learnOutcome(now, c, n, outcome, tookUs, role, positionUs, report);
-        if (!outcome.provesNotRun && !c.mayHaveRun) {
-            c.mayHaveRun = true;
-            c.firstMaybe = c.sentAt;
-            c.keyZone = c.k.idempotency() == Idempotency.KEYED && c.k.deduplicationScope() == DeduplicationScope.ZONE
-                    ? n.zone
+        request.currentMember = null;
+        request.overloaded = outcome == Outcome.OK || outcome == Outcome.REJECTED || outcome == Outcome.TIMEOUT;
+        member.inFlight--;
+        member.lastUsedAtUs = now;
+        localityPolicy.ended(now, member.handle, outcome, meanLatencyUs[request.original.cls()]);
+        recordOutcome(now, request, member, outcome, tookUs, role, positionUs, report);
+        if (!outcome.provesNotRun && !request.mayHaveRun) {
+            request.mayHaveRun = true;
+            request.firstUncertainSendUs = request.sentAtUs;
+            request.deduplicationZone = request.requestClass.idempotency() == Idempotency.KEYED
+                            && request.requestClass.deduplicationScope() == DeduplicationScope.ZONE
+                    ? member.zone
                     : -1;
         }
-        if (closed || c.ended || outcome == Outcome.OK) {
-            double worth = now - c.arrivedUs <= c.k.latencyObjectiveUs() ? 1 : c.k.lateWeight();
-            conclude(now, c, outcome == Outcome.OK ? worth : 0);
-            calls.remove(requestId);
+        if (closed || request.ended || outcome == Outcome.OK) {
+            double worth = now - request.arrivedUs <= request.requestClass.latencyObjectiveUs()
+                    ? 1
+                    : request.requestClass.lateWeight();
+            recordEnd(now, request, outcome == Outcome.OK ? worth : 0);
+            requests.remove(requestId);
         } else {
-            again(now, c, n, outcome);
+            retry(now, request, member, outcome);
         }
-        pump(now, n.group);
+        releaseWaiting(now, member.group);
     }
 
-    private void learnOutcome(
+    private void recordOutcome(
             long now,
-            PendingRequest c,
-            MemberState n,
-            Outcome o,
+            PendingRequest request,
+            MemberState member,
+            Outcome outcome,
             long tookUs,
             Role role,
             long positionUs,
             Report report) {
-        GroupState g = n.group;
-        boolean write = c.k.access() == Access.WRITE;
-        if (o == Outcome.OK || o == Outcome.ERROR || o == Outcome.REJECTED || o == Outcome.WRONG_ROLE_OR_STALE) {
-            n.progressAt = now;
-            n.known |= o != Outcome.ERROR;
-        }
-        if (n.out == 0) {
-            n.slowest = 0;
+        GroupState group = member.group;
+        boolean write = request.requestClass.access() == Access.WRITE;
+        if (outcome == Outcome.OK
+                || outcome == Outcome.ERROR
+                || outcome == Outcome.REJECTED
+                || outcome == Outcome.WRONG_ROLE_OR_STALE) {
+            member.lastProgressUs = now;
+            member.verified |= outcome != Outcome.ERROR;
+        }
+        if (member.inFlight == 0) {
+            member.slowestExpectedUs = 0;
         }
         if (report != null) {
-            learnReport(now, n, report);
+            recordReport(now, member, report);
         }
         if (positionUs > 0) {
-            n.position = Math.max(n.position, positionUs);
-            n.lag = Math.max(0, now - n.position);
-            n.reportAt = now;
-        }
-        noteRole(now, n, role, now, true);
-        if (marks(c)) {
-            commits.ended(now, c.q.session(), c.q.deadlineUs(), o, positionUs, keepUs);
-        }
-        if (o == Outcome.OK) {
-            mark(now, n, tookUs / expect[c.q.cls()], false);
-            expect[c.q.cls()] += 0.02 * (tookUs - expect[c.q.cls()]);
-            if (n == g.head) {
-                g.doubted = false;
+            member.appliedUpToUs = Math.max(member.appliedUpToUs, positionUs);
+            member.lagUs = Math.max(0, now - member.appliedUpToUs);
+            member.positionAtUs = now;
+        }
+        noteRole(now, member, role, now, true);
+        if (isTrackedWrite(request)) {
+            sessionCommits.ended(
+                    now, request.original.session(), request.original.deadlineUs(), outcome, positionUs, retentionUs);
+        }
+        if (outcome == Outcome.OK) {
+            recordLatency(now, member, tookUs / meanLatencyUs[request.original.cls()], false);
+            meanLatencyUs[request.original.cls()] += 0.02 * (tookUs - meanLatencyUs[request.original.cls()]);
+            if (member == group.primary) {
+                group.primarySuspected = false;
             }
-            slow.served(now, n.start, c.q.cls(), tookUs);
-            if (tookUs > c.k.latencyObjectiveUs()
-                    || !lengthy(c) && expected(c, n, now) > TARGET * c.k.latencyObjectiveUs()) {
-                narrow(now, n, expect[c.q.cls()]);
+            slowStart.served(now, member.slowStartState, request.original.cls(), tookUs);
+            if (tookUs > request.requestClass.latencyObjectiveUs()
+                    || !isLongRunning(request)
+                            && expectedLatencyUs(request, member, now)
+                                    > TARGET * request.requestClass.latencyObjectiveUs()) {
+                shrinkWindow(now, member, meanLatencyUs[request.original.cls()]);
             } else {
-                widen(n);
+                growWindow(member);
             }
-        } else if (o == Outcome.WRONG_ROLE_OR_STALE) {
+        } else if (outcome == Outcome.WRONG_ROLE_OR_STALE) {
             if (write) {
-                noteRole(now, n, Role.REPLICA, now, true);
+                noteRole(now, member, Role.REPLICA, now, true);
             } else {
-                n.missAt = now;
+                member.staleAtUs = now;
                 if (positionUs == 0) { // Else the answer has told how far behind it stands.
-                    probe(now, n);
+                    checkHealth(now, member);
                 }
             }
-        } else if (o == Outcome.REJECTED) {
-            narrow(now, n, expect[c.q.cls()]);
-            pause(now, n, c);
-        } else if (o != Outcome.CANCELLED && o != Outcome.NOT_SENT) {
-            n.links = o == Outcome.RESET || o == Outcome.CONNECT_FAILED ? n.out : n.links;
-            mark(now, n, 0, true);
-            if (o != Outcome.ERROR) { // That came in time: a spoilt answer is no sign of a queue.
-                narrow(now, n, expect[c.q.cls()]);
+        } else if (outcome == Outcome.REJECTED) {
+            shrinkWindow(now, member, meanLatencyUs[request.original.cls()]);
+            pause(now, member, request);
+        } else if (outcome != Outcome.CANCELLED && outcome != Outcome.NOT_SENT) {
+            member.connections = outcome == Outcome.RESET || outcome == Outcome.CONNECT_FAILED
+                    ? member.inFlight
+                    : member.connections;
+            recordLatency(now, member, 0, true);
+            if (outcome != Outcome.ERROR) { // That came in time: a spoilt answer is no sign of a queue.
+                shrinkWindow(now, member, meanLatencyUs[request.original.cls()]);
             }
-            if (o == Outcome.CONNECT_FAILED) {
-                pause(now, n, c);
-                if (n == g.head) {
-                    loseHead(g);
-                    g.headAt = now;
+            if (outcome == Outcome.CONNECT_FAILED) {
+                pause(now, member, request);
+                if (member == group.primary) {
+                    clearPrimary(group);
+                    group.primaryAtUs = now;
                 }
             }
         }
     }
 
     /** What becomes of a request whose attempt did not serve it. */
-    private void again(long now, PendingRequest c, MemberState n, Outcome o) {
-        if (o != Outcome.REJECTED || !c.toHead) {
-            c.missed.add(n);
-        }
-        if (spent(now, c) || !o.provesNotRun && (retryTokens < 1 && c.k.idempotency() == Idempotency.IDEMPOTENT)) {
-            giveUp(now, c);
+    private void retry(long now, PendingRequest request, MemberState member, Outcome outcome) {
+        if (outcome != Outcome.REJECTED || !request.needsPrimary) {
+            request.triedMembers.add(member);
+        }
+        if (exhausted(now, request)
+                || !outcome.provesNotRun
+                        && (retryTokens < 1 && request.requestClass.idempotency() == Idempotency.IDEMPOTENT)) {
+            giveUp(now, request);
             return;
         }
-        if (!o.provesNotRun) {
+        if (!outcome.provesNotRun) {
             retryTokens = Math.max(0, retryTokens - 1);
         }
-        if (!c.toHead) {
-            routeRead(now, c);
+        if (!request.needsPrimary) {
+            routeRead(now, request);
             return;
         }
-        if (o == Outcome.REJECTED || !o.provesNotRun) {
-            c.notBefore = now + (WALK_US / 20 << Math.min(c.attempts, 5));
+        if (outcome == Outcome.REJECTED || !outcome.provesNotRun) {
+            request.notBeforeUs = now + (WALK_US / 20 << Math.min(request.attempts, 5));
         }
-        boolean round = c.g.head == null && next(c) == null;
-        c.g.holding |= round;
-        if (round || c.g.head != null) {
-            c.missed.clear();
+        boolean round = request.group.primary == null && nextCandidate(request) == null;
+        request.group.holdingWrites |= round;
+        if (round || request.group.primary != null) {
+            request.triedMembers.clear();
         }
-        enqueue(c, c.g.held, c.g.held.size());
+        addWaiting(request, request.group.queuedWrites, request.group.queuedWrites.size());
     }
 
     @Override
     public void onTimer(long now, String name) {
         if (!name.equals(SWEEP)) {
-            act.subscribe();
+            actions.subscribe();
             return;
         }
-        for (GroupState g : List.copyOf(waiting.values())) {
-            for (int i = 0; i < g.held.size(); i++) {
-                PendingRequest c = g.held.get(i);
-                if (spent(now, c) || g.head == null && stuck(now, c)) {
-                    g.held.remove(i--);
-                    giveUp(now, c);
+        for (GroupState group : List.copyOf(waiting.values())) {
+            for (int i = 0; i < group.queuedWrites.size(); i++) {
+                PendingRequest request = group.queuedWrites.get(i);
+                if (exhausted(now, request) || group.primary == null && waitedTooLong(now, request)) {
+                    group.queuedWrites.remove(i--);
+                    giveUp(now, request);
                 }
             }
-            walk(now, g);
-            pump(now, g);
+            searchPrimary(now, group);
+            releaseWaiting(now, group);
         }
-        waiting.values().removeIf(g -> g.held.isEmpty() && g.parked.isEmpty());
+        waiting.values().removeIf(group -> group.queuedWrites.isEmpty() && group.waitingReads.isEmpty());
         sweeping = !waiting.isEmpty();
         if (sweeping) {
-            act.setTimer(sweepUs, SWEEP);
+            actions.setTimer(sweepUs, SWEEP);
         }
     }
 
-    /** A head with attempts out and long silent is doubted; looked at when something is to be sent. */
-    private void doubt(long now, GroupState g) {
-        if (g.head != null && !g.doubted && silent(now, g.head)) {
-            g.doubted = true;
-            g.canaryAt = now;
+    /** A head with attempts out and long silent is primarySuspected; looked at when something is to be sent. */
+    private void suspectSilentPrimary(long now, GroupState group) {
+        if (group.primary != null && !group.primarySuspected && isSilent(now, group.primary)) {
+            group.primarySuspected = true;
+            group.lastTrialUs = now;
         }
     }
 
     @Override
     public void onClientDisconnected(long now, String requestId) {
-        PendingRequest c = calls.get(requestId);
-        if (c == null || c.ended) {
+        PendingRequest request = requests.get(requestId);
+        if (request == null || request.ended) {
             return;
         }
-        conclude(now, c, 0);
-        c.g.held.remove(c);
-        c.g.parked.remove(c);
-        if (c.on == null) {
-            calls.remove(requestId);
-        } else if (set.limits().cancel()) {
-            act.cancel(requestId, c.attempts - 1);
+        recordEnd(now, request, 0);
+        request.group.queuedWrites.remove(request);
+        request.group.waitingReads.remove(request);
+        if (request.currentMember == null) {
+            requests.remove(requestId);
+        } else if (settings.limits().cancel()) {
+            actions.cancel(requestId, request.attempts - 1);
         }
     }
 
@@ -995,84 +1050,97 @@
 
     /** Whether it is new enough for a read, by its own word; the head is excused until it is heard as a
      * replica, or another as primary. */
-    private boolean fresh(long now, PendingRequest c, MemberState n) {
-        return set.stalenessCheck() != StalenessCheck.SILENT
-                || c.k.access() == Access.WRITE
-                || n.position >= need(now, c)
-                || n == n.group.head && n.primaryAt > n.replicaAt;
+    private boolean isFreshEnough(long now, PendingRequest request, MemberState member) {
+        return settings.stalenessCheck() != StalenessCheck.SILENT
+                || request.requestClass.access() == Access.WRITE
+                || member.appliedUpToUs >= requiredPosition(now, request)
+                || member == member.group.primary && member.primaryAtUs > member.replicaAtUs;
     }
 
     /** Also whether its member was told to have started meanwhile: then it goes as one that is sent now. */
     @Override
     public boolean mayStillBegin(long now, String requestId) {
-        PendingRequest c = calls.get(requestId);
-        if (c == null || c.on == null || c.startedUs == c.on.start.startedUs()) {
-            return c == null || c.on == null || fresh(now, c, c.on);
-        }
-        boolean stands = fresh(now, c, c.on) && slow.admits(now, c.on.start, c.q.cls());
+        PendingRequest request = requests.get(requestId);
+        if (request == null
+                || request.currentMember == null
+                || request.memberStartedUs == request.currentMember.slowStartState.startedUs()) {
+            return request == null
+                    || request.currentMember == null
+                    || isFreshEnough(now, request, request.currentMember);
+        }
+        boolean stands = isFreshEnough(now, request, request.currentMember)
+                && slowStart.admits(now, request.currentMember.slowStartState, request.original.cls());
         if (stands) {
-            pay(c);
+            chargeSlowStart(request);
         }
         return stands;
     }
 
-    private void pay(PendingRequest c) {
-        slow.sent(c.on.start, c.q.cls());
-        c.startedUs = c.on.start.startedUs();
+    private void chargeSlowStart(PendingRequest request) {
+        slowStart.sent(request.currentMember.slowStartState, request.original.cls());
+        request.memberStartedUs = request.currentMember.slowStartState.startedUs();
     }
 
     /** The send gate: draining, group, attempts, deadline, repeats, freshness, cold members are held here. */
-    private boolean send(long now, PendingRequest c, MemberState n, long timeoutUs) {
-        if (c.ended
-                || c.on != null
-                || !usable(n)
-                || n.group != c.g
-                || spent(now, c)
-                || !slow.admits(now, n.start, c.q.cls())) {
+    private boolean send(long now, PendingRequest request, MemberState member, long timeoutUs) {
+        if (request.ended
+                || request.currentMember != null
+                || !isUsable(member)
+                || member.group != request.group
+                || exhausted(now, request)
+                || !slowStart.admits(now, member.slowStartState, request.original.cls())) {
             return false;
         }
-        if (!fresh(now, c, n) || c.keyZone >= 0 && n.zone != c.keyZone) {
+        if (!isFreshEnough(now, request, member)
+                || request.deduplicationZone >= 0 && member.zone != request.deduplicationZone) {
             return false;
         }
-        if (marks(c)) {
-            commits.sent(now, c.q.session());
-        }
-        double effort = expect[c.q.cls()];
-        work += MEAN * (effort - work);
-        if (n.out == 0) {
-            n.progressAt = now;
-        }
-        n.group.sinceLink = linked(now, n) ? n.group.sinceLink + 1 : 0;
-        n.links = linked(now, n) ? n.links : n.out / set.limits().requestsPerConnection() + 1;
-        n.linkedAt = now;
-        n.out++;
-        n.slowest = Math.max(n.slowest, Math.max(effort, expected(c, n, now)));
-        if (!c.toHead) {
-            localityPolicy.sent(now, n.handle, c.q.cls(), effort);
-        }
-        c.on = n;
-        c.sentAt = now;
-        pay(c);
-        c.attempts++;
-        act.send(c.q.id(), n.id, Math.max(1, Math.min(timeoutUs, c.q.deadlineUs() - now)));
+        if (isTrackedWrite(request)) {
+            sessionCommits.sent(now, request.original.session());
+        }
+        double effort = meanLatencyUs[request.original.cls()];
+        meanWorkUs += MEAN * (effort - meanWorkUs);
+        if (member.inFlight == 0) {
+            member.lastProgressUs = now;
+        }
+        member.group.sendsSinceConnect = hasFreeConnection(now, member) ? member.group.sendsSinceConnect + 1 : 0;
+        member.connections = hasFreeConnection(now, member)
+                ? member.connections
+                : member.inFlight / settings.limits().requestsPerConnection() + 1;
+        member.lastUsedAtUs = now;
+        member.inFlight++;
+        member.slowestExpectedUs =
+                Math.max(member.slowestExpectedUs, Math.max(effort, expectedLatencyUs(request, member, now)));
+        if (!request.needsPrimary) {
+            localityPolicy.sent(now, member.handle, request.original.cls(), effort);
+        }
+        request.currentMember = member;
+        request.sentAtUs = now;
+        chargeSlowStart(request);
+        request.attempts++;
+        actions.send(
+                request.original.id(),
+                member.id,
+                Math.max(1, Math.min(timeoutUs, request.original.deadlineUs() - now)));
         return true;
     }
 
     /** The final answer, at once: a refusal where trying again is harmless, else a failure. */
-    private void giveUp(long now, PendingRequest c) {
-        conclude(now, c, 0);
-        calls.remove(c.q.id());
-        boolean harmless = !c.mayHaveRun
-                || c.k.idempotency() == Idempotency.IDEMPOTENT
-                || c.k.idempotency() == Idempotency.KEYED && c.k.deduplicationScope() == DeduplicationScope.ALL;
+    private void giveUp(long now, PendingRequest request) {
+        recordEnd(now, request, 0);
+        requests.remove(request.original.id());
+        boolean harmless = !request.mayHaveRun
+                || request.requestClass.idempotency() == Idempotency.IDEMPOTENT
+                || request.requestClass.idempotency() == Idempotency.KEYED
+                        && request.requestClass.deduplicationScope() == DeduplicationScope.ALL;
         if (harmless) {
-            act.reject(
-                    c.q.id(),
-                    set.limits().retryAfterAllowed()
-                            ? Math.min(WALK_US, set.limits().maxRetryAfterUs())
+            actions.reject(
+                    request.original.id(),
+                    settings.limits().retryAfterAllowed()
+                            ? Math.min(WALK_US, settings.limits().maxRetryAfterUs())
                             : 0);
         } else {
-            act.fail(c.q.id());
+            actions.fail(request.original.id());
         }
     }
 }
