--- a/decisions/src/main/java/frostreel/routing/ChainRouter.java
+++ b/decisions/src/main/java/frostreel/routing/ChainRouter.java
@@ -1,6 +1,5 @@
 package frostreel.routing;
 
-import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -31,7 +30,6 @@
     /** Further attempts after doubt for each request, so that they never multiply an overload. */
     private static final double RETRY_SHARE = 0.2, RETRY_BURST = 10;
 
-    private static final double FIRST_WINDOW = 4; // Attempts out to a member newly met or newly primary.
     private static final double CUT = 0.7; // Of a window, after a time-out, turn-away or late answer.
     private static final double TARGET = 0.5; // Of an aim: a mean time beyond it only makes a queue.
     private static final double WAIT = 0.45; // Of its time, a read that nothing was sent for waits; ours.
@@ -46,7 +44,6 @@
     private static final long KEEP = 20;
 
     private static final double CATCH_UP = 0.7; // Seconds, at the least, to make a second of the log up.
-    private static final long LONG_AGO = Long.MIN_VALUE / 2;
     /** Of clients' places: beyond it who waits longest makes room; two processes of an upgrade share them. */
     private static final double OPEN = 0.375;
 
@@ -56,83 +53,6 @@
     private static final double FULL = 0.9; // So much of its capacity in use, a primary is busy enough.
     private static final String SWEEP = "sweep";
 
-    /** A member of a group, with what answers, probes and the list have told of it. */
-    private final class MemberState {
-        final String id;
-        final GroupState group;
-        int zone, kind, handle; // The locality policy's name for it.
-        State state = State.UP;
-        boolean drained;
-        /** Listed from the start, or heard from: else it may be none of ours, whatever the list says. */
-        boolean verified;
-
-        long goneSinceUs;
-        double weight = 1;
-        long appliedUpToUs; // A time up to which it has applied every commit: a lower bound that stays true.
-        /** When it last was known primary or replica; an answer's word counts from its arrival. */
-        long primaryAtUs = -1, replicaAtUs = -1;
-        /** How far its last report stood behind, and when it last turned a read away. */
-        long lagUs, positionAtUs = LONG_AGO, staleAtUs = LONG_AGO;
-
-        boolean healthCheckPending;
-        long healthCheckAtUs = LONG_AGO;
-        int inFlight, connections; // Attempts out, and connections held open as far as this router can tell.
-        long lastUsedAtUs, lastProgressUs, outcomeAtUs, shrunkAtUs;
-        double latencyRatio = 1, failureRate, slowestExpectedUs;
-        final SlowStart.Member slowStartState;
-        /** How many attempts may be out to it at once, grown by answers in time and cut by trouble. */
-        double window = FIRST_WINDOW;
-
-        boolean growingFast = true;
-        long pausedUntilUs; // Turned away as full: left alone until then, longer each time.
-        int rejections;
-
-        MemberState(String memberId, GroupState memberGroup, long now) {
-            id = memberId;
-            group = memberGroup;
-            slowStartState = slowStart.meet(now);
-        }
-    }
-
-    private final class GroupState {
-        final int number;
-        final List<MemberState> chain = new ArrayList<>();
-        final ArrayList<PendingRequest> queuedWrites = new ArrayList<>(), waitingReads = new ArrayList<>();
-        MemberState primary;
-        long primaryAtUs = -1; // When the head was last heard as primary, and whether by an answer.
-        MemberState searchStart, longQueryReplica; // Where its long queries go.
-        boolean primaryConfirmed, holdingWrites, primarySuspected;
-        long lastSearchUs, lastTrialUs, lastFreshnessCheckUs;
-        int searchIndex, rotation, sendsSinceConnect;
-        final Goodput goodput = new Goodput(spanUs);
-
-        GroupState(int number) {
-            this.number = number;
-        }
-    }
-
-    private final class PendingRequest {
-        final Request original;
-        final RequestClass requestClass;
-        final GroupState group;
-        final long arrivedUs;
-        final boolean needsPrimary;
-        final int maxAttempts = settings.limits().maxAttempts();
-        final ArrayList<MemberState> triedMembers = new ArrayList<>(4);
-        MemberState currentMember;
-        int attempts, deduplicationZone = -1; // The one zone that may know its key; -1 while it may go anywhere.
-        long memberStartedUs, sentAtUs, firstUncertainSendUs, notBeforeUs, healthCheckWaitUntilUs;
-        boolean mayHaveRun, waitsAsRead, ended, overloaded;
-
-        PendingRequest(Request received, GroupState replicaGroup, long now) {
-            original = received;
-            requestClass = settings.classes().get(original.cls());
-            group = replicaGroup;
-            arrivedUs = now;
-            needsPrimary = requestClass.access() == Access.WRITE || requestClass.access() == Access.FRESH;
-        }
-    }
-
     private Settings settings;
     /** Over about twice the span of the rule on cold members. */
     private final LongSupplier spanUs = () -> 2 * settings.rules().fallUs();
@@ -218,7 +138,7 @@
         for (Member entry : entries) {
             applyEntry(now, entry, first);
         }
-        members.values().forEach(member -> slowStart.usable(member.slowStartState, isUsable(member)));
+        members.values().forEach(member -> slowStart.usable(member.slowStart, isUsable(member)));
         for (GroupState group : groups.values()) {
             group.chain.removeIf(member -> isForgettable(now, member) && forget(member));
             if (group.primary != null && !isUsable(group.primary)) {
@@ -230,11 +150,11 @@
     private void applyEntry(long now, Member entry, boolean atStart) {
         MemberState member = members.get(entry.id());
         if (member == null) {
-            GroupState group = groups.computeIfAbsent(entry.group(), GroupState::new);
-            member = new MemberState(entry.id(), group, now);
+            GroupState group = group(entry.group());
+            SlowStart.Member slowStartState = slowStart.meet(now);
+            int localityHandle = localityPolicy.memberHandle(entry.group(), entry.zone());
+            member = new MemberState(entry.id(), group.number, slowStartState, localityHandle, now);
             member.verified = atStart;
-            member.handle = localityPolicy.memberHandle(entry.group(), entry.zone());
-            member.lastProgressUs = member.outcomeAtUs = now;
             members.put(entry.id(), member);
             int at = 0;
             while (at < group.chain.size() && group.chain.get(at).id.compareTo(member.id) < 0) {
@@ -242,24 +162,34 @@
             }
             group.chain.add(at, member);
         }
-        if (slowStart.listed(now, member.slowStartState, entry)) {
+        if (slowStart.listed(now, member.slowStart, entry)) {
             member.failureRate = 0;
             member.latencyRatio = 1;
         }
         member.zone = entry.zone();
-        member.kind = entry.kind();
         member.weight = entry.weight();
         member.state = entry.state();
         member.drained |= entry.state() == State.DRAINING;
         if (entry.primary() && isUsable(member)) {
-            member.group.searchStart = member;
-            if (member.group.primaryAtUs < 0 && member.replicaAtUs < 0) {
+            GroupState group = group(member.groupNumber);
+            group.searchStart = member;
+            if (group.primaryAtUs < 0 && member.replicaAtUs < 0) {
                 member.primaryAtUs = Math.max(member.primaryAtUs, 0);
-                setPrimary(now, member, 0, false);
+                setPrimary(group, member, 0, false);
             }
         }
     }
 
+    /** The group of that number, which may have no members yet. */
+    private GroupState group(int number) {
+        GroupState group = groups.get(number);
+        if (group == null) {
+            group = new GroupState(number, new Goodput(spanUs));
+            groups.put(number, group);
+        }
+        return group;
+    }
+
     private boolean isForgettable(long now, MemberState member) {
         member.goneSinceUs = member.state != State.GONE ? 0 : member.goneSinceUs == 0 ? now : member.goneSinceUs;
         boolean kept =
@@ -268,8 +198,8 @@
     }
 
     private boolean forget(MemberState member) {
-        localityPolicy.left(member.handle);
-        slowStart.forget(member.slowStartState);
+        localityPolicy.left(member.localityHandle);
+        slowStart.forget(member.slowStart);
         return members.remove(member.id, member);
     }
 
@@ -280,8 +210,7 @@
 
     /** Role evidence: an answer beats a probe beats the list, and what is older than the head's is passed
      * over. */
-    private void noteRole(long now, MemberState member, Role role, long at, boolean answer) {
-        GroupState group = member.group;
+    private void noteRole(GroupState group, MemberState member, Role role, long at, boolean answer) {
         if (role == Role.PRIMARY && at > member.replicaAtUs) {
             member.primaryAtUs = Math.max(member.primaryAtUs, at);
             boolean open = group.primary == null || group.primarySuspected || !group.primaryConfirmed;
@@ -292,7 +221,7 @@
                 group.primaryAtUs = Math.max(group.primaryAtUs, at);
                 group.primaryConfirmed |= answer;
             } else if (at > group.primaryAtUs && (answer || open)) {
-                setPrimary(now, member, at, answer);
+                setPrimary(group, member, at, answer);
             }
         } else if (role == Role.REPLICA && at > member.primaryAtUs) {
             member.replicaAtUs = Math.max(member.replicaAtUs, at);
@@ -302,10 +231,9 @@
         }
     }
 
-    private void setPrimary(long now, MemberState member, long at, boolean answer) {
-        GroupState group = member.group;
+    private void setPrimary(GroupState group, MemberState member, long at, boolean answer) {
         if (group.holdingWrites || group.primarySuspected) {
-            member.window = Math.min(member.window, FIRST_WINDOW);
+            member.window = Math.min(member.window, MemberState.INITIAL_WINDOW);
             member.growingFast = true;
         }
         group.primary = group.searchStart = member;
@@ -378,18 +306,19 @@
         if (member == null) {
             return;
         }
+        GroupState group = group(member.groupNumber);
         member.healthCheckPending = false;
-        member.group.lastFreshnessCheckUs = 0;
+        group.lastFreshnessCheckUs = 0;
         member.verified |= ok;
-        localityPolicy.probed(now, member.handle, ok);
+        localityPolicy.probed(now, member.localityHandle, ok);
         if (ok && report != null) {
-            recordReport(now, member, report);
+            recordReport(now, group, member, report);
         }
-        releaseWaiting(now, member.group);
+        releaseWaiting(now, group);
     }
 
-    private void recordReport(long now, MemberState member, Report report) {
-        slowStart.reported(member.slowStartState, report.util());
+    private void recordReport(long now, GroupState group, MemberState member, Report report) {
+        slowStart.reported(member.slowStart, report.util());
         if (report.positionUs() > 0) {
             member.appliedUpToUs = Math.max(member.appliedUpToUs, report.positionUs());
             member.positionAtUs = now;
@@ -397,7 +326,7 @@
             usualLagUs = Math.min(usualLagUs + member.lagUs * 0.01, member.lagUs);
         }
         long at = report.positionUs() > 0 ? report.positionUs() : now - WALK_US;
-        noteRole(now, member, report.role(), at, false);
+        noteRole(group, member, report.role(), at, false);
     }
 
     // ---- Writes, and reads that must be current. ----
@@ -405,11 +334,14 @@
     @Override
     public void onRequest(long now, Request original) {
         retryTokens = Math.min(RETRY_BURST, retryTokens + RETRY_SHARE);
-        GroupState group = groups.computeIfAbsent(original.group(), GroupState::new);
-        PendingRequest request = new PendingRequest(original, group, now);
+        GroupState group = group(original.group());
+        RequestClass requestClass = settings.classes().get(original.cls());
+        PendingRequest request = new PendingRequest(
+                original, requestClass, group, settings.limits().maxAttempts(), now);
         requests.put(original.id(), request);
-        request.overloaded = atSmallestWindow(request) && random.nextDouble() < group.goodput.excess(now, goodput);
-        if (request.overloaded) {
+        request.countsForGoodput =
+                atSmallestWindow(request) && random.nextDouble() < group.goodput.excess(now, goodput);
+        if (request.countsForGoodput) {
             giveUp(now, request);
         } else {
             route(now, request);
@@ -435,7 +367,8 @@
     }
 
     private void recordEnd(long now, PendingRequest request, double worth) {
-        if (!request.ended && (worth > 0 || request.overloaded)) { // Refusing cures no error, and no want of a primary.
+        if (!request.ended
+                && (worth > 0 || request.countsForGoodput)) { // Refusing cures no error, and no want of a primary.
             goodput.add(now, worth);
             request.group.goodput.add(now, worth);
         }
@@ -515,10 +448,10 @@
      * write again would only add to its work. */
     private long writeTimeout(long now, PendingRequest request, MemberState member) {
         long left = request.original.deadlineUs() - now;
-        double util = slowStart.util(member.slowStartState);
+        double util = slowStart.util(member.slowStart);
         if (request.requestClass.idempotency() == Idempotency.NON_IDEMPOTENT
                 || util >= FULL
-                || util < 0 && member.window < FIRST_WINDOW) {
+                || util < 0 && member.window < MemberState.INITIAL_WINDOW) {
             return left;
         }
         long timeoutUs = (long)
@@ -606,7 +539,7 @@
 
     private void routeRead(long now, PendingRequest request) {
         GroupState group = request.group;
-        boolean late = now + meanLatencyUs[request.original.cls()] / 2 > usefulUntilUs(request)
+        boolean late = now + meanLatencyUs[request.classIndex()] / 2 > usefulUntilUs(request)
                 && (request.attempts > 0 || now > request.arrivedUs);
         if (late || waitedTooLong(now, request) || exhausted(now, request)) {
             giveUp(now, request);
@@ -646,22 +579,21 @@
                     || only != null && member != only) {
                 continue;
             }
-            double costFactor = localityPolicy.costFactor(now, member.handle);
+            double costFactor = localityPolicy.costFactor(now, member.localityHandle);
             if (costFactor == Double.POSITIVE_INFINITY) {
-                if (!member.healthCheckPending && localityPolicy.healthCheckDue(now, member.handle)) {
+                if (!member.healthCheckPending && localityPolicy.healthCheckDue(now, member.localityHandle)) {
                     checkHealth(now, member);
                 }
                 continue;
             }
             boolean proven = member.appliedUpToUs >= requiredUs || isLikelyFresh(now, member, requiredUs);
             if (proven
-                    ? !hasRoom(now, member, part)
-                            || !slowStart.admits(now, member.slowStartState, request.original.cls())
+                    ? !hasRoom(now, member, part) || !slowStart.admits(now, member.slowStart, request.classIndex())
                     : member.healthCheckPending || !mayProveFresh(now, member, requiredUs)) {
                 waits = true;
                 continue;
             }
-            if (proven && !localityPolicy.admits(now, member.handle, request.original.cls())) {
+            if (proven && !localityPolicy.admits(now, member.localityHandle, request.classIndex())) {
                 denied = true;
                 continue;
             }
@@ -694,8 +626,8 @@
                 && !group.primarySuspected
                 && !request.triedMembers.contains(group.primary)
                 && hasRoom(now, group.primary, SPARED)
-                && localityPolicy.costFactor(now, group.primary.handle) < Double.POSITIVE_INFINITY
-                && localityPolicy.admits(now, group.primary.handle, request.original.cls())
+                && localityPolicy.costFactor(now, group.primary.localityHandle) < Double.POSITIVE_INFINITY
+                && localityPolicy.admits(now, group.primary.localityHandle, request.classIndex())
                 && send(now, request, group.primary, readTimeout(now, request, group.primary))) {
             return;
         }
@@ -720,7 +652,7 @@
     /** A long query that any member may answer: its own work, not a queue, makes its time. */
     private boolean isLongRunning(PendingRequest request) {
         return request.requestClass.access() == Access.ANY
-                && meanLatencyUs[request.original.cls()] > LENGTHY * meanWorkUs;
+                && meanLatencyUs[request.classIndex()] > LENGTHY * meanWorkUs;
     }
 
     /** The replica that a group's long queries keep to: one that holds any may apply nothing, so spread over
@@ -730,7 +662,7 @@
         MemberState best = null;
         double furthest = -1;
         for (MemberState member : request.group.chain) {
-            double costFactor = localityPolicy.costFactor(now, member.handle);
+            double costFactor = localityPolicy.costFactor(now, member.localityHandle);
             if (member != request.group.primary
                     && isUsable(member)
                     && member.verified
@@ -755,7 +687,7 @@
         return request.requestClass.access() != Access.ANY
                 ? 1
                 : 1
-                        + Math.min(1, meanLatencyUs[request.original.cls()] / WALK_US)
+                        + Math.min(1, meanLatencyUs[request.classIndex()] / WALK_US)
                                 * Math.min(member.lagUs - Math.min(usualLagUs, member.lagUs), 4 * WALK_US)
                                 / WALK_US;
     }
@@ -795,7 +727,7 @@
     }
 
     private double expectedLatencyUs(PendingRequest request, MemberState member, long now) {
-        return meanLatencyUs[request.original.cls()] * (1 + (member.latencyRatio - 1) * fade(now, member));
+        return meanLatencyUs[request.classIndex()] * (1 + (member.latencyRatio - 1) * fade(now, member));
     }
 
     private double cost(long now, MemberState member) {
@@ -833,8 +765,7 @@
     /** A member that turns away or cannot be reached does so at once, and would draw a storm of attempts. */
     private void pause(long now, MemberState member, PendingRequest request) {
         member.pausedUntilUs = now
-                + Math.min(
-                        WALK_US, (long) meanLatencyUs[request.original.cls()] / 4 << Math.min(member.rejections++, 8));
+                + Math.min(WALK_US, (long) meanLatencyUs[request.classIndex()] / 4 << Math.min(member.rejections++, 8));
     }
 
     private void recordLatency(long now, MemberState member, double ratio, boolean failed) {
@@ -865,10 +796,10 @@
             return;
         }
         request.currentMember = null;
-        request.overloaded = outcome == Outcome.OK || outcome == Outcome.REJECTED || outcome == Outcome.TIMEOUT;
+        request.countsForGoodput = outcome == Outcome.OK || outcome == Outcome.REJECTED || outcome == Outcome.TIMEOUT;
         member.inFlight--;
         member.lastUsedAtUs = now;
-        localityPolicy.ended(now, member.handle, outcome, meanLatencyUs[request.original.cls()]);
+        localityPolicy.ended(now, member.localityHandle, outcome, meanLatencyUs[request.classIndex()]);
         recordOutcome(now, request, member, outcome, tookUs, role, positionUs, report);
         if (!outcome.provesNotRun && !request.mayHaveRun) {
             request.mayHaveRun = true;
@@ -876,7 +807,7 @@
             request.deduplicationZone = request.requestClass.idempotency() == Idempotency.KEYED
                             && request.requestClass.deduplicationScope() == DeduplicationScope.ZONE
                     ? member.zone
-                    : -1;
+                    : PendingRequest.ANY_ZONE;
         }
         if (closed || request.ended || outcome == Outcome.OK) {
             double worth = now - request.arrivedUs <= request.requestClass.latencyObjectiveUs()
@@ -887,7 +818,7 @@
         } else {
             retry(now, request, member, outcome);
         }
-        releaseWaiting(now, member.group);
+        releaseWaiting(now, request.group);
     }
 
     private void recordOutcome(
@@ -899,7 +830,7 @@
             Role role,
             long positionUs,
             Report report) {
-        GroupState group = member.group;
+        GroupState group = request.group;
         boolean write = request.requestClass.access() == Access.WRITE;
         if (outcome == Outcome.OK
                 || outcome == Outcome.ERROR
@@ -912,36 +843,36 @@
             member.slowestExpectedUs = 0;
         }
         if (report != null) {
-            recordReport(now, member, report);
+            recordReport(now, group, member, report);
         }
         if (positionUs > 0) {
             member.appliedUpToUs = Math.max(member.appliedUpToUs, positionUs);
             member.lagUs = Math.max(0, now - member.appliedUpToUs);
             member.positionAtUs = now;
         }
-        noteRole(now, member, role, now, true);
+        noteRole(group, member, role, now, true);
         if (isTrackedWrite(request)) {
             sessionCommits.ended(
                     now, request.original.session(), request.original.deadlineUs(), outcome, positionUs, retentionUs);
         }
         if (outcome == Outcome.OK) {
-            recordLatency(now, member, tookUs / meanLatencyUs[request.original.cls()], false);
-            meanLatencyUs[request.original.cls()] += 0.02 * (tookUs - meanLatencyUs[request.original.cls()]);
+            recordLatency(now, member, tookUs / meanLatencyUs[request.classIndex()], false);
+            meanLatencyUs[request.classIndex()] += 0.02 * (tookUs - meanLatencyUs[request.classIndex()]);
             if (member == group.primary) {
                 group.primarySuspected = false;
             }
-            slowStart.served(now, member.slowStartState, request.original.cls(), tookUs);
+            slowStart.served(now, member.slowStart, request.classIndex(), tookUs);
             if (tookUs > request.requestClass.latencyObjectiveUs()
                     || !isLongRunning(request)
                             && expectedLatencyUs(request, member, now)
                                     > TARGET * request.requestClass.latencyObjectiveUs()) {
-                shrinkWindow(now, member, meanLatencyUs[request.original.cls()]);
+                shrinkWindow(now, member, meanLatencyUs[request.classIndex()]);
             } else {
                 growWindow(member);
             }
         } else if (outcome == Outcome.WRONG_ROLE_OR_STALE) {
             if (write) {
-                noteRole(now, member, Role.REPLICA, now, true);
+                noteRole(group, member, Role.REPLICA, now, true);
             } else {
                 member.staleAtUs = now;
                 if (positionUs == 0) { // Else the answer has told how far behind it stands.
@@ -949,7 +880,7 @@
                 }
             }
         } else if (outcome == Outcome.REJECTED) {
-            shrinkWindow(now, member, meanLatencyUs[request.original.cls()]);
+            shrinkWindow(now, member, meanLatencyUs[request.classIndex()]);
             pause(now, member, request);
         } else if (outcome != Outcome.CANCELLED && outcome != Outcome.NOT_SENT) {
             member.connections = outcome == Outcome.RESET || outcome == Outcome.CONNECT_FAILED
@@ -957,7 +888,7 @@
                     : member.connections;
             recordLatency(now, member, 0, true);
             if (outcome != Outcome.ERROR) { // That came in time: a spoilt answer is no sign of a queue.
-                shrinkWindow(now, member, meanLatencyUs[request.original.cls()]);
+                shrinkWindow(now, member, meanLatencyUs[request.classIndex()]);
             }
             if (outcome == Outcome.CONNECT_FAILED) {
                 pause(now, member, request);
@@ -1054,7 +985,7 @@
         return settings.stalenessCheck() != StalenessCheck.SILENT
                 || request.requestClass.access() == Access.WRITE
                 || member.appliedUpToUs >= requiredPosition(now, request)
-                || member == member.group.primary && member.primaryAtUs > member.replicaAtUs;
+                || member == request.group.primary && member.primaryAtUs > member.replicaAtUs;
     }
 
     /** Also whether its member was told to have started meanwhile: then it goes as one that is sent now. */
@@ -1063,13 +994,13 @@
         PendingRequest request = requests.get(requestId);
         if (request == null
                 || request.currentMember == null
-                || request.memberStartedUs == request.currentMember.slowStartState.startedUs()) {
+                || request.memberStartedUs == request.currentMember.slowStart.startedUs()) {
             return request == null
                     || request.currentMember == null
                     || isFreshEnough(now, request, request.currentMember);
         }
         boolean stands = isFreshEnough(now, request, request.currentMember)
-                && slowStart.admits(now, request.currentMember.slowStartState, request.original.cls());
+                && slowStart.admits(now, request.currentMember.slowStart, request.classIndex());
         if (stands) {
             chargeSlowStart(request);
         }
@@ -1077,8 +1008,8 @@
     }
 
     private void chargeSlowStart(PendingRequest request) {
-        slowStart.sent(request.currentMember.slowStartState, request.original.cls());
-        request.memberStartedUs = request.currentMember.slowStartState.startedUs();
+        slowStart.sent(request.currentMember.slowStart, request.classIndex());
+        request.memberStartedUs = request.currentMember.slowStart.startedUs();
     }
 
     /** The send gate: draining, group, attempts, deadline, repeats, freshness, cold members are held here. */
@@ -1086,9 +1017,9 @@
         if (request.ended
                 || request.currentMember != null
                 || !isUsable(member)
-                || member.group != request.group
+                || member.groupNumber != request.group.number
                 || exhausted(now, request)
-                || !slowStart.admits(now, member.slowStartState, request.original.cls())) {
+                || !slowStart.admits(now, member.slowStart, request.classIndex())) {
             return false;
         }
         if (!isFreshEnough(now, request, member)
@@ -1098,12 +1029,13 @@
         if (isTrackedWrite(request)) {
             sessionCommits.sent(now, request.original.session());
         }
-        double effort = meanLatencyUs[request.original.cls()];
+        double effort = meanLatencyUs[request.classIndex()];
         meanWorkUs += MEAN * (effort - meanWorkUs);
         if (member.inFlight == 0) {
             member.lastProgressUs = now;
         }
-        member.group.sendsSinceConnect = hasFreeConnection(now, member) ? member.group.sendsSinceConnect + 1 : 0;
+        GroupState group = request.group;
+        group.sendsSinceConnect = hasFreeConnection(now, member) ? group.sendsSinceConnect + 1 : 0;
         member.connections = hasFreeConnection(now, member)
                 ? member.connections
                 : member.inFlight / settings.limits().requestsPerConnection() + 1;
@@ -1112,7 +1044,7 @@
         member.slowestExpectedUs =
                 Math.max(member.slowestExpectedUs, Math.max(effort, expectedLatencyUs(request, member, now)));
         if (!request.needsPrimary) {
-            localityPolicy.sent(now, member.handle, request.original.cls(), effort);
+            localityPolicy.sent(now, member.localityHandle, request.classIndex(), effort);
         }
         request.currentMember = member;
         request.sentAtUs = now;
--- /dev/null
+++ b/decisions/src/main/java/frostreel/routing/GroupState.java
@@ -0,0 +1,54 @@
+package frostreel.routing;
+
+import java.util.ArrayList;
+import java.util.List;
+
+/**
+ * What is known of one replica group: its members, its primary and the progress of the search for one. Times
+ * are microseconds on the router's clock.
+ */
+final class GroupState {
+    final int number;
+    /** The failover chain: the members in the order of their ids, the same for every router. */
+    final List<MemberState> chain = new ArrayList<>();
+    /** The writes, and the reads, that wait unsent. */
+    final List<PendingRequest> queuedWrites = new ArrayList<>();
+
+    final List<PendingRequest> waitingReads = new ArrayList<>();
+    /** Requests that ended of late, and what their answers were worth. */
+    final Goodput goodput;
+
+    /** The member last known as primary, null while none is. */
+    MemberState primary;
+    /** When the primary was last heard as such. */
+    long primaryAtUs = MemberState.NEVER;
+    /** Whether an answer of the primary itself told so, which outranks health checks and the list. */
+    boolean primaryConfirmed;
+    /** The primary has been silent for too long: only trial writes are sent to it. */
+    boolean primarySuspected;
+    /** No member took a write in a full round: writes wait unsent until a member answers as primary. */
+    boolean holdingWrites;
+
+    /** The member that a write without a known primary tries first. */
+    MemberState searchStart;
+    /** The position in the chain of the next member that the search looks at. */
+    int searchIndex;
+
+    long lastSearchUs;
+    /** When a request was last tried on a suspected primary. */
+    long lastTrialUs;
+
+    /** Where this group's long-running reads go. */
+    MemberState longQueryReplica;
+    /** When a health check was last made for a read that needs a fresh replica, 0 once one was answered. */
+    long lastFreshnessCheckUs;
+    /** Shifts the member that reads look at first. */
+    int rotation;
+    /** Requests sent on open connections since the last that needed a new one. */
+    int sendsSinceConnect;
+
+    GroupState(int number, Goodput goodput) {
+        this.number = number;
+        this.goodput = goodput;
+    }
+}
--- /dev/null
+++ b/decisions/src/main/java/frostreel/routing/MemberState.java
@@ -0,0 +1,80 @@
+package frostreel.routing;
+
+import frostreel.routing.Router.State;
+
+/**
+ * What is known of one member of a replica group from the endpoint list, from answers and from health checks.
+ * Times are microseconds on the router's clock.
+ */
+final class MemberState {
+    /** A time before all others; half the range, so that differences to it don't overflow. */
+    static final long LONG_AGO = Long.MIN_VALUE / 2;
+    /** No evidence of a role yet. */
+    static final long NEVER = -1;
+    /** Attempts in flight to a member that is new, or that has just become primary. */
+    static final double INITIAL_WINDOW = 4;
+
+    final String id;
+    final int groupNumber;
+    final SlowStart.Member slowStart;
+    /** The name that the locality policy knows it by. */
+    final int localityHandle;
+
+    int zone;
+    double weight = 1;
+    State state = State.UP;
+    /** Was listed as draining: it stays out of use even when the list no longer names it. */
+    boolean drained;
+    /** On the first list, or heard from since; the list may name servers that don't belong to the group. */
+    boolean verified;
+    /** When it left the list, 0 while it is on it. */
+    long goneSinceUs;
+
+    /** It has applied every commit up to this time; never moves back. */
+    long appliedUpToUs;
+    /** How far its last report was behind, and when that came. */
+    long lagUs;
+
+    long positionAtUs = LONG_AGO;
+    /** When it last declined a read as too stale for it. */
+    long staleAtUs = LONG_AGO;
+
+    /** When it last was known to be primary or replica; an answer counts from its arrival. */
+    long primaryAtUs = NEVER;
+
+    long replicaAtUs = NEVER;
+
+    boolean healthCheckPending;
+    long healthCheckAtUs = LONG_AGO;
+
+    int inFlight;
+    /** Connections that are open as far as this router can tell. */
+    int connections;
+
+    long lastUsedAtUs;
+
+    long lastProgressUs;
+    long outcomeAtUs;
+    double latencyRatio = 1;
+    double failureRate;
+    double slowestExpectedUs;
+
+    /** How many attempts may be in flight at once, grown by answers in time and cut by signs of a queue. */
+    double window = INITIAL_WINDOW;
+
+    boolean growingFast = true;
+    long shrunkAtUs;
+    /** After rejections it is left alone until then, longer each time. */
+    long pausedUntilUs;
+
+    int rejections;
+
+    MemberState(String id, int groupNumber, SlowStart.Member slowStart, int localityHandle, long now) {
+        this.id = id;
+        this.groupNumber = groupNumber;
+        this.slowStart = slowStart;
+        this.localityHandle = localityHandle;
+        lastProgressUs = now;
+        outcomeAtUs = now;
+    }
+}
--- /dev/null
+++ b/decisions/src/main/java/frostreel/routing/PendingRequest.java
@@ -0,0 +1,71 @@
+package frostreel.routing;
+
+import frostreel.routing.Router.Access;
+import frostreel.routing.Router.Request;
+import frostreel.routing.Router.RequestClass;
+import java.util.ArrayList;
+
+/** A client's request until its final answer, with its attempts. Times are microseconds on the router's clock. */
+final class PendingRequest {
+    /** The key of the request may be known in any zone, as no attempt may have run yet. */
+    static final int ANY_ZONE = -1;
+    /** Room for the members of a usual group, so that the list need not grow. */
+    private static final int USUAL_GROUP_SIZE = 4;
+
+    /** As the client sent it. */
+    final Request original;
+
+    final RequestClass requestClass;
+    final GroupState group;
+    final long arrivedUs;
+    /** Writes, and reads that must see the latest commit. */
+    final boolean needsPrimary;
+
+    final int maxAttempts;
+
+    /** The members that were tried in this round. */
+    final ArrayList<MemberState> triedMembers = new ArrayList<>(USUAL_GROUP_SIZE);
+    /** Where an attempt is in flight, null if none is. */
+    MemberState currentMember;
+
+    int attempts;
+    long sentAtUs;
+    /** When the current member had started, as was known when the attempt was charged to its slow start. */
+    long memberStartedUs;
+
+    /** An attempt may have run although its answer did not come. */
+    boolean mayHaveRun;
+    /** When the first attempt was sent that may have run. */
+    long firstUncertainSendUs;
+    /** The one zone whose members know its idempotency key, {@link #ANY_ZONE} while it may go anywhere. */
+    int deduplicationZone = ANY_ZONE;
+
+    long notBeforeUs;
+    /** Until when it waits for a health check that may prove a replica fresh, 0 while that isn't set. */
+    long healthCheckWaitUntilUs;
+    /** Whether it is among the waiting reads; cleared while they are routed again. */
+    boolean waitsAsRead;
+    /** It has its final answer, or its client is gone. */
+    boolean ended;
+    /** Its end tells of the group's load: it was shed, answered, rejected or timed out. */
+    boolean countsForGoodput;
+
+    PendingRequest(Request original, RequestClass requestClass, GroupState group, int maxAttempts, long now) {
+        this.original = original;
+        this.requestClass = requestClass;
+        this.group = group;
+        this.maxAttempts = maxAttempts;
+        arrivedUs = now;
+        needsPrimary = requestClass.access() == Access.WRITE || requestClass.access() == Access.FRESH;
+    }
+
+    /** The number of its class in the settings. */
+    int classIndex() {
+        return original.cls();
+    }
+
+    /** The time up to which an answer counts as on time. */
+    long objectiveUs() {
+        return arrivedUs + requestClass.latencyObjectiveUs();
+    }
+}
