--- a/decisions/src/main/java/frostreel/routing/ChainRouter.java
+++ b/decisions/src/main/java/frostreel/routing/ChainRouter.java
@@ -30,7 +30,6 @@
     /** Further attempts after doubt for each request, so that they never multiply an overload. */
     private static final double RETRY_SHARE = 0.2, RETRY_BURST = 10;
 
-    private static final double CUT = 0.7; // Of a window, after a time-out, turn-away or late answer.
     private static final double TARGET = 0.5; // Of an aim: a mean time beyond it only makes a queue.
     private static final double WAIT = 0.45; // Of its time, a read that nothing was sent for waits; ours.
     private static final double SPARED = 0.6; // Of a primary's window, for reads no replica can serve.
@@ -233,8 +232,7 @@
 
     private void setPrimary(GroupState group, MemberState member, long at, boolean answer) {
         if (group.holdingWrites || group.primarySuspected) {
-            member.window = Math.min(member.window, MemberState.INITIAL_WINDOW);
-            member.growingFast = true;
+            member.window.restart();
         }
         group.primary = group.searchStart = member;
         group.primaryAtUs = at;
@@ -362,8 +360,10 @@
     /** Whether a member where it may go lets out one attempt at a time: a slow replica jams no write. */
     private boolean atSmallestWindow(PendingRequest request) {
         return request.needsPrimary
-                ? request.group.primary != null && !request.group.primarySuspected && request.group.primary.window <= 1
-                : request.group.chain.stream().anyMatch(member -> member.window <= 1);
+                ? request.group.primary != null
+                        && !request.group.primarySuspected
+                        && request.group.primary.window.isSmallest()
+                : request.group.chain.stream().anyMatch(member -> member.window.isSmallest());
     }
 
     private void recordEnd(long now, PendingRequest request, double worth) {
@@ -415,7 +415,9 @@
         for (int i = group.queuedWrites.size() - 1; i >= 0; i--) {
             PendingRequest request = group.queuedWrites.get(i);
             if (group.holdingWrites
-                    || group.primary != null && !group.primarySuspected && !hasRoom(now, group.primary, 1)) {
+                    || group.primary != null
+                            && !group.primarySuspected
+                            && !group.primary.window.hasRoom(now, group.primary.inFlight, 1)) {
                 break;
             }
             if (now < request.notBeforeUs
@@ -451,7 +453,7 @@
         double util = slowStart.util(member.slowStart);
         if (request.requestClass.idempotency() == Idempotency.NON_IDEMPOTENT
                 || util >= FULL
-                || util < 0 && member.window < MemberState.INITIAL_WINDOW) {
+                || util < 0 && member.window.isBelowInitial()) {
             return left;
         }
         long timeoutUs = (long)
@@ -588,7 +590,8 @@
             }
             boolean proven = member.appliedUpToUs >= requiredUs || isLikelyFresh(now, member, requiredUs);
             if (proven
-                    ? !hasRoom(now, member, part) || !slowStart.admits(now, member.slowStart, request.classIndex())
+                    ? !member.window.hasRoom(now, member.inFlight, part)
+                            || !slowStart.admits(now, member.slowStart, request.classIndex())
                     : member.healthCheckPending || !mayProveFresh(now, member, requiredUs)) {
                 waits = true;
                 continue;
@@ -625,7 +628,7 @@
                 && group.primary != null
                 && !group.primarySuspected
                 && !request.triedMembers.contains(group.primary)
-                && hasRoom(now, group.primary, SPARED)
+                && group.primary.window.hasRoom(now, group.primary.inFlight, SPARED)
                 && localityPolicy.costFactor(now, group.primary.localityHandle) < Double.POSITIVE_INFINITY
                 && localityPolicy.admits(now, group.primary.localityHandle, request.classIndex())
                 && send(now, request, group.primary, readTimeout(now, request, group.primary))) {
@@ -667,7 +670,7 @@
                     && isUsable(member)
                     && member.verified
                     && !request.triedMembers.contains(member)
-                    && now >= member.pausedUntilUs
+                    && !member.window.isPaused(now)
                     && !isSilent(now, member)
                     && costFactor < Double.POSITIVE_INFINITY) {
                 long behind = member.appliedUpToUs == 0
@@ -714,7 +717,7 @@
 
     /** Where no window bounds a member's queue, a time-out takes out of it what is past its use. */
     private long readTimeout(long now, PendingRequest request, MemberState member) {
-        long left = (member.window <= 1 ? usefulUntilUs(request) : request.original.deadlineUs()) - now;
+        long left = (member.window.isSmallest() ? usefulUntilUs(request) : request.original.deadlineUs()) - now;
         double mean = expectedLatencyUs(request, member, now);
         double spare = request.arrivedUs + request.requestClass.latencyObjectiveUs() - now - 1.5 * mean;
         return spare > SILENCE * mean && retryTokens >= 1 ? (long) Math.min(left, spare) : left;
@@ -742,32 +745,6 @@
         return member.inFlight > 0 && now - member.lastProgressUs > SILENCE * member.slowestExpectedUs;
     }
 
-    /** The window: one bound against overload, hangs, crawling members and floods after a release alike. */
-    private boolean hasRoom(long now, MemberState member, double share) {
-        return now >= member.pausedUntilUs && member.inFlight < Math.max(1, member.window * share);
-    }
-
-    private void growWindow(MemberState member) {
-        member.rejections = 0;
-        if (member.inFlight + 1 >= member.window / 2) {
-            member.window += member.growingFast ? 1 : 1 / member.window;
-        }
-    }
-
-    private void shrinkWindow(long now, MemberState member, double aboutUs) {
-        member.growingFast = false;
-        if (now - member.shrunkAtUs > aboutUs) {
-            member.window = Math.max(1, Math.min(member.window, member.inFlight + 1) * CUT);
-            member.shrunkAtUs = now;
-        }
-    }
-
-    /** A member that turns away or cannot be reached does so at once, and would draw a storm of attempts. */
-    private void pause(long now, MemberState member, PendingRequest request) {
-        member.pausedUntilUs = now
-                + Math.min(WALK_US, (long) meanLatencyUs[request.classIndex()] / 4 << Math.min(member.rejections++, 8));
-    }
-
     private void recordLatency(long now, MemberState member, double ratio, boolean failed) {
         double fade = fade(now, member);
         member.failureRate = member.failureRate * fade * (1 - 2 * MEAN) + (failed ? 2 * MEAN : 0);
@@ -866,9 +843,9 @@
                     || !isLongRunning(request)
                             && expectedLatencyUs(request, member, now)
                                     > TARGET * request.requestClass.latencyObjectiveUs()) {
-                shrinkWindow(now, member, meanLatencyUs[request.classIndex()]);
+                member.window.shrink(now, member.inFlight, meanLatencyUs[request.classIndex()]);
             } else {
-                growWindow(member);
+                member.window.grow(member.inFlight);
             }
         } else if (outcome == Outcome.WRONG_ROLE_OR_STALE) {
             if (write) {
@@ -880,18 +857,18 @@
                 }
             }
         } else if (outcome == Outcome.REJECTED) {
-            shrinkWindow(now, member, meanLatencyUs[request.classIndex()]);
-            pause(now, member, request);
+            member.window.shrink(now, member.inFlight, meanLatencyUs[request.classIndex()]);
+            member.window.pause(now, meanLatencyUs[request.classIndex()]);
         } else if (outcome != Outcome.CANCELLED && outcome != Outcome.NOT_SENT) {
             member.connections = outcome == Outcome.RESET || outcome == Outcome.CONNECT_FAILED
                     ? member.inFlight
                     : member.connections;
             recordLatency(now, member, 0, true);
             if (outcome != Outcome.ERROR) { // That came in time: a spoilt answer is no sign of a queue.
-                shrinkWindow(now, member, meanLatencyUs[request.classIndex()]);
+                member.window.shrink(now, member.inFlight, meanLatencyUs[request.classIndex()]);
             }
             if (outcome == Outcome.CONNECT_FAILED) {
-                pause(now, member, request);
+                member.window.pause(now, meanLatencyUs[request.classIndex()]);
                 if (member == group.primary) {
                     clearPrimary(group);
                     group.primaryAtUs = now;
--- /dev/null
+++ b/decisions/src/main/java/frostreel/routing/ConcurrencyWindow.java
@@ -0,0 +1,84 @@
+package frostreel.routing;
+
+/**
+ * Limits how many attempts this router has in flight to one member at a time. The window grows while answers
+ * come in time and shrinks on signs of a queue (additive increase, multiplicative decrease), so that one bound
+ * covers overload, hanging or slow members, and the burst after a failover. A member that rejects attempts or
+ * cannot be connected to is also paused, with exponential backoff.
+ */
+final class ConcurrencyWindow {
+    /** Attempts in flight to a member that is new, or that has just become primary. */
+    private static final double INITIAL_SIZE = 4;
+    /** No window falls below one attempt: without any, a member's recovery would never be noticed. */
+    private static final double SMALLEST_SIZE = 1;
+    /** What is left of a window after a timeout, a rejection or a late answer. */
+    private static final double DECREASE_FACTOR = 0.7;
+    /** A window grows only while at least this part of it is in use, since else nothing was learned. */
+    private static final double LEAST_USE = 0.5;
+    /** The first pause is the class's mean latency over this. */
+    private static final int FIRST_PAUSE_DIVISOR = 4;
+    /** How often the pause may double. */
+    private static final int MOST_DOUBLINGS = 8;
+    /** Longest pause in microseconds, so that a recovered member is used again within half a second. */
+    private static final long LONGEST_PAUSE_US = 500_000;
+
+    private double size = INITIAL_SIZE;
+    /** Until the first sign of a queue, the window grows by one with every answer. */
+    private boolean growingFast = true;
+
+    private long shrunkAtUs;
+    private long pausedUntilUs;
+    /** Rejections and failed connections since the last answer in time. */
+    private int rejections;
+
+    /** Whether one more attempt may be sent when only {@code share} of the window may be used. */
+    boolean hasRoom(long now, int inFlight, double share) {
+        return !isPaused(now) && inFlight < Math.max(SMALLEST_SIZE, size * share);
+    }
+
+    boolean isPaused(long now) {
+        return now < pausedUntilUs;
+    }
+
+    /** Whether only one attempt at a time is allowed. */
+    boolean isSmallest() {
+        return size <= SMALLEST_SIZE;
+    }
+
+    /** Whether it is smaller than that of a new member: there were recent signs of a queue. */
+    boolean isBelowInitial() {
+        return size < INITIAL_SIZE;
+    }
+
+    /** Starts over for a member that has just become primary, so that waiting writes do not flood it. */
+    void restart() {
+        size = Math.min(size, INITIAL_SIZE);
+        growingFast = true;
+    }
+
+    /** An answer came in time; {@code inFlight} no longer counts its attempt. */
+    void grow(int inFlight) {
+        rejections = 0;
+        if (inFlight + 1 >= size * LEAST_USE) {
+            size += growingFast ? 1 : 1 / size;
+        }
+    }
+
+    /** A sign of a queue; counts at most once in {@code latencyUs}, as several attempts see the same queue. */
+    void shrink(long now, int inFlight, double latencyUs) {
+        growingFast = false;
+        if (now - shrunkAtUs > latencyUs) {
+            size = Math.max(SMALLEST_SIZE, Math.min(size, inFlight + 1) * DECREASE_FACTOR);
+            shrunkAtUs = now;
+        }
+    }
+
+    /**
+     * The member rejected an attempt or could not be connected to. It does so at once, and without a pause
+     * would attract a storm of attempts.
+     */
+    void pause(long now, double latencyUs) {
+        long pauseUs = (long) latencyUs / FIRST_PAUSE_DIVISOR << Math.min(rejections++, MOST_DOUBLINGS);
+        pausedUntilUs = now + Math.min(LONGEST_PAUSE_US, pauseUs);
+    }
+}
--- a/decisions/src/main/java/frostreel/routing/MemberState.java
+++ b/decisions/src/main/java/frostreel/routing/MemberState.java
@@ -11,12 +11,11 @@
     static final long LONG_AGO = Long.MIN_VALUE / 2;
     /** No evidence of a role yet. */
     static final long NEVER = -1;
-    /** Attempts in flight to a member that is new, or that has just become primary. */
-    static final double INITIAL_WINDOW = 4;
 
     final String id;
     final int groupNumber;
     final SlowStart.Member slowStart;
+    final ConcurrencyWindow window = new ConcurrencyWindow();
     /** The name that the locality policy knows it by. */
     final int localityHandle;
 
@@ -59,16 +58,6 @@
     double failureRate;
     double slowestExpectedUs;
 
-    /** How many attempts may be in flight at once, grown by answers in time and cut by signs of a queue. */
-    double window = INITIAL_WINDOW;
-
-    boolean growingFast = true;
-    long shrunkAtUs;
-    /** After rejections it is left alone until then, longer each time. */
-    long pausedUntilUs;
-
-    int rejections;
-
     MemberState(String id, int groupNumber, SlowStart.Member slowStart, int localityHandle, long now) {
         this.id = id;
         this.groupNumber = groupNumber;
