--- a/decisions/src/main/java/frostreel/routing/ChainRouter.java
+++ b/decisions/src/main/java/frostreel/routing/ChainRouter.java
@@ -26,7 +26,6 @@
     /** The design's half second: the walk visits a member this often; a full round while on hold. */
     private static final long WALK_US = 500_000;
 
-    private static final double SILENCE = 4; // Expected times without an answer: it hangs.
     /** Further attempts after doubt for each request, so that they never multiply an overload. */
     private static final double RETRY_SHARE = 0.2, RETRY_BURST = 10;
 
@@ -34,11 +33,9 @@
     private static final double WAIT = 0.45; // Of its time, a read that nothing was sent for waits; ours.
     private static final double SPARED = 0.6; // Of a primary's window, for reads no replica can serve.
     private static final double MEAN = 0.15; // Weight of one more sample in a running mean.
-    private static final double FAIL_COST = 12; // Times dearer when all attempts fail.
     private static final double EQUAL = 1.25; // Members this close in cost are equals, and rotate.
     private static final double NEW_LINK = 1.5; // Times dearer when a connection must be opened.
     private static final int LINK_EVERY = 10; // Requests of a group for each further connection.
-    private static final double FADE_US = 4e6; // Over which a member's bad marks fade.
     /** Commits of sessions and members that are gone are forgotten after so many of the longest deadlines. */
     private static final long KEEP = 20;
 
@@ -162,8 +159,7 @@
             group.chain.add(at, member);
         }
         if (slowStart.listed(now, member.slowStart, entry)) {
-            member.failureRate = 0;
-            member.latencyRatio = 1;
+            member.outliers.reset();
         }
         member.zone = entry.zone();
         member.weight = entry.weight();
@@ -456,8 +452,9 @@
                 || util < 0 && member.window.isBelowInitial()) {
             return left;
         }
-        long timeoutUs = (long)
-                Math.max(request.requestClass.latencyObjectiveUs(), SILENCE * expectedLatencyUs(request, member, now));
+        long timeoutUs = (long) Math.max(
+                request.requestClass.latencyObjectiveUs(),
+                OutlierDetector.SILENCE_FACTOR * expectedLatencyUs(request, member, now));
         boolean again = request.attempts + 1 < request.maxAttempts
                 && (request.requestClass.idempotency() == Idempotency.IDEMPOTENT
                         || now + timeoutUs + sweepUs
@@ -671,7 +668,7 @@
                     && member.verified
                     && !request.triedMembers.contains(member)
                     && !member.window.isPaused(now)
-                    && !isSilent(now, member)
+                    && !member.outliers.isSilent(now, member.inFlight)
                     && costFactor < Double.POSITIVE_INFINITY) {
                 long behind = member.appliedUpToUs == 0
                         ? 0
@@ -720,39 +717,18 @@
         long left = (member.window.isSmallest() ? usefulUntilUs(request) : request.original.deadlineUs()) - now;
         double mean = expectedLatencyUs(request, member, now);
         double spare = request.arrivedUs + request.requestClass.latencyObjectiveUs() - now - 1.5 * mean;
-        return spare > SILENCE * mean && retryTokens >= 1 ? (long) Math.min(left, spare) : left;
+        return spare > OutlierDetector.SILENCE_FACTOR * mean && retryTokens >= 1 ? (long) Math.min(left, spare) : left;
     }
 
     // ---- Health: what outcomes say of a member, against its peers. ----
 
-    private double fade(long now, MemberState member) {
-        return Math.exp(-(now - member.outcomeAtUs) / FADE_US);
-    }
-
     private double expectedLatencyUs(PendingRequest request, MemberState member, long now) {
-        return meanLatencyUs[request.classIndex()] * (1 + (member.latencyRatio - 1) * fade(now, member));
+        return member.outliers.expectedLatencyUs(now, meanLatencyUs[request.classIndex()]);
     }
 
     private double cost(long now, MemberState member) {
-        double fade = fade(now, member);
-        double cost = (1 + (member.latencyRatio - 1) * fade)
-                * (1 + 0.5 * member.inFlight / Math.max(0.1, member.weight))
-                * (1 + FAIL_COST * member.failureRate * fade);
-        return isSilent(now, member) ? cost * FAIL_COST : cost;
-    }
-
-    private boolean isSilent(long now, MemberState member) {
-        return member.inFlight > 0 && now - member.lastProgressUs > SILENCE * member.slowestExpectedUs;
-    }
-
-    private void recordLatency(long now, MemberState member, double ratio, boolean failed) {
-        double fade = fade(now, member);
-        member.failureRate = member.failureRate * fade * (1 - 2 * MEAN) + (failed ? 2 * MEAN : 0);
-        member.latencyRatio = 1 + (member.latencyRatio - 1) * fade;
-        if (ratio > 0) {
-            member.latencyRatio += MEAN * (Math.min(ratio, 10) - member.latencyRatio);
-        }
-        member.outcomeAtUs = now;
+        double load = 1 + 0.5 * member.inFlight / Math.max(0.1, member.weight);
+        return member.outliers.cost(now, member.inFlight, load);
     }
 
     @Override
@@ -813,11 +789,11 @@
                 || outcome == Outcome.ERROR
                 || outcome == Outcome.REJECTED
                 || outcome == Outcome.WRONG_ROLE_OR_STALE) {
-            member.lastProgressUs = now;
+            member.outliers.recordProgress(now);
             member.verified |= outcome != Outcome.ERROR;
         }
         if (member.inFlight == 0) {
-            member.slowestExpectedUs = 0;
+            member.outliers.recordIdle();
         }
         if (report != null) {
             recordReport(now, group, member, report);
@@ -833,7 +809,7 @@
                     now, request.original.session(), request.original.deadlineUs(), outcome, positionUs, retentionUs);
         }
         if (outcome == Outcome.OK) {
-            recordLatency(now, member, tookUs / meanLatencyUs[request.classIndex()], false);
+            member.outliers.recordSuccess(now, tookUs / meanLatencyUs[request.classIndex()]);
             meanLatencyUs[request.classIndex()] += 0.02 * (tookUs - meanLatencyUs[request.classIndex()]);
             if (member == group.primary) {
                 group.primarySuspected = false;
@@ -863,7 +839,7 @@
             member.connections = outcome == Outcome.RESET || outcome == Outcome.CONNECT_FAILED
                     ? member.inFlight
                     : member.connections;
-            recordLatency(now, member, 0, true);
+            member.outliers.recordFailure(now);
             if (outcome != Outcome.ERROR) { // That came in time: a spoilt answer is no sign of a queue.
                 member.window.shrink(now, member.inFlight, meanLatencyUs[request.classIndex()]);
             }
@@ -932,7 +908,9 @@
 
     /** A head with attempts out and long silent is primarySuspected; looked at when something is to be sent. */
     private void suspectSilentPrimary(long now, GroupState group) {
-        if (group.primary != null && !group.primarySuspected && isSilent(now, group.primary)) {
+        if (group.primary != null
+                && !group.primarySuspected
+                && group.primary.outliers.isSilent(now, group.primary.inFlight)) {
             group.primarySuspected = true;
             group.lastTrialUs = now;
         }
@@ -1008,9 +986,7 @@
         }
         double effort = meanLatencyUs[request.classIndex()];
         meanWorkUs += MEAN * (effort - meanWorkUs);
-        if (member.inFlight == 0) {
-            member.lastProgressUs = now;
-        }
+        member.outliers.recordSend(now, member.inFlight, effort);
         GroupState group = request.group;
         group.sendsSinceConnect = hasFreeConnection(now, member) ? group.sendsSinceConnect + 1 : 0;
         member.connections = hasFreeConnection(now, member)
@@ -1018,8 +994,6 @@
                 : member.inFlight / settings.limits().requestsPerConnection() + 1;
         member.lastUsedAtUs = now;
         member.inFlight++;
-        member.slowestExpectedUs =
-                Math.max(member.slowestExpectedUs, Math.max(effort, expectedLatencyUs(request, member, now)));
         if (!request.needsPrimary) {
             localityPolicy.sent(now, member.localityHandle, request.classIndex(), effort);
         }
--- a/decisions/src/main/java/frostreel/routing/MemberState.java
+++ b/decisions/src/main/java/frostreel/routing/MemberState.java
@@ -16,6 +16,7 @@
     final int groupNumber;
     final SlowStart.Member slowStart;
     final ConcurrencyWindow window = new ConcurrencyWindow();
+    final OutlierDetector outliers;
     /** The name that the locality policy knows it by. */
     final int localityHandle;
 
@@ -52,18 +53,11 @@
 
     long lastUsedAtUs;
 
-    long lastProgressUs;
-    long outcomeAtUs;
-    double latencyRatio = 1;
-    double failureRate;
-    double slowestExpectedUs;
-
     MemberState(String id, int groupNumber, SlowStart.Member slowStart, int localityHandle, long now) {
         this.id = id;
         this.groupNumber = groupNumber;
         this.slowStart = slowStart;
         this.localityHandle = localityHandle;
-        lastProgressUs = now;
-        outcomeAtUs = now;
+        outliers = new OutlierDetector(now);
     }
 }
--- /dev/null
+++ b/decisions/src/main/java/frostreel/routing/OutlierDetector.java
@@ -0,0 +1,100 @@
+package frostreel.routing;
+
+/**
+ * Compares one member with its peers by the outcomes of its attempts: how much slower it answers than the mean
+ * of each request class, how often attempts fail, and whether it has stopped answering. What was observed
+ * fades with time, so that a member that was avoided is tried again.
+ */
+final class OutlierDetector {
+    /** Time constant in microseconds over which observations fade, about that of a short outage. */
+    private static final double FADE_US = 4e6;
+    /** Weight of one more sample in the running mean. */
+    private static final double SAMPLE_WEIGHT = 0.15;
+    /** Failures are rarer than answers, and count twice. */
+    private static final double FAILURE_WEIGHT = 2 * SAMPLE_WEIGHT;
+    /** One answer counts as at most this many times slower than the mean, so that it doesn't decide alone. */
+    private static final double HIGHEST_SAMPLE = 10;
+    /** Cost factor added for a member all of whose attempts fail, and factor for a silent one. */
+    private static final double FAILURE_COST = 12;
+    /** A member is silent after this many times the expected latency without any answer. */
+    static final double SILENCE_FACTOR = 4;
+
+    /** Its latency over the mean of the class, as a running mean: 1 for a member like its peers. */
+    private double latencyRatio = 1;
+
+    private double failureRate;
+    private long observedAtUs;
+    private long lastProgressUs;
+    /** The longest expected latency among the attempts in flight. */
+    private double slowestExpectedUs;
+
+    OutlierDetector(long now) {
+        observedAtUs = now;
+        lastProgressUs = now;
+    }
+
+    /** The member was restarted: what was observed before says nothing of it. */
+    void reset() {
+        failureRate = 0;
+        latencyRatio = 1;
+    }
+
+    /** The latency to expect of it for a class with this mean latency among all members. */
+    double expectedLatencyUs(long now, double meanLatencyUs) {
+        return meanLatencyUs * (1 + (latencyRatio - 1) * fading(now));
+    }
+
+    /** How little it should be chosen: {@code load} raised by slow answers, failures and silence. */
+    double cost(long now, int inFlight, double load) {
+        double fading = fading(now);
+        double cost = (1 + (latencyRatio - 1) * fading) * load * (1 + FAILURE_COST * failureRate * fading);
+        return isSilent(now, inFlight) ? cost * FAILURE_COST : cost;
+    }
+
+    /** Whether attempts are in flight and no answer has come for a multiple of the expected latency. */
+    boolean isSilent(long now, int inFlight) {
+        return inFlight > 0 && now - lastProgressUs > SILENCE_FACTOR * slowestExpectedUs;
+    }
+
+    /** An answer of any kind arrived. */
+    void recordProgress(long now) {
+        lastProgressUs = now;
+    }
+
+    /** No attempt is in flight any more. */
+    void recordIdle() {
+        slowestExpectedUs = 0;
+    }
+
+    /** An attempt goes out beside {@code inFlight} others, of a class with this mean latency. */
+    void recordSend(long now, int inFlight, double meanLatencyUs) {
+        if (inFlight == 0) {
+            lastProgressUs = now;
+        }
+        slowestExpectedUs = Math.max(slowestExpectedUs, Math.max(meanLatencyUs, expectedLatencyUs(now, meanLatencyUs)));
+    }
+
+    /** An attempt succeeded, after {@code ratio} times the mean latency of its class. */
+    void recordSuccess(long now, double ratio) {
+        fadeAndRecord(now, 0);
+        if (ratio > 0) {
+            latencyRatio += SAMPLE_WEIGHT * (Math.min(ratio, HIGHEST_SAMPLE) - latencyRatio);
+        }
+    }
+
+    /** An attempt failed. */
+    void recordFailure(long now) {
+        fadeAndRecord(now, FAILURE_WEIGHT);
+    }
+
+    private void fadeAndRecord(long now, double failure) {
+        double fading = fading(now);
+        failureRate = failureRate * fading * (1 - FAILURE_WEIGHT) + failure;
+        latencyRatio = 1 + (latencyRatio - 1) * fading;
+        observedAtUs = now;
+    }
+
+    private double fading(long now) {
+        return Math.exp(-(now - observedAtUs) / FADE_US);
+    }
+}
