--- a/decisions/src/main/java/frostreel/routing/ChainRouter.java
+++ b/decisions/src/main/java/frostreel/routing/ChainRouter.java
@@ -1,6 +1,5 @@
 package frostreel.routing;
 
-import java.util.Arrays;
 import java.util.Comparator;
 import java.util.HashMap;
 import java.util.List;
@@ -32,7 +31,6 @@
     private static final double TARGET = 0.5; // Of an aim: a mean time beyond it only makes a queue.
     private static final double WAIT = 0.45; // Of its time, a read that nothing was sent for waits; ours.
     private static final double SPARED = 0.6; // Of a primary's window, for reads no replica can serve.
-    private static final double MEAN = 0.15; // Weight of one more sample in a running mean.
     private static final double EQUAL = 1.25; // Members this close in cost are equals, and rotate.
     private static final double NEW_LINK = 1.5; // Times dearer when a connection must be opened.
     private static final int LINK_EVERY = 10; // Requests of a group for each further connection.
@@ -43,15 +41,14 @@
     /** Of clients' places: beyond it who waits longest makes room; two processes of an upgrade share them. */
     private static final double OPEN = 0.375;
 
-    private static final double LENGTHY = 4; // Times the mean work, that of a long query.
     private static final double PATIENT = 0.25; // Of its aim, a long query waits for its one replica.
     private static final double LEAVE = 0.8; // Of a replica's window, to short reads of any age.
     private static final double FULL = 0.9; // So much of its capacity in use, a primary is busy enough.
     private static final String SWEEP = "sweep";
 
-    private Settings settings;
+    private final ActiveSettings settings;
     /** Over about twice the span of the rule on cold members. */
-    private final LongSupplier spanUs = () -> 2 * settings.rules().fallUs();
+    private final LongSupplier spanUs;
 
     private final SlowStart slowStart;
     private final Actions actions;
@@ -59,7 +56,7 @@
     private final PeerCommits peerCommits;
     private final long sweepUs;
     private long retentionUs;
-    private double[] meanLatencyUs = {};
+    private final ClassLatencies latencies;
     private final Map<String, MemberState> members = new HashMap<>();
     private final Map<Integer, GroupState> groups = new TreeMap<>();
     /** The groups in which a request waits unsent; the sweep runs while there is one, over these alone. */
@@ -74,10 +71,8 @@
     private final int rotationSeed;
 
     private final SplittableRandom random;
-    /** The mean work of a request in microseconds. */
-    private double meanWorkUs = Double.MAX_VALUE;
 
-    private final Goodput goodput = new Goodput(spanUs);
+    private final Goodput goodput;
 
     public ChainRouter(Settings settings, Actions actions) {
         this(settings, actions, new NearestZonePolicy(settings.zone()));
@@ -91,26 +86,26 @@
         this.actions = actions;
         this.localityPolicy = localityPolicy;
         this.peerCommits = peerCommits;
+        this.settings = new ActiveSettings(settings);
+        spanUs = () -> 2 * this.settings.rules().fallUs();
+        goodput = new Goodput(spanUs);
         sweepUs = Math.max(settings.tickUs(), WALK_US / 50);
         slowStart = new SlowStart(settings);
+        latencies = new ClassLatencies(settings);
         onSettings(settings);
-        meanWorkUs = Arrays.stream(meanLatencyUs).min().orElse(meanWorkUs);
         random = new SplittableRandom(settings.seed());
         rotationSeed = (int) (random.nextLong() >>> 40);
     }
 
     @Override
-    public void onSettings(Settings settings) {
-        this.settings = settings;
-        int known = meanLatencyUs.length;
-        meanLatencyUs = Arrays.copyOf(meanLatencyUs, settings.classes().size());
-        for (int i = 0; i < meanLatencyUs.length; i++) {
-            RequestClass requestClass = settings.classes().get(i);
+    public void onSettings(Settings newSettings) {
+        settings.replace(newSettings);
+        latencies.onSettings(newSettings);
+        for (RequestClass requestClass : newSettings.classes()) {
             retentionUs = Math.max(retentionUs, KEEP * requestClass.deadlineUs());
-            meanLatencyUs[i] = i < known ? meanLatencyUs[i] : requestClass.latencyObjectiveUs() / 5.0;
         }
-        slowStart.settings(settings);
-        localityPolicy.settings(settings);
+        slowStart.settings(newSettings);
+        localityPolicy.settings(newSettings);
     }
 
     // ---- The chain: who heads a group, and by what evidence. ----
@@ -329,7 +324,7 @@
     public void onRequest(long now, Request original) {
         retryTokens = Math.min(RETRY_BURST, retryTokens + RETRY_SHARE);
         GroupState group = group(original.group());
-        RequestClass requestClass = settings.classes().get(original.cls());
+        RequestClass requestClass = settings.get().classes().get(original.cls());
         PendingRequest request = new PendingRequest(
                 original, requestClass, group, settings.limits().maxAttempts(), now);
         requests.put(original.id(), request);
@@ -468,14 +463,14 @@
     /** Whether sessions' writes are remembered here, and this is one. */
     private boolean isTrackedWrite(PendingRequest request) {
         return request.requestClass.access() == Access.WRITE
-                && settings.sessionTracking() == SessionTracking.REMEMBERED;
+                && settings.get().sessionTracking() == SessionTracking.REMEMBERED;
     }
 
     private long requiredPosition(long now, PendingRequest request) {
         return switch (request.requestClass.access()) {
             case BOUNDED -> now - request.requestClass.boundUs() + 2000;
             case SESSION -> {
-                if (settings.sessionTracking() == SessionTracking.CARRIED) {
+                if (settings.get().sessionTracking() == SessionTracking.CARRIED) {
                     yield request.original.sinceWriteUs() <= 0
                             ? 0
                             : request.arrivedUs - request.original.sinceWriteUs() + 2000;
@@ -491,7 +486,7 @@
 
     /** Whether a member checks and nothing says that it is too far behind; the baseline is report age. */
     private boolean isLikelyFresh(long now, MemberState member, long requiredUs) {
-        return settings.stalenessCheck() != StalenessCheck.SILENT
+        return settings.get().stalenessCheck() != StalenessCheck.SILENT
                 && now - member.staleAtUs > WALK_US
                 && now - requiredUs + settings.limits().holdsForUs()
                         >= member.lagUs - Math.min(usualLagUs, member.lagUs);
@@ -520,7 +515,7 @@
     private boolean awaitsHealthCheck(long now, PendingRequest request) {
         if (request.healthCheckWaitUntilUs == 0) {
             request.healthCheckWaitUntilUs =
-                    now + Math.max(2 * settings.tickUs(), request.requestClass.latencyObjectiveUs() / 10);
+                    now + Math.max(2 * settings.get().tickUs(), request.requestClass.latencyObjectiveUs() / 10);
         }
         boolean any = false;
         for (MemberState member : request.group.chain) {
@@ -538,7 +533,7 @@
 
     private void routeRead(long now, PendingRequest request) {
         GroupState group = request.group;
-        boolean late = now + meanLatencyUs[request.classIndex()] / 2 > usefulUntilUs(request)
+        boolean late = now + latencies.meanUs(request.classIndex()) / 2 > usefulUntilUs(request)
                 && (request.attempts > 0 || now > request.arrivedUs);
         if (late || waitedTooLong(now, request) || exhausted(now, request)) {
             giveUp(now, request);
@@ -563,7 +558,7 @@
         double bestCost = Double.MAX_VALUE;
         double askCost = Double.MAX_VALUE;
         boolean waits = false, denied = false;
-        boolean longer = isLongRunning(request);
+        boolean longer = latencies.isLongRunning(request);
         double part = request.requestClass.access() == Access.ANY && !longer ? LEAVE : 1;
         MemberState only = longer && now - request.arrivedUs < PATIENT * request.requestClass.latencyObjectiveUs()
                 ? longQueryReplica(now, request)
@@ -617,7 +612,7 @@
             group.lastFreshnessCheckUs = now;
             checkHealth(now, unproven);
         }
-        if (settings.stalenessCheck() == StalenessCheck.SILENT && awaitsHealthCheck(now, request)) {
+        if (settings.get().stalenessCheck() == StalenessCheck.SILENT && awaitsHealthCheck(now, request)) {
             waitForCapacity(request);
             return;
         }
@@ -649,12 +644,6 @@
                 && now - member.lastUsedAtUs < settings.limits().idleCloseUs();
     }
 
-    /** A long query that any member may answer: its own work, not a queue, makes its time. */
-    private boolean isLongRunning(PendingRequest request) {
-        return request.requestClass.access() == Access.ANY
-                && meanLatencyUs[request.classIndex()] > LENGTHY * meanWorkUs;
-    }
-
     /** The replica that a group's long queries keep to: one that holds any may apply nothing, so spread over
      * all they would leave none that is new enough for other reads. The furthest behind, as routers agree on
      * that one, and kept until another is well behind it or it can't serve. */
@@ -687,7 +676,7 @@
         return request.requestClass.access() != Access.ANY
                 ? 1
                 : 1
-                        + Math.min(1, meanLatencyUs[request.classIndex()] / WALK_US)
+                        + Math.min(1, latencies.meanUs(request.classIndex()) / WALK_US)
                                 * Math.min(member.lagUs - Math.min(usualLagUs, member.lagUs), 4 * WALK_US)
                                 / WALK_US;
     }
@@ -723,7 +712,7 @@
     // ---- Health: what outcomes say of a member, against its peers. ----
 
     private double expectedLatencyUs(PendingRequest request, MemberState member, long now) {
-        return member.outliers.expectedLatencyUs(now, meanLatencyUs[request.classIndex()]);
+        return member.outliers.expectedLatencyUs(now, latencies.meanUs(request.classIndex()));
     }
 
     private double cost(long now, MemberState member) {
@@ -752,7 +741,7 @@
         request.countsForGoodput = outcome == Outcome.OK || outcome == Outcome.REJECTED || outcome == Outcome.TIMEOUT;
         member.inFlight--;
         member.lastUsedAtUs = now;
-        localityPolicy.ended(now, member.localityHandle, outcome, meanLatencyUs[request.classIndex()]);
+        localityPolicy.ended(now, member.localityHandle, outcome, latencies.meanUs(request.classIndex()));
         recordOutcome(now, request, member, outcome, tookUs, role, positionUs, report);
         if (!outcome.provesNotRun && !request.mayHaveRun) {
             request.mayHaveRun = true;
@@ -809,17 +798,17 @@
                     now, request.original.session(), request.original.deadlineUs(), outcome, positionUs, retentionUs);
         }
         if (outcome == Outcome.OK) {
-            member.outliers.recordSuccess(now, tookUs / meanLatencyUs[request.classIndex()]);
-            meanLatencyUs[request.classIndex()] += 0.02 * (tookUs - meanLatencyUs[request.classIndex()]);
+            member.outliers.recordSuccess(now, tookUs / latencies.meanUs(request.classIndex()));
+            latencies.recordAnswer(request.classIndex(), tookUs);
             if (member == group.primary) {
                 group.primarySuspected = false;
             }
             slowStart.served(now, member.slowStart, request.classIndex(), tookUs);
             if (tookUs > request.requestClass.latencyObjectiveUs()
-                    || !isLongRunning(request)
+                    || !latencies.isLongRunning(request)
                             && expectedLatencyUs(request, member, now)
                                     > TARGET * request.requestClass.latencyObjectiveUs()) {
-                member.window.shrink(now, member.inFlight, meanLatencyUs[request.classIndex()]);
+                member.window.shrink(now, member.inFlight, latencies.meanUs(request.classIndex()));
             } else {
                 member.window.grow(member.inFlight);
             }
@@ -833,18 +822,18 @@
                 }
             }
         } else if (outcome == Outcome.REJECTED) {
-            member.window.shrink(now, member.inFlight, meanLatencyUs[request.classIndex()]);
-            member.window.pause(now, meanLatencyUs[request.classIndex()]);
+            member.window.shrink(now, member.inFlight, latencies.meanUs(request.classIndex()));
+            member.window.pause(now, latencies.meanUs(request.classIndex()));
         } else if (outcome != Outcome.CANCELLED && outcome != Outcome.NOT_SENT) {
             member.connections = outcome == Outcome.RESET || outcome == Outcome.CONNECT_FAILED
                     ? member.inFlight
                     : member.connections;
             member.outliers.recordFailure(now);
             if (outcome != Outcome.ERROR) { // That came in time: a spoilt answer is no sign of a queue.
-                member.window.shrink(now, member.inFlight, meanLatencyUs[request.classIndex()]);
+                member.window.shrink(now, member.inFlight, latencies.meanUs(request.classIndex()));
             }
             if (outcome == Outcome.CONNECT_FAILED) {
-                member.window.pause(now, meanLatencyUs[request.classIndex()]);
+                member.window.pause(now, latencies.meanUs(request.classIndex()));
                 if (member == group.primary) {
                     clearPrimary(group);
                     group.primaryAtUs = now;
@@ -937,7 +926,7 @@
     /** Whether it is new enough for a read, by its own word; the head is excused until it is heard as a
      * replica, or another as primary. */
     private boolean isFreshEnough(long now, PendingRequest request, MemberState member) {
-        return settings.stalenessCheck() != StalenessCheck.SILENT
+        return settings.get().stalenessCheck() != StalenessCheck.SILENT
                 || request.requestClass.access() == Access.WRITE
                 || member.appliedUpToUs >= requiredPosition(now, request)
                 || member == request.group.primary && member.primaryAtUs > member.replicaAtUs;
@@ -984,8 +973,8 @@
         if (isTrackedWrite(request)) {
             sessionCommits.sent(now, request.original.session());
         }
-        double effort = meanLatencyUs[request.classIndex()];
-        meanWorkUs += MEAN * (effort - meanWorkUs);
+        double effort = latencies.meanUs(request.classIndex());
+        latencies.recordSend(request.classIndex());
         member.outliers.recordSend(now, member.inFlight, effort);
         GroupState group = request.group;
         group.sendsSinceConnect = hasFreeConnection(now, member) ? group.sendsSinceConnect + 1 : 0;
--- /dev/null
+++ b/decisions/src/main/java/frostreel/routing/ClassLatencies.java
@@ -0,0 +1,55 @@
+package frostreel.routing;
+
+import frostreel.routing.Router.Access;
+import frostreel.routing.Router.Settings;
+import java.util.Arrays;
+
+/** The mean latency of each request class over all members, and the mean of what is sent. */
+final class ClassLatencies {
+    /** Until the first answer a class is taken to need one fifth of its latency objective. */
+    private static final double GUESSES_PER_OBJECTIVE = 5.0;
+    /** Weight of one more answer in a class's mean; small, as all members count into one mean. */
+    private static final double ANSWER_WEIGHT = 0.02;
+    /** Weight of one more request in the mean of what is sent. */
+    private static final double REQUEST_WEIGHT = 0.15;
+    /** A class this many times slower than the mean request is long-running. */
+    private static final double LONG_RUNNING_FACTOR = 4;
+
+    private double[] meanUs = {};
+    /** The mean latency of the requests sent of late. */
+    private double meanRequestUs;
+
+    ClassLatencies(Settings settings) {
+        onSettings(settings);
+        meanRequestUs = Arrays.stream(meanUs).min().orElse(Double.MAX_VALUE);
+    }
+
+    /** New settings; classes that are known keep what was learned. */
+    void onSettings(Settings settings) {
+        int known = meanUs.length;
+        meanUs = Arrays.copyOf(meanUs, settings.classes().size());
+        for (int i = known; i < meanUs.length; i++) {
+            meanUs[i] = settings.classes().get(i).latencyObjectiveUs() / GUESSES_PER_OBJECTIVE;
+        }
+    }
+
+    double meanUs(int classIndex) {
+        return meanUs[classIndex];
+    }
+
+    /** A request of this class is sent. */
+    void recordSend(int classIndex) {
+        meanRequestUs += REQUEST_WEIGHT * (meanUs[classIndex] - meanRequestUs);
+    }
+
+    /** A request of this class was answered. */
+    void recordAnswer(int classIndex, long tookUs) {
+        meanUs[classIndex] += ANSWER_WEIGHT * (tookUs - meanUs[classIndex]);
+    }
+
+    /** Whether this is a query that any member may answer, and whose own work rather than a queue takes long. */
+    boolean isLongRunning(PendingRequest request) {
+        return request.requestClass.access() == Access.ANY
+                && meanUs[request.classIndex()] > LONG_RUNNING_FACTOR * meanRequestUs;
+    }
+}
