--- a/decisions/src/main/java/frostreel/routing/ChainRouter.java
+++ b/decisions/src/main/java/frostreel/routing/ChainRouter.java
@@ -34,10 +34,9 @@
     private static final double EQUAL = 1.25; // Members this close in cost are equals, and rotate.
     private static final double NEW_LINK = 1.5; // Times dearer when a connection must be opened.
     private static final int LINK_EVERY = 10; // Requests of a group for each further connection.
-    /** Commits of sessions and members that are gone are forgotten after so many of the longest deadlines. */
+    /** For so many of the half seconds, or a part of it. */
     private static final long KEEP = 20;
 
-    private static final double CATCH_UP = 0.7; // Seconds, at the least, to make a second of the log up.
     /** Of clients' places: beyond it who waits longest makes room; two processes of an upgrade share them. */
     private static final double OPEN = 0.375;
 
@@ -53,10 +52,9 @@
     private final SlowStart slowStart;
     private final Actions actions;
     private final LocalityPolicy localityPolicy;
-    private final PeerCommits peerCommits;
     private final long sweepUs;
-    private long retentionUs;
     private final ClassLatencies latencies;
+    private final Freshness freshness;
     private final Map<String, MemberState> members = new HashMap<>();
     private final Map<Integer, GroupState> groups = new TreeMap<>();
     /** The groups in which a request waits unsent; the sweep runs while there is one, over these alone. */
@@ -64,9 +62,7 @@
 
     private boolean sweeping, started;
     private final Map<String, PendingRequest> requests = new HashMap<>();
-    private final SessionCommits sessionCommits = new SessionCommits();
     private double retryTokens = RETRY_BURST;
-    private double usualLagUs = WALK_US / 2.0;
     /** Where rotation begins: from the seed, so that routers do not all start at the same member. */
     private final int rotationSeed;
 
@@ -85,13 +81,13 @@
     public ChainRouter(Settings settings, Actions actions, LocalityPolicy localityPolicy, PeerCommits peerCommits) {
         this.actions = actions;
         this.localityPolicy = localityPolicy;
-        this.peerCommits = peerCommits;
         this.settings = new ActiveSettings(settings);
         spanUs = () -> 2 * this.settings.rules().fallUs();
         goodput = new Goodput(spanUs);
         sweepUs = Math.max(settings.tickUs(), WALK_US / 50);
         slowStart = new SlowStart(settings);
         latencies = new ClassLatencies(settings);
+        freshness = new Freshness(this.settings, peerCommits);
         onSettings(settings);
         random = new SplittableRandom(settings.seed());
         rotationSeed = (int) (random.nextLong() >>> 40);
@@ -101,9 +97,7 @@
     public void onSettings(Settings newSettings) {
         settings.replace(newSettings);
         latencies.onSettings(newSettings);
-        for (RequestClass requestClass : newSettings.classes()) {
-            retentionUs = Math.max(retentionUs, KEEP * requestClass.deadlineUs());
-        }
+        freshness.onSettings(newSettings);
         slowStart.settings(newSettings);
         localityPolicy.settings(newSettings);
     }
@@ -182,8 +176,8 @@
 
     private boolean isForgettable(long now, MemberState member) {
         member.goneSinceUs = member.state != State.GONE ? 0 : member.goneSinceUs == 0 ? now : member.goneSinceUs;
-        boolean kept =
-                member.verified && (settings.rules().onlyDrainingBinds() || now - member.goneSinceUs <= retentionUs);
+        boolean kept = member.verified
+                && (settings.rules().onlyDrainingBinds() || now - member.goneSinceUs <= freshness.retentionUs());
         return member.goneSinceUs > 0 && member.inFlight == 0 && !kept;
     }
 
@@ -309,10 +303,7 @@
     private void recordReport(long now, GroupState group, MemberState member, Report report) {
         slowStart.reported(member.slowStart, report.util());
         if (report.positionUs() > 0) {
-            member.appliedUpToUs = Math.max(member.appliedUpToUs, report.positionUs());
-            member.positionAtUs = now;
-            member.lagUs = Math.max(0, now - member.appliedUpToUs);
-            usualLagUs = Math.min(usualLagUs + member.lagUs * 0.01, member.lagUs);
+            freshness.recordReport(now, member, report.positionUs());
         }
         long at = report.positionUs() > 0 ? report.positionUs() : now - WALK_US;
         noteRole(group, member, report.role(), at, false);
@@ -460,49 +451,6 @@
 
     // ---- Reads: the pick of a replica. ----
 
-    /** Whether sessions' writes are remembered here, and this is one. */
-    private boolean isTrackedWrite(PendingRequest request) {
-        return request.requestClass.access() == Access.WRITE
-                && settings.get().sessionTracking() == SessionTracking.REMEMBERED;
-    }
-
-    private long requiredPosition(long now, PendingRequest request) {
-        return switch (request.requestClass.access()) {
-            case BOUNDED -> now - request.requestClass.boundUs() + 2000;
-            case SESSION -> {
-                if (settings.get().sessionTracking() == SessionTracking.CARRIED) {
-                    yield request.original.sinceWriteUs() <= 0
-                            ? 0
-                            : request.arrivedUs - request.original.sinceWriteUs() + 2000;
-                }
-                yield Math.max(
-                        sessionCommits.need(now, request.original.session()),
-                        peerCommits.boundUs(now, request.original.session()));
-            }
-            case ANY -> 0;
-            default -> Long.MAX_VALUE;
-        };
-    }
-
-    /** Whether a member checks and nothing says that it is too far behind; the baseline is report age. */
-    private boolean isLikelyFresh(long now, MemberState member, long requiredUs) {
-        return settings.get().stalenessCheck() != StalenessCheck.SILENT
-                && now - member.staleAtUs > WALK_US
-                && now - requiredUs + settings.limits().holdsForUs()
-                        >= member.lagUs - Math.min(usualLagUs, member.lagUs);
-    }
-
-    /** Whether a probe might show that a member has what is needed: that is not all too recent, and it was
-     * not asked just now. A waiting read that asks on and on costs more than it is worth, and of one that
-     * stood far behind each router would know without asking that it cannot have caught up yet. */
-    private boolean mayProveFresh(long now, MemberState member, long requiredUs) {
-        long behind = member.lagUs - (now - requiredUs); // When it last told its position.
-        return settings.limits().probes() == Probes.REPORT
-                && now - requiredUs > usualLagUs
-                && now - member.healthCheckAtUs > WALK_US / 2
-                && now - member.positionAtUs > CATCH_UP * behind;
-    }
-
     /** A member listed later gets reads once it answered a probe: a list may name what is none of ours. */
     private boolean isUnverified(long now, MemberState member) {
         if (!member.verified && now - member.healthCheckAtUs > KEEP * WALK_US / 2) {
@@ -543,7 +491,7 @@
             waitForCapacity(request);
             return;
         }
-        long requiredUs = requiredPosition(now, request);
+        long requiredUs = freshness.requiredPositionUs(now, request);
         boolean canary = group.primarySuspected
                 && now - group.lastTrialUs >= WALK_US
                 && request.requestClass.idempotency() == Idempotency.IDEMPOTENT;
@@ -580,11 +528,13 @@
                 }
                 continue;
             }
-            boolean proven = member.appliedUpToUs >= requiredUs || isLikelyFresh(now, member, requiredUs);
+            boolean proven = freshness.isProbablyFresh(now, member, requiredUs);
             if (proven
                     ? !member.window.hasRoom(now, member.inFlight, part)
                             || !slowStart.admits(now, member.slowStart, request.classIndex())
-                    : member.healthCheckPending || !mayProveFresh(now, member, requiredUs)) {
+                    : member.healthCheckPending
+                            || settings.limits().probes() != Probes.REPORT
+                            || !freshness.mayBeProvenFresh(now, member, requiredUs)) {
                 waits = true;
                 continue;
             }
@@ -677,7 +627,7 @@
                 ? 1
                 : 1
                         + Math.min(1, latencies.meanUs(request.classIndex()) / WALK_US)
-                                * Math.min(member.lagUs - Math.min(usualLagUs, member.lagUs), 4 * WALK_US)
+                                * Math.min(freshness.unusualLagUs(member), 4 * WALK_US)
                                 / WALK_US;
     }
 
@@ -788,15 +738,10 @@
             recordReport(now, group, member, report);
         }
         if (positionUs > 0) {
-            member.appliedUpToUs = Math.max(member.appliedUpToUs, positionUs);
-            member.lagUs = Math.max(0, now - member.appliedUpToUs);
-            member.positionAtUs = now;
+            member.recordPosition(now, positionUs);
         }
         noteRole(group, member, role, now, true);
-        if (isTrackedWrite(request)) {
-            sessionCommits.ended(
-                    now, request.original.session(), request.original.deadlineUs(), outcome, positionUs, retentionUs);
-        }
+        freshness.recordOutcome(now, request, outcome, positionUs);
         if (outcome == Outcome.OK) {
             member.outliers.recordSuccess(now, tookUs / latencies.meanUs(request.classIndex()));
             latencies.recordAnswer(request.classIndex(), tookUs);
@@ -923,15 +868,6 @@
 
     // ---- Guards: the one place that sends, and the one that ends. ----
 
-    /** Whether it is new enough for a read, by its own word; the head is excused until it is heard as a
-     * replica, or another as primary. */
-    private boolean isFreshEnough(long now, PendingRequest request, MemberState member) {
-        return settings.get().stalenessCheck() != StalenessCheck.SILENT
-                || request.requestClass.access() == Access.WRITE
-                || member.appliedUpToUs >= requiredPosition(now, request)
-                || member == request.group.primary && member.primaryAtUs > member.replicaAtUs;
-    }
-
     /** Also whether its member was told to have started meanwhile: then it goes as one that is sent now. */
     @Override
     public boolean mayStillBegin(long now, String requestId) {
@@ -941,9 +877,9 @@
                 || request.memberStartedUs == request.currentMember.slowStart.startedUs()) {
             return request == null
                     || request.currentMember == null
-                    || isFreshEnough(now, request, request.currentMember);
+                    || freshness.isFreshEnough(now, request, request.currentMember);
         }
-        boolean stands = isFreshEnough(now, request, request.currentMember)
+        boolean stands = freshness.isFreshEnough(now, request, request.currentMember)
                 && slowStart.admits(now, request.currentMember.slowStart, request.classIndex());
         if (stands) {
             chargeSlowStart(request);
@@ -966,13 +902,11 @@
                 || !slowStart.admits(now, member.slowStart, request.classIndex())) {
             return false;
         }
-        if (!isFreshEnough(now, request, member)
+        if (!freshness.isFreshEnough(now, request, member)
                 || request.deduplicationZone >= 0 && member.zone != request.deduplicationZone) {
             return false;
         }
-        if (isTrackedWrite(request)) {
-            sessionCommits.sent(now, request.original.session());
-        }
+        freshness.recordSend(now, request);
         double effort = latencies.meanUs(request.classIndex());
         latencies.recordSend(request.classIndex());
         member.outliers.recordSend(now, member.inFlight, effort);
--- /dev/null
+++ b/decisions/src/main/java/frostreel/routing/Freshness.java
@@ -0,0 +1,137 @@
+package frostreel.routing;
+
+import frostreel.routing.Router.Access;
+import frostreel.routing.Router.Outcome;
+import frostreel.routing.Router.RequestClass;
+import frostreel.routing.Router.SessionTracking;
+import frostreel.routing.Router.Settings;
+import frostreel.routing.Router.StalenessCheck;
+
+/**
+ * Tells which position of the log a read needs, and which members have it or may have it. A position is the
+ * time up to which all commits are applied, in microseconds.
+ */
+final class Freshness {
+    /** Added to a required position, in microseconds: positions and ages are reported in milliseconds. */
+    private static final long ROUNDING_US = 2000;
+    /** What a read of the latest commit requires: no replica has it. */
+    private static final long LATEST = Long.MAX_VALUE;
+    /** A member that found itself too stale isn't taken for fresh for so many microseconds. */
+    private static final long STALE_US = 500_000;
+    /** The usual lag of reports, in microseconds, before the first one. */
+    private static final double FIRST_USUAL_LAG_US = 250_000;
+    /** Weight of one report's lag in the usual lag; that falls at once and rises slowly. */
+    private static final double LAG_WEIGHT = 0.01;
+    /** A member is checked for a read at most this often, in microseconds: checks are work for it too. */
+    private static final long CHECK_INTERVAL_US = 250_000;
+    /** Seconds that a replica needs, at the least, to apply one second of the log. */
+    private static final double CATCH_UP = 0.7;
+    /** Commits are remembered for this many of the longest deadlines. */
+    private static final long DEADLINES_KEPT = 20;
+
+    private final SessionCommits sessionCommits = new SessionCommits();
+    private final PeerCommits peerCommits;
+    private final ActiveSettings settings;
+    private long retentionUs;
+    /** How far reports are behind where a replica keeps up: mostly their own age. */
+    private double usualLagUs = FIRST_USUAL_LAG_US;
+
+    Freshness(ActiveSettings settings, PeerCommits peerCommits) {
+        this.settings = settings;
+        this.peerCommits = peerCommits;
+        onSettings(settings.get());
+    }
+
+    /** New settings are in force; what older ones required to be remembered still is. */
+    void onSettings(Settings newSettings) {
+        for (RequestClass requestClass : newSettings.classes()) {
+            retentionUs = Math.max(retentionUs, DEADLINES_KEPT * requestClass.deadlineUs());
+        }
+    }
+
+    /** How long the commits of sessions and of members that are gone are remembered. */
+    long retentionUs() {
+        return retentionUs;
+    }
+
+    /** An attempt is sent; writes of sessions are remembered where the settings say so. */
+    void recordSend(long now, PendingRequest request) {
+        if (isTrackedWrite(request)) {
+            sessionCommits.sent(now, request.original.session());
+        }
+    }
+
+    /** An attempt ended. */
+    void recordOutcome(long now, PendingRequest request, Outcome outcome, long positionUs) {
+        if (isTrackedWrite(request)) {
+            long deadlineUs = request.original.deadlineUs();
+            sessionCommits.ended(now, request.original.session(), deadlineUs, outcome, positionUs, retentionUs);
+        }
+    }
+
+    private boolean isTrackedWrite(PendingRequest request) {
+        return request.requestClass.access() == Access.WRITE
+                && settings.get().sessionTracking() == SessionTracking.REMEMBERED;
+    }
+
+    /** A member reported its position. */
+    void recordReport(long now, MemberState member, long positionUs) {
+        member.recordPosition(now, positionUs);
+        usualLagUs = Math.min(usualLagUs + member.lagUs * LAG_WEIGHT, member.lagUs);
+    }
+
+    /** The position that a member must have applied to answer the request, 0 for any. */
+    long requiredPositionUs(long now, PendingRequest request) {
+        return switch (request.requestClass.access()) {
+            case BOUNDED -> now - request.requestClass.boundUs() + ROUNDING_US;
+            case SESSION -> sessionPositionUs(now, request);
+            case ANY -> 0;
+            case WRITE, FRESH -> LATEST;
+        };
+    }
+
+    private long sessionPositionUs(long now, PendingRequest request) {
+        if (settings.get().sessionTracking() == SessionTracking.CARRIED) {
+            long sinceWriteUs = request.original.sinceWriteUs();
+            return sinceWriteUs <= 0 ? 0 : request.arrivedUs - sinceWriteUs + ROUNDING_US;
+        }
+        long session = request.original.session();
+        return Math.max(sessionCommits.need(now, session), peerCommits.boundUs(now, session));
+    }
+
+    /**
+     * Whether a request may be sent to a member by what that reported. The primary is excused until it, or
+     * another member as primary, reports that it is a replica.
+     */
+    boolean isFreshEnough(long now, PendingRequest request, MemberState member) {
+        return settings.get().stalenessCheck() != StalenessCheck.SILENT
+                || request.requestClass.access() == Access.WRITE
+                || member.appliedUpToUs >= requiredPositionUs(now, request)
+                || member == request.group.primary && member.primaryAtUs > member.replicaAtUs;
+    }
+
+    /** Whether a member has the required position, or else checks that itself and probably has it. */
+    boolean isProbablyFresh(long now, MemberState member, long requiredUs) {
+        return member.appliedUpToUs >= requiredUs
+                || settings.get().stalenessCheck() != StalenessCheck.SILENT
+                        && now - member.staleAtUs > STALE_US
+                        && now - requiredUs + settings.limits().holdsForUs() >= unusualLagUs(member);
+    }
+
+    /** By how much a member's last report was further behind than reports usually are. */
+    double unusualLagUs(MemberState member) {
+        return member.lagUs - Math.min(usualLagUs, member.lagUs);
+    }
+
+    /**
+     * Whether a health check might prove that a member has the required position: that isn't too recent, the
+     * member wasn't checked just now, and it can have caught up since its last report. A waiting read that
+     * checks again and again costs more than it is worth.
+     */
+    boolean mayBeProvenFresh(long now, MemberState member, long requiredUs) {
+        long missingUs = member.lagUs - (now - requiredUs);
+        return now - requiredUs > usualLagUs
+                && now - member.healthCheckAtUs > CHECK_INTERVAL_US
+                && now - member.positionAtUs > CATCH_UP * missingUs;
+    }
+}
--- a/decisions/src/main/java/frostreel/routing/MemberState.java
+++ b/decisions/src/main/java/frostreel/routing/MemberState.java
@@ -60,4 +60,11 @@
         this.localityHandle = localityHandle;
         outliers = new OutlierDetector(now);
     }
+
+    /** It has told its position. */
+    void recordPosition(long now, long positionUs) {
+        appliedUpToUs = Math.max(appliedUpToUs, positionUs);
+        lagUs = Math.max(0, now - appliedUpToUs);
+        positionAtUs = now;
+    }
 }
