--- a/decisions/src/main/java/frostreel/routing/ChainRouter.java
+++ b/decisions/src/main/java/frostreel/routing/ChainRouter.java
@@ -25,11 +25,7 @@
     /** The design's half second: the walk visits a member this often; a full round while on hold. */
     private static final long WALK_US = 500_000;
 
-    /** Further attempts after doubt for each request, so that they never multiply an overload. */
-    private static final double RETRY_SHARE = 0.2, RETRY_BURST = 10;
-
     private static final double TARGET = 0.5; // Of an aim: a mean time beyond it only makes a queue.
-    private static final double WAIT = 0.45; // Of its time, a read that nothing was sent for waits; ours.
     private static final double SPARED = 0.6; // Of a primary's window, for reads no replica can serve.
     private static final double EQUAL = 1.25; // Members this close in cost are equals, and rotate.
     private static final double NEW_LINK = 1.5; // Times dearer when a connection must be opened.
@@ -42,7 +38,6 @@
 
     private static final double PATIENT = 0.25; // Of its aim, a long query waits for its one replica.
     private static final double LEAVE = 0.8; // Of a replica's window, to short reads of any age.
-    private static final double FULL = 0.9; // So much of its capacity in use, a primary is busy enough.
     private static final String SWEEP = "sweep";
 
     private final ActiveSettings settings;
@@ -55,6 +50,7 @@
     private final long sweepUs;
     private final ClassLatencies latencies;
     private final Freshness freshness;
+    private final RetryPolicy retryPolicy;
     private final Map<String, MemberState> members = new HashMap<>();
     private final Map<Integer, GroupState> groups = new TreeMap<>();
     /** The groups in which a request waits unsent; the sweep runs while there is one, over these alone. */
@@ -62,7 +58,6 @@
 
     private boolean sweeping, started;
     private final Map<String, PendingRequest> requests = new HashMap<>();
-    private double retryTokens = RETRY_BURST;
     /** Where rotation begins: from the seed, so that routers do not all start at the same member. */
     private final int rotationSeed;
 
@@ -88,6 +83,7 @@
         slowStart = new SlowStart(settings);
         latencies = new ClassLatencies(settings);
         freshness = new Freshness(this.settings, peerCommits);
+        retryPolicy = new RetryPolicy(sweepUs, latencies);
         onSettings(settings);
         random = new SplittableRandom(settings.seed());
         rotationSeed = (int) (random.nextLong() >>> 40);
@@ -237,8 +233,7 @@
         int from = request.group.searchStart == null ? 0 : Math.max(0, chain.indexOf(request.group.searchStart));
         for (int i = 0; i < 2 * chain.size(); i++) {
             MemberState member = chain.get((from + i) % chain.size());
-            boolean last =
-                    !member.verified || request.deduplicationZone >= 0 && member.zone != request.deduplicationZone;
+            boolean last = !member.verified || !request.mayGoToZone(member.zone);
             if (isUsable(member) && !request.triedMembers.contains(member) && (!last || i >= chain.size())) {
                 return member;
             }
@@ -313,7 +308,7 @@
 
     @Override
     public void onRequest(long now, Request original) {
-        retryTokens = Math.min(RETRY_BURST, retryTokens + RETRY_SHARE);
+        retryPolicy.recordArrival();
         GroupState group = group(original.group());
         RequestClass requestClass = settings.get().classes().get(original.cls());
         PendingRequest request = new PendingRequest(
@@ -360,7 +355,7 @@
     private void route(long now, PendingRequest request) {
         if (!request.needsPrimary) {
             routeRead(now, request);
-        } else if (exhausted(now, request)) {
+        } else if (retryPolicy.isExhausted(now, request)) {
             giveUp(now, request);
         } else {
             addWaiting(request, request.group.queuedWrites, request.group.queuedWrites.size());
@@ -378,17 +373,6 @@
         }
     }
 
-    /** Whether nothing more may be tried: time, attempts or the key's window have run out. */
-    private boolean exhausted(long now, PendingRequest request) {
-        return now + 2 * sweepUs >= request.original.deadlineUs()
-                || request.attempts >= request.maxAttempts
-                || request.mayHaveRun
-                        && (request.requestClass.idempotency() == Idempotency.NON_IDEMPOTENT
-                                || request.requestClass.idempotency() == Idempotency.KEYED
-                                        && now + sweepUs
-                                                > request.firstUncertainSendUs + request.requestClass.windowUs());
-    }
-
     /** Lets out what waits: held writes as the head's window allows, then parked reads. Newest first: oldest
      * first, a backlog makes every request late; this way only those that are late already wait on. */
     private void releaseWaiting(long now, GroupState group) {
@@ -412,7 +396,7 @@
                 group.holdingWrites = true;
                 break;
             }
-            if (send(now, request, to, writeTimeout(now, request, to))) {
+            if (send(now, request, to, retryPolicy.writeTimeoutUs(now, request, to, slowStart.util(to.slowStart)))) {
                 group.queuedWrites.remove(i);
                 if (group.primarySuspected) {
                     group.lastTrialUs = now;
@@ -428,27 +412,6 @@
         group.waitingReads.removeIf(request -> !request.waitsAsRead);
     }
 
-    /** A primary that says it is busy, or that says nothing and was late of late, is not silent: the same
-     * write again would only add to its work. */
-    private long writeTimeout(long now, PendingRequest request, MemberState member) {
-        long left = request.original.deadlineUs() - now;
-        double util = slowStart.util(member.slowStart);
-        if (request.requestClass.idempotency() == Idempotency.NON_IDEMPOTENT
-                || util >= FULL
-                || util < 0 && member.window.isBelowInitial()) {
-            return left;
-        }
-        long timeoutUs = (long) Math.max(
-                request.requestClass.latencyObjectiveUs(),
-                OutlierDetector.SILENCE_FACTOR * expectedLatencyUs(request, member, now));
-        boolean again = request.attempts + 1 < request.maxAttempts
-                && (request.requestClass.idempotency() == Idempotency.IDEMPOTENT
-                        || now + timeoutUs + sweepUs
-                                < (request.mayHaveRun ? request.firstUncertainSendUs : now)
-                                        + request.requestClass.windowUs());
-        return again ? Math.min(left, timeoutUs) : left;
-    }
-
     // ---- Reads: the pick of a replica. ----
 
     /** A member listed later gets reads once it answered a probe: a list may name what is none of ours. */
@@ -472,18 +435,11 @@
         return any && now < request.healthCheckWaitUntilUs && settings.limits().probes() == Probes.REPORT;
     }
 
-    /** So much of its time gone, nothing sent: its client does better to ask elsewhere than to wait on. So
-     * with a write while no primary is known; for room at one that is, it waits as long as it may. */
-    private boolean waitedTooLong(long now, PendingRequest request) {
-        double wait = WAIT * (request.original.deadlineUs() - request.arrivedUs);
-        return request.attempts == 0 && now + 2 * sweepUs > request.arrivedUs + wait;
-    }
-
     private void routeRead(long now, PendingRequest request) {
         GroupState group = request.group;
-        boolean late = now + latencies.meanUs(request.classIndex()) / 2 > usefulUntilUs(request)
-                && (request.attempts > 0 || now > request.arrivedUs);
-        if (late || waitedTooLong(now, request) || exhausted(now, request)) {
+        if (retryPolicy.isTooLateForRead(now, request)
+                || retryPolicy.hasWaitedTooLong(now, request)
+                || retryPolicy.isExhausted(now, request)) {
             giveUp(now, request);
             return;
         }
@@ -497,7 +453,7 @@
                 && request.requestClass.idempotency() == Idempotency.IDEMPOTENT;
         if (canary
                 && !request.triedMembers.contains(group.primary)
-                && send(now, request, group.primary, readTimeout(now, request, group.primary))) {
+                && send(now, request, group.primary, retryPolicy.readTimeoutUs(now, request, group.primary))) {
             group.lastTrialUs = now;
             return;
         }
@@ -554,7 +510,7 @@
                 unproven = member;
             }
         }
-        if (best != null && send(now, request, best, readTimeout(now, request, best))) {
+        if (best != null && send(now, request, best, retryPolicy.readTimeoutUs(now, request, best))) {
             group.rotation++;
             return;
         }
@@ -573,7 +529,7 @@
                 && group.primary.window.hasRoom(now, group.primary.inFlight, SPARED)
                 && localityPolicy.costFactor(now, group.primary.localityHandle) < Double.POSITIVE_INFINITY
                 && localityPolicy.admits(now, group.primary.localityHandle, request.classIndex())
-                && send(now, request, group.primary, readTimeout(now, request, group.primary))) {
+                && send(now, request, group.primary, retryPolicy.readTimeoutUs(now, request, group.primary))) {
             return;
         }
         if (denied && !waits && unproven == null) { // More than may be sent elsewhere, and no use in waiting.
@@ -643,28 +599,8 @@
         request.waitsAsRead = true;
     }
 
-    /** Until when an answer is worth anything: the deadline, or the aim where lateness earns nothing. */
-    private static long usefulUntilUs(PendingRequest request) {
-        return request.requestClass.lateWeight() > 0
-                ? request.original.deadlineUs()
-                : Math.min(
-                        request.original.deadlineUs(), request.arrivedUs + request.requestClass.latencyObjectiveUs());
-    }
-
-    /** Where no window bounds a member's queue, a time-out takes out of it what is past its use. */
-    private long readTimeout(long now, PendingRequest request, MemberState member) {
-        long left = (member.window.isSmallest() ? usefulUntilUs(request) : request.original.deadlineUs()) - now;
-        double mean = expectedLatencyUs(request, member, now);
-        double spare = request.arrivedUs + request.requestClass.latencyObjectiveUs() - now - 1.5 * mean;
-        return spare > OutlierDetector.SILENCE_FACTOR * mean && retryTokens >= 1 ? (long) Math.min(left, spare) : left;
-    }
-
     // ---- Health: what outcomes say of a member, against its peers. ----
 
-    private double expectedLatencyUs(PendingRequest request, MemberState member, long now) {
-        return member.outliers.expectedLatencyUs(now, latencies.meanUs(request.classIndex()));
-    }
-
     private double cost(long now, MemberState member) {
         double load = 1 + 0.5 * member.inFlight / Math.max(0.1, member.weight);
         return member.outliers.cost(now, member.inFlight, load);
@@ -693,13 +629,8 @@
         member.lastUsedAtUs = now;
         localityPolicy.ended(now, member.localityHandle, outcome, latencies.meanUs(request.classIndex()));
         recordOutcome(now, request, member, outcome, tookUs, role, positionUs, report);
-        if (!outcome.provesNotRun && !request.mayHaveRun) {
-            request.mayHaveRun = true;
-            request.firstUncertainSendUs = request.sentAtUs;
-            request.deduplicationZone = request.requestClass.idempotency() == Idempotency.KEYED
-                            && request.requestClass.deduplicationScope() == DeduplicationScope.ZONE
-                    ? member.zone
-                    : PendingRequest.ANY_ZONE;
+        if (!outcome.provesNotRun) {
+            retryPolicy.recordUncertainAttempt(request, member);
         }
         if (closed || request.ended || outcome == Outcome.OK) {
             double worth = now - request.arrivedUs <= request.requestClass.latencyObjectiveUs()
@@ -751,7 +682,7 @@
             slowStart.served(now, member.slowStart, request.classIndex(), tookUs);
             if (tookUs > request.requestClass.latencyObjectiveUs()
                     || !latencies.isLongRunning(request)
-                            && expectedLatencyUs(request, member, now)
+                            && member.outliers.expectedLatencyUs(now, latencies.meanUs(request.classIndex()))
                                     > TARGET * request.requestClass.latencyObjectiveUs()) {
                 member.window.shrink(now, member.inFlight, latencies.meanUs(request.classIndex()));
             } else {
@@ -792,22 +723,15 @@
         if (outcome != Outcome.REJECTED || !request.needsPrimary) {
             request.triedMembers.add(member);
         }
-        if (exhausted(now, request)
-                || !outcome.provesNotRun
-                        && (retryTokens < 1 && request.requestClass.idempotency() == Idempotency.IDEMPOTENT)) {
+        if (!retryPolicy.admitRetry(now, request, outcome)) {
             giveUp(now, request);
             return;
         }
-        if (!outcome.provesNotRun) {
-            retryTokens = Math.max(0, retryTokens - 1);
-        }
         if (!request.needsPrimary) {
             routeRead(now, request);
             return;
         }
-        if (outcome == Outcome.REJECTED || !outcome.provesNotRun) {
-            request.notBeforeUs = now + (WALK_US / 20 << Math.min(request.attempts, 5));
-        }
+        retryPolicy.backOff(now, request, outcome);
         boolean round = request.group.primary == null && nextCandidate(request) == null;
         request.group.holdingWrites |= round;
         if (round || request.group.primary != null) {
@@ -825,7 +749,8 @@
         for (GroupState group : List.copyOf(waiting.values())) {
             for (int i = 0; i < group.queuedWrites.size(); i++) {
                 PendingRequest request = group.queuedWrites.get(i);
-                if (exhausted(now, request) || group.primary == null && waitedTooLong(now, request)) {
+                if (retryPolicy.isExhausted(now, request)
+                        || group.primary == null && retryPolicy.hasWaitedTooLong(now, request)) {
                     group.queuedWrites.remove(i--);
                     giveUp(now, request);
                 }
@@ -898,12 +823,11 @@
                 || request.currentMember != null
                 || !isUsable(member)
                 || member.groupNumber != request.group.number
-                || exhausted(now, request)
+                || retryPolicy.isExhausted(now, request)
                 || !slowStart.admits(now, member.slowStart, request.classIndex())) {
             return false;
         }
-        if (!freshness.isFreshEnough(now, request, member)
-                || request.deduplicationZone >= 0 && member.zone != request.deduplicationZone) {
+        if (!freshness.isFreshEnough(now, request, member) || !request.mayGoToZone(member.zone)) {
             return false;
         }
         freshness.recordSend(now, request);
@@ -935,11 +859,7 @@
     private void giveUp(long now, PendingRequest request) {
         recordEnd(now, request, 0);
         requests.remove(request.original.id());
-        boolean harmless = !request.mayHaveRun
-                || request.requestClass.idempotency() == Idempotency.IDEMPOTENT
-                || request.requestClass.idempotency() == Idempotency.KEYED
-                        && request.requestClass.deduplicationScope() == DeduplicationScope.ALL;
-        if (harmless) {
+        if (RetryPolicy.isClientRetryHarmless(request)) {
             actions.reject(
                     request.original.id(),
                     settings.limits().retryAfterAllowed()
--- a/decisions/src/main/java/frostreel/routing/PendingRequest.java
+++ b/decisions/src/main/java/frostreel/routing/PendingRequest.java
@@ -64,6 +64,11 @@
         return original.cls();
     }
 
+    /** Whether a member of this zone may be sent it: the members elsewhere may not know its key. */
+    boolean mayGoToZone(int zone) {
+        return deduplicationZone < 0 || zone == deduplicationZone;
+    }
+
     /** The time up to which an answer counts as on time. */
     long objectiveUs() {
         return arrivedUs + requestClass.latencyObjectiveUs();
--- /dev/null
+++ b/decisions/src/main/java/frostreel/routing/RetryPolicy.java
@@ -0,0 +1,165 @@
+package frostreel.routing;
+
+import frostreel.routing.Router.DeduplicationScope;
+import frostreel.routing.Router.Idempotency;
+import frostreel.routing.Router.Outcome;
+import frostreel.routing.Router.RequestClass;
+
+/**
+ * Decides whether and when a request may be tried again, and how long one attempt may take. Retries of attempts
+ * that may have run are paid from a token bucket that the arriving requests fill, so that retries never
+ * multiply an overload.
+ */
+final class RetryPolicy {
+    /** Retries after attempts that may have run, for each request that arrives. */
+    private static final double TOKENS_PER_REQUEST = 0.2;
+    /** Retries that may be made at once after a quiet time. */
+    private static final double MOST_TOKENS = 10;
+    /** First backoff of a write in microseconds; a primary that is merely full takes one within that time. */
+    private static final long FIRST_BACKOFF_US = 25_000;
+    /** How often the backoff may double. */
+    private static final int MOST_DOUBLINGS = 5;
+    /**
+     * A request for which nothing was sent waits this part of its time: after that its client does better to
+     * try another router.
+     */
+    private static final double MOST_WAIT = 0.45;
+    /** A primary that reports this utilization is busy rather than silent. */
+    private static final double BUSY_UTILIZATION = 0.9;
+    /** A retried read should still be on time, if it takes this many times the expected latency. */
+    private static final double RETRY_LATENCY_FACTOR = 1.5;
+    /** A request must have this many sweeps left, as the next one may come late. */
+    private static final int SWEEPS_LEFT = 2;
+
+    private final long sweepIntervalUs;
+    private final ClassLatencies latencies;
+    private double tokens = MOST_TOKENS;
+
+    RetryPolicy(long sweepIntervalUs, ClassLatencies latencies) {
+        this.sweepIntervalUs = sweepIntervalUs;
+        this.latencies = latencies;
+    }
+
+    /** A request arrived. */
+    void recordArrival() {
+        tokens = Math.min(MOST_TOKENS, tokens + TOKENS_PER_REQUEST);
+    }
+
+    /** Whether nothing more may be tried: time, attempts or the window of the idempotency key have run out. */
+    boolean isExhausted(long now, PendingRequest request) {
+        return now + SWEEPS_LEFT * sweepIntervalUs >= request.original.deadlineUs()
+                || request.attempts >= request.maxAttempts
+                || request.mayHaveRun && !mayRunTwice(now, request);
+    }
+
+    private boolean mayRunTwice(long now, PendingRequest request) {
+        RequestClass requestClass = request.requestClass;
+        return switch (requestClass.idempotency()) {
+            case IDEMPOTENT -> true;
+            case KEYED -> now + sweepIntervalUs <= request.firstUncertainSendUs + requestClass.windowUs();
+            case NON_IDEMPOTENT -> false;
+        };
+    }
+
+    /** Whether so much of its time has passed that a request for which nothing was sent is ended. */
+    boolean hasWaitedTooLong(long now, PendingRequest request) {
+        double mostWaitUs = MOST_WAIT * (request.original.deadlineUs() - request.arrivedUs);
+        return request.attempts == 0 && now + SWEEPS_LEFT * sweepIntervalUs > request.arrivedUs + mostWaitUs;
+    }
+
+    /** Whether a read can't be answered while that is worth anything, and isn't in its first attempt. */
+    boolean isTooLateForRead(long now, PendingRequest request) {
+        return now + latencies.meanUs(request.classIndex()) / 2 > usefulUntilUs(request)
+                && (request.attempts > 0 || now > request.arrivedUs);
+    }
+
+    /** Until when an answer has any value: the deadline, or the objective where late answers have none. */
+    private static long usefulUntilUs(PendingRequest request) {
+        return request.requestClass.lateWeight() > 0
+                ? request.original.deadlineUs()
+                : Math.min(request.original.deadlineUs(), request.objectiveUs());
+    }
+
+    /** An attempt ended that may have run: from now on the rules for running twice bind. */
+    void recordUncertainAttempt(PendingRequest request, MemberState member) {
+        if (request.mayHaveRun) {
+            return;
+        }
+        RequestClass requestClass = request.requestClass;
+        boolean keyKnownInZone = requestClass.idempotency() == Idempotency.KEYED
+                && requestClass.deduplicationScope() == DeduplicationScope.ZONE;
+        request.mayHaveRun = true;
+        request.firstUncertainSendUs = request.sentAtUs;
+        request.deduplicationZone = keyKnownInZone ? member.zone : PendingRequest.ANY_ZONE;
+    }
+
+    /** Whether a request may be tried again after this outcome; if so, a token is taken where it costs one. */
+    boolean admitRetry(long now, PendingRequest request, Outcome outcome) {
+        if (isExhausted(now, request)) {
+            return false;
+        }
+        if (!outcome.provesNotRun) {
+            if (tokens < 1 && request.requestClass.idempotency() == Idempotency.IDEMPOTENT) {
+                return false;
+            }
+            tokens = Math.max(0, tokens - 1);
+        }
+        return true;
+    }
+
+    /** Delays the retry of a write that the primary rejected or may have run, exponentially. */
+    void backOff(long now, PendingRequest request, Outcome outcome) {
+        if (outcome == Outcome.REJECTED || !outcome.provesNotRun) {
+            request.notBeforeUs = now + (FIRST_BACKOFF_US << Math.min(request.attempts, MOST_DOUBLINGS));
+        }
+    }
+
+    /** Whether its client may send the request again although an attempt may have run. */
+    static boolean isClientRetryHarmless(PendingRequest request) {
+        RequestClass requestClass = request.requestClass;
+        return !request.mayHaveRun
+                || requestClass.idempotency() == Idempotency.IDEMPOTENT
+                || requestClass.idempotency() == Idempotency.KEYED
+                        && requestClass.deduplicationScope() == DeduplicationScope.ALL;
+    }
+
+    /**
+     * How long an attempt of a write may take. A primary that reports itself busy, or that reports nothing and
+     * was late of late, isn't silent: the same write again would only add to its work.
+     *
+     * @param utilization the last report of the member, below 0 for none
+     */
+    long writeTimeoutUs(long now, PendingRequest request, MemberState member, double utilization) {
+        RequestClass requestClass = request.requestClass;
+        long leftUs = request.original.deadlineUs() - now;
+        if (requestClass.idempotency() == Idempotency.NON_IDEMPOTENT
+                || utilization >= BUSY_UTILIZATION
+                || utilization < 0 && member.window.isBelowInitial()) {
+            return leftUs;
+        }
+        double silenceUs = OutlierDetector.SILENCE_FACTOR * expectedLatencyUs(now, request, member);
+        long timeoutUs = (long) Math.max(requestClass.latencyObjectiveUs(), silenceUs);
+        long keyUsedAtUs = request.mayHaveRun ? request.firstUncertainSendUs : now;
+        boolean mayRetry = request.attempts + 1 < request.maxAttempts
+                && (requestClass.idempotency() == Idempotency.IDEMPOTENT
+                        || now + timeoutUs + sweepIntervalUs < keyUsedAtUs + requestClass.windowUs());
+        return mayRetry ? Math.min(leftUs, timeoutUs) : leftUs;
+    }
+
+    /**
+     * How long an attempt of a read may take: until a retry elsewhere could just be on time. At the smallest
+     * window no read is kept waiting at the member beyond its use, as nothing else bounds the queue there.
+     */
+    long readTimeoutUs(long now, PendingRequest request, MemberState member) {
+        long untilUs = member.window.isSmallest() ? usefulUntilUs(request) : request.original.deadlineUs();
+        long leftUs = untilUs - now;
+        double expectedUs = expectedLatencyUs(now, request, member);
+        double spareUs = request.objectiveUs() - now - RETRY_LATENCY_FACTOR * expectedUs;
+        boolean mayRetry = spareUs > OutlierDetector.SILENCE_FACTOR * expectedUs && tokens >= 1;
+        return mayRetry ? (long) Math.min(leftUs, spareUs) : leftUs;
+    }
+
+    private double expectedLatencyUs(long now, PendingRequest request, MemberState member) {
+        return member.outliers.expectedLatencyUs(now, latencies.meanUs(request.classIndex()));
+    }
+}
