--- a/decisions/src/main/java/frostreel/routing/ChainRouter.java
+++ b/decisions/src/main/java/frostreel/routing/ChainRouter.java
@@ -51,6 +51,8 @@
     private final ClassLatencies latencies;
     private final Freshness freshness;
     private final RetryPolicy retryPolicy;
+    private final HealthChecker healthChecker;
+    private final PrimaryTracker primaryTracker;
     private final Map<String, MemberState> members = new HashMap<>();
     private final Map<Integer, GroupState> groups = new TreeMap<>();
     /** The groups in which a request waits unsent; the sweep runs while there is one, over these alone. */
@@ -84,6 +86,8 @@
         latencies = new ClassLatencies(settings);
         freshness = new Freshness(this.settings, peerCommits);
         retryPolicy = new RetryPolicy(sweepUs, latencies);
+        healthChecker = new HealthChecker(this.settings, actions);
+        primaryTracker = new PrimaryTracker(this.settings);
         onSettings(settings);
         random = new SplittableRandom(settings.seed());
         rotationSeed = (int) (random.nextLong() >>> 40);
@@ -119,11 +123,11 @@
         for (Member entry : entries) {
             applyEntry(now, entry, first);
         }
-        members.values().forEach(member -> slowStart.usable(member.slowStart, isUsable(member)));
+        members.values().forEach(member -> slowStart.usable(member.slowStart, member.isUsable(settings.rules())));
         for (GroupState group : groups.values()) {
             group.chain.removeIf(member -> isForgettable(now, member) && forget(member));
-            if (group.primary != null && !isUsable(group.primary)) {
-                clearPrimary(group);
+            if (group.primary != null && !group.primary.isUsable(settings.rules())) {
+                primaryTracker.clearPrimary(group);
             }
         }
     }
@@ -150,13 +154,9 @@
         member.weight = entry.weight();
         member.state = entry.state();
         member.drained |= entry.state() == State.DRAINING;
-        if (entry.primary() && isUsable(member)) {
+        if (entry.primary() && member.isUsable(settings.rules())) {
             GroupState group = group(member.groupNumber);
-            group.searchStart = member;
-            if (group.primaryAtUs < 0 && member.replicaAtUs < 0) {
-                member.primaryAtUs = Math.max(member.primaryAtUs, 0);
-                setPrimary(group, member, 0, false);
-            }
+            primaryTracker.recordListedPrimary(group, member);
         }
     }
 
@@ -183,50 +183,6 @@
         return members.remove(member.id, member);
     }
 
-    private boolean isUsable(MemberState member) {
-        return member.state == State.UP
-                || member.state == State.GONE && settings.rules().onlyDrainingBinds() && !member.drained;
-    }
-
-    /** Role evidence: an answer beats a probe beats the list, and what is older than the head's is passed
-     * over. */
-    private void noteRole(GroupState group, MemberState member, Role role, long at, boolean answer) {
-        if (role == Role.PRIMARY && at > member.replicaAtUs) {
-            member.primaryAtUs = Math.max(member.primaryAtUs, at);
-            boolean open = group.primary == null || group.primarySuspected || !group.primaryConfirmed;
-            if (!isUsable(member)) {
-                return;
-            }
-            if (group.primary == member) {
-                group.primaryAtUs = Math.max(group.primaryAtUs, at);
-                group.primaryConfirmed |= answer;
-            } else if (at > group.primaryAtUs && (answer || open)) {
-                setPrimary(group, member, at, answer);
-            }
-        } else if (role == Role.REPLICA && at > member.primaryAtUs) {
-            member.replicaAtUs = Math.max(member.replicaAtUs, at);
-            if (group.primary == member) {
-                clearPrimary(group);
-            }
-        }
-    }
-
-    private void setPrimary(GroupState group, MemberState member, long at, boolean answer) {
-        if (group.holdingWrites || group.primarySuspected) {
-            member.window.restart();
-        }
-        group.primary = group.searchStart = member;
-        group.primaryAtUs = at;
-        group.primaryConfirmed = answer;
-        group.holdingWrites = group.primarySuspected = false;
-    }
-
-    private void clearPrimary(GroupState group) {
-        group.primary = null;
-        group.primaryConfirmed = false;
-        group.primarySuspected = false;
-    }
-
     /** The next of the chain for a write: from the head or where it last was, each once, strangers last. */
     private MemberState nextCandidate(PendingRequest request) {
         List<MemberState> chain = request.group.chain;
@@ -234,7 +190,9 @@
         for (int i = 0; i < 2 * chain.size(); i++) {
             MemberState member = chain.get((from + i) % chain.size());
             boolean last = !member.verified || !request.mayGoToZone(member.zone);
-            if (isUsable(member) && !request.triedMembers.contains(member) && (!last || i >= chain.size())) {
+            if (member.isUsable(settings.rules())
+                    && !request.triedMembers.contains(member)
+                    && (!last || i >= chain.size())) {
                 return member;
             }
         }
@@ -253,11 +211,11 @@
         group.lastSearchUs = now;
         for (int i = 0; i < group.chain.size(); i++) {
             MemberState member = group.chain.get(group.searchIndex++ % group.chain.size());
-            if (!isUsable(member) || member.healthCheckPending) {
+            if (!member.isUsable(settings.rules()) || member.healthCheckPending) {
                 continue;
             }
             if (settings.limits().probes() == Probes.REPORT) {
-                checkHealth(now, member);
+                healthChecker.check(now, member);
                 return;
             }
             for (int j = 0; urgent && j < group.queuedWrites.size(); j++) {
@@ -270,14 +228,6 @@
         }
     }
 
-    private void checkHealth(long now, MemberState member) {
-        if (settings.limits().probes() != Probes.NONE && !member.healthCheckPending && isUsable(member)) {
-            member.healthCheckPending = true;
-            member.healthCheckAtUs = now;
-            actions.probe(member.id);
-        }
-    }
-
     @Override
     public void onProbe(long now, String memberId, boolean ok, long tookUs, Report report) {
         MemberState member = members.get(memberId);
@@ -301,7 +251,7 @@
             freshness.recordReport(now, member, report.positionUs());
         }
         long at = report.positionUs() > 0 ? report.positionUs() : now - WALK_US;
-        noteRole(group, member, report.role(), at, false);
+        primaryTracker.recordRole(group, member, report.role(), at, false);
     }
 
     // ---- Writes, and reads that must be current. ----
@@ -376,8 +326,8 @@
     /** Lets out what waits: held writes as the head's window allows, then parked reads. Newest first: oldest
      * first, a backlog makes every request late; this way only those that are late already wait on. */
     private void releaseWaiting(long now, GroupState group) {
-        suspectSilentPrimary(now, group);
-        boolean canary = group.primarySuspected && now - group.lastTrialUs >= WALK_US;
+        primaryTracker.suspectIfSilent(now, group);
+        boolean canary = primaryTracker.isTrialDue(now, group);
         for (int i = group.queuedWrites.size() - 1; i >= 0; i--) {
             PendingRequest request = group.queuedWrites.get(i);
             if (group.holdingWrites
@@ -399,7 +349,7 @@
             if (send(now, request, to, retryPolicy.writeTimeoutUs(now, request, to, slowStart.util(to.slowStart)))) {
                 group.queuedWrites.remove(i);
                 if (group.primarySuspected) {
-                    group.lastTrialUs = now;
+                    primaryTracker.recordTrial(now, group);
                     canary = false;
                 }
             }
@@ -414,14 +364,6 @@
 
     // ---- Reads: the pick of a replica. ----
 
-    /** A member listed later gets reads once it answered a probe: a list may name what is none of ours. */
-    private boolean isUnverified(long now, MemberState member) {
-        if (!member.verified && now - member.healthCheckAtUs > KEEP * WALK_US / 2) {
-            checkHealth(now, member);
-        }
-        return !member.verified && settings.limits().probes() != Probes.NONE;
-    }
-
     /** Whether to wait for a probe that is out and may tell a position, a tenth of the aim at most. */
     private boolean awaitsHealthCheck(long now, PendingRequest request) {
         if (request.healthCheckWaitUntilUs == 0) {
@@ -430,7 +372,9 @@
         }
         boolean any = false;
         for (MemberState member : request.group.chain) {
-            any |= member.healthCheckPending && isUsable(member) && !request.triedMembers.contains(member);
+            any |= member.healthCheckPending
+                    && member.isUsable(settings.rules())
+                    && !request.triedMembers.contains(member);
         }
         return any && now < request.healthCheckWaitUntilUs && settings.limits().probes() == Probes.REPORT;
     }
@@ -448,13 +392,12 @@
             return;
         }
         long requiredUs = freshness.requiredPositionUs(now, request);
-        boolean canary = group.primarySuspected
-                && now - group.lastTrialUs >= WALK_US
-                && request.requestClass.idempotency() == Idempotency.IDEMPOTENT;
+        boolean canary =
+                primaryTracker.isTrialDue(now, group) && request.requestClass.idempotency() == Idempotency.IDEMPOTENT;
         if (canary
                 && !request.triedMembers.contains(group.primary)
                 && send(now, request, group.primary, retryPolicy.readTimeoutUs(now, request, group.primary))) {
-            group.lastTrialUs = now;
+            primaryTracker.recordTrial(now, group);
             return;
         }
         MemberState best = null;
@@ -471,16 +414,16 @@
         for (int i = 0; i < size; i++) {
             MemberState member = group.chain.get((rotationSeed + group.rotation + i) % size);
             if (member == group.primary
-                    || !isUsable(member)
+                    || !member.isUsable(settings.rules())
                     || request.triedMembers.contains(member)
-                    || isUnverified(now, member)
+                    || healthChecker.awaitsVerification(now, member)
                     || only != null && member != only) {
                 continue;
             }
             double costFactor = localityPolicy.costFactor(now, member.localityHandle);
             if (costFactor == Double.POSITIVE_INFINITY) {
                 if (!member.healthCheckPending && localityPolicy.healthCheckDue(now, member.localityHandle)) {
-                    checkHealth(now, member);
+                    healthChecker.check(now, member);
                 }
                 continue;
             }
@@ -516,7 +459,7 @@
         }
         if (unproven != null && now - group.lastFreshnessCheckUs >= sweepUs) {
             group.lastFreshnessCheckUs = now;
-            checkHealth(now, unproven);
+            healthChecker.check(now, unproven);
         }
         if (settings.get().stalenessCheck() == StalenessCheck.SILENT && awaitsHealthCheck(now, request)) {
             waitForCapacity(request);
@@ -559,7 +502,7 @@
         for (MemberState member : request.group.chain) {
             double costFactor = localityPolicy.costFactor(now, member.localityHandle);
             if (member != request.group.primary
-                    && isUsable(member)
+                    && member.isUsable(settings.rules())
                     && member.verified
                     && !request.triedMembers.contains(member)
                     && !member.window.isPaused(now)
@@ -671,14 +614,12 @@
         if (positionUs > 0) {
             member.recordPosition(now, positionUs);
         }
-        noteRole(group, member, role, now, true);
+        primaryTracker.recordRole(group, member, role, now, true);
         freshness.recordOutcome(now, request, outcome, positionUs);
         if (outcome == Outcome.OK) {
             member.outliers.recordSuccess(now, tookUs / latencies.meanUs(request.classIndex()));
             latencies.recordAnswer(request.classIndex(), tookUs);
-            if (member == group.primary) {
-                group.primarySuspected = false;
-            }
+            primaryTracker.recordSuccess(group, member);
             slowStart.served(now, member.slowStart, request.classIndex(), tookUs);
             if (tookUs > request.requestClass.latencyObjectiveUs()
                     || !latencies.isLongRunning(request)
@@ -690,11 +631,11 @@
             }
         } else if (outcome == Outcome.WRONG_ROLE_OR_STALE) {
             if (write) {
-                noteRole(group, member, Role.REPLICA, now, true);
+                primaryTracker.recordRole(group, member, Role.REPLICA, now, true);
             } else {
                 member.staleAtUs = now;
                 if (positionUs == 0) { // Else the answer has told how far behind it stands.
-                    checkHealth(now, member);
+                    healthChecker.check(now, member);
                 }
             }
         } else if (outcome == Outcome.REJECTED) {
@@ -710,10 +651,7 @@
             }
             if (outcome == Outcome.CONNECT_FAILED) {
                 member.window.pause(now, latencies.meanUs(request.classIndex()));
-                if (member == group.primary) {
-                    clearPrimary(group);
-                    group.primaryAtUs = now;
-                }
+                primaryTracker.recordConnectFailure(now, group, member);
             }
         }
     }
@@ -765,16 +703,6 @@
         }
     }
 
-    /** A head with attempts out and long silent is primarySuspected; looked at when something is to be sent. */
-    private void suspectSilentPrimary(long now, GroupState group) {
-        if (group.primary != null
-                && !group.primarySuspected
-                && group.primary.outliers.isSilent(now, group.primary.inFlight)) {
-            group.primarySuspected = true;
-            group.lastTrialUs = now;
-        }
-    }
-
     @Override
     public void onClientDisconnected(long now, String requestId) {
         PendingRequest request = requests.get(requestId);
@@ -821,7 +749,7 @@
     private boolean send(long now, PendingRequest request, MemberState member, long timeoutUs) {
         if (request.ended
                 || request.currentMember != null
-                || !isUsable(member)
+                || !member.isUsable(settings.rules())
                 || member.groupNumber != request.group.number
                 || retryPolicy.isExhausted(now, request)
                 || !slowStart.admits(now, member.slowStart, request.classIndex())) {
--- /dev/null
+++ b/decisions/src/main/java/frostreel/routing/HealthChecker.java
@@ -0,0 +1,48 @@
+package frostreel.routing;
+
+import frostreel.routing.Router.Actions;
+import frostreel.routing.Router.Probes;
+
+/** Starts health checks where the deployment allows them, at most one per member at a time. */
+final class HealthChecker {
+    /**
+     * How often, in microseconds, an unverified member is checked: rarely, as each of hundreds of routers does
+     * so and the member may be somebody else's.
+     */
+    private static final long VERIFICATION_INTERVAL_US = 5_000_000;
+
+    private final Actions actions;
+    private final ActiveSettings settings;
+
+    HealthChecker(ActiveSettings settings, Actions actions) {
+        this.settings = settings;
+        this.actions = actions;
+    }
+
+    /** Whether health checks report role and position. */
+    boolean reportsPositions() {
+        return settings.limits().probes() == Probes.REPORT;
+    }
+
+    /** Starts a health check of a usable member unless one is pending. */
+    void check(long now, MemberState member) {
+        if (settings.limits().probes() != Probes.NONE
+                && !member.healthCheckPending
+                && member.isUsable(settings.rules())) {
+            member.healthCheckPending = true;
+            member.healthCheckAtUs = now;
+            actions.probe(member.id);
+        }
+    }
+
+    /**
+     * Whether a member must not get reads yet: one that was listed after the start has to pass a health check
+     * first, because the list may name servers of somebody else. Starts that check when it is due.
+     */
+    boolean awaitsVerification(long now, MemberState member) {
+        if (!member.verified && now - member.healthCheckAtUs > VERIFICATION_INTERVAL_US) {
+            check(now, member);
+        }
+        return !member.verified && settings.limits().probes() != Probes.NONE;
+    }
+}
--- a/decisions/src/main/java/frostreel/routing/MemberState.java
+++ b/decisions/src/main/java/frostreel/routing/MemberState.java
@@ -1,5 +1,6 @@
 package frostreel.routing;
 
+import frostreel.routing.Router.Rules;
 import frostreel.routing.Router.State;
 
 /**
@@ -67,4 +68,9 @@
         lagUs = Math.max(0, now - appliedUpToUs);
         positionAtUs = now;
     }
+
+    /** Whether requests may be sent to it by the endpoint list. */
+    boolean isUsable(Rules rules) {
+        return state == State.UP || state == State.GONE && rules.onlyDrainingBinds() && !drained;
+    }
 }
--- /dev/null
+++ b/decisions/src/main/java/frostreel/routing/PrimaryTracker.java
@@ -0,0 +1,105 @@
+package frostreel.routing;
+
+import frostreel.routing.Router.Role;
+
+/**
+ * Tracks which member of a group is its primary. Evidence is ranked: an answer of the member outranks a health
+ * check, which outranks the endpoint list; evidence older than that for the present primary is ignored.
+ */
+final class PrimaryTracker {
+    /** How often, in microseconds, a request is tried on a suspected primary: half a second is felt by few. */
+    private static final long TRIAL_INTERVAL_US = 500_000;
+
+    private final ActiveSettings settings;
+
+    PrimaryTracker(ActiveSettings settings) {
+        this.settings = settings;
+    }
+
+    /** A member told its role, as of this time, by an answer or else by a health check. */
+    void recordRole(GroupState group, MemberState member, Role role, long atUs, boolean fromAnswer) {
+        if (role == Role.PRIMARY && atUs > member.replicaAtUs) {
+            member.primaryAtUs = Math.max(member.primaryAtUs, atUs);
+            if (member.isUsable(settings.rules())) {
+                acceptPrimary(group, member, atUs, fromAnswer);
+            }
+        } else if (role == Role.REPLICA && atUs > member.primaryAtUs) {
+            member.replicaAtUs = Math.max(member.replicaAtUs, atUs);
+            if (group.primary == member) {
+                clearPrimary(group);
+            }
+        }
+    }
+
+    private void acceptPrimary(GroupState group, MemberState member, long atUs, boolean fromAnswer) {
+        boolean replaceable = group.primary == null || group.primarySuspected || !group.primaryConfirmed;
+        if (group.primary == member) {
+            group.primaryAtUs = Math.max(group.primaryAtUs, atUs);
+            group.primaryConfirmed |= fromAnswer;
+        } else if (atUs > group.primaryAtUs && (fromAnswer || replaceable)) {
+            setPrimary(group, member, atUs, fromAnswer);
+        }
+    }
+
+    /** The endpoint list names a usable member as primary: that counts until anything else is known. */
+    void recordListedPrimary(GroupState group, MemberState member) {
+        group.searchStart = member;
+        if (group.primaryAtUs < 0 && member.replicaAtUs < 0) {
+            member.primaryAtUs = Math.max(member.primaryAtUs, 0);
+            setPrimary(group, member, 0, false);
+        }
+    }
+
+    private void setPrimary(GroupState group, MemberState member, long atUs, boolean fromAnswer) {
+        if (group.holdingWrites || group.primarySuspected) {
+            member.window.restart();
+        }
+        group.primary = member;
+        group.searchStart = member;
+        group.primaryAtUs = atUs;
+        group.primaryConfirmed = fromAnswer;
+        group.holdingWrites = false;
+        group.primarySuspected = false;
+    }
+
+    /** The primary is no longer known. */
+    void clearPrimary(GroupState group) {
+        group.primary = null;
+        group.primaryConfirmed = false;
+        group.primarySuspected = false;
+    }
+
+    /** A member served a request: a primary that does is no longer suspected. */
+    void recordSuccess(GroupState group, MemberState member) {
+        if (member == group.primary) {
+            group.primarySuspected = false;
+        }
+    }
+
+    /** A member cannot be connected to: older evidence must not make it primary again. */
+    void recordConnectFailure(long now, GroupState group, MemberState member) {
+        if (member == group.primary) {
+            clearPrimary(group);
+            group.primaryAtUs = now;
+        }
+    }
+
+    /** Suspects a primary that has attempts in flight and has long been silent. */
+    void suspectIfSilent(long now, GroupState group) {
+        MemberState primary = group.primary;
+        if (primary != null && !group.primarySuspected && primary.outliers.isSilent(now, primary.inFlight)) {
+            group.primarySuspected = true;
+            group.lastTrialUs = now;
+        }
+    }
+
+    /** Whether the primary is suspected and one request may be tried on it now. */
+    boolean isTrialDue(long now, GroupState group) {
+        return group.primarySuspected && now - group.lastTrialUs >= TRIAL_INTERVAL_US;
+    }
+
+    /** A request was sent to a suspected primary. */
+    void recordTrial(long now, GroupState group) {
+        group.lastTrialUs = now;
+    }
+}
