--- a/decisions/src/main/java/frostreel/routing/ChainRouter.java
+++ b/decisions/src/main/java/frostreel/routing/ChainRouter.java
@@ -30,9 +30,6 @@
     private static final double EQUAL = 1.25; // Members this close in cost are equals, and rotate.
     private static final double NEW_LINK = 1.5; // Times dearer when a connection must be opened.
     private static final int LINK_EVERY = 10; // Requests of a group for each further connection.
-    /** For so many of the half seconds, or a part of it. */
-    private static final long KEEP = 20;
-
     /** Of clients' places: beyond it who waits longest makes room; two processes of an upgrade share them. */
     private static final double OPEN = 0.375;
 
@@ -53,6 +50,7 @@
     private final RetryPolicy retryPolicy;
     private final HealthChecker healthChecker;
     private final PrimaryTracker primaryTracker;
+    private final PrimarySearch primarySearch;
     private final Map<String, MemberState> members = new HashMap<>();
     private final Map<Integer, GroupState> groups = new TreeMap<>();
     /** The groups in which a request waits unsent; the sweep runs while there is one, over these alone. */
@@ -88,6 +86,7 @@
         retryPolicy = new RetryPolicy(sweepUs, latencies);
         healthChecker = new HealthChecker(this.settings, actions);
         primaryTracker = new PrimaryTracker(this.settings);
+        primarySearch = new PrimarySearch(this.settings, healthChecker, this::send);
         onSettings(settings);
         random = new SplittableRandom(settings.seed());
         rotationSeed = (int) (random.nextLong() >>> 40);
@@ -183,51 +182,6 @@
         return members.remove(member.id, member);
     }
 
-    /** The next of the chain for a write: from the head or where it last was, each once, strangers last. */
-    private MemberState nextCandidate(PendingRequest request) {
-        List<MemberState> chain = request.group.chain;
-        int from = request.group.searchStart == null ? 0 : Math.max(0, chain.indexOf(request.group.searchStart));
-        for (int i = 0; i < 2 * chain.size(); i++) {
-            MemberState member = chain.get((from + i) % chain.size());
-            boolean last = !member.verified || !request.mayGoToZone(member.zone);
-            if (member.isUsable(settings.rules())
-                    && !request.triedMembers.contains(member)
-                    && (!last || i >= chain.size())) {
-                return member;
-            }
-        }
-        return null;
-    }
-
-    /** The walk: probes the next member, once a group; a full round each half second where as many wait, less
-     * where fewer do, as every router walks so. A head that answered of late needs none. */
-    private void searchPrimary(long now, GroupState group) {
-        boolean urgent = group.primary == null || group.holdingWrites || group.primarySuspected;
-        long step = WALK_US / Math.max(1, Math.min(group.chain.size(), group.queuedWrites.size()));
-        boolean idle = !urgent && (group.queuedWrites.isEmpty() || now - group.primaryAtUs < KEEP * WALK_US / 5);
-        if (now - group.lastSearchUs < step || group.chain.isEmpty() || idle) {
-            return;
-        }
-        group.lastSearchUs = now;
-        for (int i = 0; i < group.chain.size(); i++) {
-            MemberState member = group.chain.get(group.searchIndex++ % group.chain.size());
-            if (!member.isUsable(settings.rules()) || member.healthCheckPending) {
-                continue;
-            }
-            if (settings.limits().probes() == Probes.REPORT) {
-                healthChecker.check(now, member);
-                return;
-            }
-            for (int j = 0; urgent && j < group.queuedWrites.size(); j++) {
-                PendingRequest request = group.queuedWrites.get(j);
-                if (!request.mayHaveRun && send(now, request, member, WALK_US)) {
-                    group.queuedWrites.remove(j);
-                    return;
-                }
-            }
-        }
-    }
-
     @Override
     public void onProbe(long now, String memberId, boolean ok, long tookUs, Report report) {
         MemberState member = members.get(memberId);
@@ -341,7 +295,7 @@
                             && (!canary || request.requestClass.idempotency() == Idempotency.NON_IDEMPOTENT)) {
                 continue;
             }
-            MemberState to = group.primary != null ? group.primary : nextCandidate(request);
+            MemberState to = group.primary != null ? group.primary : primarySearch.nextCandidate(request);
             if (to == null) {
                 group.holdingWrites = true;
                 break;
@@ -479,7 +433,7 @@
             giveUp(now, request);
             return;
         }
-        if (nextCandidate(request) == null) {
+        if (primarySearch.nextCandidate(request) == null) {
             request.triedMembers.clear();
             request.notBeforeUs = now + WALK_US / 10;
         }
@@ -670,11 +624,7 @@
             return;
         }
         retryPolicy.backOff(now, request, outcome);
-        boolean round = request.group.primary == null && nextCandidate(request) == null;
-        request.group.holdingWrites |= round;
-        if (round || request.group.primary != null) {
-            request.triedMembers.clear();
-        }
+        primarySearch.continueRound(request);
         addWaiting(request, request.group.queuedWrites, request.group.queuedWrites.size());
     }
 
@@ -693,7 +643,7 @@
                     giveUp(now, request);
                 }
             }
-            searchPrimary(now, group);
+            primarySearch.search(now, group, group.queuedWrites);
             releaseWaiting(now, group);
         }
         waiting.values().removeIf(group -> group.queuedWrites.isEmpty() && group.waitingReads.isEmpty());
--- /dev/null
+++ b/decisions/src/main/java/frostreel/routing/PrimarySearch.java
@@ -0,0 +1,96 @@
+package frostreel.routing;
+
+import java.util.List;
+
+/**
+ * Finds the primary of a group when none is known, along the failover chain. A write that was certainly not
+ * executed moves on to the next member; when a full round of members has declined, the group holds its writes
+ * and the search looks at one member after another until one answers as primary.
+ */
+final class PrimarySearch {
+    /**
+     * A full round of the chain takes this long, in microseconds, if at least as many writes wait: a failover
+     * is noticed within half a second, and the checks of hundreds of routers don't load the members.
+     */
+    private static final long ROUND_US = 500_000;
+    /** A primary that was heard within this time, in microseconds, is not searched for. */
+    private static final long RECENT_US = 2_000_000;
+
+    private final HealthChecker healthChecker;
+    private final AttemptSender sender;
+    private final ActiveSettings settings;
+
+    PrimarySearch(ActiveSettings settings, HealthChecker healthChecker, AttemptSender sender) {
+        this.settings = settings;
+        this.healthChecker = healthChecker;
+        this.sender = sender;
+    }
+
+    /**
+     * The next member to try: each once, from where the primary was last known, those that were never verified
+     * and those of zones that don't know the request's key last. Null after a full round.
+     */
+    MemberState nextCandidate(PendingRequest request) {
+        List<MemberState> chain = request.group.chain;
+        MemberState searchStart = request.group.searchStart;
+        int from = searchStart == null ? 0 : Math.max(0, chain.indexOf(searchStart));
+        for (int i = 0; i < 2 * chain.size(); i++) {
+            MemberState member = chain.get((from + i) % chain.size());
+            boolean lastResort = !member.verified || !request.mayGoToZone(member.zone);
+            if (member.isUsable(settings.rules())
+                    && !request.triedMembers.contains(member)
+                    && (!lastResort || i >= chain.size())) {
+                return member;
+            }
+        }
+        return null;
+    }
+
+    /** Starts the next round for a write whose attempt failed; after a round without a primary writes are held. */
+    void continueRound(PendingRequest request) {
+        GroupState group = request.group;
+        boolean roundOver = group.primary == null && nextCandidate(request) == null;
+        group.holdingWrites |= roundOver;
+        if (roundOver || group.primary != null) {
+            request.triedMembers.clear();
+        }
+    }
+
+    /**
+     * Looks at the next member, by a health check or else by a waiting write that was certainly not executed
+     * yet. Slower where few writes wait, as every router searches.
+     */
+    void search(long now, GroupState group, List<PendingRequest> writes) {
+        boolean urgent = group.primary == null || group.holdingWrites || group.primarySuspected;
+        long intervalUs = ROUND_US / Math.max(1, Math.min(group.chain.size(), writes.size()));
+        boolean idle = !urgent && (writes.isEmpty() || now - group.primaryAtUs < RECENT_US);
+        if (now - group.lastSearchUs < intervalUs || group.chain.isEmpty() || idle) {
+            return;
+        }
+        group.lastSearchUs = now;
+        for (int i = 0; i < group.chain.size(); i++) {
+            MemberState member = group.chain.get(group.searchIndex++ % group.chain.size());
+            if (!member.isUsable(settings.rules()) || member.healthCheckPending) {
+                continue;
+            }
+            if (healthChecker.reportsPositions()) {
+                healthChecker.check(now, member);
+                return;
+            }
+            if (urgent && sendTrialWrite(now, member, writes)) {
+                return;
+            }
+        }
+    }
+
+    private boolean sendTrialWrite(long now, MemberState member, List<PendingRequest> writes) {
+        for (int i = 0; i < writes.size(); i++) {
+            PendingRequest request = writes.get(i);
+            if (!request.mayHaveRun && sender.send(now, request, member, ROUND_US)) {
+                writes.remove(i);
+                return true;
+            }
+        }
+        return false;
+    }
+}
