--- a/decisions/src/main/java/frostreel/routing/ChainRouter.java
+++ b/decisions/src/main/java/frostreel/routing/ChainRouter.java
@@ -6,7 +6,6 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import java.util.function.LongSupplier;
 import java.util.stream.Stream;
 
 /** Every decision of the query router; its interface, events in and actions out, is {@link Router}.
@@ -30,17 +29,11 @@
     private static final double EQUAL = 1.25; // Members this close in cost are equals, and rotate.
     private static final double NEW_LINK = 1.5; // Times dearer when a connection must be opened.
     private static final int LINK_EVERY = 10; // Requests of a group for each further connection.
-    /** Of clients' places: beyond it who waits longest makes room; two processes of an upgrade share them. */
-    private static final double OPEN = 0.375;
-
     private static final double PATIENT = 0.25; // Of its aim, a long query waits for its one replica.
     private static final double LEAVE = 0.8; // Of a replica's window, to short reads of any age.
     private static final String SWEEP = "sweep";
 
     private final ActiveSettings settings;
-    /** Over about twice the span of the rule on cold members. */
-    private final LongSupplier spanUs;
-
     private final SlowStart slowStart;
     private final Actions actions;
     private final LocalityPolicy localityPolicy;
@@ -51,6 +44,7 @@
     private final HealthChecker healthChecker;
     private final PrimaryTracker primaryTracker;
     private final PrimarySearch primarySearch;
+    private final LoadShedder loadShedder;
     private final Map<String, MemberState> members = new HashMap<>();
     private final Map<Integer, GroupState> groups = new TreeMap<>();
     /** The groups in which a request waits unsent; the sweep runs while there is one, over these alone. */
@@ -61,10 +55,6 @@
     /** Where rotation begins: from the seed, so that routers do not all start at the same member. */
     private final int rotationSeed;
 
-    private final SplittableRandom random;
-
-    private final Goodput goodput;
-
     public ChainRouter(Settings settings, Actions actions) {
         this(settings, actions, new NearestZonePolicy(settings.zone()));
     }
@@ -77,8 +67,6 @@
         this.actions = actions;
         this.localityPolicy = localityPolicy;
         this.settings = new ActiveSettings(settings);
-        spanUs = () -> 2 * this.settings.rules().fallUs();
-        goodput = new Goodput(spanUs);
         sweepUs = Math.max(settings.tickUs(), WALK_US / 50);
         slowStart = new SlowStart(settings);
         latencies = new ClassLatencies(settings);
@@ -88,8 +76,9 @@
         primaryTracker = new PrimaryTracker(this.settings);
         primarySearch = new PrimarySearch(this.settings, healthChecker, this::send);
         onSettings(settings);
-        random = new SplittableRandom(settings.seed());
+        SplittableRandom random = new SplittableRandom(settings.seed());
         rotationSeed = (int) (random.nextLong() >>> 40);
+        loadShedder = new LoadShedder(this.settings, random);
     }
 
     @Override
@@ -163,7 +152,7 @@
     private GroupState group(int number) {
         GroupState group = groups.get(number);
         if (group == null) {
-            group = new GroupState(number, new Goodput(spanUs));
+            group = new GroupState(number, loadShedder.newGoodput());
             groups.put(number, group);
         }
         return group;
@@ -218,15 +207,13 @@
         PendingRequest request = new PendingRequest(
                 original, requestClass, group, settings.limits().maxAttempts(), now);
         requests.put(original.id(), request);
-        request.countsForGoodput =
-                atSmallestWindow(request) && random.nextDouble() < group.goodput.excess(now, goodput);
+        request.countsForGoodput = loadShedder.sheds(now, request);
         if (request.countsForGoodput) {
             giveUp(now, request);
         } else {
             route(now, request);
         }
-        if (settings.limits().concurrentRequestLimit() > 0
-                && requests.size() > OPEN * settings.limits().concurrentRequestLimit()) {
+        if (loadShedder.isNearLimit(requests.size())) {
             waiting.values().stream()
                     .flatMap(waiter -> Stream.concat(waiter.queuedWrites.stream(), waiter.waitingReads.stream()))
                     .min(Comparator.comparingLong(waiter -> waiter.arrivedUs))
@@ -238,21 +225,8 @@
         }
     }
 
-    /** Whether a member where it may go lets out one attempt at a time: a slow replica jams no write. */
-    private boolean atSmallestWindow(PendingRequest request) {
-        return request.needsPrimary
-                ? request.group.primary != null
-                        && !request.group.primarySuspected
-                        && request.group.primary.window.isSmallest()
-                : request.group.chain.stream().anyMatch(member -> member.window.isSmallest());
-    }
-
-    private void recordEnd(long now, PendingRequest request, double worth) {
-        if (!request.ended
-                && (worth > 0 || request.countsForGoodput)) { // Refusing cures no error, and no want of a primary.
-            goodput.add(now, worth);
-            request.group.goodput.add(now, worth);
-        }
+    private void recordEnd(long now, PendingRequest request, boolean answered) {
+        loadShedder.recordEnd(now, request, answered);
         request.ended = true;
     }
 
@@ -530,10 +504,7 @@
             retryPolicy.recordUncertainAttempt(request, member);
         }
         if (closed || request.ended || outcome == Outcome.OK) {
-            double worth = now - request.arrivedUs <= request.requestClass.latencyObjectiveUs()
-                    ? 1
-                    : request.requestClass.lateWeight();
-            recordEnd(now, request, outcome == Outcome.OK ? worth : 0);
+            recordEnd(now, request, outcome == Outcome.OK);
             requests.remove(requestId);
         } else {
             retry(now, request, member, outcome);
@@ -659,7 +630,7 @@
         if (request == null || request.ended) {
             return;
         }
-        recordEnd(now, request, 0);
+        recordEnd(now, request, false);
         request.group.queuedWrites.remove(request);
         request.group.waitingReads.remove(request);
         if (request.currentMember == null) {
@@ -735,7 +706,7 @@
 
     /** The final answer, at once: a refusal where trying again is harmless, else a failure. */
     private void giveUp(long now, PendingRequest request) {
-        recordEnd(now, request, 0);
+        recordEnd(now, request, false);
         requests.remove(request.original.id());
         if (RetryPolicy.isClientRetryHarmless(request)) {
             actions.reject(
