--- a/decisions/src/main/java/frostreel/routing/ChainRouter.java
+++ b/decisions/src/main/java/frostreel/routing/ChainRouter.java
@@ -4,7 +4,6 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.stream.Stream;
 
@@ -33,6 +32,7 @@
     private static final double LEAVE = 0.8; // Of a replica's window, to short reads of any age.
     private static final String SWEEP = "sweep";
 
+    private final RoutingComponents components;
     private final ActiveSettings settings;
     private final SlowStart slowStart;
     private final Actions actions;
@@ -52,8 +52,6 @@
 
     private boolean sweeping, started;
     private final Map<String, PendingRequest> requests = new HashMap<>();
-    /** Where rotation begins: from the seed, so that routers do not all start at the same member. */
-    private final int rotationSeed;
 
     public ChainRouter(Settings settings, Actions actions) {
         this(settings, actions, new NearestZonePolicy(settings.zone()));
@@ -66,28 +64,22 @@
     public ChainRouter(Settings settings, Actions actions, LocalityPolicy localityPolicy, PeerCommits peerCommits) {
         this.actions = actions;
         this.localityPolicy = localityPolicy;
-        this.settings = new ActiveSettings(settings);
-        sweepUs = Math.max(settings.tickUs(), WALK_US / 50);
-        slowStart = new SlowStart(settings);
-        latencies = new ClassLatencies(settings);
-        freshness = new Freshness(this.settings, peerCommits);
-        retryPolicy = new RetryPolicy(sweepUs, latencies);
-        healthChecker = new HealthChecker(this.settings, actions);
-        primaryTracker = new PrimaryTracker(this.settings);
+        components = new RoutingComponents(settings, actions, localityPolicy, peerCommits);
+        this.settings = components.settings;
+        sweepUs = components.sweepIntervalUs;
+        slowStart = components.slowStart;
+        latencies = components.latencies;
+        freshness = components.freshness;
+        retryPolicy = components.retryPolicy;
+        healthChecker = components.healthChecker;
+        primaryTracker = components.primaryTracker;
+        loadShedder = components.loadShedder;
         primarySearch = new PrimarySearch(this.settings, healthChecker, this::send);
-        onSettings(settings);
-        SplittableRandom random = new SplittableRandom(settings.seed());
-        rotationSeed = (int) (random.nextLong() >>> 40);
-        loadShedder = new LoadShedder(this.settings, random);
     }
 
     @Override
     public void onSettings(Settings newSettings) {
-        settings.replace(newSettings);
-        latencies.onSettings(newSettings);
-        freshness.onSettings(newSettings);
-        slowStart.settings(newSettings);
-        localityPolicy.settings(newSettings);
+        components.onSettings(newSettings);
     }
 
     // ---- The chain: who heads a group, and by what evidence. ----
@@ -340,7 +332,7 @@
                 : null;
         int size = group.chain.size();
         for (int i = 0; i < size; i++) {
-            MemberState member = group.chain.get((rotationSeed + group.rotation + i) % size);
+            MemberState member = group.chain.get((components.rotationSeed + group.rotation + i) % size);
             if (member == group.primary
                     || !member.isUsable(settings.rules())
                     || request.triedMembers.contains(member)
--- /dev/null
+++ b/decisions/src/main/java/frostreel/routing/RoutingComponents.java
@@ -0,0 +1,54 @@
+package frostreel.routing;
+
+import frostreel.routing.Router.Actions;
+import frostreel.routing.Router.Settings;
+import java.util.SplittableRandom;
+
+/** The parts of a router that several of its classes use, wired together. */
+final class RoutingComponents {
+    /** Shortest interval between two looks at waiting requests, in microseconds. */
+    private static final long SHORTEST_SWEEP_US = 10_000;
+
+    final ActiveSettings settings;
+    final Actions actions;
+    final LocalityPolicy localityPolicy;
+    /** How often waiting requests are looked at. */
+    final long sweepIntervalUs;
+    /** Where the rotation of reads begins: from the seed, so that routers don't all start at the same member. */
+    final int rotationSeed;
+
+    final SlowStart slowStart;
+    final ClassLatencies latencies;
+    final Freshness freshness;
+    final RetryPolicy retryPolicy;
+    final HealthChecker healthChecker;
+    final PrimaryTracker primaryTracker;
+    final LoadShedder loadShedder;
+
+    RoutingComponents(
+            Settings initialSettings, Actions actions, LocalityPolicy localityPolicy, PeerCommits peerCommits) {
+        this.actions = actions;
+        this.localityPolicy = localityPolicy;
+        settings = new ActiveSettings(initialSettings);
+        sweepIntervalUs = Math.max(initialSettings.tickUs(), SHORTEST_SWEEP_US);
+        SplittableRandom random = new SplittableRandom(initialSettings.seed());
+        rotationSeed = (int) (random.nextLong() >>> 40);
+        slowStart = new SlowStart(initialSettings);
+        latencies = new ClassLatencies(initialSettings);
+        freshness = new Freshness(settings, peerCommits);
+        retryPolicy = new RetryPolicy(sweepIntervalUs, latencies);
+        healthChecker = new HealthChecker(settings, actions);
+        primaryTracker = new PrimaryTracker(settings);
+        loadShedder = new LoadShedder(settings, random);
+        localityPolicy.settings(initialSettings);
+    }
+
+    /** Puts new settings in force. */
+    void onSettings(Settings newSettings) {
+        settings.replace(newSettings);
+        latencies.onSettings(newSettings);
+        freshness.onSettings(newSettings);
+        slowStart.settings(newSettings);
+        localityPolicy.settings(newSettings);
+    }
+}
