--- a/decisions/src/main/java/frostreel/routing/ChainRouter.java
+++ b/decisions/src/main/java/frostreel/routing/ChainRouter.java
@@ -1,11 +1,9 @@
 package frostreel.routing;
 
-import java.util.Comparator;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import java.util.stream.Stream;
 
 /** Every decision of the query router; its interface, events in and actions out, is {@link Router}.
  *
@@ -30,7 +28,6 @@
     private static final int LINK_EVERY = 10; // Requests of a group for each further connection.
     private static final double PATIENT = 0.25; // Of its aim, a long query waits for its one replica.
     private static final double LEAVE = 0.8; // Of a replica's window, to short reads of any age.
-    private static final String SWEEP = "sweep";
 
     private final RoutingComponents components;
     private final ActiveSettings settings;
@@ -44,13 +41,12 @@
     private final HealthChecker healthChecker;
     private final PrimaryTracker primaryTracker;
     private final PrimarySearch primarySearch;
+    private final WriteQueue writeQueue;
+    private final WaitingRequests waiting;
     private final LoadShedder loadShedder;
     private final Map<String, MemberState> members = new HashMap<>();
     private final Map<Integer, GroupState> groups = new TreeMap<>();
-    /** The groups in which a request waits unsent; the sweep runs while there is one, over these alone. */
-    private final Map<Integer, GroupState> waiting = new TreeMap<>();
-
-    private boolean sweeping, started;
+    private boolean started;
     private final Map<String, PendingRequest> requests = new HashMap<>();
 
     public ChainRouter(Settings settings, Actions actions) {
@@ -75,6 +71,8 @@
         primaryTracker = components.primaryTracker;
         loadShedder = components.loadShedder;
         primarySearch = new PrimarySearch(this.settings, healthChecker, this::send);
+        writeQueue = new WriteQueue(components, primarySearch, this::send, this::giveUp);
+        waiting = new WaitingRequests(actions, sweepUs);
     }
 
     @Override
@@ -206,14 +204,10 @@
             route(now, request);
         }
         if (loadShedder.isNearLimit(requests.size())) {
-            waiting.values().stream()
-                    .flatMap(waiter -> Stream.concat(waiter.queuedWrites.stream(), waiter.waitingReads.stream()))
-                    .min(Comparator.comparingLong(waiter -> waiter.arrivedUs))
-                    .ifPresent(oldest -> {
-                        oldest.group.queuedWrites.remove(oldest);
-                        oldest.group.waitingReads.remove(oldest);
-                        giveUp(now, oldest);
-                    });
+            waiting.oldest().ifPresent(oldest -> {
+                waiting.remove(oldest);
+                giveUp(now, oldest);
+            });
         }
     }
 
@@ -228,58 +222,22 @@
         } else if (retryPolicy.isExhausted(now, request)) {
             giveUp(now, request);
         } else {
-            addWaiting(request, request.group.queuedWrites, request.group.queuedWrites.size());
+            waiting.addWrite(request);
             releaseWaiting(now, request.group);
         }
     }
 
-    /** Only a request that waits keeps the sweep going: an idle router costs nobody anything. */
-    private void addWaiting(PendingRequest request, List<PendingRequest> queue, int at) {
-        queue.add(at, request);
-        waiting.put(request.group.number, request.group);
-        if (!sweeping) {
-            sweeping = true;
-            actions.setTimer(sweepUs, SWEEP);
-        }
-    }
-
-    /** Lets out what waits: held writes as the head's window allows, then parked reads. Newest first: oldest
-     * first, a backlog makes every request late; this way only those that are late already wait on. */
+    /** Sends what waits in a group as far as that is possible now: first writes, then reads, the newest first. */
     private void releaseWaiting(long now, GroupState group) {
         primaryTracker.suspectIfSilent(now, group);
-        boolean canary = primaryTracker.isTrialDue(now, group);
-        for (int i = group.queuedWrites.size() - 1; i >= 0; i--) {
-            PendingRequest request = group.queuedWrites.get(i);
-            if (group.holdingWrites
-                    || group.primary != null
-                            && !group.primarySuspected
-                            && !group.primary.window.hasRoom(now, group.primary.inFlight, 1)) {
-                break;
-            }
-            if (now < request.notBeforeUs
-                    || group.primarySuspected
-                            && (!canary || request.requestClass.idempotency() == Idempotency.NON_IDEMPOTENT)) {
-                continue;
-            }
-            MemberState to = group.primary != null ? group.primary : primarySearch.nextCandidate(request);
-            if (to == null) {
-                group.holdingWrites = true;
-                break;
-            }
-            if (send(now, request, to, retryPolicy.writeTimeoutUs(now, request, to, slowStart.util(to.slowStart)))) {
-                group.queuedWrites.remove(i);
-                if (group.primarySuspected) {
-                    primaryTracker.recordTrial(now, group);
-                    canary = false;
-                }
-            }
-        }
-        for (int i = group.waitingReads.size() - 1; i >= 0; i--) {
-            PendingRequest request = group.waitingReads.get(i);
+        WaitingRequests.Queues queues = waiting.of(group);
+        writeQueue.release(now, group, queues.writes);
+        for (int i = queues.reads.size() - 1; i >= 0; i--) {
+            PendingRequest request = queues.reads.get(i);
             request.waitsAsRead = false;
             routeRead(now, request);
         }
-        group.waitingReads.removeIf(request -> !request.waitsAsRead);
+        queues.reads.removeIf(request -> !request.waitsAsRead);
     }
 
     // ---- Reads: the pick of a replica. ----
@@ -308,7 +266,7 @@
             return;
         }
         if (now < request.notBeforeUs) {
-            waitForCapacity(request);
+            waiting.addRead(request);
             return;
         }
         long requiredUs = freshness.requiredPositionUs(now, request);
@@ -382,7 +340,7 @@
             healthChecker.check(now, unproven);
         }
         if (settings.get().stalenessCheck() == StalenessCheck.SILENT && awaitsHealthCheck(now, request)) {
-            waitForCapacity(request);
+            waiting.addRead(request);
             return;
         }
         if (only == null
@@ -403,7 +361,7 @@
             request.triedMembers.clear();
             request.notBeforeUs = now + WALK_US / 10;
         }
-        waitForCapacity(request);
+        waiting.addRead(request);
     }
 
     /** Whether an open connection is free: a new one costs the member work and the request time, and hundreds
@@ -450,18 +408,6 @@
                                 / WALK_US;
     }
 
-    /** Waits for room. A marked repeat waits behind first tries: part of its aim has gone, and under overload
-     * repeats would else take the room in which first tries still make theirs. */
-    private void waitForCapacity(PendingRequest request) {
-        if (!request.waitsAsRead && !request.group.waitingReads.contains(request)) {
-            addWaiting(
-                    request,
-                    request.group.waitingReads,
-                    request.original.repeated() ? 0 : request.group.waitingReads.size());
-        }
-        request.waitsAsRead = true;
-    }
-
     // ---- Health: what outcomes say of a member, against its peers. ----
 
     private double cost(long now, MemberState member) {
@@ -588,32 +534,21 @@
         }
         retryPolicy.backOff(now, request, outcome);
         primarySearch.continueRound(request);
-        addWaiting(request, request.group.queuedWrites, request.group.queuedWrites.size());
+        waiting.addWrite(request);
     }
 
     @Override
     public void onTimer(long now, String name) {
-        if (!name.equals(SWEEP)) {
+        if (!name.equals(WaitingRequests.SWEEP_TIMER)) {
             actions.subscribe();
             return;
         }
-        for (GroupState group : List.copyOf(waiting.values())) {
-            for (int i = 0; i < group.queuedWrites.size(); i++) {
-                PendingRequest request = group.queuedWrites.get(i);
-                if (retryPolicy.isExhausted(now, request)
-                        || group.primary == null && retryPolicy.hasWaitedTooLong(now, request)) {
-                    group.queuedWrites.remove(i--);
-                    giveUp(now, request);
-                }
-            }
-            primarySearch.search(now, group, group.queuedWrites);
-            releaseWaiting(now, group);
-        }
-        waiting.values().removeIf(group -> group.queuedWrites.isEmpty() && group.waitingReads.isEmpty());
-        sweeping = !waiting.isEmpty();
-        if (sweeping) {
-            actions.setTimer(sweepUs, SWEEP);
+        for (WaitingRequests.Queues queues : waiting.groupsToSweep()) {
+            writeQueue.removeExpired(now, queues.group, queues.writes);
+            primarySearch.search(now, queues.group, queues.writes);
+            releaseWaiting(now, queues.group);
         }
+        waiting.endSweep();
     }
 
     @Override
@@ -623,8 +558,7 @@
             return;
         }
         recordEnd(now, request, false);
-        request.group.queuedWrites.remove(request);
-        request.group.waitingReads.remove(request);
+        waiting.remove(request);
         if (request.currentMember == null) {
             requests.remove(requestId);
         } else if (settings.limits().cancel()) {
--- a/decisions/src/main/java/frostreel/routing/GroupState.java
+++ b/decisions/src/main/java/frostreel/routing/GroupState.java
@@ -11,10 +11,6 @@
     final int number;
     /** The failover chain: the members in the order of their ids, the same for every router. */
     final List<MemberState> chain = new ArrayList<>();
-    /** The writes, and the reads, that wait unsent. */
-    final List<PendingRequest> queuedWrites = new ArrayList<>();
-
-    final List<PendingRequest> waitingReads = new ArrayList<>();
     /** Requests that ended of late, and what their answers were worth. */
     final Goodput goodput;
 
--- /dev/null
+++ b/decisions/src/main/java/frostreel/routing/WaitingRequests.java
@@ -0,0 +1,108 @@
+package frostreel.routing;
+
+import frostreel.routing.Router.Actions;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.IdentityHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.TreeMap;
+import java.util.stream.Stream;
+
+/**
+ * The requests that wait unsent, by group, and the timer by which they are looked at. The timer runs only
+ * while a request waits, so that an idle router costs nothing.
+ */
+final class WaitingRequests {
+    /** The name of the timer. */
+    static final String SWEEP_TIMER = "sweep";
+
+    /** The waiting requests of one group. */
+    static final class Queues {
+        final GroupState group;
+        final List<PendingRequest> writes = new ArrayList<>();
+        final List<PendingRequest> reads = new ArrayList<>();
+
+        private Queues(GroupState group) {
+            this.group = group;
+        }
+
+        private boolean isEmpty() {
+            return writes.isEmpty() && reads.isEmpty();
+        }
+    }
+
+    private final Actions actions;
+    private final long sweepIntervalUs;
+    private final Map<GroupState, Queues> byGroup = new IdentityHashMap<>();
+    /** The groups in which a request may wait, by their numbers: only these are swept. */
+    private final Map<Integer, Queues> waiting = new TreeMap<>();
+
+    private boolean sweeping;
+
+    WaitingRequests(Actions actions, long sweepIntervalUs) {
+        this.actions = actions;
+        this.sweepIntervalUs = sweepIntervalUs;
+    }
+
+    Queues of(GroupState group) {
+        return byGroup.computeIfAbsent(group, Queues::new);
+    }
+
+    /** Appends a write, or a read that needs the primary. */
+    void addWrite(PendingRequest request) {
+        Queues queues = of(request.group);
+        queues.writes.add(request);
+        startSweeping(queues);
+    }
+
+    /**
+     * Adds a read unless it is there already. Reads are served newest first; one that its client marked as a
+     * retry is put behind first attempts: part of its objective has passed, and under overload retries would
+     * take the capacity in which first attempts still are on time.
+     */
+    void addRead(PendingRequest request) {
+        Queues queues = of(request.group);
+        if (!request.waitsAsRead && !queues.reads.contains(request)) {
+            queues.reads.add(request.original.repeated() ? 0 : queues.reads.size(), request);
+            startSweeping(queues);
+        }
+        request.waitsAsRead = true;
+    }
+
+    void remove(PendingRequest request) {
+        Queues queues = of(request.group);
+        queues.writes.remove(request);
+        queues.reads.remove(request);
+    }
+
+    /** The request that has waited longest. */
+    Optional<PendingRequest> oldest() {
+        return waiting.values().stream()
+                .flatMap(queues -> Stream.concat(queues.writes.stream(), queues.reads.stream()))
+                .min(Comparator.comparingLong(request -> request.arrivedUs));
+    }
+
+    /** The groups to sweep now, as a copy, since the sweep may change them. */
+    List<Queues> groupsToSweep() {
+        return List.copyOf(waiting.values());
+    }
+
+    /** Ends a sweep: forgets the groups in which nothing waits any more, and sets the timer anew for the rest. */
+    void endSweep() {
+        waiting.values().removeIf(Queues::isEmpty);
+        sweeping = !waiting.isEmpty();
+        if (sweeping) {
+            actions.setTimer(sweepIntervalUs, SWEEP_TIMER);
+        }
+    }
+
+    private void startSweeping(Queues queues) {
+        waiting.put(queues.group.number, queues);
+        if (!sweeping) {
+            sweeping = true;
+            actions.setTimer(sweepIntervalUs, SWEEP_TIMER);
+        }
+    }
+}
--- /dev/null
+++ b/decisions/src/main/java/frostreel/routing/WriteQueue.java
@@ -0,0 +1,81 @@
+package frostreel.routing;
+
+import frostreel.routing.Router.Idempotency;
+import java.util.List;
+
+/**
+ * Releases the writes of a group that wait unsent, as the window of its primary allows. The newest goes first:
+ * if the oldest did, a backlog would make every write late; this way only those wait on that already are.
+ */
+final class WriteQueue {
+    /** All of the primary's window may be used for writes. */
+    private static final double WHOLE_WINDOW = 1;
+
+    private final PrimaryTracker primaryTracker;
+    private final PrimarySearch primarySearch;
+    private final RetryPolicy retryPolicy;
+    private final SlowStart slowStart;
+    private final AttemptSender sender;
+    private final RequestEnder ender;
+
+    WriteQueue(RoutingComponents components, PrimarySearch primarySearch, AttemptSender sender, RequestEnder ender) {
+        this.primarySearch = primarySearch;
+        this.sender = sender;
+        this.ender = ender;
+        primaryTracker = components.primaryTracker;
+        retryPolicy = components.retryPolicy;
+        slowStart = components.slowStart;
+    }
+
+    /** Sends what may be sent now, and takes it from the queue. */
+    void release(long now, GroupState group, List<PendingRequest> writes) {
+        for (int i = writes.size() - 1; i >= 0; i--) {
+            if (group.holdingWrites || isPrimaryFull(now, group)) {
+                return;
+            }
+            PendingRequest request = writes.get(i);
+            if (!mayBeSent(now, request)) {
+                continue;
+            }
+            MemberState member = group.primary != null ? group.primary : primarySearch.nextCandidate(request);
+            if (member == null) {
+                group.holdingWrites = true;
+                return;
+            }
+            double utilization = slowStart.util(member.slowStart);
+            if (sender.send(now, request, member, retryPolicy.writeTimeoutUs(now, request, member, utilization))) {
+                writes.remove(i);
+                if (group.primarySuspected) {
+                    primaryTracker.recordTrial(now, group);
+                }
+            }
+        }
+    }
+
+    private boolean isPrimaryFull(long now, GroupState group) {
+        return group.primary != null
+                && !group.primarySuspected
+                && !group.primary.window.hasRoom(now, group.primary.inFlight, WHOLE_WINDOW);
+    }
+
+    /** After its backoff; to a suspected primary only as a trial, which a write must survive being sent twice. */
+    private boolean mayBeSent(long now, PendingRequest request) {
+        GroupState group = request.group;
+        return now >= request.notBeforeUs
+                && (!group.primarySuspected
+                        || primaryTracker.isTrialDue(now, group)
+                                && request.requestClass.idempotency() != Idempotency.NON_IDEMPOTENT);
+    }
+
+    /** Gives up the writes that can no longer be served. */
+    void removeExpired(long now, GroupState group, List<PendingRequest> writes) {
+        for (int i = 0; i < writes.size(); i++) {
+            PendingRequest request = writes.get(i);
+            if (retryPolicy.isExhausted(now, request)
+                    || group.primary == null && retryPolicy.hasWaitedTooLong(now, request)) {
+                writes.remove(i--);
+                ender.giveUp(now, request);
+            }
+        }
+    }
+}
