--- a/decisions/src/main/java/frostreel/routing/ChainRouter.java
+++ b/decisions/src/main/java/frostreel/routing/ChainRouter.java
@@ -22,12 +22,6 @@
     private static final long WALK_US = 500_000;
 
     private static final double TARGET = 0.5; // Of an aim: a mean time beyond it only makes a queue.
-    private static final double SPARED = 0.6; // Of a primary's window, for reads no replica can serve.
-    private static final double EQUAL = 1.25; // Members this close in cost are equals, and rotate.
-    private static final double NEW_LINK = 1.5; // Times dearer when a connection must be opened.
-    private static final int LINK_EVERY = 10; // Requests of a group for each further connection.
-    private static final double PATIENT = 0.25; // Of its aim, a long query waits for its one replica.
-    private static final double LEAVE = 0.8; // Of a replica's window, to short reads of any age.
 
     private final RoutingComponents components;
     private final ActiveSettings settings;
@@ -41,6 +35,7 @@
     private final HealthChecker healthChecker;
     private final PrimaryTracker primaryTracker;
     private final PrimarySearch primarySearch;
+    private final ReplicaSelector replicaSelector;
     private final WriteQueue writeQueue;
     private final WaitingRequests waiting;
     private final LoadShedder loadShedder;
@@ -71,6 +66,7 @@
         primaryTracker = components.primaryTracker;
         loadShedder = components.loadShedder;
         primarySearch = new PrimarySearch(this.settings, healthChecker, this::send);
+        replicaSelector = new ReplicaSelector(components, primarySearch, this::send);
         writeQueue = new WriteQueue(components, primarySearch, this::send, this::giveUp);
         waiting = new WaitingRequests(actions, sweepUs);
     }
@@ -242,179 +238,16 @@
 
     // ---- Reads: the pick of a replica. ----
 
-    /** Whether to wait for a probe that is out and may tell a position, a tenth of the aim at most. */
-    private boolean awaitsHealthCheck(long now, PendingRequest request) {
-        if (request.healthCheckWaitUntilUs == 0) {
-            request.healthCheckWaitUntilUs =
-                    now + Math.max(2 * settings.get().tickUs(), request.requestClass.latencyObjectiveUs() / 10);
-        }
-        boolean any = false;
-        for (MemberState member : request.group.chain) {
-            any |= member.healthCheckPending
-                    && member.isUsable(settings.rules())
-                    && !request.triedMembers.contains(member);
-        }
-        return any && now < request.healthCheckWaitUntilUs && settings.limits().probes() == Probes.REPORT;
-    }
-
     private void routeRead(long now, PendingRequest request) {
-        GroupState group = request.group;
-        if (retryPolicy.isTooLateForRead(now, request)
-                || retryPolicy.hasWaitedTooLong(now, request)
-                || retryPolicy.isExhausted(now, request)) {
-            giveUp(now, request);
-            return;
-        }
-        if (now < request.notBeforeUs) {
-            waiting.addRead(request);
-            return;
-        }
-        long requiredUs = freshness.requiredPositionUs(now, request);
-        boolean canary =
-                primaryTracker.isTrialDue(now, group) && request.requestClass.idempotency() == Idempotency.IDEMPOTENT;
-        if (canary
-                && !request.triedMembers.contains(group.primary)
-                && send(now, request, group.primary, retryPolicy.readTimeoutUs(now, request, group.primary))) {
-            primaryTracker.recordTrial(now, group);
-            return;
-        }
-        MemberState best = null;
-        MemberState unproven = null;
-        double bestCost = Double.MAX_VALUE;
-        double askCost = Double.MAX_VALUE;
-        boolean waits = false, denied = false;
-        boolean longer = latencies.isLongRunning(request);
-        double part = request.requestClass.access() == Access.ANY && !longer ? LEAVE : 1;
-        MemberState only = longer && now - request.arrivedUs < PATIENT * request.requestClass.latencyObjectiveUs()
-                ? longQueryReplica(now, request)
-                : null;
-        int size = group.chain.size();
-        for (int i = 0; i < size; i++) {
-            MemberState member = group.chain.get((components.rotationSeed + group.rotation + i) % size);
-            if (member == group.primary
-                    || !member.isUsable(settings.rules())
-                    || request.triedMembers.contains(member)
-                    || healthChecker.awaitsVerification(now, member)
-                    || only != null && member != only) {
-                continue;
-            }
-            double costFactor = localityPolicy.costFactor(now, member.localityHandle);
-            if (costFactor == Double.POSITIVE_INFINITY) {
-                if (!member.healthCheckPending && localityPolicy.healthCheckDue(now, member.localityHandle)) {
-                    healthChecker.check(now, member);
-                }
-                continue;
-            }
-            boolean proven = freshness.isProbablyFresh(now, member, requiredUs);
-            if (proven
-                    ? !member.window.hasRoom(now, member.inFlight, part)
-                            || !slowStart.admits(now, member.slowStart, request.classIndex())
-                    : member.healthCheckPending
-                            || settings.limits().probes() != Probes.REPORT
-                            || !freshness.mayBeProvenFresh(now, member, requiredUs)) {
-                waits = true;
-                continue;
-            }
-            if (proven && !localityPolicy.admits(now, member.localityHandle, request.classIndex())) {
-                denied = true;
-                continue;
-            }
-            double cost = cost(now, member)
-                    * costFactor
-                    / replicaPreference(request, member)
-                    * (hasFreeConnection(now, member) || group.sendsSinceConnect >= LINK_EVERY ? 1 : NEW_LINK);
-            if (proven && cost * EQUAL < bestCost) {
-                bestCost = cost;
-                best = member;
-            } else if (!proven && cost * EQUAL < askCost) {
-                askCost = cost;
-                unproven = member;
-            }
-        }
-        if (best != null && send(now, request, best, retryPolicy.readTimeoutUs(now, request, best))) {
-            group.rotation++;
-            return;
+        switch (replicaSelector.route(now, request)) {
+            case SENT -> {}
+            case WAIT -> waiting.addRead(request);
+            case GIVE_UP -> giveUp(now, request);
         }
-        if (unproven != null && now - group.lastFreshnessCheckUs >= sweepUs) {
-            group.lastFreshnessCheckUs = now;
-            healthChecker.check(now, unproven);
-        }
-        if (settings.get().stalenessCheck() == StalenessCheck.SILENT && awaitsHealthCheck(now, request)) {
-            waiting.addRead(request);
-            return;
-        }
-        if (only == null
-                && group.primary != null
-                && !group.primarySuspected
-                && !request.triedMembers.contains(group.primary)
-                && group.primary.window.hasRoom(now, group.primary.inFlight, SPARED)
-                && localityPolicy.costFactor(now, group.primary.localityHandle) < Double.POSITIVE_INFINITY
-                && localityPolicy.admits(now, group.primary.localityHandle, request.classIndex())
-                && send(now, request, group.primary, retryPolicy.readTimeoutUs(now, request, group.primary))) {
-            return;
-        }
-        if (denied && !waits && unproven == null) { // More than may be sent elsewhere, and no use in waiting.
-            giveUp(now, request);
-            return;
-        }
-        if (primarySearch.nextCandidate(request) == null) {
-            request.triedMembers.clear();
-            request.notBeforeUs = now + WALK_US / 10;
-        }
-        waiting.addRead(request);
-    }
-
-    /** Whether an open connection is free: a new one costs the member work and the request time, and hundreds
-     * of routers that each rotate over all members would fill their tables. */
-    private boolean hasFreeConnection(long now, MemberState member) {
-        return member.inFlight < member.connections * settings.limits().requestsPerConnection()
-                && now - member.lastUsedAtUs < settings.limits().idleCloseUs();
-    }
-
-    /** The replica that a group's long queries keep to: one that holds any may apply nothing, so spread over
-     * all they would leave none that is new enough for other reads. The furthest behind, as routers agree on
-     * that one, and kept until another is well behind it or it can't serve. */
-    private MemberState longQueryReplica(long now, PendingRequest request) {
-        MemberState best = null;
-        double furthest = -1;
-        for (MemberState member : request.group.chain) {
-            double costFactor = localityPolicy.costFactor(now, member.localityHandle);
-            if (member != request.group.primary
-                    && member.isUsable(settings.rules())
-                    && member.verified
-                    && !request.triedMembers.contains(member)
-                    && !member.window.isPaused(now)
-                    && !member.outliers.isSilent(now, member.inFlight)
-                    && costFactor < Double.POSITIVE_INFINITY) {
-                long behind = member.appliedUpToUs == 0
-                        ? 0
-                        : now - member.appliedUpToUs + (member == request.group.longQueryReplica ? 2 * WALK_US : 0);
-                best = behind / costFactor > furthest ? member : best;
-                furthest = Math.max(furthest, behind / costFactor);
-            }
-        }
-        request.group.longQueryReplica = best != null ? best : request.group.longQueryReplica;
-        return best;
-    }
-
-    /** A read that any member may answer leans to a replica that is behind and can serve little else, so that
-     * long queries, which may stop a replica from applying, keep to few of them; the others stay fresh. */
-    private double replicaPreference(PendingRequest request, MemberState member) {
-        return request.requestClass.access() != Access.ANY
-                ? 1
-                : 1
-                        + Math.min(1, latencies.meanUs(request.classIndex()) / WALK_US)
-                                * Math.min(freshness.unusualLagUs(member), 4 * WALK_US)
-                                / WALK_US;
     }
 
     // ---- Health: what outcomes say of a member, against its peers. ----
 
-    private double cost(long now, MemberState member) {
-        double load = 1 + 0.5 * member.inFlight / Math.max(0.1, member.weight);
-        return member.outliers.cost(now, member.inFlight, load);
-    }
-
     @Override
     public void onOutcome(
             long now,
@@ -434,8 +267,7 @@
         }
         request.currentMember = null;
         request.countsForGoodput = outcome == Outcome.OK || outcome == Outcome.REJECTED || outcome == Outcome.TIMEOUT;
-        member.inFlight--;
-        member.lastUsedAtUs = now;
+        member.recordEnd(now);
         localityPolicy.ended(now, member.localityHandle, outcome, latencies.meanUs(request.classIndex()));
         recordOutcome(now, request, member, outcome, tookUs, role, positionUs, report);
         if (!outcome.provesNotRun) {
@@ -505,9 +337,9 @@
             member.window.shrink(now, member.inFlight, latencies.meanUs(request.classIndex()));
             member.window.pause(now, latencies.meanUs(request.classIndex()));
         } else if (outcome != Outcome.CANCELLED && outcome != Outcome.NOT_SENT) {
-            member.connections = outcome == Outcome.RESET || outcome == Outcome.CONNECT_FAILED
-                    ? member.inFlight
-                    : member.connections;
+            if (outcome == Outcome.RESET || outcome == Outcome.CONNECT_FAILED) {
+                member.recordConnectionLoss();
+            }
             member.outliers.recordFailure(now);
             if (outcome != Outcome.ERROR) { // That came in time: a spoilt answer is no sign of a queue.
                 member.window.shrink(now, member.inFlight, latencies.meanUs(request.classIndex()));
@@ -610,12 +442,8 @@
         latencies.recordSend(request.classIndex());
         member.outliers.recordSend(now, member.inFlight, effort);
         GroupState group = request.group;
-        group.sendsSinceConnect = hasFreeConnection(now, member) ? group.sendsSinceConnect + 1 : 0;
-        member.connections = hasFreeConnection(now, member)
-                ? member.connections
-                : member.inFlight / settings.limits().requestsPerConnection() + 1;
-        member.lastUsedAtUs = now;
-        member.inFlight++;
+        group.sendsSinceConnect = member.hasFreeConnection(now, settings.limits()) ? group.sendsSinceConnect + 1 : 0;
+        member.recordSend(now, settings.limits());
         if (!request.needsPrimary) {
             localityPolicy.sent(now, member.localityHandle, request.classIndex(), effort);
         }
--- /dev/null
+++ b/decisions/src/main/java/frostreel/routing/LongQueryPlacement.java
@@ -0,0 +1,88 @@
+package frostreel.routing;
+
+import frostreel.routing.Router.Access;
+
+/**
+ * Keeps the long-running reads of a group together on one replica. A replica that executes any may stop
+ * applying the log meanwhile; spread over all replicas they would leave none that is fresh enough for other
+ * reads.
+ */
+final class LongQueryPlacement {
+    /** A long-running read waits for the group's one replica for this part of its objective. */
+    private static final double PATIENCE = 0.25;
+    /** Another replica must be this much further behind, in microseconds, to take the place of the present one. */
+    private static final long KEEP_US = 1_000_000;
+    /** Expected latency, in microseconds, from which a read prefers replicas that are behind in full. */
+    private static final long FULL_PREFERENCE_US = 500_000;
+    /** Lag, in microseconds, beyond which a replica isn't preferred any more strongly. */
+    private static final long MOST_LAG_US = 2_000_000;
+
+    private final LocalityPolicy localityPolicy;
+    private final ClassLatencies latencies;
+    private final Freshness freshness;
+    private final ActiveSettings settings;
+
+    LongQueryPlacement(
+            ActiveSettings settings, LocalityPolicy localityPolicy, ClassLatencies latencies, Freshness freshness) {
+        this.settings = settings;
+        this.localityPolicy = localityPolicy;
+        this.latencies = latencies;
+        this.freshness = freshness;
+    }
+
+    /** The one replica that a read may go to now, null if it may go to any. */
+    MemberState requiredReplica(long now, PendingRequest request) {
+        boolean mayWait = now - request.arrivedUs < PATIENCE * request.requestClass.latencyObjectiveUs();
+        return mayWait && latencies.isLongRunning(request) ? chooseReplica(now, request) : null;
+    }
+
+    /**
+     * Chooses the replica that is furthest behind, as all routers agree on that one, and keeps to it until
+     * another is well behind it or it can't serve.
+     */
+    private MemberState chooseReplica(long now, PendingRequest request) {
+        GroupState group = request.group;
+        MemberState best = null;
+        double furthest = -1;
+        for (MemberState member : group.chain) {
+            double costFactor = localityPolicy.costFactor(now, member.localityHandle);
+            if (isCandidate(now, request, member) && costFactor < Double.POSITIVE_INFINITY) {
+                double behind = behindUs(now, group, member) / costFactor;
+                best = behind > furthest ? member : best;
+                furthest = Math.max(furthest, behind);
+            }
+        }
+        if (best != null) {
+            group.longQueryReplica = best;
+        }
+        return best;
+    }
+
+    private boolean isCandidate(long now, PendingRequest request, MemberState member) {
+        return member != request.group.primary
+                && member.isUsable(settings.rules())
+                && member.verified
+                && !request.triedMembers.contains(member)
+                && !member.window.isPaused(now)
+                && !member.outliers.isSilent(now, member.inFlight);
+    }
+
+    private static long behindUs(long now, GroupState group, MemberState member) {
+        if (member.appliedUpToUs == 0) {
+            return 0;
+        }
+        return now - member.appliedUpToUs + (member == group.longQueryReplica ? KEEP_US : 0);
+    }
+
+    /**
+     * How strongly a read prefers a replica, 1 for not at all. Reads that any member may answer prefer those
+     * that are behind and can serve little else, the more so the longer they run.
+     */
+    double preference(PendingRequest request, MemberState member) {
+        if (request.requestClass.access() != Access.ANY) {
+            return 1;
+        }
+        double length = Math.min(1, latencies.meanUs(request.classIndex()) / FULL_PREFERENCE_US);
+        return 1 + length * Math.min(freshness.unusualLagUs(member), MOST_LAG_US) / FULL_PREFERENCE_US;
+    }
+}
--- a/decisions/src/main/java/frostreel/routing/MemberState.java
+++ b/decisions/src/main/java/frostreel/routing/MemberState.java
@@ -1,5 +1,6 @@
 package frostreel.routing;
 
+import frostreel.routing.Router.Limits;
 import frostreel.routing.Router.Rules;
 import frostreel.routing.Router.State;
 
@@ -50,9 +51,9 @@
 
     int inFlight;
     /** Connections that are open as far as this router can tell. */
-    int connections;
+    private int connections;
 
-    long lastUsedAtUs;
+    private long lastUsedAtUs;
 
     MemberState(String id, int groupNumber, SlowStart.Member slowStart, int localityHandle, long now) {
         this.id = id;
@@ -62,15 +63,51 @@
         outliers = new OutlierDetector(now);
     }
 
+    /** Whether requests may be sent to it by the endpoint list. */
+    boolean isUsable(Rules rules) {
+        return state == State.UP || state == State.GONE && rules.onlyDrainingBinds() && !drained;
+    }
+
+    /** Whether an attempt would find an open connection with room for it. */
+    boolean hasFreeConnection(long now, Limits limits) {
+        return inFlight < connections * limits.requestsPerConnection() && now - lastUsedAtUs < limits.idleCloseUs();
+    }
+
+    /** Whether it isn't on the list any more, nothing is in flight to it, and it needn't be remembered. */
+    boolean isForgettable(long now, Rules rules, long retentionUs) {
+        if (state != State.GONE) {
+            goneSinceUs = 0;
+        } else if (goneSinceUs == 0) {
+            goneSinceUs = now;
+        }
+        boolean kept = verified && (rules.onlyDrainingBinds() || now - goneSinceUs <= retentionUs);
+        return goneSinceUs > 0 && inFlight == 0 && !kept;
+    }
+
+    /** An attempt goes out, on a free connection or on a new one. */
+    void recordSend(long now, Limits limits) {
+        if (!hasFreeConnection(now, limits)) {
+            connections = inFlight / limits.requestsPerConnection() + 1;
+        }
+        lastUsedAtUs = now;
+        inFlight++;
+    }
+
+    /** An attempt has ended. */
+    void recordEnd(long now) {
+        inFlight--;
+        lastUsedAtUs = now;
+    }
+
+    /** Connections were lost or refused: only those of the attempts in flight remain. */
+    void recordConnectionLoss() {
+        connections = inFlight;
+    }
+
     /** It has told its position. */
     void recordPosition(long now, long positionUs) {
         appliedUpToUs = Math.max(appliedUpToUs, positionUs);
         lagUs = Math.max(0, now - appliedUpToUs);
         positionAtUs = now;
     }
-
-    /** Whether requests may be sent to it by the endpoint list. */
-    boolean isUsable(Rules rules) {
-        return state == State.UP || state == State.GONE && rules.onlyDrainingBinds() && !drained;
-    }
 }
--- /dev/null
+++ b/decisions/src/main/java/frostreel/routing/ReplicaSelector.java
@@ -0,0 +1,269 @@
+package frostreel.routing;
+
+import frostreel.routing.Router.Access;
+import frostreel.routing.Router.Idempotency;
+import frostreel.routing.Router.StalenessCheck;
+
+/**
+ * Chooses the member for a read: the cheapest replica that is fresh enough and has capacity, with replicas of
+ * the own zone cheaper than others. Where none is known to be fresh enough, a health check may prove one; the
+ * primary serves reads only if no replica can.
+ */
+final class ReplicaSelector {
+    /** Replicas this close in cost are equals, and take turns. */
+    private static final double EQUAL_COST = 1.25;
+    /** How much dearer a replica is if a connection must be opened: that costs it work, and the read time. */
+    private static final double NEW_CONNECTION_COST = 1.5;
+    /** For each further connection a group's requests are sent on open ones this many times. */
+    private static final int SENDS_PER_CONNECTION = 10;
+    /** Attempts in flight raise a replica's cost by this much over its weight. */
+    private static final double LOAD_COST = 0.5;
+    /** Weights below it count as this much, so that the cost stays finite. */
+    private static final double LEAST_WEIGHT = 0.1;
+    /** Part of a replica's window for short reads that any member may answer; the rest is for other reads. */
+    private static final double ANY_READ_SHARE = 0.8;
+    /** Other reads may use all of a replica's window. */
+    private static final double WHOLE_WINDOW = 1;
+    /** Part of the primary's window for reads that no replica can serve; the rest is for writes. */
+    private static final double PRIMARY_READ_SHARE = 0.6;
+    /** A read waits for a health check for one tenth of its latency objective. */
+    private static final int WAITS_PER_OBJECTIVE = 10;
+    /** It waits at least this many ticks of the clock: an answer isn't noticed sooner. */
+    private static final int LEAST_WAIT_TICKS = 2;
+    /** A read that was tried on all members is tried again after this time in microseconds. */
+    private static final long ROUND_DELAY_US = 50_000;
+
+    /** The state of one pass over a group's replicas. There is one object only, so that none is allocated. */
+    private static final class Scan {
+        long requiredPositionUs;
+        MemberState requiredReplica;
+        double windowShare;
+        /** The cheapest that can serve the read now. */
+        MemberState best;
+
+        double bestCost;
+        /** The cheapest that a health check might prove to be fresh enough. */
+        MemberState unproven;
+
+        double unprovenCost;
+        /** A replica might serve the read later. */
+        boolean worthWaiting;
+        /** The locality policy permits no more reads to a replica that could serve it. */
+        boolean denied;
+
+        void reset(long newRequiredPositionUs, MemberState newRequiredReplica, double newWindowShare) {
+            requiredPositionUs = newRequiredPositionUs;
+            requiredReplica = newRequiredReplica;
+            windowShare = newWindowShare;
+            best = null;
+            bestCost = Double.MAX_VALUE;
+            unproven = null;
+            unprovenCost = Double.MAX_VALUE;
+            worthWaiting = false;
+            denied = false;
+        }
+    }
+
+    private final Scan scan = new Scan();
+    private final int rotationSeed;
+    private final long sweepIntervalUs;
+    private final LocalityPolicy localityPolicy;
+    private final SlowStart slowStart;
+    private final ClassLatencies latencies;
+    private final Freshness freshness;
+    private final LongQueryPlacement longQueries;
+    private final RetryPolicy retryPolicy;
+    private final HealthChecker healthChecker;
+    private final PrimaryTracker primaryTracker;
+    private final PrimarySearch primarySearch;
+    private final AttemptSender sender;
+    private final ActiveSettings settings;
+
+    ReplicaSelector(RoutingComponents components, PrimarySearch primarySearch, AttemptSender sender) {
+        this.primarySearch = primarySearch;
+        this.sender = sender;
+        settings = components.settings;
+        rotationSeed = components.rotationSeed;
+        sweepIntervalUs = components.sweepIntervalUs;
+        localityPolicy = components.localityPolicy;
+        slowStart = components.slowStart;
+        latencies = components.latencies;
+        freshness = components.freshness;
+        retryPolicy = components.retryPolicy;
+        healthChecker = components.healthChecker;
+        primaryTracker = components.primaryTracker;
+        longQueries = new LongQueryPlacement(settings, localityPolicy, latencies, freshness);
+    }
+
+    /** Sends a read if a member can take it now, and tells what becomes of it. */
+    ReadDecision route(long now, PendingRequest request) {
+        if (retryPolicy.isTooLateForRead(now, request)
+                || retryPolicy.hasWaitedTooLong(now, request)
+                || retryPolicy.isExhausted(now, request)) {
+            return ReadDecision.GIVE_UP;
+        }
+        if (now < request.notBeforeUs) {
+            return ReadDecision.WAIT;
+        }
+        long requiredPositionUs = freshness.requiredPositionUs(now, request);
+        if (sendTrial(now, request)) {
+            return ReadDecision.SENT;
+        }
+        scanReplicas(now, request, requiredPositionUs);
+        if (scan.best != null && send(now, request, scan.best)) {
+            request.group.rotation++;
+            return ReadDecision.SENT;
+        }
+        if (scan.unproven != null) {
+            checkFreshness(now, request.group, scan.unproven);
+        }
+        if (awaitsHealthCheck(now, request)) {
+            return ReadDecision.WAIT;
+        }
+        if (scan.requiredReplica == null && sendToPrimary(now, request)) {
+            return ReadDecision.SENT;
+        }
+        if (scan.denied && !scan.worthWaiting && scan.unproven == null) {
+            return ReadDecision.GIVE_UP;
+        }
+        if (primarySearch.nextCandidate(request) == null) {
+            request.triedMembers.clear();
+            request.notBeforeUs = now + ROUND_DELAY_US;
+        }
+        return ReadDecision.WAIT;
+    }
+
+    private boolean send(long now, PendingRequest request, MemberState member) {
+        return sender.send(now, request, member, retryPolicy.readTimeoutUs(now, request, member));
+    }
+
+    /** Tries an idempotent read on a suspected primary, which shows whether it still answers. */
+    private boolean sendTrial(long now, PendingRequest request) {
+        GroupState group = request.group;
+        if (primaryTracker.isTrialDue(now, group)
+                && request.requestClass.idempotency() == Idempotency.IDEMPOTENT
+                && !request.triedMembers.contains(group.primary)
+                && send(now, request, group.primary)) {
+            primaryTracker.recordTrial(now, group);
+            return true;
+        }
+        return false;
+    }
+
+    /** Looks at each replica once, beginning with the one whose turn it is. */
+    private void scanReplicas(long now, PendingRequest request, long requiredPositionUs) {
+        GroupState group = request.group;
+        boolean sharesWindow = request.requestClass.access() == Access.ANY && !latencies.isLongRunning(request);
+        MemberState requiredReplica = longQueries.requiredReplica(now, request);
+        scan.reset(requiredPositionUs, requiredReplica, sharesWindow ? ANY_READ_SHARE : WHOLE_WINDOW);
+        int size = group.chain.size();
+        for (int i = 0; i < size; i++) {
+            MemberState member = group.chain.get((rotationSeed + group.rotation + i) % size);
+            if (isCandidate(now, request, member)) {
+                consider(now, request, member);
+            }
+        }
+    }
+
+    private boolean isCandidate(long now, PendingRequest request, MemberState member) {
+        return member != request.group.primary
+                && member.isUsable(settings.rules())
+                && !request.triedMembers.contains(member)
+                && !healthChecker.awaitsVerification(now, member)
+                && (scan.requiredReplica == null || member == scan.requiredReplica);
+    }
+
+    private void consider(long now, PendingRequest request, MemberState member) {
+        double costFactor = localityPolicy.costFactor(now, member.localityHandle);
+        if (costFactor == Double.POSITIVE_INFINITY) {
+            if (!member.healthCheckPending && localityPolicy.healthCheckDue(now, member.localityHandle)) {
+                healthChecker.check(now, member);
+            }
+            return;
+        }
+        boolean fresh = freshness.isProbablyFresh(now, member, scan.requiredPositionUs);
+        if (fresh ? !hasCapacity(now, request, member) : !mayBeProvenFresh(now, member)) {
+            scan.worthWaiting = true;
+            return;
+        }
+        if (fresh && !localityPolicy.admits(now, member.localityHandle, request.classIndex())) {
+            scan.denied = true;
+            return;
+        }
+        double cost = cost(now, request, member, costFactor);
+        if (fresh && cost * EQUAL_COST < scan.bestCost) {
+            scan.bestCost = cost;
+            scan.best = member;
+        } else if (!fresh && cost * EQUAL_COST < scan.unprovenCost) {
+            scan.unprovenCost = cost;
+            scan.unproven = member;
+        }
+    }
+
+    private boolean hasCapacity(long now, PendingRequest request, MemberState member) {
+        return member.window.hasRoom(now, member.inFlight, scan.windowShare)
+                && slowStart.admits(now, member.slowStart, request.classIndex());
+    }
+
+    private boolean mayBeProvenFresh(long now, MemberState member) {
+        return !member.healthCheckPending
+                && healthChecker.reportsPositions()
+                && freshness.mayBeProvenFresh(now, member, scan.requiredPositionUs);
+    }
+
+    private double cost(long now, PendingRequest request, MemberState member, double costFactor) {
+        double load = 1 + LOAD_COST * member.inFlight / Math.max(LEAST_WEIGHT, member.weight);
+        boolean mayConnect = member.hasFreeConnection(now, settings.limits())
+                || request.group.sendsSinceConnect >= SENDS_PER_CONNECTION;
+        return member.outliers.cost(now, member.inFlight, load)
+                * costFactor
+                / longQueries.preference(request, member)
+                * (mayConnect ? 1 : NEW_CONNECTION_COST);
+    }
+
+    /** Checks a replica that may be fresh enough, at most one of the group in a sweep. */
+    private void checkFreshness(long now, GroupState group, MemberState member) {
+        if (now - group.lastFreshnessCheckUs >= sweepIntervalUs) {
+            group.lastFreshnessCheckUs = now;
+            healthChecker.check(now, member);
+        }
+    }
+
+    /** Whether to wait for a pending health check, which may prove a replica to be fresh enough. */
+    private boolean awaitsHealthCheck(long now, PendingRequest request) {
+        if (settings.get().stalenessCheck() != StalenessCheck.SILENT) {
+            return false;
+        }
+        if (request.healthCheckWaitUntilUs == 0) {
+            long shareUs = request.requestClass.latencyObjectiveUs() / WAITS_PER_OBJECTIVE;
+            request.healthCheckWaitUntilUs =
+                    now + Math.max(LEAST_WAIT_TICKS * settings.get().tickUs(), shareUs);
+        }
+        return now < request.healthCheckWaitUntilUs
+                && healthChecker.reportsPositions()
+                && isHealthCheckPending(request);
+    }
+
+    private boolean isHealthCheckPending(PendingRequest request) {
+        for (MemberState member : request.group.chain) {
+            if (member.healthCheckPending
+                    && member.isUsable(settings.rules())
+                    && !request.triedMembers.contains(member)) {
+                return true;
+            }
+        }
+        return false;
+    }
+
+    private boolean sendToPrimary(long now, PendingRequest request) {
+        GroupState group = request.group;
+        MemberState primary = group.primary;
+        return primary != null
+                && !group.primarySuspected
+                && !request.triedMembers.contains(primary)
+                && primary.window.hasRoom(now, primary.inFlight, PRIMARY_READ_SHARE)
+                && localityPolicy.costFactor(now, primary.localityHandle) < Double.POSITIVE_INFINITY
+                && localityPolicy.admits(now, primary.localityHandle, request.classIndex())
+                && send(now, request, primary);
+    }
+}
