--- a/decisions/src/main/java/frostreel/routing/ChainRouter.java
+++ b/decisions/src/main/java/frostreel/routing/ChainRouter.java
@@ -3,7 +3,6 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.TreeMap;
 
 /** Every decision of the query router; its interface, events in and actions out, is {@link Router}.
  *
@@ -18,8 +17,10 @@
 public final class ChainRouter implements Router {
     // ---- Constants: each a ratio of a handed setting, or a starting value of the design page. ----
 
-    /** The design's half second: the walk visits a member this often; a full round while on hold. */
-    private static final long WALK_US = 500_000;
+    /** How often, in microseconds, the subscription to the endpoint list is retried, and the usual Retry-After. */
+    private static final long HALF_SECOND_US = 500_000;
+
+    private static final String SUBSCRIBE_TIMER = "subscribe";
 
     private static final double TARGET = 0.5; // Of an aim: a mean time beyond it only makes a queue.
 
@@ -38,9 +39,8 @@
     private final ReplicaSelector replicaSelector;
     private final WriteQueue writeQueue;
     private final WaitingRequests waiting;
+    private final MemberDirectory directory;
     private final LoadShedder loadShedder;
-    private final Map<String, MemberState> members = new HashMap<>();
-    private final Map<Integer, GroupState> groups = new TreeMap<>();
     private boolean started;
     private final Map<String, PendingRequest> requests = new HashMap<>();
 
@@ -69,6 +69,7 @@
         replicaSelector = new ReplicaSelector(components, primarySearch, this::send);
         writeQueue = new WriteQueue(components, primarySearch, this::send, this::giveUp);
         waiting = new WaitingRequests(actions, sweepUs);
+        directory = new MemberDirectory(components);
     }
 
     @Override
@@ -80,90 +81,25 @@
 
     @Override
     public void onMembers(long now, ListKind kind, List<Member> entries) {
-        boolean first = !started;
+        boolean initial = !started;
         started = true;
-        if (first && settings.limits().subscribe()) {
+        if (initial && settings.limits().subscribe()) {
             actions.subscribe();
         }
-        if (kind == ListKind.FAILED) {
-            if (!first && settings.limits().subscribe()) {
-                actions.setTimer(WALK_US, "subscribe");
-            }
-            return;
-        }
-        if (kind != ListKind.CHANGES) {
-            members.values().forEach(member -> member.state = State.GONE);
-        }
-        for (Member entry : entries) {
-            applyEntry(now, entry, first);
+        if (kind != ListKind.FAILED) {
+            directory.update(now, kind, entries, initial);
+        } else if (!initial && settings.limits().subscribe()) {
+            actions.setTimer(HALF_SECOND_US, SUBSCRIBE_TIMER);
         }
-        members.values().forEach(member -> slowStart.usable(member.slowStart, member.isUsable(settings.rules())));
-        for (GroupState group : groups.values()) {
-            group.chain.removeIf(member -> isForgettable(now, member) && forget(member));
-            if (group.primary != null && !group.primary.isUsable(settings.rules())) {
-                primaryTracker.clearPrimary(group);
-            }
-        }
-    }
-
-    private void applyEntry(long now, Member entry, boolean atStart) {
-        MemberState member = members.get(entry.id());
-        if (member == null) {
-            GroupState group = group(entry.group());
-            SlowStart.Member slowStartState = slowStart.meet(now);
-            int localityHandle = localityPolicy.memberHandle(entry.group(), entry.zone());
-            member = new MemberState(entry.id(), group.number, slowStartState, localityHandle, now);
-            member.verified = atStart;
-            members.put(entry.id(), member);
-            int at = 0;
-            while (at < group.chain.size() && group.chain.get(at).id.compareTo(member.id) < 0) {
-                at++;
-            }
-            group.chain.add(at, member);
-        }
-        if (slowStart.listed(now, member.slowStart, entry)) {
-            member.outliers.reset();
-        }
-        member.zone = entry.zone();
-        member.weight = entry.weight();
-        member.state = entry.state();
-        member.drained |= entry.state() == State.DRAINING;
-        if (entry.primary() && member.isUsable(settings.rules())) {
-            GroupState group = group(member.groupNumber);
-            primaryTracker.recordListedPrimary(group, member);
-        }
-    }
-
-    /** The group of that number, which may have no members yet. */
-    private GroupState group(int number) {
-        GroupState group = groups.get(number);
-        if (group == null) {
-            group = new GroupState(number, loadShedder.newGoodput());
-            groups.put(number, group);
-        }
-        return group;
-    }
-
-    private boolean isForgettable(long now, MemberState member) {
-        member.goneSinceUs = member.state != State.GONE ? 0 : member.goneSinceUs == 0 ? now : member.goneSinceUs;
-        boolean kept = member.verified
-                && (settings.rules().onlyDrainingBinds() || now - member.goneSinceUs <= freshness.retentionUs());
-        return member.goneSinceUs > 0 && member.inFlight == 0 && !kept;
-    }
-
-    private boolean forget(MemberState member) {
-        localityPolicy.left(member.localityHandle);
-        slowStart.forget(member.slowStart);
-        return members.remove(member.id, member);
     }
 
     @Override
     public void onProbe(long now, String memberId, boolean ok, long tookUs, Report report) {
-        MemberState member = members.get(memberId);
+        MemberState member = directory.member(memberId);
         if (member == null) {
             return;
         }
-        GroupState group = group(member.groupNumber);
+        GroupState group = directory.group(member.groupNumber);
         member.healthCheckPending = false;
         group.lastFreshnessCheckUs = 0;
         member.verified |= ok;
@@ -179,7 +115,7 @@
         if (report.positionUs() > 0) {
             freshness.recordReport(now, member, report.positionUs());
         }
-        long at = report.positionUs() > 0 ? report.positionUs() : now - WALK_US;
+        long at = report.positionUs() > 0 ? report.positionUs() : now - HALF_SECOND_US;
         primaryTracker.recordRole(group, member, report.role(), at, false);
     }
 
@@ -188,7 +124,7 @@
     @Override
     public void onRequest(long now, Request original) {
         retryPolicy.recordArrival();
-        GroupState group = group(original.group());
+        GroupState group = directory.group(original.group());
         RequestClass requestClass = settings.get().classes().get(original.cls());
         PendingRequest request = new PendingRequest(
                 original, requestClass, group, settings.limits().maxAttempts(), now);
@@ -261,7 +197,7 @@
             long positionUs,
             Report report) {
         PendingRequest request = requests.get(requestId);
-        MemberState member = members.get(memberId);
+        MemberState member = directory.member(memberId);
         if (member == null || request == null || request.currentMember == null) {
             return;
         }
@@ -466,7 +402,7 @@
             actions.reject(
                     request.original.id(),
                     settings.limits().retryAfterAllowed()
-                            ? Math.min(WALK_US, settings.limits().maxRetryAfterUs())
+                            ? Math.min(HALF_SECOND_US, settings.limits().maxRetryAfterUs())
                             : 0);
         } else {
             actions.fail(request.original.id());
--- /dev/null
+++ b/decisions/src/main/java/frostreel/routing/MemberDirectory.java
@@ -0,0 +1,105 @@
+package frostreel.routing;
+
+import frostreel.routing.Router.ListKind;
+import frostreel.routing.Router.Member;
+import frostreel.routing.Router.State;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+
+/** The members and groups that the endpoint list has named. */
+final class MemberDirectory {
+    private final SlowStart slowStart;
+    private final LocalityPolicy localityPolicy;
+    private final PrimaryTracker primaryTracker;
+    private final LoadShedder loadShedder;
+    private final Freshness freshness;
+    private final ActiveSettings settings;
+    private final Map<String, MemberState> members = new HashMap<>();
+    private final Map<Integer, GroupState> groups = new TreeMap<>();
+
+    MemberDirectory(RoutingComponents components) {
+        settings = components.settings;
+        slowStart = components.slowStart;
+        localityPolicy = components.localityPolicy;
+        primaryTracker = components.primaryTracker;
+        loadShedder = components.loadShedder;
+        freshness = components.freshness;
+    }
+
+    /** The member of that id, null if there is none. */
+    MemberState member(String id) {
+        return members.get(id);
+    }
+
+    /** The group of that number, which may have no members yet. */
+    GroupState group(int number) {
+        GroupState group = groups.get(number);
+        if (group == null) {
+            group = new GroupState(number, loadShedder.newGoodput());
+            groups.put(number, group);
+        }
+        return group;
+    }
+
+    /**
+     * Takes in an endpoint list, or changes to it.
+     *
+     * @param initial whether it is the first: its members count as verified
+     */
+    void update(long now, ListKind kind, List<Member> entries, boolean initial) {
+        if (kind != ListKind.CHANGES) {
+            members.values().forEach(member -> member.state = State.GONE);
+        }
+        for (Member entry : entries) {
+            apply(now, entry, initial);
+        }
+        members.values().forEach(member -> slowStart.usable(member.slowStart, member.isUsable(settings.rules())));
+        for (GroupState group : groups.values()) {
+            group.chain.removeIf(
+                    member -> member.isForgettable(now, settings.rules(), freshness.retentionUs()) && forget(member));
+            if (group.primary != null && !group.primary.isUsable(settings.rules())) {
+                primaryTracker.clearPrimary(group);
+            }
+        }
+    }
+
+    private void apply(long now, Member entry, boolean initial) {
+        MemberState member = members.get(entry.id());
+        if (member == null) {
+            member = add(now, entry, initial);
+        }
+        if (slowStart.listed(now, member.slowStart, entry)) {
+            member.outliers.reset();
+        }
+        member.zone = entry.zone();
+        member.weight = entry.weight();
+        member.state = entry.state();
+        member.drained |= entry.state() == State.DRAINING;
+        if (entry.primary() && member.isUsable(settings.rules())) {
+            primaryTracker.recordListedPrimary(group(member.groupNumber), member);
+        }
+    }
+
+    private MemberState add(long now, Member entry, boolean initial) {
+        GroupState group = group(entry.group());
+        SlowStart.Member slowStartState = slowStart.meet(now);
+        int localityHandle = localityPolicy.memberHandle(entry.group(), entry.zone());
+        MemberState member = new MemberState(entry.id(), group.number, slowStartState, localityHandle, now);
+        member.verified = initial;
+        members.put(member.id, member);
+        int index = 0;
+        while (index < group.chain.size() && group.chain.get(index).id.compareTo(member.id) < 0) {
+            index++;
+        }
+        group.chain.add(index, member);
+        return member;
+    }
+
+    private boolean forget(MemberState member) {
+        localityPolicy.left(member.localityHandle);
+        slowStart.forget(member.slowStart);
+        return members.remove(member.id, member);
+    }
+}
