--- /dev/null
+++ b/decisions/src/main/java/frostreel/routing/AttemptRecorder.java
@@ -0,0 +1,164 @@
+package frostreel.routing;
+
+import frostreel.routing.Router.Access;
+import frostreel.routing.Router.Outcome;
+import frostreel.routing.Router.Report;
+import frostreel.routing.Router.Role;
+
+/** Records attempts, and learns from their outcomes and from reports what a member can do, and in which role. */
+final class AttemptRecorder {
+    /**
+     * Part of the latency objective beyond which the mean latency of a member is a sign of a queue: a longer
+     * mean would leave no reserve, and a queue serves nobody.
+     */
+    private static final double TARGET_SHARE = 0.5;
+    /** A report without a position is taken to be this old, in microseconds. */
+    private static final long REPORT_AGE_US = 500_000;
+
+    private final ActiveSettings settings;
+    private final LocalityPolicy localityPolicy;
+    private final SlowStart slowStart;
+    private final ClassLatencies latencies;
+    private final Freshness freshness;
+    private final PrimaryTracker primaryTracker;
+    private final HealthChecker healthChecker;
+
+    AttemptRecorder(RoutingComponents components) {
+        settings = components.settings;
+        localityPolicy = components.localityPolicy;
+        slowStart = components.slowStart;
+        latencies = components.latencies;
+        freshness = components.freshness;
+        primaryTracker = components.primaryTracker;
+        healthChecker = components.healthChecker;
+    }
+
+    /** An attempt is sent to a member. */
+    void recordSend(long now, PendingRequest request, MemberState member) {
+        GroupState group = request.group;
+        int classIndex = request.classIndex();
+        freshness.recordSend(now, request);
+        latencies.recordSend(classIndex);
+        member.outliers.recordSend(now, member.inFlight, latencies.meanUs(classIndex));
+        boolean connected = member.hasFreeConnection(now, settings.limits());
+        group.sendsSinceConnect = connected ? group.sendsSinceConnect + 1 : 0;
+        member.recordSend(now, settings.limits());
+        if (!request.needsPrimary) {
+            localityPolicy.sent(now, member.localityHandle, classIndex, latencies.meanUs(classIndex));
+        }
+        request.currentMember = member;
+        request.sentAtUs = now;
+        request.attempts++;
+        chargeSlowStart(request);
+    }
+
+    /** Charges an attempt to what its member may be sent in slow start. */
+    void chargeSlowStart(PendingRequest request) {
+        SlowStart.Member slowStartState = request.currentMember.slowStart;
+        slowStart.sent(slowStartState, request.classIndex());
+        request.memberStartedUs = slowStartState.startedUs();
+    }
+
+    /** A member reported on itself, by a health check or with an answer. */
+    void recordReport(long now, GroupState group, MemberState member, Report report) {
+        slowStart.reported(member.slowStart, report.util());
+        boolean hasPosition = report.positionUs() > 0;
+        if (hasPosition) {
+            freshness.recordReport(now, member, report.positionUs());
+        }
+        long asOfUs = hasPosition ? report.positionUs() : now - REPORT_AGE_US;
+        primaryTracker.recordRole(group, member, report.role(), asOfUs, false);
+    }
+
+    /**
+     * An attempt ended.
+     *
+     * @param positionUs the position that the answer told, 0 for none
+     * @param report the report that came with the answer, or null
+     */
+    void recordOutcome(
+            long now,
+            PendingRequest request,
+            MemberState member,
+            Outcome outcome,
+            long tookUs,
+            Role role,
+            long positionUs,
+            Report report) {
+        member.recordEnd(now);
+        localityPolicy.ended(now, member.localityHandle, outcome, latencies.meanUs(request.classIndex()));
+        if (outcome == Outcome.OK
+                || outcome == Outcome.ERROR
+                || outcome == Outcome.REJECTED
+                || outcome == Outcome.WRONG_ROLE_OR_STALE) {
+            member.outliers.recordProgress(now);
+            member.verified |= outcome != Outcome.ERROR;
+        }
+        if (member.inFlight == 0) {
+            member.outliers.recordIdle();
+        }
+        if (report != null) {
+            recordReport(now, request.group, member, report);
+        }
+        if (positionUs > 0) {
+            member.recordPosition(now, positionUs);
+        }
+        primaryTracker.recordRole(request.group, member, role, now, true);
+        freshness.recordOutcome(now, request, outcome, positionUs);
+        switch (outcome) {
+            case OK -> recordSuccess(now, request, member, tookUs);
+            case WRONG_ROLE_OR_STALE -> recordWrongRoleOrStale(now, request, member, positionUs);
+            case REJECTED -> recordRejection(now, request, member);
+            case ERROR, TIMEOUT, CONNECT_FAILED, RESET -> recordFailure(now, request, member, outcome);
+            case CANCELLED, NOT_SENT -> {} // Nothing is learned of the member.
+        }
+    }
+
+    private void recordSuccess(long now, PendingRequest request, MemberState member, long tookUs) {
+        int classIndex = request.classIndex();
+        member.outliers.recordSuccess(now, tookUs / latencies.meanUs(classIndex));
+        latencies.recordAnswer(classIndex, tookUs);
+        primaryTracker.recordSuccess(request.group, member);
+        slowStart.served(now, member.slowStart, classIndex, tookUs);
+        long objectiveUs = request.requestClass.latencyObjectiveUs();
+        boolean queueing = !latencies.isLongRunning(request)
+                && member.outliers.expectedLatencyUs(now, latencies.meanUs(classIndex)) > TARGET_SHARE * objectiveUs;
+        if (tookUs > objectiveUs || queueing) {
+            member.window.shrink(now, member.inFlight, latencies.meanUs(classIndex));
+        } else {
+            member.window.grow(member.inFlight);
+        }
+    }
+
+    private void recordWrongRoleOrStale(long now, PendingRequest request, MemberState member, long positionUs) {
+        if (request.requestClass.access() == Access.WRITE) {
+            primaryTracker.recordRole(request.group, member, Role.REPLICA, now, true);
+            return;
+        }
+        member.staleAtUs = now;
+        if (positionUs == 0) { // Otherwise the answer has told how far behind it is.
+            healthChecker.check(now, member);
+        }
+    }
+
+    private void recordRejection(long now, PendingRequest request, MemberState member) {
+        double meanUs = latencies.meanUs(request.classIndex());
+        member.window.shrink(now, member.inFlight, meanUs);
+        member.window.pause(now, meanUs);
+    }
+
+    private void recordFailure(long now, PendingRequest request, MemberState member, Outcome outcome) {
+        double meanUs = latencies.meanUs(request.classIndex());
+        if (outcome == Outcome.RESET || outcome == Outcome.CONNECT_FAILED) {
+            member.recordConnectionLoss();
+        }
+        member.outliers.recordFailure(now);
+        if (outcome != Outcome.ERROR) { // An error that came in time is no sign of a queue.
+            member.window.shrink(now, member.inFlight, meanUs);
+        }
+        if (outcome == Outcome.CONNECT_FAILED) {
+            member.window.pause(now, meanUs);
+            primaryTracker.recordConnectFailure(now, request.group, member);
+        }
+    }
+}
