--- a/pooler/src/test/java/frostreel/AbstractPoolerTest.java
+++ b/pooler/src/test/java/frostreel/AbstractPoolerTest.java
@@ -18,8 +18,8 @@
 abstract class AbstractPoolerTest {
     private static final int CANCEL_REQUEST = 80877102;
     PoolerHarness harness;
-    PoolerHarness.Peer primary;
-    PoolerHarness.Peer replica;
+    ScriptedPeer primary;
+    ScriptedPeer replica;
 
     @BeforeEach
     void setUp() throws Exception {
@@ -72,12 +72,12 @@
 
     /** A client that keeps its BackendKeyData, so that it can cancel its requests. */
     final class CancellableClient implements AutoCloseable {
-        final PoolerHarness.Link link;
+        final WireConnection link;
         int process;
         int secret;
 
         CancellableClient() throws Exception {
-            link = new PoolerHarness.Link(harness.connect());
+            link = new WireConnection(harness.connect());
             link.send(TestMessages.startup());
             DataInputStream in = link.in;
             for (int type = in.read(); type != 'Z'; type = in.read()) {
@@ -93,7 +93,7 @@
 
         /** Sends a CancelRequest and waits until the pooler has handled it, which ends its connection. */
         void cancel(int withSecret) throws Exception {
-            try (PoolerHarness.Link other = new PoolerHarness.Link(harness.connect())) {
+            try (WireConnection other = new WireConnection(harness.connect())) {
                 other.send(ByteBuffer.allocate(16)
                         .putInt(16)
                         .putInt(CANCEL_REQUEST)
--- a/pooler/src/test/java/frostreel/ClientCapacityTest.java
+++ b/pooler/src/test/java/frostreel/ClientCapacityTest.java
@@ -16,11 +16,11 @@
     void idleClientsAreClosedForNewOnesAtTheLimit() throws Exception {
         harness.unlimitedConcurrency = true;
         start();
-        try (PoolerHarness.Link leaver = harness.client()) {
+        try (WireConnection leaver = harness.client()) {
             leaver.send(TestMessages.bytes('X', "")); // A client that has left must not be taken for an idle one.
             assertThat(leaver.closedByPeer()).isTrue();
         }
-        List<PoolerHarness.Link> clients = new ArrayList<>();
+        List<WireConnection> clients = new ArrayList<>();
         int idle = PoolerHarness.USUAL_CLIENTS / 3 - 1; // With one more the limit on idle clients is reached.
         for (int i = 0; i < idle; i++) {
             clients.add(harness.client());
@@ -32,7 +32,7 @@
             clients.add(harness.client());
             clients.get(i).send(query(readSql("c" + i, 9000)));
         }
-        try (PoolerHarness.Link late = harness.client()) { // Admitted once the first has been idle for long enough.
+        try (WireConnection late = harness.client()) { // Admitted once the first has been idle for long enough.
             assertThat(late.execute("")).containsExactly("I");
             assertThat(clients.get(0).closedByPeer()).isTrue();
         }
@@ -44,11 +44,11 @@
     @Test
     void longestIdleClientsAreClosedOnlyAboveTheUsualCount() throws Exception {
         start();
-        try (PoolerHarness.Link leaver = harness.client()) { // The client that awaited readiness has gone as well.
+        try (WireConnection leaver = harness.client()) { // The client that awaited readiness has gone as well.
             leaver.send(TestMessages.bytes('X', ""));
             assertThat(leaver.closedByPeer()).isTrue();
         }
-        List<PoolerHarness.Link> clients = new ArrayList<>();
+        List<WireConnection> clients = new ArrayList<>();
         int unlimited = PoolerHarness.USUAL_CLIENTS * 3 / 4;
         for (int i = 0; i < PoolerHarness.USUAL_CLIENTS; i++) {
             clients.add(harness.client());
@@ -77,7 +77,7 @@
             }
         };
         start();
-        List<PoolerHarness.Link> idle = new ArrayList<>();
+        List<WireConnection> idle = new ArrayList<>();
         for (int i = 0; i < PoolerHarness.USUAL_CLIENTS / 3; i++) {
             idle.add(harness.client());
             assertThat(value(idle.get(i).execute(readSql("c" + i, 9000)))).isEqualTo("from-replica");
@@ -85,21 +85,21 @@
         for (int i = idle.size(); i < PoolerHarness.USUAL_CLIENTS * 3 / 4 - 1; i++) { // Busy ones.
             harness.client().send(query(writeSql("p" + i, 9000)));
         }
-        List<PoolerHarness.Link> late = List.of(harness.client(), harness.client());
+        List<WireConnection> late = List.of(harness.client(), harness.client());
         int longest = late.size() + 2; // The longest idle: more than might be closed.
         // While the I/O thread is blocked all of them send; those of the late clients are answered at once.
         harness.whileLoopIsBlocked(() -> {
-            for (PoolerHarness.Link client : late) {
+            for (WireConnection client : late) {
                 client.send(query(""));
             }
             for (int i = 0; i < longest; i++) {
                 idle.get(i).send(query(readSql("d" + i, 9000)));
             }
         });
-        for (PoolerHarness.Link client : idle.subList(0, longest)) {
+        for (WireConnection client : idle.subList(0, longest)) {
             assertThat(value(client.readResponse())).startsWith("from-");
         }
-        for (PoolerHarness.Link client : late) {
+        for (WireConnection client : late) {
             assertThat(client.readResponse()).containsExactly("I");
         }
     }
@@ -107,19 +107,19 @@
     @Test
     void silentClientsAreNotifiedAndClosedAndBlockNobody() throws Exception {
         start();
-        List<PoolerHarness.Link> silent = new ArrayList<>();
+        List<WireConnection> silent = new ArrayList<>();
         for (int i = 0; i < 2 * PoolerHarness.MAX_CLIENTS; i++) {
-            silent.add(new PoolerHarness.Link(harness.connect()));
+            silent.add(new WireConnection(harness.connect()));
         }
-        try (PoolerHarness.Link client = harness.client()) {
+        try (WireConnection client = harness.client()) {
             assertThat(value(client.execute(readSql("1", 9000)))).isEqualTo("from-replica");
         }
-        PoolerHarness.Link last = silent.get(silent.size() - 1);
+        WireConnection last = silent.get(silent.size() - 1);
         last.send(TestMessages.startup(), java.util.Arrays.copyOf(query(readSql("2", 9000)), 40));
         last.readResponse();
         assertThat(last.take()).startsWith("E").contains("|C57P05|");
         assertThat(last.closedByPeer()).isTrue();
-        for (PoolerHarness.Link client : silent) {
+        for (WireConnection client : silent) {
             client.close();
         }
         assertThat(harness.pooler.counters()).contains(" requests=1 ");
@@ -131,7 +131,7 @@
         replica.script = (text, link) -> {};
         primary.script = replica.script;
         start();
-        List<PoolerHarness.Link> clients = new ArrayList<>();
+        List<WireConnection> clients = new ArrayList<>();
         int busy = PoolerHarness.BUSY_LIMIT;
         for (int i = 0; i < busy; i++) {
             clients.add(harness.client());
--- a/pooler/src/test/java/frostreel/ClientProtocolTest.java
+++ b/pooler/src/test/java/frostreel/ClientProtocolTest.java
@@ -14,7 +14,7 @@
     @Test
     void acceptsStartupAndQueriesOneByteAtATime() throws Exception {
         start();
-        try (PoolerHarness.Link client = new PoolerHarness.Link(harness.connect())) {
+        try (WireConnection client = new WireConnection(harness.connect())) {
             for (byte[] part : List.of(TestMessages.startup(), query(readSql("1", 9000)), query(writeSql("2", 9000)))) {
                 for (byte nextByte : part) {
                     client.out.write(nextByte);
@@ -29,7 +29,7 @@
     @Test
     void forwardsStatementUnchangedExceptForTheTimeLeft() throws Exception {
         start();
-        try (PoolerHarness.Link client = harness.client()) {
+        try (WireConnection client = harness.client()) {
             client.execute(writeSql("7", 8000));
             String sent = primary.next();
             int timeLeftMs = TestMessages.remainingMs(sent);
@@ -41,9 +41,9 @@
     @Test
     void malformedInputClosesOnlyItsOwnConnection() throws Exception {
         start();
-        try (PoolerHarness.Link good = harness.client();
-                PoolerHarness.Link bad = harness.client();
-                PoolerHarness.Link early = new PoolerHarness.Link(harness.connect())) {
+        try (WireConnection good = harness.client();
+                WireConnection bad = harness.client();
+                WireConnection early = new WireConnection(harness.connect())) {
             bad.send(new byte[] {'Q', 127, -1, -1, -1});
             assertThat(bad.take()).startsWith("E").contains("|C08P01|");
             assertThat(bad.closedByPeer()).isTrue();
@@ -65,7 +65,7 @@
         replica.script = rows(large, "replica");
         start();
         int count = 60;
-        try (PoolerHarness.Link client = harness.client()) {
+        try (WireConnection client = harness.client()) {
             for (int i = 0; i < count; i++) {
                 client.send(query(readSql("q" + i, 9000)));
             }
@@ -79,8 +79,8 @@
     void rejectsRequestWhoseIdIsInFlight() throws Exception {
         replica.script = (text, link) -> {};
         start();
-        try (PoolerHarness.Link client = harness.client();
-                PoolerHarness.Link thief = harness.client()) {
+        try (WireConnection client = harness.client();
+                WireConnection thief = harness.client()) {
             client.send(query(readSql("1", 9000)));
             assertThat(replica.next()).contains("id=1,");
             assertThat(thief.execute(readSql("1", 9000)))
@@ -94,7 +94,7 @@
     @Test
     void rejectsStatementsOfUnknownForm() throws Exception {
         start();
-        try (PoolerHarness.Link client = harness.client()) {
+        try (WireConnection client = harness.client()) {
             for (String bad : List.of(
                     readSql("1", 9000) + ";",
                     readSql("1", 9000).replace("records", "accounts"),
@@ -119,7 +119,7 @@
     @Test
     void errorReachesClientWhoseInputIsStillUnread() throws Exception {
         start();
-        try (PoolerHarness.Link client = harness.client()) {
+        try (WireConnection client = harness.client()) {
             client.send(new byte[] {'Q', 3, -1, -1, -1}, new byte[900_000]);
             assertThat(client.take()).startsWith("E").contains("|C08P01|");
             assertThat(client.closedByPeer()).isTrue();
--- a/pooler/src/test/java/frostreel/ConnectionCloseTest.java
+++ b/pooler/src/test/java/frostreel/ConnectionCloseTest.java
@@ -21,7 +21,7 @@
     }
 
     /** The client sends after it saw the end: a socket that was closed in both directions would be reset by that. */
-    private void assertBytesAfterCloseAreDroppedWithoutReset(PoolerHarness.Link client) throws Exception {
+    private void assertBytesAfterCloseAreDroppedWithoutReset(WireConnection client) throws Exception {
         assertThat(client.closedByPeer()).isTrue();
         long before = harness.counter("requests");
         for (int i = 0; i < 3; i++) {
@@ -36,7 +36,7 @@
     void bytesSentWhileIdleClientIsClosedDoNotResetIt() throws Exception {
         lingerWithoutEnd();
         start();
-        List<PoolerHarness.Link> clients = new ArrayList<>();
+        List<WireConnection> clients = new ArrayList<>();
         for (int i = 0; i < PoolerHarness.USUAL_CLIENTS; i++) {
             clients.add(harness.client());
             assertThat(value(clients.get(i).execute(readSql("c" + i, 9000)))).isEqualTo("from-replica");
@@ -51,8 +51,8 @@
                 .replace("\"deadlineS\":10", "\"deadlineS\":0.3")
                 .replace("\"onTimeS\":5", "\"onTimeS\":0.2"); // SIGKILL is due after 1 s, the sweep after 0.6 s.
         start();
-        try (PoolerHarness.Link asked = harness.client();
-                PoolerHarness.Link silent = harness.client()) {
+        try (WireConnection asked = harness.client();
+                WireConnection silent = harness.client()) {
             assertThat(value(asked.execute(readSql("1", 300)))).isEqualTo("from-replica");
             Thread stopThreads = stopPooler();
             assertBytesAfterCloseAreDroppedWithoutReset(asked);
@@ -71,7 +71,7 @@
         harness.startSilent(host("a", primary, "primary", "Ready"));
         harness.discovery.next(); // A request that the pooler gives up after 1.5 s, which it logs.
         harness.awaitReady();
-        List<PoolerHarness.Link> backlogged = new ArrayList<>();
+        List<WireConnection> backlogged = new ArrayList<>();
         List<Thread> stopThreads = new ArrayList<>();
         harness.whileLoopIsBlocked(
                 DiscoveryWatch.class,
@@ -81,11 +81,11 @@
                 },
                 () -> {
                     for (int i = 0; i < 3; i++) { // Even after accepting had ended, the first would be accepted.
-                        backlogged.add(new PoolerHarness.Link(harness.connect()));
+                        backlogged.add(new WireConnection(harness.connect()));
                         backlogged.get(i).send(TestMessages.startup(), query(readSql("" + i, 300)));
                     }
                 });
-        for (PoolerHarness.Link client : backlogged) {
+        for (WireConnection client : backlogged) {
             client.readResponse();
             assertThat(client.readResponse()).singleElement().asString().contains("|C53300|");
             client.close();
@@ -100,12 +100,12 @@
         replica.script = rows(large, "replica");
         start();
         int count = 300;
-        try (PoolerHarness.Link client = harness.client()) {
+        try (WireConnection client = harness.client()) {
             for (int i = 0; i < count; i++) {
                 client.send(query(readSql("q" + i, 9000)));
             }
             for (int i = 0; i < 2; i++) {
-                try (PoolerHarness.Link silent = new PoolerHarness.Link(harness.connect())) {
+                try (WireConnection silent = new WireConnection(harness.connect())) {
                     assertThat(silent.take()).startsWith("E").contains("|C57P05|");
                     assertThat(silent.closedByPeer()).isTrue();
                 }
@@ -125,7 +125,7 @@
             link.send(TestMessages.row("late", "primary"), TestMessages.READY);
         };
         start();
-        try (PoolerHarness.Link client = harness.client()) {
+        try (WireConnection client = harness.client()) {
             // A write, as a read would be retried on another member and end too soon.
             client.send(query(writeSql("1", 9000)));
             byte[] excess = query("x".repeat(100_000)); // Of unknown form: an error each.
@@ -156,7 +156,7 @@
         for (int i = 0; i < complete.length; i++) {
             int cut = i;
             boolean reset = i % resetEvery == 0;
-            PoolerHarness.Peer cutter = harness.server((text, link) -> {
+            ScriptedPeer cutter = harness.server((text, link) -> {
                 link.send(java.util.Arrays.copyOf(complete, cut));
                 if (reset) {
                     link.socket.setSoLinger(true, 0);
@@ -168,7 +168,7 @@
             hosts.add(host("b" + i, cutter, "replica", "Ready").replace("\"block\":2", block));
         }
         harness.start(hosts.toArray(String[]::new));
-        try (PoolerHarness.Link client = harness.client()) {
+        try (WireConnection client = harness.client()) {
             for (int i = 0; i < complete.length; i++) {
                 assertThat(value(client.execute(readSql("q" + i, 9000).replace("cluster=2", "cluster=" + (100 + i)))))
                         .as("cut at byte %d", i)
--- a/pooler/src/test/java/frostreel/DisconnectedClientsTest.java
+++ b/pooler/src/test/java/frostreel/DisconnectedClientsTest.java
@@ -19,7 +19,7 @@
 
 /** After a client disconnected or cancelled its request, no attempt is sent for it any more. */
 class DisconnectedClientsTest extends AbstractPoolerTest {
-    private final BlockingQueue<PoolerHarness.Link> handshakes = new LinkedBlockingQueue<>();
+    private final BlockingQueue<WireConnection> handshakes = new LinkedBlockingQueue<>();
 
     /** Leaves the handshakes of new connections to the replica to the test. */
     private void holdHandshakes() {
@@ -31,9 +31,9 @@
     }
 
     /** The next request is the first that the replica receives, on the connection that was already pending. */
-    private void assertNothingIsSentBeforeTheNextRequest(PoolerHarness.Link pending) throws Exception {
+    private void assertNothingIsSentBeforeTheNextRequest(WireConnection pending) throws Exception {
         pending.completeHandshake();
-        try (PoolerHarness.Link client = harness.client()) {
+        try (WireConnection client = harness.client()) {
             assertThat(value(client.execute(readSql("next", 9000)))).isEqualTo("from-replica");
         }
         assertThat(replica.next()).contains("id=next,");
@@ -46,9 +46,9 @@
         mayNotCancel();
         holdHandshakes();
         start();
-        PoolerHarness.Link client = harness.client();
+        WireConnection client = harness.client();
         client.send(query(readSql("gone", 9000)));
-        PoolerHarness.Link pending = handshakes.take();
+        WireConnection pending = handshakes.take();
         client.send(pipelined);
         client.close();
         harness.awaitCounter("clients_gone=1");
@@ -72,14 +72,14 @@
      */
     @Test
     void queuedRequestIsNotSentInTheTurnThatFindsItsClientGone() throws Exception {
-        BlockingQueue<PoolerHarness.Link> held = new LinkedBlockingQueue<>();
+        BlockingQueue<WireConnection> held = new LinkedBlockingQueue<>();
         replica.script = (text, link) -> held.add(link);
         primary.script = replica.script;
         start();
-        Map<String, PoolerHarness.Link> clients = new HashMap<>();
+        Map<String, WireConnection> clients = new HashMap<>();
         int all = PoolerHarness.MOST_WAITING;
         for (int i = 0; i < all; i++) {
-            PoolerHarness.Link client = harness.client();
+            WireConnection client = harness.client();
             clients.put("q" + i, client);
             client.send(query(readSql("q" + i, 9000)));
         }
@@ -87,22 +87,22 @@
         int sent = (int) harness.counter("attempts");
         assertThat(sent).isBetween(1, all / 2); // The others wait for capacity.
         List<String> inHand = new ArrayList<>();
-        List<PoolerHarness.Link> servers = new ArrayList<>();
+        List<WireConnection> servers = new ArrayList<>();
         for (int i = 0; i < sent; i++) {
             servers.add(held.take());
         }
-        for (PoolerHarness.Peer peer : List.of(primary, replica)) {
+        for (ScriptedPeer peer : List.of(primary, replica)) {
             for (String text : peer.received) {
                 inHand.add(TestMessages.requestId(text));
             }
         }
         harness.whileLoopIsBlocked(() -> {
-            for (Map.Entry<String, PoolerHarness.Link> client : clients.entrySet()) {
+            for (Map.Entry<String, WireConnection> client : clients.entrySet()) {
                 if (!inHand.contains(client.getKey())) {
                     client.getValue().close();
                 }
             }
-            for (PoolerHarness.Link server : servers) {
+            for (WireConnection server : servers) {
                 server.send(row("late", "replica"), TestMessages.READY);
             }
         });
@@ -117,7 +117,7 @@
         start();
         try (CancellableClient client = new CancellableClient()) {
             client.link.send(query(readSql("gone", 9000)));
-            PoolerHarness.Link pending = handshakes.take();
+            WireConnection pending = handshakes.take();
             client.cancelAndAwaitError();
             assertNothingIsSentBeforeTheNextRequest(pending);
             assertThat(value(client.link.execute(readSql("2", 9000)))).isEqualTo("from-replica");
--- a/pooler/src/test/java/frostreel/DiscoveryTest.java
+++ b/pooler/src/test/java/frostreel/DiscoveryTest.java
@@ -17,16 +17,16 @@
 
 /** The watch on discovery: failures at each point of a request, and changes of the agent. */
 class DiscoveryTest extends AbstractPoolerTest {
-    private static final PoolerHarness.Script SILENCE = (text, link) -> {};
-    private static final PoolerHarness.Script CLOSE = (text, link) -> link.close();
-    private static final PoolerHarness.Script RESET = (text, link) -> {
+    private static final ScriptedPeer.Script SILENCE = (text, link) -> {};
+    private static final ScriptedPeer.Script CLOSE = (text, link) -> link.close();
+    private static final ScriptedPeer.Script RESET = (text, link) -> {
         link.socket.setSoLinger(true, 0);
         link.close();
     };
     /** How the agent responds to each request in turn. */
-    private final BlockingQueue<PoolerHarness.Script> responses = new LinkedBlockingQueue<>();
+    private final BlockingQueue<ScriptedPeer.Script> responses = new LinkedBlockingQueue<>();
 
-    private static PoolerHarness.Script inTurn(BlockingQueue<PoolerHarness.Script> responses) {
+    private static ScriptedPeer.Script inTurn(BlockingQueue<ScriptedPeer.Script> responses) {
         return (text, link) -> {
             try {
                 responses.take().respond(text, link);
@@ -44,7 +44,7 @@
         assertThat(harness.discovery.next()).contains("index=1&").doesNotContain("wait=1 ");
     }
 
-    private static PoolerHarness.Script respondWith(String list) {
+    private static ScriptedPeer.Script respondWith(String list) {
         return (text, link) -> link.send(http(list));
     }
 
@@ -55,7 +55,7 @@
     /** A silence may last no more than 6 s in all, which a second long poll after a failure would exceed. */
     @Test
     void afterAnyFailureTheNextPollDoesNotWaitAndItsListIsApplied() throws Exception {
-        List<List<PoolerHarness.Script>> failures = List.of(
+        List<List<ScriptedPeer.Script>> failures = List.of(
                 List.of(
                         SILENCE,
                         RESET,
@@ -69,14 +69,14 @@
                 List.of(CLOSE, SILENCE));
         startWatch();
         int seq = 1;
-        for (List<PoolerHarness.Script> failuresInARow : failures) {
-            for (PoolerHarness.Script failure : failuresInARow) {
+        for (List<ScriptedPeer.Script> failuresInARow : failures) {
+            for (ScriptedPeer.Script failure : failuresInARow) {
                 responses.add(failure);
                 assertThat(harness.discovery.next()).contains("index=" + seq + "&wait=1 ");
             }
             responses.add(respondWith(changes(++seq, seq % 2 == 0 ? "Terminating" : "Ready")));
             assertThat(harness.discovery.next()).contains("index=" + seq + "&").doesNotContain("wait=1 ");
-            try (PoolerHarness.Link client = harness.client()) {
+            try (WireConnection client = harness.client()) {
                 assertThat(value(client.execute(readSql("q" + seq, 9000))))
                         .isEqualTo(seq % 2 == 0 ? "from-primary" : "from-replica");
             }
@@ -96,7 +96,7 @@
             RESET.respond(text, link);
         });
         assertThat(harness.discovery.next()).contains("index=2&wait=1 ");
-        try (PoolerHarness.Link client = harness.client()) {
+        try (WireConnection client = harness.client()) {
             assertThat(value(client.execute(readSql("1", 9000)))).isEqualTo("from-primary");
         }
         assertThat(harness.pooler.counters()).contains(" discovery_failures=1 ");
@@ -106,14 +106,14 @@
     @Test
     void watchStoppedWhileConnectingMakesNoFurtherConnection() throws Exception {
         startWatch();
-        PoolerHarness.Peer unreachableAgent = harness.agent(SILENCE);
+        ScriptedPeer unreachableAgent = harness.agent(SILENCE);
         unreachableAgent.close(); // The connect is refused and retried after a backoff.
         harness.reload(unreachableAgent);
         while (harness.pooler.counters().contains(" discovery_failures=0 ")) {
             Thread.onSpinWait();
         }
-        BlockingQueue<PoolerHarness.Script> newResponses = new LinkedBlockingQueue<>();
-        PoolerHarness.Peer answeringAgent = harness.agent(inTurn(newResponses));
+        BlockingQueue<ScriptedPeer.Script> newResponses = new LinkedBlockingQueue<>();
+        ScriptedPeer answeringAgent = harness.agent(inTurn(newResponses));
         harness.reload(answeringAgent);
         newResponses.add(respondWith(list(5, true, host("a", primary, "primary", "Ready"))));
         assertThat(answeringAgent.next()).startsWith("GET /discovery/hosts HTTP");
@@ -136,15 +136,15 @@
     @Test
     void previousDiscoveryStaysInUseUntilTheNewOneAnswers() throws Exception {
         startWatch();
-        try (PoolerHarness.Link client = harness.client()) {
-            PoolerHarness.Peer silent = harness.agent(SILENCE);
+        try (WireConnection client = harness.client()) {
+            ScriptedPeer silent = harness.agent(SILENCE);
             harness.reload(silent);
             assertThat(silent.next()).startsWith("GET /discovery/hosts HTTP");
             responses.add(respondWith(changes(2, "Terminating")));
             assertThat(harness.discovery.next()).contains("index=2&");
             assertThat(value(client.execute(readSql("1", 9000)))).isEqualTo("from-primary");
 
-            PoolerHarness.Peer refusing = harness.agent(SILENCE);
+            ScriptedPeer refusing = harness.agent(SILENCE);
             refusing.close();
             harness.reload(refusing);
             assertThat(silent.closedConnections.take()).isEqualTo("closed");
@@ -152,8 +152,8 @@
             assertThat(harness.discovery.next()).contains("index=3&");
             assertThat(value(client.execute(readSql("2", 9000)))).isEqualTo("from-replica");
 
-            BlockingQueue<PoolerHarness.Script> newResponses = new LinkedBlockingQueue<>();
-            PoolerHarness.Peer answering = harness.agent(inTurn(newResponses));
+            BlockingQueue<ScriptedPeer.Script> newResponses = new LinkedBlockingQueue<>();
+            ScriptedPeer answering = harness.agent(inTurn(newResponses));
             harness.reload(answering);
             newResponses.add(respondWith(list(
                     1, true, host("a", primary, "primary", "Ready"), host("b", replica, "replica", "Terminating"))));
@@ -170,7 +170,7 @@
     /** The requests of many clients and the watch event are found in one turn, in arbitrary order. */
     private void assertWatchEventsAreAppliedFirstAfterAShortPause() throws Exception {
         CountDownLatch written = new CountDownLatch(1);
-        List<PoolerHarness.Link> clients = new ArrayList<>();
+        List<WireConnection> clients = new ArrayList<>();
         for (int i = 0; i < PoolerHarness.MOST_WAITING; i++) {
             clients.add(harness.client());
         }
@@ -178,7 +178,7 @@
         assertThat(value(clients.get(0).execute(readSql("first", 9000)))).isEqualTo("from-replica");
         harness.whileLoopIsBlocked(() -> {
             long since = System.nanoTime();
-            for (PoolerHarness.Link client : clients) {
+            for (WireConnection client : clients) {
                 client.send(query(readSql("q" + clients.indexOf(client), 9000)));
             }
             responses.add((text, link) -> {
@@ -188,7 +188,7 @@
             written.await();
             PoolerHarness.awaitElapsed(since, 100); // Two fifths of the limit on sends to a draining server.
         });
-        for (PoolerHarness.Link client : clients) {
+        for (WireConnection client : clients) {
             assertThat(value(client.readResponse())).isEqualTo("from-primary");
             client.close();
         }
@@ -215,12 +215,12 @@
     @Test
     void lateResponseIsAppliedAndTheSecondPollCancelled() throws Exception {
         startWatch();
-        BlockingQueue<PoolerHarness.Link> late = new LinkedBlockingQueue<>();
+        BlockingQueue<WireConnection> late = new LinkedBlockingQueue<>();
         responses.add(CLOSE);
         assertThat(harness.discovery.next()).contains("index=1&wait=1 ");
         assertThat(harness.discovery.closedConnections.take()).isEqualTo("closed");
         responses.add((text, link) -> late.add(link));
-        PoolerHarness.Link first = late.take();
+        WireConnection first = late.take();
         assertThat(harness.discovery.next()).as("beside the late one").contains("index=1&wait=1 ");
         responses.add(SILENCE);
         first.send(http(changes(2, "Terminating")));
@@ -231,7 +231,7 @@
         assertThat(harness.discovery.closedConnections.take())
                 .as("the second call is given up")
                 .isEqualTo("closed");
-        try (PoolerHarness.Link client = harness.client()) {
+        try (WireConnection client = harness.client()) {
             assertThat(value(client.execute(readSql("1", 9000)))).isEqualTo("from-primary");
         }
         assertThat(harness.discovery.connections.get()).isEqualTo(3);
--- a/pooler/src/test/java/frostreel/EndpointListTest.java
+++ b/pooler/src/test/java/frostreel/EndpointListTest.java
@@ -24,7 +24,7 @@
     @Test
     void drainingServerReceivesNoNewRequest() throws Exception {
         start();
-        try (PoolerHarness.Link client = harness.client()) {
+        try (WireConnection client = harness.client()) {
             client.execute(readSql("1", 9000));
             assertThat(replica.received).hasSize(1);
             harness.discovery.next();
@@ -40,12 +40,12 @@
     /** The handshake may last longer than the limit on sends to a draining server, and be followed by the request. */
     @Test
     void requestWaitingForConnectionMovesWhenItsServerDrainsOrMoves() throws Exception {
-        PoolerHarness.Peer moved = harness.server(rows("from-moved", "replica"));
+        ScriptedPeer moved = harness.server(rows("from-moved", "replica"));
         replica.handshake = (text, link) -> replica.received.add("a handshake that does not end");
         start();
         harness.discovery.next();
         harness.discovery.next();
-        try (PoolerHarness.Link client = harness.client()) {
+        try (WireConnection client = harness.client()) {
             client.send(query(readSql("1", 9000)));
             assertThat(replica.next()).isEqualTo("a handshake that does not end");
             harness.lists.add(list(2, false, host("b", replica, "replica", "Terminating")));
@@ -73,7 +73,7 @@
         while (harness.pooler.counters().contains("discovery_failures=0 ")) {
             Thread.onSpinWait();
         }
-        try (PoolerHarness.Link client = harness.client()) {
+        try (WireConnection client = harness.client()) {
             assertThat(value(client.execute(readSql("1", 9000)))).isEqualTo("from-replica");
         }
     }
--- a/pooler/src/test/java/frostreel/FailoverTest.java
+++ b/pooler/src/test/java/frostreel/FailoverTest.java
@@ -17,7 +17,7 @@
         primary.script = errors("25006", "replica");
         replica.script = rows("from-new-primary", "primary");
         start();
-        try (PoolerHarness.Link client = harness.client()) {
+        try (WireConnection client = harness.client()) {
             assertThat(value(client.execute(writeSql("1", 9000)))).isEqualTo("from-new-primary");
             assertThat(primary.received).hasSize(1);
             assertThat(value(client.execute(writeSql("2", 9000)))).isEqualTo("from-new-primary");
@@ -32,7 +32,7 @@
             link.close();
         };
         start();
-        try (PoolerHarness.Link client = harness.client()) {
+        try (WireConnection client = harness.client()) {
             assertThat(value(client.execute(readSql("1", 9000)))).isEqualTo("from-primary");
         }
     }
@@ -41,7 +41,7 @@
     void serverThatRefusesConnectionsIsSkipped() throws Exception {
         start();
         replica.close();
-        try (PoolerHarness.Link client = harness.client()) {
+        try (WireConnection client = harness.client()) {
             assertThat(value(client.execute(readSql("1", 9000)))).isEqualTo("from-primary");
         }
     }
@@ -50,7 +50,7 @@
     void idempotentReadIsRetriedAfterErrorAndConnectionIsReused() throws Exception {
         replica.script = errors("XX000", "replica");
         start();
-        try (PoolerHarness.Link client = harness.client()) {
+        try (WireConnection client = harness.client()) {
             assertThat(value(client.execute(readSql("1", 9000)))).isEqualTo("from-primary");
             replica.script = rows("later", "replica");
             client.execute(readSql("2", 9000));
@@ -63,7 +63,7 @@
         replica.script = errors("53300", "replica");
         primary.script = errors("53300", "primary");
         start();
-        try (PoolerHarness.Link client = harness.client()) {
+        try (WireConnection client = harness.client()) {
             List<String> response = client.execute(readSql("1", 300));
             assertThat(response).singleElement().asString().contains("|C53300|").containsPattern("\\|D\\d+\\|");
         }
@@ -71,11 +71,11 @@
 
     @Test
     void timeoutClosesServerConnectionAndAnswersTheClientOnce() throws Exception {
-        PoolerHarness.Script silence = (text, link) -> {};
+        ScriptedPeer.Script silence = (text, link) -> {};
         replica.script = silence;
         primary.script = silence;
         start();
-        try (PoolerHarness.Link client = harness.client()) {
+        try (WireConnection client = harness.client()) {
             assertThat(client.execute(readSql("1", 200)))
                     .singleElement()
                     .asString()
@@ -95,7 +95,7 @@
     void readTooStaleAtItsReplicaIsRetriedOnThePrimary() throws Exception {
         replica.script = errors("72000", "replica");
         start();
-        try (PoolerHarness.Link client = harness.client()) {
+        try (WireConnection client = harness.client()) {
             assertThat(value(client.execute(readSql("1", 9000)))).isEqualTo("from-primary");
             assertThat(harness.pooler.counters()).contains("WRONG_ROLE_OR_STALE=1");
         }
--- a/pooler/src/test/java/frostreel/LateConnectionsTest.java
+++ b/pooler/src/test/java/frostreel/LateConnectionsTest.java
@@ -15,13 +15,13 @@
 
 /** Connections to servers that are established once the request that waited for them may not be sent. */
 class LateConnectionsTest extends AbstractPoolerTest {
-    private final BlockingQueue<PoolerHarness.Link> handshakes = new LinkedBlockingQueue<>();
+    private final BlockingQueue<WireConnection> handshakes = new LinkedBlockingQueue<>();
 
     /** The retry was decided upon in time, but its connection took longer than the idempotency window. */
     @Test
     void retryWhoseConnectionOpensAfterItsIdempotencyWindowIsNotSent() throws Exception {
         long windowMs = 2_000;
-        BlockingQueue<PoolerHarness.Link> served = new LinkedBlockingQueue<>();
+        BlockingQueue<WireConnection> served = new LinkedBlockingQueue<>();
         harness.settings = PoolerHarness.SETTINGS
                 .replace("\"repeatWindowS\":3", "\"repeatWindowS\":2")
                 .replace("\"probes\":true", "\"probes\":false"); // Health checks would wait for connections, too.
@@ -34,11 +34,11 @@
             link.close(); // The write may have been executed.
         };
         start();
-        try (PoolerHarness.Link client = harness.client()) {
+        try (WireConnection client = harness.client()) {
             long sent = System.nanoTime();
             client.send(query(writeSql("1", 9000)));
             assertThat(primary.next()).contains("id=1,");
-            PoolerHarness.Link late = handshakes.take();
+            WireConnection late = handshakes.take();
             PoolerHarness.awaitElapsed(sent, windowMs + 500);
             late.completeHandshake();
             assertThat(client.readResponse()).singleElement().asString().contains("|C08007|");
@@ -54,14 +54,14 @@
     void connectionOpenedAfterItsRequestEndedServesTheNextOne() throws Exception {
         replica.handshake = (text, link) -> handshakes.add(link);
         start();
-        try (PoolerHarness.Link client = harness.client()) {
+        try (WireConnection client = harness.client()) {
             assertThat(client.execute(readSql("1", 300)))
                     .singleElement()
                     .asString()
                     .startsWith("E");
-            PoolerHarness.Link late = handshakes.take();
+            WireConnection late = handshakes.take();
             client.send(query(readSql("2", 9000)));
-            PoolerHarness.Link itsOwn = handshakes.take();
+            WireConnection itsOwn = handshakes.take();
             late.completeHandshake();
             assertThat(value(client.readResponse())).isEqualTo("from-replica");
             assertThat(replica.next()).contains("id=2,");
@@ -77,21 +77,21 @@
     /** The old connection becomes idle while a request waits for one to the new address. */
     @Test
     void requestWaitingForMovedServerIsNotSentToItsOldAddress() throws Exception {
-        PoolerHarness.Peer moved = harness.server(rows("from-moved", "replica"));
+        ScriptedPeer moved = harness.server(rows("from-moved", "replica"));
         moved.handshake = (text, link) -> handshakes.add(link);
-        BlockingQueue<PoolerHarness.Link> held = new LinkedBlockingQueue<>();
+        BlockingQueue<WireConnection> held = new LinkedBlockingQueue<>();
         replica.script = (text, link) -> held.add(link);
         start();
         harness.discovery.next();
         harness.discovery.next();
-        try (PoolerHarness.Link first = harness.client();
-                PoolerHarness.Link second = harness.client()) {
+        try (WireConnection first = harness.client();
+                WireConnection second = harness.client()) {
             first.send(query(readSql("1", 9000)));
-            PoolerHarness.Link oldConnection = held.take();
+            WireConnection oldConnection = held.take();
             harness.lists.add(list(2, false, host("b", moved, "replica", "Ready")));
             assertThat(harness.discovery.next()).contains("index=2&");
             second.send(query(readSql("2", 9000)));
-            PoolerHarness.Link pending = handshakes.take();
+            WireConnection pending = handshakes.take();
             replica.script = rows("from-replica", "replica");
             oldConnection.send(row("old", "replica"), TestMessages.READY);
             assertThat(value(first.readResponse())).isEqualTo("old");
@@ -106,10 +106,10 @@
     void timeLeftIsComputedWhenTheAttemptIsSent() throws Exception {
         replica.handshake = (text, link) -> handshakes.add(link);
         start();
-        try (PoolerHarness.Link client = harness.client()) {
+        try (WireConnection client = harness.client()) {
             long sent = System.nanoTime();
             client.send(query(readSql("1", 9000)));
-            PoolerHarness.Link late = handshakes.take();
+            WireConnection late = handshakes.take();
             PoolerHarness.awaitElapsed(sent, 600);
             late.completeHandshake();
             assertThat(value(client.readResponse())).isEqualTo("from-replica");
--- a/pooler/src/test/java/frostreel/LongValuesTest.java
+++ b/pooler/src/test/java/frostreel/LongValuesTest.java
@@ -53,12 +53,12 @@
         return out.toByteArray();
     }
 
-    private static PoolerHarness.Script whole(byte[] value) {
+    private static ScriptedPeer.Script whole(byte[] value) {
         return (text, link) -> link.send(head(value.length, value.length), value, TAIL);
     }
 
     /** Reads a RowDescription and the head of a DataRow, up to the value. */
-    private static void readHead(PoolerHarness.Link client, int length) throws IOException {
+    private static void readHead(WireConnection client, int length) throws IOException {
         assertThat(client.take()).startsWith("T");
         assertThat(client.in.readUnsignedByte()).isEqualTo('D');
         assertThat(client.in.readInt()).isEqualTo(length + 10);
@@ -66,7 +66,7 @@
         assertThat(client.in.readInt()).isEqualTo(length);
     }
 
-    private static void readTail(PoolerHarness.Link client) throws IOException {
+    private static void readTail(WireConnection client) throws IOException {
         assertThat(client.take()).startsWith("C");
         assertThat(client.take()).startsWith("Z");
     }
@@ -82,7 +82,7 @@
                 link.out.write(tailByte);
             }
         };
-        try (PoolerHarness.Link client = harness.client()) {
+        try (WireConnection client = harness.client()) {
             client.send(TestMessages.query(readSql("1", 9000)), TestMessages.query(writeSql("2", 9000)));
             readHead(client, LONG);
             assertThat(client.in.readNBytes(100)).isEqualTo(Arrays.copyOf(VALUE, 100));
@@ -108,7 +108,7 @@
             link.send(head(LONG, LONG), Arrays.copyOf(VALUE, LONG / 2));
             link.close();
         };
-        try (PoolerHarness.Link client = harness.client()) {
+        try (WireConnection client = harness.client()) {
             client.send(TestMessages.query(readSql("1", 9000)));
             readHead(client, LONG);
             assertThat(client.in.readNBytes(LONG).length).isLessThanOrEqualTo(LONG / 2);
@@ -123,7 +123,7 @@
     void errorAfterLongValueClosesTheClient() throws Exception {
         replica.script =
                 (text, link) -> link.send(head(LONG, LONG), VALUE, TestMessages.error("XX000"), TestMessages.READY);
-        try (PoolerHarness.Link client = harness.client()) {
+        try (WireConnection client = harness.client()) {
             client.send(TestMessages.query(readSql("1", 9000)));
             readHead(client, LONG);
             client.in.readNBytes(LONG);
@@ -138,13 +138,13 @@
             link.send(head(LONG, LONG), Arrays.copyOf(VALUE, LONG / 2));
             PoolerHarness.await(first);
         };
-        try (PoolerHarness.Link client = harness.client()) {
+        try (WireConnection client = harness.client()) {
             client.send(TestMessages.query(readSql("1", 9000)));
             readHead(client, LONG);
         }
         first.countDown();
         replica.closedConnections.take();
-        try (PoolerHarness.Link client = harness.client()) {
+        try (WireConnection client = harness.client()) {
             assertThat(client.execute(writeSql("2", 9000)).get(1)).endsWith("from-primary");
         }
     }
@@ -152,7 +152,7 @@
     @Test
     void rowWithInconsistentLengthIsNotForwarded() throws Exception {
         replica.script = (text, link) -> link.send(head(LONG, LONG - 1), VALUE, TAIL);
-        try (PoolerHarness.Link client = harness.client()) {
+        try (WireConnection client = harness.client()) {
             assertThat(client.execute(readSql("1", 9000)).get(1)).endsWith("from-primary");
         }
     }
@@ -173,9 +173,9 @@
                 whole(VALUE).respond(text, link);
             }
         };
-        try (PoolerHarness.Link slow = harness.client();
-                PoolerHarness.Link drip = harness.client();
-                PoolerHarness.Link quick = harness.client()) {
+        try (WireConnection slow = harness.client();
+                WireConnection drip = harness.client();
+                WireConnection quick = harness.client()) {
             slow.send(TestMessages.query(readSql("slow", 9000)));
             drip.send(TestMessages.query(readSql("drip", 9000)));
             readHead(slow, LONG);
@@ -210,20 +210,20 @@
         };
         primary.script = replica.script; // It takes reads while the replica is at its limit.
         String configuration = configuration().replace("\"sockets\":128", "\"sockets\":512");
-        List<PoolerHarness.Link> all = new ArrayList<>();
+        List<WireConnection> all = new ArrayList<>();
         try (ServeProcess process = ServeProcess.startWithJvmOptions(
                 List.of("-Xmx32m", "-XX:+ExitOnOutOfMemoryError"), PoolerHarness.environment(configuration))) {
             int port = process.awaitPort();
             process.awaitReady();
             for (int i = 0; i < clients; i++) {
-                PoolerHarness.Link client = PoolerHarness.client(port);
+                WireConnection client = PoolerHarness.client(port);
                 all.add(client);
                 client.send(TestMessages.query(readSql("n" + i, 9000)));
             }
-            for (PoolerHarness.Link client : all) {
+            for (WireConnection client : all) {
                 readHead(client, parts * part.length);
             }
-            for (PoolerHarness.Link client : all) {
+            for (WireConnection client : all) {
                 for (int i = 0; i < parts; i++) {
                     assertThat(Arrays.equals(client.in.readNBytes(part.length), part))
                             .isTrue();
@@ -231,7 +231,7 @@
                 readTail(client);
             }
         } finally {
-            for (PoolerHarness.Link client : all) {
+            for (WireConnection client : all) {
                 client.close();
             }
         }
--- a/pooler/src/test/java/frostreel/OperatorCommandsTest.java
+++ b/pooler/src/test/java/frostreel/OperatorCommandsTest.java
@@ -26,7 +26,7 @@
 
     @Test
     void suspendedServerReceivesNothingUntilRestored() throws Exception {
-        try (PoolerHarness.Link client = harness.client()) {
+        try (WireConnection client = harness.client()) {
             assertThat(value(client.execute(readSql("1", 9000)))).isEqualTo("from-replica");
             assertThat(harness.command("SUSPEND b")).isEqualTo("OK\n");
             assertThat(value(client.execute(readSql("2", 9000)))).isEqualTo("from-primary");
@@ -51,7 +51,7 @@
     void writeToSuspendedPrimaryIsRejectedUnsent() throws Exception {
         replica.script = PoolerHarness.errors("25006", "replica");
         assertThat(harness.command("SUSPEND a")).isEqualTo("OK\n");
-        try (PoolerHarness.Link client = harness.client()) {
+        try (WireConnection client = harness.client()) {
             assertThat(client.execute(writeSql("1", 600)))
                     .singleElement()
                     .asString()
@@ -89,13 +89,13 @@
 
     @Test
     void pauseDrainsClientsAndResumeServesAgain() throws Exception {
-        try (PoolerHarness.Link kept = harness.client();
-                PoolerHarness.Link idle = harness.client()) {
+        try (WireConnection kept = harness.client();
+                WireConnection idle = harness.client()) {
             kept.execute(readSql("1", 9000));
             idle.execute(readSql("2", 9000));
             assertThat(harness.command("PAUSE")).isEqualTo("OK\n");
             assertThat(harness.command("STATUS")).startsWith("ERR ");
-            try (PoolerHarness.Link late = harness.client()) {
+            try (WireConnection late = harness.client()) {
                 assertThat(value(late.execute(readSql("3", 9000))))
                         .as("still dealt out")
                         .isNotEmpty();
@@ -106,7 +106,7 @@
             assertThat(idle.closedByPeer()).isTrue();
             assertThat(harness.command("PAUSE")).isEqualTo("OK\n");
             assertThat(harness.command("RESUME")).isEqualTo("OK\n");
-            try (PoolerHarness.Link client = harness.client()) {
+            try (WireConnection client = harness.client()) {
                 assertThat(client.execute("")).containsExactly("I");
                 assertThat(value(client.execute(readSql("4", 9000)))).isNotEmpty();
             }
@@ -130,8 +130,8 @@
             PoolerHarness.await(reloaded);
             link.send(TestMessages.error("XX000"), TestMessages.READY);
         };
-        try (PoolerHarness.Link open = harness.client();
-                PoolerHarness.Link later = harness.client()) {
+        try (WireConnection open = harness.client();
+                WireConnection later = harness.client()) {
             open.send(TestMessages.query(readSql("1", 9000)));
             asked.await();
             harness.pooler.reload(Config.load(PoolerHarness.environment(changed(harness.discovery.address()))));
@@ -162,7 +162,7 @@
 
     @Test
     void readsGoToPrimaryWithoutReplicasAndAreRejectedWithoutMembers() throws Exception {
-        try (PoolerHarness.Link client = harness.client()) {
+        try (WireConnection client = harness.client()) {
             assertThat(harness.command("SUSPEND b")).isEqualTo("OK\n");
             assertThat(value(client.execute(readSql("1", 9000)))).isEqualTo("from-primary");
             assertThat(harness.command("SUSPEND a")).isEqualTo("OK\n");
@@ -184,7 +184,7 @@
             welcomed.countDown();
             PoolerHarness.await(over);
         };
-        try (PoolerHarness.Link client = harness.client()) {
+        try (WireConnection client = harness.client()) {
             client.send(TestMessages.query(readSql("1", 9000)));
             welcomed.await();
             assertThat(harness.command("SUSPEND b")).isEqualTo("OK\n");
@@ -207,7 +207,7 @@
         for (int i = 0; i < 5; i++) {
             harness.sentLists.take();
         }
-        try (PoolerHarness.Link client = harness.client()) {
+        try (WireConnection client = harness.client()) {
             for (int i = 0; i < 20; i++) {
                 assertThat(value(client.execute(readSql("n" + i, 9000)))).isEqualTo("from-primary");
             }
--- a/pooler/src/test/java/frostreel/PausedProcessTest.java
+++ b/pooler/src/test/java/frostreel/PausedProcessTest.java
@@ -19,7 +19,7 @@
             int port = process.awaitPort();
             process.awaitReady();
             assertThat(harness.sentLists.take()).isEqualTo("sent");
-            try (PoolerHarness.Link client = PoolerHarness.client(port)) {
+            try (WireConnection client = PoolerHarness.client(port)) {
                 assertThat(value(client.execute(readSql("1", 9000)))).isEqualTo("from-replica");
                 process.suspend();
                 long pausedAt = System.nanoTime();
@@ -42,8 +42,8 @@
             harness.lists.add(list(1, false));
             int port = process.awaitPort();
             process.awaitReady();
-            try (PoolerHarness.Link client = PoolerHarness.client(port);
-                    PoolerHarness.Link late = PoolerHarness.connect(port)) {
+            try (WireConnection client = PoolerHarness.client(port);
+                    WireConnection late = PoolerHarness.connect(port)) {
                 process.suspend();
                 client.send(query(writeSql("1", 9000)));
                 late.send(TestMessages.startup(), query(writeSql("2", 300)));
--- a/pooler/src/test/java/frostreel/PipelineTest.java
+++ b/pooler/src/test/java/frostreel/PipelineTest.java
@@ -17,11 +17,11 @@
 /** Pipelined requests: each has its deadline from its own arrival, and responses keep their order. */
 class PipelineTest extends AbstractPoolerTest {
     private static final int PATIENCE_MS = 300;
-    private final BlockingQueue<PoolerHarness.Link> held = new LinkedBlockingQueue<>();
+    private final BlockingQueue<WireConnection> held = new LinkedBlockingQueue<>();
 
     /** Leaves the response to the first request to the test. */
     private void holdFirst() throws Exception {
-        PoolerHarness.Script usual = rows("from-primary", "primary");
+        ScriptedPeer.Script usual = rows("from-primary", "primary");
         primary.script = (text, link) -> {
             if (text.contains("id=first,")) {
                 held.add(link);
@@ -37,9 +37,9 @@
     }
 
     /** Waits until all requests were read and the short deadline is over, and returns the server's connection. */
-    private PoolerHarness.Link awaitFirstSentAndPatienceOver() throws Exception {
-        PoolerHarness.Link link = held.take();
-        try (PoolerHarness.Link other = harness.client()) { // Read no earlier than in the same turn.
+    private WireConnection awaitFirstSentAndPatienceOver() throws Exception {
+        WireConnection link = held.take();
+        try (WireConnection other = harness.client()) { // Read no earlier than in the same turn.
             other.execute("");
             other.execute("");
         }
@@ -47,7 +47,7 @@
         return link;
     }
 
-    private static void answerFirst(PoolerHarness.Link link) throws Exception {
+    private static void answerFirst(WireConnection link) throws Exception {
         link.send(row("of-first", "primary"), TestMessages.READY);
     }
 
@@ -67,7 +67,7 @@
     @Test
     void timeSpentInPipelineCountsAgainstTheDeadline() throws Exception {
         holdFirst();
-        try (PoolerHarness.Link client = harness.client()) {
+        try (WireConnection client = harness.client()) {
             client.send(first(), query(readSql("dead", PATIENCE_MS)), query(readSql("live", 9000)));
             answerFirst(awaitFirstSentAndPatienceOver());
             assertThat(value(client.readResponse())).isEqualTo("of-first");
@@ -96,9 +96,9 @@
     @Test
     void pipelinedRequestsAreAnsweredInOrderAtShutdown() throws Exception {
         holdFirst();
-        try (PoolerHarness.Link client = harness.client()) {
+        try (WireConnection client = harness.client()) {
             client.send(first(), query(readSql("dead", PATIENCE_MS)), query(readSql("live", 9000)));
-            PoolerHarness.Link link = awaitFirstSentAndPatienceOver();
+            WireConnection link = awaitFirstSentAndPatienceOver();
             stopPooler();
             answerFirst(link);
             assertThat(value(client.readResponse())).isEqualTo("of-first");
@@ -124,7 +124,7 @@
                         default -> "";
                     }));
         }
-        try (PoolerHarness.Link client = harness.client()) {
+        try (WireConnection client = harness.client()) {
             client.send(all.toByteArray());
             answerFirst(awaitFirstSentAndPatienceOver());
             assertThat(value(client.readResponse())).isEqualTo("of-first");
--- a/pooler/src/test/java/frostreel/PoolerHarness.java
+++ b/pooler/src/test/java/frostreel/PoolerHarness.java
@@ -4,15 +4,8 @@
 import frostreel.control.CommandExecutor;
 import frostreel.operation.ServingLifecycle;
 import frostreel.settings.OperatorSettings;
-import java.io.ByteArrayOutputStream;
-import java.io.DataInputStream;
-import java.io.DataOutputStream;
-import java.io.EOFException;
 import java.io.IOException;
-import java.io.InputStream;
-import java.net.InetAddress;
 import java.net.InetSocketAddress;
-import java.net.ServerSocket;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -24,7 +17,6 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import java.util.concurrent.atomic.AtomicInteger;
 import java.util.logging.Handler;
 import java.util.logging.LogRecord;
 import java.util.logging.Logger;
@@ -60,170 +52,19 @@
             "rules":{"answerSlackS":0.02,"coldFrom":0.2,"fallMultiple":3,"fallS":2,"stopSendingWithinS":1,
             "warmAfterS":15}}""";
 
-    /** How a scripted peer responds to one message, on the connection that it arrived by. */
-    interface Script {
-        void respond(String text, Link link) throws IOException;
-    }
-
-    /** One end of a connection: a client's, or a scripted peer's. */
-    static final class Link implements AutoCloseable {
-        final Socket socket;
-        final DataInputStream in;
-        final DataOutputStream out;
-
-        Link(Socket socket) throws IOException {
-            this.socket = socket;
-            socket.setTcpNoDelay(true);
-            socket.setSoTimeout(PATIENCE_S * 1000);
-            in = new DataInputStream(socket.getInputStream());
-            out = new DataOutputStream(socket.getOutputStream());
-        }
-
-        void send(byte[]... parts) throws IOException {
-            ByteArrayOutputStream all = new ByteArrayOutputStream();
-            for (byte[] part : parts) {
-                all.writeBytes(part);
-            }
-            out.write(all.toByteArray());
-        }
-
-        /** Responds to a startup message as a server that accepts it. */
-        void completeHandshake() throws IOException {
-            send(TestMessages.bytes('R', new byte[4]), TestMessages.READY);
-        }
-
-        /** Reads the next message and returns its type and its text, with fields separated by '|'. */
-        String take() throws IOException {
-            char type = (char) in.readUnsignedByte();
-            byte[] body = in.readNBytes(in.readInt() - 4);
-            return type + new String(body, StandardCharsets.ISO_8859_1).replace('\0', '|');
-        }
-
-        /** Reads a response and returns its messages without ReadyForQuery. */
-        List<String> readResponse() throws IOException {
-            List<String> messages = new ArrayList<>();
-            for (String message = take(); !message.startsWith("Z"); message = take()) {
-                messages.add(message);
-            }
-            return messages;
-        }
-
-        List<String> execute(String sql) throws IOException {
-            send(TestMessages.query(sql));
-            return readResponse();
-        }
-
-        /** Returns whether the next event is the end of the connection. */
-        boolean closedByPeer() throws IOException {
-            try {
-                return in.read() < 0;
-            } catch (java.net.SocketException reset) {
-                return true;
-            }
-        }
-
-        @Override
-        public void close() throws IOException {
-            socket.close();
-        }
-    }
-
-    /** A server or a discovery agent that responds by a script. */
-    static final class Peer {
-        final ServerSocket listener;
-        /** The messages that arrived, without health checks. */
-        final BlockingQueue<String> received = new LinkedBlockingQueue<>();
-        /** One entry for each connection that has ended. */
-        final BlockingQueue<String> closedConnections = new LinkedBlockingQueue<>();
-        /** How many connections were accepted. */
-        final AtomicInteger connections = new AtomicInteger();
-
-        volatile Script script;
-        /** How a server responds to the startup message. */
-        volatile Script handshake = (text, link) -> link.completeHandshake();
-
-        private final Thread acceptor;
-
-        Peer(boolean database, Script script) throws IOException {
-            this(database, script, 0);
-        }
-
-        /** Listens at {@code port}, 0 for any free one. */
-        Peer(boolean database, Script script, int port) throws IOException {
-            this.script = script;
-            listener = new ServerSocket(port, 50, InetAddress.getLoopbackAddress());
-            acceptor = spawn(() -> {
-                while (true) {
-                    Link link = new Link(listener.accept());
-                    connections.incrementAndGet();
-                    spawn(() -> {
-                        try (link) {
-                            serve(link, database);
-                        } finally {
-                            closedConnections.add("closed");
-                        }
-                    });
-                }
-            });
-        }
-
-        private void serve(Link link, boolean database) throws IOException {
-            link.socket.setSoTimeout(0);
-            if (database) {
-                link.in.readNBytes(link.in.readInt() - 4);
-                handshake.respond("", link);
-            }
-            while (true) {
-                String text = database ? link.take() : requestLine(link.in);
-                if (!text.equals("QSHOW load|")) { // Health checks arrive at any time.
-                    received.add(text);
-                }
-                script.respond(text, link);
-            }
-        }
-
-        /** Reads the head of an HTTP request and returns its first line. */
-        private static String requestLine(InputStream in) throws IOException {
-            StringBuilder head = new StringBuilder();
-            while (head.indexOf("\r\n\r\n") < 0) {
-                int next = in.read();
-                if (next < 0) {
-                    throw new EOFException();
-                }
-                head.append((char) next);
-            }
-            return head.substring(0, head.indexOf("\r\n"));
-        }
-
-        /** Waits for the next message that arrives, and returns it. */
-        String next() throws InterruptedException {
-            return received.poll(PATIENCE_S, TimeUnit.SECONDS);
-        }
-
-        String address() {
-            return "127.0.0.1:" + listener.getLocalPort();
-        }
-
-        /** Once this returns, connections are refused; while the acceptor runs, the port stays open. */
-        void close() throws Exception {
-            listener.close();
-            acceptor.join();
-        }
-    }
-
     /** Code that may throw. */
     interface Task {
         void run() throws Exception;
     }
 
-    private final List<Peer> peers = new ArrayList<>();
-    private final List<Link> clients = new ArrayList<>();
+    private final List<ScriptedPeer> peers = new ArrayList<>();
+    private final List<WireConnection> clients = new ArrayList<>();
     /** The endpoint lists with which {@link #discovery} responds, one a request. */
     final BlockingQueue<String> lists = new LinkedBlockingQueue<>();
     /** One entry for each list that a discovery agent has sent. */
     final BlockingQueue<String> sentLists = new LinkedBlockingQueue<>();
 
-    final Peer discovery;
+    final ScriptedPeer discovery;
     /** The pooler under test; null before the start, and once a test has ended it. */
     Pooler pooler;
 
@@ -242,8 +83,8 @@
     }
 
     /** Adds a discovery agent that responds to each request with the next of {@code lists}, and waits for one. */
-    Peer discovery(BlockingQueue<String> lists) throws IOException {
-        Peer peer = new Peer(false, (text, link) -> {
+    ScriptedPeer discovery(BlockingQueue<String> lists) throws IOException {
+        ScriptedPeer peer = new ScriptedPeer(false, (text, link) -> {
             try {
                 link.send(TestMessages.http(lists.take()));
                 sentLists.add("sent");
@@ -279,15 +120,15 @@
     }
 
     /** Adds a database server. */
-    Peer server(Script script) throws IOException {
-        Peer peer = new Peer(true, script);
+    ScriptedPeer server(ScriptedPeer.Script script) throws IOException {
+        ScriptedPeer peer = new ScriptedPeer(true, script);
         peers.add(peer);
         return peer;
     }
 
     /** Adds a peer that speaks HTTP. */
-    Peer agent(Script script) throws IOException {
-        Peer peer = new Peer(false, script);
+    ScriptedPeer agent(ScriptedPeer.Script script) throws IOException {
+        ScriptedPeer peer = new ScriptedPeer(false, script);
         peers.add(peer);
         return peer;
     }
@@ -305,7 +146,7 @@
     }
 
     /** Returns an endpoint of a list, as JSON. */
-    static String host(String id, Peer server, String role, String health) {
+    static String host(String id, ScriptedPeer server, String role, String health) {
         return "{\"host\":\"" + id + "\",\"dial\":\"" + server.address()
                 + "\",\"site\":\"dc\",\"class\":\"m\",\"block\":2,"
                 + "\"health\":\"" + health + "\",\"share\":1.0,\"born_ms\":0,\"role\":\"" + role + "\"}";
@@ -360,7 +201,7 @@
     }
 
     /** Reloads the current settings with this discovery agent, as SIGHUP would. */
-    void reload(Peer discovery) throws Exception {
+    void reload(ScriptedPeer discovery) throws Exception {
         pooler.reload(Config.load(environment(configured(discovery.address()))));
     }
 
@@ -419,7 +260,7 @@
 
     /** Waits until the pooler is ready. */
     void awaitReady() throws Exception {
-        try (Link client = client()) {
+        try (WireConnection client = client()) {
             while (!client.execute("").equals(List.of("I"))) {
                 Thread.onSpinWait();
             }
@@ -427,8 +268,8 @@
     }
 
     /** Connects a client to the pooler and completes its startup; it is closed with the harness at the latest. */
-    Link client() throws Exception {
-        Link client = new Link(connect());
+    WireConnection client() throws Exception {
+        WireConnection client = new WireConnection(connect());
         clients.add(client);
         client.send(TestMessages.startup());
         client.readResponse();
@@ -436,13 +277,13 @@
     }
 
     /** Connects to a process that listens at this port. */
-    static Link connect(int port) throws IOException {
-        return new Link(new Socket("127.0.0.1", port));
+    static WireConnection connect(int port) throws IOException {
+        return new WireConnection(new Socket("127.0.0.1", port));
     }
 
     /** Connects a client to a process that listens at this port, and completes its startup. */
-    static Link client(int port) throws IOException {
-        Link client = connect(port);
+    static WireConnection client(int port) throws IOException {
+        WireConnection client = connect(port);
         client.send(TestMessages.startup());
         client.readResponse();
         return client;
@@ -465,22 +306,22 @@
     }
 
     /** Responds with one row. */
-    static Script rows(String value, String role) {
+    static ScriptedPeer.Script rows(String value, String role) {
         return (text, link) -> link.send(TestMessages.row(value, role), TestMessages.READY);
     }
 
     /** Responds with an error. */
-    static Script errors(String code, String role) {
+    static ScriptedPeer.Script errors(String code, String role) {
         return (text, link) ->
                 link.send(TestMessages.error(code), TestMessages.bytes('S', "role|" + role + "|"), TestMessages.READY);
     }
 
     /** Ends the clients, the peers and the pooler. */
     void close() throws Exception {
-        for (Link client : clients) {
+        for (WireConnection client : clients) {
             client.close();
         }
-        for (Peer peer : peers) {
+        for (ScriptedPeer peer : peers) {
             peer.close();
         }
         if (pooler != null) {
--- a/pooler/src/test/java/frostreel/RetryAfterTest.java
+++ b/pooler/src/test/java/frostreel/RetryAfterTest.java
@@ -10,7 +10,7 @@
 
 /** The Retry-After of requests that are rejected near the limit on connections. */
 class RetryAfterTest extends AbstractPoolerTest {
-    private final List<PoolerHarness.Link> clients = new ArrayList<>();
+    private final List<WireConnection> clients = new ArrayList<>();
 
     /** Returns the error of a request that arrives when the others hold all connections but the last. */
     private String rejection() throws Exception {
--- a/pooler/src/test/java/frostreel/ServerConnectionsTest.java
+++ b/pooler/src/test/java/frostreel/ServerConnectionsTest.java
@@ -20,7 +20,7 @@
     void clientDisconnectClosesItsServerConnection() throws Exception {
         replica.script = (text, link) -> {};
         start();
-        try (PoolerHarness.Link client = harness.client()) {
+        try (WireConnection client = harness.client()) {
             client.send(query(readSql("1", 9000)));
             assertThat(replica.next()).contains("id=1,");
         }
@@ -31,7 +31,7 @@
     @Test
     void longestIdleServerConnectionIsEvictedAtTheLimit() throws Exception {
         List<String> order = List.of("d", "c", "b", "a", "e"); // Neither alphabetical nor by hash.
-        Map<String, PoolerHarness.Peer> servers = new HashMap<>();
+        Map<String, ScriptedPeer> servers = new HashMap<>();
         List<String> hosts = new ArrayList<>();
         int atOnce = PoolerHarness.MAX_SERVERS / 4;
         for (String id : order) {
@@ -46,13 +46,13 @@
         }
         harness.start(hosts.toArray(String[]::new));
         for (String id : order) {
-            List<PoolerHarness.Link> clients = new ArrayList<>();
+            List<WireConnection> clients = new ArrayList<>();
             for (int i = 0; i < (id.equals("e") ? 1 : atOnce); i++) {
                 clients.add(harness.client());
                 clients.get(i)
                         .send(query(writeSql(id + i, 9000).replace("cluster=2", "cluster=" + (int) id.charAt(0))));
             }
-            for (PoolerHarness.Link client : clients) {
+            for (WireConnection client : clients) {
                 assertThat(value(client.readResponse())).isEqualTo(id);
                 client.close();
             }
@@ -73,7 +73,7 @@
             link.close();
         };
         start();
-        try (PoolerHarness.Link client = harness.client()) {
+        try (WireConnection client = harness.client()) {
             for (int i = 0; i < 50; i++) {
                 assertThat(value(client.execute(readSql("id" + i, 9000)))).isEqualTo("from-primary");
             }
--- a/pooler/src/test/java/frostreel/ServerProtocolTest.java
+++ b/pooler/src/test/java/frostreel/ServerProtocolTest.java
@@ -13,7 +13,7 @@
     void malformedServerResponseClosesItsConnectionAndIsRetried() throws Exception {
         replica.script = (text, link) -> link.send(new byte[] {'T', -1, 0, 0, 0});
         start();
-        try (PoolerHarness.Link client = harness.client()) {
+        try (WireConnection client = harness.client()) {
             assertThat(value(client.execute(readSql("1", 9000)))).isEqualTo("from-primary");
         }
     }
@@ -26,7 +26,7 @@
         };
         primary.script = replica.script;
         start();
-        try (PoolerHarness.Link client = harness.client()) {
+        try (WireConnection client = harness.client()) {
             for (int i = 0; i < 20; i++) {
                 assertThat(value(client.execute(readSql("id" + i, 9000)))).isEqualTo("id" + i);
             }
@@ -52,7 +52,7 @@
                 TestMessages.bytes('E', "Cunended"),
                 TestMessages.bytes('Z', "II"));
         start();
-        try (PoolerHarness.Link client = harness.client()) {
+        try (WireConnection client = harness.client()) {
             for (byte[] response : spoilt) {
                 replica.script = (text, link) -> link.send(response, TestMessages.READY);
                 List<String> result = client.execute(readSql("1", 9000));
@@ -72,7 +72,7 @@
                 TestMessages.bytes('S', "unended"),
                 TestMessages.READY);
         start();
-        try (PoolerHarness.Link client = harness.client()) {
+        try (WireConnection client = harness.client()) {
             assertThat(value(client.execute(readSql("1", 9000)))).isEqualTo("good");
             assertThat(harness.pooler.counters()).contains("unread_reports=3 ").contains("malformed=0 ");
         }
--- a/pooler/src/test/java/frostreel/ShutdownTest.java
+++ b/pooler/src/test/java/frostreel/ShutdownTest.java
@@ -50,7 +50,7 @@
 
     /** Sends requests until the connection ends; one that was sent across its end stays unanswered. */
     private static void asks(int port, String name, Set<String> answered) throws IOException {
-        try (PoolerHarness.Link client = PoolerHarness.client(port)) {
+        try (WireConnection client = PoolerHarness.client(port)) {
             for (int i = 0; true; i++) {
                 client.send(query(readSql(name + "x" + i, 300)));
                 client.readResponse();
@@ -98,7 +98,7 @@
                 client.join();
             }
             Set<String> reached = new HashSet<>();
-            for (PoolerHarness.Peer peer : List.of(primary, replica)) {
+            for (ScriptedPeer peer : List.of(primary, replica)) {
                 peer.received.forEach(text -> reached.add(TestMessages.requestId(text)));
             }
             reached.removeAll(answered);
@@ -110,7 +110,7 @@
     @Test
     void idleClientsDoNotStarveDiscoveryServersOrNewClients() throws Exception {
         int many = 3 * PoolerHarness.MAX_CLIENTS;
-        List<PoolerHarness.Link> idle = new ArrayList<>();
+        List<WireConnection> idle = new ArrayList<>();
         try (ServeProcess process = ServeProcess.start(environment())) {
             harness.lists.add(list(1, false));
             int port = process.awaitPort();
@@ -127,7 +127,7 @@
             harness.lists.add("no list");
             process.awaitLog("the last list is kept");
             for (int i = 0; i < many; i++) {
-                PoolerHarness.Link client = PoolerHarness.connect(port);
+                WireConnection client = PoolerHarness.connect(port);
                 idle.add(client);
                 client.send(TestMessages.startup(), query(readSql("i" + i, 300)));
                 client.readResponse();
@@ -136,11 +136,11 @@
             byte[] drains = TestMessages.http(list(2, false, host("b", replica, "replica", "Terminating")));
             harness.discovery.script = (text, link) -> link.send(drains);
             process.awaitLog("discovery answers again");
-            try (PoolerHarness.Link client = PoolerHarness.client(port)) {
+            try (WireConnection client = PoolerHarness.client(port)) {
                 assertThat(value(client.execute(readSql("late", 300)))).isEqualTo("from-primary");
             }
         } finally {
-            for (PoolerHarness.Link client : idle) {
+            for (WireConnection client : idle) {
                 client.close();
             }
         }
@@ -167,8 +167,8 @@
             link.send(row("late", "replica"), TestMessages.READY);
         };
         start();
-        try (PoolerHarness.Link client = harness.client();
-                PoolerHarness.Link idle = harness.client()) {
+        try (WireConnection client = harness.client();
+                WireConnection idle = harness.client()) {
             client.send(query(readSql("1", 9000)));
             asked.await();
             Thread stop = stopPooler();
--- a/pooler/src/test/java/frostreel/SighupTest.java
+++ b/pooler/src/test/java/frostreel/SighupTest.java
@@ -16,7 +16,7 @@
     @Test
     void sighupSwitchesDiscoveryAndNeverEndsTheProcess() throws Exception {
         BlockingQueue<String> lists = new LinkedBlockingQueue<>();
-        PoolerHarness.Peer next = harness.discovery(lists);
+        ScriptedPeer next = harness.discovery(lists);
         Map<String, String> environment =
                 new HashMap<>(PoolerHarness.environment(PoolerHarness.configuration(harness.discovery.address())));
         Path file = Path.of(environment.get("GW_CONFIG"));
--- a/pooler/src/test/java/frostreel/StartupReadinessTest.java
+++ b/pooler/src/test/java/frostreel/StartupReadinessTest.java
@@ -14,7 +14,7 @@
     @Test
     void notReadyBeforeTheFirstEndpointList() throws Exception {
         harness.startSilent();
-        try (PoolerHarness.Link client = harness.client()) {
+        try (WireConnection client = harness.client()) {
             assertThat(client.execute("")).singleElement().asString().contains("|C57P03|");
             harness.lists.add(list(1, true, host("a", primary, "primary", "Ready")));
             // The next poll is sent once the list was applied.
@@ -33,7 +33,7 @@
     void configuredListServesWithoutDiscoveryAndOnlyChangesAreRequested() throws Exception {
         harness.startSilent(host("a", primary, "primary", "Ready"), host("b", replica, "replica", "Ready"));
         assertThat(harness.discovery.next()).startsWith("GET /discovery/hosts?index=0&wait=1 ");
-        try (PoolerHarness.Link client = harness.client()) {
+        try (WireConnection client = harness.client()) {
             untilReady(client);
             assertThat(value(client.execute(readSql("1", 9000)))).isEqualTo("from-replica");
             harness.lists.add(list(7, false, host("b", replica, "replica", "Terminating")));
@@ -48,7 +48,7 @@
     void configuredListIsNotUsedBeforeDiscoveryReportedChanges() throws Exception {
         harness.configuredListPatienceUs = Long.MAX_VALUE / 8;
         harness.startSilent(host("a", primary, "primary", "Ready"), host("b", replica, "replica", "Ready"));
-        try (PoolerHarness.Link client = harness.client()) {
+        try (WireConnection client = harness.client()) {
             assertThat(client.execute("")).singleElement().asString().contains("|C57P03|");
             assertThat(client.execute(readSql("1", 9000)))
                     .singleElement()
@@ -62,7 +62,7 @@
         assertThat(harness.pooler.counters()).contains(" attempts=1 ");
     }
 
-    private static void untilReady(PoolerHarness.Link client) throws IOException {
+    private static void untilReady(WireConnection client) throws IOException {
         for (List<String> response = client.execute("");
                 !response.equals(List.of("I"));
                 response = client.execute("")) {
--- a/pooler/src/test/java/frostreel/StatusPagesTest.java
+++ b/pooler/src/test/java/frostreel/StatusPagesTest.java
@@ -14,7 +14,7 @@
     @Test
     void showStatsReturnsTheCounters() throws Exception {
         start();
-        try (PoolerHarness.Link client = harness.client()) {
+        try (WireConnection client = harness.client()) {
             client.execute(readSql("1", 9000));
             assertThat(value(client.execute("SHOW stats")))
                     .contains(" requests=1 ")
@@ -31,7 +31,7 @@
                 new OperatorSettings.Zones(List.of(new OperatorSettings.Tier(List.of(), 1)), 2),
                 null);
         start();
-        try (PoolerHarness.Link client = harness.client()) {
+        try (WireConnection client = harness.client()) {
             assertThat(value(client.execute(readSql("1", 9000)))).isEqualTo("from-replica");
             assertThat(value(client.execute("SHOW zones")))
                     .contains("sent_by_tier=[1, 0]")
