--- a/decisions/src/main/java/frostreel/routing/Freshness.java
+++ b/decisions/src/main/java/frostreel/routing/Freshness.java
@@ -96,7 +96,7 @@
             return sinceWriteUs <= 0 ? 0 : request.arrivedUs - sinceWriteUs + ROUNDING_US;
         }
         long session = request.original.session();
-        return Math.max(sessionCommits.need(now, session), peerCommits.boundUs(now, session));
+        return Math.max(sessionCommits.requiredPositionUs(now, session), peerCommits.boundUs(now, session));
     }
 
     /**
--- a/decisions/src/main/java/frostreel/routing/MemberDirectory.java
+++ b/decisions/src/main/java/frostreel/routing/MemberDirectory.java
@@ -55,7 +55,7 @@
         for (Member entry : entries) {
             apply(now, entry, initial);
         }
-        members.values().forEach(member -> slowStart.usable(member.slowStart, member.isUsable(settings.rules())));
+        members.values().forEach(member -> slowStart.setUsable(member.slowStart, member.isUsable(settings.rules())));
         for (GroupState group : groups.values()) {
             group.chain.removeIf(
                     member -> member.isForgettable(now, settings.rules(), freshness.retentionUs()) && forget(member));
@@ -84,7 +84,7 @@
 
     private MemberState add(long now, Member entry, boolean initial) {
         GroupState group = group(entry.group());
-        SlowStart.Member slowStartState = slowStart.meet(now);
+        SlowStart.Member slowStartState = slowStart.register(now);
         int localityHandle = localityPolicy.memberHandle(entry.group(), entry.zone());
         MemberState member = new MemberState(entry.id(), group.number, slowStartState, localityHandle, now);
         member.verified = initial;
--- a/decisions/src/main/java/frostreel/routing/SessionCommits.java
+++ b/decisions/src/main/java/frostreel/routing/SessionCommits.java
@@ -85,20 +85,20 @@
     }
 
     /** The position that a read of the session must see now, 0 for any. */
-    long need(long nowUs, long session) {
+    long requiredPositionUs(long nowUs, long session) {
         SessionWrites writes = sessions.get(session);
-        long needUs = Math.min(floorUs, nowUs);
+        long requiredUs = Math.min(floorUs, nowUs);
         if (writes == null) {
-            return needUs;
+            return requiredUs;
         }
         if (writes.lastCommitUs > 0) {
-            needUs = Math.max(needUs, writes.lastCommitUs + ROUNDING_US);
+            requiredUs = Math.max(requiredUs, writes.lastCommitUs + ROUNDING_US);
         }
         long knownUs = nowUs - Router.KNOWN_AFTER_US;
         if (writes.inFlight > 0 && writes.inFlightSinceUs < knownUs) {
-            needUs = Math.max(needUs, knownUs);
+            requiredUs = Math.max(requiredUs, knownUs);
         }
-        return Math.max(needUs, Math.min(knownUs, writes.unknownUntilUs));
+        return Math.max(requiredUs, Math.min(knownUs, writes.unknownUntilUs));
     }
 
     /** How many sessions are kept. */
--- a/decisions/src/main/java/frostreel/routing/SlowStart.java
+++ b/decisions/src/main/java/frostreel/routing/SlowStart.java
@@ -17,7 +17,7 @@
     private static final double NO_REPORT = -1;
     private static final long NOT_BEGUN = Long.MIN_VALUE;
 
-    /** What the endpoint list and the answers tell of a member; owned by who got it from {@link #meet}. */
+    /** What the endpoint list and the answers tell of a member; owned by who got it from {@link #register}. */
     static final class Member {
         private final DecayingRate servedWork;
         private int machineKind;
@@ -84,7 +84,7 @@
     }
 
     /** Starts to track a member that is newly listed. */
-    Member meet(long nowUs) {
+    Member register(long nowUs) {
         begunUs = begunUs == NOT_BEGUN ? nowUs : begunUs;
         Member member = new Member(new DecayingRate(this::timeConstantUs));
         member.budgetUpdatedUs = nowUs;
@@ -118,7 +118,7 @@
     }
 
     /** Says whether anything may be sent to a member at all. */
-    void usable(Member member, boolean isUsable) {
+    void setUsable(Member member, boolean isUsable) {
         member.usable = isUsable;
     }
 
@@ -128,7 +128,7 @@
     }
 
     /** The used share of a member's capacity by its last report; below 0 where none came since it started. */
-    double util(Member member) {
+    double utilization(Member member) {
         return member.utilization;
     }
 
--- a/decisions/src/main/java/frostreel/routing/WriteQueue.java
+++ b/decisions/src/main/java/frostreel/routing/WriteQueue.java
@@ -42,7 +42,7 @@
                 group.holdingWrites = true;
                 return;
             }
-            double utilization = slowStart.util(member.slowStart);
+            double utilization = slowStart.utilization(member.slowStart);
             if (sender.send(now, request, member, retryPolicy.writeTimeoutUs(now, request, member, utilization))) {
                 writes.remove(i);
                 if (group.primarySuspected) {
--- a/decisions/src/test/java/frostreel/routing/SessionCommitsTest.java
+++ b/decisions/src/test/java/frostreel/routing/SessionCommitsTest.java
@@ -25,17 +25,19 @@
     void reportedCommitBindsItsOwnSessionOnly() {
         commits.sent(START_US, SESSION);
         commits.ended(afterMs(50), SESSION, DEADLINE_US, Outcome.OK, afterMs(40), RETENTION_US);
-        assertThat(commits.need(afterMs(60), SESSION)).isEqualTo(afterMs(41));
-        assertThat(commits.need(afterMs(60), OTHER_SESSION)).isZero();
+        assertThat(commits.requiredPositionUs(afterMs(60), SESSION)).isEqualTo(afterMs(41));
+        assertThat(commits.requiredPositionUs(afterMs(60), OTHER_SESSION)).isZero();
     }
 
     @Test
     void writeInFlightBindsOnceItsAnswerMayCountAsKnown() {
         commits.sent(START_US, SESSION);
-        assertThat(commits.need(afterMs(100), SESSION)).isZero();
-        assertThat(commits.need(afterMs(150), SESSION)).isEqualTo(afterMs(50));
+        assertThat(commits.requiredPositionUs(afterMs(100), SESSION)).isZero();
+        assertThat(commits.requiredPositionUs(afterMs(150), SESSION)).isEqualTo(afterMs(50));
         commits.ended(afterMs(200), SESSION, DEADLINE_US, Outcome.WRONG_ROLE_OR_STALE, NO_COMMIT, RETENTION_US);
-        assertThat(commits.need(afterMs(250), SESSION)).as("it never ran").isZero();
+        assertThat(commits.requiredPositionUs(afterMs(250), SESSION))
+                .as("it never ran")
+                .isZero();
     }
 
     @Test
@@ -43,18 +45,18 @@
         commits.sent(START_US, SESSION);
         commits.sent(afterMs(500), SESSION);
         commits.ended(afterMs(510), SESSION, DEADLINE_US, Outcome.REJECTED, NO_COMMIT, RETENTION_US);
-        assertThat(commits.need(afterMs(520), SESSION)).isEqualTo(afterMs(420));
+        assertThat(commits.requiredPositionUs(afterMs(520), SESSION)).isEqualTo(afterMs(420));
         commits.ended(afterMs(530), SESSION, DEADLINE_US, Outcome.OK, afterMs(5), RETENTION_US);
-        assertThat(commits.need(afterMs(540), SESSION)).isEqualTo(afterMs(6));
+        assertThat(commits.requiredPositionUs(afterMs(540), SESSION)).isEqualTo(afterMs(6));
     }
 
     @Test
     void writeThatTimedOutBindsUpToItsDeadline() {
         commits.sent(START_US, SESSION);
         commits.ended(afterMs(700), SESSION, DEADLINE_US, Outcome.TIMEOUT, NO_COMMIT, RETENTION_US);
-        assertThat(commits.need(afterMs(800), SESSION)).isEqualTo(afterMs(700));
-        assertThat(commits.need(afterMs(2_000), SESSION)).isEqualTo(afterMs(1_900));
-        assertThat(commits.need(afterMs(60_000), SESSION)).isEqualTo(afterMs(3_000));
+        assertThat(commits.requiredPositionUs(afterMs(800), SESSION)).isEqualTo(afterMs(700));
+        assertThat(commits.requiredPositionUs(afterMs(2_000), SESSION)).isEqualTo(afterMs(1_900));
+        assertThat(commits.requiredPositionUs(afterMs(60_000), SESSION)).isEqualTo(afterMs(3_000));
     }
 
     @ParameterizedTest
@@ -64,7 +66,7 @@
     void writeWithoutReportedCommitBindsUpToItsEnd(Outcome outcome) {
         commits.sent(START_US, SESSION);
         commits.ended(afterMs(700), SESSION, DEADLINE_US, outcome, NO_COMMIT, RETENTION_US);
-        assertThat(commits.need(afterMs(60_000), SESSION)).isEqualTo(afterMs(700));
+        assertThat(commits.requiredPositionUs(afterMs(60_000), SESSION)).isEqualTo(afterMs(700));
     }
 
     @Test
@@ -75,7 +77,7 @@
         commits.sent(laterUs, OTHER_SESSION);
         commits.ended(laterUs, OTHER_SESSION, laterUs + RETENTION_US, Outcome.OK, laterUs, RETENTION_US);
         assertThat(commits.size()).isEqualTo(1);
-        assertThat(commits.need(laterUs, 3)).isEqualTo(afterMs(-1));
+        assertThat(commits.requiredPositionUs(laterUs, 3)).isEqualTo(afterMs(-1));
     }
 
     @Test
@@ -85,6 +87,6 @@
         }
         commits.ended(START_US, 7, afterMs(1), Outcome.WRONG_ROLE_OR_STALE, NO_COMMIT, RETENTION_US);
         assertThat(commits.size()).isLessThanOrEqualTo(SessionCommits.MAX_SESSIONS);
-        assertThat(commits.need(afterMs(500), 0)).isEqualTo(afterMs(500));
+        assertThat(commits.requiredPositionUs(afterMs(500), 0)).isEqualTo(afterMs(500));
     }
 }
--- a/decisions/src/test/java/frostreel/routing/SlowStartTest.java
+++ b/decisions/src/test/java/frostreel/routing/SlowStartTest.java
@@ -53,7 +53,7 @@
         int all = 0;
         for (int seed = 0; seed < 60; seed++) {
             SlowStart slowStart = slowStart(60, seed);
-            SlowStart.Member cold = slowStart.meet(START_US);
+            SlowStart.Member cold = slowStart.register(START_US);
             slowStart.listed(START_US, cold, entry("b", START_US));
             all += sent(slowStart, cold, START_US, LONG, 1_000);
         }
@@ -68,12 +68,12 @@
     @Test
     void queueingTimeIsNotCountedAsWork() {
         SlowStart slowStart = slowStart(1, 7);
-        SlowStart.Member warm = slowStart.meet(START_US);
+        SlowStart.Member warm = slowStart.register(START_US);
         slowStart.listed(START_US, warm, entry("a", 0));
         slowStart.served(START_US, warm, SHORT, WORK_US);
         slowStart.served(START_US, warm, LONG, 20 * WORK_US);
         long nowUs = serve(slowStart, warm, SHORT, 10, 20 * WORK_US); // Queued: ten a second of 50 ms.
-        SlowStart.Member cold = slowStart.meet(nowUs);
+        SlowStart.Member cold = slowStart.register(nowUs);
         slowStart.listed(nowUs, cold, entry("b", nowUs));
         assertThat(sent(slowStart, cold, nowUs, LONG, 5_000)).isLessThanOrEqualTo(2);
     }
@@ -82,10 +82,10 @@
     @Test
     void withoutReportsAStartingMemberReceivesMoreThanOthersServeButLessThanOverloadsIt() {
         SlowStart slowStart = slowStart(1, 7);
-        SlowStart.Member warm = slowStart.meet(START_US);
+        SlowStart.Member warm = slowStart.register(START_US);
         slowStart.listed(START_US, warm, entry("a", 0));
         long startedUs = serve(slowStart, warm, SHORT, 40, WORK_US);
-        SlowStart.Member cold = slowStart.meet(startedUs);
+        SlowStart.Member cold = slowStart.register(startedUs);
         slowStart.listed(startedUs, cold, entry("b", startedUs));
         int sent = 0;
         for (long nowUs = startedUs; nowUs < startedUs + 2 * SECOND_US; nowUs += SECOND_US / 40) {
@@ -103,7 +103,7 @@
     @Test
     void workOfAClassWithoutAnswersIsEstimatedFromTheOtherClasses() {
         SlowStart slowStart = slowStart(0, 7);
-        SlowStart.Member only = slowStart.meet(START_US);
+        SlowStart.Member only = slowStart.register(START_US);
         slowStart.listed(START_US, only, entry("a", 0));
         for (int i = 0; i < 20; i++) {
             slowStart.served(START_US, only, SHORT, WORK_US / 1000);
@@ -115,7 +115,7 @@
     @Test
     void warmMemberIsNotLimited() {
         SlowStart slowStart = slowStart(100, 7);
-        SlowStart.Member member = slowStart.meet(START_US);
+        SlowStart.Member member = slowStart.register(START_US);
         slowStart.listed(START_US, member, entry("a", START_US - 18 * SECOND_US));
         assertThat(sent(slowStart, member, START_US, SHORT, 10_000)).isEqualTo(200);
     }
