--- a/pooler/src/main/java/frostreel/Pooler.java
+++ b/pooler/src/main/java/frostreel/Pooler.java
@@ -187,7 +187,7 @@
             loop.deadlines().after(LIST_PATIENCE_US, this::serversAreKnown);
         } else {
             Deadlines.Deadline unreached = loop.deadlines().after(UNREACHED * knownPatienceUs, this::serversAreKnown);
-            watch.onAsked(() -> {
+            watch.onFirstRequest(() -> {
                 loop.deadlines().cancel(unreached);
                 loop.deadlines().after(knownPatienceUs, this::serversAreKnown);
             });
@@ -250,7 +250,7 @@
                     next.stop();
                 }
                 DiscoveryWatch named = watch(config, -1);
-                named.onAnswer(() -> {
+                named.onFirstList(() -> {
                     watch.stop();
                     watch = named;
                     next = null;
--- a/pooler/src/main/java/frostreel/discovery/AgentConnection.java
+++ b/pooler/src/main/java/frostreel/discovery/AgentConnection.java
@@ -19,44 +19,44 @@
  */
 final class AgentConnection implements SocketStream.Handler {
     /** Who is told; each time with the connection that it is about. */
-    interface Owner {
+    interface Listener {
         /** It is up, and may be called on. */
-        void connected(AgentConnection on);
+        void onConnected(AgentConnection connection);
 
         /** A whole response to the call came. */
-        void responded(AgentConnection on, HttpResponse response);
+        void onResponse(AgentConnection connection, HttpResponseParser response);
 
         /** Neither the connection nor a whole response came within the patience; it goes on all the same. */
-        void late(AgentConnection on, String why);
+        void onOverdue(AgentConnection connection, String reason);
 
         /** It has ended, and is closed. */
-        void failed(AgentConnection on, String why);
+        void onFailed(AgentConnection connection, String reason);
     }
 
     /** An answer of which bytes came within this time is on its way, for so long in all at the most. */
-    private static final long ARRIVING_US = 500_000;
+    private static final long ARRIVAL_GAP_US = 500_000;
 
-    private static final long ARRIVAL_MOST_US = 20_000_000;
+    private static final long MAX_ARRIVAL_US = 20_000_000;
     private final EventLoop loop;
-    private final Owner owner;
+    private final Listener listener;
     private final InetSocketAddress address;
     private final IoFuture<StreamConnection> connecting;
     private SocketStream stream;
-    private HttpResponse response = new HttpResponse();
-    private Deadlines.Deadline patience;
-    private long index;
-    private long heardUs;
-    private long calledUs;
+    private HttpResponseParser response = new HttpResponseParser();
+    private Deadlines.Deadline timeout;
+    private long fromVersion;
+    private long lastReceivedUs;
+    private long requestedUs;
     private boolean closed;
 
-    /** Begins to connect; {@code patienceUs}: after so long without a connection it is late. */
-    AgentConnection(EventLoop loop, InetSocketAddress address, long patienceUs, Owner owner) {
+    /** Begins to connect; {@code timeoutUs}: after so long without a connection it is late. */
+    AgentConnection(EventLoop loop, InetSocketAddress address, long timeoutUs, Listener listener) {
         this.loop = loop;
-        this.owner = owner;
+        this.listener = listener;
         this.address = address;
-        calledUs = loop.clock().now();
-        heardUs = calledUs;
-        patience = loop.deadlines().after(patienceUs, () -> owner.late(this, "no connection in time"));
+        requestedUs = loop.clock().now();
+        lastReceivedUs = requestedUs;
+        timeout = loop.deadlines().after(timeoutUs, () -> listener.onOverdue(this, "no connection in time"));
         connecting = loop.thread().openStreamConnection(address, null, OptionMap.create(Options.TCP_NODELAY, true));
     }
 
@@ -72,7 +72,7 @@
                         }
                         stream = new SocketStream(loop, connection, AgentConnection.this);
                         stream.resumeReads();
-                        owner.connected(AgentConnection.this);
+                        listener.onConnected(AgentConnection.this);
                     }
 
                     @Override
@@ -83,14 +83,14 @@
                 null);
     }
 
-    /** Asks for a path and query; {@code index}: the version it asks from, negative for the whole list. */
-    void call(String pathAndQuery, long fromIndex, long patienceUs) {
-        index = fromIndex;
-        response = new HttpResponse();
-        calledUs = loop.clock().now();
-        heardUs = calledUs;
-        loop.deadlines().cancel(patience);
-        patience = loop.deadlines().after(patienceUs, this::lateUnlessArriving);
+    /** Asks for a path and query; {@code fromVersion}: the version it asks from, negative for the whole list. */
+    void request(String pathAndQuery, long fromVersion, long timeoutUs) {
+        this.fromVersion = fromVersion;
+        response = new HttpResponseParser();
+        requestedUs = loop.clock().now();
+        lastReceivedUs = requestedUs;
+        loop.deadlines().cancel(timeout);
+        timeout = loop.deadlines().after(timeoutUs, this::reportOverdueUnlessArriving);
         String host = address.getAddress().getHostAddress() + ":" + address.getPort();
         stream.write(
                 ("GET " + pathAndQuery + " HTTP/1.1\r\nHost: " + host + "\r\nAccept: application/json" + "\r\n\r\n")
@@ -98,28 +98,28 @@
     }
 
     /** A long list that is on its way takes its time; asked for again, it would take longer. */
-    private void lateUnlessArriving() {
-        long now = loop.clock().now();
-        if (heardUs > calledUs && now - heardUs < ARRIVING_US && now - calledUs < ARRIVAL_MOST_US) {
-            patience = loop.deadlines().after(ARRIVING_US, this::lateUnlessArriving);
+    private void reportOverdueUnlessArriving() {
+        long nowUs = loop.clock().now();
+        if (lastReceivedUs > requestedUs && nowUs - lastReceivedUs < ARRIVAL_GAP_US && nowUs - requestedUs < MAX_ARRIVAL_US) {
+            timeout = loop.deadlines().after(ARRIVAL_GAP_US, this::reportOverdueUnlessArriving);
         } else {
-            owner.late(this, "no answer in time");
+            listener.onOverdue(this, "no answer in time");
         }
     }
 
     /** The version that the call in hand, or the last one, asks from. */
-    long index() {
-        return index;
+    long fromVersion() {
+        return fromVersion;
     }
 
     /** When the last byte came, or the call was made. */
-    long heardUs() {
-        return heardUs;
+    long lastReceivedUs() {
+        return lastReceivedUs;
     }
 
     /** When the call was made, or connecting began. */
-    long calledUs() {
-        return calledUs;
+    long requestedUs() {
+        return requestedUs;
     }
 
     /** Takes what has come by now. */
@@ -131,36 +131,36 @@
 
     @Override
     public void received(ByteBuffer in) {
-        heardUs = loop.clock().now();
+        lastReceivedUs = loop.clock().now();
         try {
             response.accept(in);
-        } catch (HttpResponse.HttpException e) {
+        } catch (HttpResponseParser.HttpException e) {
             fail(e.getMessage());
             return;
         }
-        if (response.complete()) {
-            respond();
+        if (response.isComplete()) {
+            reportResponse();
         }
     }
 
     @Override
     public void ended() {
-        if (!stream.wasReset() && response.endsWithConnection()) {
-            respond();
+        if (!stream.wasReset() && response.isDelimitedByClose()) {
+            reportResponse();
         } else {
             fail("the connection ended");
         }
     }
 
-    private void respond() {
-        loop.deadlines().cancel(patience);
-        owner.responded(this, response);
+    private void reportResponse() {
+        loop.deadlines().cancel(timeout);
+        listener.onResponse(this, response);
     }
 
-    private void fail(String why) {
+    private void fail(String reason) {
         if (!closed) {
             close();
-            owner.failed(this, why);
+            listener.onFailed(this, reason);
         }
     }
 
@@ -170,7 +170,7 @@
             return;
         }
         closed = true;
-        loop.deadlines().cancel(patience);
+        loop.deadlines().cancel(timeout);
         if (stream != null) {
             stream.close();
         } else {
--- a/pooler/src/main/java/frostreel/discovery/DiscoveryWatch.java
+++ b/pooler/src/main/java/frostreel/discovery/DiscoveryWatch.java
@@ -27,73 +27,73 @@
  * longest first; to drop that one would put this pooler at the end of the line again, each time. There are
  * never more than two calls out.
  */
-public final class DiscoveryWatch implements AgentConnection.Owner {
-    static final long WAIT_MS = 2_500;
+public final class DiscoveryWatch implements AgentConnection.Listener {
+    static final long LONG_POLL_MS = 2_500;
     /**
      * The first call, and the first after a failure, do not wait: the answer tells that the list in hand is
      * what discovery has now, and a silence shows at once.
      */
-    private static final long FIRST_WAIT_MS = 1;
+    private static final long PROBE_POLL_MS = 1;
     /** How long a call may take beyond its own wait before it is late; the agent answers at once. */
-    static final long PATIENCE_US = 1_500_000;
+    static final long TIMEOUT_US = 1_500_000;
 
-    static final long RETRY_LEAST_US = 50_000;
-    static final long RETRY_MOST_US = 1_000_000;
+    static final long MIN_BACKOFF_US = 50_000;
+    static final long MAX_BACKOFF_US = 1_000_000;
     /** A late call is given up once nothing came of it for so long, or it took so long in all. */
-    static final long LATE_SILENT_US = 15_000_000;
+    static final long OVERDUE_SILENCE_US = 15_000_000;
 
-    static final long LATE_MOST_US = 60_000_000;
+    static final long MAX_OVERDUE_US = 60_000_000;
     private static final Logger LOG = Logger.getLogger(DiscoveryWatch.class.getName());
     private final EventLoop loop;
     private final InetSocketAddress address;
     private final List<Object> zones;
-    private final List<Object> kinds;
+    private final List<Object> machineTypes;
     private final Consumer<EndpointList> listener;
     /** The call in hand, or the connection that comes up for it; null between two. */
     private AgentConnection current;
     /** A call that is late, and may still be answered; null for none. */
-    private AgentConnection late;
+    private AgentConnection overdue;
 
-    private long seq;
-    private long retryUs = RETRY_LEAST_US;
-    private boolean answered;
+    private long version;
+    private long backoffUs = MIN_BACKOFF_US;
+    private boolean answering;
     /** Since when nothing was heard, 0 where the last call was answered. */
     private long silentSinceUs;
 
-    private long answeredUs;
+    private long lastAnsweredUs;
     private boolean stopped;
-    private Deadlines.Deadline retry;
-    private Runnable asked = () -> {};
-    private Runnable answering = () -> {};
+    private Deadlines.Deadline reconnect;
+    private Runnable onFirstRequest = () -> {};
+    private Runnable onFirstList = () -> {};
     private long calls;
 
-    /** {@code seq}: the version of the list in hand, or negative for none: the whole list is asked for. */
+    /** {@code version}: the version of the list in hand, or negative for none: the whole list is asked for. */
     public DiscoveryWatch(
             EventLoop loop,
             InetSocketAddress address,
             List<Object> zones,
-            List<Object> kinds,
-            long seq,
+            List<Object> machineTypes,
+            long version,
             Consumer<EndpointList> listener) {
-        this.seq = seq;
+        this.version = version;
         this.loop = loop;
         this.address = address;
         this.zones = zones;
-        this.kinds = kinds;
+        this.machineTypes = machineTypes;
         this.listener = listener;
     }
 
     /** What runs once the first call is written; at once where that has been. */
-    public void onAsked(Runnable then) {
-        asked = then;
+    public void onFirstRequest(Runnable action) {
+        onFirstRequest = action;
         if (calls > 0) {
-            then.run();
+            action.run();
         }
     }
 
     /** What runs before the first list is handed on. */
-    public void onAnswer(Runnable then) {
-        answering = then;
+    public void onFirstList(Runnable action) {
+        onFirstList = action;
     }
 
     /** Begins to watch, or tries again. */
@@ -101,29 +101,29 @@
         if (stopped || current != null) {
             return;
         }
-        current = new AgentConnection(loop, address, PATIENCE_US, this);
+        current = new AgentConnection(loop, address, TIMEOUT_US, this);
         current.begin();
     }
 
     /** Ends the watch for good: no call, no retry and no list comes of it any more. */
     public void stop() {
         stopped = true;
-        loop.deadlines().cancel(retry);
-        drop(current);
-        drop(late);
+        loop.deadlines().cancel(reconnect);
+        close(current);
+        close(overdue);
     }
 
-    private void drop(AgentConnection c) {
-        if (c != null) {
-            c.close();
+    private void close(AgentConnection connection) {
+        if (connection != null) {
+            connection.close();
         }
-        current = c == current ? null : current;
-        late = c == late ? null : late;
+        current = connection == current ? null : current;
+        overdue = connection == overdue ? null : overdue;
     }
 
     /** Takes what discovery has written by now, before anything else that has come is acted upon. */
     public void readNow() {
-        AgentConnection second = late;
+        AgentConnection second = overdue;
         if (current != null) {
             current.readNow();
         }
@@ -133,134 +133,134 @@
     }
 
     @Override
-    public void connected(AgentConnection on) {
-        call(on);
+    public void onConnected(AgentConnection connection) {
+        poll(connection);
     }
 
-    private void call(AgentConnection on) {
+    private void poll(AgentConnection connection) {
         loop.counters().watches++;
-        long waitMs = seq < 0 ? 0 : answered ? WAIT_MS : FIRST_WAIT_MS;
-        String query = seq < 0 ? "" : "?index=" + seq + "&wait=" + waitMs;
+        long waitMs = version < 0 ? 0 : answering ? LONG_POLL_MS : PROBE_POLL_MS;
+        String query = version < 0 ? "" : "?index=" + version + "&wait=" + waitMs;
         boolean first = calls++ == 0;
-        on.call("/discovery/hosts" + query, seq, PATIENCE_US + waitMs * 1000);
+        connection.request("/discovery/hosts" + query, version, TIMEOUT_US + waitMs * 1000);
         if (first) {
-            asked.run();
+            onFirstRequest.run();
         }
     }
 
     @Override
-    public void responded(AgentConnection on, HttpResponse response) {
+    public void onResponse(AgentConnection connection, HttpResponseParser response) {
         EndpointList list;
         try {
             if (response.status() != 200) {
-                throw new HttpResponse.HttpException("status " + response.status());
+                throw new HttpResponseParser.HttpException("status " + response.status());
             }
-            list = EndpointList.read(new JSONObject(response.body()).toMap(), zones, kinds);
-        } catch (HttpResponse.HttpException | MalformedMessageException | JSONException e) {
-            drop(on);
-            again(e.getMessage());
+            list = EndpointList.read(new JSONObject(response.body()).toMap(), zones, machineTypes);
+        } catch (HttpResponseParser.HttpException | MalformedMessageException | JSONException e) {
+            close(connection);
+            retry(e.getMessage());
             return;
         }
         loop.counters().lists++;
-        boolean news = isNews(on.index(), list);
-        if (news) {
+        boolean relevant = isRelevant(connection.fromVersion(), list);
+        if (relevant) {
             // Numbers that went back are of another count, and changes since then are not what we lack.
-            seq = list.whole() || list.seq() >= seq ? list.seq() : -1;
+            version = list.whole() || list.seq() >= version ? list.seq() : -1;
         }
-        heard();
-        goOn(on, response.keepAlive());
-        if (news) {
-            Runnable first = answering;
-            answering = () -> {};
+        recordAnswer();
+        continueOn(connection, response.keepAlive());
+        if (relevant) {
+            Runnable first = onFirstList;
+            onFirstList = () -> {};
             first.run();
             listener.accept(list);
         }
     }
 
     /** Whether it adds to what is in hand; the answer to a late call may be older than that. */
-    private boolean isNews(long index, EndpointList list) {
-        return index == seq || list.seq() >= seq;
+    private boolean isRelevant(long fromVersion, EndpointList list) {
+        return fromVersion == version || list.seq() >= version;
     }
 
-    private void heard() {
-        answered = true;
-        answeredUs = loop.clock().now();
-        retryUs = RETRY_LEAST_US;
+    private void recordAnswer() {
+        answering = true;
+        lastAnsweredUs = loop.clock().now();
+        backoffUs = MIN_BACKOFF_US;
         if (silentSinceUs != 0) {
-            LOG.info("discovery answers again, after " + (answeredUs - silentSinceUs) / 1000 + " ms");
+            LOG.info("discovery answers again, after " + (lastAnsweredUs - silentSinceUs) / 1000 + " ms");
             silentSinceUs = 0;
         }
     }
 
     /** The connection that was answered is the one to go on with; another call is of no more use. */
-    private void goOn(AgentConnection on, boolean keepAlive) {
-        loop.deadlines().cancel(retry);
-        AgentConnection other = on == current ? late : current;
-        drop(other);
-        late = null;
-        current = on;
+    private void continueOn(AgentConnection connection, boolean keepAlive) {
+        loop.deadlines().cancel(reconnect);
+        AgentConnection other = connection == current ? overdue : current;
+        close(other);
+        overdue = null;
+        current = connection;
         if (keepAlive) {
-            call(on);
+            poll(connection);
         } else {
-            drop(on);
+            close(connection);
             start();
         }
     }
 
     @Override
-    public void late(AgentConnection on, String why) {
-        if (on != current) {
+    public void onOverdue(AgentConnection connection, String reason) {
+        if (connection != current) {
             return;
         }
         current = null;
-        if (late != null && outlived(late)) {
-            drop(late);
+        if (overdue != null && hasExpired(overdue)) {
+            close(overdue);
         }
-        if (late == null) {
-            late = on; // It may yet be answered.
+        if (overdue == null) {
+            overdue = connection; // It may yet be answered.
         } else {
-            on.close(); // The older one is nearer to its answer.
+            connection.close(); // The older one is nearer to its answer.
         }
-        again(why);
+        retry(reason);
     }
 
-    private boolean outlived(AgentConnection c) {
-        long now = loop.clock().now();
-        return now - c.heardUs() > LATE_SILENT_US || now - c.calledUs() > LATE_MOST_US;
+    private boolean hasExpired(AgentConnection connection) {
+        long nowUs = loop.clock().now();
+        return nowUs - connection.lastReceivedUs() > OVERDUE_SILENCE_US || nowUs - connection.requestedUs() > MAX_OVERDUE_US;
     }
 
     @Override
-    public void failed(AgentConnection on, String why) {
-        boolean wasLate = on == late;
-        drop(on);
-        if (!wasLate) {
-            again(why);
+    public void onFailed(AgentConnection connection, String reason) {
+        boolean wasOverdue = connection == overdue;
+        close(connection);
+        if (!wasOverdue) {
+            retry(reason);
         }
     }
 
     /** Begins a new watch after a wait that doubles up to its bound; the list in hand stays. */
-    private void again(String why) {
+    private void retry(String reason) {
         loop.counters().discoveryFailures++;
         if (silentSinceUs == 0) {
             silentSinceUs = loop.clock().now();
-            LOG.warning("discovery: " + why + "; the last list is kept");
+            LOG.warning("discovery: " + reason + "; the last list is kept");
         }
-        answered = false;
+        answering = false;
         if (stopped || current != null) {
             return;
         }
-        loop.deadlines().cancel(retry);
-        retry = loop.deadlines().after(retryUs, this::start);
-        retryUs = Math.min(2 * retryUs, RETRY_MOST_US);
+        loop.deadlines().cancel(reconnect);
+        reconnect = loop.deadlines().after(backoffUs, this::start);
+        backoffUs = Math.min(2 * backoffUs, MAX_BACKOFF_US);
     }
 
     /** What on-call staff see: how long ago an answer came, and since when none does. */
     @Override
     public String toString() {
-        long now = loop.clock().now();
-        return "discovery=" + (silentSinceUs != 0 ? "silent" : answeredUs == 0 ? "asked" : "answering")
-                + " discovery_version=" + seq
-                + " discovery_answered_ms_ago=" + (answeredUs == 0 ? -1 : (now - answeredUs) / 1000)
-                + " discovery_silent_ms=" + (silentSinceUs == 0 ? 0 : (now - silentSinceUs) / 1000);
+        long nowUs = loop.clock().now();
+        return "discovery=" + (silentSinceUs != 0 ? "silent" : lastAnsweredUs == 0 ? "asked" : "answering")
+                + " discovery_version=" + version
+                + " discovery_answered_ms_ago=" + (lastAnsweredUs == 0 ? -1 : (nowUs - lastAnsweredUs) / 1000)
+                + " discovery_silent_ms=" + (silentSinceUs == 0 ? 0 : (nowUs - silentSinceUs) / 1000);
     }
 }
--- a/pooler/src/main/java/frostreel/discovery/HttpResponse.java
+++ b/pooler/src/main/java/frostreel/discovery/HttpResponseParser.java
@@ -9,9 +9,9 @@
  * Takes one HTTP/1.1 response in, however its bytes are split; every length is bounded. A body without a
  * length ends with its connection, where that ends in order: after a reset it is not known to be whole.
  */
-final class HttpResponse {
-    private static final int MOST_BODY = 1 << 22;
-    private static final int MOST_LINE = 8192;
+final class HttpResponseParser {
+    private static final int MAX_BODY_BYTES = 1 << 22;
+    private static final int MAX_LINE_BYTES = 8192;
     private final StringBuilder line = new StringBuilder();
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
     private boolean statusRead;
@@ -20,43 +20,43 @@
     private boolean lastChunk;
     private boolean keepAlive = true;
     private int status;
-    private int left = -1;
+    private int remaining = -1;
     private boolean complete;
 
     /** Takes bytes up to the response's end. */
     void accept(ByteBuffer in) throws HttpException {
         while (in.hasRemaining() && !complete) {
-            if (headersRead && (left > 0 || endsWithConnection())) {
-                int n = left > 0 ? Math.min(left, in.remaining()) : in.remaining();
-                if (body.size() + n > MOST_BODY) {
-                    throw new HttpException("a body of over " + MOST_BODY + " bytes");
+            if (headersRead && (remaining > 0 || isDelimitedByClose())) {
+                int count = remaining > 0 ? Math.min(remaining, in.remaining()) : in.remaining();
+                if (body.size() + count > MAX_BODY_BYTES) {
+                    throw new HttpException("a body of over " + MAX_BODY_BYTES + " bytes");
                 }
-                byte[] part = new byte[n];
+                byte[] part = new byte[count];
                 in.get(part);
                 body.writeBytes(part);
-                left -= left > 0 ? n : 0;
-                complete = left == 0 && !chunked;
+                remaining -= remaining > 0 ? count : 0;
+                complete = remaining == 0 && !chunked;
                 continue;
             }
             byte b = in.get();
             if (b != '\n') {
                 line.append((char) (b & 255));
-                if (line.length() > MOST_LINE) {
-                    throw new HttpException("a line of over " + MOST_LINE + " bytes");
+                if (line.length() > MAX_LINE_BYTES) {
+                    throw new HttpException("a line of over " + MAX_LINE_BYTES + " bytes");
                 }
                 continue;
             }
             String text = line.toString().trim();
             line.setLength(0);
             if (headersRead) {
-                chunkLine(text);
+                acceptChunkLine(text);
             } else {
-                headerLine(text);
+                acceptHeaderLine(text);
             }
         }
     }
 
-    private void headerLine(String text) throws HttpException {
+    private void acceptHeaderLine(String text) throws HttpException {
         if (!statusRead) {
             String[] words = text.split(" ");
             if (words.length < 2 || !words[0].startsWith("HTTP/1.")) {
@@ -66,14 +66,14 @@
             statusRead = true;
         } else if (text.isEmpty()) {
             headersRead = true;
-            keepAlive &= chunked || left >= 0;
-            complete = !chunked && left == 0;
+            keepAlive &= chunked || remaining >= 0;
+            complete = !chunked && remaining == 0;
         } else {
             int colon = text.indexOf(':');
             String name = colon < 0 ? "" : text.substring(0, colon).toLowerCase(Locale.ROOT);
             String value = text.substring(colon + 1).trim().toLowerCase(Locale.ROOT);
             switch (name) {
-                case "content-length" -> left = length(value, 10, MOST_BODY);
+                case "content-length" -> remaining = length(value, 10, MAX_BODY_BYTES);
                 case "transfer-encoding" -> chunked = value.equals("chunked");
                 case "connection" -> keepAlive = !value.equals("close");
                 default -> {}
@@ -81,20 +81,20 @@
         }
     }
 
-    private void chunkLine(String text) throws HttpException {
+    private void acceptChunkLine(String text) throws HttpException {
         if (lastChunk) {
             complete = text.isEmpty();
         } else if (!text.isEmpty()) {
-            left = length(text.split(";")[0].trim(), 16, MOST_BODY - body.size());
-            lastChunk = left == 0;
+            remaining = length(text.split(";")[0].trim(), 16, MAX_BODY_BYTES - body.size());
+            lastChunk = remaining == 0;
         }
     }
 
-    private static int length(String text, int radix, int most) throws HttpException {
+    private static int length(String text, int radix, int max) throws HttpException {
         try {
-            int n = Integer.parseInt(text, radix);
-            if (n >= 0 && n <= most) {
-                return n;
+            int number = Integer.parseInt(text, radix);
+            if (number >= 0 && number <= max) {
+                return number;
             }
         } catch (NumberFormatException e) {
             // Told below.
@@ -102,13 +102,13 @@
         throw new HttpException("a length out of range");
     }
 
-    boolean complete() {
+    boolean isComplete() {
         return complete;
     }
 
     /** Whether it is whole once its connection has ended in order. */
-    boolean endsWithConnection() {
-        return headersRead && !chunked && left < 0;
+    boolean isDelimitedByClose() {
+        return headersRead && !chunked && remaining < 0;
     }
 
     boolean keepAlive() {
--- a/pooler/src/test/java/frostreel/discovery/DiscoveryWatchTimesTest.java
+++ b/pooler/src/test/java/frostreel/discovery/DiscoveryWatchTimesTest.java
@@ -10,14 +10,13 @@
 
     @Test
     void aCallThatFallsSilentAndOneMoreFitIntoTheLeaveForEverySilence() {
-        long found = DiscoveryWatch.WAIT_MS * 1000 + DiscoveryWatch.PATIENCE_US;
-        long onceMore = DiscoveryWatch.RETRY_LEAST_US + DiscoveryWatch.PATIENCE_US;
-        assertThat(found + onceMore + 2 * DiscoveryWatch.RETRY_LEAST_US).isLessThan(LEAVE_US);
+        long found = DiscoveryWatch.LONG_POLL_MS * 1000 + DiscoveryWatch.TIMEOUT_US;
+        long onceMore = DiscoveryWatch.MIN_BACKOFF_US + DiscoveryWatch.TIMEOUT_US;
+        assertThat(found + onceMore + 2 * DiscoveryWatch.MIN_BACKOFF_US).isLessThan(LEAVE_US);
     }
 
     @Test
     void aCallThatNobodyAnsweredIsMadeAgainWellWithinTheLeave() {
-        assertThat(2 * (DiscoveryWatch.RETRY_MOST_US + DiscoveryWatch.PATIENCE_US))
-                .isLessThan(LEAVE_US);
+        assertThat(2 * (DiscoveryWatch.MAX_BACKOFF_US + DiscoveryWatch.TIMEOUT_US)).isLessThan(LEAVE_US);
     }
 }
--- a/pooler/src/test/java/frostreel/discovery/EndpointListLayoutTest.java
+++ b/pooler/src/test/java/frostreel/discovery/EndpointListLayoutTest.java
@@ -16,15 +16,15 @@
             "block":2,"health":"Ready","share":1.0,"born_ms":0,"role":"primary"}]}""");
 
     private static EndpointList inPiecesOfOneByte(String body) throws Exception {
-        HttpResponse response = new HttpResponse();
+        HttpResponseParser response = new HttpResponseParser();
         byte[] bytes = ("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: " + body.length()
                         + "\r\n\r\n" + body)
                 .getBytes(StandardCharsets.US_ASCII);
         for (int i = 0; i < bytes.length; i++) {
-            assertThat(response.complete()).as("at byte %d", i).isFalse();
+            assertThat(response.isComplete()).as("at byte %d", i).isFalse();
             response.accept(ByteBuffer.wrap(bytes, i, 1));
         }
-        assertThat(response.complete()).isTrue();
+        assertThat(response.isComplete()).isTrue();
         return EndpointList.read(new JSONObject(response.body()).toMap(), List.of("dc"), List.of("m"));
     }
 
