--- a/pooler/src/main/java/frostreel/Pooler.java
+++ b/pooler/src/main/java/frostreel/Pooler.java
@@ -100,7 +100,7 @@
      */
     Pooler(Config config, OperatorSettings operators, long knownPatienceUs, long lingerUs) throws IOException {
         this.knownPatienceUs = knownPatienceUs;
-        loop = new EventLoop(ClockAnchor.clock(config.orders()));
+        loop = new EventLoop(ClockAnchor.clock(config.commandFolder()));
         beside = PeerProcessCommits.of(config, loop.clock().now());
         loop.onBeat(beside.writes()::beat);
         pool = new ServerPool(loop, config.settings(), config.maxServerConnections());
@@ -111,20 +111,20 @@
                 loop.events(),
                 pool,
                 config.settings(),
-                config.maxOpen(),
+                config.maxOpenRequests(),
                 (settings, actions) -> router(config, operators, settings, actions),
                 beside.writes());
         inForce = config;
         attempts = config.settings().limits().maxAttempts();
         classes = new RequestClassRegistry(config.settings().classes());
-        door = new ServingLifecycle(config.inherits(), longest(config.settings()), lingerUs);
+        door = new ServingLifecycle(config.inheritsListener(), longest(config.settings()), lingerUs);
         listener = new Listener(
                 loop,
                 broker,
                 door,
                 classes,
                 config.maxClients(),
-                config.usualClients(),
+                config.expectedClients(),
                 config.settings().seed());
         listener.page("stats", () -> loop.counters().toString());
         listener.page("health", this::health);
@@ -134,10 +134,10 @@
                 pool,
                 broker,
                 listener::sweep,
-                config.orders(),
+                config.commandFolder(),
                 Long.toHexString(config.settings().seed()) + "x"
                         + Long.toHexString(loop.clock().now()));
-        calls = config.control() == null ? null : new AdminListener(loop, operator);
+        calls = config.adminAddress() == null ? null : new AdminListener(loop, operator);
         if (calls != null) {
             listener.page("operation", operator::toString);
         }
@@ -149,8 +149,8 @@
         if (fellows != null) {
             listener.page("fleet", fellows::toString);
         }
-        known = config.known();
-        watch = watch(config, known.hosts().isEmpty() ? -1 : known.seq());
+        known = config.initialEndpoints();
+        watch = watch(config, known.endpoints().isEmpty() ? -1 : known.version());
         loop.onNews(this::readNews);
         loop.stopSendingUs(config.settings().rules().stopSendingUs());
         loop.thread().execute(() -> start(config));
@@ -183,7 +183,7 @@
         });
         watch.start();
         listen(config, loop.clock().now() + LISTEN_PATIENCE_US);
-        if (known.hosts().isEmpty()) {
+        if (known.endpoints().isEmpty()) {
             loop.deadlines().after(LIST_PATIENCE_US, this::serversAreKnown);
         } else {
             Deadlines.Deadline unreached = loop.deadlines().after(UNREACHED * knownPatienceUs, this::serversAreKnown);
@@ -201,12 +201,12 @@
     private void listen(Config config, long untilUs) {
         try {
             if (!listens) {
-                listener.open(config.listen(), config.inherits());
+                listener.open(config.listenAddress(), config.inheritsListener());
                 listens = true;
                 LOG.info("listening on " + listener.address() + " as " + config.name());
             }
             if (calls != null) {
-                calls.open(config.control());
+                calls.open(config.adminAddress());
                 LOG.info("operators call at " + calls.address());
             }
             listening.countDown();
@@ -215,8 +215,8 @@
             if (e instanceof BindException || loop.clock().now() >= untilUs) {
                 LOG.log(
                         Level.SEVERE,
-                        "GW_LISTEN, GW_CONTROL: cannot listen on " + config.listen()
-                                + (calls == null ? "" : " and " + config.control()),
+                        "GW_LISTEN, GW_CONTROL: cannot listen on " + config.listenAddress()
+                                + (calls == null ? "" : " and " + config.adminAddress()),
                         e);
                 new Thread(() -> System.exit(1), "exit").start();
             } else {
@@ -232,7 +232,7 @@
     }
 
     private DiscoveryWatch watch(Config config, long seq) {
-        return new DiscoveryWatch(loop, config.discovery(), config.zones(), config.kinds(), seq, this::listed);
+        return new DiscoveryWatch(loop, config.discoveryAddress(), config.zones(), config.machineTypes(), seq, this::listed);
     }
 
     /**
@@ -245,7 +245,7 @@
         loop.thread().execute(() -> {
             loop.counters().reloads++;
             settings(config.settings());
-            if (!config.sameLists(inForce)) {
+            if (!config.hasSameDiscovery(inForce)) {
                 if (next != null) {
                     next.stop();
                 }
@@ -254,7 +254,7 @@
                     watch.stop();
                     watch = named;
                     next = null;
-                    LOG.info("discovery is now at " + config.discovery());
+                    LOG.info("discovery is now at " + config.discoveryAddress());
                 });
                 next = named;
                 named.start();
@@ -308,7 +308,7 @@
 
     private void listed(EndpointList list) {
         takeKnown();
-        take(list, list.whole() ? Router.ListKind.FULL : Router.ListKind.CHANGES);
+        take(list, list.complete() ? Router.ListKind.FULL : Router.ListKind.CHANGES);
         serversAreKnown();
     }
 
--- a/pooler/src/main/java/frostreel/config/Config.java
+++ b/pooler/src/main/java/frostreel/config/Config.java
@@ -20,33 +20,33 @@
  */
 public record Config(
         String name,
-        InetSocketAddress listen,
-        InetSocketAddress control,
-        boolean inherits,
-        Path orders,
-        InetSocketAddress discovery,
+        InetSocketAddress listenAddress,
+        InetSocketAddress adminAddress,
+        boolean inheritsListener,
+        Path commandFolder,
+        InetSocketAddress discoveryAddress,
         int maxClients,
-        int usualClients,
+        int expectedClients,
         int maxServerConnections,
-        int maxOpen,
-        EndpointList known,
+        int maxOpenRequests,
+        EndpointList initialEndpoints,
         List<Object> zones,
-        List<Object> kinds,
+        List<Object> machineTypes,
         Router.Settings settings,
         JSONObject source) {
-    private static final int DEFAULT_SOCKETS = 1024;
+    private static final int DEFAULT_DESCRIPTORS = 1024;
     /** Descriptors for the program itself: its jar, selectors, the listener, discovery, a margin. */
-    private static final int OWN_SOCKETS = 64;
+    private static final int RESERVED_DESCRIPTORS = 64;
     /**
      * Of the rest, so much stays for clients beyond the usual ones; servers get what is left then, and no
      * less than the same part. Where servers are many, a pooler needs an idle connection to nearly each, and
      * fewer mean a handshake for every other request.
      */
-    private static final int SPARE_PART = 4;
+    private static final int SPARE_DIVISOR = 4;
 
-    private static final int DEFAULT_OPEN = 4096;
+    private static final int MAX_OPEN_REQUESTS = 4096;
     /** The platform's word: for requests, clients hold at most this part of all descriptors. */
-    private static final int USUAL_PART = 3;
+    private static final int EXPECTED_CLIENTS_DIVISOR = 3;
 
     /**
      * Reads {@code GW_CONFIG} and, where they are set, {@code GW_NAME}, {@code GW_LISTEN}, {@code
@@ -55,14 +55,14 @@
      * process {@code inherits} the clients' listening socket as descriptor 0.
      */
     public static Config load(Map<String, String> environment) throws ConfigException {
-        String file = environment.get("GW_CONFIG");
-        if (file == null || file.isEmpty()) {
+        String path = environment.get("GW_CONFIG");
+        if (path == null || path.isEmpty()) {
             throw new ConfigException("GW_CONFIG is not set");
         }
         try {
-            return parse(Files.readString(Path.of(file)), environment);
+            return parse(Files.readString(Path.of(path)), environment);
         } catch (IOException e) {
-            throw new ConfigException("GW_CONFIG: cannot read " + file);
+            throw new ConfigException("GW_CONFIG: cannot read " + path);
         }
     }
 
@@ -85,12 +85,12 @@
     public static Config reload(Map<String, String> environment, Config inForce) throws ConfigException {
         Map<String, String> rest = new HashMap<>(environment);
         rest.remove("GW_DISCOVERY");
-        return load(rest).inPlaceOf(inForce);
+        return load(rest).replacing(inForce);
     }
 
     /** This, where it has every key of the one in force. */
-    public Config inPlaceOf(Config inForce) throws ConfigException {
-        String missing = ReloadCompatibility.missing(inForce.source, source);
+    public Config replacing(Config inForce) throws ConfigException {
+        String missing = ReloadCompatibility.firstMissingKey(inForce.source, source);
         if (missing != null) {
             throw new ConfigException("GW_CONFIG: field '" + missing + "' is missing, which the file in force has");
         }
@@ -98,66 +98,66 @@
     }
 
     /** Whether another configuration has its lists from the same place, and reads them the same way. */
-    public boolean sameLists(Config other) {
-        return discovery.equals(other.discovery) && zones.equals(other.zones) && kinds.equals(other.kinds);
+    public boolean hasSameDiscovery(Config other) {
+        return discoveryAddress.equals(other.discoveryAddress) && zones.equals(other.zones) && machineTypes.equals(other.machineTypes);
     }
 
     private static Config read(JSONObject source, Map<String, String> environment) throws MalformedMessageException {
-        MessageFields f = new MessageFields(source.toMap());
-        MessageFields limits = f.has("limits") ? f.object("limits") : new MessageFields(Map.of());
-        int descriptors = (int) limits.whole("sockets", 2 * OWN_SOCKETS, 1 << 20, DEFAULT_SOCKETS);
-        int sockets = descriptors - OWN_SOCKETS;
-        int usual = descriptors / USUAL_PART;
-        int maxServers = Math.max(sockets / SPARE_PART, sockets - usual - sockets / SPARE_PART);
-        MessageFields options = f.object("settings");
-        Router.Settings settings = SettingsReader.read(seed(f), options).onSockets(usual);
+        MessageFields file = new MessageFields(source.toMap());
+        MessageFields limits = file.has("limits") ? file.object("limits") : new MessageFields(Map.of());
+        int descriptors = (int) limits.whole("sockets", 2 * RESERVED_DESCRIPTORS, 1 << 20, DEFAULT_DESCRIPTORS);
+        int available = descriptors - RESERVED_DESCRIPTORS;
+        int expectedClients = descriptors / EXPECTED_CLIENTS_DIVISOR;
+        int maxServers = Math.max(available / SPARE_DIVISOR, available - expectedClients - available / SPARE_DIVISOR);
+        MessageFields options = file.object("settings");
+        Router.Settings settings = SettingsReader.read(seed(file), options).onSockets(expectedClients);
         List<Object> zones = options.has("zones") ? options.list("zones") : List.of();
-        List<Object> kinds = options.has("machineTypes") ? options.list("machineTypes") : List.of();
+        List<Object> machineTypes = options.has("machineTypes") ? options.list("machineTypes") : List.of();
         MessageFields caps = options.object("caps");
-        int maxOpen = (int) Math.min(caps.whole("maxOpen", 1, Integer.MAX_VALUE, DEFAULT_OPEN), DEFAULT_OPEN);
-        EndpointList known = f.has("known")
-                ? EndpointList.read(f.object("known").map(), zones, kinds)
+        int maxOpenRequests = (int) Math.min(caps.whole("maxOpen", 1, Integer.MAX_VALUE, MAX_OPEN_REQUESTS), MAX_OPEN_REQUESTS);
+        EndpointList initialEndpoints = file.has("known")
+                ? EndpointList.read(file.object("known").map(), zones, machineTypes)
                 : new EndpointList(0, true, List.of());
         String inherited = environment.getOrDefault("GW_FD", "");
         if (!inherited.isEmpty() && !inherited.equals("0")) {
             throw new MalformedMessageException("GW_FD is not 0, the one descriptor by which a socket is taken over");
         }
-        boolean inherits = !inherited.isEmpty();
-        if (inherits) {
-            maxServers = Math.min(maxServers, Math.max(1, (sockets - usual - OWN_SOCKETS) / 2));
+        boolean inheritsListener = !inherited.isEmpty();
+        if (inheritsListener) {
+            maxServers = Math.min(maxServers, Math.max(1, (available - expectedClients - RESERVED_DESCRIPTORS) / 2));
         }
         String control = environment.get("GW_CONTROL");
-        boolean called = f.has("control") || control != null && !control.isEmpty();
+        boolean hasAdmin = file.has("control") || control != null && !control.isEmpty();
         return new Config(
-                told(f, "name", environment, "GW_NAME"),
-                EndpointList.address(told(f, "listen", environment, "GW_LISTEN"), "listen"),
-                called ? EndpointList.address(told(f, "control", environment, "GW_CONTROL"), "control") : null,
-                inherits,
-                called && environment.get("TMPDIR") != null
+                text(file, "name", environment, "GW_NAME"),
+                EndpointList.address(text(file, "listen", environment, "GW_LISTEN"), "listen"),
+                hasAdmin ? EndpointList.address(text(file, "control", environment, "GW_CONTROL"), "control") : null,
+                inheritsListener,
+                hasAdmin && environment.get("TMPDIR") != null
                         ? Path.of(environment.get("TMPDIR"), "frostreel-orders")
                         : null,
-                EndpointList.address(told(f, "discovery", environment, "GW_DISCOVERY"), "discovery"),
-                sockets - maxServers,
-                usual,
+                EndpointList.address(text(file, "discovery", environment, "GW_DISCOVERY"), "discovery"),
+                available - maxServers,
+                expectedClients,
                 maxServers,
-                maxOpen,
-                known,
+                maxOpenRequests,
+                initialEndpoints,
                 zones,
-                kinds,
+                machineTypes,
                 settings,
                 source);
     }
 
     /** The environment's word goes first. */
-    private static String told(MessageFields f, String key, Map<String, String> environment, String variable)
+    private static String text(MessageFields file, String key, Map<String, String> environment, String variable)
             throws MalformedMessageException {
         String value = environment.get(variable);
-        return value != null && !value.isEmpty() ? value : f.text(key);
+        return value != null && !value.isEmpty() ? value : file.text(key);
     }
 
-    private static long seed(MessageFields f) throws MalformedMessageException {
+    private static long seed(MessageFields file) throws MalformedMessageException {
         try {
-            return f.has("seed") ? Long.parseUnsignedLong(f.text("seed"), 16) : 0;
+            return file.has("seed") ? Long.parseUnsignedLong(file.text("seed"), 16) : 0;
         } catch (NumberFormatException e) {
             throw new MalformedMessageException("field 'seed' is not hexadecimal");
         }
--- a/pooler/src/main/java/frostreel/config/EndpointList.java
+++ b/pooler/src/main/java/frostreel/config/EndpointList.java
@@ -11,9 +11,9 @@
 import java.util.Map;
 
 /** A list of servers, whole or only what changed, in discovery's form. */
-public record EndpointList(long seq, boolean whole, List<Host> hosts) {
+public record EndpointList(long version, boolean complete, List<Endpoint> endpoints) {
     /** A server as the decisions see it, and the address at which this machine reaches it. */
-    public record Host(Router.Member member, InetSocketAddress dial) {}
+    public record Endpoint(Router.Member member, InetSocketAddress address) {}
 
     private static final int IPV4_BYTES = 4;
 
@@ -21,29 +21,28 @@
      * Zones and kinds are told by name, and known to the decisions by their place among the settings' names.
      */
     @SuppressWarnings("unchecked")
-    public static EndpointList read(Map<String, Object> json, List<Object> zones, List<Object> kinds)
-            throws MalformedMessageException {
+    public static EndpointList read(Map<String, Object> json, List<Object> zones, List<Object> machineTypes) throws MalformedMessageException {
         MessageFields list = new MessageFields(json);
-        List<Host> hosts = new ArrayList<>();
-        for (Object each : list.list("hosts")) {
-            if (!(each instanceof Map)) {
+        List<Endpoint> endpoints = new ArrayList<>();
+        for (Object element : list.list("hosts")) {
+            if (!(element instanceof Map)) {
                 throw new MalformedMessageException("field 'hosts' is not a list of objects");
             }
-            MessageFields h = new MessageFields((Map<String, Object>) each);
+            MessageFields host = new MessageFields((Map<String, Object>) element);
             Router.State state = new Router.State[] {Router.State.UP, Router.State.DRAINING, Router.State.GONE}
-                    [h.oneOf("health", "Ready", "Terminating", "Gone")];
+                    [host.oneOf("health", "Ready", "Terminating", "Gone")];
             Router.Member member = new Router.Member(
-                    h.text("host"),
-                    Math.max(0, zones.indexOf(h.map().get("site"))),
-                    Math.max(0, kinds.indexOf(h.map().get("class"))),
-                    (int) h.whole("block", 0, Integer.MAX_VALUE, 0),
-                    h.has("role") && h.oneOf("role", "primary", "replica") == 0,
+                    host.text("host"),
+                    Math.max(0, zones.indexOf(host.map().get("site"))),
+                    Math.max(0, machineTypes.indexOf(host.map().get("class"))),
+                    (int) host.whole("block", 0, Integer.MAX_VALUE, 0),
+                    host.has("role") && host.oneOf("role", "primary", "replica") == 0,
                     state,
-                    h.number("share", 1),
-                    h.whole("born_ms", 0, Long.MAX_VALUE / 1000, 0) * 1000);
-            hosts.add(new Host(member, address(h.text("dial"), "dial")));
+                    host.number("share", 1),
+                    host.whole("born_ms", 0, Long.MAX_VALUE / 1000, 0) * 1000);
+            endpoints.add(new Endpoint(member, address(host.text("dial"), "dial")));
         }
-        return new EndpointList(list.whole("seq", 0, Long.MAX_VALUE, 0), list.flag("whole"), List.copyOf(hosts));
+        return new EndpointList(list.whole("seq", 0, Long.MAX_VALUE, 0), list.flag("whole"), List.copyOf(endpoints));
     }
 
     /**
--- a/pooler/src/main/java/frostreel/config/ReloadCompatibility.java
+++ b/pooler/src/main/java/frostreel/config/ReloadCompatibility.java
@@ -14,43 +14,43 @@
     private ReloadCompatibility() {}
 
     /** The first key that is missing, with its way there; null where none is. */
-    static String missing(JSONObject before, JSONObject now) {
-        return missing("", before, now);
+    static String firstMissingKey(JSONObject inForce, JSONObject replacement) {
+        return firstMissingKey("", inForce, replacement);
     }
 
-    private static String missing(String way, JSONObject before, JSONObject now) {
-        for (String key : new TreeSet<>(before.keySet())) {
-            if (now.isNull(key) && !before.isNull(key)) {
-                return way + key;
+    private static String firstMissingKey(String path, JSONObject inForce, JSONObject replacement) {
+        for (String key : new TreeSet<>(inForce.keySet())) {
+            if (replacement.isNull(key) && !inForce.isNull(key)) {
+                return path + key;
             }
-            String deeper = null;
-            if (before.get(key) instanceof JSONObject a) {
-                deeper = now.get(key) instanceof JSONObject b ? missing(way + key + ".", a, b) : way + key;
-            } else if (before.get(key) instanceof JSONArray a) {
-                deeper = now.get(key) instanceof JSONArray b ? missing(way + key, a, b) : way + key;
+            String missing = null;
+            if (inForce.get(key) instanceof JSONObject a) {
+                missing = replacement.get(key) instanceof JSONObject b ? firstMissingKey(path + key + ".", a, b) : path + key;
+            } else if (inForce.get(key) instanceof JSONArray a) {
+                missing = replacement.get(key) instanceof JSONArray b ? firstMissingKey(path + key, a, b) : path + key;
             }
-            if (deeper != null) {
-                return deeper;
+            if (missing != null) {
+                return missing;
             }
         }
         return null;
     }
 
-    private static String missing(String way, JSONArray before, JSONArray now) {
-        Set<String> common = null;
-        for (Object each : before) {
-            if (!(each instanceof JSONObject o)) {
+    private static String firstMissingKey(String path, JSONArray inForce, JSONArray replacement) {
+        Set<String> shared = null;
+        for (Object element : inForce) {
+            if (!(element instanceof JSONObject o)) {
                 return null;
             }
-            if (common == null) {
-                common = new TreeSet<>(o.keySet());
+            if (shared == null) {
+                shared = new TreeSet<>(o.keySet());
             }
-            common.retainAll(o.keySet());
+            shared.retainAll(o.keySet());
         }
-        for (int i = 0; common != null && i < now.length(); i++) {
-            for (String key : common) {
-                if (!(now.get(i) instanceof JSONObject o) || o.isNull(key)) {
-                    return way + "[" + i + "]." + key;
+        for (int i = 0; shared != null && i < replacement.length(); i++) {
+            for (String key : shared) {
+                if (!(replacement.get(i) instanceof JSONObject o) || o.isNull(key)) {
+                    return path + "[" + i + "]." + key;
                 }
             }
         }
--- a/pooler/src/main/java/frostreel/control/PeerProcessCommits.java
+++ b/pooler/src/main/java/frostreel/control/PeerProcessCommits.java
@@ -18,7 +18,7 @@
 
     /** Opens the file, if there is to be one; blocks for that, so before the loop has anything to do. */
     public static PeerProcessCommits of(Config config, long nowUs) {
-        if (!config.inherits() || config.settings().sessionTracking() != Router.SessionTracking.REMEMBERED) {
+        if (!config.inheritsListener() || config.settings().sessionTracking() != Router.SessionTracking.REMEMBERED) {
             return new PeerProcessCommits(CommitLog.NONE, (now, session) -> 0);
         }
         return Joined.of(config, nowUs);
@@ -28,10 +28,10 @@
     private static final class Joined {
         static PeerProcessCommits of(Config config, long nowUs) {
             try {
-                if (config.orders() == null) {
+                if (config.commandFolder() == null) {
                     throw new IOException("there is no folder for it");
                 }
-                CommitTableFile file = CommitTableFile.open(config.orders());
+                CommitTableFile file = CommitTableFile.open(config.commandFolder());
                 if (file.replaced() != null) {
                     warn(file.replaced());
                 }
--- a/pooler/src/main/java/frostreel/discovery/DiscoveryWatch.java
+++ b/pooler/src/main/java/frostreel/discovery/DiscoveryWatch.java
@@ -165,7 +165,7 @@
         boolean relevant = isRelevant(connection.fromVersion(), list);
         if (relevant) {
             // Numbers that went back are of another count, and changes since then are not what we lack.
-            version = list.whole() || list.seq() >= version ? list.seq() : -1;
+            version = list.complete() || list.version() >= version ? list.version() : -1;
         }
         recordAnswer();
         continueOn(connection, response.keepAlive());
@@ -179,7 +179,7 @@
 
     /** Whether it adds to what is in hand; the answer to a late call may be older than that. */
     private boolean isRelevant(long fromVersion, EndpointList list) {
-        return fromVersion == version || list.seq() >= version;
+        return fromVersion == version || list.version() >= version;
     }
 
     private void recordAnswer() {
--- a/pooler/src/main/java/frostreel/net/ServerPool.java
+++ b/pooler/src/main/java/frostreel/net/ServerPool.java
@@ -97,12 +97,12 @@
     }
 
     /** Takes the addresses of a list, and what wants nothing new; {@link #withdraw} has to follow. */
-    public void addresses(List<EndpointList.Host> hosts, boolean whole) {
+    public void addresses(List<EndpointList.Endpoint> hosts, boolean whole) {
         Set<Server> listed = new HashSet<>();
-        for (EndpointList.Host h : hosts) {
+        for (EndpointList.Endpoint h : hosts) {
             Server s = servers.computeIfAbsent(h.member().id(), id -> new Server());
             listed.add(s);
-            s.address = h.dial();
+            s.address = h.address();
             is(s, h.member().state());
         }
         if (whole) {
--- a/pooler/src/test/java/frostreel/PartsTest.java
+++ b/pooler/src/test/java/frostreel/PartsTest.java
@@ -57,9 +57,9 @@
             int rest = sockets - 64;
             assertThat(c.maxClients() + c.maxServerConnections()).isEqualTo(rest);
             assertThat(c.maxServerConnections()).isGreaterThanOrEqualTo(rest / 4);
-            assertThat(c.maxClients()).isGreaterThanOrEqualTo(c.usualClients());
+            assertThat(c.maxClients()).isGreaterThanOrEqualTo(c.expectedClients());
             if (sockets >= 256) {
-                assertThat(c.maxClients() - c.usualClients()).isEqualTo(rest / 4);
+                assertThat(c.maxClients() - c.expectedClients()).isEqualTo(rest / 4);
             }
         }
     }
@@ -100,7 +100,7 @@
     /** The file in force, and what becomes of one that is written in its place. */
     private static void reload(String fresh) throws Exception {
         Config inForce = Config.parse(PoolerHarness.configuration("127.0.0.1:1", SERVER), Map.of());
-        Config.parse(fresh, Map.of()).inPlaceOf(inForce);
+        Config.parse(fresh, Map.of()).replacing(inForce);
     }
 
     @Test
--- a/pooler/src/test/java/frostreel/PoolerHarness.java
+++ b/pooler/src/test/java/frostreel/PoolerHarness.java
@@ -310,18 +310,18 @@
     private static Config withoutPlaces(Config c) {
         return new Config(
                 c.name(),
-                c.listen(),
-                c.control(),
-                c.inherits(),
-                c.orders(),
-                c.discovery(),
+                c.listenAddress(),
+                c.adminAddress(),
+                c.inheritsListener(),
+                c.commandFolder(),
+                c.discoveryAddress(),
                 c.maxClients(),
-                c.usualClients(),
+                c.expectedClients(),
                 c.maxServerConnections(),
-                c.maxOpen(),
-                c.known(),
+                c.maxOpenRequests(),
+                c.initialEndpoints(),
                 c.zones(),
-                c.kinds(),
+                c.machineTypes(),
                 c.settings().onSockets(0),
                 c.source());
     }
--- a/pooler/src/test/java/frostreel/discovery/EndpointListLayoutTest.java
+++ b/pooler/src/test/java/frostreel/discovery/EndpointListLayoutTest.java
@@ -31,7 +31,7 @@
     @Test
     void aListIsTheSameHoweverItIsIndentedAndCut() throws Exception {
         EndpointList plain = inPiecesOfOneByte(LIST.toString());
-        assertThat(plain.hosts()).singleElement().satisfies(h -> {
+        assertThat(plain.endpoints()).singleElement().satisfies(h -> {
             assertThat(h.member().id()).isEqualTo("a");
             assertThat(h.member().primary()).isTrue();
         });
