--- a/pooler/src/main/java/frostreel/Pooler.java
+++ b/pooler/src/main/java/frostreel/Pooler.java
@@ -163,7 +163,7 @@
         }
         advice = new ZoneFailoverPolicy(
                 settings,
-                operators.zonesFor(settings.zone(), config.zones()).orElseThrow(),
+                operators.zoneSettings(settings.zone(), config.zones()).orElseThrow(),
                 new SplittableRandom(settings.seed()).nextDouble());
         return new ChainRouter(settings, actions, advice, beside.elsewhere());
     }
@@ -296,7 +296,7 @@
         }
         loop.thread()
                 .execute(() -> operators
-                        .zonesFor(config.settings().zone(), config.zones())
+                        .zoneSettings(config.settings().zone(), config.zones())
                         .ifPresent(zones -> {
                             if (advice == null) {
                                 LOG.warning("zones are stated now: they hold from the next start");
--- a/pooler/src/main/java/frostreel/fleet/ClusterMember.java
+++ b/pooler/src/main/java/frostreel/fleet/ClusterMember.java
@@ -28,12 +28,12 @@
 
     /** Joins as {@code self}; its life is the time of its start, Unix milliseconds. */
     public ClusterMember(OperatorSettings.Cluster cluster, String self, EventLoop loop) {
-        named = cluster.stations().keySet();
+        named = cluster.members().keySet();
         Map<String, InetSocketAddress> members = new TreeMap<>();
-        cluster.stations().forEach((name, station) -> members.put(name, station.at()));
+        cluster.members().forEach((name, address) -> members.put(name, address.advertised()));
         group = new GroupMembership(
                 new ClusterSettings(
-                        cluster.group(), self, cluster.stations().get(self).bind(), members, cluster.silentAfterMs()),
+                        cluster.group(), self, cluster.members().get(self).bind(), members, cluster.silentAfterMs()),
                 loop.clock().now() / 1000,
                 loop.thread(),
                 this);
--- a/pooler/src/main/java/frostreel/settings/OperatorSettings.java
+++ b/pooler/src/main/java/frostreel/settings/OperatorSettings.java
@@ -32,12 +32,12 @@
     public record Zones(List<Tier> tiers, int poolers) {}
 
     /** Where the others reach a pooler, and where it listens for them. */
-    public record Station(InetSocketAddress at, InetSocketAddress bind) {}
+    public record MemberAddress(InetSocketAddress advertised, InetSocketAddress bind) {}
 
     /** Stations by the names of poolers. */
-    public record Cluster(String group, long silentAfterMs, Map<String, Station> stations) {}
+    public record Cluster(String group, long silentAfterMs, Map<String, MemberAddress> members) {}
 
-    private static final int MOST_PORT = 65_535;
+    private static final int MAX_PORT = 65_535;
     /** What holds where there is no file. */
     public static final OperatorSettings DEFAULT = new OperatorSettings(Logging.Format.TEXT, Level.INFO, null, null);
     /** The schema, for whoever writes such a file. */
@@ -70,7 +70,7 @@
     private static Zones zones(String file, XmlElement zones, List<Fault> faults) {
         List<Tier> tiers = new ArrayList<>();
         Map<String, Integer> named = new HashMap<>();
-        List<XmlElement> all = zones.all("tier").toList();
+        List<XmlElement> all = zones.children("tier").toList();
         for (int i = 0; i < all.size(); i++) {
             XmlElement tier = all.get(i);
             List<String> names =
@@ -90,22 +90,22 @@
     }
 
     private static Cluster cluster(String file, XmlElement cluster, String self, List<Fault> faults) {
-        Map<String, Station> stations = new TreeMap<>();
+        Map<String, MemberAddress> members = new TreeMap<>();
         Set<InetSocketAddress> taken = new HashSet<>();
-        for (XmlElement pooler : cluster.all("pooler").toList()) {
-            InetSocketAddress at = address(file, pooler, "at", faults);
-            InetSocketAddress bind = pooler.has("bind") ? address(file, pooler, "bind", faults) : at;
-            if (at != null && !taken.add(at)) {
+        for (XmlElement pooler : cluster.children("pooler").toList()) {
+            InetSocketAddress advertised = address(file, pooler, "at", faults);
+            InetSocketAddress bind = pooler.has("bind") ? address(file, pooler, "bind", faults) : advertised;
+            if (advertised != null && !taken.add(advertised)) {
                 faults.add(pooler.fault(file, "at", "another pooler is at " + pooler.text("at")));
             }
-            if (stations.put(pooler.text("name"), new Station(at, bind)) != null) {
+            if (members.put(pooler.text("name"), new MemberAddress(advertised, bind)) != null) {
                 faults.add(pooler.fault(file, "name", "'" + pooler.text("name") + "' is named twice"));
             }
         }
-        if (self != null && !stations.containsKey(self)) {
+        if (self != null && !members.containsKey(self)) {
             faults.add(cluster.fault(file, null, "this pooler, '" + self + "', is not among them"));
         }
-        return new Cluster(cluster.text("group"), cluster.whole("silentAfterMs"), stations);
+        return new Cluster(cluster.text("group"), cluster.whole("silentAfterMs"), members);
     }
 
     /** One address of one machine; null, and a fault, for any other. */
@@ -114,7 +114,7 @@
         try {
             InetAddress host = InetAddress.getByName(parts[0]); // Digits alone: no name is looked up.
             int port = Integer.parseInt(parts[1]);
-            if (port > 0 && port <= MOST_PORT && !host.isAnyLocalAddress()) {
+            if (port > 0 && port <= MAX_PORT && !host.isAnyLocalAddress()) {
                 return new InetSocketAddress(host, port);
             }
             faults.add(pooler.fault(file, key, "not the address of one machine: " + pooler.text(key)));
@@ -125,18 +125,18 @@
     }
 
     /** Tiers as the decisions know them, by each zone's place among the platform's names. */
-    public Optional<ZoneSettings> zonesFor(int own, List<Object> names) {
+    public Optional<ZoneSettings> zoneSettings(int own, List<Object> names) {
         return Optional.ofNullable(zones)
-                .map(z -> new ZoneSettings(
+                .map(stated -> new ZoneSettings(
                         own,
-                        z.tiers.stream()
-                                .map(t -> new ZoneSettings.Tier(
-                                        t.zones.stream()
+                        stated.tiers.stream()
+                                .map(tier -> new ZoneSettings.Tier(
+                                        tier.zones.stream()
                                                 .map(names::indexOf)
-                                                .filter(n -> n >= 0)
+                                                .filter(number -> number >= 0)
                                                 .toList(),
-                                        t.spill))
+                                        tier.spill))
                                 .toList(),
-                        z.poolers));
+                        stated.poolers));
     }
 }
--- a/pooler/src/main/java/frostreel/settings/XmlElement.java
+++ b/pooler/src/main/java/frostreel/settings/XmlElement.java
@@ -68,8 +68,8 @@
         return Math.round(number(attribute) * 1_000_000);
     }
 
-    public Stream<XmlElement> all(String child) {
-        return children.stream().filter(c -> c.name.equals(child));
+    public Stream<XmlElement> children(String childName) {
+        return children.stream().filter(child -> child.name.equals(childName));
     }
 
     public List<XmlElement> children() {
--- a/pooler/src/main/java/frostreel/settings/XmlFile.java
+++ b/pooler/src/main/java/frostreel/settings/XmlFile.java
@@ -32,37 +32,37 @@
  */
 public final class XmlFile {
     /** The largest file that is read, in bytes. */
-    public static final int MOST_BYTES = 1 << 20;
+    public static final int MAX_BYTES = 1 << 20;
 
-    private static final int MOST_FAULTS = 100;
+    private static final int MAX_FAULTS = 100;
     private static final Pattern ATTRIBUTE = Pattern.compile("ttribute '([\\w:]+)'");
     private static final Pattern ELEMENT = Pattern.compile("element '(?:\\{\"[^\"]*\":)?(\\w+)\\}?'");
 
     private XmlFile() {}
 
-    /** The root element; or every fault of the file, the first {@value #MOST_FAULTS} where there are more. */
+    /** The root element; or every fault of the file, the first {@value #MAX_FAULTS} where there are more. */
     public static XmlElement read(Path file, URL schema) throws FaultyFileException {
         String name = file.toString();
         try (InputStream in = Files.newInputStream(file)) {
-            byte[] bytes = in.readNBytes(MOST_BYTES + 1);
-            if (bytes.length > MOST_BYTES) {
-                throw whole(name, "is larger than " + MOST_BYTES + " bytes");
+            byte[] bytes = in.readNBytes(MAX_BYTES + 1);
+            if (bytes.length > MAX_BYTES) {
+                throw unreadable(name, "is larger than " + MAX_BYTES + " bytes");
             }
             return parse(name, bytes, schema);
         } catch (IOException e) {
-            throw whole(name, "cannot be read");
+            throw unreadable(name, "cannot be read");
         }
     }
 
-    private static FaultyFileException whole(String file, String text) {
+    private static FaultyFileException unreadable(String file, String text) {
         return new FaultyFileException(List.of(new Fault(file, 0, 0, "", text)));
     }
 
-    private static XmlElement parse(String name, byte[] bytes, URL schemaAt) throws FaultyFileException {
-        Reader reader = new Reader(name);
+    private static XmlElement parse(String name, byte[] bytes, URL schemaUrl) throws FaultyFileException {
+        XmlElementHandler handler = new XmlElementHandler(name);
         try {
             SchemaFactory schemas = SchemaFactory.newInstance(XMLConstants.W3C_XML_SCHEMA_NS_URI);
-            Schema schema = schemas.newSchema(schemaAt);
+            Schema schema = schemas.newSchema(schemaUrl);
             SAXParserFactory parsers = SAXParserFactory.newInstance();
             parsers.setNamespaceAware(true);
             parsers.setSchema(schema);
@@ -72,26 +72,26 @@
             parser.setProperty("http://apache.org/xml/properties/locale", Locale.ENGLISH);
             parser.setProperty(XMLConstants.ACCESS_EXTERNAL_DTD, "");
             parser.setProperty(XMLConstants.ACCESS_EXTERNAL_SCHEMA, "");
-            parser.parse(new InputSource(new ByteArrayInputStream(bytes)), reader);
+            parser.parse(new InputSource(new ByteArrayInputStream(bytes)), handler);
         } catch (SAXParseException e) {
-            reader.error(e); // Not well-formed: what follows cannot be read.
+            handler.error(e); // Not well-formed: what follows cannot be read.
         } catch (SAXException | ParserConfigurationException | IOException e) {
-            throw new IllegalStateException("the schema " + schemaAt + " cannot be used", e);
+            throw new IllegalStateException("the schema " + schemaUrl + " cannot be used", e);
         }
-        if (!reader.faults.isEmpty()) {
-            throw new FaultyFileException(reader.faults);
+        if (!handler.faults.isEmpty()) {
+            throw new FaultyFileException(handler.faults);
         }
-        return reader.root;
+        return handler.root;
     }
 
-    private static final class Reader extends DefaultHandler {
+    private static final class XmlElementHandler extends DefaultHandler {
         final List<Fault> faults = new ArrayList<>();
         private final String file;
         private XmlElement root;
-        private XmlElement at;
+        private XmlElement current;
         private Locator locator;
 
-        Reader(String file) {
+        XmlElementHandler(String file) {
             this.file = file;
         }
 
@@ -106,13 +106,13 @@
             for (int i = 0; i < a.getLength(); i++) {
                 attributes.put(a.getLocalName(i), a.getValue(i));
             }
-            at = new XmlElement(at, local, attributes, locator.getLineNumber(), locator.getColumnNumber());
-            root = root == null ? at : root;
+            current = new XmlElement(current, local, attributes, locator.getLineNumber(), locator.getColumnNumber());
+            root = root == null ? current : root;
         }
 
         @Override
         public void endElement(String uri, String local, String name) {
-            at = at.parent();
+            current = current.parent();
         }
 
         @Override
@@ -140,7 +140,7 @@
                     return;
                 }
             }
-            if (faults.size() < MOST_FAULTS) {
+            if (faults.size() < MAX_FAULTS) {
                 faults.add(new Fault(file, e.getLineNumber(), e.getColumnNumber(), key, text));
             }
         }
--- a/pooler/src/test/java/frostreel/settings/OperatorSettingsTest.java
+++ b/pooler/src/test/java/frostreel/settings/OperatorSettingsTest.java
@@ -64,12 +64,12 @@
         OperatorSettings read = OperatorSettings.read(file(HEAD
                 + "<zones poolers='6'><tier zones='b c' spill='0.5'/><tier spill='0.2'/></zones>"
                 + "</frostreel>"));
-        assertThat(read.zonesFor(1, List.of("b", "a", "c", "d")))
+        assertThat(read.zoneSettings(1, List.of("b", "a", "c", "d")))
                 .hasValue(new ZoneSettings(
                         1,
                         List.of(new ZoneSettings.Tier(List.of(0, 2), 0.5), new ZoneSettings.Tier(List.of(), 0.2)),
                         6));
-        assertThat(OperatorSettings.DEFAULT.zonesFor(0, List.of("a"))).isEmpty();
+        assertThat(OperatorSettings.DEFAULT.zoneSettings(0, List.of("a"))).isEmpty();
         assertThat(faults(HEAD + "<zones poolers='6'>\n<tier spill='1'/>\n<tier zones='b b' spill='1'/>\n"
                         + "</zones></frostreel>"))
                 .extracting(f -> f.line() + " " + f.key())
@@ -87,12 +87,12 @@
         assertThat(read.group()).isEqualTo("frostreel");
         assertThat(read.silentAfterMs()).isEqualTo(800);
         InetSocketAddress first = new InetSocketAddress("10.0.0.1", 7800);
-        assertThat(read.stations())
+        assertThat(read.members())
                 .containsOnlyKeys("a", "b")
-                .containsEntry("a", new OperatorSettings.Station(first, first))
+                .containsEntry("a", new OperatorSettings.MemberAddress(first, first))
                 .containsEntry(
                         "b",
-                        new OperatorSettings.Station(
+                        new OperatorSettings.MemberAddress(
                                 new InetSocketAddress("10.0.0.2", 7800), new InetSocketAddress("127.0.0.2", 7801)));
         assertThatThrownBy(() -> OperatorSettings.read(file, "c"))
                 .hasMessageContaining(":2:")
@@ -131,7 +131,7 @@
 
     @Test
     void theSizeIsBoundedAndAMissingFileIsAFault() throws Exception {
-        assertThat(faults(HEAD + " ".repeat(XmlFile.MOST_BYTES)))
+        assertThat(faults(HEAD + " ".repeat(XmlFile.MAX_BYTES)))
                 .singleElement()
                 .satisfies(f -> assertThat(f.text()).contains("larger"));
         assertThatThrownBy(() -> OperatorSettings.read(folder.resolve("none"))).hasMessageContaining("cannot be read");
