--- a/cluster/src/main/java/frostreel/cluster/ClusterSettings.java
+++ b/cluster/src/main/java/frostreel/cluster/ClusterSettings.java
@@ -18,8 +18,8 @@
  */
 public record ClusterSettings(
         String group, String self, InetSocketAddress bind, Map<String, InetSocketAddress> members, long silentAfterMs) {
-    private static final long LEAST_SILENT_MS = 500;
-    private static final long MOST_SILENT_MS = 60_000;
+    private static final long MIN_SILENT_MS = 500;
+    private static final long MAX_SILENT_MS = 60_000;
 
     /** Refuses with a message for operators what cannot be meant. */
     public ClusterSettings {
@@ -29,8 +29,8 @@
         require(!bind.isUnresolved(), "unknown address " + bind);
         require(!bind.getAddress().isAnyLocalAddress(), "bind to one address, not to all: " + bind);
         require(
-                silentAfterMs >= LEAST_SILENT_MS && silentAfterMs <= MOST_SILENT_MS,
-                "silentAfterMs is " + silentAfterMs + ", " + LEAST_SILENT_MS + " to " + MOST_SILENT_MS);
+                silentAfterMs >= MIN_SILENT_MS && silentAfterMs <= MAX_SILENT_MS,
+                "silentAfterMs is " + silentAfterMs + ", " + MIN_SILENT_MS + " to " + MAX_SILENT_MS);
         Set<InetSocketAddress> taken = new HashSet<>();
         members.forEach((name, address) -> {
             require(!address.isUnresolved() && address.getPort() > 0, "unknown address " + address + " of " + name);
@@ -40,7 +40,7 @@
     }
 
     /** How the others reach this pooler. */
-    public InetSocketAddress announced() {
+    public InetSocketAddress advertised() {
         return members.get(self);
     }
 
--- a/cluster/src/main/java/frostreel/cluster/Membership.java
+++ b/cluster/src/main/java/frostreel/cluster/Membership.java
@@ -9,29 +9,29 @@
  */
 public interface Membership {
     /** Of one message, in bytes; longer ones are to be sent in parts. */
-    int MOST_BYTES = 64 * 1024;
+    int MAX_MESSAGE_BYTES = 64 * 1024;
 
     /** Learns what happens in the group. */
     interface Listener {
         /** Others came, went, or both; {@code before} is {@link MembershipView#NONE} at first. */
-        void changed(MembershipView view, MembershipView before);
+        void onViewChanged(MembershipView view, MembershipView before);
 
         /**
          * A member of the view has gone silent; a view without it may follow, or it is heard again. Where
          * another member was faster, the view without it comes with no such word before.
          */
-        void suspected(Peer peer);
+        void onSuspected(Peer peer);
 
-        void received(Peer from, byte[] message);
+        void onMessage(Peer from, byte[] message);
 
         /** It could not take part at all, as where its address is not to be had; nothing else follows. */
-        void failed(String why);
+        void onJoinFailed(String why);
     }
 
     /** Refuses a message that is too long, for whoever carries them. */
-    static void check(byte[] message) {
-        if (message.length > MOST_BYTES) {
-            throw new IllegalArgumentException(message.length + " bytes, at most " + MOST_BYTES);
+    static void checkSize(byte[] message) {
+        if (message.length > MAX_MESSAGE_BYTES) {
+            throw new IllegalArgumentException(message.length + " bytes, at most " + MAX_MESSAGE_BYTES);
         }
     }
 
@@ -44,16 +44,16 @@
     /**
      * To one peer.
      *
-     * @throws IllegalArgumentException beyond {@link #MOST_BYTES}
+     * @throws IllegalArgumentException beyond {@link #MAX_MESSAGE_BYTES}
      */
     void send(Peer to, byte[] message);
 
     /**
      * To all others in the view.
      *
-     * @throws IllegalArgumentException beyond {@link #MOST_BYTES}
+     * @throws IllegalArgumentException beyond {@link #MAX_MESSAGE_BYTES}
      */
-    void cast(byte[] message);
+    void broadcast(byte[] message);
 
     /** Leaves so that the others know at once; no event comes after it. */
     void leave();
--- a/cluster/src/main/java/frostreel/cluster/jgroups/CommittedEntries.java
+++ b/cluster/src/main/java/frostreel/cluster/jgroups/CommittedEntries.java
@@ -23,25 +23,25 @@
  */
 final class CommittedEntries implements StateMachine {
     /** A member's newest proposal that was chosen. */
-    private record Last(long life, long place, long number) {}
+    private record LatestProposal(long incarnation, long sequence, long index) {}
 
     private final ReplicatedLog.Listener listener;
-    private final Map<String, Last> last = new HashMap<>();
-    private final NavigableMap<Long, byte[]> kept = new TreeMap<>();
-    private long number;
-    private long told;
+    private final Map<String, LatestProposal> latestByMember = new HashMap<>();
+    private final NavigableMap<Long, byte[]> retained = new TreeMap<>();
+    private long index;
+    private long notified;
 
     CommittedEntries(ReplicatedLog.Listener listener) {
         this.listener = listener;
     }
 
-    /** As it is written to the log; {@code place}: the how-manieth of this life. */
-    static byte[] proposal(Peer by, long place, byte[] entry) {
+    /** As it is written to the log; {@code sequence}: the how-manieth of this life. */
+    static byte[] proposal(Peer by, long sequence, byte[] entry) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (DataOutputStream out = new DataOutputStream(bytes)) {
             out.writeUTF(by.name());
-            out.writeLong(by.life());
-            out.writeLong(place);
+            out.writeLong(by.incarnation());
+            out.writeLong(sequence);
             out.write(entry);
         } catch (IOException e) {
             throw new IllegalStateException(e); // Nothing is written but memory.
@@ -50,7 +50,7 @@
     }
 
     /** The number of a proposal's answer; 0 where a later one of the same member was chosen before it. */
-    static long number(byte[] answer) {
+    static long index(byte[] answer) {
         return ByteBuffer.wrap(answer).getLong();
     }
 
@@ -58,43 +58,43 @@
     public byte[] apply(byte[] data, int offset, int length, boolean wantsAnswer) throws IOException {
         DataInputStream in = new DataInputStream(new ByteArrayInputStream(data, offset, length));
         String name = in.readUTF();
-        Last mine = new Last(in.readLong(), in.readLong(), number + 1);
-        Last before = last.get(name);
-        if (before != null && (mine.life < before.life || mine.life == before.life && mine.place <= before.place)) {
-            boolean again = mine.life == before.life && mine.place == before.place;
-            return answer(again ? before.number : 0);
+        LatestProposal mine = new LatestProposal(in.readLong(), in.readLong(), index + 1);
+        LatestProposal before = latestByMember.get(name);
+        if (before != null && (mine.incarnation < before.incarnation || mine.incarnation == before.incarnation && mine.sequence <= before.sequence)) {
+            boolean again = mine.incarnation == before.incarnation && mine.sequence == before.sequence;
+            return answer(again ? before.index : 0);
         }
-        number++;
-        last.put(name, mine);
-        kept.put(number, in.readAllBytes());
-        if (kept.size() > ReplicatedLog.KEPT) {
-            kept.pollFirstEntry();
+        index++;
+        latestByMember.put(name, mine);
+        retained.put(index, in.readAllBytes());
+        if (retained.size() > ReplicatedLog.RETAINED_ENTRIES) {
+            retained.pollFirstEntry();
         }
-        tell();
-        return answer(number);
+        notifyListener();
+        return answer(index);
     }
 
-    private static byte[] answer(long number) {
-        return ByteBuffer.allocate(Long.BYTES).putLong(number).array();
+    private static byte[] answer(long index) {
+        return ByteBuffer.allocate(Long.BYTES).putLong(index).array();
     }
 
-    private void tell() {
-        kept.tailMap(told, false).forEach(listener::chosen);
-        told = Math.max(told, number);
+    private void notifyListener() {
+        retained.tailMap(notified, false).forEach(listener::onCommitted);
+        notified = Math.max(notified, index);
     }
 
     @Override
     public void writeContentTo(DataOutput out) throws IOException {
-        out.writeLong(number);
-        out.writeInt(last.size());
-        for (Map.Entry<String, Last> e : last.entrySet()) {
+        out.writeLong(index);
+        out.writeInt(latestByMember.size());
+        for (Map.Entry<String, LatestProposal> e : latestByMember.entrySet()) {
             out.writeUTF(e.getKey());
-            out.writeLong(e.getValue().life);
-            out.writeLong(e.getValue().place);
-            out.writeLong(e.getValue().number);
+            out.writeLong(e.getValue().incarnation);
+            out.writeLong(e.getValue().sequence);
+            out.writeLong(e.getValue().index);
         }
-        out.writeInt(kept.size());
-        for (Map.Entry<Long, byte[]> e : kept.entrySet()) {
+        out.writeInt(retained.size());
+        for (Map.Entry<Long, byte[]> e : retained.entrySet()) {
             out.writeLong(e.getKey());
             out.writeInt(e.getValue().length);
             out.write(e.getValue());
@@ -103,18 +103,18 @@
 
     @Override
     public void readContentFrom(DataInput in) throws IOException {
-        number = in.readLong();
-        last.clear();
-        for (int left = in.readInt(); left > 0; left--) {
-            last.put(in.readUTF(), new Last(in.readLong(), in.readLong(), in.readLong()));
+        index = in.readLong();
+        latestByMember.clear();
+        for (int remaining = in.readInt(); remaining > 0; remaining--) {
+            latestByMember.put(in.readUTF(), new LatestProposal(in.readLong(), in.readLong(), in.readLong()));
         }
-        kept.clear();
-        for (int left = in.readInt(); left > 0; left--) {
-            long n = in.readLong();
+        retained.clear();
+        for (int remaining = in.readInt(); remaining > 0; remaining--) {
+            long entryIndex = in.readLong();
             byte[] entry = new byte[in.readInt()];
             in.readFully(entry);
-            kept.put(n, entry);
+            retained.put(entryIndex, entry);
         }
-        tell();
+        notifyListener();
     }
 }
--- a/cluster/src/main/java/frostreel/cluster/jgroups/GroupMembership.java
+++ b/cluster/src/main/java/frostreel/cluster/jgroups/GroupMembership.java
@@ -49,22 +49,22 @@
  */
 public final class GroupMembership implements Membership {
     /** Messages that wait to be sent, and messages heard that wait for the owner's thread. */
-    private static final int MOST_WAITING = 1024;
+    private static final int QUEUE_CAPACITY = 1024;
     /** The largest frame on the wire; more is no message of ours. */
-    private static final int MOST_FRAME = 2 * MOST_BYTES;
+    private static final int MAX_FRAME_BYTES = 2 * MAX_MESSAGE_BYTES;
 
-    private static final int MOST_THREADS = 8;
-    private static final int CONNECT_MS = 1000;
-    private static final long JOIN_MS = 1000;
-    private static final long AGAIN_MS = 300;
-    private static final long LEAVE_MS = 500;
-    private static final long MERGE_LEAST_MS = 500;
-    private static final long MERGE_MOST_MS = 2000;
+    private static final int MAX_THREADS = 8;
+    private static final int CONNECT_TIMEOUT_MS = 1000;
+    private static final long JOIN_TIMEOUT_MS = 1000;
+    private static final long RETRY_DELAY_MS = 300;
+    private static final long LEAVE_TIMEOUT_MS = 500;
+    private static final long MIN_MERGE_INTERVAL_MS = 500;
+    private static final long MAX_MERGE_INTERVAL_MS = 2000;
     /** Beats in the time after which silence counts. */
-    private static final int BEATS = 4;
+    private static final int HEARTBEATS_PER_TIMEOUT = 4;
 
-    private static final String NAME = "name";
-    private static final String LIFE = "life";
+    private static final String NAME_KEY = "name";
+    private static final String INCARNATION_KEY = "life";
     private static final Logger LOG = Logger.getLogger(GroupMembership.class.getName());
     private final ClusterSettings settings;
     private final Peer self;
@@ -73,24 +73,24 @@
     /** The speaker's alone; a new one for each try to join, as one that was turned away is of no use. */
     private JChannel channel;
 
-    private final ThreadPoolExecutor speaker;
+    private final ThreadPoolExecutor channelExecutor;
     /** Null where there is none. */
     private final RaftLog log;
 
-    private final AtomicInteger waiting = new AtomicInteger();
+    private final AtomicInteger queued = new AtomicInteger();
     private final LongAdder sent = new LongAdder();
     private final LongAdder received = new LongAdder();
     private final LongAdder dropped = new LongAdder();
-    private final LongAdder strangers = new LongAdder();
+    private final LongAdder unknownSenders = new LongAdder();
     private MembershipView view = MembershipView.NONE; // With those below, the owner's thread's alone.
-    private boolean left;
+    private boolean hasLeft;
 
     /**
-     * Joins, and goes on trying where nobody answers. {@code life} is this start's number; events come by
+     * Joins, and goes on trying where nobody answers. {@code incarnation} is this start's number; events come by
      * {@code owner}, which runs one at a time, in order.
      */
-    public GroupMembership(ClusterSettings settings, long life, Executor owner, Listener listener) {
-        this(settings, life, owner, listener, null, null);
+    public GroupMembership(ClusterSettings settings, long incarnation, Executor owner, Listener listener) {
+        this(settings, incarnation, owner, listener, null, null);
     }
 
     /**
@@ -99,7 +99,7 @@
      */
     public GroupMembership(
             ClusterSettings settings,
-            long life,
+            long incarnation,
             Executor owner,
             Listener listener,
             Path folder,
@@ -107,31 +107,31 @@
         this.settings = settings;
         this.owner = owner;
         this.listener = listener;
-        self = new Peer(settings.self(), life);
-        speaker = new ThreadPoolExecutor(1, 1, 0, TimeUnit.SECONDS, new ArrayBlockingQueue<>(MOST_WAITING), r -> {
+        self = new Peer(settings.self(), incarnation);
+        channelExecutor = new ThreadPoolExecutor(1, 1, 0, TimeUnit.SECONDS, new ArrayBlockingQueue<>(QUEUE_CAPACITY), r -> {
             Thread t = new Thread(r, "cluster");
             t.setDaemon(true);
             return t;
         });
         log = chosen == null
                 ? null
-                : new RaftLog(self, settings.members().keySet(), folder, speaker, this::tell, chosen);
-        speaker.execute(this::join);
+                : new RaftLog(self, settings.members().keySet(), folder, channelExecutor, this::notifyOwner, chosen);
+        channelExecutor.execute(this::join);
     }
 
     /** Its name and life go with the address, so that everyone knows them with the first word heard. */
     private Address address() {
         return ExtendedUUID.randomUUID(self.toString())
-                .put(NAME, self.name().getBytes(StandardCharsets.UTF_8))
-                .put(LIFE, Long.toString(self.life()).getBytes(StandardCharsets.US_ASCII)); // Logs show it.
+                .put(NAME_KEY, self.name().getBytes(StandardCharsets.UTF_8))
+                .put(INCARNATION_KEY, Long.toString(self.incarnation()).getBytes(StandardCharsets.US_ASCII)); // Logs show it.
     }
 
     private static Peer peer(Address address) {
-        if (address instanceof ExtendedUUID id && id.keyExists(NAME) && id.keyExists(LIFE)) {
+        if (address instanceof ExtendedUUID id && id.keyExists(NAME_KEY) && id.keyExists(INCARNATION_KEY)) {
             try {
                 return new Peer(
-                        new String(id.get(NAME), StandardCharsets.UTF_8),
-                        Long.parseLong(new String(id.get(LIFE), StandardCharsets.US_ASCII)));
+                        new String(id.get(NAME_KEY), StandardCharsets.UTF_8),
+                        Long.parseLong(new String(id.get(INCARNATION_KEY), StandardCharsets.US_ASCII)));
             } catch (NumberFormatException e) {
                 return null; // Nobody of ours.
             }
@@ -144,20 +144,20 @@
         tcp.setBindAddress(settings.bind().getAddress())
                 .setBindPort(settings.bind().getPort())
                 .setPortRange(0)
-                .setExternalAddr(settings.announced().getAddress())
-                .setExternalPort(settings.announced().getPort());
+                .setExternalAddr(settings.advertised().getAddress())
+                .setExternalPort(settings.advertised().getPort());
         tcp.setClientBindAddr(settings.bind().getAddress())
-                .setSockConnTimeout(CONNECT_MS)
-                .setMaxLength(MOST_FRAME);
-        tcp.getThreadPool().setMaxThreads(MOST_THREADS).setIncreaseMaxSizeDynamically(false);
+                .setSockConnTimeout(CONNECT_TIMEOUT_MS)
+                .setMaxLength(MAX_FRAME_BYTES);
+        tcp.getThreadPool().setMaxThreads(MAX_THREADS).setIncreaseMaxSizeDynamically(false);
         TCPPING named = new TCPPING();
         named.setInitialHosts(settings.members().values()).setPortRange(0);
         long silentMs = settings.silentAfterMs();
         List<Protocol> stack = new ArrayList<>(List.of(
                 tcp,
                 named,
-                new MERGE3().setMinInterval(MERGE_LEAST_MS).setMaxInterval(MERGE_MOST_MS),
-                new FD_ALL3().setTimeout(silentMs).setInterval(silentMs / BEATS),
+                new MERGE3().setMinInterval(MIN_MERGE_INTERVAL_MS).setMaxInterval(MAX_MERGE_INTERVAL_MS),
+                new FD_ALL3().setTimeout(silentMs).setInterval(silentMs / HEARTBEATS_PER_TIMEOUT),
                 new VERIFY_SUSPECT2().setTimeout(silentMs / 2),
                 new NAKACK2().useMcastXmit(false).logDiscardMessages(false), // In a split there are many.
                 new UNICAST3(),
@@ -166,14 +166,14 @@
             stack.add(new NO_DUPES()); // Two lives of one name would have two votes.
         }
         stack.addAll(List.of(
-                new GMS().setJoinTimeout(JOIN_MS).setLeaveTimeout(LEAVE_MS).printLocalAddress(false),
+                new GMS().setJoinTimeout(JOIN_TIMEOUT_MS).setLeaveTimeout(LEAVE_TIMEOUT_MS).printLocalAddress(false),
                 new UFC(),
                 new MFC(),
-                new FRAG4().setFragSize(MOST_BYTES / 2)));
+                new FRAG4().setFragSize(MAX_MESSAGE_BYTES / 2)));
         if (log != null) {
             stack.addAll(log.protocols());
         }
-        stack.add(new SuspicionListener(this::suspects));
+        stack.add(new SuspicionListener(this::onSuspicion));
         return stack;
     }
 
@@ -183,16 +183,16 @@
             // It would open a port for anyone.
             channel.getProtocolStack().getTransport().getDiagnosticsHandler().setEnabled(false);
             channel.addAddressGenerator(this::address);
-            channel.setReceiver(new Ears());
+            channel.setReceiver(new ChannelReceiver());
             channel.connect(settings.group());
         } catch (SecurityException e) { // The life before this one has not been missed yet.
             LOG.fine(e.getMessage());
             channel.close();
-            CompletableFuture.delayedExecutor(AGAIN_MS, TimeUnit.MILLISECONDS, this::speak)
+            CompletableFuture.delayedExecutor(RETRY_DELAY_MS, TimeUnit.MILLISECONDS, this::onChannel)
                     .execute(this::join);
         } catch (Exception e) { // Whatever it is, there is no group for this pooler.
             LOG.log(Level.SEVERE, "GW_CLUSTER: cannot take part in " + settings.group() + " at " + settings.bind(), e);
-            tell(() -> listener.failed(String.valueOf(e.getMessage())));
+            notifyOwner(() -> listener.onJoinFailed(String.valueOf(e.getMessage())));
         }
     }
 
@@ -213,8 +213,8 @@
 
     @Override
     public void send(Peer to, byte[] message) {
-        Membership.check(message);
-        speak(() -> {
+        Membership.checkSize(message);
+        onChannel(() -> {
             org.jgroups.View now = channel.getView();
             if (now != null) {
                 for (Address a : now.getMembers()) {
@@ -227,14 +227,14 @@
     }
 
     @Override
-    public void cast(byte[] message) {
-        Membership.check(message);
-        speak(() -> write(null, message));
+    public void broadcast(byte[] message) {
+        Membership.checkSize(message);
+        onChannel(() -> write(null, message));
     }
 
-    private void speak(Runnable what) {
+    private void onChannel(Runnable what) {
         try {
-            speaker.execute(what);
+            channelExecutor.execute(what);
         } catch (RejectedExecutionException full) {
             dropped.increment();
         }
@@ -251,48 +251,48 @@
 
     @Override
     public void leave() {
-        if (left) {
+        if (hasLeft) {
             return;
         }
-        left = true;
-        speaker.getQueue().clear();
-        speaker.execute(() -> channel.close());
-        speaker.shutdown();
+        hasLeft = true;
+        channelExecutor.getQueue().clear();
+        channelExecutor.execute(() -> channel.close());
+        channelExecutor.shutdown();
     }
 
     /** Waits until it has left, for tests and the program's end; false once the time is over. */
-    public boolean awaitLeft(long ms) throws InterruptedException {
-        return speaker.awaitTermination(ms, TimeUnit.MILLISECONDS);
+    public boolean awaitTermination(long ms) throws InterruptedException {
+        return channelExecutor.awaitTermination(ms, TimeUnit.MILLISECONDS);
     }
 
     /** What was sent, heard and dropped so far, on one line; from any thread. */
     public String counters() {
-        return "sent=" + sent + " received=" + received + " dropped=" + dropped + " strangers=" + strangers;
+        return "sent=" + sent + " received=" + received + " dropped=" + dropped + " strangers=" + unknownSenders;
     }
 
-    private void suspects(Collection<Address> whom) {
-        for (Address a : whom) {
-            Peer p = known(a);
+    private void onSuspicion(Collection<Address> suspects) {
+        for (Address a : suspects) {
+            Peer p = knownPeer(a);
             if (p != null) {
-                tell(() -> listener.suspected(p));
+                notifyOwner(() -> listener.onSuspected(p));
             }
         }
     }
 
     /** A peer that the settings name; null, and counted, for anyone else. */
-    private Peer known(Address a) {
+    private Peer knownPeer(Address a) {
         Peer p = peer(a);
         if (p == null || !settings.members().containsKey(p.name())) {
-            strangers.increment();
+            unknownSenders.increment();
             return null;
         }
         return p;
     }
 
-    private void tell(Runnable event) {
+    private void notifyOwner(Runnable event) {
         try {
             owner.execute(() -> {
-                if (!left) {
+                if (!hasLeft) {
                     event.run();
                 }
             });
@@ -302,41 +302,41 @@
     }
 
     /** What comes from the channel, on its threads. */
-    private final class Ears implements Receiver {
+    private final class ChannelReceiver implements Receiver {
         @Override
         public void viewAccepted(org.jgroups.View v) {
             List<Peer> peers = new ArrayList<>();
             for (Address a : v.getMembers()) {
-                Peer p = known(a);
+                Peer p = knownPeer(a);
                 if (p != null) {
                     peers.add(p);
                 }
             }
             MembershipView next = new MembershipView(v.getViewId().getId(), peers, v instanceof MergeView);
-            tell(() -> {
+            notifyOwner(() -> {
                 MembershipView before = view;
                 view = next;
-                listener.changed(next, before);
+                listener.onViewChanged(next, before);
             });
         }
 
         @Override
         public void receive(Message m) {
-            Peer from = known(m.src());
-            if (from == null || m.getLength() > MOST_BYTES) {
+            Peer from = knownPeer(m.src());
+            if (from == null || m.getLength() > MAX_MESSAGE_BYTES) {
                 return;
             }
-            if (waiting.incrementAndGet() > MOST_WAITING) {
-                waiting.decrementAndGet();
+            if (queued.incrementAndGet() > QUEUE_CAPACITY) {
+                queued.decrementAndGet();
                 dropped.increment();
                 return;
             }
             received.increment();
             byte[] bytes = new byte[m.getLength()];
             System.arraycopy(m.getArray(), m.getOffset(), bytes, 0, bytes.length);
-            tell(() -> {
-                waiting.decrementAndGet();
-                listener.received(from, bytes);
+            notifyOwner(() -> {
+                queued.decrementAndGet();
+                listener.onMessage(from, bytes);
             });
         }
     }
--- a/cluster/src/main/java/frostreel/cluster/jgroups/RaftLog.java
+++ b/cluster/src/main/java/frostreel/cluster/jgroups/RaftLog.java
@@ -29,17 +29,17 @@
      * The leader sends a follower again what it lacks only once it has heard nothing new for so long;
      * proposals that come again sooner than that would keep a member that started again out for ever.
      */
-    private static final long IDLE_MS = 100;
+    private static final long RESEND_INTERVAL_MS = 100;
 
-    private static final long AGAIN_MS = 1000;
-    private static final long MOST_MS = 10_000;
-    private static final int MOST_WAITING = 64;
-    private static final int SNAPSHOT_BYTES = 1 << 20;
+    private static final long RETRY_DELAY_MS = 1000;
+    private static final long PROPOSAL_TIMEOUT_MS = 10_000;
+    private static final int QUEUE_CAPACITY = 64;
+    private static final int MAX_LOG_BYTES = 1 << 20;
 
-    private record Proposal(byte[] bytes, Outcome outcome) {}
+    private record Proposal(byte[] bytes, ProposalListener listener) {}
 
     private final Peer self;
-    private final Executor speaker;
+    private final Executor channelExecutor;
     private final Executor owner;
     private final Collection<String> members;
     private final Path folder;
@@ -47,18 +47,18 @@
     private final CommittedEntries entries;
 
     private volatile REDIRECT redirect;
-    private final Queue<Proposal> waiting = new ArrayDeque<>();
-    private long places;
-    private boolean busy;
+    private final Queue<Proposal> queued = new ArrayDeque<>();
+    private long lastSequence;
+    private boolean inFlight;
 
     /** {@code folder} keeps the log; null keeps it in memory, and a restart then forgets what it promised. */
-    RaftLog(Peer self, Collection<String> members, Path folder, Executor speaker, Executor owner, Listener listener) {
+    RaftLog(Peer self, Collection<String> members, Path folder, Executor channelExecutor, Executor owner, Listener listener) {
         this.self = self;
-        this.speaker = speaker;
+        this.channelExecutor = channelExecutor;
         this.owner = owner;
         this.members = members;
         this.folder = folder;
-        entries = new CommittedEntries((number, entry) -> owner.execute(() -> listener.chosen(number, entry)));
+        entries = new CommittedEntries((index, entry) -> owner.execute(() -> listener.onCommitted(index, entry)));
     }
 
     /** What goes into a channel's stack, above all that carries messages; new for each channel. */
@@ -66,8 +66,8 @@
         RAFT raft = new RAFT()
                 .members(members)
                 .raftId(self.name())
-                .maxLogSize(SNAPSHOT_BYTES)
-                .resendInterval(IDLE_MS)
+                .maxLogSize(MAX_LOG_BYTES)
+                .resendInterval(RESEND_INTERVAL_MS)
                 .stateMachine(entries);
         if (folder == null) {
             raft.logClass(InMemoryLog.class.getName()).logPrefix(self.toString());
@@ -82,21 +82,21 @@
     }
 
     @Override
-    public void propose(byte[] entry, Outcome outcome) {
-        ReplicatedLog.check(entry);
-        if (waiting.size() >= MOST_WAITING) {
-            outcome.unknown("too many proposals wait");
+    public void propose(byte[] entry, ProposalListener listener) {
+        ReplicatedLog.checkSize(entry);
+        if (queued.size() >= QUEUE_CAPACITY) {
+            listener.onUnknown("too many proposals wait");
             return;
         }
-        waiting.add(new Proposal(CommittedEntries.proposal(self, ++places, entry), outcome));
+        queued.add(new Proposal(CommittedEntries.proposal(self, ++lastSequence, entry), listener));
         next();
     }
 
     private void next() {
-        Proposal p = busy ? null : waiting.poll();
+        Proposal p = inFlight ? null : queued.poll();
         if (p != null) {
-            busy = true;
-            long endMs = System.nanoTime() / 1_000_000 + MOST_MS;
+            inFlight = true;
+            long endMs = System.nanoTime() / 1_000_000 + PROPOSAL_TIMEOUT_MS;
             send(p, endMs);
         }
     }
@@ -104,7 +104,7 @@
     /** Where the channel's queue is full, a proposal must not be waited for that nobody makes. */
     private void send(Proposal p, long endMs) {
         try {
-            speaker.execute(() -> attempt(p, endMs));
+            channelExecutor.execute(() -> attempt(p, endMs));
         } catch (RejectedExecutionException full) {
             done(p, 0, "the queue to the channel is full");
         }
@@ -117,11 +117,11 @@
         } catch (Exception e) { // No leader is known here, or it is out of reach.
             answer = CompletableFuture.failedFuture(e);
         }
-        answer.orTimeout(AGAIN_MS, TimeUnit.MILLISECONDS).whenComplete((bytes, failure) -> {
+        answer.orTimeout(RETRY_DELAY_MS, TimeUnit.MILLISECONDS).whenComplete((bytes, failure) -> {
             if (failure == null) {
-                owner.execute(() -> done(p, CommittedEntries.number(bytes), null));
+                owner.execute(() -> done(p, CommittedEntries.index(bytes), null));
             } else if (System.nanoTime() / 1_000_000 < endMs) {
-                CompletableFuture.delayedExecutor(AGAIN_MS / 2, TimeUnit.MILLISECONDS, owner)
+                CompletableFuture.delayedExecutor(RETRY_DELAY_MS / 2, TimeUnit.MILLISECONDS, owner)
                         .execute(() -> send(p, endMs));
             } else {
                 Throwable cause = failure instanceof CompletionException ? failure.getCause() : failure;
@@ -130,12 +130,12 @@
         });
     }
 
-    private void done(Proposal p, long number, String why) {
-        busy = false;
-        if (number > 0) {
-            p.outcome.chosen(number);
+    private void done(Proposal p, long index, String why) {
+        inFlight = false;
+        if (index > 0) {
+            p.listener.onCommitted(index);
         } else {
-            p.outcome.unknown(why == null ? "a later one was chosen before it" : why);
+            p.listener.onUnknown(why == null ? "a later one was chosen before it" : why);
         }
         next();
     }
--- a/cluster/src/main/java/frostreel/cluster/jgroups/SuspicionListener.java
+++ b/cluster/src/main/java/frostreel/cluster/jgroups/SuspicionListener.java
@@ -17,8 +17,8 @@
     @Override
     public Object up(Event event) {
         if (event.getType() == Event.SUSPECT) {
-            Collection<Address> whom = event.arg();
-            listener.accept(whom);
+            Collection<Address> suspects = event.arg();
+            listener.accept(suspects);
         }
         return super.up(event);
     }
--- a/lab/src/main/java/frostreel/lab/virtual/VirtualGroup.java
+++ b/lab/src/main/java/frostreel/lab/virtual/VirtualGroup.java
@@ -88,15 +88,15 @@
 
         @Override
         public void send(Peer to, byte[] message) {
-            Membership.check(message);
+            Membership.checkSize(message);
             if (!to.equals(self) && view.members().contains(to)) {
                 carry(this, to, message);
             }
         }
 
         @Override
-        public void cast(byte[] message) {
-            Membership.check(message);
+        public void broadcast(byte[] message) {
+            Membership.checkSize(message);
             for (Peer to : view.members()) {
                 if (!to.equals(self)) {
                     carry(this, to, message);
@@ -127,8 +127,8 @@
         private void takes(MembershipView next) {
             MembershipView before = view;
             view = next;
-            next.left(before).stream().filter(p -> !farewells.contains(p)).forEach(listener::suspected);
-            listener.changed(next, before);
+            next.left(before).stream().filter(p -> !farewells.contains(p)).forEach(listener::onSuspected);
+            listener.onViewChanged(next, before);
         }
     }
 
@@ -140,7 +140,7 @@
         }
         Member m = new Member(new Peer(name, life), listener);
         if (!named.contains(name)) {
-            kernel.after(0, () -> m.hears(() -> listener.failed(name + " is not named")));
+            kernel.after(0, () -> m.hears(() -> listener.onJoinFailed(name + " is not named")));
             return m;
         }
         present.put(name, m);
@@ -159,20 +159,20 @@
         return (entry, outcome) -> propose(m, entry, outcome);
     }
 
-    private void propose(Member m, byte[] entry, ReplicatedLog.Outcome outcome) {
-        ReplicatedLog.check(entry);
+    private void propose(Member m, byte[] entry, ReplicatedLog.ProposalListener outcome) {
+        ReplicatedLog.checkSize(entry);
         byte[] copy = entry.clone();
         long untilUs = kernel.now() + PROPOSAL_US;
         kernel.after(2 * usualDelayUs, () -> attempt(m, copy, outcome, untilUs));
     }
 
     /** Goes on until a majority is there to choose it; its answer may be lost on the way back. */
-    private void attempt(Member m, byte[] entry, ReplicatedLog.Outcome outcome, long untilUs) {
+    private void attempt(Member m, byte[] entry, ReplicatedLog.ProposalListener outcome, long untilUs) {
         if (m.gone) {
             return;
         }
         if (kernel.now() >= untilUs) {
-            m.hears(() -> outcome.unknown("no majority"));
+            m.hears(() -> outcome.onUnknown("no majority"));
         } else if (m.paused || partOf(m).size() <= named.size() / 2) {
             kernel.after(AGAIN_US, () -> attempt(m, entry, outcome, untilUs));
         } else {
@@ -181,9 +181,9 @@
             present.values().forEach(this::catchUp);
             kernel.after(2 * usualDelayUs, () -> {
                 if (partOf(m).size() > named.size() / 2) {
-                    m.hears(() -> outcome.chosen(number));
+                    m.hears(() -> outcome.onCommitted(number));
                 } else {
-                    kernel.after(PROPOSAL_US, () -> m.hears(() -> outcome.unknown("the answer was lost")));
+                    kernel.after(PROPOSAL_US, () -> m.hears(() -> outcome.onUnknown("the answer was lost")));
                 }
             });
         }
@@ -220,10 +220,10 @@
                 });
                 return;
             }
-            m.toldNumber = Math.max(m.toldNumber, entries.size() - ReplicatedLog.KEPT);
+            m.toldNumber = Math.max(m.toldNumber, entries.size() - ReplicatedLog.RETAINED_ENTRIES);
             while (m.toldNumber < entries.size()) {
                 long number = ++m.toldNumber;
-                m.hears(() -> m.chosen.chosen(number, entries.get((int) number - 1)));
+                m.hears(() -> m.chosen.onCommitted(number, entries.get((int) number - 1)));
             }
         });
     }
@@ -275,7 +275,7 @@
         byte[] copy = message.clone();
         kernel.after(atUs - kernel.now(), () -> {
             if (!cuts.containsKey(way)) {
-                m.hears(() -> m.listener.received(from.self, copy));
+                m.hears(() -> m.listener.onMessage(from.self, copy));
             }
         });
     }
--- a/lab/src/test/java/frostreel/lab/processes/GroupMembershipTest.java
+++ b/lab/src/test/java/frostreel/lab/processes/GroupMembershipTest.java
@@ -57,7 +57,7 @@
         }
         Peer second = b.group.self();
         for (int i = 0; i < 50; i++) {
-            a.group.cast(("all " + i).getBytes());
+            a.group.broadcast(("all " + i).getBytes());
             a.group.send(second, ("one " + i).getBytes());
         }
         List<String> heard = new ArrayList<>();
@@ -73,9 +73,9 @@
         for (int i = 0; i < 50; i++) {
             assertThat(c.hears()).isEqualTo("p0:all " + i);
         }
-        c.group.cast(new byte[Membership.MOST_BYTES]);
-        assertThat(a.hears()).isEqualTo("p2:" + Membership.MOST_BYTES);
-        assertThatThrownBy(() -> c.group.cast(new byte[Membership.MOST_BYTES + 1]))
+        c.group.broadcast(new byte[Membership.MAX_MESSAGE_BYTES]);
+        assertThat(a.hears()).isEqualTo("p2:" + Membership.MAX_MESSAGE_BYTES);
+        assertThatThrownBy(() -> c.group.broadcast(new byte[Membership.MAX_MESSAGE_BYTES + 1]))
                 .hasMessageContaining("at most");
         b.leave();
         a.sees("p0", "p2");
@@ -95,9 +95,9 @@
         addresses.put("p2", taken); // It thinks that it is one of them.
         Member stranger = start("p2", 2);
         stranger.sees("p0", "p1", "p2");
-        stranger.group.cast("let me in".getBytes());
+        stranger.group.broadcast("let me in".getBytes());
         stranger.group.send(a.group.self(), "now".getBytes());
-        b.group.cast("from a friend".getBytes());
+        b.group.broadcast("from a friend".getBytes());
         assertThat(a.hears()).isEqualTo("p1:from a friend");
         assertThat(a.last.members()).extracting(Peer::name).containsExactly("p0", "p1");
         assertThat(a.group.counters()).doesNotContain("strangers=0");
@@ -120,7 +120,7 @@
             }
         });
         while (b.group.counters().contains(" dropped=0 ")) {
-            a.group.cast(new byte[10]);
+            a.group.broadcast(new byte[10]);
         }
         busy.countDown();
         assertThat(b.hears()).isEqualTo("p0:" + new String(new byte[10]));
--- a/lab/src/test/java/frostreel/lab/processes/GroupRig.java
+++ b/lab/src/test/java/frostreel/lab/processes/GroupRig.java
@@ -60,12 +60,12 @@
         }
 
         @Override
-        public void chosen(long number, byte[] entry) {
+        public void onCommitted(long number, byte[] entry) {
             chosen.add(number + ":" + new String(entry));
         }
 
         @Override
-        public void changed(MembershipView view, MembershipView before) {
+        public void onViewChanged(MembershipView view, MembershipView before) {
             assertThat(before).isEqualTo(last);
             assertThat(view.number()).isGreaterThan(before.number());
             last = view;
@@ -73,17 +73,17 @@
         }
 
         @Override
-        public void suspected(Peer peer) {
+        public void onSuspected(Peer peer) {
             suspects.add(peer);
         }
 
         @Override
-        public void received(Peer from, byte[] message) {
+        public void onMessage(Peer from, byte[] message) {
             heard.add(from.name() + ":" + (message.length < 100 ? new String(message) : message.length));
         }
 
         @Override
-        public void failed(String why) {
+        public void onJoinFailed(String why) {
             failures.add(why);
         }
 
@@ -102,7 +102,7 @@
 
         void leave() throws Exception {
             owner.submit(group::leave).get();
-            assertThat(group.awaitLeft(HANG_S * 1000)).isTrue();
+            assertThat(group.awaitTermination(HANG_S * 1000)).isTrue();
         }
 
         String hears() throws InterruptedException {
--- a/lab/src/test/java/frostreel/lab/processes/ReplicatedLogTest.java
+++ b/lab/src/test/java/frostreel/lab/processes/ReplicatedLogTest.java
@@ -38,14 +38,14 @@
 
     private static CompletableFuture<Long> propose(Member m, String entry) {
         CompletableFuture<Long> number = new CompletableFuture<>();
-        m.owner.execute(() -> m.group.log().propose(entry.getBytes(), new ReplicatedLog.Outcome() {
+        m.owner.execute(() -> m.group.log().propose(entry.getBytes(), new ReplicatedLog.ProposalListener() {
             @Override
-            public void chosen(long n) {
+            public void onCommitted(long n) {
                 number.complete(n);
             }
 
             @Override
-            public void unknown(String why) {
+            public void onUnknown(String why) {
                 number.completeExceptionally(new IllegalStateException(why));
             }
         }));
@@ -99,7 +99,7 @@
         assertThat(order.get(29)).startsWith("30:");
         assertThat(hears(members.get(1), 30)).isEqualTo(order);
         assertThat(hears(members.get(2), 30)).isEqualTo(order);
-        assertThatThrownBy(() -> members.get(0).group.log().propose(new byte[ReplicatedLog.MOST_BYTES + 1], null))
+        assertThatThrownBy(() -> members.get(0).group.log().propose(new byte[ReplicatedLog.MAX_ENTRY_BYTES + 1], null))
                 .hasMessageContaining("at most");
     }
 
@@ -180,7 +180,7 @@
         assertThat(told).hasSizeGreaterThanOrEqualTo(count + 1);
         for (Member m : members) {
             List<String> order = new ArrayList<>();
-            if (m.group.self().life() == 1) {
+            if (m.group.self().incarnation() == 1) {
                 order.add("1:first");
             }
             do {
--- a/lab/src/test/java/frostreel/lab/virtual/VirtualGroupTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/VirtualGroupTest.java
@@ -36,7 +36,7 @@
         Membership mine;
 
         @Override
-        public void changed(MembershipView view, MembershipView before) {
+        public void onViewChanged(MembershipView view, MembershipView before) {
             assertThat(before).isEqualTo(views.isEmpty() ? MembershipView.NONE : views.get(views.size() - 1));
             assertThat(view.number()).isGreaterThan(before.number());
             assertThat(view.members()).contains(mine.self());
@@ -44,17 +44,17 @@
         }
 
         @Override
-        public void suspected(Peer peer) {
+        public void onSuspected(Peer peer) {
             suspects.add(peer.name());
         }
 
         @Override
-        public void received(Peer from, byte[] message) {
+        public void onMessage(Peer from, byte[] message) {
             heard.add(from.name() + ":" + new String(message));
         }
 
         @Override
-        public void failed(String why) {
+        public void onJoinFailed(String why) {
             failures.add(why);
         }
 
@@ -117,8 +117,8 @@
         start(3, 1);
         group.cut("p002", "p000", true);
         group.cut("p002", "p001", true);
-        ears.get("p000").mine.cast("still".getBytes());
-        ears.get("p002").mine.cast("lost".getBytes());
+        ears.get("p000").mine.broadcast("still".getBytes());
+        ears.get("p002").mine.broadcast("lost".getBytes());
         pass(SETTLED_US);
         assertThat(ears.get("p002").heard).containsExactly("p000:still");
         assertThat(ears.get("p001").heard).containsExactly("p000:still");
@@ -140,7 +140,7 @@
     void aPausedOneIsOutHearsWhatCameOnWakingAndIsTakenInAgain() {
         start(3, 1);
         group.pause("p001", true);
-        ears.get("p000").mine.cast("news".getBytes());
+        ears.get("p000").mine.broadcast("news".getBytes());
         pass(SETTLED_US);
         assertThat(ears.get("p000").sees()).containsExactly("p000", "p002");
         assertThat(ears.get("p001").sees()).hasSize(3);
@@ -158,12 +158,12 @@
         group.delay("p000", "p001", 500_000);
         a.send(ears.get("p001").mine.self(), "one".getBytes());
         group.delay("p000", "p001", 0);
-        a.cast("two".getBytes());
+        a.broadcast("two".getBytes());
         pass(400_000);
         assertThat(ears.get("p001").heard).isEmpty();
         pass(200_000);
         assertThat(ears.get("p001").heard).containsExactly("p000:one", "p000:two");
-        assertThatThrownBy(() -> a.cast(new byte[Membership.MOST_BYTES + 1])).hasMessageContaining("at most");
+        assertThatThrownBy(() -> a.broadcast(new byte[Membership.MAX_MESSAGE_BYTES + 1])).hasMessageContaining("at most");
     }
 
     @Test
@@ -208,7 +208,7 @@
                     group.kill(one);
                     join(one, i + 2);
                 }
-                default -> ears.get(one).mine.cast(other.getBytes());
+                default -> ears.get(one).mine.broadcast(other.getBytes());
             }
             pass(chance.nextLong(200_000));
         }
@@ -239,14 +239,14 @@
         }
 
         void propose(String entry) {
-            log.propose(entry.getBytes(), new ReplicatedLog.Outcome() {
+            log.propose(entry.getBytes(), new ReplicatedLog.ProposalListener() {
                 @Override
-                public void chosen(long number) {
+                public void onCommitted(long number) {
                     answered.put(entry, number);
                 }
 
                 @Override
-                public void unknown(String why) {
+                public void onUnknown(String why) {
                     doubtful.add(entry);
                 }
             });
@@ -269,7 +269,7 @@
         cut(false, 2, 5);
         pass(1_000_000);
         assertThat(small.told).isEqualTo(large.told);
-        assertThatThrownBy(() -> small.log.propose(new byte[ReplicatedLog.MOST_BYTES + 1], null))
+        assertThatThrownBy(() -> small.log.propose(new byte[ReplicatedLog.MAX_ENTRY_BYTES + 1], null))
                 .hasMessageContaining("at most");
     }
 
--- a/pooler/src/main/java/frostreel/fleet/ClusterMember.java
+++ b/pooler/src/main/java/frostreel/fleet/ClusterMember.java
@@ -21,17 +21,17 @@
  */
 public final class ClusterMember implements Membership.Listener {
     private static final Logger LOG = Logger.getLogger(ClusterMember.class.getName());
-    private final Set<String> named;
-    private final Set<Peer> silent = new TreeSet<>();
-    private final GroupMembership group;
-    private String failure;
+    private final Set<String> configured;
+    private final Set<Peer> suspected = new TreeSet<>();
+    private final GroupMembership membership;
+    private String joinFailure;
 
     /** Joins as {@code self}; its life is the time of its start, Unix milliseconds. */
     public ClusterMember(OperatorSettings.Cluster cluster, String self, EventLoop loop) {
-        named = cluster.members().keySet();
+        configured = cluster.members().keySet();
         Map<String, InetSocketAddress> members = new TreeMap<>();
         cluster.members().forEach((name, address) -> members.put(name, address.advertised()));
-        group = new GroupMembership(
+        membership = new GroupMembership(
                 new ClusterSettings(
                         cluster.group(), self, cluster.members().get(self).bind(), members, cluster.silentAfterMs()),
                 loop.clock().now() / 1000,
@@ -40,55 +40,55 @@
     }
 
     @Override
-    public void changed(MembershipView view, MembershipView before) {
-        silent.retainAll(view.members());
+    public void onViewChanged(MembershipView view, MembershipView before) {
+        suspected.retainAll(view.members());
         view.joined(before).stream()
-                .filter(p -> !p.equals(group.self()))
-                .forEach(p -> LOG.info("fleet: " + p.name() + " is here, life " + p.life()));
-        view.left(before).forEach(p -> LOG.warning("GW_FLEET: " + p.name() + " is gone, life " + p.life()));
+                .filter(p -> !p.equals(membership.self()))
+                .forEach(p -> LOG.info("fleet: " + p.name() + " is here, life " + p.incarnation()));
+        view.left(before).forEach(p -> LOG.warning("GW_FLEET: " + p.name() + " is gone, life " + p.incarnation()));
         if (view.merged()) {
             LOG.info("fleet: parts that were apart are one again");
         }
     }
 
     @Override
-    public void suspected(Peer peer) {
-        if (silent.add(peer)) {
+    public void onSuspected(Peer peer) {
+        if (suspected.add(peer)) {
             LOG.warning("GW_FLEET: " + peer.name() + " is silent");
         }
     }
 
     @Override
-    public void received(Peer from, byte[] message) {
+    public void onMessage(Peer from, byte[] message) {
         LOG.fine("fleet: " + message.length + " bytes of " + from + " that nobody here knows");
     }
 
     @Override
-    public void failed(String why) {
-        failure = why;
+    public void onJoinFailed(String why) {
+        joinFailure = why;
     }
 
     /** Leaves, so that the others know at once; waits for that no longer than so many milliseconds. */
-    public void leave(EventLoop loop, long mostMs) throws InterruptedException {
-        loop.thread().execute(group::leave);
-        group.awaitLeft(mostMs);
+    public void leave(EventLoop loop, long timeoutMs) throws InterruptedException {
+        loop.thread().execute(membership::leave);
+        membership.awaitTermination(timeoutMs);
     }
 
     /** For on-call staff: one line of its own, and one for each pooler named. */
     @Override
     public String toString() {
-        MembershipView view = group.view();
-        Map<String, Long> lives = view.members().stream().collect(Collectors.toMap(Peer::name, Peer::life, Math::max));
-        StringBuilder page = new StringBuilder("self=" + group.self() + " view=" + view.number() + " here="
-                + lives.size() + " named=" + named.size() + " " + group.counters()
-                + (failure == null ? "" : " failed='" + failure + "'"));
-        for (String name : named) {
-            Long life = lives.get(name);
-            boolean quiet = silent.stream().anyMatch(p -> p.name().equals(name));
+        MembershipView view = membership.view();
+        Map<String, Long> incarnations = view.members().stream().collect(Collectors.toMap(Peer::name, Peer::incarnation, Math::max));
+        StringBuilder page = new StringBuilder("self=" + membership.self() + " view=" + view.number() + " here="
+                + incarnations.size() + " named=" + configured.size() + " " + membership.counters()
+                + (joinFailure == null ? "" : " failed='" + joinFailure + "'"));
+        for (String name : configured) {
+            Long incarnation = incarnations.get(name);
+            boolean isSuspected = suspected.stream().anyMatch(p -> p.name().equals(name));
             page.append('\n')
                     .append(name)
-                    .append(life == null ? " absent" : " here life=" + life)
-                    .append(quiet ? " silent" : "");
+                    .append(incarnation == null ? " absent" : " here life=" + incarnation)
+                    .append(isSuspected ? " silent" : "");
         }
         return page.toString();
     }
