--- a/decisions/src/main/java/frostreel/zones/ZoneFailoverPolicy.java
+++ b/decisions/src/main/java/frostreel/zones/ZoneFailoverPolicy.java
@@ -23,49 +23,49 @@
  */
 public final class ZoneFailoverPolicy implements Router.LocalityPolicy {
     /** Each farther tier is so many times dearer. */
-    private static final double FARTHER = 2;
+    private static final double COST_PER_TIER = 2;
     /** A tier's budget holds what it gains in this time. */
-    private static final double SAVED_US = 500_000;
+    private static final double BUDGET_CAPACITY_US = 500_000;
     /** The worst class may spill only while a budget is at least so full. */
-    private static final double RESERVE = 0.7;
+    private static final double MAX_RESERVE = 0.7;
     /** A returning member is sent so many times its present share of what it served: it has room for that. */
-    private static final double HASTE = 1.5;
+    private static final double RAMP_HEADROOM = 1.5;
 
-    private static final double SPAN_US = 10e6;
-    private static final double MEAN = 0.05;
+    private static final double SERVED_SPAN_US = 10e6;
+    private static final double WORK_SMOOTHING = 0.05;
     /** Classes are put in order again after so many reads. */
-    private static final int ORDER_EVERY = 500;
+    private static final int REQUESTS_BETWEEN_RANKINGS = 500;
 
-    private Router.Settings set;
+    private Router.Settings routing;
     private ZoneSettings zones;
-    private final double phase;
-    private final Map<Long, ZoneReplicas> areas = new HashMap<>();
-    private final Map<Integer, ZoneReplicas.Group> groups = new HashMap<>();
-    private final Map<Integer, ZoneReplicas.Zone> byZone = new HashMap<>();
-    private final List<ZoneReplicas> byHandle = new ArrayList<>();
-    private final List<TokenBucket> ramps = new ArrayList<>();
-    private final ArrayDeque<Integer> free = new ArrayDeque<>();
-    private TokenBucket[] spills;
+    private final double rampPhase;
+    private final Map<Long, ZoneReplicas> replicaSets = new HashMap<>();
+    private final Map<Integer, ZoneReplicas.NearestTier> nearestTiers = new HashMap<>();
+    private final Map<Integer, ZoneReplicas.ZoneFailureDetector> zoneDetectors = new HashMap<>();
+    private final List<ZoneReplicas> replicasByHandle = new ArrayList<>();
+    private final List<TokenBucket> rampByHandle = new ArrayList<>();
+    private final ArrayDeque<Integer> freeHandles = new ArrayDeque<>();
+    private TokenBucket[] budgets;
     private double[] costFactors;
     /** For the overview: reads sent and turned down by tier, and what became of areas. */
-    private long[] sent;
+    private long[] sentByTier;
 
-    private long[] denied;
+    private long[] deniedByTier;
     private long losses;
     private long returns;
-    private final Rate home = new Rate(SPAN_US);
+    private final Rate nearestServed = new Rate(SERVED_SPAN_US);
     /** What the lost and returning areas of nearest tiers served. */
-    private double missing;
+    private double lostRate;
 
-    private boolean everServed;
-    private double[] work = {};
-    private double[] reserve = {};
-    private int untilOrder = ORDER_EVERY;
-    private double anyWork;
+    private boolean nearestHasServed;
+    private double[] workByClass = {};
+    private double[] reserveByClass = {};
+    private int untilRanking = REQUESTS_BETWEEN_RANKINGS;
+    private double meanWorkUs;
 
-    /** {@code phase}: at least 0 and under 1, drawn anew for each pooler. */
-    public ZoneFailoverPolicy(Router.Settings settings, ZoneSettings zones, double phase) {
-        this.phase = phase;
+    /** {@code rampPhase}: at least 0 and under 1, drawn anew for each pooler. */
+    public ZoneFailoverPolicy(Router.Settings settings, ZoneSettings zones, double rampPhase) {
+        this.rampPhase = rampPhase;
         configure(zones);
         settings(settings);
     }
@@ -73,36 +73,36 @@
     /** What is known of the classes that were there before stays. */
     @Override
     public void settings(Router.Settings settings) {
-        set = settings;
-        int known = work.length;
-        work = Arrays.copyOf(work, settings.classes().size());
-        reserve = Arrays.copyOf(reserve, work.length);
-        for (int c = known; c < work.length; c++) {
-            work[c] = settings.classes().get(c).latencyObjectiveUs() / 5.0;
+        routing = settings;
+        int known = workByClass.length;
+        workByClass = Arrays.copyOf(workByClass, settings.classes().size());
+        reserveByClass = Arrays.copyOf(reserveByClass, workByClass.length);
+        for (int c = known; c < workByClass.length; c++) {
+            workByClass[c] = settings.classes().get(c).latencyObjectiveUs() / 5.0;
         }
-        anyWork = Arrays.stream(work).min().orElse(1);
-        order();
+        meanWorkUs = Arrays.stream(workByClass).min().orElse(1);
+        rankClasses();
     }
 
     /** Goes over to other tiers; what is known of areas stays, and the budgets begin empty. */
     public void configure(ZoneSettings settings) {
         zones = settings;
-        spills = new TokenBucket[zones.tiers().size() + 1];
-        costFactors = new double[spills.length];
-        sent = new long[spills.length];
-        denied = new long[spills.length];
-        for (int t = 0; t < spills.length; t++) {
-            spills[t] = new TokenBucket();
-            costFactors[t] = Math.pow(FARTHER, t);
+        budgets = new TokenBucket[zones.tiers().size() + 1];
+        costFactors = new double[budgets.length];
+        sentByTier = new long[budgets.length];
+        deniedByTier = new long[budgets.length];
+        for (int t = 0; t < budgets.length; t++) {
+            budgets[t] = new TokenBucket();
+            costFactors[t] = Math.pow(COST_PER_TIER, t);
         }
-        groups.values().forEach(g -> g.nearest = Integer.MAX_VALUE);
-        for (ZoneReplicas a : areas.values()) {
-            a.tier = zones.tierOf(a.zone.number);
-            a.group.nearest = Math.min(a.group.nearest, a.tier);
+        nearestTiers.values().forEach(g -> g.tier = Integer.MAX_VALUE);
+        for (ZoneReplicas replicas : replicaSets.values()) {
+            replicas.tier = zones.tierOf(replicas.zone.zone);
+            replicas.nearestTier.tier = Math.min(replicas.nearestTier.tier, replicas.tier);
         }
-        missing = 0;
-        for (ZoneReplicas a : areas.values()) {
-            missing += a.nearest() && a.health != ZoneReplicas.Health.UP ? a.usual(0) : 0;
+        lostRate = 0;
+        for (ZoneReplicas replicas : replicaSets.values()) {
+            lostRate += replicas.isNearest() && replicas.health != ZoneReplicas.Health.UP ? replicas.usualRate(0) : 0;
         }
     }
 
@@ -110,193 +110,191 @@
 
     @Override
     public int memberHandle(int group, int zone) {
-        ZoneReplicas area = areas.computeIfAbsent((long) group << 32 | zone, k -> {
+        ZoneReplicas replicas = replicaSets.computeIfAbsent((long) group << 32 | zone, k -> {
             ZoneReplicas made = new ZoneReplicas(
-                    groups.computeIfAbsent(group, g -> new ZoneReplicas.Group()),
-                    byZone.computeIfAbsent(zone, ZoneReplicas.Zone::new),
+                    nearestTiers.computeIfAbsent(group, g -> new ZoneReplicas.NearestTier()),
+                    zoneDetectors.computeIfAbsent(zone, ZoneReplicas.ZoneFailureDetector::new),
                     zones.tierOf(zone));
-            made.zone.areas.add(made);
+            made.zone.replicaSets.add(made);
             return made;
         });
-        area.handles++;
-        area.group.nearest = Math.min(area.group.nearest, area.tier);
-        Integer handle = free.poll();
+        replicas.members++;
+        replicas.nearestTier.tier = Math.min(replicas.nearestTier.tier, replicas.tier);
+        Integer handle = freeHandles.poll();
         if (handle == null) {
-            handle = byHandle.size();
-            byHandle.add(area);
-            ramps.add(new TokenBucket());
+            handle = replicasByHandle.size();
+            replicasByHandle.add(replicas);
+            rampByHandle.add(new TokenBucket());
         } else {
-            byHandle.set(handle, area);
-            ramps.set(handle, new TokenBucket());
+            replicasByHandle.set(handle, replicas);
+            rampByHandle.set(handle, new TokenBucket());
         }
         return handle;
     }
 
     @Override
     public void left(int handle) {
-        byHandle.get(handle).handles--;
-        free.add(handle);
+        replicasByHandle.get(handle).members--;
+        freeHandles.add(handle);
     }
 
     // ---- Events. ----
 
     @Override
     public void ended(long nowUs, int handle, Router.Outcome outcome, double workUs) {
-        ZoneReplicas a = byHandle.get(handle);
+        ZoneReplicas replicas = replicasByHandle.get(handle);
         switch (outcome) {
             case OK -> {
-                a.alive(nowUs);
-                a.served(nowUs, workUs);
-                if (a.nearest() && a.health == ZoneReplicas.Health.UP) {
-                    home.add(nowUs, workUs);
-                    everServed = true;
+                replicas.recordSuccess(nowUs);
+                replicas.recordServed(nowUs, workUs);
+                if (replicas.isNearest() && replicas.health == ZoneReplicas.Health.UP) {
+                    nearestServed.add(nowUs, workUs);
+                    nearestHasServed = true;
                 }
             }
-            case WRONG_ROLE_OR_STALE, REJECTED, ERROR -> a.alive(nowUs);
-            case TIMEOUT, RESET, CONNECT_FAILED -> failed(nowUs, a);
+            case WRONG_ROLE_OR_STALE, REJECTED, ERROR -> replicas.recordSuccess(nowUs);
+            case TIMEOUT, RESET, CONNECT_FAILED -> recordFailure(nowUs, replicas);
             default -> {}
         }
     }
 
     @Override
     public void probed(long nowUs, int handle, boolean ok) {
-        ZoneReplicas a = byHandle.get(handle);
+        ZoneReplicas replicas = replicasByHandle.get(handle);
         if (!ok) {
-            failed(nowUs, a);
-        } else if (a.answers(nowUs)) {
+            recordFailure(nowUs, replicas);
+        } else if (replicas.recordHealthy(nowUs)) {
             returns++;
-            if (a.health == ZoneReplicas.Health.UP) {
-                regained(nowUs, a);
+            if (replicas.health == ZoneReplicas.Health.UP) {
+                recordRecovery(nowUs, replicas);
                 return;
             }
-            for (int s = 0; s < byHandle.size(); s++) {
-                if (byHandle.get(s) == a) {
+            for (int s = 0; s < replicasByHandle.size(); s++) {
+                if (replicasByHandle.get(s) == replicas) {
                     // Poolers that see the return in the same moment must not send in the same moment.
-                    ramps.get(s).reset(nowUs, -phase * anyWork);
+                    rampByHandle.get(s).reset(nowUs, -rampPhase * meanWorkUs);
                 }
             }
         }
     }
 
-    private void failed(long nowUs, ZoneReplicas a) {
-        if (a.failed(nowUs)) {
-            lose(nowUs, a);
+    private void recordFailure(long nowUs, ZoneReplicas replicas) {
+        if (replicas.recordFailure(nowUs)) {
+            lose(nowUs, replicas);
         }
-        if (a.zone.silent()) {
-            for (ZoneReplicas each : a.zone.areas) {
-                if (each.open()) {
-                    lose(nowUs, each);
+        if (replicas.zone.hasFailed()) {
+            for (ZoneReplicas other : replicas.zone.replicaSets) {
+                if (other.isOpen()) {
+                    lose(nowUs, other);
                 }
             }
         }
     }
 
-    private void lose(long nowUs, ZoneReplicas a) {
-        boolean fresh = a.nearest() && a.health == ZoneReplicas.Health.UP;
+    private void lose(long nowUs, ZoneReplicas replicas) {
+        boolean wasServing = replicas.isNearest() && replicas.health == ZoneReplicas.Health.UP;
         losses++;
-        a.lose(nowUs);
-        if (fresh) {
-            home.shift(nowUs, -a.usual(nowUs));
-            missing += a.usual(nowUs);
+        replicas.lose(nowUs);
+        if (wasServing) {
+            nearestServed.shift(nowUs, -replicas.usualRate(nowUs));
+            lostRate += replicas.usualRate(nowUs);
         }
     }
 
-    private void regained(long nowUs, ZoneReplicas a) {
-        if (a.nearest()) {
-            missing = Math.max(0, missing - a.usualBefore());
-            home.shift(nowUs, a.usualBefore());
+    private void recordRecovery(long nowUs, ZoneReplicas replicas) {
+        if (replicas.isNearest()) {
+            lostRate = Math.max(0, lostRate - replicas.servedBeforeLoss());
+            nearestServed.shift(nowUs, replicas.servedBeforeLoss());
         }
     }
 
     @Override
-    public void sent(long nowUs, int handle, int cls, double workUs) {
-        ZoneReplicas a = byHandle.get(handle);
-        sent[a.tier]++;
-        work[cls] += MEAN * (workUs - work[cls]);
-        anyWork += MEAN * (workUs - anyWork);
-        if (--untilOrder <= 0) {
-            untilOrder = ORDER_EVERY;
-            order();
+    public void sent(long nowUs, int handle, int classIndex, double workUs) {
+        ZoneReplicas replicas = replicasByHandle.get(handle);
+        sentByTier[replicas.tier]++;
+        workByClass[classIndex] += WORK_SMOOTHING * (workUs - workByClass[classIndex]);
+        meanWorkUs += WORK_SMOOTHING * (workUs - meanWorkUs);
+        if (--untilRanking <= 0) {
+            untilRanking = REQUESTS_BETWEEN_RANKINGS;
+            rankClasses();
         }
-        if (a.health == ZoneReplicas.Health.RETURNING) {
-            ramps.get(handle).take(workUs);
+        if (replicas.health == ZoneReplicas.Health.RETURNING) {
+            rampByHandle.get(handle).take(workUs);
         }
-        if (!a.nearest()) {
-            spills[a.tier].take(workUs);
+        if (!replicas.isNearest()) {
+            budgets[replicas.tier].take(workUs);
         }
     }
 
     /** What is worth least for its work stands at the top of the reserves. */
-    private void order() {
-        for (int c = 0; c < work.length; c++) {
+    private void rankClasses() {
+        for (int c = 0; c < workByClass.length; c++) {
             int better = 0;
-            for (int o = 0; o < work.length; o++) {
-                better += density(o) > density(c) ? 1 : 0;
+            for (int o = 0; o < workByClass.length; o++) {
+                better += weightPerWork(o) > weightPerWork(c) ? 1 : 0;
             }
-            reserve[c] = RESERVE * better / Math.max(1, work.length - 1);
+            reserveByClass[c] = MAX_RESERVE * better / Math.max(1, workByClass.length - 1);
         }
     }
 
-    private double density(int cls) {
-        return set.classes().get(cls).priorityWeight() / work[cls];
+    private double weightPerWork(int classIndex) {
+        return routing.classes().get(classIndex).priorityWeight() / workByClass[classIndex];
     }
 
     // ---- Answers. ----
 
     @Override
     public double costFactor(long nowUs, int handle) {
-        ZoneReplicas a = byHandle.get(handle);
-        return a.open() ? costFactors[a.tier] : Double.POSITIVE_INFINITY;
+        ZoneReplicas replicas = replicasByHandle.get(handle);
+        return replicas.isOpen() ? costFactors[replicas.tier] : Double.POSITIVE_INFINITY;
     }
 
     @Override
-    public boolean admits(long nowUs, int handle, int cls) {
-        ZoneReplicas a = byHandle.get(handle);
-        if (!a.open() || a.health == ZoneReplicas.Health.RETURNING && !admits(nowUs, handle, a)) {
+    public boolean admits(long nowUs, int handle, int classIndex) {
+        ZoneReplicas replicas = replicasByHandle.get(handle);
+        if (!replicas.isOpen() || replicas.health == ZoneReplicas.Health.RETURNING && !admits(nowUs, handle, replicas)) {
             return false;
         }
-        if (a.nearest() || !everServed) {
+        if (replicas.isNearest() || !nearestHasServed) {
             return true;
         }
-        double perUs = zones.tiers().get(a.tier - 1).spill() * (home.at(nowUs) + missing);
-        double capUs = Math.max(perUs * SAVED_US, anyWork);
-        boolean fits = spills[a.tier].level(nowUs, perUs, capUs) > reserve[cls] * capUs;
-        denied[a.tier] += fits ? 0 : 1;
-        return fits;
+        double ratePerUs = zones.tiers().get(replicas.tier - 1).spill() * (nearestServed.at(nowUs) + lostRate);
+        double capacityUs = Math.max(ratePerUs * BUDGET_CAPACITY_US, meanWorkUs);
+        boolean admitted = budgets[replicas.tier].fill(nowUs, ratePerUs, capacityUs) > reserveByClass[classIndex] * capacityUs;
+        deniedByTier[replicas.tier] += admitted ? 0 : 1;
+        return admitted;
     }
 
     /** Whether a returning area may be sent one more, at its present share of what it served before. */
-    private boolean admits(long nowUs, int handle, ZoneReplicas a) {
-        double present = a.present(nowUs, set.rules().coldFrom(), set.rules().warmAfterUs());
-        if (present >= 1) {
-            regained(nowUs, a);
-            a.health = ZoneReplicas.Health.UP;
+    private boolean admits(long nowUs, int handle, ZoneReplicas replicas) {
+        double rampShare = replicas.rampShare(nowUs, routing.rules().coldFrom(), routing.rules().warmAfterUs());
+        if (rampShare >= 1) {
+            recordRecovery(nowUs, replicas);
+            replicas.health = ZoneReplicas.Health.UP;
             return true;
         }
         // One that served this pooler nothing may still be sent a little: a core's work, shared by all
         // poolers.
-        double perUs = HASTE * present * Math.max(a.usual(nowUs) / a.handles, 1.0 / zones.poolers());
-        return ramps.get(handle)
-                        .level(nowUs, perUs, Math.max(perUs * set.rules().fallUs() / 2, anyWork))
-                > 0;
+        double ratePerUs = RAMP_HEADROOM * rampShare * Math.max(replicas.usualRate(nowUs) / replicas.members, 1.0 / zones.poolers());
+        return rampByHandle.get(handle).fill(nowUs, ratePerUs, Math.max(ratePerUs * routing.rules().fallUs() / 2, meanWorkUs)) > 0;
     }
 
     @Override
     public boolean healthCheckDue(long nowUs, int handle) {
-        return byHandle.get(handle).probeDue(nowUs);
+        return replicasByHandle.get(handle).healthCheckDue(nowUs);
     }
 
     /** The overview: areas by zone and health, reads sent and turned down by tier, losses and returns. */
     @Override
     public String toString() {
         Map<Integer, Map<ZoneReplicas.Health, Integer>> healths = new TreeMap<>();
-        for (ZoneReplicas a : areas.values()) {
-            if (a.handles > 0) {
-                healths.computeIfAbsent(a.zone.number, z -> new EnumMap<>(ZoneReplicas.Health.class))
-                        .merge(a.health, 1, Integer::sum);
+        for (ZoneReplicas replicas : replicaSets.values()) {
+            if (replicas.members > 0) {
+                healths.computeIfAbsent(replicas.zone.zone, z -> new EnumMap<>(ZoneReplicas.Health.class))
+                        .merge(replicas.health, 1, Integer::sum);
             }
         }
-        return "areas=" + healths + " sent_by_tier=" + Arrays.toString(sent) + " denied_by_tier="
-                + Arrays.toString(denied) + " losses=" + losses + " returns=" + returns;
+        return "areas=" + healths + " sent_by_tier=" + Arrays.toString(sentByTier) + " denied_by_tier="
+                + Arrays.toString(deniedByTier) + " losses=" + losses + " returns=" + returns;
     }
 }
--- a/decisions/src/main/java/frostreel/zones/ZoneReplicas.java
+++ b/decisions/src/main/java/frostreel/zones/ZoneReplicas.java
@@ -14,108 +14,108 @@
     }
 
     /** So many failures on end, with no sign of life between, and it is lost. */
-    private static final int FAILURES = 3;
+    private static final int FAILURES_TO_LOSE = 3;
     /** After a sign of life failures do not count at once: they may be older than it. */
-    private static final long ALIVE_US = 200_000;
+    private static final long SUCCESS_GRACE_US = 200_000;
 
-    private static final long PROBE_US = 500_000;
+    private static final long HEALTH_CHECK_INTERVAL_US = 500_000;
     /** A loss weighs so long in the damping of the next return. */
     private static final double FLAP_FADE_US = 60e6;
     /** The second loss within the fading time holds a return for so long, each further one twice as long. */
     private static final double HOLD_US = 2e6;
 
-    private static final double MOST_HOLD_US = 60e6;
+    private static final double MAX_HOLD_US = 60e6;
     private static final double SERVED_SPAN_US = 10e6;
 
     /** What a group's areas share: its nearest tier, which never grows farther: gone members are missed. */
-    static final class Group {
-        int nearest = Integer.MAX_VALUE;
+    static final class NearestTier {
+        int tier = Integer.MAX_VALUE;
     }
 
     /**
      * What the areas of a zone tell of it together: few reads an area go a long way when they are added up.
      */
-    static final class Zone {
+    static final class ZoneFailureDetector {
         /**
          * So many failures on end in two areas or more, with no sign of life anywhere, and all of it is lost.
          */
-        private static final int FAILURES = 4;
+        private static final int FAILURES_TO_LOSE = 4;
 
-        final int number;
-        final List<ZoneReplicas> areas = new ArrayList<>();
+        final int zone;
+        final List<ZoneReplicas> replicaSets = new ArrayList<>();
         private int failures;
-        private ZoneReplicas failedFirst;
-        private boolean spread;
-        private long aliveAt = Long.MIN_VALUE / 2;
+        private ZoneReplicas firstFailed;
+        private boolean severalFailed;
+        private long lastSuccessUs = Long.MIN_VALUE / 2;
 
-        Zone(int number) {
-            this.number = number;
+        ZoneFailureDetector(int zone) {
+            this.zone = zone;
         }
 
-        private void alive(long nowUs) {
+        private void recordSuccess(long nowUs) {
             failures = 0;
-            spread = false;
-            failedFirst = null;
-            aliveAt = nowUs;
+            severalFailed = false;
+            firstFailed = null;
+            lastSuccessUs = nowUs;
         }
 
-        private void failed(long nowUs, ZoneReplicas area) {
-            if (nowUs - aliveAt > ALIVE_US) {
+        private void recordFailure(long nowUs, ZoneReplicas replicas) {
+            if (nowUs - lastSuccessUs > SUCCESS_GRACE_US) {
                 failures++;
-                failedFirst = failedFirst == null ? area : failedFirst;
-                spread |= failedFirst != area;
+                firstFailed = firstFailed == null ? replicas : firstFailed;
+                severalFailed |= firstFailed != replicas;
             }
         }
 
         /** Whether nothing in it says a word. */
-        boolean silent() {
-            return spread && failures >= FAILURES;
+        boolean hasFailed() {
+            return severalFailed && failures >= FAILURES_TO_LOSE;
         }
     }
 
-    final Group group;
-    final Zone zone;
+    final NearestTier nearestTier;
+    final ZoneFailureDetector zone;
     int tier;
-    int handles;
+    int members;
     Health health = Health.UP;
     private final Rate served = new Rate(SERVED_SPAN_US);
     /** What it served this pooler before it was lost. */
-    private double usual;
+    private double servedBeforeLoss;
 
     private int failures;
-    private boolean suspected;
-    private long aliveAt = Long.MIN_VALUE / 2;
+    private boolean lostWithZone;
+    private long lastSuccessUs = Long.MIN_VALUE / 2;
     private double flaps;
-    private long flapsAt;
-    private long answersSince;
-    private long returnedAt;
-    private long probeAt;
+    private long flapsUpdatedUs;
+    private long heldSinceUs;
+    private long returningSinceUs;
+    private long nextHealthCheckUs;
 
-    ZoneReplicas(Group group, Zone zone, int tier) {
-        this.group = group;
+    ZoneReplicas(NearestTier nearestTier, ZoneFailureDetector zone, int tier) {
+        this.nearestTier = nearestTier;
         this.zone = zone;
         this.tier = tier;
     }
 
-    boolean nearest() {
-        return tier <= group.nearest;
+    boolean isNearest() {
+        return tier <= nearestTier.tier;
     }
 
-    void alive(long nowUs) {
+    void recordSuccess(long nowUs) {
         failures = 0;
-        aliveAt = nowUs;
-        zone.alive(nowUs);
+        lastSuccessUs = nowUs;
+        zone.recordSuccess(nowUs);
     }
 
-    void served(long nowUs, double workUs) {
+    void recordServed(long nowUs, double workUs) {
         served.add(nowUs, workUs);
     }
 
     /** Counts a failure; true where the area is lost by it. */
-    boolean failed(long nowUs) {
+    boolean recordFailure(long nowUs) {
         failures++;
-        zone.failed(nowUs, this);
-        return health != Health.LOST && nowUs - aliveAt > ALIVE_US && failures >= (health != Health.UP ? 1 : FAILURES);
+        zone.recordFailure(nowUs, this);
+        return health != Health.LOST && nowUs - lastSuccessUs > SUCCESS_GRACE_US && failures >= (health != Health.UP ? 1 : FAILURES_TO_LOSE);
     }
 
     /**
@@ -123,70 +123,70 @@
      * is as good as before if the first probe says so.
      */
     void lose(long nowUs) {
-        suspected = failures == 0;
+        lostWithZone = failures == 0;
         if (health == Health.UP) {
-            usual = served.at(Math.max(aliveAt, 0));
+            servedBeforeLoss = served.at(Math.max(lastSuccessUs, 0));
         }
-        if (!suspected) {
+        if (!lostWithZone) {
             flaps = flaps(nowUs) + 1;
-            flapsAt = nowUs;
+            flapsUpdatedUs = nowUs;
         }
         health = Health.LOST;
-        probeAt = nowUs;
+        nextHealthCheckUs = nowUs;
     }
 
     private double flaps(long nowUs) {
-        return flaps * Math.exp((flapsAt - nowUs) / FLAP_FADE_US);
+        return flaps * Math.exp((flapsUpdatedUs - nowUs) / FLAP_FADE_US);
     }
 
     /** How long it must answer before it is taken in again: at once after a first loss. */
     private double holdUs(long nowUs) {
-        return Math.min(MOST_HOLD_US, HOLD_US * (Math.pow(2, Math.max(0, flaps(nowUs) - 1.2)) - 1));
+        return Math.min(MAX_HOLD_US, HOLD_US * (Math.pow(2, Math.max(0, flaps(nowUs) - 1.2)) - 1));
     }
 
     /** A probe was answered; true where the area returns by it. */
-    boolean answers(long nowUs) {
-        boolean unharmed = suspected && failures == 0;
-        alive(nowUs);
+    boolean recordHealthy(long nowUs) {
+        boolean unharmed = lostWithZone && failures == 0;
+        recordSuccess(nowUs);
         if (health == Health.LOST && unharmed) {
             health = Health.UP;
             return true;
         }
         if (health == Health.LOST) {
             health = Health.HELD;
-            answersSince = nowUs;
+            heldSinceUs = nowUs;
         }
-        if (health == Health.HELD && nowUs - answersSince >= holdUs(answersSince)) {
+        if (health == Health.HELD && nowUs - heldSinceUs >= holdUs(heldSinceUs)) {
             health = Health.RETURNING;
-            returnedAt = nowUs;
+            returningSinceUs = nowUs;
             return true;
         }
         return false;
     }
 
-    boolean open() {
+    boolean isOpen() {
         return health == Health.UP || health == Health.RETURNING;
     }
 
-    boolean probeDue(long nowUs) {
-        if (open() || nowUs < probeAt) {
+    boolean healthCheckDue(long nowUs) {
+        if (isOpen() || nowUs < nextHealthCheckUs) {
             return false;
         }
-        probeAt = nowUs + PROBE_US;
+        nextHealthCheckUs = nowUs + HEALTH_CHECK_INTERVAL_US;
         return true;
     }
 
     /** Its share of what it can do warm, from its return on: its members may all have just started. */
-    double present(long nowUs, double coldFrom, long warmAfterUs) {
-        return Math.min(1, coldFrom + (1 - coldFrom) * (nowUs - returnedAt) / warmAfterUs);
+    double rampShare(long nowUs, double coldShare, long warmAfterUs) {
+        return Math.min(1, coldShare + (1 - coldShare) * (nowUs - returningSinceUs) / warmAfterUs);
     }
 
     /** What it served before it was last lost. */
-    double usualBefore() {
-        return usual;
+    double servedBeforeLoss() {
+        return servedBeforeLoss;
     }
 
-    double usual(long nowUs) {
-        return health == Health.UP ? served.at(nowUs) : usual;
+    double usualRate(long nowUs) {
+        return health == Health.UP ? served.at(nowUs) : servedBeforeLoss;
     }
 }
