--- a/decisions/src/main/java/frostreel/zones/ZoneFailoverPolicy.java
+++ b/decisions/src/main/java/frostreel/zones/ZoneFailoverPolicy.java
@@ -9,6 +9,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import frostreel.routing.DecayingRate;
+import frostreel.routing.Router;
 
 /**
  * Tiers of preference among zones, with a bound on what spills to the next and a ramp for what comes back.
@@ -31,7 +33,7 @@
     /** A returning member is sent so many times its present share of what it served: it has room for that. */
     private static final double RAMP_HEADROOM = 1.5;
 
-    private static final double SERVED_SPAN_US = 10e6;
+    private static final long SERVED_SPAN_US = 10_000_000;
     private static final double WORK_SMOOTHING = 0.05;
     /** Classes are put in order again after so many reads. */
     private static final int REQUESTS_BETWEEN_RANKINGS = 500;
@@ -53,7 +55,7 @@
     private long[] deniedByTier;
     private long losses;
     private long returns;
-    private final Rate nearestServed = new Rate(SERVED_SPAN_US);
+    private final DecayingRate nearestServed = new DecayingRate(() -> SERVED_SPAN_US);
     /** What the lost and returning areas of nearest tiers served. */
     private double lostRate;
 
--- a/decisions/src/main/java/frostreel/zones/ZoneReplicas.java
+++ b/decisions/src/main/java/frostreel/zones/ZoneReplicas.java
@@ -1,5 +1,6 @@
 package frostreel.zones;
 
+import frostreel.routing.DecayingRate;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -25,7 +26,7 @@
     private static final double HOLD_US = 2e6;
 
     private static final double MAX_HOLD_US = 60e6;
-    private static final double SERVED_SPAN_US = 10e6;
+    private static final long SERVED_SPAN_US = 10_000_000;
 
     /** What a group's areas share: its nearest tier, which never grows farther: gone members are missed. */
     static final class NearestTier {
@@ -78,7 +79,7 @@
     int tier;
     int members;
     Health health = Health.UP;
-    private final Rate served = new Rate(SERVED_SPAN_US);
+    private final DecayingRate served = new DecayingRate(() -> SERVED_SPAN_US);
     /** What it served this pooler before it was lost. */
     private double servedBeforeLoss;
 
