--- /dev/null
+++ b/decisions/src/main/java/frostreel/zones/ClassRanking.java
@@ -0,0 +1,70 @@
+package frostreel.zones;
+
+import frostreel.routing.Router;
+import java.util.Arrays;
+import java.util.List;
+
+/** Estimates the work of each request class, and ranks classes by priority weight for their work. */
+final class ClassRanking {
+    /** The weight of the latest request in an average. */
+    private static final double SMOOTHING = 0.05;
+    /** Until its first request, a class is taken to need this part of its latency objective. */
+    private static final double OBJECTIVE_DIVISOR = 5.0;
+
+    private static final int REQUESTS_BETWEEN_RANKINGS = 500;
+    /** The share of a spill budget that must be left by the class of the lowest rank. */
+    private static final double MAX_RESERVE = 0.7;
+
+    private List<Router.RequestClass> classes = List.of();
+    private double[] workUs = {};
+    private double[] reserves = {};
+    private double meanWorkUs;
+    private int untilRanking = REQUESTS_BETWEEN_RANKINGS;
+
+    /** Takes new classes, which begin with those in force; what is known of those stays. */
+    void configure(List<Router.RequestClass> newClasses) {
+        classes = newClasses;
+        int known = workUs.length;
+        workUs = Arrays.copyOf(workUs, classes.size());
+        reserves = Arrays.copyOf(reserves, classes.size());
+        for (int i = known; i < workUs.length; i++) {
+            workUs[i] = classes.get(i).latencyObjectiveUs() / OBJECTIVE_DIVISOR;
+        }
+        meanWorkUs = Arrays.stream(workUs).min().orElse(1);
+        rank();
+    }
+
+    /** Records a request that was sent, with the work that its class usually takes. */
+    void recordSent(int classIndex, double requestWorkUs) {
+        workUs[classIndex] += SMOOTHING * (requestWorkUs - workUs[classIndex]);
+        meanWorkUs += SMOOTHING * (requestWorkUs - meanWorkUs);
+        if (--untilRanking <= 0) {
+            untilRanking = REQUESTS_BETWEEN_RANKINGS;
+            rank();
+        }
+    }
+
+    /** The mean work of a request of any class. */
+    double meanWorkUs() {
+        return meanWorkUs;
+    }
+
+    /** The share of a spill budget's capacity that requests of the class must leave to those of higher rank. */
+    double reserve(int classIndex) {
+        return reserves[classIndex];
+    }
+
+    private void rank() {
+        for (int i = 0; i < workUs.length; i++) {
+            int higher = 0;
+            for (int j = 0; j < workUs.length; j++) {
+                higher += weightPerWork(j) > weightPerWork(i) ? 1 : 0;
+            }
+            reserves[i] = MAX_RESERVE * higher / Math.max(1, workUs.length - 1);
+        }
+    }
+
+    private double weightPerWork(int classIndex) {
+        return classes.get(classIndex).priorityWeight() / workUs[classIndex];
+    }
+}
--- /dev/null
+++ b/decisions/src/main/java/frostreel/zones/SpillBudgets.java
@@ -0,0 +1,62 @@
+package frostreel.zones;
+
+import java.util.Arrays;
+
+/** The budget of each tier for requests that nearer tiers cannot serve, and what was sent to it. */
+final class SpillBudgets {
+    /** Each tier is so many times as expensive as the next nearer one. */
+    private static final double COST_PER_TIER = 2;
+    /** A budget holds what it gains in this time. */
+    private static final double CAPACITY_US = 500_000;
+
+    private final ZoneSettings settings;
+    private final TokenBucket[] buckets;
+    private final double[] costFactors;
+    private final long[] sent;
+    private final long[] denied;
+
+    SpillBudgets(ZoneSettings settings) {
+        this.settings = settings;
+        int count = settings.tiers().size() + 1;
+        buckets = new TokenBucket[count];
+        costFactors = new double[count];
+        sent = new long[count];
+        denied = new long[count];
+        for (int tier = 0; tier < count; tier++) {
+            buckets[tier] = new TokenBucket();
+            costFactors[tier] = Math.pow(COST_PER_TIER, tier);
+        }
+    }
+
+    double costFactor(int tier) {
+        return costFactors[tier];
+    }
+
+    void countSent(int tier) {
+        sent[tier]++;
+    }
+
+    void spend(int tier, double workUs) {
+        buckets[tier].take(workUs);
+    }
+
+    /**
+     * Whether a tier's budget admits one more request.
+     *
+     * @param nearestRate what the nearest tiers usually serve, in microseconds of work a microsecond
+     * @param minCapacityUs the budget holds at least this much work
+     * @param reserve the share of its capacity that must be left for classes of higher rank
+     */
+    boolean admits(long nowUs, int tier, double nearestRate, double minCapacityUs, double reserve) {
+        double rate = settings.tiers().get(tier - 1).spill() * nearestRate;
+        double capacityUs = Math.max(rate * CAPACITY_US, minCapacityUs);
+        boolean admitted = buckets[tier].fill(nowUs, rate, capacityUs) > reserve * capacityUs;
+        denied[tier] += admitted ? 0 : 1;
+        return admitted;
+    }
+
+    @Override
+    public String toString() {
+        return "sent_by_tier=" + Arrays.toString(sent) + " denied_by_tier=" + Arrays.toString(denied);
+    }
+}
--- a/decisions/src/main/java/frostreel/zones/TokenBucket.java
+++ b/decisions/src/main/java/frostreel/zones/TokenBucket.java
@@ -1,19 +1,20 @@
 package frostreel.zones;
 
-/** A budget of work that fills at a rate and may be overdrawn by the last request, and no further. */
+/** A token bucket whose tokens are microseconds of work. The last request may overdraw it. */
 final class TokenBucket {
     private double levelUs;
     private long updatedUs;
 
-    /** Begins anew; below 0 it must fill first. */
+    /** Sets the level; below 0 the bucket has to fill first. */
     void reset(long nowUs, double newLevelUs) {
         levelUs = newLevelUs;
         updatedUs = nowUs;
     }
 
-    /** What is in it now, in microseconds of work, when it fills so fast and holds so much. */
-    double fill(long nowUs, double ratePerUs, double capacityUs) {
-        levelUs = Math.min(Math.max(capacityUs, Math.min(levelUs, 0)), levelUs + ratePerUs * (nowUs - updatedUs));
+    /** Fills the bucket up to now, and returns its level: {@code rate} in microseconds of work a microsecond. */
+    double fill(long nowUs, double rate, double capacityUs) {
+        double bound = Math.max(capacityUs, Math.min(levelUs, 0));
+        levelUs = Math.min(bound, levelUs + rate * (nowUs - updatedUs));
         updatedUs = nowUs;
         return levelUs;
     }
--- a/decisions/src/main/java/frostreel/zones/ZoneFailoverPolicy.java
+++ b/decisions/src/main/java/frostreel/zones/ZoneFailoverPolicy.java
@@ -1,127 +1,83 @@
 package frostreel.zones;
 
+import frostreel.routing.DecayingRate;
 import frostreel.routing.Router;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
-import java.util.Arrays;
 import java.util.EnumMap;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import frostreel.routing.DecayingRate;
-import frostreel.routing.Router;
 
 /**
- * Tiers of preference among zones, with a bound on what spills to the next and a ramp for what comes back.
+ * Prefers nearer tiers of zones, bounds what spills over to farther ones when nearer replicas fail, and ramps replicas up
+ * that return.
  *
- * <p>An area, the members of a group in a zone, is lost after failures without a sign of life, sooner where
- * much of its zone is; nothing goes there, and it is probed. What a pooler's nearest tier no longer serves
- * may
- * go to farther ones as far as their budgets reach, what is worth most for its work first; the rest is
- * refused. An area that answers again is taken in over the time in which a cold server warms, starting at a
- * moment that differs from pooler to pooler, each with its part of what the area served before. An area lost
- * again and again must answer for a while first. Writes are none of its matters.
+ * <p>The replicas of a group in a zone are lost after consecutive failures, sooner where much of their zone fails too. They
+ * get no requests then but health checks. What the nearest tier no longer serves may go to farther ones as far as their
+ * budgets reach, classes with the highest priority weight for their work first; the rest is not admitted. Replicas that
+ * answer again are ramped up over the time in which a restarted server warms up, each pooler sending its part of what they
+ * served before, beginning at a moment that differs among poolers. Replicas that fail again and again must pass health checks
+ * for a while first. Writes are not affected.
  */
 public final class ZoneFailoverPolicy implements Router.LocalityPolicy {
-    /** Each farther tier is so many times dearer. */
-    private static final double COST_PER_TIER = 2;
-    /** A tier's budget holds what it gains in this time. */
-    private static final double BUDGET_CAPACITY_US = 500_000;
-    /** The worst class may spill only while a budget is at least so full. */
-    private static final double MAX_RESERVE = 0.7;
-    /** A returning member is sent so many times its present share of what it served: it has room for that. */
+    /** Returning replicas get so many times their share of what they served: they have the capacity for that. */
     private static final double RAMP_HEADROOM = 1.5;
 
-    private static final long SERVED_SPAN_US = 10_000_000;
-    private static final double WORK_SMOOTHING = 0.05;
-    /** Classes are put in order again after so many reads. */
-    private static final int REQUESTS_BETWEEN_RANKINGS = 500;
-
-    private Router.Settings routing;
-    private ZoneSettings zones;
     private final double rampPhase;
     private final Map<Long, ZoneReplicas> replicaSets = new HashMap<>();
     private final Map<Integer, ZoneReplicas.NearestTier> nearestTiers = new HashMap<>();
-    private final Map<Integer, ZoneReplicas.ZoneFailureDetector> zoneDetectors = new HashMap<>();
+    private final Map<Integer, ZoneFailureDetector> zoneDetectors = new HashMap<>();
     private final List<ZoneReplicas> replicasByHandle = new ArrayList<>();
     private final List<TokenBucket> rampByHandle = new ArrayList<>();
     private final ArrayDeque<Integer> freeHandles = new ArrayDeque<>();
-    private TokenBucket[] budgets;
-    private double[] costFactors;
-    /** For the overview: reads sent and turned down by tier, and what became of areas. */
-    private long[] sentByTier;
+    private final ClassRanking ranking = new ClassRanking();
+    /** What the replicas of nearest tiers serve that are up. */
+    private final DecayingRate nearestServed = new DecayingRate(() -> ZoneReplicas.SERVED_SPAN_US);
 
-    private long[] deniedByTier;
-    private long losses;
-    private long returns;
-    private final DecayingRate nearestServed = new DecayingRate(() -> SERVED_SPAN_US);
-    /** What the lost and returning areas of nearest tiers served. */
+    private Router.Rules rules;
+    private ZoneSettings zones;
+    private SpillBudgets budgets;
+    /** What the replicas of nearest tiers served that are not up. */
     private double lostRate;
 
     private boolean nearestHasServed;
-    private double[] workByClass = {};
-    private double[] reserveByClass = {};
-    private int untilRanking = REQUESTS_BETWEEN_RANKINGS;
-    private double meanWorkUs;
+    private long losses;
+    private long returns;
 
-    /** {@code rampPhase}: at least 0 and under 1, drawn anew for each pooler. */
+    /** {@code rampPhase}: at least 0 and under 1, drawn for each pooler, so that ramps do not begin in the same moment. */
     public ZoneFailoverPolicy(Router.Settings settings, ZoneSettings zones, double rampPhase) {
         this.rampPhase = rampPhase;
         configure(zones);
         settings(settings);
     }
 
-    /** What is known of the classes that were there before stays. */
     @Override
     public void settings(Router.Settings settings) {
-        routing = settings;
-        int known = workByClass.length;
-        workByClass = Arrays.copyOf(workByClass, settings.classes().size());
-        reserveByClass = Arrays.copyOf(reserveByClass, workByClass.length);
-        for (int c = known; c < workByClass.length; c++) {
-            workByClass[c] = settings.classes().get(c).latencyObjectiveUs() / 5.0;
-        }
-        meanWorkUs = Arrays.stream(workByClass).min().orElse(1);
-        rankClasses();
+        rules = settings.rules();
+        ranking.configure(settings.classes());
     }
 
-    /** Goes over to other tiers; what is known of areas stays, and the budgets begin empty. */
+    /** Takes other tiers: what is known of replicas stays, and the budgets begin empty. */
     public void configure(ZoneSettings settings) {
         zones = settings;
-        budgets = new TokenBucket[zones.tiers().size() + 1];
-        costFactors = new double[budgets.length];
-        sentByTier = new long[budgets.length];
-        deniedByTier = new long[budgets.length];
-        for (int t = 0; t < budgets.length; t++) {
-            budgets[t] = new TokenBucket();
-            costFactors[t] = Math.pow(COST_PER_TIER, t);
-        }
-        nearestTiers.values().forEach(g -> g.tier = Integer.MAX_VALUE);
+        budgets = new SpillBudgets(settings);
+        nearestTiers.values().forEach(ZoneReplicas.NearestTier::reset);
         for (ZoneReplicas replicas : replicaSets.values()) {
-            replicas.tier = zones.tierOf(replicas.zone.zone);
-            replicas.nearestTier.tier = Math.min(replicas.nearestTier.tier, replicas.tier);
+            replicas.assignTier(zones.tierOf(replicas.zone()));
         }
         lostRate = 0;
         for (ZoneReplicas replicas : replicaSets.values()) {
-            lostRate += replicas.isNearest() && replicas.health != ZoneReplicas.Health.UP ? replicas.usualRate(0) : 0;
+            lostRate += replicas.isNearest() && !replicas.isUp() ? replicas.servedBeforeLoss() : 0;
         }
     }
 
-    // ---- Seats. ----
-
     @Override
     public int memberHandle(int group, int zone) {
-        ZoneReplicas replicas = replicaSets.computeIfAbsent((long) group << 32 | zone, k -> {
-            ZoneReplicas made = new ZoneReplicas(
-                    nearestTiers.computeIfAbsent(group, g -> new ZoneReplicas.NearestTier()),
-                    zoneDetectors.computeIfAbsent(zone, ZoneReplicas.ZoneFailureDetector::new),
-                    zones.tierOf(zone));
-            made.zone.replicaSets.add(made);
-            return made;
-        });
-        replicas.members++;
-        replicas.nearestTier.tier = Math.min(replicas.nearestTier.tier, replicas.tier);
+        ZoneReplicas replicas =
+                replicaSets.computeIfAbsent((long) group << Integer.SIZE | zone, key -> newReplicas(group, zone));
+        replicas.addMember();
         Integer handle = freeHandles.poll();
         if (handle == null) {
             handle = replicasByHandle.size();
@@ -134,14 +90,19 @@
         return handle;
     }
 
+    private ZoneReplicas newReplicas(int group, int zone) {
+        return new ZoneReplicas(
+                nearestTiers.computeIfAbsent(group, key -> new ZoneReplicas.NearestTier()),
+                zoneDetectors.computeIfAbsent(zone, ZoneFailureDetector::new),
+                zones.tierOf(zone));
+    }
+
     @Override
     public void left(int handle) {
-        replicasByHandle.get(handle).members--;
+        replicasByHandle.get(handle).removeMember();
         freeHandles.add(handle);
     }
 
-    // ---- Events. ----
-
     @Override
     public void ended(long nowUs, int handle, Router.Outcome outcome, double workUs) {
         ZoneReplicas replicas = replicasByHandle.get(handle);
@@ -149,12 +110,12 @@
             case OK -> {
                 replicas.recordSuccess(nowUs);
                 replicas.recordServed(nowUs, workUs);
-                if (replicas.isNearest() && replicas.health == ZoneReplicas.Health.UP) {
+                if (replicas.isNearest() && replicas.isUp()) {
                     nearestServed.add(nowUs, workUs);
                     nearestHasServed = true;
                 }
             }
-            case WRONG_ROLE_OR_STALE, REJECTED, ERROR -> replicas.recordSuccess(nowUs);
+            case WRONG_ROLE_OR_STALE, REJECTED, ERROR -> replicas.recordSuccess(nowUs); // It answers.
             case TIMEOUT, RESET, CONNECT_FAILED -> recordFailure(nowUs, replicas);
             default -> {}
         }
@@ -167,15 +128,19 @@
             recordFailure(nowUs, replicas);
         } else if (replicas.recordHealthy(nowUs)) {
             returns++;
-            if (replicas.health == ZoneReplicas.Health.UP) {
+            if (replicas.isUp()) {
                 recordRecovery(nowUs, replicas);
-                return;
+            } else {
+                beginRamp(nowUs, replicas);
             }
-            for (int s = 0; s < replicasByHandle.size(); s++) {
-                if (replicasByHandle.get(s) == replicas) {
-                    // Poolers that see the return in the same moment must not send in the same moment.
-                    rampByHandle.get(s).reset(nowUs, -rampPhase * meanWorkUs);
-                }
+        }
+    }
+
+    /** Poolers that see the return in the same moment must not all send in the same moment. */
+    private void beginRamp(long nowUs, ZoneReplicas replicas) {
+        for (int handle = 0; handle < replicasByHandle.size(); handle++) {
+            if (replicasByHandle.get(handle) == replicas) {
+                rampByHandle.get(handle).reset(nowUs, -rampPhase * ranking.meanWorkUs());
             }
         }
     }
@@ -184,8 +149,8 @@
         if (replicas.recordFailure(nowUs)) {
             lose(nowUs, replicas);
         }
-        if (replicas.zone.hasFailed()) {
-            for (ZoneReplicas other : replicas.zone.replicaSets) {
+        if (replicas.zoneDetector().hasFailed()) {
+            for (ZoneReplicas other : replicas.zoneDetector().replicaSets()) {
                 if (other.isOpen()) {
                     lose(nowUs, other);
                 }
@@ -194,12 +159,12 @@
     }
 
     private void lose(long nowUs, ZoneReplicas replicas) {
-        boolean wasServing = replicas.isNearest() && replicas.health == ZoneReplicas.Health.UP;
+        boolean servedNearest = replicas.isNearest() && replicas.isUp();
         losses++;
         replicas.lose(nowUs);
-        if (wasServing) {
-            nearestServed.shift(nowUs, -replicas.usualRate(nowUs));
-            lostRate += replicas.usualRate(nowUs);
+        if (servedNearest) {
+            nearestServed.shift(nowUs, -replicas.servedBeforeLoss());
+            lostRate += replicas.servedBeforeLoss();
         }
     }
 
@@ -213,72 +178,48 @@
     @Override
     public void sent(long nowUs, int handle, int classIndex, double workUs) {
         ZoneReplicas replicas = replicasByHandle.get(handle);
-        sentByTier[replicas.tier]++;
-        workByClass[classIndex] += WORK_SMOOTHING * (workUs - workByClass[classIndex]);
-        meanWorkUs += WORK_SMOOTHING * (workUs - meanWorkUs);
-        if (--untilRanking <= 0) {
-            untilRanking = REQUESTS_BETWEEN_RANKINGS;
-            rankClasses();
-        }
-        if (replicas.health == ZoneReplicas.Health.RETURNING) {
+        budgets.countSent(replicas.tier());
+        ranking.recordSent(classIndex, workUs);
+        if (replicas.isReturning()) {
             rampByHandle.get(handle).take(workUs);
         }
         if (!replicas.isNearest()) {
-            budgets[replicas.tier].take(workUs);
+            budgets.spend(replicas.tier(), workUs);
         }
     }
 
-    /** What is worth least for its work stands at the top of the reserves. */
-    private void rankClasses() {
-        for (int c = 0; c < workByClass.length; c++) {
-            int better = 0;
-            for (int o = 0; o < workByClass.length; o++) {
-                better += weightPerWork(o) > weightPerWork(c) ? 1 : 0;
-            }
-            reserveByClass[c] = MAX_RESERVE * better / Math.max(1, workByClass.length - 1);
-        }
-    }
-
-    private double weightPerWork(int classIndex) {
-        return routing.classes().get(classIndex).priorityWeight() / workByClass[classIndex];
-    }
-
-    // ---- Answers. ----
-
     @Override
     public double costFactor(long nowUs, int handle) {
         ZoneReplicas replicas = replicasByHandle.get(handle);
-        return replicas.isOpen() ? costFactors[replicas.tier] : Double.POSITIVE_INFINITY;
+        return replicas.isOpen() ? budgets.costFactor(replicas.tier()) : Double.POSITIVE_INFINITY;
     }
 
     @Override
     public boolean admits(long nowUs, int handle, int classIndex) {
         ZoneReplicas replicas = replicasByHandle.get(handle);
-        if (!replicas.isOpen() || replicas.health == ZoneReplicas.Health.RETURNING && !admits(nowUs, handle, replicas)) {
+        if (!replicas.isOpen() || replicas.isReturning() && !rampAdmits(nowUs, handle, replicas)) {
             return false;
         }
         if (replicas.isNearest() || !nearestHasServed) {
             return true;
         }
-        double ratePerUs = zones.tiers().get(replicas.tier - 1).spill() * (nearestServed.at(nowUs) + lostRate);
-        double capacityUs = Math.max(ratePerUs * BUDGET_CAPACITY_US, meanWorkUs);
-        boolean admitted = budgets[replicas.tier].fill(nowUs, ratePerUs, capacityUs) > reserveByClass[classIndex] * capacityUs;
-        deniedByTier[replicas.tier] += admitted ? 0 : 1;
-        return admitted;
+        double nearestRate = nearestServed.at(nowUs) + lostRate;
+        return budgets.admits(
+                nowUs, replicas.tier(), nearestRate, ranking.meanWorkUs(), ranking.reserve(classIndex));
     }
 
-    /** Whether a returning area may be sent one more, at its present share of what it served before. */
-    private boolean admits(long nowUs, int handle, ZoneReplicas replicas) {
-        double rampShare = replicas.rampShare(nowUs, routing.rules().coldFrom(), routing.rules().warmAfterUs());
-        if (rampShare >= 1) {
+    private boolean rampAdmits(long nowUs, int handle, ZoneReplicas replicas) {
+        double share = replicas.rampShare(nowUs, rules.coldFrom(), rules.warmAfterUs());
+        if (share >= 1) {
             recordRecovery(nowUs, replicas);
-            replicas.health = ZoneReplicas.Health.UP;
+            replicas.completeReturn();
             return true;
         }
-        // One that served this pooler nothing may still be sent a little: a core's work, shared by all
-        // poolers.
-        double ratePerUs = RAMP_HEADROOM * rampShare * Math.max(replicas.usualRate(nowUs) / replicas.members, 1.0 / zones.poolers());
-        return rampByHandle.get(handle).fill(nowUs, ratePerUs, Math.max(ratePerUs * routing.rules().fallUs() / 2, meanWorkUs)) > 0;
+        // Replicas that served this pooler nothing still get a little: one core's work, divided among all poolers.
+        double fullRate = Math.max(replicas.usualRate(nowUs) / replicas.members(), 1.0 / zones.poolers());
+        double rate = RAMP_HEADROOM * share * fullRate;
+        double capacityUs = Math.max(rate * rules.fallUs() / 2, ranking.meanWorkUs());
+        return rampByHandle.get(handle).fill(nowUs, rate, capacityUs) > 0;
     }
 
     @Override
@@ -286,17 +227,17 @@
         return replicasByHandle.get(handle).healthCheckDue(nowUs);
     }
 
-    /** The overview: areas by zone and health, reads sent and turned down by tier, losses and returns. */
+    /** The page {@code SHOW zones}: replicas by zone and health, reads sent and denied by tier, losses and returns. */
     @Override
     public String toString() {
-        Map<Integer, Map<ZoneReplicas.Health, Integer>> healths = new TreeMap<>();
+        Map<Integer, Map<ZoneReplicas.Health, Integer>> healthByZone = new TreeMap<>();
         for (ZoneReplicas replicas : replicaSets.values()) {
-            if (replicas.members > 0) {
-                healths.computeIfAbsent(replicas.zone.zone, z -> new EnumMap<>(ZoneReplicas.Health.class))
-                        .merge(replicas.health, 1, Integer::sum);
+            if (replicas.members() > 0) {
+                healthByZone
+                        .computeIfAbsent(replicas.zone(), zone -> new EnumMap<>(ZoneReplicas.Health.class))
+                        .merge(replicas.health(), 1, Integer::sum);
             }
         }
-        return "areas=" + healths + " sent_by_tier=" + Arrays.toString(sentByTier) + " denied_by_tier="
-                + Arrays.toString(deniedByTier) + " losses=" + losses + " returns=" + returns;
+        return "areas=" + healthByZone + " " + budgets + " losses=" + losses + " returns=" + returns;
     }
 }
--- /dev/null
+++ b/decisions/src/main/java/frostreel/zones/ZoneFailureDetector.java
@@ -0,0 +1,59 @@
+package frostreel.zones;
+
+import java.util.ArrayList;
+import java.util.List;
+
+/**
+ * Detects that a whole zone has failed, from the failures of all groups' replicas in it: with few reads a group, their sum
+ * tells sooner than each alone.
+ */
+final class ZoneFailureDetector {
+    /** After a success failures are not counted for this time: their requests may be older than it. */
+    static final long SUCCESS_GRACE_US = 200_000;
+    /** Before the first success; half of the range, so that the time since then does not overflow. */
+    static final long NEVER_US = Long.MIN_VALUE / 2;
+
+    /** Consecutive failures, in the replicas of two groups or more, that mean the whole zone. */
+    private static final int FAILURES_TO_FAIL = 4;
+
+    final int zone;
+    private final List<ZoneReplicas> replicaSets = new ArrayList<>();
+    private int failures;
+    /** Whose failure came first since the last success, null for none. */
+    private ZoneReplicas firstFailed;
+
+    private boolean severalFailed;
+    private long lastSuccessUs = NEVER_US;
+
+    ZoneFailureDetector(int zone) {
+        this.zone = zone;
+    }
+
+    void add(ZoneReplicas replicas) {
+        replicaSets.add(replicas);
+    }
+
+    /** The replicas of all groups in this zone. */
+    List<ZoneReplicas> replicaSets() {
+        return replicaSets;
+    }
+
+    void recordSuccess(long nowUs) {
+        failures = 0;
+        severalFailed = false;
+        firstFailed = null;
+        lastSuccessUs = nowUs;
+    }
+
+    void recordFailure(long nowUs, ZoneReplicas replicas) {
+        if (nowUs - lastSuccessUs > SUCCESS_GRACE_US) {
+            failures++;
+            firstFailed = firstFailed == null ? replicas : firstFailed;
+            severalFailed |= firstFailed != replicas;
+        }
+    }
+
+    boolean hasFailed() {
+        return severalFailed && failures >= FAILURES_TO_FAIL;
+    }
+}
--- a/decisions/src/main/java/frostreel/zones/ZoneReplicas.java
+++ b/decisions/src/main/java/frostreel/zones/ZoneReplicas.java
@@ -1,151 +1,161 @@
 package frostreel.zones;
 
 import frostreel.routing.DecayingRate;
-import java.util.ArrayList;
-import java.util.List;
 
-/** The members of one group in one zone: what this pooler saw of them, and whether reads may go there. */
+/**
+ * The replicas of one group in one zone: their health as this pooler observes it, and what they usually serve it.
+ *
+ * <p>{@code UP} becomes {@code LOST} by failures; {@code LOST} becomes {@code HELD} by the first health check that succeeds,
+ * and {@code RETURNING} after the delay of {@link FlapDamping}; {@code RETURNING} becomes {@code UP} at the end of the ramp,
+ * or {@code LOST} by a single failure.
+ */
 final class ZoneReplicas {
-    /** HELD: it answers probes again, and has been lost too often of late to be believed at once. */
+    /** Whether requests are sent. */
     enum Health {
+        /** They are. */
         UP,
+        /** They are not: the replicas failed. */
         LOST,
+        /** They are not: health checks succeed, but the replicas failed too often of late. */
         HELD,
+        /** They are, at a share that grows. */
         RETURNING
     }
 
-    /** So many failures on end, with no sign of life between, and it is lost. */
-    private static final int FAILURES_TO_LOSE = 3;
-    /** After a sign of life failures do not count at once: they may be older than it. */
-    private static final long SUCCESS_GRACE_US = 200_000;
-
-    private static final long HEALTH_CHECK_INTERVAL_US = 500_000;
-    /** A loss weighs so long in the damping of the next return. */
-    private static final double FLAP_FADE_US = 60e6;
-    /** The second loss within the fading time holds a return for so long, each further one twice as long. */
-    private static final double HOLD_US = 2e6;
-
-    private static final double MAX_HOLD_US = 60e6;
-    private static final long SERVED_SPAN_US = 10_000_000;
-
-    /** What a group's areas share: its nearest tier, which never grows farther: gone members are missed. */
+    /** The nearest tier in which a group ever had a member. It stays when those leave, so that they are missed. */
     static final class NearestTier {
-        int tier = Integer.MAX_VALUE;
-    }
-
-    /**
-     * What the areas of a zone tell of it together: few reads an area go a long way when they are added up.
-     */
-    static final class ZoneFailureDetector {
-        /**
-         * So many failures on end in two areas or more, with no sign of life anywhere, and all of it is lost.
-         */
-        private static final int FAILURES_TO_LOSE = 4;
-
-        final int zone;
-        final List<ZoneReplicas> replicaSets = new ArrayList<>();
-        private int failures;
-        private ZoneReplicas firstFailed;
-        private boolean severalFailed;
-        private long lastSuccessUs = Long.MIN_VALUE / 2;
-
-        ZoneFailureDetector(int zone) {
-            this.zone = zone;
-        }
+        private static final int NONE = Integer.MAX_VALUE;
+        private int tier = NONE;
 
-        private void recordSuccess(long nowUs) {
-            failures = 0;
-            severalFailed = false;
-            firstFailed = null;
-            lastSuccessUs = nowUs;
+        void include(int other) {
+            tier = Math.min(tier, other);
         }
 
-        private void recordFailure(long nowUs, ZoneReplicas replicas) {
-            if (nowUs - lastSuccessUs > SUCCESS_GRACE_US) {
-                failures++;
-                firstFailed = firstFailed == null ? replicas : firstFailed;
-                severalFailed |= firstFailed != replicas;
-            }
-        }
-
-        /** Whether nothing in it says a word. */
-        boolean hasFailed() {
-            return severalFailed && failures >= FAILURES_TO_LOSE;
+        void reset() {
+            tier = NONE;
         }
     }
 
-    final NearestTier nearestTier;
-    final ZoneFailureDetector zone;
-    int tier;
-    int members;
-    Health health = Health.UP;
+    /** Consecutive failures by which replicas are lost. */
+    private static final int FAILURES_TO_LOSE = 3;
+    /** The same while they are not up. */
+    private static final int FAILURES_TO_LOSE_AGAIN = 1;
+
+    private static final long HEALTH_CHECK_INTERVAL_US = 500_000;
+    /** What they serve is averaged over this time. */
+    static final long SERVED_SPAN_US = 10_000_000;
+
+    private final NearestTier nearestTier;
+    private final ZoneFailureDetector zoneDetector;
+    private final FlapDamping damping = new FlapDamping();
     private final DecayingRate served = new DecayingRate(() -> SERVED_SPAN_US);
-    /** What it served this pooler before it was lost. */
+    private int tier;
+    private int members;
+    private Health health = Health.UP;
     private double servedBeforeLoss;
-
     private int failures;
+    /** Whether they were lost with their zone, without a failure of their own. */
     private boolean lostWithZone;
-    private long lastSuccessUs = Long.MIN_VALUE / 2;
-    private double flaps;
-    private long flapsUpdatedUs;
+
+    private long lastSuccessUs = ZoneFailureDetector.NEVER_US;
     private long heldSinceUs;
     private long returningSinceUs;
     private long nextHealthCheckUs;
 
-    ZoneReplicas(NearestTier nearestTier, ZoneFailureDetector zone, int tier) {
+    ZoneReplicas(NearestTier nearestTier, ZoneFailureDetector zoneDetector, int tier) {
         this.nearestTier = nearestTier;
-        this.zone = zone;
+        this.zoneDetector = zoneDetector;
         this.tier = tier;
+        zoneDetector.add(this);
+    }
+
+    int zone() {
+        return zoneDetector.zone;
+    }
+
+    ZoneFailureDetector zoneDetector() {
+        return zoneDetector;
+    }
+
+    int tier() {
+        return tier;
+    }
+
+    /** Moves them to a tier, which counts for their group's nearest one. */
+    void assignTier(int newTier) {
+        tier = newTier;
+        nearestTier.include(newTier);
     }
 
+    /** Whether they are in the nearest tier of their group. */
     boolean isNearest() {
         return tier <= nearestTier.tier;
     }
 
+    int members() {
+        return members;
+    }
+
+    void addMember() {
+        members++;
+        nearestTier.include(tier);
+    }
+
+    void removeMember() {
+        members--;
+    }
+
+    Health health() {
+        return health;
+    }
+
+    boolean isUp() {
+        return health == Health.UP;
+    }
+
+    boolean isReturning() {
+        return health == Health.RETURNING;
+    }
+
+    /** Whether requests may be sent. */
+    boolean isOpen() {
+        return health == Health.UP || health == Health.RETURNING;
+    }
+
     void recordSuccess(long nowUs) {
         failures = 0;
         lastSuccessUs = nowUs;
-        zone.recordSuccess(nowUs);
+        zoneDetector.recordSuccess(nowUs);
     }
 
     void recordServed(long nowUs, double workUs) {
         served.add(nowUs, workUs);
     }
 
-    /** Counts a failure; true where the area is lost by it. */
+    /** Records a failure; true where the replicas are lost by it, and {@link #lose} has to follow. */
     boolean recordFailure(long nowUs) {
         failures++;
-        zone.recordFailure(nowUs, this);
-        return health != Health.LOST && nowUs - lastSuccessUs > SUCCESS_GRACE_US && failures >= (health != Health.UP ? 1 : FAILURES_TO_LOSE);
+        zoneDetector.recordFailure(nowUs, this);
+        int limit = health == Health.UP ? FAILURES_TO_LOSE : FAILURES_TO_LOSE_AGAIN;
+        return health != Health.LOST
+                && nowUs - lastSuccessUs > ZoneFailureDetector.SUCCESS_GRACE_US
+                && failures >= limit;
     }
 
-    /**
-     * Nothing goes there from now on. One that is lost for its silent zone alone, with no failure of its own,
-     * is as good as before if the first probe says so.
-     */
+    /** Stops requests. Where it is for the zone alone, the first successful health check brings the replicas back as before. */
     void lose(long nowUs) {
         lostWithZone = failures == 0;
         if (health == Health.UP) {
             servedBeforeLoss = served.at(Math.max(lastSuccessUs, 0));
         }
         if (!lostWithZone) {
-            flaps = flaps(nowUs) + 1;
-            flapsUpdatedUs = nowUs;
+            damping.recordFailure(nowUs);
         }
         health = Health.LOST;
         nextHealthCheckUs = nowUs;
     }
 
-    private double flaps(long nowUs) {
-        return flaps * Math.exp((flapsUpdatedUs - nowUs) / FLAP_FADE_US);
-    }
-
-    /** How long it must answer before it is taken in again: at once after a first loss. */
-    private double holdUs(long nowUs) {
-        return Math.min(MAX_HOLD_US, HOLD_US * (Math.pow(2, Math.max(0, flaps(nowUs) - 1.2)) - 1));
-    }
-
-    /** A probe was answered; true where the area returns by it. */
+    /** Records a successful health check; true where it lets requests be sent again. */
     boolean recordHealthy(long nowUs) {
         boolean unharmed = lostWithZone && failures == 0;
         recordSuccess(nowUs);
@@ -157,7 +167,7 @@
             health = Health.HELD;
             heldSinceUs = nowUs;
         }
-        if (health == Health.HELD && nowUs - heldSinceUs >= holdUs(heldSinceUs)) {
+        if (health == Health.HELD && nowUs - heldSinceUs >= damping.delayUs(heldSinceUs)) {
             health = Health.RETURNING;
             returningSinceUs = nowUs;
             return true;
@@ -165,10 +175,12 @@
         return false;
     }
 
-    boolean isOpen() {
-        return health == Health.UP || health == Health.RETURNING;
+    /** Ends the ramp. */
+    void completeReturn() {
+        health = Health.UP;
     }
 
+    /** Whether a health check is due; counts as made where it is. */
     boolean healthCheckDue(long nowUs) {
         if (isOpen() || nowUs < nextHealthCheckUs) {
             return false;
@@ -177,16 +189,17 @@
         return true;
     }
 
-    /** Its share of what it can do warm, from its return on: its members may all have just started. */
+    /** The share of their full capacity that they have by now: all of their members may have restarted at the return. */
     double rampShare(long nowUs, double coldShare, long warmAfterUs) {
         return Math.min(1, coldShare + (1 - coldShare) * (nowUs - returningSinceUs) / warmAfterUs);
     }
 
-    /** What it served before it was last lost. */
+    /** What they served before they were last lost, in microseconds of work a microsecond. */
     double servedBeforeLoss() {
         return servedBeforeLoss;
     }
 
+    /** What they usually serve, in microseconds of work a microsecond: now, or before they were lost. */
     double usualRate(long nowUs) {
         return health == Health.UP ? served.at(nowUs) : servedBeforeLoss;
     }
--- a/decisions/src/main/java/frostreel/zones/ZoneSettings.java
+++ b/decisions/src/main/java/frostreel/zones/ZoneSettings.java
@@ -3,21 +3,26 @@
 import java.util.List;
 
 /**
- * What operators state of zones.
+ * The operators' preferences among zones. Zones are numbers, as in endpoint lists.
  *
- * @param own the pooler's zone; zones are numbers, as in the lists that the decisions are told
- * @param tiers what comes after the own zone, in order; a zone that none names belongs to the last
- * @param poolers how many poolers there are in all, so that each takes its part of what is not known to it
- * alone
+ * @param own the pooler's own zone, which is tier 0
+ * @param tiers the other zones in order of preference; the last one includes those that none names
+ * @param poolers how many poolers there are in all zones, among which a returning member's first requests are divided
  */
 public record ZoneSettings(int own, List<Tier> tiers, int poolers) {
     /**
      * Zones of equal preference.
      *
-     * @param spill what may go there beyond calm days: a share, over 0, of what this pooler's nearest tier
-     *     usually serves it. With as many poolers in each zone, that is the share of what the tier serves.
+     * @param zones their numbers; empty for all that no other tier names
+     * @param spill what may go there, as a share of what this pooler's nearest tier usually serves it; over 0. With as many
+     *     poolers in each zone, that is the share of what this tier serves.
      */
     public record Tier(List<Integer> zones, double spill) {
+        /**
+         * Checks the tier.
+         *
+         * @throws IllegalArgumentException where the spill is not over 0
+         */
         public Tier {
             zones = List.copyOf(zones);
             if (!(spill > 0)) {
@@ -26,6 +31,11 @@
         }
     }
 
+    /**
+     * Checks the settings.
+     *
+     * @throws IllegalArgumentException without a tier or without a pooler
+     */
     public ZoneSettings {
         tiers = List.copyOf(tiers);
         if (tiers.isEmpty() || poolers < 1) {
@@ -33,7 +43,7 @@
         }
     }
 
-    /** 0 for the own zone; the last for one that no tier names. */
+    /** The tier of a zone: 0 for the own one, and the last for one that no tier names. */
     int tierOf(int zone) {
         if (zone == own) {
             return 0;
