--- a/pooler/src/main/java/frostreel/discovery/AgentConnection.java
+++ b/pooler/src/main/java/frostreel/discovery/AgentConnection.java
@@ -14,34 +14,37 @@
 import org.xnio.StreamConnection;
 
 /**
- * One connection to discovery, with at most one call on it. It tells its owner, on the loop, what became of
- * it: each event at most once for a call, and none after {@link #close}.
+ * One connection to the discovery agent, with at most one request in flight. Its listener is notified on the I/O thread,
+ * of each kind of event at most once for a request, and of none after {@link #close}.
  */
 final class AgentConnection implements SocketStream.Handler {
-    /** Who is told; each time with the connection that it is about. */
+    /** Notified of what becomes of a connection, which it is passed each time. */
     interface Listener {
-        /** It is up, and may be called on. */
+        /** The connection is established and takes a request. */
         void onConnected(AgentConnection connection);
 
-        /** A whole response to the call came. */
+        /** A complete response to the request has arrived. */
         void onResponse(AgentConnection connection, HttpResponseParser response);
 
-        /** Neither the connection nor a whole response came within the patience; it goes on all the same. */
+        /** The connection or the response did not come within its timeout; it stays open and may still come. */
         void onOverdue(AgentConnection connection, String reason);
 
-        /** It has ended, and is closed. */
+        /** The connection has failed and is closed. */
         void onFailed(AgentConnection connection, String reason);
     }
 
-    /** An answer of which bytes came within this time is on its way, for so long in all at the most. */
+    /** A response whose bytes have come within this time is still arriving, and is not overdue. */
     private static final long ARRIVAL_GAP_US = 500_000;
-
+    /** After this time a response is overdue even if it is still arriving. */
     private static final long MAX_ARRIVAL_US = 20_000_000;
+
     private final EventLoop loop;
     private final Listener listener;
     private final InetSocketAddress address;
     private final IoFuture<StreamConnection> connecting;
+    /** Null until the connection is established. */
     private SocketStream stream;
+
     private HttpResponseParser response = new HttpResponseParser();
     private Deadlines.Deadline timeout;
     private long fromVersion;
@@ -49,7 +52,7 @@
     private long requestedUs;
     private boolean closed;
 
-    /** Begins to connect; {@code timeoutUs}: after so long without a connection it is late. */
+    /** Begins to connect; {@code timeoutUs}: after this time without a connection the listener is notified. */
     AgentConnection(EventLoop loop, InetSocketAddress address, long timeoutUs, Listener listener) {
         this.loop = loop;
         this.listener = listener;
@@ -60,19 +63,13 @@
         connecting = loop.thread().openStreamConnection(address, null, OptionMap.create(Options.TCP_NODELAY, true));
     }
 
-    /** Hears of the connection from now on; a separate step, so that the owner may first keep this. */
+    /** Starts the notifications; separate from the constructor, so that the listener can store this object first. */
     void begin() {
         connecting.addNotifier(
                 new IoFuture.HandlingNotifier<StreamConnection, Void>() {
                     @Override
                     public void handleDone(StreamConnection connection, Void none) {
-                        if (closed) {
-                            IoUtils.safeClose(connection); // Given up on while it came up.
-                            return;
-                        }
-                        stream = new SocketStream(loop, connection, AgentConnection.this);
-                        stream.resumeReads();
-                        listener.onConnected(AgentConnection.this);
+                        connected(connection);
                     }
 
                     @Override
@@ -83,7 +80,20 @@
                 null);
     }
 
-    /** Asks for a path and query; {@code fromVersion}: the version it asks from, negative for the whole list. */
+    private void connected(StreamConnection connection) {
+        if (closed) {
+            IoUtils.safeClose(connection); // Closed while it was being established.
+            return;
+        }
+        stream = new SocketStream(loop, connection, this);
+        stream.resumeReads();
+        listener.onConnected(this);
+    }
+
+    /**
+     * Sends a request; {@code fromVersion}: the list version whose changes are requested, which {@link #fromVersion()}
+     * returns from then on.
+     */
     void request(String pathAndQuery, long fromVersion, long timeoutUs) {
         this.fromVersion = fromVersion;
         response = new HttpResponseParser();
@@ -92,37 +102,37 @@
         loop.deadlines().cancel(timeout);
         timeout = loop.deadlines().after(timeoutUs, this::reportOverdueUnlessArriving);
         String host = address.getAddress().getHostAddress() + ":" + address.getPort();
-        stream.write(
-                ("GET " + pathAndQuery + " HTTP/1.1\r\nHost: " + host + "\r\nAccept: application/json" + "\r\n\r\n")
-                        .getBytes(StandardCharsets.US_ASCII));
+        String request = "GET " + pathAndQuery + " HTTP/1.1\r\nHost: " + host + "\r\nAccept: application/json\r\n\r\n";
+        stream.write(request.getBytes(StandardCharsets.US_ASCII));
     }
 
-    /** A long list that is on its way takes its time; asked for again, it would take longer. */
+    /** A long list takes its time to arrive; requesting it again would only take longer. */
     private void reportOverdueUnlessArriving() {
         long nowUs = loop.clock().now();
-        if (lastReceivedUs > requestedUs && nowUs - lastReceivedUs < ARRIVAL_GAP_US && nowUs - requestedUs < MAX_ARRIVAL_US) {
+        boolean arriving = lastReceivedUs > requestedUs && nowUs - lastReceivedUs < ARRIVAL_GAP_US;
+        if (arriving && nowUs - requestedUs < MAX_ARRIVAL_US) {
             timeout = loop.deadlines().after(ARRIVAL_GAP_US, this::reportOverdueUnlessArriving);
         } else {
             listener.onOverdue(this, "no answer in time");
         }
     }
 
-    /** The version that the call in hand, or the last one, asks from. */
+    /** The version from which the current request, or else the last one, asks for changes. */
     long fromVersion() {
         return fromVersion;
     }
 
-    /** When the last byte came, or the call was made. */
+    /** When the last byte arrived, or the request was sent if none has since. */
     long lastReceivedUs() {
         return lastReceivedUs;
     }
 
-    /** When the call was made, or connecting began. */
+    /** When the request was sent, or connecting began if none has been. */
     long requestedUs() {
         return requestedUs;
     }
 
-    /** Takes what has come by now. */
+    /** Processes the bytes that have arrived by now, without waiting for the loop to select this connection. */
     void readNow() {
         if (stream != null) {
             stream.readNow();
@@ -134,7 +144,7 @@
         lastReceivedUs = loop.clock().now();
         try {
             response.accept(in);
-        } catch (HttpResponseParser.HttpException e) {
+        } catch (MalformedResponseException e) {
             fail(e.getMessage());
             return;
         }
@@ -164,7 +174,7 @@
         }
     }
 
-    /** Ends it, whatever it is in; nothing is told of it any more. */
+    /** Closes the connection in whatever state it is; the listener is not notified of anything any more. */
     void close() {
         if (closed) {
             return;
--- a/pooler/src/main/java/frostreel/discovery/DiscoveryWatch.java
+++ b/pooler/src/main/java/frostreel/discovery/DiscoveryWatch.java
@@ -7,67 +7,69 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 import java.util.function.Consumer;
-import java.util.logging.Logger;
 import org.json.JSONException;
 import org.json.JSONObject;
 
 /**
- * Owns the watch on discovery: changes since the list in hand, each call made right after the last answer;
- * the whole list only where there is none in hand. A whole list costs discovery as many lines as there are
- * servers: when all poolers start at once and each asks for one, the calls wait in line until they fail, are
- * made again, and nobody hears of a change. While discovery is silent the list in hand stays, and the watch
- * is begun again after a bounded wait.
+ * Long-polls the discovery agent for changes of the endpoint list, each request sent right after the last response. The
+ * complete list is requested only where none is held: it costs the agent a line for each server, and when all poolers start
+ * at once such requests queue until they time out and are repeated, while nobody learns of any change. While the agent does
+ * not answer, the list held stays in use and connecting is retried with backoff.
  *
- * <p>One bound on every silence: what changed counts as told to us 6 s after discovery could have told it. A
- * call that waits, its patience, the pause before the next connection, one more call that stays unanswered
- * and one that is answered at once fit into that, whatever went before.
+ * <p>Every outage is bounded: a change counts as delivered within 6 s of the moment when the agent could have delivered it.
+ * One waiting request with its timeout, the backoff, one more unanswered request and an answered one fit into that, whatever
+ * happened before.
  *
- * <p>A call that is late is not given up: a second one is made beside it on another connection, and the
- * first answer of the two counts. A discovery that is slow or crowded answers the call that has waited
- * longest first; to drop that one would put this pooler at the end of the line again, each time. There are
- * never more than two calls out.
+ * <p>An overdue request is not abandoned: a second one is sent on another connection, and the first response of the two is
+ * used. A slow or overloaded agent answers the oldest request first; abandoning that would send this pooler to the end of the
+ * queue each time. There are never more than two requests in flight.
  */
 public final class DiscoveryWatch implements AgentConnection.Listener {
+    /** How long the agent may hold a request back while there is no change. */
     static final long LONG_POLL_MS = 2_500;
     /**
-     * The first call, and the first after a failure, do not wait: the answer tells that the list in hand is
-     * what discovery has now, and a silence shows at once.
+     * The wait of the first request, and of the first after a failure: next to none, as its response shows that the list held
+     * is current, and a missing response shows at once.
      */
     private static final long PROBE_POLL_MS = 1;
-    /** How long a call may take beyond its own wait before it is late; the agent answers at once. */
+    /** How long a response may take beyond the request's own wait until it is overdue; the agent answers at once. */
     static final long TIMEOUT_US = 1_500_000;
-
-    static final long MIN_BACKOFF_US = 50_000;
-    static final long MAX_BACKOFF_US = 1_000_000;
-    /** A late call is given up once nothing came of it for so long, or it took so long in all. */
+    /** An overdue request is abandoned after this time without any bytes. */
     static final long OVERDUE_SILENCE_US = 15_000_000;
-
+    /** An overdue request is abandoned after this time in all. */
     static final long MAX_OVERDUE_US = 60_000_000;
-    private static final Logger LOG = Logger.getLogger(DiscoveryWatch.class.getName());
+    /** The version of a watch that holds no list; the complete one is requested. */
+    public static final long NO_VERSION = -1;
+
+    private static final int HTTP_OK = 200;
+
     private final EventLoop loop;
     private final InetSocketAddress address;
     private final List<Object> zones;
     private final List<Object> machineTypes;
     private final Consumer<EndpointList> listener;
-    /** The call in hand, or the connection that comes up for it; null between two. */
+    private final DiscoveryStatus status = new DiscoveryStatus();
+    private final Backoff backoff = new Backoff();
+    /** The connection with the current request, or being established for it; null between two. */
     private AgentConnection current;
-    /** A call that is late, and may still be answered; null for none. */
+    /** The connection of a request that is overdue and may still be answered; null for none. */
     private AgentConnection overdue;
 
+    private Deadlines.Deadline reconnect;
     private long version;
-    private long backoffUs = MIN_BACKOFF_US;
-    private boolean answering;
-    /** Since when nothing was heard, 0 where the last call was answered. */
-    private long silentSinceUs;
-
-    private long lastAnsweredUs;
+    private boolean requested;
     private boolean stopped;
-    private Deadlines.Deadline reconnect;
     private Runnable onFirstRequest = () -> {};
     private Runnable onFirstList = () -> {};
-    private long calls;
 
-    /** {@code version}: the version of the list in hand, or negative for none: the whole list is asked for. */
+    /**
+     * A watch that has not begun.
+     *
+     * @param zones names of the zones, in the order of their numbers
+     * @param machineTypes names of the machine types, in the order of their numbers
+     * @param version of the list held, {@link #NO_VERSION} for none
+     * @param listener receives each list, complete or of changes, on the I/O thread
+     */
     public DiscoveryWatch(
             EventLoop loop,
             InetSocketAddress address,
@@ -83,20 +85,20 @@
         this.listener = listener;
     }
 
-    /** What runs once the first call is written; at once where that has been. */
+    /** Sets what runs once the first request is written; at once if it has been. */
     public void onFirstRequest(Runnable action) {
         onFirstRequest = action;
-        if (calls > 0) {
+        if (requested) {
             action.run();
         }
     }
 
-    /** What runs before the first list is handed on. */
+    /** Sets what runs right before the listener receives the first list. */
     public void onFirstList(Runnable action) {
         onFirstList = action;
     }
 
-    /** Begins to watch, or tries again. */
+    /** Begins to watch, or reconnects; without effect while a connection is current. */
     public void start() {
         if (stopped || current != null) {
             return;
@@ -105,7 +107,7 @@
         current.begin();
     }
 
-    /** Ends the watch for good: no call, no retry and no list comes of it any more. */
+    /** Stops for good: no request, retry or list follows. */
     public void stop() {
         stopped = true;
         loop.deadlines().cancel(reconnect);
@@ -121,9 +123,9 @@
         overdue = connection == overdue ? null : overdue;
     }
 
-    /** Takes what discovery has written by now, before anything else that has come is acted upon. */
+    /** Processes what the agent has sent by now, before the loop acts on other events. */
     public void readNow() {
-        AgentConnection second = overdue;
+        AgentConnection second = overdue; // Reading from the current connection may close it, or make it current.
         if (current != null) {
             current.readNow();
         }
@@ -139,10 +141,13 @@
 
     private void poll(AgentConnection connection) {
         loop.counters().watches++;
-        long waitMs = version < 0 ? 0 : answering ? LONG_POLL_MS : PROBE_POLL_MS;
-        String query = version < 0 ? "" : "?index=" + version + "&wait=" + waitMs;
-        boolean first = calls++ == 0;
-        connection.request("/discovery/hosts" + query, version, TIMEOUT_US + waitMs * 1000);
+        boolean complete = version < 0;
+        long waitMs = status.isAnswering() ? LONG_POLL_MS : PROBE_POLL_MS;
+        String query = complete ? "" : "?index=" + version + "&wait=" + waitMs;
+        long pollUs = complete ? 0 : waitMs * 1000;
+        boolean first = !requested;
+        requested = true;
+        connection.request("/discovery/hosts" + query, version, TIMEOUT_US + pollUs);
         if (first) {
             onFirstRequest.run();
         }
@@ -152,11 +157,8 @@
     public void onResponse(AgentConnection connection, HttpResponseParser response) {
         EndpointList list;
         try {
-            if (response.status() != 200) {
-                throw new HttpResponseParser.HttpException("status " + response.status());
-            }
-            list = EndpointList.read(new JSONObject(response.body()).toMap(), zones, machineTypes);
-        } catch (HttpResponseParser.HttpException | MalformedMessageException | JSONException e) {
+            list = parse(response);
+        } catch (MalformedResponseException | MalformedMessageException | JSONException e) {
             close(connection);
             retry(e.getMessage());
             return;
@@ -164,39 +166,45 @@
         loop.counters().lists++;
         boolean relevant = isRelevant(connection.fromVersion(), list);
         if (relevant) {
-            // Numbers that went back are of another count, and changes since then are not what we lack.
-            version = list.complete() || list.version() >= version ? list.version() : -1;
+            version = versionAfter(list);
         }
-        recordAnswer();
+        status.answered(loop.clock().now());
+        backoff.reset();
         continueOn(connection, response.keepAlive());
         if (relevant) {
-            Runnable first = onFirstList;
-            onFirstList = () -> {};
-            first.run();
-            listener.accept(list);
+            deliver(list);
         }
     }
 
-    /** Whether it adds to what is in hand; the answer to a late call may be older than that. */
+    private EndpointList parse(HttpResponseParser response)
+            throws MalformedResponseException, MalformedMessageException {
+        if (response.status() != HTTP_OK) {
+            throw new MalformedResponseException("status " + response.status());
+        }
+        return EndpointList.read(new JSONObject(response.body()).toMap(), zones, machineTypes);
+    }
+
+    /** Whether the list adds to the one held; the response to an overdue request may be older than that. */
     private boolean isRelevant(long fromVersion, EndpointList list) {
         return fromVersion == version || list.version() >= version;
     }
 
-    private void recordAnswer() {
-        answering = true;
-        lastAnsweredUs = loop.clock().now();
-        backoffUs = MIN_BACKOFF_US;
-        if (silentSinceUs != 0) {
-            LOG.info("discovery answers again, after " + (lastAnsweredUs - silentSinceUs) / 1000 + " ms");
-            silentSinceUs = 0;
-        }
+    /** Versions that went back belong to another count, so that changes since then are not those that are missing. */
+    private long versionAfter(EndpointList list) {
+        return list.complete() || list.version() >= version ? list.version() : NO_VERSION;
     }
 
-    /** The connection that was answered is the one to go on with; another call is of no more use. */
+    private void deliver(EndpointList list) {
+        Runnable beforeFirst = onFirstList;
+        onFirstList = () -> {};
+        beforeFirst.run();
+        listener.accept(list);
+    }
+
+    /** Goes on with the connection that was answered; the request on the other one has become useless. */
     private void continueOn(AgentConnection connection, boolean keepAlive) {
         loop.deadlines().cancel(reconnect);
-        AgentConnection other = connection == current ? overdue : current;
-        close(other);
+        close(connection == current ? overdue : current);
         overdue = null;
         current = connection;
         if (keepAlive) {
@@ -217,16 +225,17 @@
             close(overdue);
         }
         if (overdue == null) {
-            overdue = connection; // It may yet be answered.
+            overdue = connection;
         } else {
-            connection.close(); // The older one is nearer to its answer.
+            connection.close(); // The older request is nearer to its response.
         }
         retry(reason);
     }
 
     private boolean hasExpired(AgentConnection connection) {
         long nowUs = loop.clock().now();
-        return nowUs - connection.lastReceivedUs() > OVERDUE_SILENCE_US || nowUs - connection.requestedUs() > MAX_OVERDUE_US;
+        return nowUs - connection.lastReceivedUs() > OVERDUE_SILENCE_US
+                || nowUs - connection.requestedUs() > MAX_OVERDUE_US;
     }
 
     @Override
@@ -238,29 +247,20 @@
         }
     }
 
-    /** Begins a new watch after a wait that doubles up to its bound; the list in hand stays. */
+    /** Reconnects after the backoff; the list held stays in use. */
     private void retry(String reason) {
         loop.counters().discoveryFailures++;
-        if (silentSinceUs == 0) {
-            silentSinceUs = loop.clock().now();
-            LOG.warning("discovery: " + reason + "; the last list is kept");
-        }
-        answering = false;
+        status.failed(loop.clock().now(), reason);
         if (stopped || current != null) {
             return;
         }
         loop.deadlines().cancel(reconnect);
-        reconnect = loop.deadlines().after(backoffUs, this::start);
-        backoffUs = Math.min(2 * backoffUs, MAX_BACKOFF_US);
+        reconnect = loop.deadlines().after(backoff.nextUs(), this::start);
     }
 
-    /** What on-call staff see: how long ago an answer came, and since when none does. */
+    /** The fields of {@code SHOW health} on discovery. */
     @Override
     public String toString() {
-        long nowUs = loop.clock().now();
-        return "discovery=" + (silentSinceUs != 0 ? "silent" : lastAnsweredUs == 0 ? "asked" : "answering")
-                + " discovery_version=" + version
-                + " discovery_answered_ms_ago=" + (lastAnsweredUs == 0 ? -1 : (nowUs - lastAnsweredUs) / 1000)
-                + " discovery_silent_ms=" + (silentSinceUs == 0 ? 0 : (nowUs - silentSinceUs) / 1000);
+        return status.describe(loop.clock().now(), version);
     }
 }
--- a/pooler/src/main/java/frostreel/discovery/HttpResponseParser.java
+++ b/pooler/src/main/java/frostreel/discovery/HttpResponseParser.java
@@ -24,12 +24,12 @@
     private boolean complete;
 
     /** Takes bytes up to the response's end. */
-    void accept(ByteBuffer in) throws HttpException {
+    void accept(ByteBuffer in) throws MalformedResponseException {
         while (in.hasRemaining() && !complete) {
             if (headersRead && (remaining > 0 || isDelimitedByClose())) {
                 int count = remaining > 0 ? Math.min(remaining, in.remaining()) : in.remaining();
                 if (body.size() + count > MAX_BODY_BYTES) {
-                    throw new HttpException("a body of over " + MAX_BODY_BYTES + " bytes");
+                    throw new MalformedResponseException("a body of over " + MAX_BODY_BYTES + " bytes");
                 }
                 byte[] part = new byte[count];
                 in.get(part);
@@ -42,7 +42,7 @@
             if (b != '\n') {
                 line.append((char) (b & 255));
                 if (line.length() > MAX_LINE_BYTES) {
-                    throw new HttpException("a line of over " + MAX_LINE_BYTES + " bytes");
+                    throw new MalformedResponseException("a line of over " + MAX_LINE_BYTES + " bytes");
                 }
                 continue;
             }
@@ -56,11 +56,11 @@
         }
     }
 
-    private void acceptHeaderLine(String text) throws HttpException {
+    private void acceptHeaderLine(String text) throws MalformedResponseException {
         if (!statusRead) {
             String[] words = text.split(" ");
             if (words.length < 2 || !words[0].startsWith("HTTP/1.")) {
-                throw new HttpException("no status line");
+                throw new MalformedResponseException("no status line");
             }
             status = length(words[1], 10, 999);
             statusRead = true;
@@ -81,7 +81,7 @@
         }
     }
 
-    private void acceptChunkLine(String text) throws HttpException {
+    private void acceptChunkLine(String text) throws MalformedResponseException {
         if (lastChunk) {
             complete = text.isEmpty();
         } else if (!text.isEmpty()) {
@@ -90,7 +90,7 @@
         }
     }
 
-    private static int length(String text, int radix, int max) throws HttpException {
+    private static int length(String text, int radix, int max) throws MalformedResponseException {
         try {
             int number = Integer.parseInt(text, radix);
             if (number >= 0 && number <= max) {
@@ -99,7 +99,7 @@
         } catch (NumberFormatException e) {
             // Told below.
         }
-        throw new HttpException("a length out of range");
+        throw new MalformedResponseException("a length out of range");
     }
 
     boolean isComplete() {
@@ -122,11 +122,4 @@
     String body() {
         return body.toString(StandardCharsets.UTF_8);
     }
-
-    /** What came is no response that this program reads. */
-    static final class HttpException extends Exception {
-        HttpException(String text) {
-            super(text);
-        }
-    }
 }
--- a/pooler/src/test/java/frostreel/discovery/DiscoveryWatchTimesTest.java
+++ b/pooler/src/test/java/frostreel/discovery/DiscoveryWatchTimesTest.java
@@ -11,12 +11,12 @@
     @Test
     void aCallThatFallsSilentAndOneMoreFitIntoTheLeaveForEverySilence() {
         long found = DiscoveryWatch.LONG_POLL_MS * 1000 + DiscoveryWatch.TIMEOUT_US;
-        long onceMore = DiscoveryWatch.MIN_BACKOFF_US + DiscoveryWatch.TIMEOUT_US;
-        assertThat(found + onceMore + 2 * DiscoveryWatch.MIN_BACKOFF_US).isLessThan(LEAVE_US);
+        long onceMore = Backoff.MIN_US + DiscoveryWatch.TIMEOUT_US;
+        assertThat(found + onceMore + 2 * Backoff.MIN_US).isLessThan(LEAVE_US);
     }
 
     @Test
     void aCallThatNobodyAnsweredIsMadeAgainWellWithinTheLeave() {
-        assertThat(2 * (DiscoveryWatch.MAX_BACKOFF_US + DiscoveryWatch.TIMEOUT_US)).isLessThan(LEAVE_US);
+        assertThat(2 * (Backoff.MAX_US + DiscoveryWatch.TIMEOUT_US)).isLessThan(LEAVE_US);
     }
 }
