--- a/pooler/src/main/java/frostreel/discovery/HttpResponseParser.java
+++ b/pooler/src/main/java/frostreel/discovery/HttpResponseParser.java
@@ -6,111 +6,161 @@
 import java.util.Locale;
 
 /**
- * Takes one HTTP/1.1 response in, however its bytes are split; every length is bounded. A body without a
- * length ends with its connection, where that ends in order: after a reset it is not known to be whole.
+ * Incremental parser of one HTTP/1.1 response, with a bound on every length. A body that has neither a length nor chunks
+ * is delimited by the end of its connection, provided that this is an orderly one: after a reset it may be truncated.
  */
 final class HttpResponseParser {
     private static final int MAX_BODY_BYTES = 1 << 22;
     private static final int MAX_LINE_BYTES = 8192;
+    private static final int MAX_STATUS = 999;
+    private static final int DECIMAL = 10;
+    private static final int HEXADECIMAL = 16;
+    /** No Content-Length header was seen. */
+    private static final int UNKNOWN_LENGTH = -1;
+
+    private enum State {
+        STATUS_LINE,
+        HEADERS,
+        /** Body bytes of a known number, of the whole body or of one chunk. */
+        BODY,
+        /** Body bytes up to the end of the connection. */
+        BODY_UNTIL_CLOSE,
+        CHUNK_SIZE,
+        TRAILERS,
+        COMPLETE
+    }
+
     private final StringBuilder line = new StringBuilder();
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
-    private boolean statusRead;
-    private boolean headersRead;
+    private State state = State.STATUS_LINE;
+    private int status;
+    private int contentLength = UNKNOWN_LENGTH;
     private boolean chunked;
-    private boolean lastChunk;
     private boolean keepAlive = true;
-    private int status;
-    private int remaining = -1;
-    private boolean complete;
+    /** Bytes that the body, or its current chunk, still lacks. */
+    private int remaining;
 
-    /** Takes bytes up to the response's end. */
+    /** Consumes bytes up to the end of the response; what follows it stays in the buffer. */
     void accept(ByteBuffer in) throws MalformedResponseException {
-        while (in.hasRemaining() && !complete) {
-            if (headersRead && (remaining > 0 || isDelimitedByClose())) {
-                int count = remaining > 0 ? Math.min(remaining, in.remaining()) : in.remaining();
-                if (body.size() + count > MAX_BODY_BYTES) {
-                    throw new MalformedResponseException("a body of over " + MAX_BODY_BYTES + " bytes");
-                }
-                byte[] part = new byte[count];
-                in.get(part);
-                body.writeBytes(part);
-                remaining -= remaining > 0 ? count : 0;
-                complete = remaining == 0 && !chunked;
-                continue;
-            }
-            byte b = in.get();
-            if (b != '\n') {
-                line.append((char) (b & 255));
-                if (line.length() > MAX_LINE_BYTES) {
-                    throw new MalformedResponseException("a line of over " + MAX_LINE_BYTES + " bytes");
-                }
-                continue;
-            }
-            String text = line.toString().trim();
-            line.setLength(0);
-            if (headersRead) {
-                acceptChunkLine(text);
-            } else {
-                acceptHeaderLine(text);
+        while (in.hasRemaining() && state != State.COMPLETE) {
+            switch (state) {
+                case BODY -> acceptBody(in);
+                case BODY_UNTIL_CLOSE -> append(in, in.remaining());
+                default -> acceptLineByte(in.get());
             }
         }
     }
 
-    private void acceptHeaderLine(String text) throws MalformedResponseException {
-        if (!statusRead) {
-            String[] words = text.split(" ");
-            if (words.length < 2 || !words[0].startsWith("HTTP/1.")) {
-                throw new MalformedResponseException("no status line");
+    private void acceptBody(ByteBuffer in) throws MalformedResponseException {
+        int count = Math.min(remaining, in.remaining());
+        append(in, count);
+        remaining -= count;
+        if (remaining == 0) {
+            state = chunked ? State.CHUNK_SIZE : State.COMPLETE;
+        }
+    }
+
+    private void append(ByteBuffer in, int count) throws MalformedResponseException {
+        if (body.size() + count > MAX_BODY_BYTES) {
+            throw new MalformedResponseException("a body of over " + MAX_BODY_BYTES + " bytes");
+        }
+        byte[] part = new byte[count];
+        in.get(part);
+        body.writeBytes(part);
+    }
+
+    private void acceptLineByte(byte next) throws MalformedResponseException {
+        if (next != '\n') {
+            line.append((char) Byte.toUnsignedInt(next));
+            if (line.length() > MAX_LINE_BYTES) {
+                throw new MalformedResponseException("a line of over " + MAX_LINE_BYTES + " bytes");
             }
-            status = length(words[1], 10, 999);
-            statusRead = true;
-        } else if (text.isEmpty()) {
-            headersRead = true;
-            keepAlive &= chunked || remaining >= 0;
-            complete = !chunked && remaining == 0;
+            return;
+        }
+        String text = line.toString().trim();
+        line.setLength(0);
+        acceptLine(text);
+    }
+
+    private void acceptLine(String text) throws MalformedResponseException {
+        switch (state) {
+            case STATUS_LINE -> acceptStatusLine(text);
+            case HEADERS -> acceptHeader(text);
+            case CHUNK_SIZE -> acceptChunkSize(text);
+            case TRAILERS -> state = text.isEmpty() ? State.COMPLETE : State.TRAILERS;
+            default -> throw new IllegalStateException("no line is expected in " + state);
+        }
+    }
+
+    private void acceptStatusLine(String text) throws MalformedResponseException {
+        String[] words = text.split(" ");
+        if (words.length < 2 || !words[0].startsWith("HTTP/1.")) {
+            throw new MalformedResponseException("no status line");
+        }
+        status = parseNumber(words[1], DECIMAL, MAX_STATUS);
+        state = State.HEADERS;
+    }
+
+    private void acceptHeader(String text) throws MalformedResponseException {
+        if (text.isEmpty()) {
+            beginBody();
+            return;
+        }
+        int colon = text.indexOf(':');
+        String name = colon < 0 ? "" : text.substring(0, colon).toLowerCase(Locale.ROOT);
+        String value = text.substring(colon + 1).trim().toLowerCase(Locale.ROOT);
+        switch (name) {
+            case "content-length" -> contentLength = parseNumber(value, DECIMAL, MAX_BODY_BYTES);
+            case "transfer-encoding" -> chunked = value.equals("chunked");
+            case "connection" -> keepAlive = !value.equals("close");
+            default -> {}
+        }
+    }
+
+    private void beginBody() {
+        keepAlive &= chunked || contentLength != UNKNOWN_LENGTH;
+        if (contentLength > 0) {
+            remaining = contentLength;
+            state = State.BODY;
+        } else if (chunked) {
+            state = State.CHUNK_SIZE;
         } else {
-            int colon = text.indexOf(':');
-            String name = colon < 0 ? "" : text.substring(0, colon).toLowerCase(Locale.ROOT);
-            String value = text.substring(colon + 1).trim().toLowerCase(Locale.ROOT);
-            switch (name) {
-                case "content-length" -> remaining = length(value, 10, MAX_BODY_BYTES);
-                case "transfer-encoding" -> chunked = value.equals("chunked");
-                case "connection" -> keepAlive = !value.equals("close");
-                default -> {}
-            }
+            state = contentLength == 0 ? State.COMPLETE : State.BODY_UNTIL_CLOSE;
         }
     }
 
-    private void acceptChunkLine(String text) throws MalformedResponseException {
-        if (lastChunk) {
-            complete = text.isEmpty();
-        } else if (!text.isEmpty()) {
-            remaining = length(text.split(";")[0].trim(), 16, MAX_BODY_BYTES - body.size());
-            lastChunk = remaining == 0;
+    /** An empty line ends the chunk before, and is skipped. */
+    private void acceptChunkSize(String text) throws MalformedResponseException {
+        if (text.isEmpty()) {
+            return;
         }
+        String size = text.split(";")[0].trim(); // What follows the semicolon is a chunk extension.
+        remaining = parseNumber(size, HEXADECIMAL, MAX_BODY_BYTES - body.size());
+        state = remaining == 0 ? State.TRAILERS : State.BODY;
     }
 
-    private static int length(String text, int radix, int max) throws MalformedResponseException {
+    private static int parseNumber(String text, int radix, int max) throws MalformedResponseException {
         try {
             int number = Integer.parseInt(text, radix);
             if (number >= 0 && number <= max) {
                 return number;
             }
         } catch (NumberFormatException e) {
-            // Told below.
+            // Reported below, as a number out of range is.
         }
         throw new MalformedResponseException("a length out of range");
     }
 
     boolean isComplete() {
-        return complete;
+        return state == State.COMPLETE;
     }
 
-    /** Whether it is whole once its connection has ended in order. */
+    /** Whether an orderly end of the connection would complete the response. */
     boolean isDelimitedByClose() {
-        return headersRead && !chunked && remaining < 0;
+        return state == State.BODY_UNTIL_CLOSE;
     }
 
+    /** Whether the connection can carry another request after this response. */
     boolean keepAlive() {
         return keepAlive;
     }
@@ -119,6 +169,7 @@
         return status;
     }
 
+    /** The body received so far, as UTF-8 text. */
     String body() {
         return body.toString(StandardCharsets.UTF_8);
     }
