--- a/pooler/src/main/java/frostreel/config/ConfigException.java
+++ b/pooler/src/main/java/frostreel/config/ConfigException.java
@@ -1,8 +1,8 @@
 package frostreel.config;
 
-/** The environment or the configuration file is not usable; the text names the faulty key. */
+/** The environment or the configuration file cannot be used; the message names the offending key. */
 public final class ConfigException extends Exception {
-    ConfigException(String text) {
-        super(text);
+    ConfigException(String message) {
+        super(message);
     }
 }
--- /dev/null
+++ b/pooler/src/main/java/frostreel/config/ConfigReader.java
@@ -0,0 +1,109 @@
+package frostreel.config;
+
+import frostreel.wire.MalformedMessageException;
+import frostreel.wire.MessageFields;
+import frostreel.routing.Router;
+import frostreel.wire.SettingsReader;
+import java.net.InetSocketAddress;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.Map;
+import org.json.JSONObject;
+
+/** Reads a {@link Config} from the decoded file and the environment, which takes precedence. */
+final class ConfigReader {
+    private static final int MAX_OPEN_REQUESTS = 4096;
+    private static final String INHERITED_DESCRIPTOR = "0";
+    private static final String COMMAND_FOLDER = "frostreel-orders";
+    private static final int HEXADECIMAL = 16;
+
+    private final JSONObject source;
+    private final MessageFields file;
+    private final Map<String, String> environment;
+
+    ConfigReader(JSONObject source, Map<String, String> environment) {
+        this.source = source;
+        this.environment = environment;
+        file = new MessageFields(source.toMap());
+    }
+
+    /** The first fault ends it; the order of the reads decides which one that is. */
+    Config read() throws MalformedMessageException {
+        int descriptors = descriptors();
+        MessageFields options = file.object("settings");
+        Router.Settings settings = SettingsReader.read(seed(), options);
+        List<Object> zones = options.has("zones") ? options.list("zones") : List.of();
+        List<Object> machineTypes = options.has("machineTypes") ? options.list("machineTypes") : List.of();
+        int maxOpenRequests = maxOpenRequests(options.object("caps"));
+        EndpointList initialEndpoints = file.has("known")
+                ? EndpointList.read(file.object("known").map(), zones, machineTypes)
+                : EndpointList.EMPTY;
+        boolean inheritsListener = inheritsListener();
+        DescriptorBudget budget = DescriptorBudget.of(descriptors, inheritsListener);
+        boolean hasAdmin = file.has("control") || isSet("GW_CONTROL");
+        return new Config(
+                text("name", "GW_NAME"),
+                address("listen", "GW_LISTEN"),
+                hasAdmin ? address("control", "GW_CONTROL") : null,
+                inheritsListener,
+                hasAdmin ? commandFolder() : null,
+                address("discovery", "GW_DISCOVERY"),
+                budget.maxClients(),
+                budget.expectedClients(),
+                budget.maxServerConnections(),
+                maxOpenRequests,
+                initialEndpoints,
+                zones,
+                machineTypes,
+                settings.onSockets(budget.expectedClients()),
+                source);
+    }
+
+    private int descriptors() throws MalformedMessageException {
+        MessageFields limits = file.has("limits") ? file.object("limits") : new MessageFields(Map.of());
+        return (int) limits.whole(
+                "sockets",
+                DescriptorBudget.MIN_DESCRIPTORS,
+                DescriptorBudget.MAX_DESCRIPTORS,
+                DescriptorBudget.DEFAULT_DESCRIPTORS);
+    }
+
+    private static int maxOpenRequests(MessageFields caps) throws MalformedMessageException {
+        long stated = caps.whole("maxOpen", 1, Integer.MAX_VALUE, MAX_OPEN_REQUESTS);
+        return (int) Math.min(stated, MAX_OPEN_REQUESTS);
+    }
+
+    private boolean inheritsListener() throws MalformedMessageException {
+        if (isSet("GW_FD") && !environment.get("GW_FD").equals(INHERITED_DESCRIPTOR)) {
+            throw new MalformedMessageException(
+                    "GW_FD is not 0, the one descriptor by which a socket is taken over");
+        }
+        return isSet("GW_FD");
+    }
+
+    private Path commandFolder() {
+        String temporary = environment.get("TMPDIR");
+        return temporary == null ? null : Path.of(temporary, COMMAND_FOLDER);
+    }
+
+    private long seed() throws MalformedMessageException {
+        try {
+            return file.has("seed") ? Long.parseUnsignedLong(file.text("seed"), HEXADECIMAL) : 0;
+        } catch (NumberFormatException e) {
+            throw new MalformedMessageException("field 'seed' is not hexadecimal");
+        }
+    }
+
+    private InetSocketAddress address(String key, String variable) throws MalformedMessageException {
+        return NumericAddress.parse(text(key, variable), key);
+    }
+
+    private String text(String key, String variable) throws MalformedMessageException {
+        return isSet(variable) ? environment.get(variable) : file.text(key);
+    }
+
+    private boolean isSet(String variable) {
+        String value = environment.get(variable);
+        return value != null && !value.isEmpty();
+    }
+}
--- a/pooler/src/main/java/frostreel/config/EndpointList.java
+++ b/pooler/src/main/java/frostreel/config/EndpointList.java
@@ -1,84 +1,71 @@
 package frostreel.config;
 
-import frostreel.routing.Router;
 import frostreel.wire.MalformedMessageException;
 import frostreel.wire.MessageFields;
-import java.net.InetAddress;
+import frostreel.routing.Router;
 import java.net.InetSocketAddress;
-import java.net.UnknownHostException;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 
-/** A list of servers, whole or only what changed, in discovery's form. */
+/**
+ * A list of servers in discovery's JSON form.
+ *
+ * @param version grows with each change, within the count of one agent
+ * @param complete whether it replaces all that was known; otherwise it holds only what has changed
+ * @param endpoints the servers, of which those that are gone are marked so
+ */
 public record EndpointList(long version, boolean complete, List<Endpoint> endpoints) {
-    /** A server as the decisions see it, and the address at which this machine reaches it. */
+    /** A server as the routing decisions know it, and the address at which this machine reaches it. */
     public record Endpoint(Router.Member member, InetSocketAddress address) {}
 
-    private static final int IPV4_BYTES = 4;
+    /** Complete and without servers, where none is known from the start. */
+    static final EndpointList EMPTY = new EndpointList(0, true, List.of());
+
+    /** A start time in milliseconds may not exceed what fits in microseconds. */
+    private static final long MAX_STARTED_MS = Long.MAX_VALUE / 1000;
 
     /**
-     * Zones and kinds are told by name, and known to the decisions by their place among the settings' names.
+     * Reads a decoded list. Zones and machine types are named in it; the routing decisions know them by their index among
+     * the configured names, the first one standing for a name that is not configured.
+     *
+     * @throws MalformedMessageException naming the field that is missing or out of range
      */
-    @SuppressWarnings("unchecked")
-    public static EndpointList read(Map<String, Object> json, List<Object> zones, List<Object> machineTypes) throws MalformedMessageException {
+    public static EndpointList read(Map<String, Object> json, List<Object> zones, List<Object> machineTypes)
+            throws MalformedMessageException {
         MessageFields list = new MessageFields(json);
         List<Endpoint> endpoints = new ArrayList<>();
-        for (Object element : list.list("hosts")) {
-            if (!(element instanceof Map)) {
-                throw new MalformedMessageException("field 'hosts' is not a list of objects");
-            }
-            MessageFields host = new MessageFields((Map<String, Object>) element);
-            Router.State state = new Router.State[] {Router.State.UP, Router.State.DRAINING, Router.State.GONE}
-                    [host.oneOf("health", "Ready", "Terminating", "Gone")];
-            Router.Member member = new Router.Member(
-                    host.text("host"),
-                    Math.max(0, zones.indexOf(host.map().get("site"))),
-                    Math.max(0, machineTypes.indexOf(host.map().get("class"))),
-                    (int) host.whole("block", 0, Integer.MAX_VALUE, 0),
-                    host.has("role") && host.oneOf("role", "primary", "replica") == 0,
-                    state,
-                    host.number("share", 1),
-                    host.whole("born_ms", 0, Long.MAX_VALUE / 1000, 0) * 1000);
-            endpoints.add(new Endpoint(member, address(host.text("dial"), "dial")));
+        for (Object host : list.list("hosts")) {
+            endpoints.add(endpoint(host, zones, machineTypes));
         }
         return new EndpointList(list.whole("seq", 0, Long.MAX_VALUE, 0), list.flag("whole"), List.copyOf(endpoints));
     }
 
-    /**
-     * Reads {@code address:port}. The address must be a number: lists are read on the I/O thread, and a name
-     * would be looked up there.
-     */
-    public static InetSocketAddress address(String text, String key) throws MalformedMessageException {
-        int colon = text.lastIndexOf(':');
-        try {
-            int port = Integer.parseInt(text.substring(colon + 1));
-            if (colon > 0 && port >= 0 && port < 1 << 16) {
-                return new InetSocketAddress(numeric(text.substring(0, colon)), port);
-            }
-        } catch (NumberFormatException | UnknownHostException e) {
-            // Told below.
+    @SuppressWarnings("unchecked") // The keys of a decoded JSON object are strings.
+    private static Endpoint endpoint(Object json, List<Object> zones, List<Object> machineTypes)
+            throws MalformedMessageException {
+        if (!(json instanceof Map)) {
+            throw new MalformedMessageException("field 'hosts' is not a list of objects");
         }
-        throw new MalformedMessageException("field '" + key + "' is not address:port");
+        MessageFields host = new MessageFields((Map<String, Object>) json);
+        Router.State state = state(host);
+        Router.Member member = new Router.Member(
+                host.text("host"),
+                Math.max(0, zones.indexOf(host.map().get("site"))),
+                Math.max(0, machineTypes.indexOf(host.map().get("class"))),
+                (int) host.whole("block", 0, Integer.MAX_VALUE, 0),
+                host.has("role") && host.oneOf("role", "primary", "replica") == 0,
+                state,
+                host.number("share", 1),
+                host.whole("born_ms", 0, MAX_STARTED_MS, 0) * 1000);
+        return new Endpoint(member, NumericAddress.parse(host.text("dial"), "dial"));
     }
 
-    /** Four decimal octets, or what the JDK takes between brackets; neither is ever looked up. */
-    private static InetAddress numeric(String text) throws UnknownHostException {
-        if (text.indexOf(':') >= 0) {
-            return InetAddress.getByName(text.startsWith("[") ? text : "[" + text + "]");
-        }
-        String[] parts = text.split("\\.", -1);
-        byte[] octets = new byte[IPV4_BYTES];
-        if (parts.length != IPV4_BYTES) {
-            throw new UnknownHostException(text);
-        }
-        for (int i = 0; i < IPV4_BYTES; i++) {
-            int octet = Integer.parseInt(parts[i]);
-            if (octet < 0 || octet > 255) {
-                throw new UnknownHostException(text);
-            }
-            octets[i] = (byte) octet;
-        }
-        return InetAddress.getByAddress(octets);
+    private static Router.State state(MessageFields host) throws MalformedMessageException {
+        return switch (host.oneOf("health", "Ready", "Terminating", "Gone")) {
+            case 0 -> Router.State.UP;
+            case 1 -> Router.State.DRAINING;
+            default -> Router.State.GONE;
+        };
     }
 }
--- /dev/null
+++ b/pooler/src/main/java/frostreel/config/NumericAddress.java
@@ -0,0 +1,53 @@
+package frostreel.config;
+
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.net.UnknownHostException;
+import frostreel.wire.MalformedMessageException;
+
+/** Parses {@code address:port} without name resolution, which would block the I/O thread that reads endpoint lists. */
+final class NumericAddress {
+    private static final int IPV4_BYTES = 4;
+    private static final int MAX_OCTET = 255;
+    private static final int MAX_PORT = 65_535;
+
+    private NumericAddress() {}
+
+    /**
+     * Parses the value of a field.
+     *
+     * @throws MalformedMessageException naming the field, where the host is no number or the port is out of range
+     */
+    static InetSocketAddress parse(String text, String field) throws MalformedMessageException {
+        int colon = text.lastIndexOf(':');
+        try {
+            int port = Integer.parseInt(text.substring(colon + 1));
+            if (colon > 0 && port >= 0 && port <= MAX_PORT) {
+                return new InetSocketAddress(parseHost(text.substring(0, colon)), port);
+            }
+        } catch (NumberFormatException | UnknownHostException e) {
+            // Reported below, as a port out of range is.
+        }
+        throw new MalformedMessageException("field '" + field + "' is not address:port");
+    }
+
+    /** Four decimal octets, or an IPv6 literal: the JDK does not look up what stands between brackets. */
+    private static InetAddress parseHost(String text) throws UnknownHostException {
+        if (text.indexOf(':') >= 0) {
+            return InetAddress.getByName(text.startsWith("[") ? text : "[" + text + "]");
+        }
+        String[] parts = text.split("\\.", -1);
+        byte[] octets = new byte[IPV4_BYTES];
+        if (parts.length != IPV4_BYTES) {
+            throw new UnknownHostException(text);
+        }
+        for (int i = 0; i < IPV4_BYTES; i++) {
+            int octet = Integer.parseInt(parts[i]);
+            if (octet < 0 || octet > MAX_OCTET) {
+                throw new UnknownHostException(text);
+            }
+            octets[i] = (byte) octet;
+        }
+        return InetAddress.getByAddress(octets);
+    }
+}
--- a/pooler/src/main/java/frostreel/config/ReloadCompatibility.java
+++ b/pooler/src/main/java/frostreel/config/ReloadCompatibility.java
@@ -1,59 +1,75 @@
 package frostreel.config;
 
+import java.util.Optional;
 import java.util.Set;
 import java.util.TreeSet;
 import org.json.JSONArray;
 import org.json.JSONObject;
 
 /**
- * Whether a file that was written anew is whole: what the file in force states it must state too, as a value
- * left out would get a default that nobody chose. Lists may change in length; of the objects in one, each has
- * to state what all of the old list's did.
+ * Checks that a configuration file written anew states everything that the file in force states, as a value left out would
+ * fall back to a default that nobody chose. Lists may change in length; each object of the new list must have every key that
+ * all objects of the old one share.
  */
 final class ReloadCompatibility {
     private ReloadCompatibility() {}
 
-    /** The first key that is missing, with its way there; null where none is. */
-    static String firstMissingKey(JSONObject inForce, JSONObject replacement) {
-        return firstMissingKey("", inForce, replacement);
+    /** The first key that the new file lacks, as a path from the root; empty where it lacks none. */
+    static Optional<String> firstMissingKey(JSONObject inForce, JSONObject replacement) {
+        return missingInObject("", inForce, replacement);
     }
 
-    private static String firstMissingKey(String path, JSONObject inForce, JSONObject replacement) {
+    private static Optional<String> missingInObject(String prefix, JSONObject inForce, JSONObject replacement) {
         for (String key : new TreeSet<>(inForce.keySet())) {
             if (replacement.isNull(key) && !inForce.isNull(key)) {
-                return path + key;
+                return Optional.of(prefix + key);
             }
-            String missing = null;
-            if (inForce.get(key) instanceof JSONObject a) {
-                missing = replacement.get(key) instanceof JSONObject b ? firstMissingKey(path + key + ".", a, b) : path + key;
-            } else if (inForce.get(key) instanceof JSONArray a) {
-                missing = replacement.get(key) instanceof JSONArray b ? firstMissingKey(path + key, a, b) : path + key;
-            }
-            if (missing != null) {
+            Optional<String> missing = missingInValue(prefix + key, inForce.get(key), replacement.opt(key));
+            if (missing.isPresent()) {
                 return missing;
             }
         }
-        return null;
+        return Optional.empty();
     }
 
-    private static String firstMissingKey(String path, JSONArray inForce, JSONArray replacement) {
-        Set<String> shared = null;
-        for (Object element : inForce) {
-            if (!(element instanceof JSONObject o)) {
-                return null;
-            }
-            if (shared == null) {
-                shared = new TreeSet<>(o.keySet());
-            }
-            shared.retainAll(o.keySet());
+    private static Optional<String> missingInValue(String path, Object inForce, Object replacement) {
+        if (inForce instanceof JSONObject before) {
+            return replacement instanceof JSONObject after
+                    ? missingInObject(path + ".", before, after)
+                    : Optional.of(path);
+        }
+        if (inForce instanceof JSONArray before) {
+            return replacement instanceof JSONArray after
+                    ? missingInList(path, before, after)
+                    : Optional.of(path);
         }
-        for (int i = 0; shared != null && i < replacement.length(); i++) {
+        return Optional.empty();
+    }
+
+    private static Optional<String> missingInList(String path, JSONArray inForce, JSONArray replacement) {
+        Set<String> shared = sharedKeys(inForce);
+        for (int i = 0; i < replacement.length(); i++) {
             for (String key : shared) {
-                if (!(replacement.get(i) instanceof JSONObject o) || o.isNull(key)) {
-                    return path + "[" + i + "]." + key;
+                if (!(replacement.get(i) instanceof JSONObject element) || element.isNull(key)) {
+                    return Optional.of(path + "[" + i + "]." + key);
                 }
             }
         }
-        return null;
+        return Optional.empty();
+    }
+
+    /** Keys that all objects of a list have; none where an element is no object. */
+    private static Set<String> sharedKeys(JSONArray list) {
+        Set<String> shared = null;
+        for (Object element : list) {
+            if (!(element instanceof JSONObject object)) {
+                return Set.of();
+            }
+            if (shared == null) {
+                shared = new TreeSet<>(object.keySet());
+            }
+            shared.retainAll(object.keySet());
+        }
+        return shared == null ? Set.of() : shared;
     }
 }
--- a/pooler/src/test/java/frostreel/PoolerHarness.java
+++ b/pooler/src/test/java/frostreel/PoolerHarness.java
@@ -304,26 +304,7 @@
 
     void startSilent(String... hosts) throws Exception {
         Config c = Config.load(environment(configured(discovery.address(), hosts)));
-        pooler = new Pooler(allMayWait ? withoutPlaces(c) : c, operators, knownPatienceUs, lingerUs);
-    }
-
-    private static Config withoutPlaces(Config c) {
-        return new Config(
-                c.name(),
-                c.listenAddress(),
-                c.adminAddress(),
-                c.inheritsListener(),
-                c.commandFolder(),
-                c.discoveryAddress(),
-                c.maxClients(),
-                c.expectedClients(),
-                c.maxServerConnections(),
-                c.maxOpenRequests(),
-                c.initialEndpoints(),
-                c.zones(),
-                c.machineTypes(),
-                c.settings().onSockets(0),
-                c.source());
+        pooler = new Pooler(allMayWait ? c.withSettings(c.settings().onSockets(0)) : c, operators, knownPatienceUs, lingerUs);
     }
 
     /** SIGHUP, with a file that names another discovery. */
