--- a/pooler/src/main/java/frostreel/Pooler.java
+++ b/pooler/src/main/java/frostreel/Pooler.java
@@ -150,7 +150,7 @@
             listener.page("fleet", fellows::toString);
         }
         known = config.initialEndpoints();
-        watch = watch(config, known.endpoints().isEmpty() ? -1 : known.version());
+        watch = watch(config, known.endpoints().isEmpty() ? DiscoveryWatch.NO_VERSION : known.version());
         loop.onNews(this::readNews);
         loop.stopSendingUs(config.settings().rules().stopSendingUs());
         loop.thread().execute(() -> start(config));
@@ -249,7 +249,7 @@
                 if (next != null) {
                     next.stop();
                 }
-                DiscoveryWatch named = watch(config, -1);
+                DiscoveryWatch named = watch(config, DiscoveryWatch.NO_VERSION);
                 named.onFirstList(() -> {
                     watch.stop();
                     watch = named;
