--- a/pooler/src/main/java/frostreel/settings/FaultyFileException.java
+++ b/pooler/src/main/java/frostreel/settings/FaultyFileException.java
@@ -3,10 +3,11 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** A file that is not taken, with all that is wrong in it. */
+/** A file was rejected; its message has a line for each fault. */
 public final class FaultyFileException extends Exception {
     private final transient List<Fault> faults;
 
+    /** With all faults that were found, at least one. */
     public FaultyFileException(List<Fault> faults) {
         super(faults.stream().map(Fault::toString).collect(Collectors.joining(System.lineSeparator())));
         this.faults = List.copyOf(faults);
--- a/pooler/src/main/java/frostreel/settings/XmlElement.java
+++ b/pooler/src/main/java/frostreel/settings/XmlElement.java
@@ -5,7 +5,10 @@
 import java.util.Map;
 import java.util.stream.Stream;
 
-/** One element of a file that fits its schema: defaults are filled in, and types are as the schema says. */
+/**
+ * One element of a file that conforms to its schema: defaults are filled in and values have the types that the schema gives
+ * them, so that the accessors do not fail on what a user wrote.
+ */
 public final class XmlElement {
     private final XmlElement parent;
     private final String name;
@@ -25,19 +28,26 @@
         }
     }
 
+    /** The element's name without its namespace. */
     public String name() {
         return name;
     }
 
+    /** Null for the root. */
     XmlElement parent() {
         return parent;
     }
 
+    /** Whether the attribute is stated, or has a default. */
     public boolean has(String attribute) {
         return attributes.containsKey(attribute);
     }
 
-    /** An attribute that the schema requires or gives a default. */
+    /**
+     * The value of an attribute that the schema requires or gives a default, without surrounding blanks.
+     *
+     * @throws IllegalStateException where the schema does neither
+     */
     public String text(String attribute) {
         String value = attributes.get(attribute);
         if (value == null) {
@@ -46,48 +56,54 @@
         return value.strip();
     }
 
+    /** A decimal attribute. */
     public double number(String attribute) {
         return Double.parseDouble(text(attribute));
     }
 
+    /** An integer attribute. */
     public long whole(String attribute) {
         return Long.parseLong(text(attribute));
     }
 
+    /** A boolean attribute, in either of the schema's two forms. */
     public boolean flag(String attribute) {
         return text(attribute).equals("true") || text(attribute).equals("1");
     }
 
-    /** A time that the schema has in milliseconds, in microseconds. */
+    /** An attribute in milliseconds, converted to microseconds. */
     public long ms(String attribute) {
         return Math.round(number(attribute) * 1000);
     }
 
-    /** A time that the schema has in seconds, in microseconds. */
+    /** An attribute in seconds, converted to microseconds. */
     public long seconds(String attribute) {
         return Math.round(number(attribute) * 1_000_000);
     }
 
+    /** The child elements of a name, in the order of the file. */
     public Stream<XmlElement> children(String childName) {
         return children.stream().filter(child -> child.name.equals(childName));
     }
 
+    /** All child elements, in the order of the file. */
     public List<XmlElement> children() {
         return children;
     }
 
-    /** The only child of that name, null where there is none. */
-    public XmlElement child(String child) {
-        return all(child).findFirst().orElse(null);
+    /** The only child element of a name, null where there is none. */
+    public XmlElement child(String childName) {
+        return children(childName).findFirst().orElse(null);
     }
 
-    /** The names of the elements from the root to here. */
+    /** The names of the elements from the root to this one, separated by slashes. */
     String path() {
         return parent == null ? name : parent.path() + "/" + name;
     }
 
-    /** What is wrong here, or in an attribute where one is named, beyond what a schema can say. */
+    /** A fault that a schema cannot express, of an attribute or, where that is null, of the element. */
     public Fault fault(String file, String attribute, String text) {
-        return new Fault(file, line, column, path() + (attribute == null ? "" : "@" + attribute), text);
+        String key = attribute == null ? path() : path() + "@" + attribute;
+        return new Fault(file, line, column, key, text);
     }
 }
--- /dev/null
+++ b/pooler/src/main/java/frostreel/settings/XmlElementHandler.java
@@ -0,0 +1,100 @@
+package frostreel.settings;
+
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
+import org.xml.sax.Attributes;
+import org.xml.sax.Locator;
+import org.xml.sax.SAXException;
+import org.xml.sax.SAXParseException;
+import org.xml.sax.helpers.DefaultHandler;
+
+/** Builds the tree of elements from parser events, and turns the validator's errors into faults with keys. */
+final class XmlElementHandler extends DefaultHandler {
+    /** Further faults of a file are left out. */
+    static final int MAX_FAULTS = 100;
+
+    /** The validator's messages begin with the number of the schema rule, which tells operators nothing. */
+    private static final String SCHEMA_RULE = "^cvc-[\\w.-]+: ";
+
+    private static final Pattern ATTRIBUTE = Pattern.compile("ttribute '([\\w:]+)'");
+    private static final Pattern ELEMENT = Pattern.compile("element '(?:\\{\"[^\"]*\":)?(\\w+)\\}?'");
+
+    private final String file;
+    private final List<Fault> faults = new ArrayList<>();
+    private XmlElement root;
+    private XmlElement current;
+    private Locator locator;
+
+    XmlElementHandler(String file) {
+        this.file = file;
+    }
+
+    XmlElement root() {
+        return root;
+    }
+
+    List<Fault> faults() {
+        return faults;
+    }
+
+    @Override
+    public void setDocumentLocator(Locator locator) {
+        this.locator = locator;
+    }
+
+    @Override
+    public void startElement(String uri, String localName, String qualifiedName, Attributes xmlAttributes) {
+        Map<String, String> attributes = new LinkedHashMap<>();
+        for (int i = 0; i < xmlAttributes.getLength(); i++) {
+            attributes.put(xmlAttributes.getLocalName(i), xmlAttributes.getValue(i));
+        }
+        current = new XmlElement(current, localName, attributes, locator.getLineNumber(), locator.getColumnNumber());
+        root = root == null ? current : root;
+    }
+
+    @Override
+    public void endElement(String uri, String localName, String qualifiedName) {
+        current = current.parent();
+    }
+
+    @Override
+    public void fatalError(SAXParseException e) throws SAXException {
+        throw e;
+    }
+
+    @Override
+    public void error(SAXParseException e) {
+        String text = e.getMessage().replaceFirst(SCHEMA_RULE, "");
+        add(new Fault(file, e.getLineNumber(), e.getColumnNumber(), key(text), text));
+    }
+
+    /** The validator reports an element before {@link #startElement} is called for it, and names it in the message. */
+    private String key(String message) {
+        Matcher element = ELEMENT.matcher(message);
+        Matcher attribute = ATTRIBUTE.matcher(message);
+        String path = current == null ? "" : current.path();
+        if (element.find() && !path.endsWith(element.group(1))) {
+            path += (path.isEmpty() ? "" : "/") + element.group(1);
+        }
+        return path + (attribute.find() ? "@" + attribute.group(1) : "");
+    }
+
+    /** A wrong value is reported twice: first by its type, with the better text, then by its attribute, with the key. */
+    private void add(Fault fault) {
+        int last = faults.size() - 1;
+        if (last >= 0 && faults.get(last).isAtSamePlace(fault)) {
+            Fault before = faults.get(last);
+            if (!before.namesAttribute() && fault.namesAttribute()) {
+                faults.set(last, new Fault(file, before.line(), before.column(), fault.key(), before.text()));
+                return;
+            }
+        }
+        if (faults.size() < MAX_FAULTS) {
+            faults.add(fault);
+        }
+    }
+}
