--- /dev/null
+++ b/pooler/src/main/java/frostreel/settings/OperatorSettingsReader.java
@@ -0,0 +1,128 @@
+package frostreel.settings;
+
+import frostreel.log.Logging;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.net.UnknownHostException;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Locale;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import java.util.TreeMap;
+import java.util.logging.Level;
+
+/** Reads {@link OperatorSettings}, and collects the faults that the schema cannot express. */
+final class OperatorSettingsReader {
+    private static final int MAX_PORT = 65_535;
+    private static final String BLANKS = "\\s+";
+
+    private final Path path;
+    private final String file;
+    private final Optional<String> self;
+    private final List<Fault> faults = new ArrayList<>();
+
+    OperatorSettingsReader(Path path) {
+        this(path, Optional.empty());
+    }
+
+    /** {@code self}: the name of the pooler for which the file is read. */
+    OperatorSettingsReader(Path path, String self) {
+        this(path, Optional.of(self));
+    }
+
+    private OperatorSettingsReader(Path path, Optional<String> self) {
+        this.path = path;
+        this.self = self;
+        file = path.toString();
+    }
+
+    OperatorSettings read() throws FaultyFileException {
+        XmlElement root = XmlFile.read(path, OperatorSettings.SCHEMA);
+        Optional<XmlElement> log = Optional.ofNullable(root.child("log"));
+        OperatorSettings settings = new OperatorSettings(
+                log.map(element -> Logging.Format.valueOf(constant(element, "format")))
+                        .orElse(OperatorSettings.DEFAULT.logFormat()),
+                log.map(element -> Level.parse(constant(element, "level")))
+                        .orElse(OperatorSettings.DEFAULT.logLevel()),
+                Optional.ofNullable(root.child("zones")).map(this::readZones).orElse(null),
+                Optional.ofNullable(root.child("cluster")).map(this::readCluster).orElse(null));
+        if (!faults.isEmpty()) {
+            throw new FaultyFileException(faults);
+        }
+        return settings;
+    }
+
+    private static String constant(XmlElement element, String attribute) {
+        return element.text(attribute).toUpperCase(Locale.ROOT);
+    }
+
+    private OperatorSettings.Zones readZones(XmlElement zones) {
+        List<OperatorSettings.Tier> tiers = new ArrayList<>();
+        Map<String, Integer> tierByZone = new HashMap<>();
+        List<XmlElement> elements = zones.children("tier").toList();
+        for (XmlElement element : elements) {
+            int number = tiers.size() + 1;
+            List<String> names = zoneNames(element);
+            if (names.isEmpty() && number < elements.size()) {
+                faults.add(element.fault(file, "zones", "only the last tier may stand for all other zones"));
+            }
+            for (String name : names) {
+                Integer other = tierByZone.putIfAbsent(name, number);
+                if (other != null) {
+                    faults.add(element.fault(file, "zones", "zone '" + name + "' stands in tier " + other + " too"));
+                }
+            }
+            tiers.add(new OperatorSettings.Tier(names, element.number("spill")));
+        }
+        return new OperatorSettings.Zones(tiers, (int) zones.whole("poolers"));
+    }
+
+    private static List<String> zoneNames(XmlElement tier) {
+        return tier.has("zones") ? Arrays.asList(tier.text("zones").split(BLANKS)) : List.of();
+    }
+
+    private OperatorSettings.Cluster readCluster(XmlElement cluster) {
+        Map<String, OperatorSettings.MemberAddress> members = new TreeMap<>();
+        Set<InetSocketAddress> taken = new HashSet<>();
+        for (XmlElement pooler : cluster.children("pooler").toList()) {
+            String name = pooler.text("name");
+            Optional<InetSocketAddress> advertised = readAddress(pooler, "at");
+            Optional<InetSocketAddress> bind = pooler.has("bind") ? readAddress(pooler, "bind") : advertised;
+            if (advertised.isPresent() && !taken.add(advertised.get())) {
+                faults.add(pooler.fault(file, "at", "another pooler is at " + pooler.text("at")));
+            }
+            // Without an address there is a fault, and nobody sees the member.
+            OperatorSettings.MemberAddress address =
+                    new OperatorSettings.MemberAddress(advertised.orElse(null), bind.orElse(null));
+            if (members.put(name, address) != null) {
+                faults.add(pooler.fault(file, "name", "'" + name + "' is named twice"));
+            }
+        }
+        if (self.isPresent() && !members.containsKey(self.get())) {
+            faults.add(cluster.fault(file, null, "this pooler, '" + self.get() + "', is not among them"));
+        }
+        return new OperatorSettings.Cluster(cluster.text("group"), cluster.whole("silentAfterMs"), members);
+    }
+
+    /** The address of one machine; anything else is a fault. */
+    private Optional<InetSocketAddress> readAddress(XmlElement pooler, String attribute) {
+        String[] parts = pooler.text(attribute).split(":");
+        try {
+            InetAddress host = InetAddress.getByName(parts[0]); // The schema admits digits alone: no name is resolved.
+            int port = Integer.parseInt(parts[1]);
+            if (port > 0 && port <= MAX_PORT && !host.isAnyLocalAddress()) {
+                return Optional.of(new InetSocketAddress(host, port));
+            }
+            faults.add(pooler.fault(file, attribute, "not the address of one machine: " + pooler.text(attribute)));
+        } catch (UnknownHostException e) {
+            faults.add(pooler.fault(file, attribute, e.getMessage()));
+        }
+        return Optional.empty();
+    }
+}
