--- a/cluster/src/main/java/frostreel/cluster/ClusterSettings.java
+++ b/cluster/src/main/java/frostreel/cluster/ClusterSettings.java
@@ -7,21 +7,24 @@
 import java.util.TreeMap;
 
 /**
- * Who may be in the group, and how soon silence counts. All members are named in advance: nobody else is
- * listened to.
+ * The configured members of a group. Messages of anyone else are ignored.
  *
- * @param group the group's name; poolers of other groups are not heard
+ * @param group the group's name; poolers of other groups are ignored
  * @param self this pooler's name, one of {@code members}
- * @param bind where this pooler listens for the others; no wildcard
- * @param members each member's address, by which the others reach it; may differ from what it binds to
- * @param silentAfterMs a member that nobody hears for so long is suspected, 500 to 60,000
+ * @param bind where this pooler listens for the other members; no wildcard
+ * @param members the advertised address of each, at which the others reach it; may differ from what it binds to
+ * @param silentAfterMs a member that has not been heard for this time is suspected; 500 to 60,000
  */
 public record ClusterSettings(
         String group, String self, InetSocketAddress bind, Map<String, InetSocketAddress> members, long silentAfterMs) {
     private static final long MIN_SILENT_MS = 500;
     private static final long MAX_SILENT_MS = 60_000;
 
-    /** Refuses with a message for operators what cannot be meant. */
+    /**
+     * Checks the settings.
+     *
+     * @throws IllegalArgumentException with a message for operators
+     */
     public ClusterSettings {
         members = new TreeMap<>(members);
         require(!group.isBlank(), "the group has no name");
@@ -39,14 +42,14 @@
         });
     }
 
-    /** How the others reach this pooler. */
+    /** Where the other members reach this pooler. */
     public InetSocketAddress advertised() {
         return members.get(self);
     }
 
-    private static void require(boolean holds, String otherwise) {
-        if (!holds) {
-            throw new IllegalArgumentException(otherwise);
+    private static void require(boolean condition, String message) {
+        if (!condition) {
+            throw new IllegalArgumentException(message);
         }
     }
 }
--- a/cluster/src/main/java/frostreel/cluster/Membership.java
+++ b/cluster/src/main/java/frostreel/cluster/Membership.java
@@ -1,60 +1,65 @@
 package frostreel.cluster;
 
 /**
- * What a pooler knows of its fellows, and its way to speak to them. Called on the thread of its owner, and no
- * call waits for anything; what is learnt comes to a {@link Listener} on that same thread.
+ * A pooler's membership of the group, and its means to send messages to the other members. Called on its owner's thread;
+ * no call blocks. Events come to a {@link Listener} on that same thread.
  *
- * <p>Messages arrive whole, those of one sender to one receiver in their order, or not at all: what is sent
- * to a peer that leaves, or through a cut that outlasts its place in the view, is lost without a word.
+ * <p>Messages of one sender to one receiver arrive in order, each complete or not at all. A message to a peer that leaves, or
+ * across a partition that lasts until the peer is out of the view, is lost without notice.
  */
 public interface Membership {
-    /** Of one message, in bytes; longer ones are to be sent in parts. */
+    /** The largest message, in bytes. */
     int MAX_MESSAGE_BYTES = 64 * 1024;
 
-    /** Learns what happens in the group. */
+    /** Notified of what happens in the group. */
     interface Listener {
-        /** Others came, went, or both; {@code before} is {@link MembershipView#NONE} at first. */
+        /** Members have joined or left; {@code before} is {@link MembershipView#NONE} at first. */
         void onViewChanged(MembershipView view, MembershipView before);
 
         /**
-         * A member of the view has gone silent; a view without it may follow, or it is heard again. Where
-         * another member was faster, the view without it comes with no such word before.
+         * A member of the view is not heard any more; a view without it may follow, or it is heard again. If another member
+         * was faster, the view without it comes with no suspicion before it.
          */
         void onSuspected(Peer peer);
 
+        /** A message has arrived; the array is the listener's. */
         void onMessage(Peer from, byte[] message);
 
-        /** It could not take part at all, as where its address is not to be had; nothing else follows. */
-        void onJoinFailed(String why);
+        /** Joining failed for good, for instance as the address cannot be bound; no other event follows. */
+        void onJoinFailed(String reason);
     }
 
-    /** Refuses a message that is too long, for whoever carries them. */
+    /**
+     * Checks a message for an implementation.
+     *
+     * @throws IllegalArgumentException beyond {@link #MAX_MESSAGE_BYTES}
+     */
     static void checkSize(byte[] message) {
         if (message.length > MAX_MESSAGE_BYTES) {
             throw new IllegalArgumentException(message.length + " bytes, at most " + MAX_MESSAGE_BYTES);
         }
     }
 
-    /** This pooler, in its present life. */
+    /** This pooler, in its present incarnation. */
     Peer self();
 
-    /** The newest view that the listener was told of. */
+    /** The latest view of which the listener was notified. */
     MembershipView view();
 
     /**
-     * To one peer.
+     * Sends a message to one peer.
      *
      * @throws IllegalArgumentException beyond {@link #MAX_MESSAGE_BYTES}
      */
     void send(Peer to, byte[] message);
 
     /**
-     * To all others in the view.
+     * Sends a message to all other members of the view.
      *
      * @throws IllegalArgumentException beyond {@link #MAX_MESSAGE_BYTES}
      */
     void broadcast(byte[] message);
 
-    /** Leaves so that the others know at once; no event comes after it. */
+    /** Leaves, so that the other members know at once; no event follows. */
     void leave();
 }
--- a/cluster/src/main/java/frostreel/cluster/MembershipView.java
+++ b/cluster/src/main/java/frostreel/cluster/MembershipView.java
@@ -3,23 +3,28 @@
 import java.util.List;
 
 /**
- * Who is in the group, as one member knows it. Numbers only grow at a member; members of one part of a split
- * group share number and list. {@code merged} says that parts that lived apart are one again.
+ * The members of the group as one of them knows it. In a partitioned group, the members of one partition share number and
+ * members.
+ *
+ * @param number grows with each view of a member
+ * @param members who is present, in their natural order
+ * @param merged whether this view unites partitions
  */
 public record MembershipView(long number, List<Peer> members, boolean merged) {
-    /** Before the first view. */
+    /** What a member knows before its first view. */
     public static final MembershipView NONE = new MembershipView(-1, List.of(), false);
 
+    /** Sorts the members. */
     public MembershipView {
         members = members.stream().sorted().toList();
     }
 
-    /** Who is here and was not in {@code before}. */
+    /** Who is present and was not in the earlier view. */
     public List<Peer> joined(MembershipView before) {
-        return members.stream().filter(p -> !before.members.contains(p)).toList();
+        return members.stream().filter(peer -> !before.members.contains(peer)).toList();
     }
 
-    /** Who was in {@code before} and is not here. */
+    /** Who was present in the earlier view and no longer is. */
     public List<Peer> left(MembershipView before) {
         return before.joined(this);
     }
--- a/cluster/src/main/java/frostreel/cluster/Peer.java
+++ b/cluster/src/main/java/frostreel/cluster/Peer.java
@@ -1,10 +1,13 @@
 package frostreel.cluster;
 
 /**
- * A pooler in one of its lives. The name comes from the operators' file; the life is a number of its own that
- * is higher at each start, so that what an ended life still says is told from what the present one does.
+ * One incarnation of a pooler, so that messages of a process that has ended are told from those of its successor.
+ *
+ * @param name from the operators' file
+ * @param incarnation higher at each start of the process
  */
 public record Peer(String name, long incarnation) implements Comparable<Peer> {
+    /** By name, then by incarnation. */
     @Override
     public int compareTo(Peer other) {
         int byName = name.compareTo(other.name);
--- a/cluster/src/main/java/frostreel/cluster/ReplicatedLog.java
+++ b/cluster/src/main/java/frostreel/cluster/ReplicatedLog.java
@@ -1,37 +1,42 @@
 package frostreel.cluster;
 
 /**
- * Entries that a majority of all named members agreed on, in one order. Each has a number of its own, from
- * 1 on without gaps, which no other entry ever gets, whatever crashes, cuts or restarts come between, as long
- * as the members keep their folders. Called, and told, on the thread of its owner.
+ * A log on whose entries a majority of all configured members agrees, in one order. Each entry has an index of its own, from
+ * 1 on without gaps, that no other entry is ever given, whatever crashes, partitions and restarts there are, as long as the
+ * members keep their folders. Called on its owner's thread, on which the listeners are notified too.
  */
 public interface ReplicatedLog {
-    /** Of one entry. */
+    /** The largest entry, in bytes. */
     int MAX_ENTRY_BYTES = 8 * 1024;
-    /** So many of the newest entries are kept for those that come late. */
+    /** How many of the latest entries are retained for members that lag behind. */
     int RETAINED_ENTRIES = 256;
 
-    /** Learns what was chosen, at each member, in the order of the numbers. */
+    /** Notified at each member of the entries, in the order of their indexes. */
     interface Listener {
         /**
-         * Told of each entry once a life; after a start, first of those kept. A member that comes later than
-         * {@link #RETAINED_ENTRIES} entries misses the oldest: then numbers are left out.
+         * An entry was committed. Each is notified once an incarnation, beginning with those retained at its start. A member
+         * that lags by more than {@link #RETAINED_ENTRIES} misses the oldest, and sees a gap in the indexes.
          */
         void onCommitted(long index, byte[] entry);
     }
 
-    /** What became of a proposal; one of the two, once. */
+    /** Notified of the result of one proposal, by exactly one of the two. */
     interface ProposalListener {
+        /** The entry was committed. */
         void onCommitted(long index);
 
         /**
-         * Nobody can tell yet: no majority answered in time. The entry may still be chosen, and the listener
-         * hears of it then; not any more once a later proposal of this member was chosen.
+         * No majority answered in time. The entry may still be committed, of which the {@link Listener} is notified then;
+         * but no more once a later proposal of this member was committed.
          */
-        void onUnknown(String why);
+        void onUnknown(String reason);
     }
 
-    /** Refuses an entry that is too long, for whoever keeps the log. */
+    /**
+     * Checks an entry for an implementation.
+     *
+     * @throws IllegalArgumentException beyond {@link #MAX_ENTRY_BYTES}
+     */
     static void checkSize(byte[] entry) {
         if (entry.length > MAX_ENTRY_BYTES) {
             throw new IllegalArgumentException(entry.length + " bytes, at most " + MAX_ENTRY_BYTES);
--- /dev/null
+++ b/cluster/src/main/java/frostreel/cluster/jgroups/ChannelExecutor.java
@@ -0,0 +1,40 @@
+package frostreel.cluster.jgroups;
+
+import java.util.concurrent.ArrayBlockingQueue;
+import java.util.concurrent.Executor;
+import java.util.concurrent.ThreadPoolExecutor;
+import java.util.concurrent.TimeUnit;
+
+/**
+ * The one thread that calls a channel, as joining, sending and leaving may block. Its queue is bounded; {@link #execute}
+ * throws {@link java.util.concurrent.RejectedExecutionException} where it is full.
+ */
+final class ChannelExecutor implements Executor {
+    private static final int QUEUE_CAPACITY = 1024;
+
+    private final ThreadPoolExecutor thread = new ThreadPoolExecutor(
+            1, 1, 0, TimeUnit.SECONDS, new ArrayBlockingQueue<>(QUEUE_CAPACITY), ChannelExecutor::newThread);
+
+    private static Thread newThread(Runnable tasks) {
+        Thread thread = new Thread(tasks, "cluster");
+        thread.setDaemon(true);
+        return thread;
+    }
+
+    @Override
+    public void execute(Runnable task) {
+        thread.execute(task);
+    }
+
+    /** Drops what is queued, runs a last task, and ends the thread. */
+    void finishWith(Runnable last) {
+        thread.getQueue().clear();
+        thread.execute(last);
+        thread.shutdown();
+    }
+
+    /** Blocks until the thread has ended; false after the timeout. */
+    boolean awaitTermination(long timeoutMs) throws InterruptedException {
+        return thread.awaitTermination(timeoutMs, TimeUnit.MILLISECONDS);
+    }
+}
--- a/cluster/src/main/java/frostreel/cluster/jgroups/CommittedEntries.java
+++ b/cluster/src/main/java/frostreel/cluster/jgroups/CommittedEntries.java
@@ -17,103 +17,114 @@
 import org.jgroups.raft.StateMachine;
 
 /**
- * What the log's entries come to: the same at each member, as it depends on them and their order alone. A
- * proposal that was sent again, as its first answer was lost, is told from a new one and gets no second
- * number. On the log's own thread.
+ * The state machine of the replicated log: the same at each member, as it depends on the committed proposals and their order
+ * alone. Deduplicates proposals that were sent again because their first answer was lost, so that none gets a second index.
+ * Called on the library's thread.
  */
 final class CommittedEntries implements StateMachine {
-    /** A member's newest proposal that was chosen. */
-    private record LatestProposal(long incarnation, long sequence, long index) {}
+    /** The answer to a proposal that comes after a later one of the same member; no entry has this index. */
+    static final long SUPERSEDED = 0;
+
+    /** The latest committed proposal of a member; {@code sequence} counts its proposals, from 1 in each incarnation. */
+    private record LatestProposal(long incarnation, long sequence, long index) {
+        boolean isAfter(LatestProposal other) {
+            return incarnation > other.incarnation || incarnation == other.incarnation && sequence > other.sequence;
+        }
+
+        boolean isSameProposal(LatestProposal other) {
+            return incarnation == other.incarnation && sequence == other.sequence;
+        }
+    }
 
     private final ReplicatedLog.Listener listener;
     private final Map<String, LatestProposal> latestByMember = new HashMap<>();
     private final NavigableMap<Long, byte[]> retained = new TreeMap<>();
-    private long index;
-    private long notified;
+    private long lastIndex;
+    private long lastNotifiedIndex;
 
     CommittedEntries(ReplicatedLog.Listener listener) {
         this.listener = listener;
     }
 
-    /** As it is written to the log; {@code sequence}: the how-manieth of this life. */
-    static byte[] proposal(Peer by, long sequence, byte[] entry) {
+    /** Encodes a proposal as it is stored in the log; {@code sequence}: its number among those of this incarnation. */
+    static byte[] encodeProposal(Peer proposer, long sequence, byte[] entry) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (DataOutputStream out = new DataOutputStream(bytes)) {
-            out.writeUTF(by.name());
-            out.writeLong(by.incarnation());
+            out.writeUTF(proposer.name());
+            out.writeLong(proposer.incarnation());
             out.writeLong(sequence);
             out.write(entry);
         } catch (IOException e) {
-            throw new IllegalStateException(e); // Nothing is written but memory.
+            throw new IllegalStateException(e); // Cannot happen: the stream writes to memory.
         }
         return bytes.toByteArray();
     }
 
-    /** The number of a proposal's answer; 0 where a later one of the same member was chosen before it. */
-    static long index(byte[] answer) {
+    /** The index of a proposal that was answered, or {@link #SUPERSEDED}. */
+    static long decodeAnswer(byte[] answer) {
         return ByteBuffer.wrap(answer).getLong();
     }
 
+    private static byte[] encodeAnswer(long index) {
+        return ByteBuffer.allocate(Long.BYTES).putLong(index).array();
+    }
+
     @Override
     public byte[] apply(byte[] data, int offset, int length, boolean wantsAnswer) throws IOException {
         DataInputStream in = new DataInputStream(new ByteArrayInputStream(data, offset, length));
-        String name = in.readUTF();
-        LatestProposal mine = new LatestProposal(in.readLong(), in.readLong(), index + 1);
-        LatestProposal before = latestByMember.get(name);
-        if (before != null && (mine.incarnation < before.incarnation || mine.incarnation == before.incarnation && mine.sequence <= before.sequence)) {
-            boolean again = mine.incarnation == before.incarnation && mine.sequence == before.sequence;
-            return answer(again ? before.index : 0);
+        String member = in.readUTF();
+        LatestProposal proposal = new LatestProposal(in.readLong(), in.readLong(), lastIndex + 1);
+        LatestProposal latest = latestByMember.get(member);
+        if (latest != null && !proposal.isAfter(latest)) {
+            return encodeAnswer(proposal.isSameProposal(latest) ? latest.index : SUPERSEDED);
         }
-        index++;
-        latestByMember.put(name, mine);
-        retained.put(index, in.readAllBytes());
+        lastIndex++;
+        latestByMember.put(member, proposal);
+        retained.put(lastIndex, in.readAllBytes());
         if (retained.size() > ReplicatedLog.RETAINED_ENTRIES) {
             retained.pollFirstEntry();
         }
         notifyListener();
-        return answer(index);
-    }
-
-    private static byte[] answer(long index) {
-        return ByteBuffer.allocate(Long.BYTES).putLong(index).array();
+        return encodeAnswer(lastIndex);
     }
 
     private void notifyListener() {
-        retained.tailMap(notified, false).forEach(listener::onCommitted);
-        notified = Math.max(notified, index);
+        retained.tailMap(lastNotifiedIndex, false).forEach(listener::onCommitted);
+        lastNotifiedIndex = Math.max(lastNotifiedIndex, lastIndex);
     }
 
     @Override
     public void writeContentTo(DataOutput out) throws IOException {
-        out.writeLong(index);
+        out.writeLong(lastIndex);
         out.writeInt(latestByMember.size());
-        for (Map.Entry<String, LatestProposal> e : latestByMember.entrySet()) {
-            out.writeUTF(e.getKey());
-            out.writeLong(e.getValue().incarnation);
-            out.writeLong(e.getValue().sequence);
-            out.writeLong(e.getValue().index);
+        for (Map.Entry<String, LatestProposal> member : latestByMember.entrySet()) {
+            LatestProposal latest = member.getValue();
+            out.writeUTF(member.getKey());
+            out.writeLong(latest.incarnation);
+            out.writeLong(latest.sequence);
+            out.writeLong(latest.index);
         }
         out.writeInt(retained.size());
-        for (Map.Entry<Long, byte[]> e : retained.entrySet()) {
-            out.writeLong(e.getKey());
-            out.writeInt(e.getValue().length);
-            out.write(e.getValue());
+        for (Map.Entry<Long, byte[]> entry : retained.entrySet()) {
+            out.writeLong(entry.getKey());
+            out.writeInt(entry.getValue().length);
+            out.write(entry.getValue());
         }
     }
 
     @Override
     public void readContentFrom(DataInput in) throws IOException {
-        index = in.readLong();
+        lastIndex = in.readLong();
         latestByMember.clear();
         for (int remaining = in.readInt(); remaining > 0; remaining--) {
             latestByMember.put(in.readUTF(), new LatestProposal(in.readLong(), in.readLong(), in.readLong()));
         }
         retained.clear();
         for (int remaining = in.readInt(); remaining > 0; remaining--) {
-            long entryIndex = in.readLong();
+            long index = in.readLong();
             byte[] entry = new byte[in.readInt()];
             in.readFully(entry);
-            retained.put(entryIndex, entry);
+            retained.put(index, entry);
         }
         notifyListener();
     }
--- a/cluster/src/main/java/frostreel/cluster/jgroups/RaftLog.java
+++ b/cluster/src/main/java/frostreel/cluster/jgroups/RaftLog.java
@@ -20,20 +20,22 @@
 import org.jgroups.stack.Protocol;
 
 /**
- * The majority's log by jgroups-raft, over the channel of {@link GroupMembership}. Proposals go one after
- * another, each again until it was answered or its time is over; {@link CommittedEntries} sees to it that none
- * counts twice. Fields are the owner's thread's alone.
+ * The replicated log by jgroups-raft, on the channel of {@link GroupMembership}. Proposals are made one after another, each
+ * retried until it was answered or has timed out; {@link CommittedEntries} deduplicates the attempts. Fields are used on the
+ * owner's thread alone unless they say otherwise.
  */
 final class RaftLog implements ReplicatedLog {
     /**
-     * The leader sends a follower again what it lacks only once it has heard nothing new for so long;
-     * proposals that come again sooner than that would keep a member that started again out for ever.
+     * The leader resends to a follower what it lacks only after receiving nothing new for this long. Proposals retried more
+     * often than that would keep a restarted member behind for ever.
      */
     private static final long RESEND_INTERVAL_MS = 100;
 
-    private static final long RETRY_DELAY_MS = 1000;
+    private static final long ANSWER_TIMEOUT_MS = 1000;
+    private static final long RETRY_DELAY_MS = 500;
     private static final long PROPOSAL_TIMEOUT_MS = 10_000;
-    private static final int QUEUE_CAPACITY = 64;
+    private static final int MAX_QUEUED_PROPOSALS = 64;
+    /** Beyond this size of the log a snapshot is taken. */
     private static final int MAX_LOG_BYTES = 1 << 20;
 
     private record Proposal(byte[] bytes, ProposalListener listener) {}
@@ -43,16 +45,23 @@
     private final Executor owner;
     private final Collection<String> members;
     private final Path folder;
-    /** One over all tries to join: what it has been told once, it is not told again. */
+    /** One for all attempts to join, so that its listener is not notified of an entry twice. */
     private final CommittedEntries entries;
-
+    /** Of the present channel; read on the channel executor. */
     private volatile REDIRECT redirect;
+
     private final Queue<Proposal> queued = new ArrayDeque<>();
     private long lastSequence;
-    private boolean inFlight;
+    private boolean proposalInFlight;
 
-    /** {@code folder} keeps the log; null keeps it in memory, and a restart then forgets what it promised. */
-    RaftLog(Peer self, Collection<String> members, Path folder, Executor channelExecutor, Executor owner, Listener listener) {
+    /** {@code folder} keeps the log; null keeps it in memory, and a restart forgets the votes that were cast. */
+    RaftLog(
+            Peer self,
+            Collection<String> members,
+            Path folder,
+            Executor channelExecutor,
+            Executor owner,
+            Listener listener) {
         this.self = self;
         this.channelExecutor = channelExecutor;
         this.owner = owner;
@@ -61,8 +70,8 @@
         entries = new CommittedEntries((index, entry) -> owner.execute(() -> listener.onCommitted(index, entry)));
     }
 
-    /** What goes into a channel's stack, above all that carries messages; new for each channel. */
-    List<Protocol> protocols() {
+    /** Creates the log's protocols for a new channel, whose stack has them above all that carry messages. */
+    List<Protocol> newProtocols() {
         RAFT raft = new RAFT()
                 .members(members)
                 .raftId(self.name())
@@ -84,59 +93,68 @@
     @Override
     public void propose(byte[] entry, ProposalListener listener) {
         ReplicatedLog.checkSize(entry);
-        if (queued.size() >= QUEUE_CAPACITY) {
+        if (queued.size() >= MAX_QUEUED_PROPOSALS) {
             listener.onUnknown("too many proposals wait");
             return;
         }
-        queued.add(new Proposal(CommittedEntries.proposal(self, ++lastSequence, entry), listener));
-        next();
+        queued.add(new Proposal(CommittedEntries.encodeProposal(self, ++lastSequence, entry), listener));
+        proposeNext();
     }
 
-    private void next() {
-        Proposal p = inFlight ? null : queued.poll();
-        if (p != null) {
-            inFlight = true;
-            long endMs = System.nanoTime() / 1_000_000 + PROPOSAL_TIMEOUT_MS;
-            send(p, endMs);
+    private void proposeNext() {
+        if (proposalInFlight || queued.isEmpty()) {
+            return;
         }
+        proposalInFlight = true;
+        submit(queued.remove(), nowMs() + PROPOSAL_TIMEOUT_MS);
     }
 
-    /** Where the channel's queue is full, a proposal must not be waited for that nobody makes. */
-    private void send(Proposal p, long endMs) {
+    private void submit(Proposal proposal, long deadlineMs) {
         try {
-            channelExecutor.execute(() -> attempt(p, endMs));
+            channelExecutor.execute(() -> attempt(proposal, deadlineMs));
         } catch (RejectedExecutionException full) {
-            done(p, 0, "the queue to the channel is full");
+            finishUnknown(proposal, "the queue to the channel is full");
         }
     }
 
-    private void attempt(Proposal p, long endMs) {
+    /** Runs on the channel executor. */
+    private void attempt(Proposal proposal, long deadlineMs) {
         CompletableFuture<byte[]> answer;
         try {
-            answer = redirect.setAsync(p.bytes, 0, p.bytes.length, null);
-        } catch (Exception e) { // No leader is known here, or it is out of reach.
+            answer = redirect.setAsync(proposal.bytes, 0, proposal.bytes.length, null);
+        } catch (Exception e) { // No leader is known here, or it cannot be reached.
             answer = CompletableFuture.failedFuture(e);
         }
-        answer.orTimeout(RETRY_DELAY_MS, TimeUnit.MILLISECONDS).whenComplete((bytes, failure) -> {
+        answer.orTimeout(ANSWER_TIMEOUT_MS, TimeUnit.MILLISECONDS).whenComplete((bytes, failure) -> {
             if (failure == null) {
-                owner.execute(() -> done(p, CommittedEntries.index(bytes), null));
-            } else if (System.nanoTime() / 1_000_000 < endMs) {
-                CompletableFuture.delayedExecutor(RETRY_DELAY_MS / 2, TimeUnit.MILLISECONDS, owner)
-                        .execute(() -> send(p, endMs));
+                owner.execute(() -> finish(proposal, CommittedEntries.decodeAnswer(bytes)));
+            } else if (nowMs() < deadlineMs) {
+                CompletableFuture.delayedExecutor(RETRY_DELAY_MS, TimeUnit.MILLISECONDS, owner)
+                        .execute(() -> submit(proposal, deadlineMs));
             } else {
                 Throwable cause = failure instanceof CompletionException ? failure.getCause() : failure;
-                owner.execute(() -> done(p, 0, String.valueOf(cause)));
+                owner.execute(() -> finishUnknown(proposal, String.valueOf(cause)));
             }
         });
     }
 
-    private void done(Proposal p, long index, String why) {
-        inFlight = false;
-        if (index > 0) {
-            p.listener.onCommitted(index);
-        } else {
-            p.listener.onUnknown(why == null ? "a later one was chosen before it" : why);
+    private void finish(Proposal proposal, long index) {
+        if (index == CommittedEntries.SUPERSEDED) {
+            finishUnknown(proposal, "a later one was chosen before it");
+            return;
         }
-        next();
+        proposalInFlight = false;
+        proposal.listener.onCommitted(index);
+        proposeNext();
+    }
+
+    private void finishUnknown(Proposal proposal, String reason) {
+        proposalInFlight = false;
+        proposal.listener.onUnknown(reason);
+        proposeNext();
+    }
+
+    private static long nowMs() {
+        return TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
     }
 }
--- a/cluster/src/main/java/frostreel/cluster/jgroups/SuspicionListener.java
+++ b/cluster/src/main/java/frostreel/cluster/jgroups/SuspicionListener.java
@@ -6,7 +6,7 @@
 import org.jgroups.Event;
 import org.jgroups.stack.Protocol;
 
-/** The top of the stack: hears whom the layers below have come to suspect, which channels do not pass on. */
+/** The top of a protocol stack: passes on whom the protocols below suspect, which a channel keeps to itself. */
 final class SuspicionListener extends Protocol {
     private final Consumer<Collection<Address>> listener;
 
--- a/pooler/src/main/java/frostreel/fleet/ClusterMember.java
+++ b/pooler/src/main/java/frostreel/fleet/ClusterMember.java
@@ -16,36 +16,40 @@
 import java.util.stream.Collectors;
 
 /**
- * This pooler among its fellows: owns its membership, says in the log who comes and goes, and shows it. On
- * the loop's thread. Nothing that is served depends on it.
+ * This process as a member of the cluster: owns its membership, logs who joins and leaves, and shows it to operators. On the
+ * I/O thread. Nothing that is served depends on it.
  */
 public final class ClusterMember implements Membership.Listener {
     private static final Logger LOG = Logger.getLogger(ClusterMember.class.getName());
+
     private final Set<String> configured;
     private final Set<Peer> suspected = new TreeSet<>();
     private final GroupMembership membership;
+    /** Why joining failed for good; null unless it did. */
     private String joinFailure;
 
-    /** Joins as {@code self}; its life is the time of its start, Unix milliseconds. */
+    /** Joins the cluster as {@code self}, with the start time in Unix milliseconds for its incarnation. */
     public ClusterMember(OperatorSettings.Cluster cluster, String self, EventLoop loop) {
         configured = cluster.members().keySet();
-        Map<String, InetSocketAddress> members = new TreeMap<>();
-        cluster.members().forEach((name, address) -> members.put(name, address.advertised()));
-        membership = new GroupMembership(
-                new ClusterSettings(
-                        cluster.group(), self, cluster.members().get(self).bind(), members, cluster.silentAfterMs()),
-                loop.clock().now() / 1000,
-                loop.thread(),
-                this);
+        membership =
+                new GroupMembership(clusterSettings(cluster, self), loop.clock().now() / 1000, loop.thread(), this);
+    }
+
+    private static ClusterSettings clusterSettings(OperatorSettings.Cluster cluster, String self) {
+        Map<String, InetSocketAddress> advertised = new TreeMap<>();
+        cluster.members().forEach((name, address) -> advertised.put(name, address.advertised()));
+        InetSocketAddress bind = cluster.members().get(self).bind();
+        return new ClusterSettings(cluster.group(), self, bind, advertised, cluster.silentAfterMs());
     }
 
     @Override
     public void onViewChanged(MembershipView view, MembershipView before) {
         suspected.retainAll(view.members());
         view.joined(before).stream()
-                .filter(p -> !p.equals(membership.self()))
-                .forEach(p -> LOG.info("fleet: " + p.name() + " is here, life " + p.incarnation()));
-        view.left(before).forEach(p -> LOG.warning("GW_FLEET: " + p.name() + " is gone, life " + p.incarnation()));
+                .filter(peer -> !peer.equals(membership.self()))
+                .forEach(peer -> LOG.info("fleet: " + peer.name() + " is here, life " + peer.incarnation()));
+        view.left(before)
+                .forEach(peer -> LOG.warning("GW_FLEET: " + peer.name() + " is gone, life " + peer.incarnation()));
         if (view.merged()) {
             LOG.info("fleet: parts that were apart are one again");
         }
@@ -64,32 +68,40 @@
     }
 
     @Override
-    public void onJoinFailed(String why) {
-        joinFailure = why;
+    public void onJoinFailed(String reason) {
+        joinFailure = reason;
     }
 
-    /** Leaves, so that the others know at once; waits for that no longer than so many milliseconds. */
+    /** Leaves the cluster, so that the other members know at once; blocks until then or until the timeout. */
     public void leave(EventLoop loop, long timeoutMs) throws InterruptedException {
         loop.thread().execute(membership::leave);
         membership.awaitTermination(timeoutMs);
     }
 
-    /** For on-call staff: one line of its own, and one for each pooler named. */
+    /** The page {@code SHOW fleet}: a line for this member, and one for each pooler that is configured. */
     @Override
     public String toString() {
         MembershipView view = membership.view();
-        Map<String, Long> incarnations = view.members().stream().collect(Collectors.toMap(Peer::name, Peer::incarnation, Math::max));
-        StringBuilder page = new StringBuilder("self=" + membership.self() + " view=" + view.number() + " here="
-                + incarnations.size() + " named=" + configured.size() + " " + membership.counters()
-                + (joinFailure == null ? "" : " failed='" + joinFailure + "'"));
+        Map<String, Long> incarnations =
+                view.members().stream().collect(Collectors.toMap(Peer::name, Peer::incarnation, Math::max));
+        StringBuilder page = new StringBuilder();
+        page.append("self=").append(membership.self());
+        page.append(" view=").append(view.number());
+        page.append(" here=").append(incarnations.size());
+        page.append(" named=").append(configured.size());
+        page.append(' ').append(membership.counters());
+        if (joinFailure != null) {
+            page.append(" failed='").append(joinFailure).append('\'');
+        }
         for (String name : configured) {
-            Long incarnation = incarnations.get(name);
-            boolean isSuspected = suspected.stream().anyMatch(p -> p.name().equals(name));
-            page.append('\n')
-                    .append(name)
-                    .append(incarnation == null ? " absent" : " here life=" + incarnation)
-                    .append(isSuspected ? " silent" : "");
+            page.append('\n').append(describe(name, incarnations.get(name)));
         }
         return page.toString();
     }
+
+    /** {@code incarnation}: null for a pooler that is absent. */
+    private String describe(String name, Long incarnation) {
+        boolean isSuspected = suspected.stream().anyMatch(peer -> peer.name().equals(name));
+        return name + (incarnation == null ? " absent" : " here life=" + incarnation) + (isSuspected ? " silent" : "");
+    }
 }
