--- a/cluster/src/test/java/frostreel/cluster/ClusterSettingsTest.java
+++ b/cluster/src/test/java/frostreel/cluster/ClusterSettingsTest.java
@@ -4,54 +4,62 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import java.net.InetSocketAddress;
-import java.util.List;
 import java.util.Map;
+import java.util.function.UnaryOperator;
 import org.junit.jupiter.api.Test;
 
 class ClusterSettingsTest {
     private static final InetSocketAddress A = new InetSocketAddress("127.0.0.1", 7800);
     private static final InetSocketAddress B = new InetSocketAddress("127.0.0.2", 7800);
+    private static final InetSocketAddress WILDCARD = new InetSocketAddress("0.0.0.0", 7800);
 
-    @Test
-    void faultsAreNamed() {
-        refused("the members do not name this pooler, c", "g", "c", A, Map.of("a", A, "b", B), 1000);
-        refused("b has another member's address", "g", "a", A, Map.of("a", A, "b", A), 1000);
-        refused(
-                "bind to one address, not to all",
-                "g",
-                "a",
-                new InetSocketAddress("0.0.0.0", 7800),
-                Map.of("a", A),
-                1000);
-        refused("a has no address of its own", "g", "a", A, Map.of("a", new InetSocketAddress("0.0.0.0", 7800)), 1000);
-        refused("unknown address", "g", "a", A, Map.of("a", InetSocketAddress.createUnresolved("x", 1)), 1000);
-        refused("unknown address", "g", "a", A, Map.of("a", new InetSocketAddress("127.0.0.1", 0)), 1000);
-        refused("the group has no name", " ", "a", A, Map.of("a", A), 1000);
-        refused("silentAfterMs is 499", "g", "a", A, Map.of("a", A), 499);
-        refused("silentAfterMs is 60001", "g", "a", A, Map.of("a", A), 60_001);
-    }
+    /** Good settings of the member a alone, and one change to them at a time. */
+    private record Draft(
+            String group, String self, InetSocketAddress bind, Map<String, InetSocketAddress> members, long silentMs) {
+        static final Draft GOOD = new Draft("g", "a", A, Map.of("a", A), 1000);
+
+        Draft group(String name) {
+            return new Draft(name, self, bind, members, silentMs);
+        }
+
+        Draft self(String name) {
+            return new Draft(group, name, bind, members, silentMs);
+        }
+
+        Draft bind(InetSocketAddress address) {
+            return new Draft(group, self, address, members, silentMs);
+        }
 
-    private static void refused(
-            String why,
-            String group,
-            String self,
-            InetSocketAddress bind,
-            Map<String, InetSocketAddress> members,
-            long silentMs) {
-        assertThatThrownBy(() -> new ClusterSettings(group, self, bind, members, silentMs))
-                .hasMessageContaining(why);
+        Draft members(Map<String, InetSocketAddress> addresses) {
+            return new Draft(group, self, bind, addresses, silentMs);
+        }
+
+        Draft silentMs(long millis) {
+            return new Draft(group, self, bind, members, millis);
+        }
+
+        ClusterSettings settings() {
+            return new ClusterSettings(group, self, bind, members, silentMs);
+        }
     }
 
     @Test
-    void whoCameAndWhoWentIsSeenFromTwoViews() {
-        Peer a = new Peer("a", 1);
-        Peer b = new Peer("b", 1);
-        Peer again = new Peer("b", 2);
-        MembershipView before = new MembershipView(1, List.of(b, a), false);
-        MembershipView after = new MembershipView(2, List.of(a, again), false);
-        assertThat(before.members()).containsExactly(a, b);
-        assertThat(after.joined(before)).containsExactly(again);
-        assertThat(after.left(before)).containsExactly(b);
-        assertThat(before.joined(MembershipView.NONE)).containsExactly(a, b);
+    void wrongSettingsAreRejectedWithTheReason() {
+        assertThat(Draft.GOOD.settings().advertised()).isEqualTo(A);
+        assertRejected("the members do not name this pooler, c", draft -> draft.members(Map.of("a", A, "b", B))
+                .self("c"));
+        assertRejected("b has another member's address", draft -> draft.members(Map.of("a", A, "b", A)));
+        assertRejected("bind to one address, not to all", draft -> draft.bind(WILDCARD));
+        assertRejected("a has no address of its own", draft -> draft.members(Map.of("a", WILDCARD)));
+        assertRejected(
+                "unknown address", draft -> draft.members(Map.of("a", InetSocketAddress.createUnresolved("x", 1))));
+        assertRejected("unknown address", draft -> draft.members(Map.of("a", new InetSocketAddress("127.0.0.1", 0))));
+        assertRejected("the group has no name", draft -> draft.group(" "));
+        assertRejected("silentAfterMs is 499", draft -> draft.silentMs(499));
+        assertRejected("silentAfterMs is 60001", draft -> draft.silentMs(60_001));
+    }
+
+    private static void assertRejected(String reason, UnaryOperator<Draft> change) {
+        assertThatThrownBy(() -> change.apply(Draft.GOOD).settings()).hasMessageContaining(reason);
     }
 }
--- a/decisions/src/test/java/frostreel/zones/ZoneFailoverPolicyTest.java
+++ b/decisions/src/test/java/frostreel/zones/ZoneFailoverPolicyTest.java
@@ -9,12 +9,12 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** One pooler in zone 0, zone 1 next, zone 2 behind it; groups with a member in each zone. */
+/** A pooler in zone 0 with zones 1 and 2 as its tiers, and four groups with a member in each zone. */
 class ZoneFailoverPolicyTest {
     private static final int CHEAP = 0;
     private static final int DEAR = 1;
-    private static final double WORK = 40_000;
-    private static final long SECOND = 1_000_000;
+    private static final double WORK_US = 40_000;
+    private static final long SECOND_US = 1_000_000;
     private static final double SPILL = 0.25;
     private final Router.Settings settings = new Router.Settings(
             1,
@@ -26,15 +26,15 @@
             Router.ListRole.LATE,
             Router.SessionTracking.CARRIED,
             true,
-            new Router.Limits(10, Router.Probes.REPORT, true, true, SECOND, false, 0, 250_000, 50_000, 30 * SECOND, 1),
-            new Router.Rules(20_000, SECOND, false, 0.2, 15 * SECOND, 3, 2 * SECOND));
+            new Router.Limits(10, Router.Probes.REPORT, true, true, SECOND_US, false, 0, 250_000, 50_000, 30 * SECOND_US_US, 1),
+            new Router.Rules(20_000, SECOND_US, false, 0.2, 15 * SECOND_US_US, 3, 2 * SECOND_US));
     private final ZoneSettings zones = new ZoneSettings(
             0, List.of(new ZoneSettings.Tier(List.of(1), SPILL), new ZoneSettings.Tier(List.of(), SPILL)), 10);
     private final ZoneFailoverPolicy policy = new ZoneFailoverPolicy(settings, zones, 0.5);
-    /** By group and zone. */
+    /** Handles by group and zone. */
     private final int[][] handles = new int[4][3];
 
-    private long now = 1_000 * SECOND;
+    private long now = 1_000 * SECOND_US;
 
     ZoneFailoverPolicyTest() {
         for (int g = 0; g < handles.length; g++) {
@@ -44,38 +44,29 @@
         }
     }
 
-    private static Router.RequestClass read(String name, double worth) {
+    private static Router.RequestClass read(String name, double weight) {
         return new Router.RequestClass(
-                name,
-                Router.Access.ANY,
-                Router.Idempotency.IDEMPOTENT,
-                Router.DeduplicationScope.GROUP,
-                0,
-                0,
-                200_000,
-                SECOND,
-                worth,
-                0);
+                name, Router.Access.ANY, Router.Idempotency.IDEMPOTENT, Router.DeduplicationScope.GROUP, 0, 0, 200_000, SECOND_US, weight, 0);
     }
 
-    /** Reads of 40 ms: so many a second to one seat, as far as it permits; the number that went. */
-    private int ask(int handle, int cls, int perSecond, double seconds) {
-        int went = 0;
+    /** Offers reads of 40 ms to one member at a rate; returns how many were admitted, sent and answered. */
+    private int sendReads(int handle, int classIndex, int perSecond, double seconds) {
+        int admitted = 0;
         for (int i = 0; i < perSecond * seconds; i++) {
-            now += SECOND / perSecond;
-            if (policy.costFactor(now, handle) < Double.POSITIVE_INFINITY && policy.admits(now, handle, cls)) {
-                policy.sent(now, handle, cls, WORK);
-                policy.ended(now, handle, Outcome.OK, WORK);
-                went++;
+            now += SECOND_US / perSecond;
+            if (policy.costFactor(now, handle) < Double.POSITIVE_INFINITY && policy.admits(now, handle, classIndex)) {
+                policy.sent(now, handle, classIndex, WORK_US);
+                policy.ended(now, handle, Outcome.OK, WORK_US);
+                admitted++;
             }
         }
-        return went;
+        return admitted;
     }
 
-    private void calm() {
+    private void serveNearestTier() {
         for (int i = 0; i < 40; i++) {
             for (int[] group : handles) {
-                assertThat(ask(group[0], CHEAP, 10, 1)).isEqualTo(10);
+                assertThat(sendReads(group[0], CHEAP, 10, 1)).isEqualTo(10);
             }
         }
     }
@@ -83,11 +74,11 @@
     private void fail(int handle, int times) {
         for (int i = 0; i < times; i++) {
             now += 250_000;
-            policy.ended(now, handle, Outcome.CONNECT_FAILED, WORK);
+            policy.ended(now, handle, Outcome.CONNECT_FAILED, WORK_US);
         }
     }
 
-    private boolean open(int handle) {
+    private boolean isOpen(int handle) {
         return policy.costFactor(now, handle) < Double.POSITIVE_INFINITY;
     }
 
@@ -98,7 +89,7 @@
     }
 
     @Test
-    void tiersAreDearerTheFartherTheyAre() {
+    void costFactorDoublesWithEachTier() {
         assertThat(policy.costFactor(now, handles[0][0])).isEqualTo(1);
         assertThat(policy.costFactor(now, handles[0][1])).isEqualTo(2);
         assertThat(policy.costFactor(now, handles[0][2])).isEqualTo(4);
@@ -106,152 +97,152 @@
     }
 
     @Test
-    void oneFailureIsNoLossAndAnAnswerBetweenThemStartsAnew() {
-        calm();
+    void replicasAreLostByThreeFailuresWithoutAnAnswerBetween() {
+        serveNearestTier();
         fail(handles[0][0], 2);
-        policy.ended(now, handles[0][0], Outcome.WRONG_ROLE_OR_STALE, WORK);
+        policy.ended(now, handles[0][0], Outcome.WRONG_ROLE_OR_STALE, WORK_US);
         fail(handles[0][0], 2);
-        assertThat(open(handles[0][0])).isTrue();
+        assertThat(isOpen(handles[0][0])).isTrue();
         fail(handles[0][0], 1);
-        assertThat(open(handles[0][0])).isFalse();
-        assertThat(open(handles[1][0])).isTrue();
+        assertThat(isOpen(handles[0][0])).isFalse();
+        assertThat(isOpen(handles[1][0])).isTrue();
     }
 
     @Test
-    void aZoneWithNoSignOfLifeAnywhereIsLostAsAWhole() {
-        calm();
+    void zoneWithFailuresInSeveralGroupsAndNoAnswerIsLostAsAWhole() {
+        serveNearestTier();
         fail(handles[0][0], 2);
         fail(handles[1][0], 1);
-        assertThat(open(handles[0][0])).isTrue();
+        assertThat(isOpen(handles[0][0])).isTrue();
         fail(handles[2][0], 1);
         for (int[] group : handles) {
-            assertThat(open(group[0])).isFalse();
+            assertThat(isOpen(group[0])).isFalse();
         }
-        assertThat(open(handles[0][1])).isTrue();
-        policy.probed(now, handles[3][0], true); // Nothing of its own had failed: no ramp.
-        assertThat(ask(handles[3][0], CHEAP, 50, 1)).isEqualTo(50);
+        assertThat(isOpen(handles[0][1])).isTrue();
+        policy.probed(now, handles[3][0], true); // It had no failure of its own: no ramp.
+        assertThat(sendReads(handles[3][0], CHEAP, 50, 1)).isEqualTo(50);
         policy.probed(now, handles[1][0], true);
         assertThat(policy.admits(now, handles[1][0], CHEAP)).as("in a ramp").isFalse();
     }
 
     @Test
-    void oneAreaThatFailsDoesNotTakeItsZoneAlong() {
-        calm();
+    void failuresOfOneGroupDoNotLoseItsZone() {
+        serveNearestTier();
         fail(handles[0][0], 9);
-        assertThat(open(handles[0][0])).isFalse();
-        assertThat(open(handles[1][0])).isTrue();
+        assertThat(isOpen(handles[0][0])).isFalse();
+        assertThat(isOpen(handles[1][0])).isTrue();
     }
 
     @Test
-    void onlySoMuchSpillsAsTheTiersShareOfWhatTheNearestServed() {
-        calm();
+    void spillIsBoundedByTheTiersShareOfWhatTheNearestServed() {
+        serveNearestTier();
         loseZone();
-        ask(handles[0][1], CHEAP, 100, 3); // What was saved up is used.
-        int went = ask(handles[0][1], CHEAP, 100, 20);
-        // Ten reads a second had gone to one of the four groups at a time.
-        assertThat(went / 20.0).isCloseTo(SPILL * 10, within(0.5));
+        sendReads(handles[0][1], CHEAP, 100, 3); // Uses what the budget had saved up.
+        int sent = sendReads(handles[0][1], CHEAP, 100, 20);
+        // Ten reads a second sent to one of the four groups at a time.
+        assertThat(sent / 20.0).isCloseTo(SPILL * 10, within(0.5));
     }
 
     @Test
-    void whatIsWorthLessForItsWorkIsTurnedDownFirst() {
-        calm();
+    void classesOfLessWeightForTheirWorkAreDeniedFirst() {
+        serveNearestTier();
         loseZone();
-        ask(handles[0][1], CHEAP, 100, 3);
+        sendReads(handles[0][1], CHEAP, 100, 3);
         int cheap = 0;
         int dear = 0;
         for (int i = 0; i < 200; i++) {
-            dear += ask(handles[0][1], DEAR, 10, 0.1);
-            cheap += ask(handles[0][1], CHEAP, 10, 0.1);
+            dear += sendReads(handles[0][1], DEAR, 10, 0.1);
+            cheap += sendReads(handles[0][1], CHEAP, 10, 0.1);
         }
         assertThat(cheap).isGreaterThan(5 * Math.max(1, dear));
     }
 
     @Test
-    void inCalmATierServesOnlyItsShareAndAGroupWithoutNearMembersIsNotBound() {
-        calm();
-        assertThat(ask(handles[0][2], CHEAP, 100, 10)).isLessThan(100);
+    void withoutLossATierServesItsShareAndGroupsWithoutNearerMembersAreNotBounded() {
+        serveNearestTier();
+        assertThat(sendReads(handles[0][2], CHEAP, 100, 10)).isLessThan(100);
         int far = policy.memberHandle(9, 1);
-        assertThat(ask(far, CHEAP, 100, 2)).isEqualTo(200);
+        assertThat(sendReads(far, CHEAP, 100, 2)).isEqualTo(200);
     }
 
     @Test
-    void aReturnBeginsAtItsColdShareAndIsWholeWhenWarm() {
-        calm();
+    void returningReplicasAreRampedUpFromTheirColdShare() {
+        serveNearestTier();
         loseZone();
         int handle = handles[0][0];
         assertThat(policy.healthCheckDue(now, handle)).isTrue();
-        assertThat(policy.healthCheckDue(now, handle)).as("so soon again").isFalse();
+        assertThat(policy.healthCheckDue(now, handle)).as("again right away").isFalse();
         policy.probed(now, handle, true);
-        assertThat(open(handle)).isTrue();
+        assertThat(isOpen(handle)).isTrue();
         assertThat(policy.admits(now, handle, CHEAP))
-                .as("its budget begins below nothing")
+                .as("the ramp begins below zero")
                 .isFalse();
-        double first = ask(handle, CHEAP, 50, 3) / 3.0;
+        double first = sendReads(handle, CHEAP, 50, 3) / 3.0;
         assertThat(first).isBetween(0.3, 1.5); // Of 2.5 a second before; cold it can do 0.2 to 0.36 of that.
-        ask(handle, CHEAP, 50, 12);
-        assertThat(ask(handle, CHEAP, 50, 1)).isEqualTo(50);
+        sendReads(handle, CHEAP, 50, 12);
+        assertThat(sendReads(handle, CHEAP, 50, 1)).isEqualTo(50);
         assertThat(policy.toString()).contains("returns=1").contains("0={UP=1, LOST=3}");
     }
 
     @Test
-    void aSecondLossWithinAMinuteHoldsTheReturnAndMinutesLaterItDoesNot() {
-        calm();
+    void secondLossWithinAMinuteDelaysTheReturnAndMinutesLaterItDoesNot() {
+        serveNearestTier();
         int handle = handles[0][0];
         fail(handle, 3);
         policy.probed(now, handle, true);
-        assertThat(open(handle)).isTrue();
-        now += 10 * SECOND;
-        fail(handle, 1); // During the ramp one failure is enough.
-        assertThat(open(handle)).isFalse();
+        assertThat(isOpen(handle)).isTrue();
+        now += 10 * SECOND_US;
+        fail(handle, 1); // During a ramp one failure is enough.
+        assertThat(isOpen(handle)).isFalse();
         policy.probed(now, handle, true);
-        assertThat(open(handle)).as("held").isFalse();
-        now += SECOND / 2;
-        policy.probed(now, handle, false); // The wait begins anew.
-        now += SECOND;
+        assertThat(isOpen(handle)).as("held").isFalse();
+        now += SECOND_US / 2;
+        policy.probed(now, handle, false); // The delay starts again.
+        now += SECOND_US;
         policy.probed(now, handle, true);
-        assertThat(open(handle)).isFalse();
-        now += 10 * SECOND;
+        assertThat(isOpen(handle)).isFalse();
+        now += 10 * SECOND_US;
         policy.probed(now, handle, true);
-        assertThat(open(handle)).isTrue();
-        now += 600 * SECOND;
+        assertThat(isOpen(handle)).isTrue();
+        now += 600 * SECOND_US;
         assertThat(policy.admits(now, handle, CHEAP)).isTrue();
         fail(handle, 3);
         policy.probed(now, handle, true);
-        assertThat(open(handle)).isTrue();
+        assertThat(isOpen(handle)).isTrue();
     }
 
     @Test
-    void seatsAreGivenAgainAndAnAreaWithoutMembersIsStillMissed() {
-        calm();
+    void handlesAreReusedAndReplicasWithoutMembersStillCountAsNearest() {
+        serveNearestTier();
         policy.left(handles[0][0]);
         assertThat(policy.memberHandle(1, 2)).isEqualTo(handles[0][0]);
-        ask(handles[0][1], CHEAP, 100, 3);
-        assertThat(ask(handles[0][1], CHEAP, 100, 5)).as("still a spill").isLessThan(100);
+        sendReads(handles[0][1], CHEAP, 100, 3);
+        assertThat(sendReads(handles[0][1], CHEAP, 100, 5)).as("still a spill").isLessThan(100);
     }
 
     @Test
-    void newSettingsHoldAtOnceAndWhatIsLostStaysLost() {
-        calm();
+    void newTiersApplyAtOnceAndLostReplicasStayLost() {
+        serveNearestTier();
         loseZone();
         policy.configure(new ZoneSettings(
                 0, List.of(new ZoneSettings.Tier(List.of(2), 1), new ZoneSettings.Tier(List.of(1), SPILL)), 10));
         assertThat(policy.costFactor(now, handles[0][2])).isEqualTo(2);
-        assertThat(open(handles[0][0])).isFalse();
-        ask(handles[0][2], CHEAP, 100, 3);
-        assertThat(ask(handles[0][2], CHEAP, 100, 10) / 10.0).isCloseTo(10, within(2.0));
+        assertThat(isOpen(handles[0][0])).isFalse();
+        sendReads(handles[0][2], CHEAP, 100, 3);
+        assertThat(sendReads(handles[0][2], CHEAP, 100, 10) / 10.0).isCloseTo(10, within(2.0));
     }
 
     @Test
-    void equalEventsGiveEqualAnswers() {
-        String first = story(new ZoneFailoverPolicyTest());
-        assertThat(story(new ZoneFailoverPolicyTest())).isEqualTo(first);
+    void equalEventsGiveEqualDecisions() {
+        String first = play(new ZoneFailoverPolicyTest());
+        assertThat(play(new ZoneFailoverPolicyTest())).isEqualTo(first);
     }
 
-    private static String story(ZoneFailoverPolicyTest t) {
-        t.calm();
-        t.loseZone();
-        int went = t.ask(t.handles[1][1], DEAR, 70, 5);
-        t.policy.probed(t.now, t.handles[1][0], true);
-        return went + " " + t.ask(t.handles[1][0], CHEAP, 30, 5) + " " + t.policy;
+    private static String play(ZoneFailoverPolicyTest test) {
+        test.serveNearestTier();
+        test.loseZone();
+        int sent = test.sendReads(test.handles[1][1], DEAR, 70, 5);
+        test.policy.probed(test.now, test.handles[1][0], true);
+        return sent + " " + test.sendReads(test.handles[1][0], CHEAP, 30, 5) + " " + test.policy;
     }
 }
--- a/pooler/src/test/java/frostreel/discovery/EndpointListLayoutTest.java
+++ b/pooler/src/test/java/frostreel/discovery/EndpointListLayoutTest.java
@@ -9,13 +9,13 @@
 import org.json.JSONObject;
 import org.junit.jupiter.api.Test;
 
-/** Lists as agents write them. */
+/** Endpoint lists in the layouts that agents write. */
 class EndpointListLayoutTest {
     private static final JSONObject LIST = new JSONObject("""
             {"seq":41,"whole":true,"hosts":[{"host":"a","dial":"127.0.0.1:9","site":"dc","class":"m",
             "block":2,"health":"Ready","share":1.0,"born_ms":0,"role":"primary"}]}""");
 
-    private static EndpointList inPiecesOfOneByte(String body) throws Exception {
+    private static EndpointList readByteByByte(String body) throws Exception {
         HttpResponseParser response = new HttpResponseParser();
         byte[] bytes = ("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: " + body.length()
                         + "\r\n\r\n" + body)
@@ -29,13 +29,14 @@
     }
 
     @Test
-    void aListIsTheSameHoweverItIsIndentedAndCut() throws Exception {
-        EndpointList plain = inPiecesOfOneByte(LIST.toString());
-        assertThat(plain.endpoints()).singleElement().satisfies(h -> {
-            assertThat(h.member().id()).isEqualTo("a");
-            assertThat(h.member().primary()).isTrue();
+    void listDoesNotDependOnIndentationAndFragmentation() throws Exception {
+        EndpointList plain = readByteByByte(LIST.toString());
+
+        assertThat(plain.endpoints()).singleElement().satisfies(endpoint -> {
+            assertThat(endpoint.member().id()).isEqualTo("a");
+            assertThat(endpoint.member().primary()).isTrue();
         });
-        assertThat(inPiecesOfOneByte(LIST.toString(1))).isEqualTo(plain);
-        assertThat(inPiecesOfOneByte(LIST.toString(8).replace("\n", "\r\n\t"))).isEqualTo(plain);
+        assertThat(readByteByByte(LIST.toString(1))).isEqualTo(plain);
+        assertThat(readByteByByte(LIST.toString(8).replace("\n", "\r\n\t"))).isEqualTo(plain);
     }
 }
--- a/pooler/src/test/java/frostreel/settings/OperatorSettingsTest.java
+++ b/pooler/src/test/java/frostreel/settings/OperatorSettingsTest.java
@@ -21,12 +21,12 @@
     @TempDir
     Path folder;
 
-    private Path file(String text) throws IOException {
+    private Path write(String text) throws IOException {
         return Files.writeString(folder.resolve("f.xml"), text);
     }
 
-    private List<Fault> faults(String text) throws IOException {
-        Path file = file(text);
+    private List<Fault> faultsOf(String text) throws IOException {
+        Path file = write(text);
         return assertThatThrownBy(() -> OperatorSettings.read(file))
                 .isInstanceOf(FaultyFileException.class)
                 .asInstanceOf(InstanceOfAssertFactories.type(FaultyFileException.class))
@@ -35,33 +35,33 @@
     }
 
     @Test
-    void theShippedFileIsGoodAndChangesNothing() throws Exception {
+    void shippedFileIsValidAndStatesTheDefaults() throws Exception {
         assertThat(OperatorSettings.read(Path.of("../deploy/frostreel.xml"))).isEqualTo(OperatorSettings.DEFAULT);
     }
 
     @Test
-    void defaultsAreFilledIn() throws Exception {
-        assertThat(OperatorSettings.read(file(HEAD + "<log format=\"json\"/></frostreel>")))
+    void omittedPartsGetDefaults() throws Exception {
+        assertThat(OperatorSettings.read(write(HEAD + "<log format=\"json\"/></frostreel>")))
                 .isEqualTo(new OperatorSettings(Logging.Format.JSON, Level.INFO, null, null));
-        assertThat(OperatorSettings.read(file(HEAD + "</frostreel>"))).isEqualTo(OperatorSettings.DEFAULT);
+        assertThat(OperatorSettings.read(write(HEAD + "</frostreel>"))).isEqualTo(OperatorSettings.DEFAULT);
     }
 
     @Test
-    void allFaultsAreToldAtOnceWithLineAndKey() throws Exception {
+    void allFaultsAreReportedAtOnceWithLineAndKey() throws Exception {
         List<Fault> faults =
-                faults(HEAD + "<log format=\"yaml\"\n level=\"loud\" colour=\"red\"/>\n<pool/>\n" + "</frostreel>");
+                faultsOf(HEAD + "<log format=\"yaml\"\n level=\"loud\" colour=\"red\"/>\n<pool/>\n" + "</frostreel>");
         assertThat(faults).extracting(Fault::line).containsExactly(3, 3, 3, 4);
         assertThat(faults)
                 .extracting(Fault::key)
                 .containsExactlyInAnyOrder(
                         "frostreel/log@format", "frostreel/log@level", "frostreel/log@colour", "frostreel/pool");
-        assertThat(faults).allSatisfy(f -> assertThat(f.file()).endsWith("f.xml"));
+        assertThat(faults).allSatisfy(fault -> assertThat(fault.file()).endsWith("f.xml"));
         assertThat(faults.get(0).toString()).containsPattern("f\\.xml:3:\\d+: frostreel/log@\\w+: .+");
     }
 
     @Test
-    void tiersAreReadByNameAndTheirFaultsNamed() throws Exception {
-        OperatorSettings read = OperatorSettings.read(file(HEAD
+    void tiersAreReadByZoneNameAndTheirFaultsReported() throws Exception {
+        OperatorSettings read = OperatorSettings.read(write(HEAD
                 + "<zones poolers='6'><tier zones='b c' spill='0.5'/><tier spill='0.2'/></zones>"
                 + "</frostreel>"));
         assertThat(read.zoneSettings(1, List.of("b", "a", "c", "d")))
@@ -70,18 +70,18 @@
                         List.of(new ZoneSettings.Tier(List.of(0, 2), 0.5), new ZoneSettings.Tier(List.of(), 0.2)),
                         6));
         assertThat(OperatorSettings.DEFAULT.zoneSettings(0, List.of("a"))).isEmpty();
-        assertThat(faults(HEAD + "<zones poolers='6'>\n<tier spill='1'/>\n<tier zones='b b' spill='1'/>\n"
+        assertThat(faultsOf(HEAD + "<zones poolers='6'>\n<tier spill='1'/>\n<tier zones='b b' spill='1'/>\n"
                         + "</zones></frostreel>"))
-                .extracting(f -> f.line() + " " + f.key())
+                .extracting(fault -> fault.line() + " " + fault.key())
                 .containsExactly("3 frostreel/zones/tier@zones", "4 frostreel/zones/tier@zones");
-        assertThat(faults(HEAD + "<zones poolers='0'>\n<tier spill='-1'/></zones></frostreel>"))
+        assertThat(faultsOf(HEAD + "<zones poolers='0'>\n<tier spill='-1'/></zones></frostreel>"))
                 .extracting(Fault::key)
                 .containsExactly("frostreel/zones@poolers", "frostreel/zones/tier@spill");
     }
 
     @Test
-    void thePoolersThatSeeEachOtherAreReadAndTheirFaultsNamed() throws Exception {
-        Path file = file(HEAD + "<cluster silentAfterMs='800'><pooler name='a' at='10.0.0.1:7800'/>"
+    void clusterMembersAreReadAndTheirFaultsReported() throws Exception {
+        Path file = write(HEAD + "<cluster silentAfterMs='800'><pooler name='a' at='10.0.0.1:7800'/>"
                 + "<pooler name='b' at='10.0.0.2:7800' bind='127.0.0.2:7801'/></cluster></frostreel>");
         OperatorSettings.Cluster read = OperatorSettings.read(file, "b").cluster();
         assertThat(read.group()).isEqualTo("frostreel");
@@ -97,43 +97,43 @@
         assertThatThrownBy(() -> OperatorSettings.read(file, "c"))
                 .hasMessageContaining(":2:")
                 .hasMessageContaining("frostreel/cluster: this pooler, 'c'");
-        assertThat(faults(HEAD + "<cluster>\n<pooler name='a' at='10.0.0.1:7800'/>\n"
+        assertThat(faultsOf(HEAD + "<cluster>\n<pooler name='a' at='10.0.0.1:7800'/>\n"
                         + "<pooler name='a' at='10.0.0.2:7800'/>\n<pooler name='b' at='10.0.0.1:7800'/>\n"
                         + "<pooler name='c' at='0.0.0.0:7800'/>\n<pooler name='d' at='10.0.0.300:1'/>\n"
                         + "<pooler name='e' at='10.0.0.3:0'/>\n<pooler name='f' at='10.0.0.4:65536'/>\n"
                         + "</cluster></frostreel>"))
-                .extracting(f -> f.line() + " " + f.key())
+                .extracting(fault -> fault.line() + " " + fault.key())
                 .containsExactly(
                         "4 frostreel/cluster/pooler@name", "5 frostreel/cluster/pooler@at",
                         "6 frostreel/cluster/pooler@at", "7 frostreel/cluster/pooler@at",
                         "8 frostreel/cluster/pooler@at", "9 frostreel/cluster/pooler@at");
-        assertThat(faults(HEAD + "<cluster silentAfterMs='100'>\n<pooler name='a' at='localhost:1'/>"
+        assertThat(faultsOf(HEAD + "<cluster silentAfterMs='100'>\n<pooler name='a' at='localhost:1'/>"
                         + "</cluster></frostreel>"))
                 .extracting(Fault::key)
                 .containsExactly("frostreel/cluster@silentAfterMs", "frostreel/cluster/pooler@at");
     }
 
     @Test
-    void whatIsNotWellFormedIsToldByLine() throws Exception {
-        assertThat(faults(HEAD + "<log>\n</frostreel>"))
+    void fileThatIsNotWellFormedIsReportedByLine() throws Exception {
+        assertThat(faultsOf(HEAD + "<log>\n</frostreel>"))
                 .singleElement()
-                .satisfies(f -> assertThat(f.line()).isEqualTo(3));
-        assertThat(faults("")).singleElement();
+                .satisfies(fault -> assertThat(fault.line()).isEqualTo(3));
+        assertThat(faultsOf("")).singleElement();
     }
 
     @Test
-    void noDocumentTypeAndNothingFromOutsideIsRead() throws Exception {
+    void documentTypesAndExternalEntitiesAreRejected() throws Exception {
         Path secret = Files.writeString(folder.resolve("secret"), "json");
-        List<Fault> faults = faults("<!DOCTYPE frostreel [<!ENTITY x SYSTEM \"" + secret.toUri() + "\">]>\n" + HEAD
+        List<Fault> faults = faultsOf("<!DOCTYPE frostreel [<!ENTITY x SYSTEM \"" + secret.toUri() + "\">]>\n" + HEAD
                 + "<log format=\"&x;\"/></frostreel>");
-        assertThat(faults).singleElement().satisfies(f -> assertThat(f.text()).contains("DOCTYPE"));
+        assertThat(faults).singleElement().satisfies(fault -> assertThat(fault.text()).contains("DOCTYPE"));
     }
 
     @Test
-    void theSizeIsBoundedAndAMissingFileIsAFault() throws Exception {
-        assertThat(faults(HEAD + " ".repeat(XmlFile.MAX_BYTES)))
+    void oversizedAndMissingFilesAreRejected() throws Exception {
+        assertThat(faultsOf(HEAD + " ".repeat(XmlFile.MAX_BYTES)))
                 .singleElement()
-                .satisfies(f -> assertThat(f.text()).contains("larger"));
+                .satisfies(fault -> assertThat(fault.text()).contains("larger"));
         assertThatThrownBy(() -> OperatorSettings.read(folder.resolve("none"))).hasMessageContaining("cannot be read");
     }
 }
