--- a/cluster/src/main/java/frostreel/cluster/jgroups/GroupMembership.java
+++ b/cluster/src/main/java/frostreel/cluster/jgroups/GroupMembership.java
@@ -107,7 +107,7 @@
             CompletableFuture.delayedExecutor(REJOIN_DELAY_MS, TimeUnit.MILLISECONDS, this::onChannel)
                     .execute(this::join);
         } catch (Exception e) { // Of any kind: the library declares no narrower one.
-            LOG.log(Level.SEVERE, "GW_CLUSTER: cannot take part in " + settings.group() + " at " + settings.bind(), e);
+            LOG.log(Level.SEVERE, "GW_CLUSTER: cannot join " + settings.group() + " at " + settings.bind(), e);
             notifyOwner(() -> listener.onJoinFailed(String.valueOf(e.getMessage())));
         }
     }
--- a/cluster/src/main/java/frostreel/cluster/jgroups/MessageCounters.java
+++ b/cluster/src/main/java/frostreel/cluster/jgroups/MessageCounters.java
@@ -13,6 +13,6 @@
 
     @Override
     public String toString() {
-        return "sent=" + sent + " received=" + received + " dropped=" + dropped + " strangers=" + unknownSenders;
+        return "sent=" + sent + " received=" + received + " dropped=" + dropped + " unknown_senders=" + unknownSenders;
     }
 }
--- a/decisions/src/main/java/frostreel/zones/ZoneFailoverPolicy.java
+++ b/decisions/src/main/java/frostreel/zones/ZoneFailoverPolicy.java
@@ -11,10 +11,10 @@
 import java.util.TreeMap;
 
 /**
- * Prefers nearer tiers of zones, bounds what spills over to farther ones when nearer replicas fail, and ramps replicas up
- * that return.
+ * Prefers nearer tiers of zones, bounds what spills over to farther ones when nearer replicas fail, and ramps up
+ * replicas that recover.
  *
- * <p>The replicas of a group in a zone are lost after consecutive failures, sooner where much of their zone fails too. They
+ * <p>The replicas of a group in a zone go down after consecutive failures, sooner where much of their zone fails too. They
  * get no requests then but health checks. What the nearest tier no longer serves may go to farther ones as far as their
  * budgets reach, classes with the highest priority weight for their work first; the rest is not admitted. Replicas that
  * answer again are ramped up over the time in which a restarted server warms up, each pooler sending its part of what they
@@ -22,7 +22,7 @@
  * for a while first. Writes are not affected.
  */
 public final class ZoneFailoverPolicy implements Router.LocalityPolicy {
-    /** Returning replicas get so many times their share of what they served: they have the capacity for that. */
+    /** Recovering replicas get so many times their share of what they served: they have the capacity for that. */
     private static final double RAMP_HEADROOM = 1.5;
 
     private final double rampPhase;
@@ -40,11 +40,11 @@
     private ZoneSettings zones;
     private SpillBudgets budgets;
     /** What the replicas of nearest tiers served that are not up. */
-    private double lostRate;
+    private double missingRate;
 
     private boolean nearestHasServed;
-    private long losses;
-    private long returns;
+    private long outages;
+    private long recoveries;
 
     /** {@code rampPhase}: at least 0 and under 1, drawn for each pooler, so that ramps do not begin in the same moment. */
     public ZoneFailoverPolicy(Router.Settings settings, ZoneSettings zones, double rampPhase) {
@@ -67,9 +67,9 @@
         for (ZoneReplicas replicas : replicaSets.values()) {
             replicas.assignTier(zones.tierOf(replicas.zone()));
         }
-        lostRate = 0;
+        missingRate = 0;
         for (ZoneReplicas replicas : replicaSets.values()) {
-            lostRate += replicas.isNearest() && !replicas.isUp() ? replicas.servedBeforeLoss() : 0;
+            missingRate += replicas.isNearest() && !replicas.isUp() ? replicas.servedBeforeOutage() : 0;
         }
     }
 
@@ -127,7 +127,7 @@
         if (!ok) {
             recordFailure(nowUs, replicas);
         } else if (replicas.recordHealthy(nowUs)) {
-            returns++;
+            recoveries++;
             if (replicas.isUp()) {
                 recordRecovery(nowUs, replicas);
             } else {
@@ -136,7 +136,7 @@
         }
     }
 
-    /** Poolers that see the return in the same moment must not all send in the same moment. */
+    /** Poolers that see the recovery in the same moment must not all send in the same moment. */
     private void beginRamp(long nowUs, ZoneReplicas replicas) {
         for (int handle = 0; handle < replicasByHandle.size(); handle++) {
             if (replicasByHandle.get(handle) == replicas) {
@@ -147,31 +147,31 @@
 
     private void recordFailure(long nowUs, ZoneReplicas replicas) {
         if (replicas.recordFailure(nowUs)) {
-            lose(nowUs, replicas);
+            markDown(nowUs, replicas);
         }
         if (replicas.zoneDetector().hasFailed()) {
             for (ZoneReplicas other : replicas.zoneDetector().replicaSets()) {
                 if (other.isOpen()) {
-                    lose(nowUs, other);
+                    markDown(nowUs, other);
                 }
             }
         }
     }
 
-    private void lose(long nowUs, ZoneReplicas replicas) {
+    private void markDown(long nowUs, ZoneReplicas replicas) {
         boolean servedNearest = replicas.isNearest() && replicas.isUp();
-        losses++;
-        replicas.lose(nowUs);
+        outages++;
+        replicas.markDown(nowUs);
         if (servedNearest) {
-            nearestServed.shift(nowUs, -replicas.servedBeforeLoss());
-            lostRate += replicas.servedBeforeLoss();
+            nearestServed.shift(nowUs, -replicas.servedBeforeOutage());
+            missingRate += replicas.servedBeforeOutage();
         }
     }
 
     private void recordRecovery(long nowUs, ZoneReplicas replicas) {
         if (replicas.isNearest()) {
-            lostRate = Math.max(0, lostRate - replicas.servedBeforeLoss());
-            nearestServed.shift(nowUs, replicas.servedBeforeLoss());
+            missingRate = Math.max(0, missingRate - replicas.servedBeforeOutage());
+            nearestServed.shift(nowUs, replicas.servedBeforeOutage());
         }
     }
 
@@ -180,7 +180,7 @@
         ZoneReplicas replicas = replicasByHandle.get(handle);
         budgets.countSent(replicas.tier());
         ranking.recordSent(classIndex, workUs);
-        if (replicas.isReturning()) {
+        if (replicas.isRecovering()) {
             rampByHandle.get(handle).take(workUs);
         }
         if (!replicas.isNearest()) {
@@ -197,13 +197,13 @@
     @Override
     public boolean admits(long nowUs, int handle, int classIndex) {
         ZoneReplicas replicas = replicasByHandle.get(handle);
-        if (!replicas.isOpen() || replicas.isReturning() && !rampAdmits(nowUs, handle, replicas)) {
+        if (!replicas.isOpen() || replicas.isRecovering() && !rampAdmits(nowUs, handle, replicas)) {
             return false;
         }
         if (replicas.isNearest() || !nearestHasServed) {
             return true;
         }
-        double nearestRate = nearestServed.at(nowUs) + lostRate;
+        double nearestRate = nearestServed.at(nowUs) + missingRate;
         return budgets.admits(
                 nowUs, replicas.tier(), nearestRate, ranking.meanWorkUs(), ranking.reserve(classIndex));
     }
@@ -212,7 +212,7 @@
         double share = replicas.rampShare(nowUs, rules.coldFrom(), rules.warmAfterUs());
         if (share >= 1) {
             recordRecovery(nowUs, replicas);
-            replicas.completeReturn();
+            replicas.completeRecovery();
             return true;
         }
         // Replicas that served this pooler nothing still get a little: one core's work, divided among all poolers.
@@ -227,7 +227,7 @@
         return replicasByHandle.get(handle).healthCheckDue(nowUs);
     }
 
-    /** The page {@code SHOW zones}: replicas by zone and health, reads sent and denied by tier, losses and returns. */
+    /** The page {@code SHOW zones}: replicas by zone and health, reads sent and denied by tier, outages and recoveries. */
     @Override
     public String toString() {
         Map<Integer, Map<ZoneReplicas.Health, Integer>> healthByZone = new TreeMap<>();
@@ -238,6 +238,6 @@
                         .merge(replicas.health(), 1, Integer::sum);
             }
         }
-        return "areas=" + healthByZone + " " + budgets + " losses=" + losses + " returns=" + returns;
+        return "replicas=" + healthByZone + " " + budgets + " outages=" + outages + " recoveries=" + recoveries;
     }
 }
--- a/decisions/src/main/java/frostreel/zones/ZoneReplicas.java
+++ b/decisions/src/main/java/frostreel/zones/ZoneReplicas.java
@@ -5,9 +5,9 @@
 /**
  * The replicas of one group in one zone: their health as this pooler observes it, and what they usually serve it.
  *
- * <p>{@code UP} becomes {@code LOST} by failures; {@code LOST} becomes {@code HELD} by the first health check that succeeds,
- * and {@code RETURNING} after the delay of {@link FlapDamping}; {@code RETURNING} becomes {@code UP} at the end of the ramp,
- * or {@code LOST} by a single failure.
+ * <p>{@code UP} becomes {@code DOWN} by consecutive failures; {@code DOWN} becomes {@code PROBATION} by the first health check
+ * that succeeds, and {@code RECOVERING} after the delay of {@link FlapDamping}; {@code RECOVERING} becomes {@code UP} at the end of the ramp,
+ * or {@code DOWN} by a single failure.
  */
 final class ZoneReplicas {
     /** Whether requests are sent. */
@@ -15,11 +15,11 @@
         /** They are. */
         UP,
         /** They are not: the replicas failed. */
-        LOST,
+        DOWN,
         /** They are not: health checks succeed, but the replicas failed too often of late. */
-        HELD,
+        PROBATION,
         /** They are, at a share that grows. */
-        RETURNING
+        RECOVERING
     }
 
     /** The nearest tier in which a group ever had a member. It stays when those leave, so that they are missed. */
@@ -36,10 +36,10 @@
         }
     }
 
-    /** Consecutive failures by which replicas are lost. */
-    private static final int FAILURES_TO_LOSE = 3;
+    /** Consecutive failures by which replicas go down. */
+    private static final int FAILURES_TO_MARK_DOWN = 3;
     /** The same while they are not up. */
-    private static final int FAILURES_TO_LOSE_AGAIN = 1;
+    private static final int FAILURES_TO_MARK_DOWN_AGAIN = 1;
 
     private static final long HEALTH_CHECK_INTERVAL_US = 500_000;
     /** What they serve is averaged over this time. */
@@ -52,14 +52,14 @@
     private int tier;
     private int members;
     private Health health = Health.UP;
-    private double servedBeforeLoss;
+    private double servedBeforeOutage;
     private int failures;
-    /** Whether they were lost with their zone, without a failure of their own. */
-    private boolean lostWithZone;
+    /** Whether they went down with their zone, without a failure of their own. */
+    private boolean downWithZone;
 
     private long lastSuccessUs = ZoneFailureDetector.NEVER_US;
-    private long heldSinceUs;
-    private long returningSinceUs;
+    private long probationSinceUs;
+    private long recoveringSinceUs;
     private long nextHealthCheckUs;
 
     ZoneReplicas(NearestTier nearestTier, ZoneFailureDetector zoneDetector, int tier) {
@@ -113,13 +113,13 @@
         return health == Health.UP;
     }
 
-    boolean isReturning() {
-        return health == Health.RETURNING;
+    boolean isRecovering() {
+        return health == Health.RECOVERING;
     }
 
     /** Whether requests may be sent. */
     boolean isOpen() {
-        return health == Health.UP || health == Health.RETURNING;
+        return health == Health.UP || health == Health.RECOVERING;
     }
 
     void recordSuccess(long nowUs) {
@@ -132,51 +132,51 @@
         served.add(nowUs, workUs);
     }
 
-    /** Records a failure; true where the replicas are lost by it, and {@link #lose} has to follow. */
+    /** Records a failure; true where the replicas go down by it, and {@link #markDown} has to follow. */
     boolean recordFailure(long nowUs) {
         failures++;
         zoneDetector.recordFailure(nowUs, this);
-        int limit = health == Health.UP ? FAILURES_TO_LOSE : FAILURES_TO_LOSE_AGAIN;
-        return health != Health.LOST
+        int limit = health == Health.UP ? FAILURES_TO_MARK_DOWN : FAILURES_TO_MARK_DOWN_AGAIN;
+        return health != Health.DOWN
                 && nowUs - lastSuccessUs > ZoneFailureDetector.SUCCESS_GRACE_US
                 && failures >= limit;
     }
 
     /** Stops requests. Where it is for the zone alone, the first successful health check brings the replicas back as before. */
-    void lose(long nowUs) {
-        lostWithZone = failures == 0;
+    void markDown(long nowUs) {
+        downWithZone = failures == 0;
         if (health == Health.UP) {
-            servedBeforeLoss = served.at(Math.max(lastSuccessUs, 0));
+            servedBeforeOutage = served.at(Math.max(lastSuccessUs, 0));
         }
-        if (!lostWithZone) {
+        if (!downWithZone) {
             damping.recordFailure(nowUs);
         }
-        health = Health.LOST;
+        health = Health.DOWN;
         nextHealthCheckUs = nowUs;
     }
 
     /** Records a successful health check; true where it lets requests be sent again. */
     boolean recordHealthy(long nowUs) {
-        boolean unharmed = lostWithZone && failures == 0;
+        boolean unharmed = downWithZone && failures == 0;
         recordSuccess(nowUs);
-        if (health == Health.LOST && unharmed) {
+        if (health == Health.DOWN && unharmed) {
             health = Health.UP;
             return true;
         }
-        if (health == Health.LOST) {
-            health = Health.HELD;
-            heldSinceUs = nowUs;
+        if (health == Health.DOWN) {
+            health = Health.PROBATION;
+            probationSinceUs = nowUs;
         }
-        if (health == Health.HELD && nowUs - heldSinceUs >= damping.delayUs(heldSinceUs)) {
-            health = Health.RETURNING;
-            returningSinceUs = nowUs;
+        if (health == Health.PROBATION && nowUs - probationSinceUs >= damping.delayUs(probationSinceUs)) {
+            health = Health.RECOVERING;
+            recoveringSinceUs = nowUs;
             return true;
         }
         return false;
     }
 
     /** Ends the ramp. */
-    void completeReturn() {
+    void completeRecovery() {
         health = Health.UP;
     }
 
@@ -189,18 +189,18 @@
         return true;
     }
 
-    /** The share of their full capacity that they have by now: all of their members may have restarted at the return. */
+    /** The share of their full capacity that they have by now: all of their members may have restarted. */
     double rampShare(long nowUs, double coldShare, long warmAfterUs) {
-        return Math.min(1, coldShare + (1 - coldShare) * (nowUs - returningSinceUs) / warmAfterUs);
+        return Math.min(1, coldShare + (1 - coldShare) * (nowUs - recoveringSinceUs) / warmAfterUs);
     }
 
-    /** What they served before they were last lost, in microseconds of work a microsecond. */
-    double servedBeforeLoss() {
-        return servedBeforeLoss;
+    /** What they served before they last went down, in microseconds of work a microsecond. */
+    double servedBeforeOutage() {
+        return servedBeforeOutage;
     }
 
-    /** What they usually serve, in microseconds of work a microsecond: now, or before they were lost. */
+    /** What they usually serve, in microseconds of work a microsecond: now, or before they went down. */
     double usualRate(long nowUs) {
-        return health == Health.UP ? served.at(nowUs) : servedBeforeLoss;
+        return health == Health.UP ? served.at(nowUs) : servedBeforeOutage;
     }
 }
--- a/decisions/src/main/java/frostreel/zones/ZoneSettings.java
+++ b/decisions/src/main/java/frostreel/zones/ZoneSettings.java
@@ -7,7 +7,7 @@
  *
  * @param own the pooler's own zone, which is tier 0
  * @param tiers the other zones in order of preference; the last one includes those that none names
- * @param poolers how many poolers there are in all zones, among which a returning member's first requests are divided
+ * @param poolers how many poolers there are in all zones, among which a recovering member's first requests are divided
  */
 public record ZoneSettings(int own, List<Tier> tiers, int poolers) {
     /**
--- a/decisions/src/test/java/frostreel/zones/ZoneFailoverPolicyTest.java
+++ b/decisions/src/test/java/frostreel/zones/ZoneFailoverPolicyTest.java
@@ -82,7 +82,7 @@
         return policy.costFactor(now, handle) < Double.POSITIVE_INFINITY;
     }
 
-    private void loseZone() {
+    private void takeZoneDown() {
         for (int[] group : handles) {
             fail(group[0], 3);
         }
@@ -97,7 +97,7 @@
     }
 
     @Test
-    void replicasAreLostByThreeFailuresWithoutAnAnswerBetween() {
+    void replicasGoDownByThreeFailuresWithoutAnAnswerBetween() {
         serveNearestTier();
         fail(handles[0][0], 2);
         policy.ended(now, handles[0][0], Outcome.WRONG_ROLE_OR_STALE, WORK_US);
@@ -109,7 +109,7 @@
     }
 
     @Test
-    void zoneWithFailuresInSeveralGroupsAndNoAnswerIsLostAsAWhole() {
+    void zoneWithFailuresInSeveralGroupsAndNoAnswerGoesDownAsAWhole() {
         serveNearestTier();
         fail(handles[0][0], 2);
         fail(handles[1][0], 1);
@@ -126,7 +126,7 @@
     }
 
     @Test
-    void failuresOfOneGroupDoNotLoseItsZone() {
+    void failuresOfOneGroupDoNotTakeItsZoneDown() {
         serveNearestTier();
         fail(handles[0][0], 9);
         assertThat(isOpen(handles[0][0])).isFalse();
@@ -136,7 +136,7 @@
     @Test
     void spillIsBoundedByTheTiersShareOfWhatTheNearestServed() {
         serveNearestTier();
-        loseZone();
+        takeZoneDown();
         sendReads(handles[0][1], CHEAP, 100, 3); // Uses what the budget had saved up.
         int sent = sendReads(handles[0][1], CHEAP, 100, 20);
         // Ten reads a second sent to one of the four groups at a time.
@@ -146,7 +146,7 @@
     @Test
     void classesOfLessWeightForTheirWorkAreDeniedFirst() {
         serveNearestTier();
-        loseZone();
+        takeZoneDown();
         sendReads(handles[0][1], CHEAP, 100, 3);
         int cheap = 0;
         int dear = 0;
@@ -158,7 +158,7 @@
     }
 
     @Test
-    void withoutLossATierServesItsShareAndGroupsWithoutNearerMembersAreNotBounded() {
+    void withoutOutageATierServesItsShareAndGroupsWithoutNearerMembersAreNotBounded() {
         serveNearestTier();
         assertThat(sendReads(handles[0][2], CHEAP, 100, 10)).isLessThan(100);
         int far = policy.memberHandle(9, 1);
@@ -166,9 +166,9 @@
     }
 
     @Test
-    void returningReplicasAreRampedUpFromTheirColdShare() {
+    void recoveringReplicasAreRampedUpFromTheirColdShare() {
         serveNearestTier();
-        loseZone();
+        takeZoneDown();
         int handle = handles[0][0];
         assertThat(policy.healthCheckDue(now, handle)).isTrue();
         assertThat(policy.healthCheckDue(now, handle)).as("again right away").isFalse();
@@ -181,11 +181,11 @@
         assertThat(first).isBetween(0.3, 1.5); // Of 2.5 a second before; cold it can do 0.2 to 0.36 of that.
         sendReads(handle, CHEAP, 50, 12);
         assertThat(sendReads(handle, CHEAP, 50, 1)).isEqualTo(50);
-        assertThat(policy.toString()).contains("returns=1").contains("0={UP=1, LOST=3}");
+        assertThat(policy.toString()).contains("recoveries=1").contains("0={UP=1, DOWN=3}");
     }
 
     @Test
-    void secondLossWithinAMinuteDelaysTheReturnAndMinutesLaterItDoesNot() {
+    void secondOutageWithinAMinuteDelaysTheRecoveryAndMinutesLaterItDoesNot() {
         serveNearestTier();
         int handle = handles[0][0];
         fail(handle, 3);
@@ -195,7 +195,7 @@
         fail(handle, 1); // During a ramp one failure is enough.
         assertThat(isOpen(handle)).isFalse();
         policy.probed(now, handle, true);
-        assertThat(isOpen(handle)).as("held").isFalse();
+        assertThat(isOpen(handle)).as("on probation").isFalse();
         now += SECOND_US / 2;
         policy.probed(now, handle, false); // The delay starts again.
         now += SECOND_US;
@@ -221,9 +221,9 @@
     }
 
     @Test
-    void newTiersApplyAtOnceAndLostReplicasStayLost() {
+    void newTiersApplyAtOnceAndReplicasThatAreDownStayDown() {
         serveNearestTier();
-        loseZone();
+        takeZoneDown();
         policy.configure(new ZoneSettings(
                 0, List.of(new ZoneSettings.Tier(List.of(2), 1), new ZoneSettings.Tier(List.of(1), SPILL)), 10));
         assertThat(policy.costFactor(now, handles[0][2])).isEqualTo(2);
@@ -240,7 +240,7 @@
 
     private static String play(ZoneFailoverPolicyTest test) {
         test.serveNearestTier();
-        test.loseZone();
+        test.takeZoneDown();
         int sent = test.sendReads(test.handles[1][1], DEAR, 70, 5);
         test.policy.probed(test.now, test.handles[1][0], true);
         return sent + " " + test.sendReads(test.handles[1][0], CHEAP, 30, 5) + " " + test.policy;
--- a/lab/src/main/java/frostreel/lab/processes/ProcessExperimentRunner.java
+++ b/lab/src/main/java/frostreel/lab/processes/ProcessExperimentRunner.java
@@ -124,7 +124,7 @@
     private static long apart(ProcessExperiment experiment, Fleet fleet) throws IOException {
         long apart = 0;
         for (int i = 0; i < experiment.poolers() && experiment.silentAfterMs() > 0; i++) {
-            apart += fleet.page(i, "fleet").contains(" here=" + experiment.poolers() + " ") ? 0 : 1;
+            apart += fleet.page(i, "fleet").contains(" present=" + experiment.poolers() + " ") ? 0 : 1;
         }
         return apart;
     }
--- a/lab/src/test/java/frostreel/lab/processes/GroupMembershipTest.java
+++ b/lab/src/test/java/frostreel/lab/processes/GroupMembershipTest.java
@@ -100,7 +100,7 @@
         b.group.broadcast("from a friend".getBytes());
         assertThat(a.hears()).isEqualTo("p1:from a friend");
         assertThat(a.last.members()).extracting(Peer::name).containsExactly("p0", "p1");
-        assertThat(a.group.counters()).doesNotContain("strangers=0");
+        assertThat(a.group.counters()).doesNotContain("unknown_senders=0");
     }
 
     @Test
--- a/pooler/src/main/java/frostreel/discovery/DiscoveryStatus.java
+++ b/pooler/src/main/java/frostreel/discovery/DiscoveryStatus.java
@@ -20,7 +20,7 @@
         answering = true;
         lastAnsweredUs = nowUs;
         if (silentSinceUs != NEVER) {
-            LOG.info("discovery answers again, after " + toMs(nowUs - silentSinceUs) + " ms");
+            LOG.info("discovery recovered after " + toMs(nowUs - silentSinceUs) + " ms");
             silentSinceUs = NEVER;
         }
     }
@@ -29,7 +29,7 @@
     void failed(long nowUs, String reason) {
         if (silentSinceUs == NEVER) {
             silentSinceUs = nowUs;
-            LOG.warning("discovery: " + reason + "; the last list is kept");
+            LOG.warning("discovery: " + reason + "; keeping the last endpoint list");
         }
         answering = false;
     }
--- a/pooler/src/main/java/frostreel/fleet/ClusterMember.java
+++ b/pooler/src/main/java/frostreel/fleet/ClusterMember.java
@@ -47,24 +47,24 @@
         suspected.retainAll(view.members());
         view.joined(before).stream()
                 .filter(peer -> !peer.equals(membership.self()))
-                .forEach(peer -> LOG.info("fleet: " + peer.name() + " is here, life " + peer.incarnation()));
+                .forEach(peer -> LOG.info("cluster: " + peer.name() + " joined, incarnation " + peer.incarnation()));
         view.left(before)
-                .forEach(peer -> LOG.warning("GW_FLEET: " + peer.name() + " is gone, life " + peer.incarnation()));
+                .forEach(peer -> LOG.warning("GW_FLEET: " + peer.name() + " is no longer a member, incarnation " + peer.incarnation()));
         if (view.merged()) {
-            LOG.info("fleet: parts that were apart are one again");
+            LOG.info("cluster partition healed");
         }
     }
 
     @Override
     public void onSuspected(Peer peer) {
         if (suspected.add(peer)) {
-            LOG.warning("GW_FLEET: " + peer.name() + " is silent");
+            LOG.warning("GW_FLEET: " + peer.name() + " is suspected");
         }
     }
 
     @Override
     public void onMessage(Peer from, byte[] message) {
-        LOG.fine("fleet: " + message.length + " bytes of " + from + " that nobody here knows");
+        LOG.fine("cluster: ignored a message of " + message.length + " bytes from " + from);
     }
 
     @Override
@@ -87,8 +87,8 @@
         StringBuilder page = new StringBuilder();
         page.append("self=").append(membership.self());
         page.append(" view=").append(view.number());
-        page.append(" here=").append(incarnations.size());
-        page.append(" named=").append(configured.size());
+        page.append(" present=").append(incarnations.size());
+        page.append(" configured=").append(configured.size());
         page.append(' ').append(membership.counters());
         if (joinFailure != null) {
             page.append(" failed='").append(joinFailure).append('\'');
@@ -102,6 +102,6 @@
     /** {@code incarnation}: null for a pooler that is absent. */
     private String describe(String name, Long incarnation) {
         boolean isSuspected = suspected.stream().anyMatch(peer -> peer.name().equals(name));
-        return name + (incarnation == null ? " absent" : " here life=" + incarnation) + (isSuspected ? " silent" : "");
+        return name + (incarnation == null ? " absent" : " present incarnation=" + incarnation) + (isSuspected ? " suspected" : "");
     }
 }
--- a/pooler/src/test/java/frostreel/ServingTest.java
+++ b/pooler/src/test/java/frostreel/ServingTest.java
@@ -472,7 +472,7 @@
             assertThat(value(c.ask(look("1", 9000)))).isEqualTo("from-replica");
             assertThat(value(c.ask("SHOW zones")))
                     .contains("sent_by_tier=[1, 0]")
-                    .contains("areas={0={UP=1}}");
+                    .contains("replicas={0={UP=1}}");
             stage.pooler.reload(
                     frostreel.config.Config.load(
                             PoolerHarness.environment(PoolerHarness.configuration(stage.discovery.address()))),
--- a/pooler/src/test/java/frostreel/ShutdownTest.java
+++ b/pooler/src/test/java/frostreel/ShutdownTest.java
@@ -131,7 +131,7 @@
                     .waitFor();
             stage.discovery.script = (text, link) -> {}; // From the next call on it is silent.
             stage.lists.add("no list");
-            PoolerHarness.await(log, "the last list is kept");
+            PoolerHarness.await(log, "keeping the last endpoint list");
             for (int i = 0; i < many; i++) {
                 PoolerHarness.Link c = new PoolerHarness.Link(new Socket("127.0.0.1", port));
                 idle.add(c);
@@ -141,7 +141,7 @@
             }
             byte[] drains = PoolerHarness.http(list(2, false, host("b", replica, "replica", "Terminating")));
             stage.discovery.script = (text, link) -> link.send(drains);
-            PoolerHarness.await(log, "discovery answers again");
+            PoolerHarness.await(log, "discovery recovered after");
             try (PoolerHarness.Link c = new PoolerHarness.Link(new Socket("127.0.0.1", port))) {
                 c.send(PoolerHarness.startup());
                 c.takeAnswer();
