--- a/cluster/src/main/java/frostreel/cluster/ClusterSettings.java
+++ b/cluster/src/main/java/frostreel/cluster/ClusterSettings.java
@@ -12,7 +12,8 @@
  * @param group the group's name; poolers of other groups are ignored
  * @param self this pooler's name, one of {@code members}
  * @param bind where this pooler listens for the other members; no wildcard
- * @param members the advertised address of each, at which the others reach it; may differ from what it binds to
+ * @param members the advertised address of each, at which the others reach it; may differ from what it binds
+ *     to
  * @param silentAfterMs a member that has not been heard for this time is suspected; 500 to 60,000
  */
 public record ClusterSettings(
--- a/cluster/src/main/java/frostreel/cluster/Membership.java
+++ b/cluster/src/main/java/frostreel/cluster/Membership.java
@@ -1,11 +1,11 @@
 package frostreel.cluster;
 
 /**
- * A pooler's membership of the group, and its means to send messages to the other members. Called on its owner's thread;
- * no call blocks. Events come to a {@link Listener} on that same thread.
+ * A pooler's membership of the group, and its means to send messages to the other members. Called on its
+ * owner's thread; no call blocks. Events come to a {@link Listener} on that same thread.
  *
- * <p>Messages of one sender to one receiver arrive in order, each complete or not at all. A message to a peer that leaves, or
- * across a partition that lasts until the peer is out of the view, is lost without notice.
+ * <p>Messages of one sender to one receiver arrive in order, each complete or not at all. A message to a peer
+ * that leaves, or across a partition that lasts until the peer is out of the view, is lost without notice.
  */
 public interface Membership {
     /** The largest message, in bytes. */
@@ -17,8 +17,8 @@
         void onViewChanged(MembershipView view, MembershipView before);
 
         /**
-         * A member of the view is not heard any more; a view without it may follow, or it is heard again. If another member
-         * was faster, the view without it comes with no suspicion before it.
+         * A member of the view is not heard any more; a view without it may follow, or it is heard again. If
+         * another member was faster, the view without it comes with no suspicion before it.
          */
         void onSuspected(Peer peer);
 
--- a/cluster/src/main/java/frostreel/cluster/MembershipView.java
+++ b/cluster/src/main/java/frostreel/cluster/MembershipView.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * The members of the group as one of them knows it. In a partitioned group, the members of one partition share number and
- * members.
+ * The members of the group as one of them knows it. In a partitioned group, the members of one partition
+ * share number and members.
  *
  * @param number grows with each view of a member
  * @param members who is present, in their natural order
--- a/cluster/src/main/java/frostreel/cluster/Peer.java
+++ b/cluster/src/main/java/frostreel/cluster/Peer.java
@@ -1,7 +1,8 @@
 package frostreel.cluster;
 
 /**
- * One incarnation of a pooler, so that messages of a process that has ended are told from those of its successor.
+ * One incarnation of a pooler, so that messages of a process that has ended are told from those of its
+ * successor.
  *
  * @param name from the operators' file
  * @param incarnation higher at each start of the process
--- a/cluster/src/main/java/frostreel/cluster/ReplicatedLog.java
+++ b/cluster/src/main/java/frostreel/cluster/ReplicatedLog.java
@@ -1,9 +1,10 @@
 package frostreel.cluster;
 
 /**
- * A log on whose entries a majority of all configured members agrees, in one order. Each entry has an index of its own, from
- * 1 on without gaps, that no other entry is ever given, whatever crashes, partitions and restarts there are, as long as the
- * members keep their folders. Called on its owner's thread, on which the listeners are notified too.
+ * A log on whose entries a majority of all configured members agrees, in one order. Each entry has an index
+ * of its own, from 1 on without gaps, that no other entry is ever given, whatever crashes, partitions and
+ * restarts there are, as long as the members keep their folders. Called on its owner's thread, on which the
+ * listeners are notified too.
  */
 public interface ReplicatedLog {
     /** The largest entry, in bytes. */
@@ -14,8 +15,9 @@
     /** Notified at each member of the entries, in the order of their indexes. */
     interface Listener {
         /**
-         * An entry was committed. Each is notified once an incarnation, beginning with those retained at its start. A member
-         * that lags by more than {@link #RETAINED_ENTRIES} misses the oldest, and sees a gap in the indexes.
+         * An entry was committed. Each is notified once an incarnation, beginning with those retained at its
+         * start. A member that lags by more than {@link #RETAINED_ENTRIES} misses the oldest, and sees a gap
+         * in the indexes.
          */
         void onCommitted(long index, byte[] entry);
     }
@@ -26,8 +28,8 @@
         void onCommitted(long index);
 
         /**
-         * No majority answered in time. The entry may still be committed, of which the {@link Listener} is notified then;
-         * but no more once a later proposal of this member was committed.
+         * No majority answered in time. The entry may still be committed, of which the {@link Listener} is
+         * notified then; but no more once a later proposal of this member was committed.
          */
         void onUnknown(String reason);
     }
--- a/cluster/src/main/java/frostreel/cluster/jgroups/ChannelExecutor.java
+++ b/cluster/src/main/java/frostreel/cluster/jgroups/ChannelExecutor.java
@@ -6,8 +6,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The one thread that calls a channel, as joining, sending and leaving may block. Its queue is bounded; {@link #execute}
- * throws {@link java.util.concurrent.RejectedExecutionException} where it is full.
+ * The one thread that calls a channel, as joining, sending and leaving may block. Its queue is bounded;
+ * {@link #execute} throws {@link java.util.concurrent.RejectedExecutionException} where it is full.
  */
 final class ChannelExecutor implements Executor {
     private static final int QUEUE_CAPACITY = 1024;
--- a/cluster/src/main/java/frostreel/cluster/jgroups/CommittedEntries.java
+++ b/cluster/src/main/java/frostreel/cluster/jgroups/CommittedEntries.java
@@ -17,15 +17,18 @@
 import org.jgroups.raft.StateMachine;
 
 /**
- * The state machine of the replicated log: the same at each member, as it depends on the committed proposals and their order
- * alone. Deduplicates proposals that were sent again because their first answer was lost, so that none gets a second index.
- * Called on the library's thread.
+ * The state machine of the replicated log: the same at each member, as it depends on the committed proposals
+ * and their order alone. Deduplicates proposals that were sent again because their first answer was lost, so
+ * that none gets a second index. Called on the library's thread.
  */
 final class CommittedEntries implements StateMachine {
     /** The answer to a proposal that comes after a later one of the same member; no entry has this index. */
     static final long SUPERSEDED = 0;
 
-    /** The latest committed proposal of a member; {@code sequence} counts its proposals, from 1 in each incarnation. */
+    /**
+     * The latest committed proposal of a member; {@code sequence} counts its proposals, from 1 in each
+     * incarnation.
+     */
     private record LatestProposal(long incarnation, long sequence, long index) {
         boolean isAfter(LatestProposal other) {
             return incarnation > other.incarnation || incarnation == other.incarnation && sequence > other.sequence;
@@ -46,7 +49,10 @@
         this.listener = listener;
     }
 
-    /** Encodes a proposal as it is stored in the log; {@code sequence}: its number among those of this incarnation. */
+    /**
+     * Encodes a proposal as it is stored in the log; {@code sequence}: its number among those of this
+     * incarnation.
+     */
     static byte[] encodeProposal(Peer proposer, long sequence, byte[] entry) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (DataOutputStream out = new DataOutputStream(bytes)) {
--- a/cluster/src/main/java/frostreel/cluster/jgroups/GroupMembership.java
+++ b/cluster/src/main/java/frostreel/cluster/jgroups/GroupMembership.java
@@ -26,9 +26,9 @@
 import org.jgroups.stack.Protocol;
 
 /**
- * Membership by JGroups over TCP. Owns the channel, which is called on the {@link ChannelExecutor} alone; events of the
- * channel come on the library's threads and are handed to the owner's executor. Both queues are bounded: messages that find
- * one full are dropped and counted, views never are.
+ * Membership by JGroups over TCP. Owns the channel, which is called on the {@link ChannelExecutor} alone;
+ * events of the channel come on the library's threads and are handed to the owner's executor. Both queues are
+ * bounded: messages that find one full are dropped and counted, views never are.
  */
 public final class GroupMembership implements Membership {
     /** Messages received that wait for the owner's thread. */
@@ -47,7 +47,10 @@
 
     private final MessageCounters counters = new MessageCounters();
     private final AtomicInteger pendingMessages = new AtomicInteger();
-    /** Used on the channel executor alone; a new one for each attempt to join, as a rejected one cannot be used again. */
+    /**
+     * Used on the channel executor alone; a new one for each attempt to join, as a rejected one cannot be
+     * used again.
+     */
     private JChannel channel;
     /** Used on the owner's thread alone. */
     private MembershipView view = MembershipView.NONE;
--- a/cluster/src/main/java/frostreel/cluster/jgroups/PeerAddress.java
+++ b/cluster/src/main/java/frostreel/cluster/jgroups/PeerAddress.java
@@ -5,7 +5,10 @@
 import org.jgroups.Address;
 import org.jgroups.util.ExtendedUUID;
 
-/** Carries a peer's name and incarnation in its JGroups address, so that every member knows them from the first message. */
+/**
+ * Carries a peer's name and incarnation in its JGroups address, so that every member knows them from the
+ * first message.
+ */
 final class PeerAddress {
     private static final String NAME_KEY = "name";
     private static final String INCARNATION_KEY = "life";
--- a/cluster/src/main/java/frostreel/cluster/jgroups/ProtocolStack.java
+++ b/cluster/src/main/java/frostreel/cluster/jgroups/ProtocolStack.java
@@ -23,8 +23,8 @@
 import org.jgroups.stack.Protocol;
 
 /**
- * The JGroups protocols of a channel, from the transport up. Failures are detected by heartbeats alone: a socket-based
- * detector would need a second port for each member.
+ * The JGroups protocols of a channel, from the transport up. Failures are detected by heartbeats alone: a
+ * socket-based detector would need a second port for each member.
  */
 final class ProtocolStack {
     /** The largest frame that is accepted, with room for the library's headers and its own messages. */
--- a/cluster/src/main/java/frostreel/cluster/jgroups/RaftLog.java
+++ b/cluster/src/main/java/frostreel/cluster/jgroups/RaftLog.java
@@ -20,14 +20,14 @@
 import org.jgroups.stack.Protocol;
 
 /**
- * The replicated log by jgroups-raft, on the channel of {@link GroupMembership}. Proposals are made one after another, each
- * retried until it was answered or has timed out; {@link CommittedEntries} deduplicates the attempts. Fields are used on the
- * owner's thread alone unless they say otherwise.
+ * The replicated log by jgroups-raft, on the channel of {@link GroupMembership}. Proposals are made one after
+ * another, each retried until it was answered or has timed out; {@link CommittedEntries} deduplicates the
+ * attempts. Fields are used on the owner's thread alone unless they say otherwise.
  */
 final class RaftLog implements ReplicatedLog {
     /**
-     * The leader resends to a follower what it lacks only after receiving nothing new for this long. Proposals retried more
-     * often than that would keep a restarted member behind for ever.
+     * The leader resends to a follower what it lacks only after receiving nothing new for this long.
+     * Proposals retried more often than that would keep a restarted member behind for ever.
      */
     private static final long RESEND_INTERVAL_MS = 100;
 
@@ -54,7 +54,9 @@
     private long lastSequence;
     private boolean proposalInFlight;
 
-    /** {@code folder} keeps the log; null keeps it in memory, and a restart forgets the votes that were cast. */
+    /**
+     * {@code folder} keeps the log; null keeps it in memory, and a restart forgets the votes that were cast.
+     */
     RaftLog(
             Peer self,
             Collection<String> members,
--- a/cluster/src/main/java/frostreel/cluster/jgroups/SuspicionListener.java
+++ b/cluster/src/main/java/frostreel/cluster/jgroups/SuspicionListener.java
@@ -6,7 +6,9 @@
 import org.jgroups.Event;
 import org.jgroups.stack.Protocol;
 
-/** The top of a protocol stack: passes on whom the protocols below suspect, which a channel keeps to itself. */
+/**
+ * The top of a protocol stack: passes on whom the protocols below suspect, which a channel keeps to itself.
+ */
 final class SuspicionListener extends Protocol {
     private final Consumer<Collection<Address>> listener;
 
--- a/decisions/src/main/java/frostreel/zones/ClassRanking.java
+++ b/decisions/src/main/java/frostreel/zones/ClassRanking.java
@@ -49,7 +49,9 @@
         return meanWorkUs;
     }
 
-    /** The share of a spill budget's capacity that requests of the class must leave to those of higher rank. */
+    /**
+     * The share of a spill budget's capacity that requests of the class must leave to those of higher rank.
+     */
     double reserve(int classIndex) {
         return reserves[classIndex];
     }
--- a/decisions/src/main/java/frostreel/zones/FlapDamping.java
+++ b/decisions/src/main/java/frostreel/zones/FlapDamping.java
@@ -22,7 +22,9 @@
         return weight * Math.exp((updatedUs - nowUs) / FADE_US);
     }
 
-    /** How long replicas that answer health checks from {@code nowUs} on must do so before they get requests. */
+    /**
+     * How long replicas that answer health checks from {@code nowUs} on must do so before they get requests.
+     */
     double delayUs(long nowUs) {
         double counted = Math.max(0, weight(nowUs) - FREE_FAILURES);
         return Math.min(MAX_DELAY_US, BASE_DELAY_US * (Math.pow(2, counted) - 1));
--- a/decisions/src/main/java/frostreel/zones/TokenBucket.java
+++ b/decisions/src/main/java/frostreel/zones/TokenBucket.java
@@ -11,7 +11,9 @@
         updatedUs = nowUs;
     }
 
-    /** Fills the bucket up to now, and returns its level: {@code rate} in microseconds of work a microsecond. */
+    /**
+     * Fills the bucket up to now, and returns its level: {@code rate} in microseconds of work a microsecond.
+     */
     double fill(long nowUs, double rate, double capacityUs) {
         double bound = Math.max(capacityUs, Math.min(levelUs, 0));
         levelUs = Math.min(bound, levelUs + rate * (nowUs - updatedUs));
--- a/decisions/src/main/java/frostreel/zones/ZoneFailoverPolicy.java
+++ b/decisions/src/main/java/frostreel/zones/ZoneFailoverPolicy.java
@@ -11,18 +11,21 @@
 import java.util.TreeMap;
 
 /**
- * Prefers nearer tiers of zones, bounds what spills over to farther ones when nearer replicas fail, and ramps up
- * replicas that recover.
+ * Prefers nearer tiers of zones, bounds what spills over to farther ones when nearer replicas fail, and ramps
+ * up replicas that recover.
  *
- * <p>The replicas of a group in a zone go down after consecutive failures, sooner where much of their zone fails too. They
- * get no requests then but health checks. What the nearest tier no longer serves may go to farther ones as far as their
- * budgets reach, classes with the highest priority weight for their work first; the rest is not admitted. Replicas that
- * answer again are ramped up over the time in which a restarted server warms up, each pooler sending its part of what they
- * served before, beginning at a moment that differs among poolers. Replicas that fail again and again must pass health checks
- * for a while first. Writes are not affected.
+ * <p>The replicas of a group in a zone go down after consecutive failures, sooner where much of their zone
+ * fails too. They get no requests then but health checks. What the nearest tier no longer serves may go to
+ * farther ones as far as their budgets reach, classes with the highest priority weight for their work first;
+ * the rest is not admitted. Replicas that answer again are ramped up over the time in which a restarted
+ * server warms up, each pooler sending its part of what they served before, beginning at a moment that
+ * differs among poolers. Replicas that fail again and again must pass health checks for a while first. Writes
+ * are not affected.
  */
 public final class ZoneFailoverPolicy implements Router.LocalityPolicy {
-    /** Recovering replicas get so many times their share of what they served: they have the capacity for that. */
+    /**
+     * Recovering replicas get so many times their share of what they served: they have the capacity for that.
+     */
     private static final double RAMP_HEADROOM = 1.5;
 
     private final double rampPhase;
@@ -46,7 +49,10 @@
     private long outages;
     private long recoveries;
 
-    /** {@code rampPhase}: at least 0 and under 1, drawn for each pooler, so that ramps do not begin in the same moment. */
+    /**
+     * {@code rampPhase}: at least 0 and under 1, drawn for each pooler, so that ramps do not begin in the
+     * same moment.
+     */
     public ZoneFailoverPolicy(Router.Settings settings, ZoneSettings zones, double rampPhase) {
         this.rampPhase = rampPhase;
         configure(zones);
@@ -227,7 +233,10 @@
         return replicasByHandle.get(handle).healthCheckDue(nowUs);
     }
 
-    /** The page {@code SHOW zones}: replicas by zone and health, reads sent and denied by tier, outages and recoveries. */
+    /**
+     * The page {@code SHOW zones}: replicas by zone and health, reads sent and denied by tier, outages and
+     * recoveries.
+     */
     @Override
     public String toString() {
         Map<Integer, Map<ZoneReplicas.Health, Integer>> healthByZone = new TreeMap<>();
--- a/decisions/src/main/java/frostreel/zones/ZoneFailureDetector.java
+++ b/decisions/src/main/java/frostreel/zones/ZoneFailureDetector.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * Detects that a whole zone has failed, from the failures of all groups' replicas in it: with few reads a group, their sum
- * tells sooner than each alone.
+ * Detects that a whole zone has failed, from the failures of all groups' replicas in it: with few reads a
+ * group, their sum tells sooner than each alone.
  */
 final class ZoneFailureDetector {
     /** After a success failures are not counted for this time: their requests may be older than it. */
--- a/decisions/src/main/java/frostreel/zones/ZoneReplicas.java
+++ b/decisions/src/main/java/frostreel/zones/ZoneReplicas.java
@@ -3,11 +3,12 @@
 import frostreel.routing.DecayingRate;
 
 /**
- * The replicas of one group in one zone: their health as this pooler observes it, and what they usually serve it.
+ * The replicas of one group in one zone: their health as this pooler observes it, and what they usually serve
+ * it.
  *
- * <p>{@code UP} becomes {@code DOWN} by consecutive failures; {@code DOWN} becomes {@code PROBATION} by the first health check
- * that succeeds, and {@code RECOVERING} after the delay of {@link FlapDamping}; {@code RECOVERING} becomes {@code UP} at the end of the ramp,
- * or {@code DOWN} by a single failure.
+ * <p>{@code UP} becomes {@code DOWN} by consecutive failures; {@code DOWN} becomes {@code PROBATION} by the
+ * first health check that succeeds, and {@code RECOVERING} after the delay of {@link FlapDamping}; {@code
+ * RECOVERING} becomes {@code UP} at the end of the ramp, or {@code DOWN} by a single failure.
  */
 final class ZoneReplicas {
     /** Whether requests are sent. */
@@ -22,7 +23,10 @@
         RECOVERING
     }
 
-    /** The nearest tier in which a group ever had a member. It stays when those leave, so that they are missed. */
+    /**
+     * The nearest tier in which a group ever had a member. It stays when those leave, so that they are
+     * missed.
+     */
     static final class NearestTier {
         private static final int NONE = Integer.MAX_VALUE;
         private int tier = NONE;
@@ -142,7 +146,10 @@
                 && failures >= limit;
     }
 
-    /** Stops requests. Where it is for the zone alone, the first successful health check brings the replicas back as before. */
+    /**
+     * Stops requests. Where it is for the zone alone, the first successful health check brings the replicas
+     * back as before.
+     */
     void markDown(long nowUs) {
         downWithZone = failures == 0;
         if (health == Health.UP) {
--- a/decisions/src/main/java/frostreel/zones/ZoneSettings.java
+++ b/decisions/src/main/java/frostreel/zones/ZoneSettings.java
@@ -7,15 +7,16 @@
  *
  * @param own the pooler's own zone, which is tier 0
  * @param tiers the other zones in order of preference; the last one includes those that none names
- * @param poolers how many poolers there are in all zones, among which a recovering member's first requests are divided
+ * @param poolers how many poolers there are in all zones, among which a recovering member's first requests
+ *     are divided
  */
 public record ZoneSettings(int own, List<Tier> tiers, int poolers) {
     /**
      * Zones of equal preference.
      *
      * @param zones their numbers; empty for all that no other tier names
-     * @param spill what may go there, as a share of what this pooler's nearest tier usually serves it; over 0. With as many
-     *     poolers in each zone, that is the share of what this tier serves.
+     * @param spill what may go there, as a share of what this pooler's nearest tier usually serves it; over
+     *     0. With as many poolers in each zone, that is the share of what this tier serves.
      */
     public record Tier(List<Integer> zones, double spill) {
         /**
--- a/pooler/src/main/java/frostreel/config/Config.java
+++ b/pooler/src/main/java/frostreel/config/Config.java
@@ -14,8 +14,8 @@
 import org.json.JSONObject;
 
 /**
- * The platform's configuration of this process, checked as a whole. Limits that the file leaves out get the least that the
- * platform grants.
+ * The platform's configuration of this process, checked as a whole. Limits that the file leaves out get the
+ * least that the platform grants.
  *
  * @param name of this pooler
  * @param listenAddress for clients
@@ -51,8 +51,9 @@
         JSONObject source) {
 
     /**
-     * Reads the file that {@code GW_CONFIG} names. {@code GW_NAME}, {@code GW_LISTEN}, {@code GW_DISCOVERY} and {@code
-     * GW_CONTROL} take precedence over it where they are set; {@code GW_FD} says that the listener is inherited. Blocks.
+     * Reads the file that {@code GW_CONFIG} names. {@code GW_NAME}, {@code GW_LISTEN}, {@code GW_DISCOVERY}
+     * and {@code GW_CONTROL} take precedence over it where they are set; {@code GW_FD} says that the listener
+     * is inherited. Blocks.
      *
      * @throws ConfigException naming the key that is missing or wrong
      */
@@ -80,8 +81,8 @@
     }
 
     /**
-     * Reads the file again, which must have every key of the configuration in force. {@code GW_DISCOVERY} is left out: it
-     * is as old as the process, and would name the agent that is being replaced.
+     * Reads the file again, which must have every key of the configuration in force. {@code GW_DISCOVERY} is
+     * left out: it is as old as the process, and would name the agent that is being replaced.
      */
     public static Config reload(Map<String, String> environment, Config inForce) throws ConfigException {
         Map<String, String> current = new HashMap<>(environment);
--- a/pooler/src/main/java/frostreel/config/DescriptorBudget.java
+++ b/pooler/src/main/java/frostreel/config/DescriptorBudget.java
@@ -18,13 +18,16 @@
     /** By the platform's statement, clients that send requests hold at most this part of all descriptors. */
     private static final int EXPECTED_CLIENTS_DIVISOR = 3;
     /**
-     * Of the unreserved descriptors, this part stays for clients beyond the expected ones. Servers get the remainder, and no
-     * less than the same part: a pooler with many servers needs an idle connection to nearly each, and with fewer every other
-     * request pays for a handshake.
+     * Of the unreserved descriptors, this part stays for clients beyond the expected ones. Servers get the
+     * remainder, and no less than the same part: a pooler with many servers needs an idle connection to
+     * nearly each, and with fewer every other request pays for a handshake.
      */
     private static final int SPARE_DIVISOR = 4;
 
-    /** Divides {@code descriptors}; a process that inherits its listener shares them with the one that it replaces. */
+    /**
+     * Divides {@code descriptors}; a process that inherits its listener shares them with the one that it
+     * replaces.
+     */
     static DescriptorBudget of(int descriptors, boolean inheritsListener) {
         int available = descriptors - RESERVED;
         int expectedClients = descriptors / EXPECTED_CLIENTS_DIVISOR;
--- a/pooler/src/main/java/frostreel/config/EndpointList.java
+++ b/pooler/src/main/java/frostreel/config/EndpointList.java
@@ -26,8 +26,8 @@
     private static final long MAX_STARTED_MS = Long.MAX_VALUE / 1000;
 
     /**
-     * Reads a decoded list. Zones and machine types are named in it; the routing decisions know them by their index among
-     * the configured names, the first one standing for a name that is not configured.
+     * Reads a decoded list. Zones and machine types are named in it; the routing decisions know them by their
+     * index among the configured names, the first one standing for a name that is not configured.
      *
      * @throws MalformedMessageException naming the field that is missing or out of range
      */
--- a/pooler/src/main/java/frostreel/config/NumericAddress.java
+++ b/pooler/src/main/java/frostreel/config/NumericAddress.java
@@ -5,7 +5,10 @@
 import java.net.UnknownHostException;
 import frostreel.wire.MalformedMessageException;
 
-/** Parses {@code address:port} without name resolution, which would block the I/O thread that reads endpoint lists. */
+/**
+ * Parses {@code address:port} without name resolution, which would block the I/O thread that reads endpoint
+ * lists.
+ */
 final class NumericAddress {
     private static final int IPV4_BYTES = 4;
     private static final int MAX_OCTET = 255;
@@ -16,7 +19,8 @@
     /**
      * Parses the value of a field.
      *
-     * @throws MalformedMessageException naming the field, where the host is no number or the port is out of range
+     * @throws MalformedMessageException naming the field, where the host is no number or the port is out of
+     *     range
      */
     static InetSocketAddress parse(String text, String field) throws MalformedMessageException {
         int colon = text.lastIndexOf(':');
--- a/pooler/src/main/java/frostreel/config/ReloadCompatibility.java
+++ b/pooler/src/main/java/frostreel/config/ReloadCompatibility.java
@@ -7,9 +7,9 @@
 import org.json.JSONObject;
 
 /**
- * Checks that a configuration file written anew states everything that the file in force states, as a value left out would
- * fall back to a default that nobody chose. Lists may change in length; each object of the new list must have every key that
- * all objects of the old one share.
+ * Checks that a configuration file written anew states everything that the file in force states, as a value
+ * left out would fall back to a default that nobody chose. Lists may change in length; each object of the new
+ * list must have every key that all objects of the old one share.
  */
 final class ReloadCompatibility {
     private ReloadCompatibility() {}
--- a/pooler/src/main/java/frostreel/discovery/AgentConnection.java
+++ b/pooler/src/main/java/frostreel/discovery/AgentConnection.java
@@ -14,8 +14,8 @@
 import org.xnio.StreamConnection;
 
 /**
- * One connection to the discovery agent, with at most one request in flight. Its listener is notified on the I/O thread,
- * of each kind of event at most once for a request, and of none after {@link #close}.
+ * One connection to the discovery agent, with at most one request in flight. Its listener is notified on the
+ * I/O thread, of each kind of event at most once for a request, and of none after {@link #close}.
  */
 final class AgentConnection implements SocketStream.Handler {
     /** Notified of what becomes of a connection, which it is passed each time. */
@@ -26,7 +26,9 @@
         /** A complete response to the request has arrived. */
         void onResponse(AgentConnection connection, HttpResponseParser response);
 
-        /** The connection or the response did not come within its timeout; it stays open and may still come. */
+        /**
+         * The connection or the response did not come within its timeout; it stays open and may still come.
+         */
         void onOverdue(AgentConnection connection, String reason);
 
         /** The connection has failed and is closed. */
@@ -52,7 +54,9 @@
     private long requestedUs;
     private boolean closed;
 
-    /** Begins to connect; {@code timeoutUs}: after this time without a connection the listener is notified. */
+    /**
+     * Begins to connect; {@code timeoutUs}: after this time without a connection the listener is notified.
+     */
     AgentConnection(EventLoop loop, InetSocketAddress address, long timeoutUs, Listener listener) {
         this.loop = loop;
         this.listener = listener;
@@ -63,7 +67,10 @@
         connecting = loop.thread().openStreamConnection(address, null, OptionMap.create(Options.TCP_NODELAY, true));
     }
 
-    /** Starts the notifications; separate from the constructor, so that the listener can store this object first. */
+    /**
+     * Starts the notifications; separate from the constructor, so that the listener can store this object
+     * first.
+     */
     void begin() {
         connecting.addNotifier(
                 new IoFuture.HandlingNotifier<StreamConnection, Void>() {
@@ -91,8 +98,8 @@
     }
 
     /**
-     * Sends a request; {@code fromVersion}: the list version whose changes are requested, which {@link #fromVersion()}
-     * returns from then on.
+     * Sends a request; {@code fromVersion}: the list version whose changes are requested, which {@link
+     * #fromVersion()} returns from then on.
      */
     void request(String pathAndQuery, long fromVersion, long timeoutUs) {
         this.fromVersion = fromVersion;
@@ -132,7 +139,9 @@
         return requestedUs;
     }
 
-    /** Processes the bytes that have arrived by now, without waiting for the loop to select this connection. */
+    /**
+     * Processes the bytes that have arrived by now, without waiting for the loop to select this connection.
+     */
     void readNow() {
         if (stream != null) {
             stream.readNow();
--- a/pooler/src/main/java/frostreel/discovery/DiscoveryStatus.java
+++ b/pooler/src/main/java/frostreel/discovery/DiscoveryStatus.java
@@ -2,7 +2,10 @@
 
 import java.util.logging.Logger;
 
-/** Whether the agent answers, for the log and for operators. An outage is logged once at its start and at its end. */
+/**
+ * Whether the agent answers, for the log and for operators. An outage is logged once at its start and at its
+ * end.
+ */
 final class DiscoveryStatus {
     /** Under the name of the watch, by which operators know its lines. */
     private static final Logger LOG = Logger.getLogger(DiscoveryWatch.class.getName());
@@ -41,13 +44,13 @@
 
     /** The fields of {@code SHOW health} on discovery; {@code version}: of the list held. */
     String describe(long nowUs, long version) {
-        return "discovery=" + word()
+        return "discovery=" + state()
                 + " discovery_version=" + version
                 + " discovery_answered_ms_ago=" + (lastAnsweredUs == NEVER ? NO_AGE : toMs(nowUs - lastAnsweredUs))
                 + " discovery_silent_ms=" + (silentSinceUs == NEVER ? 0 : toMs(nowUs - silentSinceUs));
     }
 
-    private String word() {
+    private String state() {
         if (silentSinceUs != NEVER) {
             return "silent";
         }
--- a/pooler/src/main/java/frostreel/discovery/DiscoveryWatch.java
+++ b/pooler/src/main/java/frostreel/discovery/DiscoveryWatch.java
@@ -11,28 +11,32 @@
 import org.json.JSONObject;
 
 /**
- * Long-polls the discovery agent for changes of the endpoint list, each request sent right after the last response. The
- * complete list is requested only where none is held: it costs the agent a line for each server, and when all poolers start
- * at once such requests queue until they time out and are repeated, while nobody learns of any change. While the agent does
- * not answer, the list held stays in use and connecting is retried with backoff.
+ * Long-polls the discovery agent for changes of the endpoint list, each request sent right after the last
+ * response. The complete list is requested only where none is held: it costs the agent a line for each
+ * server, and when all poolers start at once such requests queue until they time out and are repeated, while
+ * nobody learns of any change. While the agent does not answer, the list held stays in use and connecting is
+ * retried with backoff.
  *
- * <p>Every outage is bounded: a change counts as delivered within 6 s of the moment when the agent could have delivered it.
- * One waiting request with its timeout, the backoff, one more unanswered request and an answered one fit into that, whatever
- * happened before.
+ * <p>Every outage is bounded: a change counts as delivered within 6 s of the moment when the agent could have
+ * delivered it. One waiting request with its timeout, the backoff, one more unanswered request and an
+ * answered one fit into that, whatever happened before.
  *
- * <p>An overdue request is not abandoned: a second one is sent on another connection, and the first response of the two is
- * used. A slow or overloaded agent answers the oldest request first; abandoning that would send this pooler to the end of the
- * queue each time. There are never more than two requests in flight.
+ * <p>An overdue request is not abandoned: a second one is sent on another connection, and the first response
+ * of the two is used. A slow or overloaded agent answers the oldest request first; abandoning that would send
+ * this pooler to the end of the queue each time. There are never more than two requests in flight.
  */
 public final class DiscoveryWatch implements AgentConnection.Listener {
     /** How long the agent may hold a request back while there is no change. */
     static final long LONG_POLL_MS = 2_500;
     /**
-     * The wait of the first request, and of the first after a failure: next to none, as its response shows that the list held
-     * is current, and a missing response shows at once.
+     * The wait of the first request, and of the first after a failure: next to none, as its response shows
+     * that the list held is current, and a missing response shows at once.
      */
     private static final long PROBE_POLL_MS = 1;
-    /** How long a response may take beyond the request's own wait until it is overdue; the agent answers at once. */
+    /**
+     * How long a response may take beyond the request's own wait until it is overdue; the agent answers at
+     * once.
+     */
     static final long TIMEOUT_US = 1_500_000;
     /** An overdue request is abandoned after this time without any bytes. */
     static final long OVERDUE_SILENCE_US = 15_000_000;
@@ -189,7 +193,10 @@
         return fromVersion == version || list.version() >= version;
     }
 
-    /** Versions that went back belong to another count, so that changes since then are not those that are missing. */
+    /**
+     * Versions that went back belong to another count, so that changes since then are not those that are
+     * missing.
+     */
     private long versionAfter(EndpointList list) {
         return list.complete() || list.version() >= version ? list.version() : NO_VERSION;
     }
--- a/pooler/src/main/java/frostreel/discovery/HttpResponseParser.java
+++ b/pooler/src/main/java/frostreel/discovery/HttpResponseParser.java
@@ -6,8 +6,9 @@
 import java.util.Locale;
 
 /**
- * Incremental parser of one HTTP/1.1 response, with a bound on every length. A body that has neither a length nor chunks
- * is delimited by the end of its connection, provided that this is an orderly one: after a reset it may be truncated.
+ * Incremental parser of one HTTP/1.1 response, with a bound on every length. A body that has neither a length
+ * nor chunks is delimited by the end of its connection, provided that this is an orderly one: after a reset
+ * it may be truncated.
  */
 final class HttpResponseParser {
     private static final int MAX_BODY_BYTES = 1 << 22;
--- a/pooler/src/main/java/frostreel/fleet/ClusterMember.java
+++ b/pooler/src/main/java/frostreel/fleet/ClusterMember.java
@@ -16,8 +16,8 @@
 import java.util.stream.Collectors;
 
 /**
- * This process as a member of the cluster: owns its membership, logs who joins and leaves, and shows it to operators. On the
- * I/O thread. Nothing that is served depends on it.
+ * This process as a member of the cluster: owns its membership, logs who joins and leaves, and shows it to
+ * operators. On the I/O thread. Nothing that is served depends on it.
  */
 public final class ClusterMember implements Membership.Listener {
     private static final Logger LOG = Logger.getLogger(ClusterMember.class.getName());
--- a/pooler/src/main/java/frostreel/settings/Fault.java
+++ b/pooler/src/main/java/frostreel/settings/Fault.java
@@ -6,8 +6,8 @@
  * @param file its path as it was given
  * @param line from 1; 0 where the file as a whole is meant
  * @param column from 1; 0 where the file as a whole is meant
- * @param key the path of element names to the faulty element, and {@code @} with the attribute's name if it is one; empty
- *     where the file as a whole is meant
+ * @param key the path of element names to the faulty element, and {@code @} with the attribute's name if it
+ *     is one; empty where the file as a whole is meant
  * @param text what is wrong, for operators
  */
 public record Fault(String file, int line, int column, String key, String text) {
--- a/pooler/src/main/java/frostreel/settings/OperatorSettings.java
+++ b/pooler/src/main/java/frostreel/settings/OperatorSettings.java
@@ -79,7 +79,8 @@
      * The preferences among zones by the zones' numbers, where any are stated.
      *
      * @param own number of the pooler's own zone
-     * @param zoneNames names of the zones, in the order of their numbers; tiers' names that are not among them are left out
+     * @param zoneNames names of the zones, in the order of their numbers; tiers' names that are not among
+     *     them are left out
      */
     public Optional<ZoneSettings> zoneSettings(int own, List<Object> zoneNames) {
         return Optional.ofNullable(zones).map(stated -> new ZoneSettings(
--- a/pooler/src/main/java/frostreel/settings/XmlElement.java
+++ b/pooler/src/main/java/frostreel/settings/XmlElement.java
@@ -6,8 +6,8 @@
 import java.util.stream.Stream;
 
 /**
- * One element of a file that conforms to its schema: defaults are filled in and values have the types that the schema gives
- * them, so that the accessors do not fail on what a user wrote.
+ * One element of a file that conforms to its schema: defaults are filled in and values have the types that
+ * the schema gives them, so that the accessors do not fail on what a user wrote.
  */
 public final class XmlElement {
     private final XmlElement parent;
--- a/pooler/src/main/java/frostreel/settings/XmlElementHandler.java
+++ b/pooler/src/main/java/frostreel/settings/XmlElementHandler.java
@@ -72,7 +72,10 @@
         add(new Fault(file, e.getLineNumber(), e.getColumnNumber(), key(text), text));
     }
 
-    /** The validator reports an element before {@link #startElement} is called for it, and names it in the message. */
+    /**
+     * The validator reports an element before {@link #startElement} is called for it, and names it in the
+     * message.
+     */
     private String key(String message) {
         Matcher element = ELEMENT.matcher(message);
         Matcher attribute = ATTRIBUTE.matcher(message);
@@ -83,7 +86,10 @@
         return path + (attribute.find() ? "@" + attribute.group(1) : "");
     }
 
-    /** A wrong value is reported twice: first by its type, with the better text, then by its attribute, with the key. */
+    /**
+     * A wrong value is reported twice: first by its type, with the better text, then by its attribute, with
+     * the key.
+     */
     private void add(Fault fault) {
         int last = faults.size() - 1;
         if (last >= 0 && faults.get(last).isAtSamePlace(fault)) {
--- a/pooler/src/main/java/frostreel/settings/XmlFile.java
+++ b/pooler/src/main/java/frostreel/settings/XmlFile.java
@@ -18,8 +18,8 @@
 import org.xml.sax.SAXParseException;
 
 /**
- * Reads an XML file and validates it against a schema, in one pass. Document types and external entities are rejected, and
- * the size is bounded, so that a hostile file costs no more than a good one.
+ * Reads an XML file and validates it against a schema, in one pass. Document types and external entities are
+ * rejected, and the size is bounded, so that a hostile file costs no more than a good one.
  */
 public final class XmlFile {
     /** The largest file that is read, in bytes. */
@@ -31,7 +31,8 @@
      * Reads a file. Blocks.
      *
      * @return the root element
-     * @throws FaultyFileException with the faults found, {@value XmlElementHandler#MAX_FAULTS} of them at most
+     * @throws FaultyFileException with the faults found, {@value XmlElementHandler#MAX_FAULTS} of them at
+     *     most
      */
     public static XmlElement read(Path file, URL schema) throws FaultyFileException {
         String name = file.toString();
