--- a/cluster/src/test/java/frostreel/cluster/ClusterSettingsTest.java
+++ b/cluster/src/test/java/frostreel/cluster/ClusterSettingsTest.java
@@ -9,14 +9,14 @@
 import org.junit.jupiter.api.Test;
 
 class ClusterSettingsTest {
-    private static final InetSocketAddress A = new InetSocketAddress("127.0.0.1", 7800);
-    private static final InetSocketAddress B = new InetSocketAddress("127.0.0.2", 7800);
+    private static final InetSocketAddress ADDRESS_A = new InetSocketAddress("127.0.0.1", 7800);
+    private static final InetSocketAddress ADDRESS_B = new InetSocketAddress("127.0.0.2", 7800);
     private static final InetSocketAddress WILDCARD = new InetSocketAddress("0.0.0.0", 7800);
 
     /** Good settings of the member a alone, and one change to them at a time. */
     private record Draft(
             String group, String self, InetSocketAddress bind, Map<String, InetSocketAddress> members, long silentMs) {
-        static final Draft GOOD = new Draft("g", "a", A, Map.of("a", A), 1000);
+        static final Draft GOOD = new Draft("g", "a", ADDRESS_A, Map.of("a", ADDRESS_A), 1000);
 
         Draft group(String name) {
             return new Draft(name, self, bind, members, silentMs);
@@ -45,10 +45,10 @@
 
     @Test
     void wrongSettingsAreRejectedWithTheReason() {
-        assertThat(Draft.GOOD.settings().advertised()).isEqualTo(A);
-        assertRejected("the members do not name this pooler, c", draft -> draft.members(Map.of("a", A, "b", B))
+        assertThat(Draft.GOOD.settings().advertised()).isEqualTo(ADDRESS_A);
+        assertRejected("the members do not name this pooler, c", draft -> draft.members(Map.of("a", ADDRESS_A, "b", ADDRESS_B))
                 .self("c"));
-        assertRejected("b has another member's address", draft -> draft.members(Map.of("a", A, "b", A)));
+        assertRejected("b has another member's address", draft -> draft.members(Map.of("a", ADDRESS_A, "b", ADDRESS_A)));
         assertRejected("bind to one address, not to all", draft -> draft.bind(WILDCARD));
         assertRejected("a has no address of its own", draft -> draft.members(Map.of("a", WILDCARD)));
         assertRejected(
--- a/pooler/src/main/java/frostreel/settings/XmlElementHandler.java
+++ b/pooler/src/main/java/frostreel/settings/XmlElementHandler.java
@@ -62,14 +62,14 @@
     }
 
     @Override
-    public void fatalError(SAXParseException e) throws SAXException {
-        throw e;
+    public void fatalError(SAXParseException exception) throws SAXException {
+        throw exception;
     }
 
     @Override
-    public void error(SAXParseException e) {
-        String text = e.getMessage().replaceFirst(SCHEMA_RULE, "");
-        add(new Fault(file, e.getLineNumber(), e.getColumnNumber(), key(text), text));
+    public void error(SAXParseException exception) {
+        String text = exception.getMessage().replaceFirst(SCHEMA_RULE, "");
+        add(new Fault(file, exception.getLineNumber(), exception.getColumnNumber(), key(text), text));
     }
 
     /**
--- a/pooler/src/test/java/frostreel/discovery/HttpResponseParserTest.java
+++ b/pooler/src/test/java/frostreel/discovery/HttpResponseParserTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class HttpResponseParserTest {
-    private static final String OK = "HTTP/1.1 200 OK\r\n";
+    private static final String STATUS_LINE = "HTTP/1.1 200 OK\r\n";
 
     private final HttpResponseParser parser = new HttpResponseParser();
 
@@ -22,7 +22,7 @@
 
     @Test
     void bodyOfKnownLengthIsCompleteAtThatLengthAndLeavesTheRest() throws Exception {
-        ByteBuffer rest = accept(OK + "Content-Length: 4\r\n\r\nbodymore");
+        ByteBuffer rest = accept(STATUS_LINE + "Content-Length: 4\r\n\r\nbodymore");
 
         assertThat(parser.isComplete()).isTrue();
         assertThat(parser.status()).isEqualTo(200);
@@ -42,7 +42,7 @@
 
     @Test
     void chunksAreJoinedAndExtensionsAndTrailersSkipped() throws Exception {
-        String response = OK + "Transfer-Encoding: chunked\r\n\r\n4\r\nbody\r\nA;part=2\r\n of chunks\r\n0\r\n";
+        String response = STATUS_LINE + "Transfer-Encoding: chunked\r\n\r\n4\r\nbody\r\nA;part=2\r\n of chunks\r\n0\r\n";
         accept(response + "Checksum: none\r\n");
         assertThat(parser.isComplete()).isFalse();
 
@@ -55,7 +55,7 @@
 
     @Test
     void bodyWithoutLengthEndsWithItsConnection() throws Exception {
-        accept(OK + "Content-Type: application/json\r\n\r\n{}");
+        accept(STATUS_LINE + "Content-Type: application/json\r\n\r\n{}");
 
         assertThat(parser.isComplete()).isFalse();
         assertThat(parser.isDelimitedByClose()).isTrue();
@@ -65,7 +65,7 @@
 
     @Test
     void truncatedBodyOfKnownLengthIsNotDelimitedByClose() throws Exception {
-        accept(OK + "Content-Length: 4\r\n\r\nbod");
+        accept(STATUS_LINE + "Content-Length: 4\r\n\r\nbod");
 
         assertThat(parser.isComplete()).isFalse();
         assertThat(parser.isDelimitedByClose()).isFalse();
@@ -73,7 +73,7 @@
 
     @Test
     void connectionThatIsToBeClosedIsNotKeptAlive() throws Exception {
-        accept(OK + "Connection: Close\r\nContent-Length: 0\r\n\r\n");
+        accept(STATUS_LINE + "Connection: Close\r\nContent-Length: 0\r\n\r\n");
 
         assertThat(parser.isComplete()).isTrue();
         assertThat(parser.keepAlive()).isFalse();
@@ -86,11 +86,11 @@
                 "HTTP/2 200 OK\r\n",
                 "HTTP/1.1 ok\r\n",
                 "HTTP/1.1 1000 Odd\r\n",
-                OK + "Content-Length: -1\r\n",
-                OK + "Content-Length: 4194305\r\n",
-                OK + "Content-Length: many\r\n",
-                OK + "Transfer-Encoding: chunked\r\n\r\nxyz\r\n",
-                OK + "Transfer-Encoding: chunked\r\n\r\n400001\r\n"
+                STATUS_LINE + "Content-Length: -1\r\n",
+                STATUS_LINE + "Content-Length: 4194305\r\n",
+                STATUS_LINE + "Content-Length: many\r\n",
+                STATUS_LINE + "Transfer-Encoding: chunked\r\n\r\nxyz\r\n",
+                STATUS_LINE + "Transfer-Encoding: chunked\r\n\r\n400001\r\n"
             })
     void responseOutOfBoundsIsMalformed(String text) {
         assertThatThrownBy(() -> accept(text)).isInstanceOf(MalformedResponseException.class);
@@ -101,7 +101,7 @@
         assertThatThrownBy(() -> accept("x".repeat(8193))).hasMessage("a line of over 8192 bytes");
 
         HttpResponseParser unbounded = new HttpResponseParser();
-        unbounded.accept(ByteBuffer.wrap((OK + "\r\n").getBytes(StandardCharsets.US_ASCII)));
+        unbounded.accept(ByteBuffer.wrap((STATUS_LINE + "\r\n").getBytes(StandardCharsets.US_ASCII)));
         unbounded.accept(ByteBuffer.allocate(1 << 22));
         assertThatThrownBy(() -> unbounded.accept(ByteBuffer.allocate(1)))
                 .hasMessage("a body of over 4194304 bytes");
