--- a/cluster/src/main/java/frostreel/cluster/jgroups/GroupMembership.java
+++ b/cluster/src/main/java/frostreel/cluster/jgroups/GroupMembership.java
@@ -87,12 +87,7 @@
         log = logListener == null
                 ? null
                 : new RaftLog(
-                        self,
-                        settings.members().keySet(),
-                        folder,
-                        channelExecutor,
-                        this::notifyOwner,
-                        logListener);
+                        self, settings.members().keySet(), folder, channelExecutor, this::notifyOwner, logListener);
         channelExecutor.execute(this::join);
     }
 
--- a/cluster/src/test/java/frostreel/cluster/ClusterSettingsTest.java
+++ b/cluster/src/test/java/frostreel/cluster/ClusterSettingsTest.java
@@ -46,9 +46,11 @@
     @Test
     void wrongSettingsAreRejectedWithTheReason() {
         assertThat(Draft.GOOD.settings().advertised()).isEqualTo(ADDRESS_A);
-        assertRejected("the members do not name this pooler, c", draft -> draft.members(Map.of("a", ADDRESS_A, "b", ADDRESS_B))
-                .self("c"));
-        assertRejected("b has another member's address", draft -> draft.members(Map.of("a", ADDRESS_A, "b", ADDRESS_A)));
+        assertRejected(
+                "the members do not name this pooler, c",
+                draft -> draft.members(Map.of("a", ADDRESS_A, "b", ADDRESS_B)).self("c"));
+        assertRejected(
+                "b has another member's address", draft -> draft.members(Map.of("a", ADDRESS_A, "b", ADDRESS_A)));
         assertRejected("bind to one address, not to all", draft -> draft.bind(WILDCARD));
         assertRejected("a has no address of its own", draft -> draft.members(Map.of("a", WILDCARD)));
         assertRejected(
--- a/decisions/src/main/java/frostreel/zones/ZoneFailoverPolicy.java
+++ b/decisions/src/main/java/frostreel/zones/ZoneFailoverPolicy.java
@@ -210,8 +210,7 @@
             return true;
         }
         double nearestRate = nearestServed.at(nowUs) + missingRate;
-        return budgets.admits(
-                nowUs, replicas.tier(), nearestRate, ranking.meanWorkUs(), ranking.reserve(classIndex));
+        return budgets.admits(nowUs, replicas.tier(), nearestRate, ranking.meanWorkUs(), ranking.reserve(classIndex));
     }
 
     private boolean rampAdmits(long nowUs, int handle, ZoneReplicas replicas) {
--- a/decisions/src/test/java/frostreel/zones/ZoneFailoverPolicyTest.java
+++ b/decisions/src/test/java/frostreel/zones/ZoneFailoverPolicyTest.java
@@ -26,7 +26,8 @@
             Router.ListRole.LATE,
             Router.SessionTracking.CARRIED,
             true,
-            new Router.Limits(10, Router.Probes.REPORT, true, true, SECOND_US, false, 0, 250_000, 50_000, 30 * SECOND_US, 1),
+            new Router.Limits(
+                    10, Router.Probes.REPORT, true, true, SECOND_US, false, 0, 250_000, 50_000, 30 * SECOND_US, 1),
             new Router.Rules(20_000, SECOND_US, false, 0.2, 15 * SECOND_US, 3, 2 * SECOND_US));
     private final ZoneSettings zones = new ZoneSettings(
             0, List.of(new ZoneSettings.Tier(List.of(1), SPILL), new ZoneSettings.Tier(List.of(), SPILL)), 10);
@@ -46,7 +47,16 @@
 
     private static Router.RequestClass read(String name, double weight) {
         return new Router.RequestClass(
-                name, Router.Access.ANY, Router.Idempotency.IDEMPOTENT, Router.DeduplicationScope.GROUP, 0, 0, 200_000, SECOND_US, weight, 0);
+                name,
+                Router.Access.ANY,
+                Router.Idempotency.IDEMPOTENT,
+                Router.DeduplicationScope.GROUP,
+                0,
+                0,
+                200_000,
+                SECOND_US,
+                weight,
+                0);
     }
 
     /** Offers reads of 40 ms to one member at a rate; returns how many were admitted, sent and answered. */
--- a/lab/src/test/java/frostreel/lab/virtual/VirtualGroupTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/VirtualGroupTest.java
@@ -163,7 +163,8 @@
         assertThat(ears.get("p001").heard).isEmpty();
         pass(200_000);
         assertThat(ears.get("p001").heard).containsExactly("p000:one", "p000:two");
-        assertThatThrownBy(() -> a.broadcast(new byte[Membership.MAX_MESSAGE_BYTES + 1])).hasMessageContaining("at most");
+        assertThatThrownBy(() -> a.broadcast(new byte[Membership.MAX_MESSAGE_BYTES + 1]))
+                .hasMessageContaining("at most");
     }
 
     @Test
--- a/pooler/src/main/java/frostreel/Pooler.java
+++ b/pooler/src/main/java/frostreel/Pooler.java
@@ -232,7 +232,8 @@
     }
 
     private DiscoveryWatch watch(Config config, long seq) {
-        return new DiscoveryWatch(loop, config.discoveryAddress(), config.zones(), config.machineTypes(), seq, this::listed);
+        return new DiscoveryWatch(
+                loop, config.discoveryAddress(), config.zones(), config.machineTypes(), seq, this::listed);
     }
 
     /**
--- a/pooler/src/main/java/frostreel/config/Config.java
+++ b/pooler/src/main/java/frostreel/config/Config.java
@@ -1,7 +1,7 @@
 package frostreel.config;
 
-import frostreel.wire.MalformedMessageException;
 import frostreel.routing.Router;
+import frostreel.wire.MalformedMessageException;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
--- a/pooler/src/main/java/frostreel/config/ConfigReader.java
+++ b/pooler/src/main/java/frostreel/config/ConfigReader.java
@@ -1,8 +1,8 @@
 package frostreel.config;
 
+import frostreel.routing.Router;
 import frostreel.wire.MalformedMessageException;
 import frostreel.wire.MessageFields;
-import frostreel.routing.Router;
 import frostreel.wire.SettingsReader;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
@@ -75,8 +75,7 @@
 
     private boolean inheritsListener() throws MalformedMessageException {
         if (isSet("GW_FD") && !environment.get("GW_FD").equals(INHERITED_DESCRIPTOR)) {
-            throw new MalformedMessageException(
-                    "GW_FD is not 0, the one descriptor by which a socket is taken over");
+            throw new MalformedMessageException("GW_FD is not 0, the one descriptor by which a socket is taken over");
         }
         return isSet("GW_FD");
     }
--- a/pooler/src/main/java/frostreel/config/EndpointList.java
+++ b/pooler/src/main/java/frostreel/config/EndpointList.java
@@ -1,8 +1,8 @@
 package frostreel.config;
 
+import frostreel.routing.Router;
 import frostreel.wire.MalformedMessageException;
 import frostreel.wire.MessageFields;
-import frostreel.routing.Router;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
--- a/pooler/src/main/java/frostreel/config/NumericAddress.java
+++ b/pooler/src/main/java/frostreel/config/NumericAddress.java
@@ -1,9 +1,9 @@
 package frostreel.config;
 
+import frostreel.wire.MalformedMessageException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
-import frostreel.wire.MalformedMessageException;
 
 /**
  * Parses {@code address:port} without name resolution, which would block the I/O thread that reads endpoint
--- a/pooler/src/main/java/frostreel/config/ReloadCompatibility.java
+++ b/pooler/src/main/java/frostreel/config/ReloadCompatibility.java
@@ -39,9 +39,7 @@
                     : Optional.of(path);
         }
         if (inForce instanceof JSONArray before) {
-            return replacement instanceof JSONArray after
-                    ? missingInList(path, before, after)
-                    : Optional.of(path);
+            return replacement instanceof JSONArray after ? missingInList(path, before, after) : Optional.of(path);
         }
         return Optional.empty();
     }
--- a/pooler/src/main/java/frostreel/control/CommandExecutor.java
+++ b/pooler/src/main/java/frostreel/control/CommandExecutor.java
@@ -108,10 +108,12 @@
     public void listed(EndpointList list, Router.ListKind kind) {
         boolean whole = kind != Router.ListKind.CHANGES;
         List<Router.Member> shown = outOfService.told(
-                whole, list.endpoints().stream().map(EndpointList.Endpoint::member).toList());
+                whole,
+                list.endpoints().stream().map(EndpointList.Endpoint::member).toList());
         List<EndpointList.Endpoint> hosts = new ArrayList<>(shown.size());
         for (int i = 0; i < shown.size(); i++) {
-            hosts.add(new EndpointList.Endpoint(shown.get(i), list.endpoints().get(i).address()));
+            hosts.add(new EndpointList.Endpoint(
+                    shown.get(i), list.endpoints().get(i).address()));
         }
         pool.addresses(hosts, whole);
         broker.members(kind, shown);
--- a/pooler/src/main/java/frostreel/discovery/DiscoveryStatus.java
+++ b/pooler/src/main/java/frostreel/discovery/DiscoveryStatus.java
@@ -9,6 +9,7 @@
 final class DiscoveryStatus {
     /** Under the name of the watch, by which operators know its lines. */
     private static final Logger LOG = Logger.getLogger(DiscoveryWatch.class.getName());
+
     private static final long NEVER = 0;
     /** Shown in place of an age where there has been no answer. */
     private static final long NO_AGE = -1;
--- a/pooler/src/main/java/frostreel/fleet/ClusterMember.java
+++ b/pooler/src/main/java/frostreel/fleet/ClusterMember.java
@@ -49,7 +49,8 @@
                 .filter(peer -> !peer.equals(membership.self()))
                 .forEach(peer -> LOG.info("cluster: " + peer.name() + " joined, incarnation " + peer.incarnation()));
         view.left(before)
-                .forEach(peer -> LOG.warning("GW_FLEET: " + peer.name() + " is no longer a member, incarnation " + peer.incarnation()));
+                .forEach(peer -> LOG.warning(
+                        "GW_FLEET: " + peer.name() + " is no longer a member, incarnation " + peer.incarnation()));
         if (view.merged()) {
             LOG.info("cluster partition healed");
         }
@@ -102,6 +103,8 @@
     /** {@code incarnation}: null for a pooler that is absent. */
     private String describe(String name, Long incarnation) {
         boolean isSuspected = suspected.stream().anyMatch(peer -> peer.name().equals(name));
-        return name + (incarnation == null ? " absent" : " present incarnation=" + incarnation) + (isSuspected ? " suspected" : "");
+        return name
+                + (incarnation == null ? " absent" : " present incarnation=" + incarnation)
+                + (isSuspected ? " suspected" : "");
     }
 }
--- a/pooler/src/main/java/frostreel/settings/OperatorSettings.java
+++ b/pooler/src/main/java/frostreel/settings/OperatorSettings.java
@@ -83,10 +83,13 @@
      *     them are left out
      */
     public Optional<ZoneSettings> zoneSettings(int own, List<Object> zoneNames) {
-        return Optional.ofNullable(zones).map(stated -> new ZoneSettings(
-                own,
-                stated.tiers.stream().map(tier -> tierByNumber(tier, zoneNames)).toList(),
-                stated.poolers));
+        return Optional.ofNullable(zones)
+                .map(stated -> new ZoneSettings(
+                        own,
+                        stated.tiers.stream()
+                                .map(tier -> tierByNumber(tier, zoneNames))
+                                .toList(),
+                        stated.poolers));
     }
 
     private static ZoneSettings.Tier tierByNumber(Tier tier, List<Object> zoneNames) {
--- a/pooler/src/test/java/frostreel/PoolerHarness.java
+++ b/pooler/src/test/java/frostreel/PoolerHarness.java
@@ -304,7 +304,8 @@
 
     void startSilent(String... hosts) throws Exception {
         Config c = Config.load(environment(configured(discovery.address(), hosts)));
-        pooler = new Pooler(allMayWait ? c.withSettings(c.settings().onSockets(0)) : c, operators, knownPatienceUs, lingerUs);
+        pooler = new Pooler(
+                allMayWait ? c.withSettings(c.settings().onSockets(0)) : c, operators, knownPatienceUs, lingerUs);
     }
 
     /** SIGHUP, with a file that names another discovery. */
--- a/pooler/src/test/java/frostreel/discovery/HttpResponseParserTest.java
+++ b/pooler/src/test/java/frostreel/discovery/HttpResponseParserTest.java
@@ -42,7 +42,8 @@
 
     @Test
     void chunksAreJoinedAndExtensionsAndTrailersSkipped() throws Exception {
-        String response = STATUS_LINE + "Transfer-Encoding: chunked\r\n\r\n4\r\nbody\r\nA;part=2\r\n of chunks\r\n0\r\n";
+        String response =
+                STATUS_LINE + "Transfer-Encoding: chunked\r\n\r\n4\r\nbody\r\nA;part=2\r\n of chunks\r\n0\r\n";
         accept(response + "Checksum: none\r\n");
         assertThat(parser.isComplete()).isFalse();
 
@@ -103,7 +104,6 @@
         HttpResponseParser unbounded = new HttpResponseParser();
         unbounded.accept(ByteBuffer.wrap((STATUS_LINE + "\r\n").getBytes(StandardCharsets.US_ASCII)));
         unbounded.accept(ByteBuffer.allocate(1 << 22));
-        assertThatThrownBy(() -> unbounded.accept(ByteBuffer.allocate(1)))
-                .hasMessage("a body of over 4194304 bytes");
+        assertThatThrownBy(() -> unbounded.accept(ByteBuffer.allocate(1))).hasMessage("a body of over 4194304 bytes");
     }
 }
--- a/pooler/src/test/java/frostreel/settings/OperatorSettingsTest.java
+++ b/pooler/src/test/java/frostreel/settings/OperatorSettingsTest.java
@@ -126,7 +126,9 @@
         Path secret = Files.writeString(folder.resolve("secret"), "json");
         List<Fault> faults = faultsOf("<!DOCTYPE frostreel [<!ENTITY x SYSTEM \"" + secret.toUri() + "\">]>\n" + HEAD
                 + "<log format=\"&x;\"/></frostreel>");
-        assertThat(faults).singleElement().satisfies(fault -> assertThat(fault.text()).contains("DOCTYPE"));
+        assertThat(faults)
+                .singleElement()
+                .satisfies(fault -> assertThat(fault.text()).contains("DOCTYPE"));
     }
 
     @Test
