--- a/pooler/src/main/java/frostreel/settings/OperatorSettingsReader.java
+++ b/pooler/src/main/java/frostreel/settings/OperatorSettingsReader.java
@@ -115,7 +115,8 @@
     private Optional<InetSocketAddress> readAddress(XmlElement pooler, String attribute) {
         String[] parts = pooler.text(attribute).split(":");
         try {
-            InetAddress host = InetAddress.getByName(parts[0]); // The schema admits digits alone: no name is resolved.
+            // The schema admits no names; only an octet over 255 is looked up, and not found.
+            InetAddress host = InetAddress.getByName(parts[0]);
             int port = Integer.parseInt(parts[1]);
             if (port > 0 && port <= MAX_PORT && !host.isAnyLocalAddress()) {
                 return Optional.of(new InetSocketAddress(host, port));
