--- a/cluster/src/main/java/frostreel/cluster/jgroups/CommittedEntries.java
+++ b/cluster/src/main/java/frostreel/cluster/jgroups/CommittedEntries.java
@@ -17,104 +17,121 @@
 import org.jgroups.raft.StateMachine;
 
 /**
- * What the log's entries come to: the same at each member, as it depends on them and their order alone. A
- * proposal that was sent again, as its first answer was lost, is told from a new one and gets no second
- * number. On the log's own thread.
+ * The state machine of the replicated log: the same at each member, as it depends on the committed proposals
+ * and their order alone. Deduplicates proposals that were sent again because their first answer was lost, so
+ * that none gets a second index. Called on the library's thread.
  */
 final class CommittedEntries implements StateMachine {
-    /** A member's newest proposal that was chosen. */
-    private record Last(long life, long place, long number) {}
+    /** The answer to a proposal that comes after a later one of the same member; no entry has this index. */
+    static final long SUPERSEDED = 0;
+
+    /**
+     * The latest committed proposal of a member; {@code sequence} counts its proposals, from 1 in each
+     * incarnation.
+     */
+    private record LatestProposal(long incarnation, long sequence, long index) {
+        boolean isAfter(LatestProposal other) {
+            return incarnation > other.incarnation || incarnation == other.incarnation && sequence > other.sequence;
+        }
+
+        boolean isSameProposal(LatestProposal other) {
+            return incarnation == other.incarnation && sequence == other.sequence;
+        }
+    }
 
     private final ReplicatedLog.Listener listener;
-    private final Map<String, Last> last = new HashMap<>();
-    private final NavigableMap<Long, byte[]> kept = new TreeMap<>();
-    private long number;
-    private long told;
+    private final Map<String, LatestProposal> latestByMember = new HashMap<>();
+    private final NavigableMap<Long, byte[]> retained = new TreeMap<>();
+    private long lastIndex;
+    private long lastNotifiedIndex;
 
     CommittedEntries(ReplicatedLog.Listener listener) {
         this.listener = listener;
     }
 
-    /** As it is written to the log; {@code place}: the how-manieth of this life. */
-    static byte[] proposal(Peer by, long place, byte[] entry) {
+    /**
+     * Encodes a proposal as it is stored in the log; {@code sequence}: its number among those of this
+     * incarnation.
+     */
+    static byte[] encodeProposal(Peer proposer, long sequence, byte[] entry) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (DataOutputStream out = new DataOutputStream(bytes)) {
-            out.writeUTF(by.name());
-            out.writeLong(by.life());
-            out.writeLong(place);
+            out.writeUTF(proposer.name());
+            out.writeLong(proposer.incarnation());
+            out.writeLong(sequence);
             out.write(entry);
         } catch (IOException e) {
-            throw new IllegalStateException(e); // Nothing is written but memory.
+            throw new IllegalStateException(e); // Cannot happen: the stream writes to memory.
         }
         return bytes.toByteArray();
     }
 
-    /** The number of a proposal's answer; 0 where a later one of the same member was chosen before it. */
-    static long number(byte[] answer) {
+    /** The index of a proposal that was answered, or {@link #SUPERSEDED}. */
+    static long decodeAnswer(byte[] answer) {
         return ByteBuffer.wrap(answer).getLong();
     }
 
+    private static byte[] encodeAnswer(long index) {
+        return ByteBuffer.allocate(Long.BYTES).putLong(index).array();
+    }
+
     @Override
     public byte[] apply(byte[] data, int offset, int length, boolean wantsAnswer) throws IOException {
         DataInputStream in = new DataInputStream(new ByteArrayInputStream(data, offset, length));
-        String name = in.readUTF();
-        Last mine = new Last(in.readLong(), in.readLong(), number + 1);
-        Last before = last.get(name);
-        if (before != null && (mine.life < before.life || mine.life == before.life && mine.place <= before.place)) {
-            boolean again = mine.life == before.life && mine.place == before.place;
-            return answer(again ? before.number : 0);
+        String member = in.readUTF();
+        LatestProposal proposal = new LatestProposal(in.readLong(), in.readLong(), lastIndex + 1);
+        LatestProposal latest = latestByMember.get(member);
+        if (latest != null && !proposal.isAfter(latest)) {
+            return encodeAnswer(proposal.isSameProposal(latest) ? latest.index : SUPERSEDED);
         }
-        number++;
-        last.put(name, mine);
-        kept.put(number, in.readAllBytes());
-        if (kept.size() > ReplicatedLog.KEPT) {
-            kept.pollFirstEntry();
+        lastIndex++;
+        latestByMember.put(member, proposal);
+        retained.put(lastIndex, in.readAllBytes());
+        if (retained.size() > ReplicatedLog.RETAINED_ENTRIES) {
+            retained.pollFirstEntry();
         }
-        tell();
-        return answer(number);
-    }
-
-    private static byte[] answer(long number) {
-        return ByteBuffer.allocate(Long.BYTES).putLong(number).array();
+        notifyListener();
+        return encodeAnswer(lastIndex);
     }
 
-    private void tell() {
-        kept.tailMap(told, false).forEach(listener::chosen);
-        told = Math.max(told, number);
+    private void notifyListener() {
+        retained.tailMap(lastNotifiedIndex, false).forEach(listener::onCommitted);
+        lastNotifiedIndex = Math.max(lastNotifiedIndex, lastIndex);
     }
 
     @Override
     public void writeContentTo(DataOutput out) throws IOException {
-        out.writeLong(number);
-        out.writeInt(last.size());
-        for (Map.Entry<String, Last> e : last.entrySet()) {
-            out.writeUTF(e.getKey());
-            out.writeLong(e.getValue().life);
-            out.writeLong(e.getValue().place);
-            out.writeLong(e.getValue().number);
+        out.writeLong(lastIndex);
+        out.writeInt(latestByMember.size());
+        for (Map.Entry<String, LatestProposal> member : latestByMember.entrySet()) {
+            LatestProposal latest = member.getValue();
+            out.writeUTF(member.getKey());
+            out.writeLong(latest.incarnation);
+            out.writeLong(latest.sequence);
+            out.writeLong(latest.index);
         }
-        out.writeInt(kept.size());
-        for (Map.Entry<Long, byte[]> e : kept.entrySet()) {
-            out.writeLong(e.getKey());
-            out.writeInt(e.getValue().length);
-            out.write(e.getValue());
+        out.writeInt(retained.size());
+        for (Map.Entry<Long, byte[]> entry : retained.entrySet()) {
+            out.writeLong(entry.getKey());
+            out.writeInt(entry.getValue().length);
+            out.write(entry.getValue());
         }
     }
 
     @Override
     public void readContentFrom(DataInput in) throws IOException {
-        number = in.readLong();
-        last.clear();
-        for (int left = in.readInt(); left > 0; left--) {
-            last.put(in.readUTF(), new Last(in.readLong(), in.readLong(), in.readLong()));
+        lastIndex = in.readLong();
+        latestByMember.clear();
+        for (int remaining = in.readInt(); remaining > 0; remaining--) {
+            latestByMember.put(in.readUTF(), new LatestProposal(in.readLong(), in.readLong(), in.readLong()));
         }
-        kept.clear();
-        for (int left = in.readInt(); left > 0; left--) {
-            long n = in.readLong();
+        retained.clear();
+        for (int remaining = in.readInt(); remaining > 0; remaining--) {
+            long index = in.readLong();
             byte[] entry = new byte[in.readInt()];
             in.readFully(entry);
-            kept.put(n, entry);
+            retained.put(index, entry);
         }
-        tell();
+        notifyListener();
     }
 }
--- a/decisions/src/main/java/frostreel/routing/DecayingRate.java
+++ b/decisions/src/main/java/frostreel/routing/DecayingRate.java
@@ -3,27 +3,33 @@
 import java.util.function.LongSupplier;
 
 /** An amount per microsecond, averaged over the recent past with exponentially decaying weights. */
-final class DecayingRate {
+public final class DecayingRate {
     private final LongSupplier timeConstantUs;
     private double perUs;
     private double updatedUs;
 
     /** {@code timeConstantUs}: over which it decays to 1/e; read anew each time, as settings may change it. */
-    DecayingRate(LongSupplier timeConstantUs) {
+    public DecayingRate(LongSupplier timeConstantUs) {
         this.timeConstantUs = timeConstantUs;
     }
 
     /** The amount per microsecond as of now. */
-    double at(long nowUs) {
+    public double at(long nowUs) {
         return perUs * Math.exp(-(nowUs - updatedUs) / timeConstantUs.getAsLong());
     }
 
     /** Counts an amount as of now. */
-    void add(long nowUs, double amount) {
+    public void add(long nowUs, double amount) {
         perUs = at(nowUs) + amount / timeConstantUs.getAsLong();
         updatedUs = nowUs;
     }
 
+    /** Changes the rate by a difference, to no less than 0. */
+    public void shift(long nowUs, double difference) {
+        perUs = Math.max(0, at(nowUs) + difference);
+        updatedUs = nowUs;
+    }
+
     /** Multiplies all that was counted so far. */
     void scale(double factor) {
         perUs *= factor;
--- a/decisions/src/main/java/frostreel/zones/ZoneFailoverPolicy.java
+++ b/decisions/src/main/java/frostreel/zones/ZoneFailoverPolicy.java
@@ -1,10 +1,10 @@
 package frostreel.zones;
 
+import frostreel.routing.DecayingRate;
 import frostreel.routing.LocalityPolicy;
 import frostreel.routing.Router;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
-import java.util.Arrays;
 import java.util.EnumMap;
 import java.util.HashMap;
 import java.util.List;
@@ -12,292 +12,241 @@
 import java.util.TreeMap;
 
 /**
- * Tiers of preference among zones, with a bound on what spills to the next and a ramp for what comes back.
+ * Prefers nearer tiers of zones, bounds what spills over to farther ones when nearer replicas fail, and ramps
+ * up replicas that recover.
  *
- * <p>An area, the members of a group in a zone, is lost after failures without a sign of life, sooner where
- * much of its zone is; nothing goes there, and it is probed. What a pooler's nearest tier no longer serves
- * may
- * go to farther ones as far as their budgets reach, what is worth most for its work first; the rest is
- * refused. An area that answers again is taken in over the time in which a cold server warms, starting at a
- * moment that differs from pooler to pooler, each with its part of what the area served before. An area lost
- * again and again must answer for a while first. Writes are none of its matters.
+ * <p>The replicas of a group in a zone go down after consecutive failures, sooner where much of their zone
+ * fails too. They get no requests then but health checks. What the nearest tier no longer serves may go to
+ * farther ones as far as their budgets reach, classes with the highest priority weight for their work first;
+ * the rest is not admitted. Replicas that answer again are ramped up over the time in which a restarted
+ * server warms up, each pooler sending its part of what they served before, beginning at a moment that
+ * differs among poolers. Replicas that fail again and again must pass health checks for a while first. Writes
+ * are not affected.
  */
 public final class ZoneFailoverPolicy implements LocalityPolicy {
-    /** Each farther tier is so many times dearer. */
-    private static final double FARTHER = 2;
-    /** A tier's budget holds what it gains in this time. */
-    private static final double SAVED_US = 500_000;
-    /** The worst class may spill only while a budget is at least so full. */
-    private static final double RESERVE = 0.7;
-    /** A returning member is sent so many times its present share of what it served: it has room for that. */
-    private static final double HASTE = 1.5;
-
-    private static final double SPAN_US = 10e6;
-    private static final double MEAN = 0.05;
-    /** Classes are put in order again after so many reads. */
-    private static final int ORDER_EVERY = 500;
-
-    private Router.Settings set;
+    /**
+     * Recovering replicas get so many times their share of what they served: they have the capacity for that.
+     */
+    private static final double RAMP_HEADROOM = 1.5;
+
+    private final double rampPhase;
+    private final Map<Long, ZoneReplicas> replicaSets = new HashMap<>();
+    private final Map<Integer, ZoneReplicas.NearestTier> nearestTiers = new HashMap<>();
+    private final Map<Integer, ZoneFailureDetector> zoneDetectors = new HashMap<>();
+    private final List<ZoneReplicas> replicasByHandle = new ArrayList<>();
+    private final List<TokenBucket> rampByHandle = new ArrayList<>();
+    private final ArrayDeque<Integer> freeHandles = new ArrayDeque<>();
+    private final ClassRanking ranking = new ClassRanking();
+    /** What the replicas of nearest tiers serve that are up. */
+    private final DecayingRate nearestServed = new DecayingRate(() -> ZoneReplicas.SERVED_SPAN_US);
+
+    private Router.Rules rules;
     private ZoneSettings zones;
-    private final double phase;
-    private final Map<Long, ZoneReplicas> areas = new HashMap<>();
-    private final Map<Integer, ZoneReplicas.Group> groups = new HashMap<>();
-    private final Map<Integer, ZoneReplicas.Zone> byZone = new HashMap<>();
-    private final List<ZoneReplicas> byHandle = new ArrayList<>();
-    private final List<TokenBucket> ramps = new ArrayList<>();
-    private final ArrayDeque<Integer> free = new ArrayDeque<>();
-    private TokenBucket[] spills;
-    private double[] costFactors;
-    /** For the overview: reads sent and turned down by tier, and what became of areas. */
-    private long[] sent;
-
-    private long[] denied;
-    private long losses;
-    private long returns;
-    private final Rate home = new Rate(SPAN_US);
-    /** What the lost and returning areas of nearest tiers served. */
-    private double missing;
-
-    private boolean everServed;
-    private double[] work = {};
-    private double[] reserve = {};
-    private int untilOrder = ORDER_EVERY;
-    private double anyWork;
-
-    /** {@code phase}: at least 0 and under 1, drawn anew for each pooler. */
-    public ZoneFailoverPolicy(Router.Settings settings, ZoneSettings zones, double phase) {
-        this.phase = phase;
+    private SpillBudgets budgets;
+    /** What the replicas of nearest tiers served that are not up. */
+    private double missingRate;
+
+    private boolean nearestHasServed;
+    private long outages;
+    private long recoveries;
+
+    /**
+     * {@code rampPhase}: at least 0 and under 1, drawn for each pooler, so that ramps do not begin in the
+     * same moment.
+     */
+    public ZoneFailoverPolicy(Router.Settings settings, ZoneSettings zones, double rampPhase) {
+        this.rampPhase = rampPhase;
         configure(zones);
         settings(settings);
     }
 
-    /** What is known of the classes that were there before stays. */
     @Override
     public void settings(Router.Settings settings) {
-        set = settings;
-        int known = work.length;
-        work = Arrays.copyOf(work, settings.classes().size());
-        reserve = Arrays.copyOf(reserve, work.length);
-        for (int c = known; c < work.length; c++) {
-            work[c] = settings.classes().get(c).latencyObjectiveUs() / 5.0;
-        }
-        anyWork = Arrays.stream(work).min().orElse(1);
-        order();
+        rules = settings.rules();
+        ranking.configure(settings.classes());
     }
 
-    /** Goes over to other tiers; what is known of areas stays, and the budgets begin empty. */
+    /** Takes other tiers: what is known of replicas stays, and the budgets begin empty. */
     public void configure(ZoneSettings settings) {
         zones = settings;
-        spills = new TokenBucket[zones.tiers().size() + 1];
-        costFactors = new double[spills.length];
-        sent = new long[spills.length];
-        denied = new long[spills.length];
-        for (int t = 0; t < spills.length; t++) {
-            spills[t] = new TokenBucket();
-            costFactors[t] = Math.pow(FARTHER, t);
+        budgets = new SpillBudgets(settings);
+        nearestTiers.values().forEach(ZoneReplicas.NearestTier::reset);
+        for (ZoneReplicas replicas : replicaSets.values()) {
+            replicas.assignTier(zones.tierOf(replicas.zone()));
         }
-        groups.values().forEach(g -> g.nearest = Integer.MAX_VALUE);
-        for (ZoneReplicas a : areas.values()) {
-            a.tier = zones.tierOf(a.zone.number);
-            a.group.nearest = Math.min(a.group.nearest, a.tier);
-        }
-        missing = 0;
-        for (ZoneReplicas a : areas.values()) {
-            missing += a.nearest() && a.health != ZoneReplicas.Health.UP ? a.usual(0) : 0;
+        missingRate = 0;
+        for (ZoneReplicas replicas : replicaSets.values()) {
+            missingRate += replicas.isNearest() && !replicas.isUp() ? replicas.servedBeforeOutage() : 0;
         }
     }
 
-    // ---- Seats. ----
-
     @Override
     public int memberHandle(int group, int zone) {
-        ZoneReplicas area = areas.computeIfAbsent((long) group << 32 | zone, k -> {
-            ZoneReplicas made = new ZoneReplicas(
-                    groups.computeIfAbsent(group, g -> new ZoneReplicas.Group()),
-                    byZone.computeIfAbsent(zone, ZoneReplicas.Zone::new),
-                    zones.tierOf(zone));
-            made.zone.areas.add(made);
-            return made;
-        });
-        area.handles++;
-        area.group.nearest = Math.min(area.group.nearest, area.tier);
-        Integer handle = free.poll();
+        ZoneReplicas replicas =
+                replicaSets.computeIfAbsent((long) group << Integer.SIZE | zone, key -> newReplicas(group, zone));
+        replicas.addMember();
+        Integer handle = freeHandles.poll();
         if (handle == null) {
-            handle = byHandle.size();
-            byHandle.add(area);
-            ramps.add(new TokenBucket());
+            handle = replicasByHandle.size();
+            replicasByHandle.add(replicas);
+            rampByHandle.add(new TokenBucket());
         } else {
-            byHandle.set(handle, area);
-            ramps.set(handle, new TokenBucket());
+            replicasByHandle.set(handle, replicas);
+            rampByHandle.set(handle, new TokenBucket());
         }
         return handle;
     }
 
+    private ZoneReplicas newReplicas(int group, int zone) {
+        return new ZoneReplicas(
+                nearestTiers.computeIfAbsent(group, key -> new ZoneReplicas.NearestTier()),
+                zoneDetectors.computeIfAbsent(zone, ZoneFailureDetector::new),
+                zones.tierOf(zone));
+    }
+
     @Override
     public void left(int handle) {
-        byHandle.get(handle).handles--;
-        free.add(handle);
+        replicasByHandle.get(handle).removeMember();
+        freeHandles.add(handle);
     }
 
-    // ---- Events. ----
-
     @Override
     public void ended(long nowUs, int handle, Router.Outcome outcome, double workUs) {
-        ZoneReplicas a = byHandle.get(handle);
+        ZoneReplicas replicas = replicasByHandle.get(handle);
         switch (outcome) {
             case OK -> {
-                a.alive(nowUs);
-                a.served(nowUs, workUs);
-                if (a.nearest() && a.health == ZoneReplicas.Health.UP) {
-                    home.add(nowUs, workUs);
-                    everServed = true;
+                replicas.recordSuccess(nowUs);
+                replicas.recordServed(nowUs, workUs);
+                if (replicas.isNearest() && replicas.isUp()) {
+                    nearestServed.add(nowUs, workUs);
+                    nearestHasServed = true;
                 }
             }
-            case WRONG_ROLE_OR_STALE, REJECTED, ERROR -> a.alive(nowUs);
-            case TIMEOUT, RESET, CONNECT_FAILED -> failed(nowUs, a);
+            case WRONG_ROLE_OR_STALE, REJECTED, ERROR -> replicas.recordSuccess(nowUs); // It answers.
+            case TIMEOUT, RESET, CONNECT_FAILED -> recordFailure(nowUs, replicas);
             default -> {}
         }
     }
 
     @Override
     public void probed(long nowUs, int handle, boolean ok) {
-        ZoneReplicas a = byHandle.get(handle);
+        ZoneReplicas replicas = replicasByHandle.get(handle);
         if (!ok) {
-            failed(nowUs, a);
-        } else if (a.answers(nowUs)) {
-            returns++;
-            if (a.health == ZoneReplicas.Health.UP) {
-                regained(nowUs, a);
-                return;
+            recordFailure(nowUs, replicas);
+        } else if (replicas.recordHealthy(nowUs)) {
+            recoveries++;
+            if (replicas.isUp()) {
+                recordRecovery(nowUs, replicas);
+            } else {
+                beginRamp(nowUs, replicas);
             }
-            for (int s = 0; s < byHandle.size(); s++) {
-                if (byHandle.get(s) == a) {
-                    // Poolers that see the return in the same moment must not send in the same moment.
-                    ramps.get(s).reset(nowUs, -phase * anyWork);
-                }
+        }
+    }
+
+    /** Poolers that see the recovery in the same moment must not all send in the same moment. */
+    private void beginRamp(long nowUs, ZoneReplicas replicas) {
+        for (int handle = 0; handle < replicasByHandle.size(); handle++) {
+            if (replicasByHandle.get(handle) == replicas) {
+                rampByHandle.get(handle).reset(nowUs, -rampPhase * ranking.meanWorkUs());
             }
         }
     }
 
-    private void failed(long nowUs, ZoneReplicas a) {
-        if (a.failed(nowUs)) {
-            lose(nowUs, a);
+    private void recordFailure(long nowUs, ZoneReplicas replicas) {
+        if (replicas.recordFailure(nowUs)) {
+            markDown(nowUs, replicas);
         }
-        if (a.zone.silent()) {
-            for (ZoneReplicas each : a.zone.areas) {
-                if (each.open()) {
-                    lose(nowUs, each);
+        if (replicas.zoneDetector().hasFailed()) {
+            for (ZoneReplicas other : replicas.zoneDetector().replicaSets()) {
+                if (other.isOpen()) {
+                    markDown(nowUs, other);
                 }
             }
         }
     }
 
-    private void lose(long nowUs, ZoneReplicas a) {
-        boolean fresh = a.nearest() && a.health == ZoneReplicas.Health.UP;
-        losses++;
-        a.lose(nowUs);
-        if (fresh) {
-            home.shift(nowUs, -a.usual(nowUs));
-            missing += a.usual(nowUs);
+    private void markDown(long nowUs, ZoneReplicas replicas) {
+        boolean servedNearest = replicas.isNearest() && replicas.isUp();
+        outages++;
+        replicas.markDown(nowUs);
+        if (servedNearest) {
+            nearestServed.shift(nowUs, -replicas.servedBeforeOutage());
+            missingRate += replicas.servedBeforeOutage();
         }
     }
 
-    private void regained(long nowUs, ZoneReplicas a) {
-        if (a.nearest()) {
-            missing = Math.max(0, missing - a.usualBefore());
-            home.shift(nowUs, a.usualBefore());
+    private void recordRecovery(long nowUs, ZoneReplicas replicas) {
+        if (replicas.isNearest()) {
+            missingRate = Math.max(0, missingRate - replicas.servedBeforeOutage());
+            nearestServed.shift(nowUs, replicas.servedBeforeOutage());
         }
     }
 
     @Override
-    public void sent(long nowUs, int handle, int cls, double workUs) {
-        ZoneReplicas a = byHandle.get(handle);
-        sent[a.tier]++;
-        work[cls] += MEAN * (workUs - work[cls]);
-        anyWork += MEAN * (workUs - anyWork);
-        if (--untilOrder <= 0) {
-            untilOrder = ORDER_EVERY;
-            order();
+    public void sent(long nowUs, int handle, int classIndex, double workUs) {
+        ZoneReplicas replicas = replicasByHandle.get(handle);
+        budgets.countSent(replicas.tier());
+        ranking.recordSent(classIndex, workUs);
+        if (replicas.isRecovering()) {
+            rampByHandle.get(handle).take(workUs);
         }
-        if (a.health == ZoneReplicas.Health.RETURNING) {
-            ramps.get(handle).take(workUs);
-        }
-        if (!a.nearest()) {
-            spills[a.tier].take(workUs);
+        if (!replicas.isNearest()) {
+            budgets.spend(replicas.tier(), workUs);
         }
     }
 
-    /** What is worth least for its work stands at the top of the reserves. */
-    private void order() {
-        for (int c = 0; c < work.length; c++) {
-            int better = 0;
-            for (int o = 0; o < work.length; o++) {
-                better += density(o) > density(c) ? 1 : 0;
-            }
-            reserve[c] = RESERVE * better / Math.max(1, work.length - 1);
-        }
-    }
-
-    private double density(int cls) {
-        return set.classes().get(cls).priorityWeight() / work[cls];
-    }
-
-    // ---- Answers. ----
-
     @Override
     public double costFactor(long nowUs, int handle) {
-        ZoneReplicas a = byHandle.get(handle);
-        return a.open() ? costFactors[a.tier] : Double.POSITIVE_INFINITY;
+        ZoneReplicas replicas = replicasByHandle.get(handle);
+        return replicas.isOpen() ? budgets.costFactor(replicas.tier()) : Double.POSITIVE_INFINITY;
     }
 
     @Override
-    public boolean admits(long nowUs, int handle, int cls) {
-        ZoneReplicas a = byHandle.get(handle);
-        if (!a.open() || a.health == ZoneReplicas.Health.RETURNING && !admits(nowUs, handle, a)) {
+    public boolean admits(long nowUs, int handle, int classIndex) {
+        ZoneReplicas replicas = replicasByHandle.get(handle);
+        if (!replicas.isOpen() || replicas.isRecovering() && !rampAdmits(nowUs, handle, replicas)) {
             return false;
         }
-        if (a.nearest() || !everServed) {
+        if (replicas.isNearest() || !nearestHasServed) {
             return true;
         }
-        double perUs = zones.tiers().get(a.tier - 1).spill() * (home.at(nowUs) + missing);
-        double capUs = Math.max(perUs * SAVED_US, anyWork);
-        boolean fits = spills[a.tier].level(nowUs, perUs, capUs) > reserve[cls] * capUs;
-        denied[a.tier] += fits ? 0 : 1;
-        return fits;
+        double nearestRate = nearestServed.at(nowUs) + missingRate;
+        return budgets.admits(nowUs, replicas.tier(), nearestRate, ranking.meanWorkUs(), ranking.reserve(classIndex));
     }
 
-    /** Whether a returning area may be sent one more, at its present share of what it served before. */
-    private boolean admits(long nowUs, int handle, ZoneReplicas a) {
-        double present = a.present(nowUs, set.rules().coldFrom(), set.rules().warmAfterUs());
-        if (present >= 1) {
-            regained(nowUs, a);
-            a.health = ZoneReplicas.Health.UP;
+    private boolean rampAdmits(long nowUs, int handle, ZoneReplicas replicas) {
+        double share = replicas.rampShare(nowUs, rules.coldFrom(), rules.warmAfterUs());
+        if (share >= 1) {
+            recordRecovery(nowUs, replicas);
+            replicas.completeRecovery();
             return true;
         }
-        // One that served this pooler nothing may still be sent a little: a core's work, shared by all
-        // poolers.
-        double perUs = HASTE * present * Math.max(a.usual(nowUs) / a.handles, 1.0 / zones.poolers());
-        return ramps.get(handle)
-                        .level(nowUs, perUs, Math.max(perUs * set.rules().fallUs() / 2, anyWork))
-                > 0;
+        // Replicas that served this pooler nothing still get a little: one core's work, divided among all poolers.
+        double fullRate = Math.max(replicas.usualRate(nowUs) / replicas.members(), 1.0 / zones.poolers());
+        double rate = RAMP_HEADROOM * share * fullRate;
+        double capacityUs = Math.max(rate * rules.fallUs() / 2, ranking.meanWorkUs());
+        return rampByHandle.get(handle).fill(nowUs, rate, capacityUs) > 0;
     }
 
     @Override
     public boolean healthCheckDue(long nowUs, int handle) {
-        return byHandle.get(handle).probeDue(nowUs);
+        return replicasByHandle.get(handle).healthCheckDue(nowUs);
     }
 
-    /** The overview: areas by zone and health, reads sent and turned down by tier, losses and returns. */
+    /**
+     * The page {@code SHOW zones}: replicas by zone and health, reads sent and denied by tier, outages and
+     * recoveries.
+     */
     @Override
     public String toString() {
-        Map<Integer, Map<ZoneReplicas.Health, Integer>> healths = new TreeMap<>();
-        for (ZoneReplicas a : areas.values()) {
-            if (a.handles > 0) {
-                healths.computeIfAbsent(a.zone.number, z -> new EnumMap<>(ZoneReplicas.Health.class))
-                        .merge(a.health, 1, Integer::sum);
+        Map<Integer, Map<ZoneReplicas.Health, Integer>> healthByZone = new TreeMap<>();
+        for (ZoneReplicas replicas : replicaSets.values()) {
+            if (replicas.members() > 0) {
+                healthByZone
+                        .computeIfAbsent(replicas.zone(), zone -> new EnumMap<>(ZoneReplicas.Health.class))
+                        .merge(replicas.health(), 1, Integer::sum);
             }
         }
-        return "areas=" + healths + " sent_by_tier=" + Arrays.toString(sent) + " denied_by_tier="
-                + Arrays.toString(denied) + " losses=" + losses + " returns=" + returns;
+        return "replicas=" + healthByZone + " " + budgets + " outages=" + outages + " recoveries=" + recoveries;
     }
 }
--- a/decisions/src/main/java/frostreel/zones/ZoneReplicas.java
+++ b/decisions/src/main/java/frostreel/zones/ZoneReplicas.java
@@ -1,192 +1,213 @@
 package frostreel.zones;
 
-import java.util.ArrayList;
-import java.util.List;
-
-/** The members of one group in one zone: what this pooler saw of them, and whether reads may go there. */
+import frostreel.routing.DecayingRate;
+
+/**
+ * The replicas of one group in one zone: their health as this pooler observes it, and what they usually serve
+ * it.
+ *
+ * <p>{@code UP} becomes {@code DOWN} by consecutive failures; {@code DOWN} becomes {@code PROBATION} by the
+ * first health check that succeeds, and {@code RECOVERING} after the delay of {@link FlapDamping}; {@code
+ * RECOVERING} becomes {@code UP} at the end of the ramp, or {@code DOWN} by a single failure.
+ */
 final class ZoneReplicas {
-    /** HELD: it answers probes again, and has been lost too often of late to be believed at once. */
+    /** Whether requests are sent. */
     enum Health {
+        /** They are. */
         UP,
-        LOST,
-        HELD,
-        RETURNING
-    }
-
-    /** So many failures on end, with no sign of life between, and it is lost. */
-    private static final int FAILURES = 3;
-    /** After a sign of life failures do not count at once: they may be older than it. */
-    private static final long ALIVE_US = 200_000;
-
-    private static final long PROBE_US = 500_000;
-    /** A loss weighs so long in the damping of the next return. */
-    private static final double FLAP_FADE_US = 60e6;
-    /** The second loss within the fading time holds a return for so long, each further one twice as long. */
-    private static final double HOLD_US = 2e6;
-
-    private static final double MOST_HOLD_US = 60e6;
-    private static final double SERVED_SPAN_US = 10e6;
-
-    /** What a group's areas share: its nearest tier, which never grows farther: gone members are missed. */
-    static final class Group {
-        int nearest = Integer.MAX_VALUE;
+        /** They are not: the replicas failed. */
+        DOWN,
+        /** They are not: health checks succeed, but the replicas failed too often of late. */
+        PROBATION,
+        /** They are, at a share that grows. */
+        RECOVERING
     }
 
     /**
-     * What the areas of a zone tell of it together: few reads an area go a long way when they are added up.
+     * The nearest tier in which a group ever had a member. It stays when those leave, so that they are
+     * missed.
      */
-    static final class Zone {
-        /**
-         * So many failures on end in two areas or more, with no sign of life anywhere, and all of it is lost.
-         */
-        private static final int FAILURES = 4;
-
-        final int number;
-        final List<ZoneReplicas> areas = new ArrayList<>();
-        private int failures;
-        private ZoneReplicas failedFirst;
-        private boolean spread;
-        private long aliveAt = Long.MIN_VALUE / 2;
-
-        Zone(int number) {
-            this.number = number;
-        }
+    static final class NearestTier {
+        private static final int NONE = Integer.MAX_VALUE;
+        private int tier = NONE;
 
-        private void alive(long nowUs) {
-            failures = 0;
-            spread = false;
-            failedFirst = null;
-            aliveAt = nowUs;
+        void include(int other) {
+            tier = Math.min(tier, other);
         }
 
-        private void failed(long nowUs, ZoneReplicas area) {
-            if (nowUs - aliveAt > ALIVE_US) {
-                failures++;
-                failedFirst = failedFirst == null ? area : failedFirst;
-                spread |= failedFirst != area;
-            }
-        }
-
-        /** Whether nothing in it says a word. */
-        boolean silent() {
-            return spread && failures >= FAILURES;
+        void reset() {
+            tier = NONE;
         }
     }
 
-    final Group group;
-    final Zone zone;
-    int tier;
-    int handles;
-    Health health = Health.UP;
-    private final Rate served = new Rate(SERVED_SPAN_US);
-    /** What it served this pooler before it was lost. */
-    private double usual;
+    /** Consecutive failures by which replicas go down. */
+    private static final int FAILURES_TO_MARK_DOWN = 3;
+    /** The same while they are not up. */
+    private static final int FAILURES_TO_MARK_DOWN_AGAIN = 1;
+
+    private static final long HEALTH_CHECK_INTERVAL_US = 500_000;
+    /** What they serve is averaged over this time. */
+    static final long SERVED_SPAN_US = 10_000_000;
 
+    private final NearestTier nearestTier;
+    private final ZoneFailureDetector zoneDetector;
+    private final FlapDamping damping = new FlapDamping();
+    private final DecayingRate served = new DecayingRate(() -> SERVED_SPAN_US);
+    private int tier;
+    private int members;
+    private Health health = Health.UP;
+    private double servedBeforeOutage;
     private int failures;
-    private boolean suspected;
-    private long aliveAt = Long.MIN_VALUE / 2;
-    private double flaps;
-    private long flapsAt;
-    private long answersSince;
-    private long returnedAt;
-    private long probeAt;
-
-    ZoneReplicas(Group group, Zone zone, int tier) {
-        this.group = group;
-        this.zone = zone;
+    /** Whether they went down with their zone, without a failure of their own. */
+    private boolean downWithZone;
+
+    private long lastSuccessUs = ZoneFailureDetector.NEVER_US;
+    private long probationSinceUs;
+    private long recoveringSinceUs;
+    private long nextHealthCheckUs;
+
+    ZoneReplicas(NearestTier nearestTier, ZoneFailureDetector zoneDetector, int tier) {
+        this.nearestTier = nearestTier;
+        this.zoneDetector = zoneDetector;
         this.tier = tier;
+        zoneDetector.add(this);
+    }
+
+    int zone() {
+        return zoneDetector.zone;
+    }
+
+    ZoneFailureDetector zoneDetector() {
+        return zoneDetector;
+    }
+
+    int tier() {
+        return tier;
+    }
+
+    /** Moves them to a tier, which counts for their group's nearest one. */
+    void assignTier(int newTier) {
+        tier = newTier;
+        nearestTier.include(newTier);
+    }
+
+    /** Whether they are in the nearest tier of their group. */
+    boolean isNearest() {
+        return tier <= nearestTier.tier;
+    }
+
+    int members() {
+        return members;
     }
 
-    boolean nearest() {
-        return tier <= group.nearest;
+    void addMember() {
+        members++;
+        nearestTier.include(tier);
     }
 
-    void alive(long nowUs) {
+    void removeMember() {
+        members--;
+    }
+
+    Health health() {
+        return health;
+    }
+
+    boolean isUp() {
+        return health == Health.UP;
+    }
+
+    boolean isRecovering() {
+        return health == Health.RECOVERING;
+    }
+
+    /** Whether requests may be sent. */
+    boolean isOpen() {
+        return health == Health.UP || health == Health.RECOVERING;
+    }
+
+    void recordSuccess(long nowUs) {
         failures = 0;
-        aliveAt = nowUs;
-        zone.alive(nowUs);
+        lastSuccessUs = nowUs;
+        zoneDetector.recordSuccess(nowUs);
     }
 
-    void served(long nowUs, double workUs) {
+    void recordServed(long nowUs, double workUs) {
         served.add(nowUs, workUs);
     }
 
-    /** Counts a failure; true where the area is lost by it. */
-    boolean failed(long nowUs) {
+    /** Records a failure; true where the replicas go down by it, and {@link #markDown} has to follow. */
+    boolean recordFailure(long nowUs) {
         failures++;
-        zone.failed(nowUs, this);
-        return health != Health.LOST && nowUs - aliveAt > ALIVE_US && failures >= (health != Health.UP ? 1 : FAILURES);
+        zoneDetector.recordFailure(nowUs, this);
+        int limit = health == Health.UP ? FAILURES_TO_MARK_DOWN : FAILURES_TO_MARK_DOWN_AGAIN;
+        return health != Health.DOWN
+                && nowUs - lastSuccessUs > ZoneFailureDetector.SUCCESS_GRACE_US
+                && failures >= limit;
     }
 
     /**
-     * Nothing goes there from now on. One that is lost for its silent zone alone, with no failure of its own,
-     * is as good as before if the first probe says so.
+     * Stops requests. Where it is for the zone alone, the first successful health check brings the replicas
+     * back as before.
      */
-    void lose(long nowUs) {
-        suspected = failures == 0;
+    void markDown(long nowUs) {
+        downWithZone = failures == 0;
         if (health == Health.UP) {
-            usual = served.at(Math.max(aliveAt, 0));
+            servedBeforeOutage = served.at(Math.max(lastSuccessUs, 0));
         }
-        if (!suspected) {
-            flaps = flaps(nowUs) + 1;
-            flapsAt = nowUs;
+        if (!downWithZone) {
+            damping.recordFailure(nowUs);
         }
-        health = Health.LOST;
-        probeAt = nowUs;
-    }
-
-    private double flaps(long nowUs) {
-        return flaps * Math.exp((flapsAt - nowUs) / FLAP_FADE_US);
-    }
-
-    /** How long it must answer before it is taken in again: at once after a first loss. */
-    private double holdUs(long nowUs) {
-        return Math.min(MOST_HOLD_US, HOLD_US * (Math.pow(2, Math.max(0, flaps(nowUs) - 1.2)) - 1));
+        health = Health.DOWN;
+        nextHealthCheckUs = nowUs;
     }
 
-    /** A probe was answered; true where the area returns by it. */
-    boolean answers(long nowUs) {
-        boolean unharmed = suspected && failures == 0;
-        alive(nowUs);
-        if (health == Health.LOST && unharmed) {
+    /** Records a successful health check; true where it lets requests be sent again. */
+    boolean recordHealthy(long nowUs) {
+        boolean unharmed = downWithZone && failures == 0;
+        recordSuccess(nowUs);
+        if (health == Health.DOWN && unharmed) {
             health = Health.UP;
             return true;
         }
-        if (health == Health.LOST) {
-            health = Health.HELD;
-            answersSince = nowUs;
+        if (health == Health.DOWN) {
+            health = Health.PROBATION;
+            probationSinceUs = nowUs;
         }
-        if (health == Health.HELD && nowUs - answersSince >= holdUs(answersSince)) {
-            health = Health.RETURNING;
-            returnedAt = nowUs;
+        if (health == Health.PROBATION && nowUs - probationSinceUs >= damping.delayUs(probationSinceUs)) {
+            health = Health.RECOVERING;
+            recoveringSinceUs = nowUs;
             return true;
         }
         return false;
     }
 
-    boolean open() {
-        return health == Health.UP || health == Health.RETURNING;
+    /** Ends the ramp. */
+    void completeRecovery() {
+        health = Health.UP;
     }
 
-    boolean probeDue(long nowUs) {
-        if (open() || nowUs < probeAt) {
+    /** Whether a health check is due; counts as made where it is. */
+    boolean healthCheckDue(long nowUs) {
+        if (isOpen() || nowUs < nextHealthCheckUs) {
             return false;
         }
-        probeAt = nowUs + PROBE_US;
+        nextHealthCheckUs = nowUs + HEALTH_CHECK_INTERVAL_US;
         return true;
     }
 
-    /** Its share of what it can do warm, from its return on: its members may all have just started. */
-    double present(long nowUs, double coldFrom, long warmAfterUs) {
-        return Math.min(1, coldFrom + (1 - coldFrom) * (nowUs - returnedAt) / warmAfterUs);
+    /** The share of their full capacity that they have by now: all of their members may have restarted. */
+    double rampShare(long nowUs, double coldShare, long warmAfterUs) {
+        return Math.min(1, coldShare + (1 - coldShare) * (nowUs - recoveringSinceUs) / warmAfterUs);
     }
 
-    /** What it served before it was last lost. */
-    double usualBefore() {
-        return usual;
+    /** What they served before they last went down, in microseconds of work a microsecond. */
+    double servedBeforeOutage() {
+        return servedBeforeOutage;
     }
 
-    double usual(long nowUs) {
-        return health == Health.UP ? served.at(nowUs) : usual;
+    /** What they usually serve, in microseconds of work a microsecond: now, or before they went down. */
+    double usualRate(long nowUs) {
+        return health == Health.UP ? served.at(nowUs) : servedBeforeOutage;
     }
 }
--- a/pooler/src/main/java/frostreel/ConfigReloader.java
+++ b/pooler/src/main/java/frostreel/ConfigReloader.java
@@ -62,7 +62,7 @@
         loop.thread().execute(() -> {
             loop.counters().reloads++;
             apply(config.settings());
-            if (!config.sameLists(inForce)) {
+            if (!config.hasSameDiscovery(inForce)) {
                 endpoints.moveTo(config);
             }
             inForce = config;
@@ -109,7 +109,7 @@
         }
         loop.thread()
                 .execute(() -> operators
-                        .zonesFor(config.settings().zone(), config.zones())
+                        .zoneSettings(config.settings().zone(), config.zones())
                         .ifPresent(zones -> {
                             if (zonePolicy == null) {
                                 LOG.warning("zones are stated now: they hold from the next start");
--- a/pooler/src/main/java/frostreel/EndpointSource.java
+++ b/pooler/src/main/java/frostreel/EndpointSource.java
@@ -27,7 +27,7 @@
     /** How many times longer the wait is, counted from the start, while no connection to discovery comes up. */
     private static final int UNREACHABLE_FACTOR = 3;
     /** The version that asks discovery for the complete list. */
-    private static final long NO_VERSION = -1;
+    private static final long NO_VERSION = DiscoveryWatch.NO_VERSION;
 
     private static final Logger LOG = Logger.getLogger(EndpointSource.class.getName());
 
@@ -55,12 +55,13 @@
         this.configuredListPatienceUs = configuredListPatienceUs;
         this.receiver = receiver;
         this.readiness = readiness;
-        configured = config.known();
-        watch = newWatch(config, configured.hosts().isEmpty() ? NO_VERSION : configured.seq());
+        configured = config.initialEndpoints();
+        watch = newWatch(config, configured.endpoints().isEmpty() ? NO_VERSION : configured.version());
     }
 
     private DiscoveryWatch newWatch(Config config, long version) {
-        return new DiscoveryWatch(loop, config.discovery(), config.zones(), config.kinds(), version, this::received);
+        return new DiscoveryWatch(
+                loop, config.discoveryAddress(), config.zones(), config.machineTypes(), version, this::received);
     }
 
     /** Starts to watch the discovery agent. */
@@ -70,13 +71,13 @@
 
     /** Bounds the time for which the start waits for the first list. */
     void limitWaitForFirstList() {
-        if (configured.hosts().isEmpty()) {
+        if (configured.endpoints().isEmpty()) {
             loop.deadlines().after(FIRST_LIST_PATIENCE_US, readiness::serversKnown);
             return;
         }
         Deadlines.Deadline unreachable =
                 loop.deadlines().after(UNREACHABLE_FACTOR * configuredListPatienceUs, readiness::serversKnown);
-        watch.onAsked(() -> {
+        watch.onFirstRequest(() -> {
             loop.deadlines().cancel(unreachable);
             loop.deadlines().after(configuredListPatienceUs, readiness::serversKnown);
         });
@@ -99,11 +100,11 @@
             replacement.stop();
         }
         DiscoveryWatch named = newWatch(config, NO_VERSION);
-        named.onAnswer(() -> {
+        named.onFirstList(() -> {
             watch.stop();
             watch = named;
             replacement = null;
-            LOG.info("discovery is now at " + config.discovery());
+            LOG.info("discovery is now at " + config.discoveryAddress());
         });
         replacement = named;
         named.start();
@@ -111,7 +112,7 @@
 
     private void received(EndpointList list) {
         applyConfigured();
-        receiver.accept(list, list.whole() ? Router.ListKind.FULL : Router.ListKind.CHANGES);
+        receiver.accept(list, list.complete() ? Router.ListKind.FULL : Router.ListKind.CHANGES);
         readiness.serversKnown();
     }
 
--- a/pooler/src/main/java/frostreel/Pooler.java
+++ b/pooler/src/main/java/frostreel/Pooler.java
@@ -47,19 +47,19 @@
      * {@code lingerUs}: how long a client whose connection was ended may take to end it too.
      */
     Pooler(Config config, OperatorSettings operators, long configuredListPatienceUs, long lingerUs) throws IOException {
-        loop = new EventLoop(ClockAnchor.clock(config.orders()));
+        loop = new EventLoop(ClockAnchor.clock(config.commandFolder()));
         PeerProcessCommits peer = PeerProcessCommits.open(config, loop.clock().now());
         loop.onHeartbeat(peer.writeObserver()::onHeartbeat);
         ServerPool pool = new ServerPool(loop, config.settings(), config.maxServerConnections());
         broker = broker(config, operators, pool, peer);
         RequestClassRegistry classes =
                 new RequestClassRegistry(config.settings().classes());
-        lifecycle =
-                new ServingLifecycle(config.inherits(), ConfigReloader.longestDeadlineUs(config.settings()), lingerUs);
+        lifecycle = new ServingLifecycle(
+                config.inheritsListener(), ConfigReloader.longestDeadlineUs(config.settings()), lingerUs);
         listener = listener(config, classes);
         commands = new CommandExecutor(
-                loop, lifecycle, pool, broker, listener::applyLifecycle, config.orders(), incarnation(config));
-        AdminListener admin = config.control() == null ? null : new AdminListener(loop, commands);
+                loop, lifecycle, pool, broker, listener::applyLifecycle, config.commandFolder(), incarnation(config));
+        AdminListener admin = config.adminAddress() == null ? null : new AdminListener(loop, commands);
         ClusterMember clusterMember =
                 operators.cluster() == null ? null : new ClusterMember(operators.cluster(), config.name(), loop);
         readiness = new Readiness(lifecycle, listener);
@@ -82,7 +82,7 @@
                 loop.events(),
                 pool,
                 config.settings(),
-                config.maxOpen(),
+                config.maxOpenRequests(),
                 (settings, actions) -> router(config, operators, peer, settings, actions),
                 peer.writeObserver());
     }
@@ -98,7 +98,7 @@
         }
         zonePolicy = new ZoneFailoverPolicy(
                 settings,
-                operators.zonesFor(settings.zone(), config.zones()).orElseThrow(),
+                operators.zoneSettings(settings.zone(), config.zones()).orElseThrow(),
                 new SplittableRandom(settings.seed()).nextDouble());
         return new ChainRouter(settings, actions, zonePolicy, peer.peerCommits());
     }
@@ -110,7 +110,7 @@
                 lifecycle,
                 classes,
                 config.maxClients(),
-                config.usualClients(),
+                config.expectedClients(),
                 config.settings().seed());
     }
 
--- a/pooler/src/main/java/frostreel/ServingSockets.java
+++ b/pooler/src/main/java/frostreel/ServingSockets.java
@@ -62,7 +62,7 @@
 
     private void openClients() throws IOException {
         if (!clientsOpen) {
-            clients.open(config.listen(), config.inherits());
+            clients.open(config.listenAddress(), config.inheritsListener());
             clientsOpen = true;
             LOG.info("listening on " + clients.address() + " as " + config.name());
         }
@@ -70,13 +70,13 @@
 
     private void openAdmin() throws IOException {
         if (admin != null) {
-            admin.open(config.control());
+            admin.open(config.adminAddress());
             LOG.info("admin endpoint listening on " + admin.address());
         }
     }
 
     private String addresses() {
-        return config.listen() + (admin == null ? "" : " and " + config.control());
+        return config.listenAddress() + (admin == null ? "" : " and " + config.adminAddress());
     }
 
     /** Waits for the sockets and returns the address for clients; not for the I/O thread. */
--- a/pooler/src/main/java/frostreel/backend/ServerPool.java
+++ b/pooler/src/main/java/frostreel/backend/ServerPool.java
@@ -106,12 +106,12 @@
      *
      * @param complete whether the list names all endpoints, so that one not on it is gone
      */
-    public void updateEndpoints(List<EndpointList.Host> hosts, boolean complete) {
+    public void updateEndpoints(List<EndpointList.Endpoint> hosts, boolean complete) {
         Set<Server> listed = new HashSet<>();
-        for (EndpointList.Host host : hosts) {
+        for (EndpointList.Endpoint host : hosts) {
             Server server = servers.computeIfAbsent(host.member().id(), id -> new Server());
             listed.add(server);
-            server.address = host.dial();
+            server.address = host.address();
             setState(server, host.member().state());
         }
         if (complete) {
--- a/pooler/src/main/java/frostreel/config/ReloadCompatibility.java
+++ b/pooler/src/main/java/frostreel/config/ReloadCompatibility.java
@@ -1,59 +1,73 @@
 package frostreel.config;
 
+import java.util.Optional;
 import java.util.Set;
 import java.util.TreeSet;
 import org.json.JSONArray;
 import org.json.JSONObject;
 
 /**
- * Whether a file that was written anew is whole: what the file in force states it must state too, as a value
- * left out would get a default that nobody chose. Lists may change in length; of the objects in one, each has
- * to state what all of the old list's did.
+ * Checks that a configuration file written anew states everything that the file in force states, as a value
+ * left out would fall back to a default that nobody chose. Lists may change in length; each object of the new
+ * list must have every key that all objects of the old one share.
  */
 final class ReloadCompatibility {
     private ReloadCompatibility() {}
 
-    /** The first key that is missing, with its way there; null where none is. */
-    static String missing(JSONObject before, JSONObject now) {
-        return missing("", before, now);
+    /** The first key that the new file lacks, as a path from the root; empty where it lacks none. */
+    static Optional<String> firstMissingKey(JSONObject inForce, JSONObject replacement) {
+        return missingInObject("", inForce, replacement);
     }
 
-    private static String missing(String way, JSONObject before, JSONObject now) {
-        for (String key : new TreeSet<>(before.keySet())) {
-            if (now.isNull(key) && !before.isNull(key)) {
-                return way + key;
+    private static Optional<String> missingInObject(String prefix, JSONObject inForce, JSONObject replacement) {
+        for (String key : new TreeSet<>(inForce.keySet())) {
+            if (replacement.isNull(key) && !inForce.isNull(key)) {
+                return Optional.of(prefix + key);
             }
-            String deeper = null;
-            if (before.get(key) instanceof JSONObject a) {
-                deeper = now.get(key) instanceof JSONObject b ? missing(way + key + ".", a, b) : way + key;
-            } else if (before.get(key) instanceof JSONArray a) {
-                deeper = now.get(key) instanceof JSONArray b ? missing(way + key, a, b) : way + key;
-            }
-            if (deeper != null) {
-                return deeper;
+            Optional<String> missing = missingInValue(prefix + key, inForce.get(key), replacement.opt(key));
+            if (missing.isPresent()) {
+                return missing;
             }
         }
-        return null;
+        return Optional.empty();
     }
 
-    private static String missing(String way, JSONArray before, JSONArray now) {
-        Set<String> common = null;
-        for (Object each : before) {
-            if (!(each instanceof JSONObject o)) {
-                return null;
-            }
-            if (common == null) {
-                common = new TreeSet<>(o.keySet());
-            }
-            common.retainAll(o.keySet());
+    private static Optional<String> missingInValue(String path, Object inForce, Object replacement) {
+        if (inForce instanceof JSONObject before) {
+            return replacement instanceof JSONObject after
+                    ? missingInObject(path + ".", before, after)
+                    : Optional.of(path);
         }
-        for (int i = 0; common != null && i < now.length(); i++) {
-            for (String key : common) {
-                if (!(now.get(i) instanceof JSONObject o) || o.isNull(key)) {
-                    return way + "[" + i + "]." + key;
+        if (inForce instanceof JSONArray before) {
+            return replacement instanceof JSONArray after ? missingInList(path, before, after) : Optional.of(path);
+        }
+        return Optional.empty();
+    }
+
+    private static Optional<String> missingInList(String path, JSONArray inForce, JSONArray replacement) {
+        Set<String> shared = sharedKeys(inForce);
+        for (int i = 0; i < replacement.length(); i++) {
+            for (String key : shared) {
+                if (!(replacement.get(i) instanceof JSONObject element) || element.isNull(key)) {
+                    return Optional.of(path + "[" + i + "]." + key);
                 }
             }
         }
-        return null;
+        return Optional.empty();
+    }
+
+    /** Keys that all objects of a list have; none where an element is no object. */
+    private static Set<String> sharedKeys(JSONArray list) {
+        Set<String> shared = null;
+        for (Object element : list) {
+            if (!(element instanceof JSONObject object)) {
+                return Set.of();
+            }
+            if (shared == null) {
+                shared = new TreeSet<>(object.keySet());
+            }
+            shared.retainAll(object.keySet());
+        }
+        return shared == null ? Set.of() : shared;
     }
 }
--- a/pooler/src/main/java/frostreel/control/EndpointPublisher.java
+++ b/pooler/src/main/java/frostreel/control/EndpointPublisher.java
@@ -27,17 +27,18 @@
     void publish(EndpointList list, Router.ListKind kind) {
         boolean complete = kind != Router.ListKind.CHANGES;
         List<Router.Member> listed =
-                list.hosts().stream().map(EndpointList.Host::member).toList();
+                list.endpoints().stream().map(EndpointList.Endpoint::member).toList();
         List<Router.Member> effective = overlay.apply(complete, listed);
         pool.updateEndpoints(withAddressesOf(list, effective), complete);
         broker.updateMembers(kind, effective);
         pool.closeUnwanted();
     }
 
-    private static List<EndpointList.Host> withAddressesOf(EndpointList list, List<Router.Member> members) {
-        List<EndpointList.Host> hosts = new ArrayList<>(members.size());
+    private static List<EndpointList.Endpoint> withAddressesOf(EndpointList list, List<Router.Member> members) {
+        List<EndpointList.Endpoint> hosts = new ArrayList<>(members.size());
         for (int i = 0; i < members.size(); i++) {
-            hosts.add(new EndpointList.Host(members.get(i), list.hosts().get(i).dial()));
+            hosts.add(new EndpointList.Endpoint(
+                    members.get(i), list.endpoints().get(i).address()));
         }
         return hosts;
     }
--- a/pooler/src/main/java/frostreel/control/PeerProcessCommits.java
+++ b/pooler/src/main/java/frostreel/control/PeerProcessCommits.java
@@ -23,7 +23,7 @@
 
     /** Opens the file if there is to be one. Blocks, so call it before the event loop has work to do. */
     public static PeerProcessCommits open(Config config, long nowUs) {
-        if (!config.inherits() || config.settings().sessionTracking() != Router.SessionTracking.REMEMBERED) {
+        if (!config.inheritsListener() || config.settings().sessionTracking() != Router.SessionTracking.REMEMBERED) {
             return new PeerProcessCommits(WriteObserver.NONE, NO_PEERS);
         }
         return SharedFile.open(config, nowUs);
@@ -33,10 +33,10 @@
     private static final class SharedFile {
         static PeerProcessCommits open(Config config, long nowUs) {
             try {
-                if (config.orders() == null) {
+                if (config.commandFolder() == null) {
                     throw new IOException("there is no folder for it");
                 }
-                CommitTableFile file = CommitTableFile.open(config.orders());
+                CommitTableFile file = CommitTableFile.open(config.commandFolder());
                 SharedCommitTable table = new SharedCommitTable(file, newIncarnation(), nowUs);
                 file.replacementReason().ifPresent(SharedFile::warn);
                 boolean peersKnown = file.replacementReason().isEmpty();
--- a/pooler/src/main/java/frostreel/discovery/AgentConnection.java
+++ b/pooler/src/main/java/frostreel/discovery/AgentConnection.java
@@ -14,65 +14,69 @@
 import org.xnio.StreamConnection;
 
 /**
- * One connection to discovery, with at most one call on it. It tells its owner, on the loop, what became of
- * it: each event at most once for a call, and none after {@link #close}.
+ * One connection to the discovery agent, with at most one request in flight. Its listener is notified on the
+ * I/O thread, of each kind of event at most once for a request, and of none after {@link #close}.
  */
 final class AgentConnection implements SocketStream.Handler {
-    /** Who is told; each time with the connection that it is about. */
-    interface Owner {
-        /** It is up, and may be called on. */
-        void connected(AgentConnection on);
+    /** Notified of what becomes of a connection, which it is passed each time. */
+    interface Listener {
+        /** The connection is established and takes a request. */
+        void onConnected(AgentConnection connection);
 
-        /** A whole response to the call came. */
-        void responded(AgentConnection on, HttpResponse response);
+        /** A complete response to the request has arrived. */
+        void onResponse(AgentConnection connection, HttpResponseParser response);
 
-        /** Neither the connection nor a whole response came within the patience; it goes on all the same. */
-        void late(AgentConnection on, String why);
+        /**
+         * The connection or the response did not come within its timeout; it stays open and may still come.
+         */
+        void onOverdue(AgentConnection connection, String reason);
 
-        /** It has ended, and is closed. */
-        void failed(AgentConnection on, String why);
+        /** The connection has failed and is closed. */
+        void onFailed(AgentConnection connection, String reason);
     }
 
-    /** An answer of which bytes came within this time is on its way, for so long in all at the most. */
-    private static final long ARRIVING_US = 500_000;
+    /** A response whose bytes have come within this time is still arriving, and is not overdue. */
+    private static final long ARRIVAL_GAP_US = 500_000;
+    /** After this time a response is overdue even if it is still arriving. */
+    private static final long MAX_ARRIVAL_US = 20_000_000;
 
-    private static final long ARRIVAL_MOST_US = 20_000_000;
     private final EventLoop loop;
-    private final Owner owner;
+    private final Listener listener;
     private final InetSocketAddress address;
     private final IoFuture<StreamConnection> connecting;
+    /** Null until the connection is established. */
     private SocketStream stream;
-    private HttpResponse response = new HttpResponse();
-    private Deadlines.Deadline patience;
-    private long index;
-    private long heardUs;
-    private long calledUs;
+
+    private HttpResponseParser response = new HttpResponseParser();
+    private Deadlines.Deadline timeout;
+    private long fromVersion;
+    private long lastReceivedUs;
+    private long requestedUs;
     private boolean closed;
 
-    /** Begins to connect; {@code patienceUs}: after so long without a connection it is late. */
-    AgentConnection(EventLoop loop, InetSocketAddress address, long patienceUs, Owner owner) {
+    /**
+     * Begins to connect; {@code timeoutUs}: after this time without a connection the listener is notified.
+     */
+    AgentConnection(EventLoop loop, InetSocketAddress address, long timeoutUs, Listener listener) {
         this.loop = loop;
-        this.owner = owner;
+        this.listener = listener;
         this.address = address;
-        calledUs = loop.clock().now();
-        heardUs = calledUs;
-        patience = loop.deadlines().after(patienceUs, () -> owner.late(this, "no connection in time"));
+        requestedUs = loop.clock().now();
+        lastReceivedUs = requestedUs;
+        timeout = loop.deadlines().after(timeoutUs, () -> listener.onOverdue(this, "no connection in time"));
         connecting = loop.thread().openStreamConnection(address, null, OptionMap.create(Options.TCP_NODELAY, true));
     }
 
-    /** Hears of the connection from now on; a separate step, so that the owner may first keep this. */
+    /**
+     * Starts the notifications; separate from the constructor, so that the listener can store this object
+     * first.
+     */
     void begin() {
         connecting.addNotifier(
                 new IoFuture.HandlingNotifier<StreamConnection, Void>() {
                     @Override
                     public void handleDone(StreamConnection connection, Void none) {
-                        if (closed) {
-                            IoUtils.safeClose(connection); // Given up on while it came up.
-                            return;
-                        }
-                        stream = new SocketStream(loop, connection, AgentConnection.this);
-                        stream.resumeReads();
-                        owner.connected(AgentConnection.this);
+                        connected(connection);
                     }
 
                     @Override
@@ -83,46 +87,61 @@
                 null);
     }
 
-    /** Asks for a path and query; {@code index}: the version it asks from, negative for the whole list. */
-    void call(String pathAndQuery, long fromIndex, long patienceUs) {
-        index = fromIndex;
-        response = new HttpResponse();
-        calledUs = loop.clock().now();
-        heardUs = calledUs;
-        loop.deadlines().cancel(patience);
-        patience = loop.deadlines().after(patienceUs, this::lateUnlessArriving);
+    private void connected(StreamConnection connection) {
+        if (closed) {
+            IoUtils.safeClose(connection); // Closed while it was being established.
+            return;
+        }
+        stream = new SocketStream(loop, connection, this);
+        stream.resumeReads();
+        listener.onConnected(this);
+    }
+
+    /**
+     * Sends a request; {@code fromVersion}: the list version whose changes are requested, which {@link
+     * #fromVersion()} returns from then on.
+     */
+    void request(String pathAndQuery, long fromVersion, long timeoutUs) {
+        this.fromVersion = fromVersion;
+        response = new HttpResponseParser();
+        requestedUs = loop.clock().now();
+        lastReceivedUs = requestedUs;
+        loop.deadlines().cancel(timeout);
+        timeout = loop.deadlines().after(timeoutUs, this::reportOverdueUnlessArriving);
         String host = address.getAddress().getHostAddress() + ":" + address.getPort();
-        stream.write(
-                ("GET " + pathAndQuery + " HTTP/1.1\r\nHost: " + host + "\r\nAccept: application/json" + "\r\n\r\n")
-                        .getBytes(StandardCharsets.US_ASCII));
+        String request = "GET " + pathAndQuery + " HTTP/1.1\r\nHost: " + host + "\r\nAccept: application/json\r\n\r\n";
+        stream.write(request.getBytes(StandardCharsets.US_ASCII));
     }
 
-    /** A long list that is on its way takes its time; asked for again, it would take longer. */
-    private void lateUnlessArriving() {
-        long now = loop.clock().now();
-        if (heardUs > calledUs && now - heardUs < ARRIVING_US && now - calledUs < ARRIVAL_MOST_US) {
-            patience = loop.deadlines().after(ARRIVING_US, this::lateUnlessArriving);
+    /** A long list takes its time to arrive; requesting it again would only take longer. */
+    private void reportOverdueUnlessArriving() {
+        long nowUs = loop.clock().now();
+        boolean arriving = lastReceivedUs > requestedUs && nowUs - lastReceivedUs < ARRIVAL_GAP_US;
+        if (arriving && nowUs - requestedUs < MAX_ARRIVAL_US) {
+            timeout = loop.deadlines().after(ARRIVAL_GAP_US, this::reportOverdueUnlessArriving);
         } else {
-            owner.late(this, "no answer in time");
+            listener.onOverdue(this, "no answer in time");
         }
     }
 
-    /** The version that the call in hand, or the last one, asks from. */
-    long index() {
-        return index;
+    /** The version from which the current request, or else the last one, asks for changes. */
+    long fromVersion() {
+        return fromVersion;
     }
 
-    /** When the last byte came, or the call was made. */
-    long heardUs() {
-        return heardUs;
+    /** When the last byte arrived, or the request was sent if none has since. */
+    long lastReceivedUs() {
+        return lastReceivedUs;
     }
 
-    /** When the call was made, or connecting began. */
-    long calledUs() {
-        return calledUs;
+    /** When the request was sent, or connecting began if none has been. */
+    long requestedUs() {
+        return requestedUs;
     }
 
-    /** Takes what has come by now. */
+    /**
+     * Processes the bytes that have arrived by now, without waiting for the loop to select this connection.
+     */
     void readNow() {
         if (stream != null) {
             stream.readNow();
@@ -131,46 +150,46 @@
 
     @Override
     public void received(ByteBuffer in) {
-        heardUs = loop.clock().now();
+        lastReceivedUs = loop.clock().now();
         try {
             response.accept(in);
-        } catch (HttpResponse.HttpException e) {
+        } catch (MalformedResponseException e) {
             fail(e.getMessage());
             return;
         }
-        if (response.complete()) {
-            respond();
+        if (response.isComplete()) {
+            reportResponse();
         }
     }
 
     @Override
     public void ended() {
-        if (!stream.wasReset() && response.endsWithConnection()) {
-            respond();
+        if (!stream.wasReset() && response.isDelimitedByClose()) {
+            reportResponse();
         } else {
             fail("the connection ended");
         }
     }
 
-    private void respond() {
-        loop.deadlines().cancel(patience);
-        owner.responded(this, response);
+    private void reportResponse() {
+        loop.deadlines().cancel(timeout);
+        listener.onResponse(this, response);
     }
 
-    private void fail(String why) {
+    private void fail(String reason) {
         if (!closed) {
             close();
-            owner.failed(this, why);
+            listener.onFailed(this, reason);
         }
     }
 
-    /** Ends it, whatever it is in; nothing is told of it any more. */
+    /** Closes the connection in whatever state it is; the listener is not notified of anything any more. */
     void close() {
         if (closed) {
             return;
         }
         closed = true;
-        loop.deadlines().cancel(patience);
+        loop.deadlines().cancel(timeout);
         if (stream != null) {
             stream.close();
         } else {
--- a/pooler/src/test/java/frostreel/ConfigTest.java
+++ b/pooler/src/test/java/frostreel/ConfigTest.java
@@ -24,9 +24,9 @@
             int rest = sockets - 64;
             assertThat(config.maxClients() + config.maxServerConnections()).isEqualTo(rest);
             assertThat(config.maxServerConnections()).isGreaterThanOrEqualTo(rest / 4);
-            assertThat(config.maxClients()).isGreaterThanOrEqualTo(config.usualClients());
+            assertThat(config.maxClients()).isGreaterThanOrEqualTo(config.expectedClients());
             if (sockets >= 256) {
-                assertThat(config.maxClients() - config.usualClients()).isEqualTo(rest / 4);
+                assertThat(config.maxClients() - config.expectedClients()).isEqualTo(rest / 4);
             }
         }
     }
@@ -67,7 +67,7 @@
     /** Reloads a configuration in place of the one in force. */
     private static void reload(String fresh) throws Exception {
         Config inForce = Config.parse(PoolerHarness.configuration("127.0.0.1:1", SERVER), Map.of());
-        Config.parse(fresh, Map.of()).inPlaceOf(inForce);
+        Config.parse(fresh, Map.of()).replacing(inForce);
     }
 
     @Test
--- a/pooler/src/test/java/frostreel/PoolerHarness.java
+++ b/pooler/src/test/java/frostreel/PoolerHarness.java
@@ -184,18 +184,18 @@
     private static Config withUnlimitedConcurrency(Config config) {
         return new Config(
                 config.name(),
-                config.listen(),
-                config.control(),
-                config.inherits(),
-                config.orders(),
-                config.discovery(),
+                config.listenAddress(),
+                config.adminAddress(),
+                config.inheritsListener(),
+                config.commandFolder(),
+                config.discoveryAddress(),
                 config.maxClients(),
-                config.usualClients(),
+                config.expectedClients(),
                 config.maxServerConnections(),
-                config.maxOpen(),
-                config.known(),
+                config.maxOpenRequests(),
+                config.initialEndpoints(),
                 config.zones(),
-                config.kinds(),
+                config.machineTypes(),
                 config.settings().onSockets(0),
                 config.source());
     }
--- a/pooler/src/test/java/frostreel/ShutdownTest.java
+++ b/pooler/src/test/java/frostreel/ShutdownTest.java
@@ -125,7 +125,7 @@
                     .waitFor();
             harness.discovery.script = (text, link) -> {}; // Silent from the next poll on.
             harness.lists.add("no list");
-            process.awaitLog("the last list is kept");
+            process.awaitLog("keeping the last endpoint list");
             for (int i = 0; i < many; i++) {
                 WireConnection client = PoolerHarness.connect(port);
                 idle.add(client);
@@ -135,7 +135,7 @@
             }
             byte[] drains = TestMessages.http(list(2, false, host("b", replica, "replica", "Terminating")));
             harness.discovery.script = (text, link) -> link.send(drains);
-            process.awaitLog("discovery answers again");
+            process.awaitLog("discovery recovered after");
             try (WireConnection client = PoolerHarness.client(port)) {
                 assertThat(value(client.execute(readSql("late", 300)))).isEqualTo("from-primary");
             }
--- a/pooler/src/test/java/frostreel/StatusPagesTest.java
+++ b/pooler/src/test/java/frostreel/StatusPagesTest.java
@@ -35,7 +35,7 @@
             assertThat(value(client.execute(readSql("1", 9000)))).isEqualTo("from-replica");
             assertThat(value(client.execute("SHOW zones")))
                     .contains("sent_by_tier=[1, 0]")
-                    .contains("areas={0={UP=1}}");
+                    .contains("replicas={0={UP=1}}");
             harness.pooler.reload(
                     frostreel.config.Config.load(
                             PoolerHarness.environment(PoolerHarness.configuration(harness.discovery.address()))),
