--- a/lab/src/main/java/frostreel/lab/standin/Database.java
+++ b/lab/src/main/java/frostreel/lab/standin/Database.java
@@ -7,6 +7,7 @@
 import frostreel.pg.MessageReader;
 import frostreel.pg.Messages;
 import frostreel.pg.PgException;
+import frostreel.pg.SqlState;
 import frostreel.pg.Statement;
 import frostreel.routing.Router.Outcome;
 import frostreel.routing.Router.Role;
@@ -104,7 +105,7 @@
                     }
                 }
             } catch (PgException e) {
-                stream.write(Messages.error(true, Messages.PROTOCOL_VIOLATION, e.getMessage(), null));
+                stream.write(Messages.error(true, SqlState.PROTOCOL_VIOLATION, e.getMessage(), null));
                 close();
             }
         }
@@ -145,7 +146,7 @@
                             Messages.error(false, s.write() ? "25006" : "72000", "not here", null),
                             parameter("role", role == Role.PRIMARY ? "primary" : "replica"),
                             parameter("applied_ms", Long.toString(positionUs / 1000)));
-                case REJECTED -> answer(Messages.error(false, Messages.REFUSED, "no room", null));
+                case REJECTED -> answer(Messages.error(false, SqlState.TOO_MANY_CONNECTIONS, "no room", null));
                 case ERROR -> answer(Messages.error(false, "XX000", "it failed here", null));
                 default -> close();
             }
--- a/pooler/src/main/java/frostreel/frontend/Answers.java
+++ b/pooler/src/main/java/frostreel/frontend/Answers.java
@@ -2,6 +2,7 @@
 
 import frostreel.operation.ReadinessStatus;
 import frostreel.pg.Messages;
+import frostreel.pg.SqlState;
 
 /** The answers to clients that the front end itself makes. */
 final class Answers {
@@ -23,14 +24,14 @@
         if (status == ReadinessStatus.READY) {
             return Messages.emptyQueryResponse();
         }
-        return error(Messages.STARTING, "takes no clients: " + status.wireName());
+        return error(SqlState.CANNOT_CONNECT_NOW, "takes no clients: " + status.wireName());
     }
 
     /** The request was rejected; {@code retryAfterUs}: for how long to wait before a retry, 0 for no advice. */
     static byte[] rejected(long retryAfterUs) {
         return Messages.error(
                 false,
-                Messages.REFUSED,
+                SqlState.TOO_MANY_CONNECTIONS,
                 "refused: trying again is harmless",
                 retryAfterUs <= 0 ? NO_DETAIL : Long.toString(roundedUpToMs(retryAfterUs)));
     }
@@ -40,11 +41,11 @@
     }
 
     static byte[] cancelled() {
-        return error(Messages.CANCELLED, "cancelled by its client");
+        return error(SqlState.QUERY_CANCELED, "cancelled by its client");
     }
 
     static byte[] failed() {
-        return error(Messages.UNKNOWN_EFFECT, "failed: whether it took effect is not known");
+        return error(SqlState.TRANSACTION_RESOLUTION_UNKNOWN, "failed: whether it took effect is not known");
     }
 
     /** An error behind which the connection goes on. */
--- a/pooler/src/main/java/frostreel/frontend/ClientConnection.java
+++ b/pooler/src/main/java/frostreel/frontend/ClientConnection.java
@@ -6,6 +6,7 @@
 import frostreel.pg.MessageReader;
 import frostreel.pg.Messages;
 import frostreel.pg.PgException;
+import frostreel.pg.SqlState;
 import frostreel.pg.Statement;
 import java.nio.ByteBuffer;
 import java.util.function.Supplier;
@@ -120,7 +121,7 @@
             while (isOpen() && !request.isActive() && stream.flushed()) {
                 if (!backlog.next(phase == Phase.STARTUP)) {
                     if (backlog.isOverrun()) {
-                        closeWithError(Messages.PROTOCOL_VIOLATION, "too much at once behind a request in hand");
+                        closeWithError(SqlState.PROTOCOL_VIOLATION, "too much at once behind a request in hand");
                     }
                     break;
                 }
@@ -132,7 +133,7 @@
             }
         } catch (PgException e) {
             loop.counters().malformed++;
-            closeWithError(Messages.PROTOCOL_VIOLATION, e.getMessage());
+            closeWithError(SqlState.PROTOCOL_VIOLATION, e.getMessage());
         } finally {
             takingMessages = false;
             if (isOpen()) {
@@ -168,7 +169,7 @@
 
     void onMessageTimeout() {
         loop.counters().clientsSilent++;
-        closeWithError(Messages.IDLE, "nothing whole came in time");
+        closeWithError(SqlState.IDLE_SESSION_TIMEOUT, "nothing whole came in time");
     }
 
     /** The client owes nothing, but has to read its answer. */
@@ -202,7 +203,7 @@
             close();
         } else if (version >> 16 != Messages.PROTOCOL_3 >> 16) {
             loop.counters().malformed++;
-            closeWithError(Messages.NOT_SUPPORTED, "only version 3 of the protocol is spoken here");
+            closeWithError(SqlState.FEATURE_NOT_SUPPORTED, "only version 3 of the protocol is spoken here");
         } else {
             phase = Phase.RUNNING;
             stream.write(Messages.welcome(processKey(), secret));
@@ -235,7 +236,7 @@
         } else {
             if (!skippingToSync) {
                 loop.counters().malformed++;
-                stream.write(Answers.error(Messages.NOT_SUPPORTED, "only simple queries"));
+                stream.write(Answers.error(SqlState.FEATURE_NOT_SUPPORTED, "only simple queries"));
             }
             skippingToSync = true;
         }
@@ -274,9 +275,9 @@
     private void onInvalidQuery(String text) {
         loop.counters().malformed++;
         if (++invalidInARow < MAX_INVALID_IN_A_ROW) {
-            answer(Answers.error(Messages.INVALID_STATEMENT, text));
+            answer(Answers.error(SqlState.INVALID_PARAMETER_VALUE, text));
         } else {
-            closeWithError(Messages.INVALID_STATEMENT, text);
+            closeWithError(SqlState.INVALID_PARAMETER_VALUE, text);
         }
     }
 
--- a/pooler/src/main/java/frostreel/pg/Messages.java
+++ b/pooler/src/main/java/frostreel/pg/Messages.java
@@ -13,16 +13,6 @@
     public static final int GSS_REQUEST = 80877104;
     public static final int CANCEL_REQUEST = 80877102;
 
-    // SQLSTATE codes.
-    public static final String REFUSED = "53300";
-    public static final String STARTING = "57P03";
-    public static final String PROTOCOL_VIOLATION = "08P01";
-    public static final String NOT_SUPPORTED = "0A000";
-    public static final String INVALID_STATEMENT = "22023";
-    public static final String UNKNOWN_EFFECT = "08007";
-    public static final String IDLE = "57P05";
-    public static final String CANCELLED = "57014";
-
     private Messages() {}
 
     private static byte[] message(char type, byte[] body) {
@@ -90,7 +80,7 @@
      * An ErrorResponse.
      *
      * @param fatal whether the connection ends with it
-     * @param code the SQLSTATE
+     * @param code one of {@link SqlState}
      * @param detail the field D, null for none
      */
     public static byte[] error(boolean fatal, String code, String text, String detail) {
--- a/pooler/src/main/java/frostreel/pg/Reply.java
+++ b/pooler/src/main/java/frostreel/pg/Reply.java
@@ -36,9 +36,6 @@
     /** What follows the name of a described column: table, number, type, length, modifier, format. */
     private static final int COLUMN_DESCRIPTION_BYTES = 18;
 
-    private static final String TOO_MANY_CONNECTIONS = "53300";
-    private static final String READ_ONLY_TRANSACTION = "25006";
-    private static final String TOO_STALE = "72000";
     private static final int INITIAL_ANSWER_BYTES = 256;
     private final ByteArrayOutputStream answer = new ByteArrayOutputStream(INITIAL_ANSWER_BYTES);
     private Part part;
@@ -227,8 +224,9 @@
             outcome = !errorIsWholeAnswer
                     ? Outcome.ERROR
                     : switch (errorCode) {
-                        case TOO_MANY_CONNECTIONS -> Outcome.REJECTED;
-                        case READ_ONLY_TRANSACTION, TOO_STALE -> Outcome.WRONG_ROLE_OR_STALE;
+                        case SqlState.TOO_MANY_CONNECTIONS -> Outcome.REJECTED;
+                        case SqlState.READ_ONLY_SQL_TRANSACTION, SqlState.SNAPSHOT_TOO_OLD ->
+                            Outcome.WRONG_ROLE_OR_STALE;
                         default -> Outcome.ERROR;
                     };
         } else {
