--- a/lab/src/main/java/frostreel/lab/processes/Fleet.java
+++ b/lab/src/main/java/frostreel/lab/processes/Fleet.java
@@ -330,7 +330,7 @@
                 CompletableFuture<Void> one = new CompletableFuture<>();
                 in.add(one);
                 p.start();
-                load.await(p.process.number, () -> {
+                load.awaitReady(p.process.number, () -> {
                     p.startedUs = 0;
                     one.complete(null);
                 });
@@ -347,7 +347,7 @@
             faults.forEach(f -> f.accept(this));
             load.begin();
             if (operated) {
-                load.watchDoors();
+                load.watchReadiness();
             }
             return null;
         });
@@ -413,7 +413,7 @@
         }
         tell(p.process.name() + " starts again");
         p.start();
-        load.await(p.process.number, () -> {
+        load.awaitReady(p.process.number, () -> {
             tell(p.process.name() + " is in");
             isIn(p);
             in.run();
--- a/lab/src/main/java/frostreel/lab/processes/LoadGenerator.java
+++ b/lab/src/main/java/frostreel/lab/processes/LoadGenerator.java
@@ -2,482 +2,198 @@
 
 import frostreel.lab.virtual.SimulationPlan;
 import frostreel.net.EventLoop;
-import frostreel.net.SocketStream;
-import frostreel.pg.MessageReader;
-import frostreel.pg.Messages;
-import frostreel.pg.PgException;
 import frostreel.routing.Router;
-import java.io.IOException;
+import frostreel.routing.Router.RequestClass;
 import java.net.InetSocketAddress;
-import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
-import java.util.ArrayDeque;
-import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import java.util.function.Consumer;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import org.HdrHistogram.Histogram;
-import org.xnio.IoFuture;
-import org.xnio.OptionMap;
-import org.xnio.Options;
-import org.xnio.StreamConnection;
 
 /**
- * Clients of the poolers: sessions that arrive by chance at a mean rate, ask by class with a deadline, come
- * again once where they are refused, and keep their connections. In front of them stands a front that knows
- * which pooler has answered an empty query since its start.
+ * Clients of the poolers: sessions whose requests arrive at random at a mean rate, have a class and a deadline,
+ * and are retried once where they are rejected. A balancer in front of them sends a session to one pooler as
+ * long as that is ready. Used on the event loop's thread alone.
  */
-final class LoadGenerator {
+final class LoadGenerator implements PoolerTarget.RequestListener {
     private static final int SESSIONS = 500;
-    private static final int MOST_BYTES = 1 << 18;
-    private static final long ASK_AGAIN_US = 50_000;
-    private static final long WATCH_US = 100_000;
-    private static final long LEAVES_US = 200_000;
-    private static final long LEAST_ADVICE_US = 50_000;
+    private static final long US_PER_SECOND = 1_000_000;
+    private static final long READINESS_INTERVAL_US = 100_000;
+    private static final long MIN_RETRY_AFTER_US = 50_000;
     /** Beyond its deadline a client waits so long for an answer that earns nothing. */
     private static final long GIVE_UP_US = 500_000;
 
-    private static final Pattern DETAIL = Pattern.compile("\0D(\\d+)\0");
-
-    /** What became of the requests asked in one second. */
-    static final class Second {
-        long asked;
-        long served;
-        double worthAsked;
-        double worthGot;
-    }
+    /** The DETAIL field of an error, in which a pooler tells after how many milliseconds to retry. */
+    private static final Pattern RETRY_AFTER_MS = Pattern.compile("\0D(\\d+)\0");
 
     private final EventLoop loop;
-    private final SplittableRandom chance;
-    private final List<Door> doors;
-    private final int groups;
-    private final double perSecond;
-    private final boolean retry;
-    private final Second[] seconds;
-    private final long[] lastWriteMs = new long[SESSIONS];
-    /** Times of the answers that were served, in microseconds. */
-    final Histogram served = new Histogram(60_000_000L, 3);
-
-    long asked;
-    long refused;
-    long failed;
-    long retries;
-    /** Requests whose connection ended, or whose patience did, without an answer. */
-    long unanswered;
-    /** Requests for which no pooler was in. */
-    long unplaced;
-    /** Answers with a value that no server gave for their request. */
-    long foreign;
-    /** Requests that crossed the end of a connection, and came again on a new one. */
-    long atTheDoor;
-
-    private long beganUs;
-    private long ids;
-    /** Requests asked and not ended, those that come again later among them. */
+    private final SplittableRandom random;
+    private final List<PoolerTarget> targets;
+    private final LoadStatements statements;
+    private final double requestsPerSecond;
+    private final boolean retries;
+    private final LoadStatistics statistics;
+    private long startUs;
+    /** Requests asked and not ended, those that wait for their retry among them. */
     private int open;
 
-    private Runnable allEnded;
-
-    /** A pooler as clients reach it; in once it has answered an empty query since its start. */
-    private final class Door {
-        final int number;
-        final InetSocketAddress at;
-        final ArrayDeque<Client> idle = new ArrayDeque<>();
-        Consumer<Door> whenIn = door -> {};
-        boolean in;
-        boolean asking;
-
-        Door(int number, InetSocketAddress at) {
-            this.number = number;
-            this.at = at;
-        }
-
-        void out() {
-            in = false;
-            idle.clear();
-            askWhetherIn();
-        }
-
-        void askWhetherIn() {
-            if (!asking) {
-                asking = true;
-                new Client(this).send(null);
-            }
-        }
-    }
-
-    private static final class Request {
-        final int cls;
-        final int session;
-        final long askedUs;
-        final boolean again;
-        String id;
-        boolean resent;
-
-        Request(int cls, int session, long askedUs, boolean again) {
-            this.cls = cls;
-            this.session = session;
-            this.askedUs = askedUs;
-            this.again = again;
-        }
-    }
+    private Runnable onAllEnded;
 
+    /** {@code poolers}: where each is reached; {@code retries}: whether clients retry what was rejected. */
     LoadGenerator(
             EventLoop loop,
-            SplittableRandom chance,
+            SplittableRandom random,
             List<InetSocketAddress> poolers,
             int groups,
-            double perSecond,
-            boolean retry,
+            double requestsPerSecond,
+            boolean retries,
             int durationS) {
         this.loop = loop;
-        this.chance = chance;
-        this.groups = groups;
-        this.perSecond = perSecond;
-        this.retry = retry;
-        doors = new ArrayList<>();
-        poolers.forEach(p -> doors.add(new Door(doors.size(), p)));
-        seconds = new Second[durationS];
-        for (int i = 0; i < durationS; i++) {
-            seconds[i] = new Second();
-        }
+        this.random = random;
+        this.requestsPerSecond = requestsPerSecond;
+        this.retries = retries;
+        statements = new LoadStatements(SESSIONS, groups);
+        statistics = new LoadStatistics(durationS);
+        targets = poolers.stream()
+                .map(address -> new PoolerTarget(loop, address, this))
+                .toList();
+    }
+
+    LoadStatistics statistics() {
+        return statistics;
     }
 
-    /** Watches the door of a pooler that starts; {@code then} runs once it is in. */
-    void await(int pooler, Runnable then) {
-        Door door = doors.get(pooler);
-        door.whenIn = d -> then.run();
-        door.out();
+    /** A pooler's process starts; {@code then} runs once it is ready. */
+    void awaitReady(int pooler, Runnable then) {
+        targets.get(pooler).awaitReady(then);
     }
 
-    /** Asks from now on, for the run's time. */
+    /** Asks from now on, for the run's duration. */
     void begin() {
-        beganUs = loop.clock().now();
-        nextArrival();
+        startUs = loop.clock().now();
+        scheduleNextArrival();
     }
 
-    /** Asks each pooler that is in by an empty query, ten times a second; after a no it is out soon. */
-    void watchDoors() {
-        for (Door door : doors) {
-            if (door.in && !door.asking) {
-                door.asking = true;
-                new Client(door).send(null);
-            }
-        }
-        loop.deadlines().after(WATCH_US, this::watchDoors);
+    /** Checks each ready pooler ten times a second from now on; one that rejects it is soon not ready. */
+    void watchReadiness() {
+        targets.stream().filter(PoolerTarget::ready).forEach(PoolerTarget::checkReadiness);
+        loop.deadlines().after(READINESS_INTERVAL_US, this::watchReadiness);
     }
 
-    Second[] seconds() {
-        return seconds;
+    /** Runs once every request has ended; to be called when no more are asked. */
+    void whenAllEnded(Runnable then) {
+        onAllEnded = then;
+        requestsEnded(0);
     }
 
     /** The second of the run in which a moment lies. */
     private int second(long us) {
-        return (int) ((us - beganUs) / 1_000_000);
+        return (int) ((us - startUs) / US_PER_SECOND);
     }
 
-    private void nextArrival() {
-        double gapUs = -Math.log(1 - chance.nextDouble()) * 1e6 / perSecond;
+    private void scheduleNextArrival() {
+        double gapUs = -Math.log(1 - random.nextDouble()) * US_PER_SECOND / requestsPerSecond;
         loop.deadlines().after((long) gapUs, () -> {
-            long now = loop.clock().now();
-            if (second(now) < seconds.length) {
-                ask(new Request(kind(), chance.nextInt(SESSIONS), now, false));
-                nextArrival();
+            long nowUs = loop.clock().now();
+            if (second(nowUs) < statistics.durationS()) {
+                LoadRequest request = new LoadRequest(drawClass(), random.nextInt(SESSIONS), nowUs, false);
+                statistics.recordAsked(second(nowUs), request.requestClass().priorityWeight());
+                ask(request);
+                scheduleNextArrival();
             }
         });
     }
 
-    private int kind() {
-        double draw = chance.nextDouble();
-        int cls = 0;
-        while (cls < SimulationPlan.KINDS.size() - 1
-                && draw >= SimulationPlan.KINDS.get(cls).share()) {
-            draw -= SimulationPlan.KINDS.get(cls++).share();
+    private int drawClass() {
+        List<SimulationPlan.Kind> kinds = SimulationPlan.KINDS;
+        double draw = random.nextDouble();
+        int index = 0;
+        while (index < kinds.size() - 1 && draw >= kinds.get(index).share()) {
+            draw -= kinds.get(index++).share();
         }
-        return cls;
-    }
-
-    /** Runs once every request has ended: nothing more is asked then. */
-    void whenAllEnded(Runnable then) {
-        allEnded = then;
-        ended(0);
+        return index;
     }
 
-    private void ended(int requests) {
-        open -= requests;
-        if (open == 0 && allEnded != null) {
-            allEnded.run();
-            allEnded = null;
-        }
+    private void ask(LoadRequest request) {
+        open++;
+        place(request);
     }
 
-    private void ask(Request r) {
-        open++;
-        if (!r.again) {
-            asked++;
-            Second s = seconds[second(r.askedUs)];
-            s.asked++;
-            s.worthAsked += SimulationPlan.KINDS.get(r.cls).c().priorityWeight();
+    private void requestsEnded(int count) {
+        open -= count;
+        if (open == 0 && onAllEnded != null) {
+            onAllEnded.run();
+            onAllEnded = null;
         }
-        place(r);
     }
 
-    /** A session stays with its pooler while that is in, and goes to the next that is where it is not. */
-    private void place(Request r) {
-        for (int i = 0; i < doors.size(); i++) {
-            Door door = doors.get((r.session + i) % doors.size());
-            if (door.in) {
-                Client c = r.resent ? null : door.idle.pollLast();
-                (c == null ? new Client(door) : c).send(r);
+    /** A session stays with its pooler while that is ready, and goes to the next ready one meanwhile. */
+    private void place(LoadRequest request) {
+        for (int i = 0; i < targets.size(); i++) {
+            PoolerTarget target = targets.get((request.session + i) % targets.size());
+            if (target.ready()) {
+                long giveUpAfterUs = request.requestClass().deadlineUs() + GIVE_UP_US;
+                target.send(request, statements.next(request), giveUpAfterUs);
                 return;
             }
         }
-        unplaced++;
-        ended(1);
+        statistics.unplaced++;
+        requestsEnded(1);
     }
 
-    private String statement(Request r) {
-        Router.RequestClass c = SimulationPlan.KINDS.get(r.cls).c();
-        r.id = Long.toString(++ids, 36);
-        String key = "s" + r.session;
-        StringBuilder names = new StringBuilder(" /* id=")
-                .append(r.id)
-                .append(",c=")
-                .append(c.name())
-                .append(",d=")
-                .append(c.deadlineUs() / 1000);
-        if (c.idempotency() == Router.Idempotency.KEYED) {
-            names.append(",k=").append(r.id);
-        }
-        names.append(",cluster=").append(r.session % groups);
-        if (c.access() == Router.Access.SESSION && lastWriteMs[r.session] > 0) {
-            names.append(",after=").append(lastWriteMs[r.session]);
-        }
-        names.append(" */\0");
-        return (c.access() == Router.Access.WRITE
-                        ? "INSERT INTO records (k, v) VALUES ('" + key + "', '\\x00') RETURNING v"
-                        : "SELECT v FROM records WHERE k = '" + key + "'")
-                + names;
+    @Override
+    public void resend(LoadRequest request) {
+        request.resent = true;
+        statistics.resent++;
+        place(request);
     }
 
-    /** One connection of a client, with at most one query on it. */
-    private final class Client implements SocketStream.Handler {
-        private final Door door;
-        private final MessageReader reader = new MessageReader(type -> MOST_BYTES);
-        private SocketStream stream;
-        private Request request;
-        private boolean empty;
-        private boolean welcomed;
-        private boolean used;
-        private boolean over;
-        private byte[] value;
-        private byte[] error;
-        private boolean emptyAnswer;
-
-        Client(Door door) {
-            this.door = door;
-        }
-
-        /** Sends a request, or an empty query for none. */
-        void send(Request r) {
-            request = r;
-            empty = r == null;
-            byte[] query = Messages.query((r == null ? "\0" : statement(r)).getBytes(StandardCharsets.US_ASCII));
-            if (r != null) {
-                loop.deadlines().after(SimulationPlan.KINDS.get(r.cls).c().deadlineUs() + GIVE_UP_US, () -> {
-                    if (request == r) {
-                        lost();
-                    }
-                });
-            }
-            if (stream != null) {
-                stream.write(query);
-                return;
-            }
-            IoFuture<StreamConnection> to =
-                    loop.thread().openStreamConnection(door.at, null, OptionMap.create(Options.TCP_NODELAY, true));
-            to.addNotifier(
-                    new IoFuture.HandlingNotifier<StreamConnection, Void>() {
-                        @Override
-                        public void handleDone(StreamConnection connection, Void none) {
-                            stream = new SocketStream(loop, connection, Client.this);
-                            stream.write(Messages.startup());
-                            stream.write(query);
-                            stream.resumeReads();
-                        }
-
-                        @Override
-                        public void handleFailed(IOException e, Void none) {
-                            ended();
-                        }
-                    },
-                    null);
-        }
-
-        @Override
-        public void received(ByteBuffer in) {
-            reader.feed(in);
-            try {
-                while (!over && reader.next()) {
-                    switch (reader.type()) {
-                        case 'D' -> value = reader.body();
-                        case 'E' -> error = reader.body();
-                        case 'I' -> emptyAnswer = true;
-                        case 'Z' -> ready();
-                        default -> {}
-                    }
-                }
-            } catch (PgException e) {
-                throw new IllegalStateException("a pooler wrote what is no message: " + e.getMessage(), e);
-            }
-        }
+    @Override
+    public void unanswered(LoadRequest request) {
+        statistics.unanswered++;
+        requestsEnded(1);
+    }
 
-        private void ready() {
-            if (!welcomed) {
-                welcomed = true;
+    @Override
+    public void answered(LoadRequest request, LoadConnection.Answer answer) {
+        if (answer.error() == null) {
+            recordValue(request, answer.value());
+        } else if (!ClientRecorder.refusal(answer.error())) {
+            statistics.failed++;
+        } else {
+            statistics.rejected++;
+            if (retries && !request.retry) {
+                retryLater(request, answer.error());
                 return;
             }
-            if (empty) {
-                emptyAnswered();
-                return;
-            }
-            Request r = request;
-            request = null;
-            used = true;
-            byte[] v = value;
-            byte[] e = error;
-            value = null;
-            error = null;
-            door.idle.add(this);
-            answered(r, v, e);
-        }
-
-        private void emptyAnswered() {
-            empty = false;
-            error = null;
-            if (emptyAnswer && door.in) {
-                door.asking = false;
-                close();
-            } else if (emptyAnswer) {
-                door.asking = false;
-                door.in = true;
-                door.idle.add(this);
-                door.whenIn.accept(door);
-            } else {
-                close();
-                if (door.in) { // Until it has left the front, clients are still dealt out to it.
-                    loop.deadlines().after(LEAVES_US, () -> {
-                        door.asking = false;
-                        door.out();
-                    });
-                } else {
-                    askLater();
-                }
-            }
-        }
-
-        private void askLater() {
-            loop.deadlines().after(ASK_AGAIN_US, () -> {
-                door.asking = false;
-                door.askWhetherIn();
-            });
         }
-
-        /** An idle one may end between requests; what crossed that is sent once more on a new connection. */
-        @Override
-        public void ended() {
-            over = true;
-            door.idle.remove(this);
-            Request r = request;
-            request = null;
-            if (empty) {
-                empty = false;
-                askLater();
-            } else if (r != null && error != null) {
-                answered(r, null, error); // A fatal error, after which no ReadyForQuery comes.
-            } else if (r != null) {
-                if (!welcomed && !used) {
-                    door.out();
-                }
-                if (used && value == null && !r.resent) {
-                    r.resent = true;
-                    atTheDoor++;
-                    place(r);
-                } else {
-                    unanswered++;
-                    LoadGenerator.this.ended(1);
-                }
-            }
-        }
-
-        private void lost() {
-            request = null;
-            unanswered++;
-            close();
-            LoadGenerator.this.ended(1);
-        }
-
-        private void close() {
-            over = true;
-            if (stream != null) {
-                stream.close();
-            }
-        }
-    }
-
-    private void answered(Request r, byte[] value, byte[] error) {
-        if (error != null && ClientRecorder.refusal(error) && retry && !r.again) {
-            refused++;
-            comeAgain(r, error);
-            return;
-        }
-        tally(r, value, error);
-        ended(1);
+        requestsEnded(1);
     }
 
-    /** As long after the refusal as it says; the request stays open until then. */
-    private void comeAgain(Request r, byte[] error) {
-        Matcher detail = DETAIL.matcher(new String(error, StandardCharsets.UTF_8));
-        long retryAfterUs = detail.find() ? Long.parseLong(detail.group(1)) * 1000 : 0;
-        retries++;
-        loop.deadlines().after(Math.max(LEAST_ADVICE_US, retryAfterUs), () -> {
+    /** Retries after as long as the error says; the request stays open until then. */
+    private void retryLater(LoadRequest request, byte[] error) {
+        Matcher retryAfter = RETRY_AFTER_MS.matcher(new String(error, StandardCharsets.UTF_8));
+        long retryAfterUs = retryAfter.find() ? Long.parseLong(retryAfter.group(1)) * 1000 : 0;
+        statistics.retries++;
+        loop.deadlines().after(Math.max(MIN_RETRY_AFTER_US, retryAfterUs), () -> {
             open--;
-            ask(new Request(r.cls, r.session, r.askedUs, true));
+            ask(request.asRetry());
         });
     }
 
-    private void tally(Request r, byte[] value, byte[] error) {
-        long now = loop.clock().now();
-        Router.RequestClass c = SimulationPlan.KINDS.get(r.cls).c();
-        if (error != null) {
-            refused += ClientRecorder.refusal(error) ? 1 : 0;
-            failed += ClientRecorder.refusal(error) ? 0 : 1;
-            return;
-        }
-        if (value == null || !new String(value, StandardCharsets.US_ASCII).endsWith(r.id)) {
-            foreign++;
+    private void recordValue(LoadRequest request, byte[] value) {
+        if (value == null || !new String(value, StandardCharsets.US_ASCII).endsWith(request.id)) {
+            statistics.foreign++;
             return;
         }
-        long tookUs = now - r.askedUs;
-        served.recordValue(Math.min(tookUs, served.getHighestTrackableValue()));
-        Second s = seconds[second(r.askedUs)];
-        s.served++;
-        s.worthGot += c.priorityWeight() * (tookUs <= c.latencyObjectiveUs() ? 1 : c.lateWeight());
-        if (c.access() == Router.Access.WRITE) {
-            lastWriteMs[r.session] = now / 1000;
-        }
-    }
-
-    /** Of the worth asked for in some seconds, the share that was got. */
-    double worth(int from, int to) {
-        double got = 0;
-        double all = 0;
-        for (int i = from; i < to; i++) {
-            got += seconds[i].worthGot;
-            all += seconds[i].worthAsked;
+        RequestClass requestClass = request.requestClass();
+        long nowUs = loop.clock().now();
+        long latencyUs = nowUs - request.askedUs;
+        double share = latencyUs <= requestClass.latencyObjectiveUs() ? 1 : requestClass.lateWeight();
+        statistics.recordServed(second(request.askedUs), latencyUs, requestClass.priorityWeight() * share);
+        if (requestClass.access() == Router.Access.WRITE) {
+            statements.recordWrite(request, nowUs);
         }
-        return all == 0 ? 1 : got / all;
     }
 }
--- /dev/null
+++ b/lab/src/main/java/frostreel/lab/processes/LoadStatements.java
@@ -0,0 +1,50 @@
+package frostreel.lab.processes;
+
+import frostreel.routing.Router;
+import frostreel.routing.Router.RequestClass;
+import java.nio.charset.StandardCharsets;
+
+/** Words the statements of the load, and remembers when each session's last write was answered. */
+final class LoadStatements {
+    private final int groups;
+    private final long[] lastWriteMs;
+    private long lastId;
+
+    LoadStatements(int sessions, int groups) {
+        this.groups = groups;
+        lastWriteMs = new long[sessions];
+    }
+
+    /** A query's text, zero-terminated, under a new id, which the request takes. */
+    byte[] next(LoadRequest request) {
+        RequestClass requestClass = request.requestClass();
+        request.id = Long.toString(++lastId, Character.MAX_RADIX);
+        String key = "s" + request.session;
+        String sql = requestClass.access() == Router.Access.WRITE
+                ? "INSERT INTO records (k, v) VALUES ('" + key + "', '\\x00') RETURNING v"
+                : "SELECT v FROM records WHERE k = '" + key + "'";
+        return (sql + attributes(request, requestClass) + "\0").getBytes(StandardCharsets.US_ASCII);
+    }
+
+    /** The comment by which a pooler learns of the request's class, deadline and session. */
+    private String attributes(LoadRequest request, RequestClass requestClass) {
+        StringBuilder comment = new StringBuilder(" /* id=")
+                .append(request.id)
+                .append(",c=")
+                .append(requestClass.name())
+                .append(",d=")
+                .append(requestClass.deadlineUs() / 1000);
+        if (requestClass.idempotency() == Router.Idempotency.KEYED) {
+            comment.append(",k=").append(request.id);
+        }
+        comment.append(",cluster=").append(request.session % groups);
+        if (requestClass.access() == Router.Access.SESSION && lastWriteMs[request.session] > 0) {
+            comment.append(",after=").append(lastWriteMs[request.session]);
+        }
+        return comment.append(" */").toString();
+    }
+
+    void recordWrite(LoadRequest request, long nowUs) {
+        lastWriteMs[request.session] = nowUs / 1000;
+    }
+}
--- a/lab/src/main/java/frostreel/lab/processes/ProcessExperimentRunner.java
+++ b/lab/src/main/java/frostreel/lab/processes/ProcessExperimentRunner.java
@@ -81,7 +81,7 @@
         for (int s = 0; !over.await(1, TimeUnit.SECONDS); s++) {
             if (live && s < experiment.durationS()) {
                 int second = s;
-                out.println(fleet.onLoop(() -> line(fleet.load(), second)));
+                out.println(fleet.onLoop(() -> line(fleet.load().statistics(), second)));
                 out.flush();
             }
         }
@@ -93,20 +93,20 @@
         fleet.end();
         List<String> verdicts = new ArrayList<>();
         boolean good = judge(experiment, fleet, crashed, faults(work), apart, blind, verdicts);
-        LoadGenerator load = fleet.load();
+        LoadStatistics load = fleet.load().statistics();
         out.printf(
                 Locale.ROOT,
                 "asked %d, served %d, refused %d, failed %d, unanswered %d, unplaced %d, "
                         + "retries %d; median %.1f ms, 99%% %.1f ms%n",
                 load.asked,
-                load.served.getTotalCount(),
-                load.refused,
+                load.served(),
+                load.rejected,
                 load.failed,
                 load.unanswered,
                 load.unplaced,
                 load.retries,
-                load.served.getValueAtPercentile(50) / 1e3,
-                load.served.getValueAtPercentile(99) / 1e3);
+                load.latencies.getValueAtPercentile(50) / 1e3,
+                load.latencies.getValueAtPercentile(99) / 1e3);
         fleet.rules().rules().stream().flatMap(r -> r.convictions().stream()).forEach(out::println);
         if (keep) {
             keep(experiment, seed, fleet, work, verdicts, good);
@@ -148,15 +148,15 @@
         }
     }
 
-    private static String line(LoadGenerator load, int s) {
-        LoadGenerator.Second second = load.seconds()[s];
+    private static String line(LoadStatistics load, int s) {
+        LoadStatistics.Second second = load.second(s);
         return String.format(
                 Locale.ROOT,
                 "%4d s  asked %5d  served %5d  worth %.3f",
                 s,
                 second.asked,
                 second.served,
-                load.worth(s, s + 1));
+                load.weightShare(s, s + 1));
     }
 
     private static boolean judge(
@@ -167,19 +167,19 @@
             long apart,
             long blind,
             List<String> verdicts) {
-        boolean good = crashed.isEmpty() && fleet.load().foreign == 0;
+        boolean good = crashed.isEmpty() && fleet.load().statistics().foreign == 0;
         crashed.forEach(p -> verdicts.add("fail: " + p + " ended by itself"));
-        if (fleet.load().foreign > 0) {
-            verdicts.add("fail: " + fleet.load().foreign + " answers held what no server gave for them");
+        if (fleet.load().statistics().foreign > 0) {
+            verdicts.add("fail: " + fleet.load().statistics().foreign + " answers held what no server gave for them");
         }
         for (ProcessExperiment.Check c : experiment.checks()) {
             double value = switch (c.kind()) {
                 case "rules" -> fleet.rules().broken();
-                case "worth" -> fleet.load().worth(c.fromS(), c.toS());
+                case "worth" -> fleet.load().statistics().weightShare(c.fromS(), c.toS());
                 case "apart" -> apart;
                 case "blind" -> blind;
-                case "unanswered" -> fleet.load().unanswered;
-                case "atTheDoor" -> fleet.load().atTheDoor;
+                case "unanswered" -> fleet.load().statistics().unanswered;
+                case "atTheDoor" -> fleet.load().statistics().resent;
                 case "killedOld" -> fleet.killed();
                 case "refusedCalls" -> fleet.refusedCalls();
                 case "slowestStartS" -> fleet.slowestStartUs() / 1e6;
@@ -219,7 +219,7 @@
     private static void keep(
             ProcessExperiment experiment, long seed, Fleet fleet, Path folder, List<String> verdicts, boolean good)
             throws IOException {
-        LoadGenerator load = fleet.load();
+        LoadStatistics load = fleet.load().statistics();
         JSONArray rules = new JSONArray();
         for (Rule r : fleet.rules().rules()) {
             rules.put(new JSONObject()
@@ -233,26 +233,26 @@
                 .put("verdict", good ? "pass" : "fail")
                 .put("checks", new JSONArray(verdicts))
                 .put("asked", load.asked)
-                .put("served", load.served.getTotalCount())
-                .put("refused", load.refused)
+                .put("served", load.served())
+                .put("refused", load.rejected)
                 .put("failed", load.failed)
                 .put("unanswered", load.unanswered)
                 .put("unplaced", load.unplaced)
                 .put("retries", load.retries)
                 .put("foreign", load.foreign)
-                .put("medianUs", load.served.getValueAtPercentile(50))
-                .put("p99Us", load.served.getValueAtPercentile(99))
+                .put("medianUs", load.latencies.getValueAtPercentile(50))
+                .put("p99Us", load.latencies.getValueAtPercentile(99))
                 .put("rules", rules);
         Files.writeString(folder.resolve("result.json"), result.toString(2) + "\n");
         Files.write(folder.resolve("story.txt"), fleet.story());
         List<List<String>> rows = new ArrayList<>();
-        double[] worth = new double[load.seconds().length];
+        double[] worth = new double[load.durationS()];
         for (int s = 0; s < worth.length; s++) {
-            worth[s] = load.worth(s, s + 1);
+            worth[s] = load.weightShare(s, s + 1);
             rows.add(List.of(
                     Integer.toString(s),
-                    Long.toString(load.seconds()[s].asked),
-                    Long.toString(load.seconds()[s].served),
+                    Long.toString(load.second(s).asked),
+                    Long.toString(load.second(s).served),
                     String.format(Locale.ROOT, "%.3f", worth[s])));
         }
         Files.writeString(folder.resolve("seconds.csv"), Tables.csv(COLUMNS, rows));
--- a/lab/src/test/java/frostreel/lab/processes/ClusterMemberTest.java
+++ b/lab/src/test/java/frostreel/lab/processes/ClusterMemberTest.java
@@ -85,7 +85,7 @@
         assertThat(fleet.rules().broken())
                 .as(() -> String.join("\n", fleet.story()))
                 .isZero();
-        assertThat(fleet.load().served.getTotalCount()).isPositive();
+        assertThat(fleet.load().statistics().served()).isPositive();
         assertThat(fleet.crashed()).isEmpty();
     }
 
