--- /dev/null
+++ b/lab/src/main/java/frostreel/lab/processes/PoolerLifecycle.java
@@ -0,0 +1,117 @@
+package frostreel.lab.processes;
+
+import java.io.IOException;
+import java.io.UncheckedIOException;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.CompletableFuture;
+
+/**
+ * Starts, stops, kills and pauses the poolers of a fleet, and measures how long a restart takes until clients
+ * are served again. Used on the event loop's thread alone.
+ */
+final class PoolerLifecycle {
+    private final RunContext run;
+    private final List<PoolerNode> poolers;
+    private final LoadGenerator load;
+    private long slowestRestartUs;
+
+    PoolerLifecycle(RunContext run, List<PoolerNode> poolers, LoadGenerator load) {
+        this.run = run;
+        this.poolers = poolers;
+        this.load = load;
+    }
+
+    /** Starts every pooler; the result is complete once all serve clients. */
+    CompletableFuture<Void> startAll() {
+        List<CompletableFuture<Void>> ready = new ArrayList<>();
+        for (PoolerNode pooler : poolers) {
+            CompletableFuture<Void> one = new CompletableFuture<>();
+            ready.add(one);
+            pooler.start();
+            load.awaitReady(pooler.number(), () -> {
+                pooler.ready();
+                one.complete(null);
+            });
+        }
+        return CompletableFuture.allOf(ready.toArray(CompletableFuture[]::new));
+    }
+
+    /** SIGKILL, and a restart later; {@code onReady} runs once the new process serves clients. */
+    void kill(int number, long downUs, Runnable onReady) {
+        PoolerNode pooler = poolers.get(number);
+        if (!pooler.expectedAlive()) {
+            return; // It is down already.
+        }
+        run.log().add(pooler.name() + " is killed");
+        noteGone(pooler);
+        pooler.expectEnd();
+        pooler.cacheEndpoints();
+        pooler.process.kill();
+        run.scheduler().after(downUs, () -> restart(pooler, onReady));
+    }
+
+    /** SIGTERM, and a restart some time after the process has ended. */
+    void stop(int number, long downUs, Runnable onReady) {
+        PoolerNode pooler = poolers.get(number);
+        if (!pooler.expectedAlive()) {
+            return;
+        }
+        run.log().add(pooler.name() + " is told to stop");
+        pooler.expectEnd();
+        pooler.process.terminate(() -> run.loop().thread().execute(() -> {
+            run.log().add(pooler.name() + " has ended");
+            pooler.cacheEndpoints();
+            noteGone(pooler);
+            run.scheduler().after(downUs, () -> restart(pooler, onReady));
+        }));
+    }
+
+    /** Nobody is owed an answer to what still reaches its machine. */
+    private void noteGone(PoolerNode pooler) {
+        run.invariants().died(run.scheduler().now(), pooler.number());
+        run.invariants().paused(run.scheduler().now(), pooler.number(), true);
+    }
+
+    private void restart(PoolerNode pooler, Runnable onReady) {
+        if (run.schedule().ending()) {
+            return;
+        }
+        run.log().add(pooler.name() + " starts again");
+        pooler.start();
+        load.awaitReady(pooler.number(), () -> {
+            run.log().add(pooler.name() + " is in");
+            slowestRestartUs = slowestRestartUs();
+            pooler.ready();
+            onReady.run();
+        });
+    }
+
+    /** How long the slowest restart took until clients were served, or has taken by now. */
+    long slowestRestartUs() {
+        return poolers.stream().mapToLong(PoolerNode::startingForUs).reduce(slowestRestartUs, Math::max);
+    }
+
+    /** SIGSTOP or SIGCONT; nobody is owed what a paused pooler could not answer. */
+    void pause(int number, boolean paused) {
+        PoolerNode pooler = poolers.get(number);
+        if (!pooler.process.alive()) {
+            return;
+        }
+        run.log().add(pooler.name() + (paused ? " is paused" : " goes on"));
+        try {
+            pooler.process.signal(paused ? "STOP" : "CONT");
+        } catch (IOException e) {
+            throw new UncheckedIOException(e);
+        }
+        run.invariants().paused(run.scheduler().now(), number, paused);
+    }
+
+    /** Names of the processes that ended though nobody ended them. */
+    List<String> crashed() {
+        return poolers.stream()
+                .filter(pooler -> pooler.expectedAlive() && !pooler.process.alive())
+                .map(PoolerNode::name)
+                .toList();
+    }
+}
--- a/lab/src/main/java/frostreel/lab/processes/ProcessExperiment.java
+++ b/lab/src/main/java/frostreel/lab/processes/ProcessExperiment.java
@@ -93,31 +93,46 @@
             wrong.add(e.fault(file, null, "the poolers of this fleet are not operated"));
         }
         switch (e.name()) {
-            case "upgrade" ->
-                faults.add(f -> f.at(atUs, () -> f.upgrade(pooler, e.has("diesAfterMs") ? e.ms("diesAfterMs") : 0)));
+            case "upgrade" -> upgradeFault(e, pooler, atUs);
             case "call" -> {
                 boolean named = e.has("on");
-                int server = named ? numbered(e, "on", servers(), wrong) : -1;
+                int server = named ? numbered(e, "on", servers(), wrong) : OperatorCalls.NO_SERVER;
                 if (named != List.of("SUSPEND", "RESTORE").contains(e.text("line"))) {
                     wrong.add(e.fault(file, "on", "is for SUSPEND and RESTORE, and for these alone"));
                 }
-                faults.add(f -> f.at(atUs, () -> f.call(pooler, e.text("line"), server)));
+                faults.add(f -> f.at(atUs, () -> f.operators().call(pooler, e.text("line"), server)));
             }
             case "system" -> systemFault(e, pooler, atUs, untilUs);
-            case "kill" -> faults.add(f -> f.at(atUs, () -> f.kill(pooler, e.seconds("awayS"), () -> {})));
-            case "stop" -> faults.add(f -> f.at(atUs, () -> f.stop(pooler, e.seconds("awayS"), () -> {})));
-            case "pause" -> between(atUs, untilUs, f -> f.pause(pooler, true), f -> f.pause(pooler, false));
+            case "kill" -> faults.add(f -> f.at(atUs, () -> f.lifecycle().kill(pooler, e.seconds("awayS"), () -> {})));
+            case "stop" -> faults.add(f -> f.at(atUs, () -> f.lifecycle().stop(pooler, e.seconds("awayS"), () -> {})));
+            case "pause" ->
+                between(
+                        atUs,
+                        untilUs,
+                        f -> f.lifecycle().pause(pooler, true),
+                        f -> f.lifecycle().pause(pooler, false));
             default -> linkFault(e, pooler, atUs, untilUs);
         }
     }
 
+    private void upgradeFault(XmlElement e, int pooler, long atUs) {
+        long killAfterUs = e.has("diesAfterMs") ? e.ms("diesAfterMs") : 0;
+        faults.add(f -> f.at(atUs, () -> {
+            if (killAfterUs > 0) {
+                f.upgrades().upgradeAborted(pooler, killAfterUs);
+            } else {
+                f.upgrades().upgrade(pooler);
+            }
+        }));
+    }
+
     private void systemFault(XmlElement e, int pooler, long atUs, long untilUs) {
         SystemFaults.Call call = SystemFaults.Call.valueOf(e.text("call"));
         SystemFaults.Error error = SystemFaults.Error.valueOf(e.text("error"));
         long times = e.has("times") ? e.whole("times") : SystemFaults.ALWAYS;
         long spanUs = e.ms("spanMs") * (e.flag("back") ? -1 : 1);
         failsSystemCalls = true;
-        faults.add(f -> f.at(atUs, () -> f.strike(pooler, call, error, untilUs - atUs, times, spanUs)));
+        faults.add(f -> f.at(atUs, () -> f.systemFaults().strike(pooler, call, error, untilUs - atUs, times, spanUs)));
     }
 
     private void between(long atUs, long untilUs, Consumer<Fleet> begin, Consumer<Fleet> end) {
@@ -128,22 +143,34 @@
     }
 
     private void linkFault(XmlElement e, int pooler, long atUs, long untilUs) {
-        Fleet.Side side = Fleet.Side.valueOf(e.text("to").toUpperCase(Locale.ROOT));
+        NetworkSide side = NetworkSide.valueOf(e.text("to").toUpperCase(Locale.ROOT));
         switch (e.name()) {
             case "cut" -> {
                 boolean in = !e.text("way").equals("out");
                 boolean out = !e.text("way").equals("in");
-                between(atUs, untilUs, f -> f.cut(pooler, side, in, out), f -> f.cut(pooler, side, false, false));
+                between(
+                        atUs,
+                        untilUs,
+                        f -> f.network().cut(pooler, side, in, out),
+                        f -> f.network().cut(pooler, side, false, false));
             }
             case "delay" -> {
                 long us = e.ms("ms");
-                between(atUs, untilUs, f -> f.delay(pooler, side, us), f -> f.delay(pooler, side, 0));
+                between(
+                        atUs,
+                        untilUs,
+                        f -> f.network().delay(pooler, side, us),
+                        f -> f.network().delay(pooler, side, 0));
             }
             case "slow" -> {
                 long bytes = e.whole("bytesPerS");
-                between(atUs, untilUs, f -> f.slow(pooler, side, bytes), f -> f.slow(pooler, side, 0));
+                between(
+                        atUs,
+                        untilUs,
+                        f -> f.network().slow(pooler, side, bytes),
+                        f -> f.network().slow(pooler, side, 0));
             }
-            default -> faults.add(f -> f.at(atUs, () -> f.reset(pooler, side)));
+            default -> faults.add(f -> f.at(atUs, () -> f.network().reset(pooler, side)));
         }
     }
 
@@ -162,16 +189,24 @@
                 between(atUs, untilUs, f -> cutPeers(f, from, to, both, true), f -> cutPeers(f, from, to, both, false));
             }
             case "delayPeers" ->
-                between(atUs, untilUs, f -> f.delayPeers(from, to, e.ms("ms")), f -> f.delayPeers(from, to, 0));
+                between(
+                        atUs,
+                        untilUs,
+                        f -> f.network().delayPeers(from, to, e.ms("ms")),
+                        f -> f.network().delayPeers(from, to, 0));
             default ->
-                between(atUs, untilUs, f -> f.slowPeers(from, to, e.whole("bytesPerS")), f -> f.slowPeers(from, to, 0));
+                between(
+                        atUs,
+                        untilUs,
+                        f -> f.network().slowPeers(from, to, e.whole("bytesPerS")),
+                        f -> f.network().slowPeers(from, to, 0));
         }
     }
 
     private static void cutPeers(Fleet f, List<Integer> from, List<Integer> to, boolean both, boolean isCut) {
-        f.cutPeers(from, to, isCut);
+        f.network().cutPeers(from, to, isCut);
         if (both) {
-            f.cutPeers(to, from, isCut);
+            f.network().cutPeers(to, from, isCut);
         }
     }
 
--- a/lab/src/main/java/frostreel/lab/processes/ProcessExperimentRunner.java
+++ b/lab/src/main/java/frostreel/lab/processes/ProcessExperimentRunner.java
@@ -68,7 +68,7 @@
         out.printf("%s, seed %d: starting %d poolers%n", experiment.name(), seed, experiment.poolers());
         out.flush();
         if (experiment.failsSystemCalls()) {
-            fleet.preloadFaults();
+            fleet.preloadSystemFaults();
         }
         fleet.start();
         CountDownLatch over = new CountDownLatch(1);
@@ -89,7 +89,7 @@
         long apart = apart(experiment, fleet);
         long blind = blind(experiment, fleet);
         fleet.judge();
-        List<String> crashed = fleet.crashed();
+        List<String> crashed = fleet.lifecycle().crashed();
         fleet.end();
         List<String> verdicts = new ArrayList<>();
         boolean good = judge(experiment, fleet, crashed, faults(work), apart, blind, verdicts);
@@ -107,7 +107,9 @@
                 load.retries,
                 load.latencies.getValueAtPercentile(50) / 1e3,
                 load.latencies.getValueAtPercentile(99) / 1e3);
-        fleet.rules().rules().stream().flatMap(r -> r.convictions().stream()).forEach(out::println);
+        fleet.invariants().rules().stream()
+                .flatMap(r -> r.convictions().stream())
+                .forEach(out::println);
         if (keep) {
             keep(experiment, seed, fleet, work, verdicts, good);
             if (experiment.silentAfterMs() > 0) {
@@ -174,16 +176,16 @@
         }
         for (ProcessExperiment.Check c : experiment.checks()) {
             double value = switch (c.kind()) {
-                case "rules" -> fleet.rules().broken();
+                case "rules" -> fleet.invariants().broken();
                 case "worth" -> fleet.load().statistics().weightShare(c.fromS(), c.toS());
                 case "apart" -> apart;
                 case "blind" -> blind;
                 case "unanswered" -> fleet.load().statistics().unanswered;
                 case "atTheDoor" -> fleet.load().statistics().resent;
-                case "killedOld" -> fleet.killed();
-                case "refusedCalls" -> fleet.refusedCalls();
-                case "slowestStartS" -> fleet.slowestStartUs() / 1e6;
-                case "upgrades" -> fleet.upgrades();
+                case "killedOld" -> fleet.upgrades().killed();
+                case "refusedCalls" -> fleet.operators().rejected();
+                case "slowestStartS" -> fleet.lifecycle().slowestRestartUs() / 1e6;
+                case "upgrades" -> fleet.upgrades().completed();
                 default -> faultsInLogs;
             };
             boolean least = c.kind().equals("worth") || c.kind().equals("upgrades");
@@ -221,7 +223,7 @@
             throws IOException {
         LoadStatistics load = fleet.load().statistics();
         JSONArray rules = new JSONArray();
-        for (Rule r : fleet.rules().rules()) {
+        for (Rule r : fleet.invariants().rules()) {
             rules.put(new JSONObject()
                     .put("rule", r.name())
                     .put("broken", r.broken())
@@ -244,7 +246,7 @@
                 .put("p99Us", load.latencies.getValueAtPercentile(99))
                 .put("rules", rules);
         Files.writeString(folder.resolve("result.json"), result.toString(2) + "\n");
-        Files.write(folder.resolve("story.txt"), fleet.story());
+        Files.write(folder.resolve("story.txt"), fleet.log());
         List<List<String>> rows = new ArrayList<>();
         double[] worth = new double[load.durationS()];
         for (int s = 0; s < worth.length; s++) {
--- a/lab/src/main/java/frostreel/lab/processes/RandomFaults.java
+++ b/lab/src/main/java/frostreel/lab/processes/RandomFaults.java
@@ -26,17 +26,30 @@
             long endUs = atUs + chance.nextLong(lengthUs / 10, lengthUs + 1);
             int pooler = chance.nextInt(poolers);
             int server = chance.nextInt(servers);
-            Fleet.Side side = List.of(Fleet.Side.values()).get(chance.nextInt(Fleet.Side.values().length));
+            NetworkSide side = List.of(NetworkSide.values()).get(chance.nextInt(NetworkSide.values().length));
             switch (chance.nextInt(9)) {
-                case 0 -> fleet.at(atUs, () -> fleet.kill(pooler, endUs - atUs, () -> {}));
-                case 1 -> fleet.at(atUs, () -> fleet.stop(pooler, endUs - atUs, () -> {}));
-                case 2 -> between(atUs, endUs, () -> fleet.pause(pooler, true), () -> fleet.pause(pooler, false));
+                case 0 -> fleet.at(atUs, () -> fleet.lifecycle().kill(pooler, endUs - atUs, () -> {}));
+                case 1 -> fleet.at(atUs, () -> fleet.lifecycle().stop(pooler, endUs - atUs, () -> {}));
+                case 2 ->
+                    between(
+                            atUs,
+                            endUs,
+                            () -> fleet.lifecycle().pause(pooler, true),
+                            () -> fleet.lifecycle().pause(pooler, false));
                 case 3 -> cut(atUs, endUs, pooler, side);
                 case 4 ->
-                    between(atUs, endUs, () -> fleet.delay(pooler, side, 20_000), () -> fleet.delay(pooler, side, 0));
+                    between(
+                            atUs,
+                            endUs,
+                            () -> fleet.network().delay(pooler, side, 20_000),
+                            () -> fleet.network().delay(pooler, side, 0));
                 case 5 ->
-                    between(atUs, endUs, () -> fleet.slow(pooler, side, 20_000), () -> fleet.slow(pooler, side, 0));
-                case 6 -> fleet.at(atUs, () -> fleet.reset(pooler, side));
+                    between(
+                            atUs,
+                            endUs,
+                            () -> fleet.network().slow(pooler, side, 20_000),
+                            () -> fleet.network().slow(pooler, side, 0));
+                case 6 -> fleet.at(atUs, () -> fleet.network().reset(pooler, side));
                 case 7 ->
                     between(
                             atUs,
@@ -48,13 +61,13 @@
         }
     }
 
-    private void cut(long atUs, long endUs, int pooler, Fleet.Side side) {
+    private void cut(long atUs, long endUs, int pooler, NetworkSide side) {
         int way = chance.nextInt(3);
         between(
                 atUs,
                 endUs,
-                () -> fleet.cut(pooler, side, way != 1, way != 2),
-                () -> fleet.cut(pooler, side, false, false));
+                () -> fleet.network().cut(pooler, side, way != 1, way != 2),
+                () -> fleet.network().cut(pooler, side, false, false));
     }
 
     private void between(long atUs, long endUs, Runnable begin, Runnable end) {
--- /dev/null
+++ b/lab/src/main/java/frostreel/lab/processes/StandInServers.java
@@ -0,0 +1,80 @@
+package frostreel.lab.processes;
+
+import frostreel.lab.model.Cluster;
+import frostreel.lab.model.Server;
+import frostreel.lab.standin.Database;
+import frostreel.routing.Router;
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.function.Consumer;
+
+/**
+ * The model's servers behind PostgreSQL's protocol: a stand-in database for each, whose connections end when
+ * the server's process does. Used on the event loop's thread alone.
+ */
+final class StandInServers {
+    private final RunContext run;
+    private final Cluster cluster;
+    private final Consumer<Router.Member> changed;
+    private final Map<String, Database> databases = new LinkedHashMap<>();
+    /** When each server's present process started, to tell a restart from other changes. */
+    private final Map<String, Long> startTimesUs = new HashMap<>();
+
+    /** {@code changed} hears of each change to a server, as the endpoint list would word it. */
+    StandInServers(RunContext run, InetSocketAddress bind, Consumer<Router.Member> changed) throws IOException {
+        this.run = run;
+        this.changed = changed;
+        cluster = new Cluster(
+                run.scheduler(),
+                run.random(),
+                run.plan().zones(),
+                run.plan().groups(),
+                run.plan().cores(),
+                this::serverChanged);
+        StatementCosts costs = new StatementCosts(run.random(), run.classes());
+        for (Server server : cluster.all()) {
+            startTimesUs.put(server.id, 0L);
+            databases.put(
+                    server.id,
+                    new Database(run.loop(), run.scheduler(), server, costs, () -> overloadedWhileCold(server), bind));
+        }
+    }
+
+    Cluster cluster() {
+        return cluster;
+    }
+
+    /** Each server's stand-in, by the server's id. */
+    Map<String, Database> databases() {
+        return databases;
+    }
+
+    /** A server by its place among all. */
+    Server server(int number) {
+        return List.copyOf(cluster.all()).get(number);
+    }
+
+    private void overloadedWhileCold(Server server) {
+        run.log().add("server " + server.id + " fell over");
+        run.invariants().fell(run.scheduler().now(), server.id);
+        databases.get(server.id).resetAll();
+    }
+
+    private void serverChanged(Server server) {
+        boolean restarted = startTimesUs.put(server.id, server.bornUs()) != server.bornUs();
+        if (restarted || !server.up() && !server.vanished()) {
+            databases.get(server.id).resetAll();
+        }
+        Router.Member entry = Cluster.entry(server);
+        run.log().add("server " + server.id + " is " + entry.state() + (entry.primary() ? ", primary" : ""));
+        changed.accept(entry);
+    }
+
+    void close() {
+        databases.values().forEach(Database::close);
+    }
+}
--- /dev/null
+++ b/lab/src/main/java/frostreel/lab/processes/StatementCosts.java
@@ -0,0 +1,39 @@
+package frostreel.lab.processes;
+
+import frostreel.lab.standin.Database;
+import frostreel.lab.virtual.SimulationPlan;
+import frostreel.pg.Statement;
+import frostreel.routing.Router.RequestClass;
+import java.util.Map;
+import java.util.SplittableRandom;
+
+/** What a statement costs and how fresh its data must be, by its class; the work is drawn at random. */
+final class StatementCosts implements Database.Orders {
+    private final SplittableRandom random;
+    private final Map<String, RequestClass> classes;
+
+    StatementCosts(SplittableRandom random, Map<String, RequestClass> classes) {
+        this.random = random;
+        this.classes = classes;
+    }
+
+    @Override
+    public double workUs(Statement statement) {
+        for (SimulationPlan.Kind kind : SimulationPlan.KINDS) {
+            if (kind.c().name().equals(statement.requestClass())) {
+                return kind.leastUs() + random.nextDouble() * (kind.mostUs() - kind.leastUs());
+            }
+        }
+        throw new IllegalArgumentException("no class " + statement.requestClass());
+    }
+
+    /** A server does not check freshness by itself; the pooler asks for it by class and position. */
+    @Override
+    public long needUs(Statement statement, long nowUs) {
+        if (statement.write()) {
+            return 0;
+        }
+        RequestClass requestClass = classes.get(statement.requestClass());
+        return requestClass.boundUs() > 0 ? nowUs - requestClass.boundUs() : statement.afterMs() * 1000;
+    }
+}
--- a/lab/src/test/java/frostreel/lab/processes/ClusterMemberTest.java
+++ b/lab/src/test/java/frostreel/lab/processes/ClusterMemberTest.java
@@ -63,7 +63,7 @@
 
     private void cut(boolean isCut, List<Integer> from, List<Integer> to) throws Exception {
         fleet.onLoop(() -> {
-            fleet.cutPeers(from, to, isCut);
+            fleet.network().cutPeers(from, to, isCut);
             return null;
         });
     }
@@ -82,11 +82,11 @@
         });
         over.await();
         fleet.judge();
-        assertThat(fleet.rules().broken())
-                .as(() -> String.join("\n", fleet.story()))
+        assertThat(fleet.invariants().broken())
+                .as(() -> String.join("\n", fleet.log()))
                 .isZero();
         assertThat(fleet.load().statistics().served()).isPositive();
-        assertThat(fleet.crashed()).isEmpty();
+        assertThat(fleet.lifecycle().crashed()).isEmpty();
     }
 
     @Test
@@ -107,7 +107,7 @@
         long first = life(await(0, "p1 here"), "p1");
         CountDownLatch back = new CountDownLatch(1);
         fleet.onLoop(() -> {
-            fleet.kill(1, 0, back::countDown);
+            fleet.lifecycle().kill(1, 0, back::countDown);
             return null;
         });
         back.await();
@@ -129,7 +129,7 @@
 
     private void pause(boolean isPaused) throws Exception {
         fleet.onLoop(() -> {
-            fleet.pause(2, isPaused);
+            fleet.lifecycle().pause(2, isPaused);
             return null;
         });
     }
