--- a/lab/src/main/java/frostreel/lab/experiment/Experiment.java
+++ b/lab/src/main/java/frostreel/lab/experiment/Experiment.java
@@ -19,7 +19,10 @@
 
 /** An experiment file, read against its schema and checked for sense. */
 public final class Experiment {
-    /** A bound on what a policy showed; {@code zone} is -1 for all, {@code policy} null for every one. */
+    /** A check of all zones together. */
+    static final int ALL_ZONES = -1;
+
+    /** A bound on what a policy showed; {@code zone} may be {@link #ALL_ZONES}, {@code policy} null for every one. */
     record Check(String kind, String policy, int zone, double bound) {}
 
     private static final URL SCHEMA = Experiment.class.getResource("experiment.xsd");
@@ -109,7 +112,7 @@
 
     private void check(String file, XmlElement e, List<Fault> wrong) {
         if (e.name().equals("rules")) {
-            checks.add(new Check("rules", null, -1, 0));
+            checks.add(new Check("rules", null, ALL_ZONES, 0));
             return;
         }
         if (!policies.containsKey(e.text("policy"))) {
@@ -118,7 +121,7 @@
         checks.add(new Check(
                 e.name(),
                 e.text("policy"),
-                e.has("zone") ? zone(file, e, "zone", wrong) : -1,
+                e.has("zone") ? zone(file, e, "zone", wrong) : ALL_ZONES,
                 e.number(e.has("atLeast") ? "atLeast" : "atMost")));
     }
 
--- a/lab/src/main/java/frostreel/lab/experiment/Outcome.java
+++ b/lab/src/main/java/frostreel/lab/experiment/Outcome.java
@@ -120,16 +120,12 @@
     /** What a check looks at. */
     double value(Experiment.Check check) {
         return switch (check.kind()) {
-            case "worth" -> check.zone() < 0 ? worth : worthByZone[check.zone()];
-            case "worstTenSeconds" -> check.zone() < 0 ? worstTen : worstByZone[check.zone()];
-            case "ofTheBound" -> (check.zone() < 0 ? worstTen : worstByZone[check.zone()]) / bound;
+            case "worth" -> check.zone() == Experiment.ALL_ZONES ? worth : worthByZone[check.zone()];
+            case "worstTenSeconds" -> check.zone() == Experiment.ALL_ZONES ? worstTen : worstByZone[check.zone()];
+            case "ofTheBound" -> (check.zone() == Experiment.ALL_ZONES ? worstTen : worstByZone[check.zone()]) / bound;
             case "fallen" -> fallen;
             case "coldMultiple" -> coldMultiple;
             default -> broken;
         };
     }
-
-    double worstOfZone(int zone) {
-        return worstByZone[zone];
-    }
 }
--- a/lab/src/main/java/frostreel/lab/processes/PlatformConfig.java
+++ b/lab/src/main/java/frostreel/lab/processes/PlatformConfig.java
@@ -5,91 +5,121 @@
 import org.json.JSONArray;
 import org.json.JSONObject;
 
-/** Words a pooler's configuration as the platform does; the inverse of the program's reading of settings. */
+/** Writes a pooler's configuration as the platform does: the inverse of the program's reading of settings. */
 final class PlatformConfig {
+    private static final double US_PER_SECOND = 1e6;
+    private static final String MACHINE_TYPE = "m";
+
     private PlatformConfig() {}
 
-    static JSONObject of(Router.Settings s, int zones, JSONObject known, int sockets) {
+    /**
+     * A configuration.
+     *
+     * @param zones how many zones there are; they are called z0, z1 and so on
+     * @param known the endpoint list with which the pooler starts
+     * @param socketLimit how many sockets it may have open
+     */
+    static JSONObject of(Router.Settings settings, int zones, JSONObject known, int socketLimit) {
+        return new JSONObject()
+                .put("seed", Long.toHexString(settings.seed()))
+                .put("known", known)
+                .put("limits", new JSONObject().put("sockets", socketLimit))
+                .put("settings", settings(settings, zones));
+    }
+
+    private static JSONObject settings(Router.Settings settings, int zones) {
+        JSONArray zoneNames = new JSONArray();
+        for (int zone = 0; zone < zones; zone++) {
+            zoneNames.put("z" + zone);
+        }
         JSONArray classes = new JSONArray();
+        settings.classes().forEach(requestClass -> classes.put(requestClass(requestClass)));
+        return new JSONObject()
+                .put("zones", zoneNames)
+                .put("zone", settings.zone())
+                .put("machineTypes", new JSONArray().put(MACHINE_TYPE))
+                .put("instances", settings.instances())
+                .put("roundS", seconds(settings.tickUs()))
+                .put("classes", classes)
+                .put("caps", limits(settings.limits()))
+                .put("rules", rules(settings.rules()))
+                .put("familyInfo", databaseFacts(settings));
+    }
+
+    private static JSONObject requestClass(Router.RequestClass requestClass) {
+        return new JSONObject()
+                .put("name", requestClass.name())
+                .put("deadlineS", seconds(requestClass.deadlineUs()))
+                .put("onTimeS", seconds(requestClass.latencyObjectiveUs()))
+                .put("worth", requestClass.priorityWeight())
+                .put("lateWorth", requestClass.lateWeight())
+                .put("repeatWindowS", seconds(requestClass.windowUs()))
+                .put("repeat", idempotency(requestClass.idempotency()))
+                .put("group", scope(requestClass.deduplicationScope()));
+    }
+
+    private static String idempotency(Router.Idempotency idempotency) {
+        return switch (idempotency) {
+            case IDEMPOTENT -> "retryable";
+            case KEYED -> "dedup";
+            case NON_IDEMPOTENT -> "fragile";
+        };
+    }
+
+    private static String scope(Router.DeduplicationScope scope) {
+        return switch (scope) {
+            case ALL -> "all";
+            case ZONE -> "zone";
+            case GROUP -> "cell";
+        };
+    }
+
+    private static JSONObject limits(Router.Limits limits) {
+        return new JSONObject()
+                .put("maxAttempts", limits.maxAttempts())
+                .put("probes", limits.probes() != Router.Probes.NONE)
+                .put("cancel", limits.cancel())
+                .put("retryAfter", limits.retryAfterAllowed())
+                .put("maxRetryAfterS", seconds(limits.maxRetryAfterUs()))
+                .put("connectTimeoutS", seconds(limits.connectTimeoutUs()))
+                .put("idleCloseS", seconds(limits.idleCloseUs()))
+                .put("streamsPerConn", limits.requestsPerConnection());
+    }
+
+    private static JSONObject rules(Router.Rules rules) {
+        return new JSONObject()
+                .put("answerSlackS", seconds(rules.answerSlackUs()))
+                .put("stopSendingWithinS", seconds(rules.stopSendingUs()))
+                .put("onlyDrainingBinds", rules.onlyDrainingBinds())
+                .put("coldFrom", rules.coldFrom())
+                .put("warmAfterS", seconds(rules.warmAfterUs()))
+                .put("fallMultiple", rules.fallMultiple())
+                .put("fallS", seconds(rules.fallUs()));
+    }
+
+    /** What holds for databases alone: freshness by class, positions, roles. */
+    private static JSONObject databaseFacts(Router.Settings settings) {
         JSONArray freshness = new JSONArray();
         JSONArray bounds = new JSONArray();
-        for (Router.RequestClass c : s.classes()) {
-            classes.put(new JSONObject()
-                    .put("name", c.name())
-                    .put("deadlineS", seconds(c.deadlineUs()))
-                    .put("onTimeS", seconds(c.latencyObjectiveUs()))
-                    .put("worth", c.priorityWeight())
-                    .put("lateWorth", c.lateWeight())
-                    .put("repeatWindowS", seconds(c.windowUs()))
-                    .put(
-                            "repeat",
-                            switch (c.idempotency()) {
-                                case IDEMPOTENT -> "retryable";
-                                case KEYED -> "dedup";
-                                case NON_IDEMPOTENT -> "fragile";
-                            })
-                    .put(
-                            "group",
-                            switch (c.deduplicationScope()) {
-                                case ALL -> "all";
-                                case ZONE -> "zone";
-                                case GROUP -> "cell";
-                            }));
-            freshness.put(c.access().name().toLowerCase(Locale.ROOT));
-            bounds.put(seconds(c.boundUs()));
+        for (Router.RequestClass requestClass : settings.classes()) {
+            freshness.put(lowerCase(requestClass.access()));
+            bounds.put(seconds(requestClass.boundUs()));
         }
-        Router.Limits limits = s.limits();
-        Router.Rules rules = s.rules();
-        JSONArray names = new JSONArray();
-        for (int z = 0; z < zones; z++) {
-            names.put("z" + z);
-        }
-        JSONObject settings = new JSONObject()
-                .put("zones", names)
-                .put("zone", s.zone())
-                .put("machineTypes", new JSONArray().put("m"))
-                .put("instances", s.instances())
-                .put("roundS", seconds(s.tickUs()))
-                .put("classes", classes)
-                .put(
-                        "caps",
-                        new JSONObject()
-                                .put("maxAttempts", limits.maxAttempts())
-                                .put("probes", limits.probes() != Router.Probes.NONE)
-                                .put("cancel", limits.cancel())
-                                .put("retryAfter", limits.retryAfterAllowed())
-                                .put("maxRetryAfterS", seconds(limits.maxRetryAfterUs()))
-                                .put("connectTimeoutS", seconds(limits.connectTimeoutUs()))
-                                .put("idleCloseS", seconds(limits.idleCloseUs()))
-                                .put("streamsPerConn", limits.requestsPerConnection()))
-                .put(
-                        "rules",
-                        new JSONObject()
-                                .put("answerSlackS", seconds(rules.answerSlackUs()))
-                                .put("stopSendingWithinS", seconds(rules.stopSendingUs()))
-                                .put("onlyDrainingBinds", rules.onlyDrainingBinds())
-                                .put("coldFrom", rules.coldFrom())
-                                .put("warmAfterS", seconds(rules.warmAfterUs()))
-                                .put("fallMultiple", rules.fallMultiple())
-                                .put("fallS", seconds(rules.fallUs())))
-                .put(
-                        "familyInfo",
-                        new JSONObject()
-                                .put("freshness", freshness)
-                                .put("lagAllowedS", bounds)
-                                .put("holdsForS", seconds(limits.holdsForUs()))
-                                .put("positions", s.positions())
-                                .put("serverChecks", s.stalenessCheck().name().toLowerCase(Locale.ROOT))
-                                .put("listRole", s.listRole().name().toLowerCase(Locale.ROOT))
-                                .put("writeMarks", s.sessionTracking().name().toLowerCase(Locale.ROOT)));
         return new JSONObject()
-                .put("seed", Long.toHexString(s.seed()))
-                .put("known", known)
-                .put("limits", new JSONObject().put("sockets", sockets))
-                .put("settings", settings);
+                .put("freshness", freshness)
+                .put("lagAllowedS", bounds)
+                .put("holdsForS", seconds(settings.limits().holdsForUs()))
+                .put("positions", settings.positions())
+                .put("serverChecks", lowerCase(settings.stalenessCheck()))
+                .put("listRole", lowerCase(settings.listRole()))
+                .put("writeMarks", lowerCase(settings.sessionTracking()));
+    }
+
+    private static String lowerCase(Enum<?> value) {
+        return value.name().toLowerCase(Locale.ROOT);
     }
 
     private static double seconds(long us) {
-        return us / 1e6;
+        return us / US_PER_SECOND;
     }
 }
