--- a/lab/src/main/java/frostreel/lab/standin/Database.java
+++ b/lab/src/main/java/frostreel/lab/standin/Database.java
@@ -1,5 +1,6 @@
 package frostreel.lab.standin;
 
+import frostreel.lab.model.Job;
 import frostreel.lab.model.Scheduler;
 import frostreel.lab.model.Server;
 import frostreel.net.EventLoop;
@@ -74,7 +75,7 @@
         private final SocketStream stream;
         private final MessageReader reader = new MessageReader(type -> MOST_BYTES);
         private boolean welcomed;
-        private Server.Job job;
+        private Job job;
 
         Session(StreamConnection connection) {
             stream = new SocketStream(loop, connection, this);
@@ -117,8 +118,8 @@
             }
             Statement s = Statement.parse(sql);
             // It is held before it arrives: a server may answer, or fall over, at once.
-            Server.Job[] made = new Server.Job[1];
-            made[0] = new Server.Job(
+            Job[] made = new Job[1];
+            made[0] = new Job(
                     orders.workUs(s), s.write(), orders.needUs(s, kernel.now()), (outcome, role, positionUs, util) -> {
                         if (job == made[0]) {
                             job = null;
@@ -171,7 +172,7 @@
 
         void close() {
             if (sessions.remove(this)) {
-                Server.Job over = job;
+                Job over = job;
                 job = null;
                 if (over != null) {
                     server.cancel(over);
--- a/lab/src/main/java/frostreel/lab/virtual/VirtualPooler.java
+++ b/lab/src/main/java/frostreel/lab/virtual/VirtualPooler.java
@@ -3,6 +3,7 @@
 import frostreel.broker.Broker;
 import frostreel.broker.Deadlines;
 import frostreel.broker.SlotTable;
+import frostreel.lab.model.Job;
 import frostreel.lab.model.Links;
 import frostreel.lab.model.Scheduler;
 import frostreel.lab.model.Server;
@@ -55,7 +56,7 @@
         boolean excused;
 
         boolean held;
-        Server.Job job;
+        Job job;
 
         Attempt(Server server, Order order, AttemptListener sink) {
             this.server = server;
@@ -222,7 +223,7 @@
             return;
         }
         long checkedUs = settings.stalenessCheck() == Router.StalenessCheck.SILENT ? 0 : needUs;
-        a.job = new Server.Job(a.order.workUs, a.order.write, checkedUs, a.told, (outcome, role, positionUs, util) -> {
+        a.job = new Job(a.order.workUs, a.order.write, checkedUs, a.told, (outcome, role, positionUs, util) -> {
             if (links.open(a.server.zone, zone)) {
                 if (outcome == Outcome.OK && a.order.write) {
                     kernel.after(KNOWN_AFTER_US, () -> committed(a.order, positionUs));
@@ -240,7 +241,7 @@
         return bornUs.getOrDefault(s.id, 0L) == s.bornUs();
     }
 
-    private void hand(Server s, Server.Job job) {
+    private void hand(Server s, Job job) {
         boolean fallen = s.fallen();
         s.arrive(job);
         if (s.fallen() && !fallen && s.pushed()) {
@@ -336,7 +337,7 @@
         connect(a, () -> {
             Server s = a.server;
             Result report = new Result(Outcome.OK, Role.UNKNOWN, 0, report(s.role(), s.position(), s.util()), null);
-            hand(s, new Server.Job(PROBE_WORK_US, false, 0, knowsStart(s), (outcome, role, positionUs, util) -> {}));
+            hand(s, new Job(PROBE_WORK_US, false, 0, knowsStart(s), (outcome, role, positionUs, util) -> {}));
             finish(a, report);
         });
     }
--- a/lab/src/test/java/frostreel/lab/model/ServerTest.java
+++ b/lab/src/test/java/frostreel/lab/model/ServerTest.java
@@ -13,16 +13,16 @@
     private final Server server = new Server(kernel, ServerParameters.USUAL, "s", 0, 0, 2, 1);
     private final List<String> ended = new ArrayList<>();
 
-    private Server.Job job(String name, double workUs, boolean write, long needUs) {
-        return new Server.Job(
+    private Job job(String name, double workUs, boolean write, long needUs) {
+        return new Job(
                 workUs,
                 write,
                 needUs,
                 (outcome, role, positionUs, util) -> ended.add(name + " " + outcome + " " + (kernel.now() - START_US)));
     }
 
-    private Server.Job send(String name, double workUs) {
-        Server.Job job = job(name, workUs, false, 0);
+    private Job send(String name, double workUs) {
+        Job job = job(name, workUs, false, 0);
         server.arrive(job);
         return job;
     }
@@ -39,9 +39,9 @@
 
     @Test
     void aCancelledRequestFreesItsCoreAndIsNotAnswered() {
-        Server.Job first = send("a", 10_000);
+        Job first = send("a", 10_000);
         send("b", 10_000);
-        Server.Job waiting = send("c", 10_000);
+        Job waiting = send("c", 10_000);
         send("d", 1000);
         server.cancel(waiting);
         server.cancel(first);
