--- /dev/null
+++ b/lab/src/main/java/frostreel/lab/virtual/SimulatedClients.java
@@ -0,0 +1,255 @@
+package frostreel.lab.virtual;
+
+import frostreel.request.RequestAttributes;
+import frostreel.request.ResponseHandler;
+import frostreel.lab.model.Cluster;
+import frostreel.lab.model.Scheduler;
+import frostreel.lab.rules.InvariantChecker;
+import frostreel.lab.rules.RunListener.Answer;
+import frostreel.routing.Router;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.List;
+import java.util.SplittableRandom;
+
+/** The clients of a simulation: requests arrive at random at each pooler, and may be retried once. */
+final class SimulatedClients {
+    private static final long US_PER_SECOND = 1_000_000;
+    private static final long MIN_RETRY_AFTER_US = 50_000;
+    /** The least part of a class's deadline that a client waits; the rest is drawn. */
+    private static final double MIN_PATIENCE = 0.4;
+
+    private static final double PATIENCE_SPREAD = 0.6;
+
+    private final SimulationPlan plan;
+    private final Scheduler scheduler;
+    private final long startUs;
+    private final PoolerFleet poolers;
+    private final Cluster cluster;
+    private final InvariantChecker invariants;
+    private final RunStatistics statistics;
+    /** When each session last had a write answered, as its client knows. */
+    private final long[] lastWriteUs;
+    /** What each pooler is asked, as a multiple of the mean. */
+    private final double[] demand;
+
+    private final List<LostRead> lostReads = new ArrayList<>();
+    private long lastId;
+
+    /** The run starts now. */
+    SimulatedClients(
+            SimulationPlan plan,
+            Scheduler scheduler,
+            PoolerFleet poolers,
+            Cluster cluster,
+            InvariantChecker invariants,
+            RunStatistics statistics) {
+        this.plan = plan;
+        this.scheduler = scheduler;
+        this.poolers = poolers;
+        this.cluster = cluster;
+        this.invariants = invariants;
+        this.statistics = statistics;
+        startUs = scheduler.now();
+        lastWriteUs = new long[plan.site().sessions()];
+        demand = new double[poolers.size()];
+        Arrays.fill(demand, 1);
+    }
+
+    /** From its next request on, the first of all poolers is asked so many times what the last one is. */
+    void skewDemand(double times) {
+        double sum = 0;
+        for (int i = 0; i < demand.length; i++) {
+            demand[i] = Math.pow(times, -(double) i / Math.max(1, demand.length - 1));
+            sum += demand[i];
+        }
+        for (int i = 0; i < demand.length; i++) {
+            demand[i] *= demand.length / sum;
+        }
+    }
+
+    /** Schedules the next request at a pooler, and with it all that follow until the run's end. */
+    void scheduleArrival(int pooler, SplittableRandom random) {
+        double gapUs = -Math.log(1 - random.nextDouble()) * 1e6 / plan.perPooler() / demand[pooler];
+        scheduler.after((long) gapUs, () -> {
+            if (scheduler.now() - startUs < plan.durationUs()) {
+                VirtualPooler serving = poolers.servingFor(pooler);
+                if (serving != null) {
+                    ask(serving, random);
+                }
+                scheduleArrival(pooler, random);
+            }
+        });
+    }
+
+    private int second() {
+        return (int) ((scheduler.now() - startUs) / US_PER_SECOND);
+    }
+
+    private void ask(VirtualPooler pooler, SplittableRandom random) {
+        int classIndex = drawClass(random);
+        SimulationPlan.Kind kind = plan.site().kinds().get(classIndex);
+        double workUs = kind.leastUs() + random.nextDouble() * (kind.mostUs() - kind.leastUs());
+        int session = random.nextInt(lastWriteUs.length);
+        double patience = MIN_PATIENCE + PATIENCE_SPREAD * random.nextDouble();
+        boolean mayRetry = random.nextBoolean() && plan.clientRetries();
+        statistics.requests++;
+        statistics.asked(second(), pooler.zone, classIndex, kind.c().priorityWeight());
+        ClientRequest request = new ClientRequest(
+                pooler,
+                classIndex,
+                session % plan.groups(),
+                session,
+                workUs,
+                patience,
+                scheduler.now(),
+                second(),
+                mayRetry);
+        submit(request, false);
+    }
+
+    private int drawClass(SplittableRandom random) {
+        List<SimulationPlan.Kind> kinds = plan.site().kinds();
+        double draw = random.nextDouble();
+        int index = 0;
+        while (index < kinds.size() - 1 && draw >= kinds.get(index).share()) {
+            draw -= kinds.get(index++).share();
+        }
+        return index;
+    }
+
+    private void submit(ClientRequest request, boolean isRetry) {
+        Router.RequestClass requestClass =
+                plan.site().kinds().get(request.classIndex()).c();
+        String id = Long.toString(++lastId, Character.MAX_RADIX);
+        long nowUs = scheduler.now();
+        long deadlineUs = nowUs + (long) (requestClass.deadlineUs() * request.patience());
+        boolean carried = plan.site().settings().sessionTracking() == Router.SessionTracking.CARRIED;
+        boolean sessionRead = requestClass.access() == Router.Access.SESSION;
+        long wroteUs =
+                carried ? lastWriteUs[request.session()] : request.pooler().commit(request.session());
+        invariants.asked(nowUs, request.pooler().number, id, requestClass, deadlineUs);
+        boolean lostCommit = sessionRead && !carried && cluster.lost(request.group(), wroteUs);
+        long ledUs = lostCommit ? primaryAgeUs(request.group()) : 0;
+        RequestAttributes attributes = new RequestAttributes(
+                id,
+                request.classIndex(),
+                request.session(),
+                request.group(),
+                deadlineUs,
+                sessionRead && carried && wroteUs > 0 ? nowUs - wroteUs : 0,
+                isRetry);
+        VirtualPooler.Order order = new VirtualPooler.Order(
+                id,
+                request.workUs(),
+                requestClass.access() == Router.Access.WRITE,
+                request.session(),
+                requestClass.access() == Router.Access.BOUNDED ? requestClass.boundUs() : 0,
+                requiredPositionUs(requestClass.access(), wroteUs, nowUs));
+        request.pooler()
+                .submit(attributes, order, new ClientHandler(request, requestClass, id, isRetry, lostCommit, ledUs));
+    }
+
+    private static long requiredPositionUs(Router.Access access, long wroteUs, long nowUs) {
+        return switch (access) {
+            case SESSION -> wroteUs;
+            case FRESH -> nowUs;
+            default -> 0;
+        };
+    }
+
+    /** For how long a group has had its primary, 0 where it has none. */
+    private long primaryAgeUs(int group) {
+        return cluster.all().stream()
+                .filter(server -> server.group == group && server.primary())
+                .mapToLong(server -> scheduler.now() - server.ledSinceUs())
+                .findFirst()
+                .orElse(0);
+    }
+
+    private void retry(ClientRequest request) {
+        VirtualPooler serving = poolers.servingFor(request.pooler().number);
+        if (serving != null) {
+            submit(request.retryAt(serving), true);
+        }
+    }
+
+    /** In the order of their answers. */
+    List<LostRead> lostReads() {
+        return lostReads;
+    }
+
+    /** Takes the one answer to a request. */
+    private final class ClientHandler implements ResponseHandler {
+        private final ClientRequest request;
+        private final Router.RequestClass requestClass;
+        private final String id;
+        private final boolean isRetry;
+        private final boolean lostCommit;
+        private final long ledUs;
+
+        ClientHandler(
+                ClientRequest request,
+                Router.RequestClass requestClass,
+                String id,
+                boolean isRetry,
+                boolean lostCommit,
+                long ledUs) {
+            this.request = request;
+            this.requestClass = requestClass;
+            this.id = id;
+            this.isRetry = isRetry;
+            this.lostCommit = lostCommit;
+            this.ledUs = ledUs;
+        }
+
+        @Override
+        public void served(byte[] answer) {
+            statistics.served++;
+            answered(Answer.SERVED);
+            long latencyUs = scheduler.now() - request.askedUs();
+            double share = latencyUs <= requestClass.latencyObjectiveUs() ? 1 : requestClass.lateWeight();
+            statistics.got(
+                    request.second(),
+                    request.pooler().zone,
+                    request.classIndex(),
+                    requestClass.priorityWeight() * share);
+            if (requestClass.access() == Router.Access.WRITE) {
+                lastWriteUs[request.session()] = scheduler.now();
+            }
+        }
+
+        @Override
+        public void rejected(long retryAfterUs) {
+            statistics.refused++;
+            answered(Answer.REFUSED);
+            if (request.mayRetry() && !isRetry) {
+                statistics.retries++;
+                scheduler.after(Math.max(retryAfterUs, MIN_RETRY_AFTER_US), () -> retry(request));
+            }
+        }
+
+        @Override
+        public void failed() {
+            statistics.failed++;
+            answered(Answer.FAILED);
+        }
+
+        private void answered(Answer answer) {
+            invariants.answered(scheduler.now(), request.pooler().number, id, answer);
+            if (lostCommit) {
+                lostReads.add(new LostRead(request.session(), ledUs, answer));
+            }
+        }
+
+        @Override
+        public void cancelled() {
+            throw new IllegalStateException("no client of this model cancels");
+        }
+
+        @Override
+        public boolean isClientConnected() {
+            return true;
+        }
+    }
+}
--- a/lab/src/test/java/frostreel/lab/virtual/LostCommitsTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/LostCommitsTest.java
@@ -41,7 +41,7 @@
             RunStatistics t = world.tally();
             assertThat(t.served() + t.refused() + t.failed()).isEqualTo(t.requests() + t.retries);
             assertThat(world.cluster().lost()).as("seed %d", seed).isPositive();
-            List<Simulation.LostRead> settled = world.lostReads().stream()
+            List<LostRead> settled = world.lostReads().stream()
                     .filter(r -> r.ledUs() > SETTLED_US)
                     .toList();
             assertThat(settled)
