--- a/lab/src/main/java/frostreel/lab/cli/Compare.java
+++ b/lab/src/main/java/frostreel/lab/cli/Compare.java
@@ -46,11 +46,11 @@
                 }
             } catch (IOException | JSONException e) {
                 spec.commandLine().getErr().println(folder + ": no result of a run: " + e.getMessage());
-                return 2;
+                return ExitCodes.FAULTY_INPUT;
             }
         }
         spec.commandLine().getOut().print(Tables.markdown(columns, rows));
         spec.commandLine().getOut().flush();
-        return 0;
+        return ExitCodes.PASSED;
     }
 }
--- /dev/null
+++ b/lab/src/main/java/frostreel/lab/cli/ExitCodes.java
@@ -0,0 +1,27 @@
+package frostreel.lab.cli;
+
+import frostreel.settings.FaultyFileException;
+import picocli.CommandLine;
+import picocli.CommandLine.ParseResult;
+
+/** The exit codes of all commands. */
+final class ExitCodes {
+    static final int PASSED = 0;
+    static final int FAILED = 1;
+    static final int FAULTY_INPUT = 2;
+
+    private ExitCodes() {}
+
+    static int of(boolean passed) {
+        return passed ? PASSED : FAILED;
+    }
+
+    /** Prints what is wrong with a faulty file; anything else is a fault of the lab and thrown on. */
+    static int handle(Exception thrown, CommandLine command, ParseResult parsed) throws Exception {
+        if (thrown instanceof FaultyFileException) {
+            command.getErr().println(thrown.getMessage());
+            return FAULTY_INPUT;
+        }
+        throw thrown;
+    }
+}
--- a/lab/src/main/java/frostreel/lab/cli/Faults.java
+++ b/lab/src/main/java/frostreel/lab/cli/Faults.java
@@ -1,14 +1,13 @@
 package frostreel.lab.cli;
 
 import frostreel.lab.processes.FaultCampaign;
-import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
+import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
-import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
 /** Plays every fault of the system at every point of a pooler's life. */
@@ -48,12 +47,8 @@
             description = "Cases whose name begins" + " so, as accept-enfile-load.")
     private String only;
 
-    @Option(
-            names = "--program",
-            paramLabel = "JAR",
-            defaultValue = "pooler/target/frostreel.jar",
-            description = "The built program; ${DEFAULT-VALUE} where left out.")
-    private Path program;
+    @Mixin
+    private ProgramOption program;
 
     @Option(
             names = "--out",
@@ -67,11 +62,9 @@
 
     @Override
     public Integer call() throws Exception {
-        if (!Files.isRegularFile(program)) {
-            throw new ParameterException(spec.commandLine(), "--program: there is no " + program);
-        }
+        Path jar = program.existing();
         FaultCampaign campaign = new FaultCampaign(
                 new FaultCampaign.Size(poolers, groups), spec.commandLine().getOut());
-        return campaign.run(seconds, only, program.toAbsolutePath(), folder) ? 0 : 1;
+        return ExitCodes.of(campaign.run(seconds, only, jar, folder));
     }
 }
--- a/lab/src/main/java/frostreel/lab/cli/Main.java
+++ b/lab/src/main/java/frostreel/lab/cli/Main.java
@@ -22,6 +22,6 @@
     }
 
     static CommandLine commandLine() {
-        return new CommandLine(new Main());
+        return new CommandLine(new Main()).setExecutionExceptionHandler(ExitCodes::handle);
     }
 }
--- a/lab/src/main/java/frostreel/lab/cli/Processes.java
+++ b/lab/src/main/java/frostreel/lab/cli/Processes.java
@@ -2,14 +2,12 @@
 
 import frostreel.lab.processes.ProcessExperiment;
 import frostreel.lab.processes.ProcessExperimentRunner;
-import frostreel.settings.FaultyFileException;
-import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
+import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
-import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
@@ -27,12 +25,8 @@
     @Option(names = "--seed", paramLabel = "N", description = "The seed; the file's where left out.")
     private Long seed;
 
-    @Option(
-            names = "--program",
-            paramLabel = "JAR",
-            defaultValue = "pooler/target/frostreel.jar",
-            description = "The built program; ${DEFAULT-VALUE} where left out.")
-    private Path program;
+    @Mixin
+    private ProgramOption program;
 
     @Option(
             names = "--out",
@@ -45,19 +39,11 @@
 
     @Override
     public Integer call() throws Exception {
-        if (!Files.isRegularFile(program)) {
-            throw new ParameterException(spec.commandLine(), "--program: there is no " + program);
-        }
-        try {
-            ProcessExperiment experiment = ProcessExperiment.read(file);
-            boolean live = System.console() != null;
-            return new ProcessExperimentRunner(spec.commandLine().getOut(), live)
-                            .run(experiment, seed == null ? experiment.seed() : seed, program.toAbsolutePath(), folder)
-                    ? 0
-                    : 1;
-        } catch (FaultyFileException e) {
-            spec.commandLine().getErr().println(e.getMessage());
-            return 2;
-        }
+        Path jar = program.existing();
+        ProcessExperiment experiment = ProcessExperiment.read(file);
+        boolean live = System.console() != null;
+        ProcessExperimentRunner runner =
+                new ProcessExperimentRunner(spec.commandLine().getOut(), live);
+        return ExitCodes.of(runner.run(experiment, seed == null ? experiment.seed() : seed, jar, folder));
     }
 }
--- a/lab/src/main/java/frostreel/lab/cli/Run.java
+++ b/lab/src/main/java/frostreel/lab/cli/Run.java
@@ -2,8 +2,6 @@
 
 import frostreel.lab.experiment.Experiment;
 import frostreel.lab.experiment.Runner;
-import frostreel.settings.FaultyFileException;
-import java.io.IOException;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
@@ -40,18 +38,13 @@
     private CommandSpec spec;
 
     @Override
-    public Integer call() throws IOException {
+    public Integer call() throws Exception {
         if (seeds < 1) {
             throw new ParameterException(spec.commandLine(), "--seeds must be 1 or more");
         }
-        try {
-            Experiment experiment = Experiment.read(file);
-            long first = seed == null ? experiment.seed() : seed;
-            boolean good = new Runner(spec.commandLine().getOut()).run(experiment, first, seeds, folder);
-            return good ? 0 : 1;
-        } catch (FaultyFileException e) {
-            spec.commandLine().getErr().println(e.getMessage());
-            return 2;
-        }
+        Experiment experiment = Experiment.read(file);
+        long firstSeed = seed == null ? experiment.seed() : seed;
+        Runner runner = new Runner(spec.commandLine().getOut());
+        return ExitCodes.of(runner.run(experiment, firstSeed, seeds, folder));
     }
 }
