--- a/lab/src/test/java/frostreel/lab/virtual/RandomScenario.java
+++ b/lab/src/test/java/frostreel/lab/virtual/RandomScenario.java
@@ -22,6 +22,10 @@
     private static final double US = 1e6;
     /** A draining server has ended by then. */
     private static final long DRAIN_US = 3_100_000;
+    /** The least time for which what was ended stays away. */
+    private static final long AWAY_US = 200_000;
+
+    private static final long STALL_INTERVAL_US = 1_500_000;
 
     /** Plays it; the seed is the draw's own. */
     Simulation play() throws MalformedMessageException {
@@ -109,65 +113,79 @@
         return some;
     }
 
-    private void schedule(Simulation world, JSONObject e) {
-        long at = us(e, "atS");
-        long len = us(e, "lenS");
-        double size = e.getDouble("size");
-        Cluster cluster = world.cluster();
-        List<Server> servers = part(List.copyOf(cluster.all()), e);
-        switch (e.getString("kind")) {
-            case "roll" -> {
-                JSONObject fleet = json.getJSONObject("fleet");
-                int count = fleet.getInt("zones") * fleet.getInt("poolersPerZone");
-                int met = Math.max(1, (int) Math.floor(e.getDouble("part") * count));
-                for (int i = 0; i < met; i++) {
-                    int number = (e.getInt("from") + i) % count;
-                    world.at(at + len * i / met, () -> world.restart(number, 200_000 + (long) (size * US)));
-                }
-            }
+    private void schedule(Simulation simulation, JSONObject event) {
+        long atUs = us(event, "atS");
+        long lengthUs = us(event, "lenS");
+        double size = event.getDouble("size");
+        Cluster cluster = simulation.cluster();
+        List<Server> servers = part(List.copyOf(cluster.all()), event);
+        switch (event.getString("kind")) {
+            case "roll" -> roll(simulation, event, atUs, lengthUs, size);
             case "restart" ->
-                servers.forEach(s -> {
-                    world.at(at, () -> cluster.crash(s));
-                    world.at(at + len / 4 + 200_000, () -> start(cluster, s));
+                servers.forEach(server -> {
+                    simulation.at(atUs, () -> cluster.crash(server));
+                    simulation.at(atUs + lengthUs / 4 + AWAY_US, () -> start(cluster, server));
                 });
             case "drain" -> {
-                world.at(at, () -> cluster.drain(servers.get(0)));
-                world.at(at + DRAIN_US + len / 4, () -> start(cluster, servers.get(0)));
+                simulation.at(atUs, () -> cluster.drain(servers.get(0)));
+                simulation.at(atUs + DRAIN_US + lengthUs / 4, () -> start(cluster, servers.get(0)));
             }
             case "lose" ->
-                servers.forEach(s -> {
-                    world.at(at, () -> cluster.vanish(s));
-                    world.at(at + 200_000 + len, () -> start(cluster, s));
+                servers.forEach(server -> {
+                    simulation.at(atUs, () -> cluster.vanish(server));
+                    simulation.at(atUs + AWAY_US + lengthUs, () -> start(cluster, server));
                 });
-            case "losePrimary" ->
-                world.at(
-                        at,
-                        () -> cluster.all().stream()
-                                .filter(Server::primary)
-                                .skip(e.getInt("from")
-                                        % json.getJSONObject("fleet").getInt("groups"))
-                                .findFirst()
-                                .ifPresent(s -> {
-                                    cluster.vanish(s);
-                                    world.at(at + 200_000 + len, () -> start(cluster, s));
-                                }));
+            case "losePrimary" -> losePrimary(simulation, event, atUs, lengthUs);
+            default -> degrade(simulation, event, servers);
+        }
+    }
+
+    /** Restarts some poolers one after the other. */
+    private void roll(Simulation simulation, JSONObject event, long atUs, long lengthUs, double size) {
+        JSONObject fleet = json.getJSONObject("fleet");
+        int count = fleet.getInt("zones") * fleet.getInt("poolersPerZone");
+        int restarted = Math.max(1, (int) Math.floor(event.getDouble("part") * count));
+        for (int i = 0; i < restarted; i++) {
+            int number = (event.getInt("from") + i) % count;
+            simulation.at(
+                    atUs + lengthUs * i / restarted, () -> simulation.restart(number, AWAY_US + (long) (size * US)));
+        }
+    }
+
+    private void losePrimary(Simulation simulation, JSONObject event, long atUs, long lengthUs) {
+        Cluster cluster = simulation.cluster();
+        int group = event.getInt("from") % json.getJSONObject("fleet").getInt("groups");
+        simulation.at(
+                atUs,
+                () -> cluster.all().stream()
+                        .filter(Server::primary)
+                        .skip(group)
+                        .findFirst()
+                        .ifPresent(server -> {
+                            cluster.vanish(server);
+                            simulation.at(atUs + AWAY_US + lengthUs, () -> start(cluster, server));
+                        }));
+    }
+
+    /** Servers that run on, though worse. */
+    private void degrade(Simulation simulation, JSONObject event, List<Server> servers) {
+        long atUs = us(event, "atS");
+        long lengthUs = us(event, "lenS");
+        double size = event.getDouble("size");
+        double usualReplay = json.getJSONObject("fleet").getDouble("replay");
+        switch (event.getString("kind")) {
             case "lag" ->
-                during(
-                        world,
-                        at,
-                        len,
-                        servers,
-                        s -> s.replayAt(size),
-                        s -> s.replayAt(json.getJSONObject("fleet").getDouble("replay")));
-            case "errors" -> during(world, at, len, servers, s -> s.failing(size), s -> s.failing(0));
-            case "losses" -> during(world, at, len, servers, s -> s.losing(size), s -> s.losing(0));
-            case "slow" -> during(world, at, len, servers, s -> s.slowDown(1 + size), s -> s.slowDown(1));
+                during(simulation, atUs, lengthUs, servers, s -> s.replayAt(size), s -> s.replayAt(usualReplay));
+            case "errors" -> during(simulation, atUs, lengthUs, servers, s -> s.failing(size), s -> s.failing(0));
+            case "losses" -> during(simulation, atUs, lengthUs, servers, s -> s.losing(size), s -> s.losing(0));
+            case "slow" -> during(simulation, atUs, lengthUs, servers, s -> s.slowDown(1 + size), s -> s.slowDown(1));
             case "stalls" -> {
-                for (long t = at; t < at + len; t += 1_500_000) {
-                    world.at(t, () -> servers.forEach(s -> s.stall((long) (100_000 + 300_000 * size))));
+                long stallUs = (long) (100_000 + 300_000 * size);
+                for (long t = atUs; t < atUs + lengthUs; t += STALL_INTERVAL_US) {
+                    simulation.at(t, () -> servers.forEach(server -> server.stall(stallUs)));
                 }
             }
-            default -> throw new IllegalArgumentException("no such event: " + e);
+            default -> throw new IllegalArgumentException("no such event: " + event);
         }
     }
 
--- a/lab/src/test/java/frostreel/lab/virtual/RandomSettingsTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/RandomSettingsTest.java
@@ -197,59 +197,66 @@
                 : Arbitraries.fromGenerator(random -> generator.next(new Random(random.nextLong() ^ salt)));
     }
 
+    /** The classes of one draw as the platform hands them over, and what they ask of a server together. */
+    private static final class DrawnClasses {
+        final JSONArray classes = new JSONArray();
+        final JSONArray kinds = new JSONArray();
+        final JSONArray freshness = new JSONArray();
+        final JSONArray bounds = new JSONArray();
+        double shares;
+        double workS;
+        double longestS;
+
+        DrawnClasses(List<JSONObject> drawn) {
+            drawn.forEach(this::add);
+        }
+
+        private void add(JSONObject drawn) {
+            double deadlineS = drawn.getDouble("deadlineS");
+            double objectiveS = deadlineS * drawn.getDouble("aimShare");
+            double needsS = Math.min(MOST_WORK_S, objectiveS / drawn.getDouble("aims"));
+            boolean keyed = drawn.getString("repeat").equals("dedup");
+            boolean bounded = drawn.getString("access").equals("bounded");
+            classes.put(new JSONObject()
+                    .put("name", "c" + classes.length())
+                    .put("deadlineS", deadlineS)
+                    .put("onTimeS", objectiveS)
+                    .put("worth", drawn.getDouble("worth"))
+                    .put("lateWorth", drawn.getDouble("lateWorth"))
+                    .put("repeat", drawn.getString("repeat"))
+                    .put("group", keyed ? drawn.getString("group") : "all")
+                    .put("repeatWindowS", drawn.getDouble("repeatWindowS")));
+            freshness.put(drawn.getString("access"));
+            bounds.put(bounded ? drawn.getDouble("boundS") : 0);
+            kinds.put(new JSONObject().put("share", drawn.getInt("share")).put("workMs", needsS * 1e3));
+            shares += drawn.getInt("share");
+            workS += drawn.getInt("share") * needsS;
+            longestS = Math.max(longestS, needsS);
+        }
+    }
+
     private static RandomScenario draw(
             JSONObject settings,
             JSONObject drawnFleet,
             List<JSONObject> drawnClasses,
             List<JSONObject> events,
             long seed) {
-        JSONArray classes = new JSONArray();
-        JSONArray kinds = new JSONArray();
-        JSONArray freshness = new JSONArray();
-        JSONArray bounds = new JSONArray();
+        DrawnClasses drawn = new DrawnClasses(drawnClasses);
         JSONObject fleet = copy(drawnFleet);
-        JSONObject rules = settings.getJSONObject("rules");
-        double shares = 0;
-        double work = 0;
-        double longest = 0;
-        for (JSONObject c : drawnClasses) {
-            double deadline = c.getDouble("deadlineS");
-            double aim = deadline * c.getDouble("aimShare");
-            double needs = Math.min(MOST_WORK_S, aim / c.getDouble("aims"));
-            boolean dedup = c.getString("repeat").equals("dedup");
-            classes.put(new JSONObject()
-                    .put("name", "c" + classes.length())
-                    .put("deadlineS", deadline)
-                    .put("onTimeS", aim)
-                    .put("worth", c.getDouble("worth"))
-                    .put("lateWorth", c.getDouble("lateWorth"))
-                    .put("repeat", c.getString("repeat"))
-                    .put("group", dedup ? c.getString("group") : "all")
-                    .put("repeatWindowS", c.getDouble("repeatWindowS")));
-            freshness.put(c.getString("access"));
-            bounds.put(c.getString("access").equals("bounded") ? c.getDouble("boundS") : 0);
-            kinds.put(new JSONObject().put("share", c.getInt("share")).put("workMs", needs * 1e3));
-            shares += c.getInt("share");
-            work += c.getInt("share") * needs;
-            longest = Math.max(longest, needs);
-        }
-        // What a server just started may be sent holds two requests of any class, and some of the usual ones.
-        double cold = rules.getDouble("coldFrom") * rules.getDouble("fallMultiple") * rules.getDouble("fallS");
-        int cores =
-                Math.max(fleet.getInt("cores"), (int) Math.ceil(Math.max(2 * 1.3 * longest, 8 * work / shares) / cold));
         int poolers = fleet.getInt("zones") * fleet.getInt("poolersPerZone");
+        int cores = Math.max(fleet.getInt("cores"), coresNeededCold(drawn, settings.getJSONObject("rules")));
         double rate = Math.min(fleet.getDouble("rate") * poolers, MOST_REQUESTS / fleet.getDouble("durationS"));
         double capacity = fleet.getInt("zones") * fleet.getInt("members") * fleet.getInt("groups") * cores;
         fleet.put("chance", true)
                 .put("cores", cores)
-                .put("kinds", kinds)
-                .put("load", Math.min(MOST_LOAD, rate * work / shares / capacity));
-        JSONObject all = copy(settings).put("classes", classes).put("instances", poolers);
+                .put("kinds", drawn.kinds)
+                .put("load", Math.min(MOST_LOAD, rate * drawn.workS / drawn.shares / capacity));
+        JSONObject all = copy(settings).put("classes", drawn.classes).put("instances", poolers);
         all.put(
                 "familyInfo",
                 copy(all.getJSONObject("familyInfo"))
-                        .put("freshness", freshness)
-                        .put("lagAllowedS", bounds));
+                        .put("freshness", drawn.freshness)
+                        .put("lagAllowedS", drawn.bounds));
         return new RandomScenario(new JSONObject()
                 .put("settings", all)
                 .put("fleet", fleet)
@@ -257,6 +264,12 @@
                 .put("events", new JSONArray(events)));
     }
 
+    /** What a server just started may be sent holds two requests of any class, and some of the usual ones. */
+    private static int coresNeededCold(DrawnClasses drawn, JSONObject rules) {
+        double cold = rules.getDouble("coldFrom") * rules.getDouble("fallMultiple") * rules.getDouble("fallS");
+        return (int) Math.ceil(Math.max(2 * 1.3 * drawn.longestS, 8 * drawn.workS / drawn.shares) / cold);
+    }
+
     @Property(tries = TRIES, seed = "1", shrinking = ShrinkingMode.BOUNDED, afterFailure = AfterFailureMode.RANDOM_SEED)
     void theRulesHoldOnEveryDraw(@ForAll("draws") RandomScenario draw) throws MalformedMessageException {
         Simulation world = draw.play();
