--- a/lab/src/main/java/frostreel/lab/processes/ClientRecorder.java
+++ b/lab/src/main/java/frostreel/lab/processes/ClientRecorder.java
@@ -18,7 +18,7 @@
     private final Clock clock;
     private final int pooler;
     private final Map<String, Router.RequestClass> classes;
-    private final RunListener witness;
+    private final RunListener listener;
     private final MessageReader heard = new MessageReader(type -> MOST_BYTES);
     private final MessageReader said = new MessageReader(type -> MOST_BYTES);
     /** Queries not yet answered, by their ids; empty for what is none of a class. */
@@ -35,12 +35,12 @@
      * that was used before; it comes again on a new one, and is counted where the load has it.
      */
     ClientRecorder(
-            Clock clock, int pooler, Map<String, Router.RequestClass> classes, RunListener witness, boolean mayCross) {
+            Clock clock, int pooler, Map<String, Router.RequestClass> classes, RunListener listener, boolean mayCross) {
         this.mayCross = mayCross;
         this.clock = clock;
         this.pooler = pooler;
         this.classes = classes;
-        this.witness = witness;
+        this.listener = listener;
     }
 
     @Override
@@ -62,7 +62,7 @@
         try {
             Statement s = Statement.parse(sql);
             open.add(s.id());
-            witness.asked(
+            listener.requestTaken(
                     clock.now(), pooler, s.id(), classes.get(s.requestClass()), clock.now() + s.timeoutMs() * 1000);
         } catch (PgException e) {
             open.add(""); // An empty query, or a page.
@@ -76,7 +76,7 @@
             while (said.next()) {
                 switch (said.type()) {
                     case 'C' -> answer = Answer.SERVED;
-                    case 'E' -> answer = refusal(said.body()) ? Answer.REFUSED : Answer.FAILED;
+                    case 'E' -> answer = refusal(said.body()) ? Answer.REJECTED : Answer.FAILED;
                     case 'Z' -> answered();
                     default -> {}
                 }
@@ -99,7 +99,7 @@
         used = true;
         String id = open.poll();
         if (id != null && !id.isEmpty()) {
-            witness.answered(clock.now(), pooler, id, answer == null ? Answer.FAILED : answer);
+            listener.requestAnswered(clock.now(), pooler, id, answer == null ? Answer.FAILED : answer);
         }
         answer = null;
     }
@@ -111,7 +111,7 @@
             answered();
         }
         if (!byIt || mayCross && used && open.size() == 1) {
-            open.stream().filter(id -> !id.isEmpty()).forEach(id -> witness.excused(clock.now(), id));
+            open.stream().filter(id -> !id.isEmpty()).forEach(id -> listener.requestExcused(clock.now(), id));
         }
     }
 }
--- a/lab/src/main/java/frostreel/lab/processes/EndpointListRecorder.java
+++ b/lab/src/main/java/frostreel/lab/processes/EndpointListRecorder.java
@@ -14,14 +14,14 @@
     private static final Pattern HEAD = Pattern.compile("(?s)^HTTP/1\\.1 200 OK.*?Content-Length: (\\d+)" + "\r\n\r\n");
     private final Clock clock;
     private final int pooler;
-    private final RunListener witness;
+    private final RunListener listener;
     /** One byte a character: the stand-in writes ASCII. */
     private final StringBuilder text = new StringBuilder();
 
-    EndpointListRecorder(Clock clock, int pooler, RunListener witness) {
+    EndpointListRecorder(Clock clock, int pooler, RunListener listener) {
         this.clock = clock;
         this.pooler = pooler;
-        this.witness = witness;
+        this.listener = listener;
     }
 
     @Override
@@ -35,7 +35,7 @@
             JSONArray hosts = new JSONObject(text.substring(head.end(), end)).getJSONArray("hosts");
             for (Object each : hosts) {
                 JSONObject host = (JSONObject) each;
-                witness.told(
+                listener.endpointUpdated(
                         clock.now(),
                         pooler,
                         host.getString("host"),
--- a/lab/src/main/java/frostreel/lab/processes/OperatorCalls.java
+++ b/lab/src/main/java/frostreel/lab/processes/OperatorCalls.java
@@ -29,14 +29,14 @@
         String line = serverId == null ? command : command + " " + serverId;
         if (command.equals(RESTORE)) {
             // The pooler may use the server before its answer has come.
-            run.invariants().takenOut(run.scheduler().now(), number, serverId, false);
+            run.invariants().serverSuspended(run.scheduler().now(), number, serverId, false);
         }
         AdminCall.make(run.loop(), pooler.process.control(), line, answer -> {
             run.log().add(pooler.name() + ": " + line + ": " + answer);
             boolean accepted = answer.startsWith(ACCEPTED);
             rejected += accepted ? 0 : 1;
             if (command.equals(SUSPEND) && accepted) {
-                run.invariants().takenOut(run.scheduler().now(), number, serverId, true);
+                run.invariants().serverSuspended(run.scheduler().now(), number, serverId, true);
             }
         });
     }
--- a/lab/src/main/java/frostreel/lab/processes/PoolerLifecycle.java
+++ b/lab/src/main/java/frostreel/lab/processes/PoolerLifecycle.java
@@ -69,8 +69,8 @@
 
     /** Nobody is owed an answer to what still reaches its machine. */
     private void noteGone(PoolerNode pooler) {
-        run.invariants().died(run.scheduler().now(), pooler.number());
-        run.invariants().paused(run.scheduler().now(), pooler.number(), true);
+        run.invariants().poolerKilled(run.scheduler().now(), pooler.number());
+        run.invariants().poolerPaused(run.scheduler().now(), pooler.number(), true);
     }
 
     private void restart(PoolerNode pooler, Runnable onReady) {
@@ -104,7 +104,7 @@
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        run.invariants().paused(run.scheduler().now(), number, paused);
+        run.invariants().poolerPaused(run.scheduler().now(), number, paused);
     }
 
     /** Names of the processes that ended though nobody ended them. */
--- a/lab/src/main/java/frostreel/lab/processes/PoolerNode.java
+++ b/lab/src/main/java/frostreel/lab/processes/PoolerNode.java
@@ -117,10 +117,11 @@
     void start() {
         expectedAlive = true;
         startingSinceUs = run.scheduler().now();
-        run.invariants().paused(run.scheduler().now(), number(), false);
+        run.invariants().poolerPaused(run.scheduler().now(), number(), false);
         agent.members().stream()
                 .filter(member -> member.state() != Router.State.UP)
-                .forEach(member -> run.invariants().told(run.scheduler().now(), number(), member.id(), member.state()));
+                .forEach(member ->
+                        run.invariants().endpointUpdated(run.scheduler().now(), number(), member.id(), member.state()));
         try {
             process.start(config(), discoveryAddress(), settingsFile);
         } catch (IOException e) {
--- a/lab/src/main/java/frostreel/lab/processes/ProcessExperimentRunner.java
+++ b/lab/src/main/java/frostreel/lab/processes/ProcessExperimentRunner.java
@@ -133,7 +133,7 @@
                 load.latencies.getValueAtPercentile(50) / US_PER_MS,
                 load.latencies.getValueAtPercentile(99) / US_PER_MS);
         fleet.invariants().rules().stream()
-                .flatMap(rule -> rule.convictions().stream())
+                .flatMap(rule -> rule.firstViolations().stream())
                 .forEach(out::println);
     }
 
--- a/lab/src/main/java/frostreel/lab/processes/ProcessRunFiles.java
+++ b/lab/src/main/java/frostreel/lab/processes/ProcessRunFiles.java
@@ -53,7 +53,7 @@
             rules.put(new JSONObject()
                     .put("rule", rule.name())
                     .put("broken", rule.broken())
-                    .put("first", new JSONArray(rule.convictions())));
+                    .put("first", new JSONArray(rule.firstViolations())));
         }
         return rules;
     }
--- a/lab/src/main/java/frostreel/lab/processes/StandInServers.java
+++ b/lab/src/main/java/frostreel/lab/processes/StandInServers.java
@@ -60,7 +60,7 @@
 
     private void overloadedWhileCold(Server server) {
         run.log().add("server " + server.id + " fell over");
-        run.invariants().fell(run.scheduler().now(), server.id);
+        run.invariants().serverOverloaded(run.scheduler().now(), server.id);
         databases.get(server.id).resetAll();
     }
 
--- a/lab/src/main/java/frostreel/lab/processes/StatementRecorder.java
+++ b/lab/src/main/java/frostreel/lab/processes/StatementRecorder.java
@@ -19,7 +19,7 @@
     private final int pooler;
     private final String server;
     private final Map<String, Router.RequestClass> classes;
-    private final RunListener witness;
+    private final RunListener listener;
     private final SendOrder order;
     private final MessageReader said = new MessageReader(type -> MOST_BYTES);
     private final MessageReader heard = new MessageReader(Reply::maxLength);
@@ -37,14 +37,14 @@
             int pooler,
             String server,
             Map<String, Router.RequestClass> classes,
-            RunListener witness,
+            RunListener listener,
             SendOrder order) {
         this.order = order;
         this.clock = clock;
         this.pooler = pooler;
         this.server = server;
         this.classes = classes;
-        this.witness = witness;
+        this.listener = listener;
     }
 
     @Override
@@ -79,7 +79,7 @@
     void tell() {
         if (out != null && !told) {
             told = true;
-            witness.sent(firstUs, pooler, out.id(), server);
+            listener.attemptSent(firstUs, pooler, out.id(), server);
         }
     }
 
@@ -103,11 +103,11 @@
         Statement s = out;
         out = null;
         Outcome o = result.outcome();
-        witness.ended(clock.now(), pooler, s.id(), o, o != Outcome.OK && !o.provesNotRun);
+        listener.attemptEnded(clock.now(), pooler, s.id(), o, o != Outcome.OK && !o.provesNotRun);
         Router.RequestClass c = classes.get(s.requestClass());
         if (o == Outcome.OK && !s.write() && c != null) {
             long positionUs = result.role() == Router.Role.PRIMARY ? clock.now() : result.positionUs();
-            witness.read(
+            listener.readServed(
                     clock.now(),
                     s.id(),
                     positionUs,
@@ -123,7 +123,7 @@
     public void ended(boolean byIt) {
         tell();
         if (out != null) {
-            witness.ended(clock.now(), pooler, out.id(), byIt ? Outcome.TIMEOUT : Outcome.RESET, true);
+            listener.attemptEnded(clock.now(), pooler, out.id(), byIt ? Outcome.TIMEOUT : Outcome.RESET, true);
             out = null;
         }
     }
--- a/lab/src/main/java/frostreel/lab/rules/AttemptLimitRule.java
+++ b/lab/src/main/java/frostreel/lab/rules/AttemptLimitRule.java
@@ -6,34 +6,34 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Never two attempts of a request in flight, and no more than the limit. */
+/** A request never has two attempts in flight, and no more attempts than the limit. */
 final class AttemptLimitRule extends Rule {
-    private final int most;
-    private final Set<String> out = new HashSet<>();
-    private final Map<String, Integer> counts = new HashMap<>();
+    private final int maxAttempts;
+    private final Set<String> inFlight = new HashSet<>();
+    private final Map<String, Integer> attempts = new HashMap<>();
 
-    AttemptLimitRule(int most) {
-        super("one attempt at a time, " + most + " at most");
-        this.most = most;
+    AttemptLimitRule(int maxAttempts) {
+        super("one attempt at a time, " + maxAttempts + " at most");
+        this.maxAttempts = maxAttempts;
     }
 
     @Override
-    public void sent(long nowUs, int pooler, String id, String server) {
-        if (!out.add(id)) {
-            convict(nowUs, id + " was sent to " + server + " with an attempt in flight");
+    public void attemptSent(long nowUs, int pooler, String id, String server) {
+        if (!inFlight.add(id)) {
+            recordViolation(nowUs, id + " was sent to " + server + " with an attempt in flight");
         }
-        if (counts.merge(id, 1, Integer::sum) > most) {
-            convict(nowUs, id + " was sent more than " + most + " times");
+        if (attempts.merge(id, 1, Integer::sum) > maxAttempts) {
+            recordViolation(nowUs, id + " was sent more than " + maxAttempts + " times");
         }
     }
 
     @Override
-    public void ended(long nowUs, int pooler, String id, Outcome outcome, boolean mayHaveRun) {
-        out.remove(id);
+    public void attemptEnded(long nowUs, int pooler, String id, Outcome outcome, boolean mayHaveRun) {
+        inFlight.remove(id);
     }
 
     @Override
-    public void answered(long nowUs, int pooler, String id, Answer answer) {
-        counts.remove(id);
+    public void requestAnswered(long nowUs, int pooler, String id, Answer answer) {
+        attempts.remove(id);
     }
 }
--- a/lab/src/main/java/frostreel/lab/rules/ColdServerRule.java
+++ b/lab/src/main/java/frostreel/lab/rules/ColdServerRule.java
@@ -1,13 +1,13 @@
 package frostreel.lab.rules;
 
-/** No cold server is pushed over, by all poolers together. */
+/** No server that is warming up is sent more than it can take, by all poolers together. */
 final class ColdServerRule extends Rule {
     ColdServerRule() {
         super("no cold server pushed over");
     }
 
     @Override
-    public void fell(long nowUs, String server) {
-        convict(nowUs, server + " fell over");
+    public void serverOverloaded(long nowUs, String server) {
+        recordViolation(nowUs, server + " fell over");
     }
 }
--- a/lab/src/main/java/frostreel/lab/rules/DrainRule.java
+++ b/lab/src/main/java/frostreel/lab/rules/DrainRule.java
@@ -4,22 +4,29 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Nothing new to a server later than the stated time after its drain or end was told. */
+/**
+ * Nothing new goes to a server later than the stated time after its pooler learnt that it drains, is gone or
+ * was suspended.
+ */
 final class DrainRule extends Rule {
     private final long withinUs;
     private final boolean onlyDrainingBinds;
-    private final Map<Integer, Map<String, Long>> toldUs = new HashMap<>();
-    private final Map<String, Long> outUs = new HashMap<>();
+    /** When each pooler's list came to say that a server takes nothing new, by pooler and server. */
+    private final Map<Integer, Map<String, Long>> listedSinceUs = new HashMap<>();
+
+    private final Map<SuspendedServer, Long> suspendedSinceUs = new HashMap<>();
+
+    private record SuspendedServer(int pooler, String server) {}
 
     DrainRule(long withinUs, boolean onlyDrainingBinds) {
         super("drains and ends kept");
-        this.onlyDrainingBinds = onlyDrainingBinds;
         this.withinUs = withinUs;
+        this.onlyDrainingBinds = onlyDrainingBinds;
     }
 
     @Override
-    public void told(long nowUs, int pooler, String server, State state) {
-        Map<String, Long> own = toldUs.computeIfAbsent(pooler, p -> new HashMap<>());
+    public void endpointUpdated(long nowUs, int pooler, String server, State state) {
+        Map<String, Long> own = listedSinceUs.computeIfAbsent(pooler, number -> new HashMap<>());
         if (state == State.UP) {
             own.remove(server);
         } else if (state == State.DRAINING || !onlyDrainingBinds) {
@@ -28,27 +35,29 @@
     }
 
     @Override
-    public void died(long nowUs, int pooler) {
-        toldUs.remove(pooler);
+    public void poolerKilled(long nowUs, int pooler) {
+        listedSinceUs.remove(pooler);
     }
 
     @Override
-    public void takenOut(long nowUs, int pooler, String server, boolean isOut) {
-        if (isOut) {
-            outUs.putIfAbsent(pooler + " " + server, nowUs);
+    public void serverSuspended(long nowUs, int pooler, String server, boolean isSuspended) {
+        if (isSuspended) {
+            suspendedSinceUs.putIfAbsent(new SuspendedServer(pooler, server), nowUs);
         } else {
-            outUs.remove(pooler + " " + server);
+            suspendedSinceUs.remove(new SuspendedServer(pooler, server));
         }
     }
 
     @Override
-    public void sent(long nowUs, int pooler, String id, String server) {
-        Long out = outUs.get(pooler + " " + server);
-        Long at = out != null ? out : toldUs.getOrDefault(pooler, Map.of()).get(server);
-        if (at != null && nowUs > at + withinUs) {
-            convict(
+    public void attemptSent(long nowUs, int pooler, String id, String server) {
+        Long suspendedUs = suspendedSinceUs.get(new SuspendedServer(pooler, server));
+        Long sinceUs = suspendedUs != null
+                ? suspendedUs
+                : listedSinceUs.getOrDefault(pooler, Map.of()).get(server);
+        if (sinceUs != null && nowUs > sinceUs + withinUs) {
+            recordViolation(
                     nowUs,
-                    id + " was sent to " + server + " by pooler " + pooler + " " + (nowUs - at)
+                    id + " was sent to " + server + " by pooler " + pooler + " " + (nowUs - sinceUs)
                             + " us after its end was told");
         }
     }
--- a/lab/src/main/java/frostreel/lab/rules/FreshnessRule.java
+++ b/lab/src/main/java/frostreel/lab/rules/FreshnessRule.java
@@ -7,9 +7,9 @@
     }
 
     @Override
-    public void read(long nowUs, String id, long positionUs, long needUs) {
-        if (positionUs < needUs) {
-            convict(nowUs, id + " was served " + (needUs - positionUs) + " us too old");
+    public void readServed(long nowUs, String id, long positionUs, long requiredUs) {
+        if (positionUs < requiredUs) {
+            recordViolation(nowUs, id + " was served " + (requiredUs - positionUs) + " us too old");
         }
     }
 }
--- a/lab/src/main/java/frostreel/lab/rules/InvariantChecker.java
+++ b/lab/src/main/java/frostreel/lab/rules/InvariantChecker.java
@@ -5,32 +5,33 @@
 import frostreel.routing.Router.RequestClass;
 import frostreel.routing.Router.Rules;
 import frostreel.routing.Router.State;
-import java.util.ArrayList;
 import java.util.List;
 
-/** Every rule, fed with one run. A request's name is its own at all poolers. */
+/** Checks every rule on one run. A request's id is its own at all poolers. */
 public final class InvariantChecker implements RunListener {
     private final OneAnswerRule answers;
-    private final List<Rule> rules = new ArrayList<>();
+    private final List<Rule> rules;
 
+    /** A checker by the limits and figures that a deployment states. */
     public InvariantChecker(Limits limits, Rules figures) {
         answers = new OneAnswerRule(figures.answerSlackUs());
-        rules.addAll(List.of(
+        rules = List.of(
                 answers,
                 new AttemptLimitRule(limits.maxAttempts()),
                 new RetryRule(),
                 new DrainRule(figures.stopSendingUs(), figures.onlyDrainingBinds()),
                 new ColdServerRule(),
-                new FreshnessRule()));
+                new FreshnessRule());
     }
 
-    /** The run is over: what is open past its time was never answered. */
+    /** The run is over: what is open past its deadline was never answered. */
     public void end(long nowUs) {
         answers.end(nowUs);
     }
 
+    /** Every rule, in a fixed order. */
     public List<Rule> rules() {
-        return List.copyOf(rules);
+        return rules;
     }
 
     /** How often any rule was broken. */
@@ -39,57 +40,57 @@
     }
 
     @Override
-    public void asked(long nowUs, int pooler, String id, RequestClass c, long deadlineUs) {
-        rules.forEach(r -> r.asked(nowUs, pooler, id, c, deadlineUs));
+    public void requestTaken(long nowUs, int pooler, String id, RequestClass requestClass, long deadlineUs) {
+        rules.forEach(rule -> rule.requestTaken(nowUs, pooler, id, requestClass, deadlineUs));
     }
 
     @Override
-    public void answered(long nowUs, int pooler, String id, Answer answer) {
-        rules.forEach(r -> r.answered(nowUs, pooler, id, answer));
+    public void requestAnswered(long nowUs, int pooler, String id, Answer answer) {
+        rules.forEach(rule -> rule.requestAnswered(nowUs, pooler, id, answer));
     }
 
     @Override
-    public void sent(long nowUs, int pooler, String id, String server) {
-        rules.forEach(r -> r.sent(nowUs, pooler, id, server));
+    public void requestExcused(long nowUs, String id) {
+        rules.forEach(rule -> rule.requestExcused(nowUs, id));
     }
 
     @Override
-    public void ended(long nowUs, int pooler, String id, Outcome outcome, boolean mayHaveRun) {
-        rules.forEach(r -> r.ended(nowUs, pooler, id, outcome, mayHaveRun));
+    public void attemptSent(long nowUs, int pooler, String id, String server) {
+        rules.forEach(rule -> rule.attemptSent(nowUs, pooler, id, server));
     }
 
     @Override
-    public void read(long nowUs, String id, long positionUs, long needUs) {
-        rules.forEach(r -> r.read(nowUs, id, positionUs, needUs));
+    public void attemptEnded(long nowUs, int pooler, String id, Outcome outcome, boolean mayHaveRun) {
+        rules.forEach(rule -> rule.attemptEnded(nowUs, pooler, id, outcome, mayHaveRun));
     }
 
     @Override
-    public void told(long nowUs, int pooler, String server, State state) {
-        rules.forEach(r -> r.told(nowUs, pooler, server, state));
+    public void readServed(long nowUs, String id, long positionUs, long requiredUs) {
+        rules.forEach(rule -> rule.readServed(nowUs, id, positionUs, requiredUs));
     }
 
     @Override
-    public void takenOut(long nowUs, int pooler, String server, boolean isOut) {
-        rules.forEach(r -> r.takenOut(nowUs, pooler, server, isOut));
+    public void endpointUpdated(long nowUs, int pooler, String server, State state) {
+        rules.forEach(rule -> rule.endpointUpdated(nowUs, pooler, server, state));
     }
 
     @Override
-    public void fell(long nowUs, String server) {
-        rules.forEach(r -> r.fell(nowUs, server));
+    public void serverSuspended(long nowUs, int pooler, String server, boolean isSuspended) {
+        rules.forEach(rule -> rule.serverSuspended(nowUs, pooler, server, isSuspended));
     }
 
     @Override
-    public void excused(long nowUs, String id) {
-        rules.forEach(r -> r.excused(nowUs, id));
+    public void serverOverloaded(long nowUs, String server) {
+        rules.forEach(rule -> rule.serverOverloaded(nowUs, server));
     }
 
     @Override
-    public void died(long nowUs, int pooler) {
-        rules.forEach(r -> r.died(nowUs, pooler));
+    public void poolerKilled(long nowUs, int pooler) {
+        rules.forEach(rule -> rule.poolerKilled(nowUs, pooler));
     }
 
     @Override
-    public void paused(long nowUs, int pooler, boolean isPaused) {
-        rules.forEach(r -> r.paused(nowUs, pooler, isPaused));
+    public void poolerPaused(long nowUs, int pooler, boolean isPaused) {
+        rules.forEach(rule -> rule.poolerPaused(nowUs, pooler, isPaused));
     }
 }
--- a/lab/src/main/java/frostreel/lab/rules/OneAnswerRule.java
+++ b/lab/src/main/java/frostreel/lab/rules/OneAnswerRule.java
@@ -7,14 +7,14 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Exactly one answer, before the client gives up. */
+/** Each request has exactly one answer, before its client gives up. */
 final class OneAnswerRule extends Rule {
-    private record Owed(int pooler, long deadlineUs) {}
+    private record Open(int pooler, long deadlineUs) {}
 
     private final long slackUs;
-    private final Map<String, Owed> open = new HashMap<>();
+    private final Map<String, Open> open = new HashMap<>();
     private final Set<String> excused = new HashSet<>();
-    private final Set<Integer> paused = new HashSet<>();
+    private final Set<Integer> pausedPoolers = new HashSet<>();
 
     OneAnswerRule(long slackUs) {
         super("one final answer in time");
@@ -22,59 +22,60 @@
     }
 
     @Override
-    public void answered(long nowUs, int pooler, String id, Answer answer) {
-        Owed owed = open.remove(id);
-        if (owed == null) {
-            if (!excused.remove(id)) {
-                convict(nowUs, id + " was answered again");
-            }
-        } else if (nowUs > owed.deadlineUs + slackUs) {
-            convict(nowUs, id + " was answered " + (nowUs - owed.deadlineUs) + " us late");
+    public void requestTaken(long nowUs, int pooler, String id, RequestClass requestClass, long deadlineUs) {
+        excused.remove(id);
+        open.put(id, new Open(pooler, deadlineUs));
+        if (pausedPoolers.contains(pooler)) {
+            requestExcused(nowUs, id);
         }
     }
 
     @Override
-    public void excused(long nowUs, String id) {
-        if (open.remove(id) != null) {
-            excused.add(id);
+    public void requestAnswered(long nowUs, int pooler, String id, Answer answer) {
+        Open request = open.remove(id);
+        if (request == null) {
+            if (!excused.remove(id)) {
+                recordViolation(nowUs, id + " was answered again");
+            }
+        } else if (nowUs > request.deadlineUs + slackUs) {
+            recordViolation(nowUs, id + " was answered " + (nowUs - request.deadlineUs) + " us late");
         }
     }
 
     @Override
-    public void asked(long nowUs, int pooler, String id, RequestClass c, long deadlineUs) {
-        excused.remove(id);
-        open.put(id, new Owed(pooler, deadlineUs));
-        if (paused.contains(pooler)) {
-            excused(nowUs, id);
+    public void requestExcused(long nowUs, String id) {
+        if (open.remove(id) != null) {
+            excused.add(id);
         }
     }
 
     @Override
-    public void paused(long nowUs, int pooler, boolean isPaused) {
+    public void poolerPaused(long nowUs, int pooler, boolean isPaused) {
         if (isPaused) {
-            paused.add(pooler);
-            excuse(nowUs, pooler);
+            pausedPoolers.add(pooler);
+            excuseAll(nowUs, pooler);
         } else {
-            paused.remove(pooler);
+            pausedPoolers.remove(pooler);
         }
     }
 
     /** It owes nothing more; what it had written before may still arrive. */
     @Override
-    public void died(long nowUs, int pooler) {
-        excuse(nowUs, pooler);
+    public void poolerKilled(long nowUs, int pooler) {
+        excuseAll(nowUs, pooler);
     }
 
-    private void excuse(long nowUs, int pooler) {
+    private void excuseAll(long nowUs, int pooler) {
         List.copyOf(open.entrySet()).stream()
-                .filter(e -> e.getValue().pooler == pooler)
-                .forEach(e -> excused(nowUs, e.getKey()));
+                .filter(entry -> entry.getValue().pooler == pooler)
+                .forEach(entry -> requestExcused(nowUs, entry.getKey()));
     }
 
+    /** The run is over: what is open past its deadline was never answered. */
     void end(long nowUs) {
-        open.forEach((id, owed) -> {
-            if (nowUs > owed.deadlineUs + slackUs) {
-                convict(nowUs, id + " was never answered");
+        open.forEach((id, request) -> {
+            if (nowUs > request.deadlineUs + slackUs) {
+                recordViolation(nowUs, id + " was never answered");
             }
         });
     }
--- a/lab/src/main/java/frostreel/lab/rules/RetryRule.java
+++ b/lab/src/main/java/frostreel/lab/rules/RetryRule.java
@@ -1,56 +1,68 @@
 package frostreel.lab.rules;
 
 import frostreel.routing.Router.DeduplicationScope;
-import frostreel.routing.Router.Idempotency;
 import frostreel.routing.Router.Outcome;
 import frostreel.routing.Router.RequestClass;
 import java.util.HashMap;
 import java.util.Map;
 
-/** What may have run is sent again, or refused, only as its class permits. */
+/** What may have run is retried, or rejected, only as its class permits. */
 final class RetryRule extends Rule {
     private final Map<String, RequestClass> classes = new HashMap<>();
-    private final Map<String, Long> begun = new HashMap<>();
-    private final Map<String, Long> doubted = new HashMap<>();
+    private final Map<String, Long> attemptStartsUs = new HashMap<>();
+    /** When the first attempt that may have run was sent, of each request that has one. */
+    private final Map<String, Long> mayHaveRunSinceUs = new HashMap<>();
 
     RetryRule() {
         super("sent again only as the class permits");
     }
 
     @Override
-    public void asked(long nowUs, int pooler, String id, RequestClass c, long deadlineUs) {
-        classes.put(id, c);
+    public void requestTaken(long nowUs, int pooler, String id, RequestClass requestClass, long deadlineUs) {
+        classes.put(id, requestClass);
     }
 
     @Override
-    public void sent(long nowUs, int pooler, String id, String server) {
-        Long since = doubted.get(id);
-        RequestClass c = classes.get(id);
-        if (since != null
-                && c != null
-                && c.idempotency() != Idempotency.IDEMPOTENT
-                && (c.idempotency() == Idempotency.NON_IDEMPOTENT || nowUs > since + c.windowUs())) {
-            convict(nowUs, id + " may have run, and was sent again to " + server);
+    public void attemptSent(long nowUs, int pooler, String id, String server) {
+        Long sinceUs = mayHaveRunSinceUs.get(id);
+        RequestClass requestClass = classes.get(id);
+        if (sinceUs != null && requestClass != null && !mayRetry(requestClass, nowUs - sinceUs)) {
+            recordViolation(nowUs, id + " may have run, and was sent again to " + server);
         }
-        begun.put(id, nowUs);
+        attemptStartsUs.put(id, nowUs);
+    }
+
+    private static boolean mayRetry(RequestClass requestClass, long ageUs) {
+        return switch (requestClass.idempotency()) {
+            case IDEMPOTENT -> true;
+            case KEYED -> ageUs <= requestClass.windowUs();
+            case NON_IDEMPOTENT -> false;
+        };
     }
 
     @Override
-    public void ended(long nowUs, int pooler, String id, Outcome outcome, boolean mayHaveRun) {
-        Long since = begun.remove(id);
-        if (mayHaveRun && since != null) {
-            doubted.putIfAbsent(id, since);
+    public void attemptEnded(long nowUs, int pooler, String id, Outcome outcome, boolean mayHaveRun) {
+        Long startUs = attemptStartsUs.remove(id);
+        if (mayHaveRun && startUs != null) {
+            mayHaveRunSinceUs.putIfAbsent(id, startUs);
         }
     }
 
     @Override
-    public void answered(long nowUs, int pooler, String id, Answer answer) {
-        RequestClass c = classes.remove(id);
-        boolean harmless = c == null
-                || c.idempotency() == Idempotency.IDEMPOTENT
-                || c.idempotency() == Idempotency.KEYED && c.deduplicationScope() == DeduplicationScope.ALL;
-        if (doubted.remove(id) != null && answer == Answer.REFUSED && !harmless) {
-            convict(nowUs, id + " may have run, and was refused");
+    public void requestAnswered(long nowUs, int pooler, String id, Answer answer) {
+        RequestClass requestClass = classes.remove(id);
+        boolean mayHaveRun = mayHaveRunSinceUs.remove(id) != null;
+        if (mayHaveRun && answer == Answer.REJECTED && requestClass != null && !mayReject(requestClass)) {
+            recordViolation(nowUs, id + " may have run, and was refused");
         }
     }
+
+    /** Whether its client may ask for it again, wherever that goes, without harm. */
+    private static boolean mayReject(RequestClass requestClass) {
+        return switch (requestClass.idempotency()) {
+            case IDEMPOTENT -> true;
+            case KEYED -> requestClass.deduplicationScope() == DeduplicationScope.ALL;
+            case NON_IDEMPOTENT -> false;
+        };
+    }
 }
--- a/lab/src/main/java/frostreel/lab/rules/Rule.java
+++ b/lab/src/main/java/frostreel/lab/rules/Rule.java
@@ -3,24 +3,25 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A rule of the protocol page: it listens to a run, and keeps what broke it. */
+/** A rule that every run has to keep: it listens to a run, and records what broke it. */
 public abstract class Rule implements RunListener {
-    private static final int MOST_KEPT = 20;
+    private static final int MAX_RECORDED = 20;
     private final String name;
-    private final List<String> kept = new ArrayList<>();
+    private final List<String> violations = new ArrayList<>();
     private long broken;
 
     Rule(String name) {
         this.name = name;
     }
 
-    void convict(long nowUs, String text) {
+    void recordViolation(long nowUs, String text) {
         broken++;
-        if (kept.size() < MOST_KEPT) {
-            kept.add(nowUs + " us: " + text);
+        if (violations.size() < MAX_RECORDED) {
+            violations.add(nowUs + " us: " + text);
         }
     }
 
+    /** What results and tests call it. */
     public String name() {
         return name;
     }
@@ -31,7 +32,7 @@
     }
 
     /** The first times that it was broken, in words. */
-    public List<String> convictions() {
-        return List.copyOf(kept);
+    public List<String> firstViolations() {
+        return List.copyOf(violations);
     }
 }
--- a/lab/src/main/java/frostreel/lab/rules/RunListener.java
+++ b/lab/src/main/java/frostreel/lab/rules/RunListener.java
@@ -4,45 +4,45 @@
 import frostreel.routing.Router.RequestClass;
 import frostreel.routing.Router.State;
 
-/** What a host tells of a run, in the order in which it happened; times are Unix microseconds. */
+/** Hears the events of a run in the order in which they happened; times are Unix microseconds. */
 public interface RunListener {
     /** A pooler has taken a request. */
-    default void asked(long nowUs, int pooler, String id, RequestClass c, long deadlineUs) {}
+    default void requestTaken(long nowUs, int pooler, String id, RequestClass requestClass, long deadlineUs) {}
 
-    /** A pooler answered: served, refused or failed. */
-    default void answered(long nowUs, int pooler, String id, Answer answer) {}
+    /** A pooler has answered a request. */
+    default void requestAnswered(long nowUs, int pooler, String id, Answer answer) {}
 
-    /** A pooler began an attempt. */
-    default void sent(long nowUs, int pooler, String id, String server) {}
+    /** Nobody is owed the request's answer any more: its client went away, or its pooler could not run. */
+    default void requestExcused(long nowUs, String id) {}
 
-    /** An attempt ended for its pooler; {@code mayHaveRun}: nothing proves that it did not. */
-    default void ended(long nowUs, int pooler, String id, Outcome outcome, boolean mayHaveRun) {}
+    /** A pooler has begun an attempt. */
+    default void attemptSent(long nowUs, int pooler, String id, String server) {}
 
-    /** A read was served from data up to {@code positionUs}, and had to see {@code needUs}. */
-    default void read(long nowUs, String id, long positionUs, long needUs) {}
+    /** An attempt has ended for its pooler; {@code mayHaveRun}: nothing proves that it did not run. */
+    default void attemptEnded(long nowUs, int pooler, String id, Outcome outcome, boolean mayHaveRun) {}
 
-    /** A pooler's list came to name a server so. */
-    default void told(long nowUs, int pooler, String server, State state) {}
+    /** A read was served from data up to {@code positionUs}, and had to see {@code requiredUs}. */
+    default void readServed(long nowUs, String id, long positionUs, long requiredUs) {}
 
-    /** Operators took a server out at a pooler, or called it back, whatever its list says meanwhile. */
-    default void takenOut(long nowUs, int pooler, String server, boolean isOut) {}
+    /** A pooler's endpoint list has come to give a server this state. */
+    default void endpointUpdated(long nowUs, int pooler, String server, State state) {}
 
-    /** A cold server was sent more than it could take. */
-    default void fell(long nowUs, String server) {}
+    /** Operators suspended a server at a pooler, or restored it, whatever the endpoint list says meanwhile. */
+    default void serverSuspended(long nowUs, int pooler, String server, boolean isSuspended) {}
 
-    /** A request's client went away, or its pooler could not run: nobody is owed its answer any more. */
-    default void excused(long nowUs, String id) {}
+    /** A cold server was sent more than it could take. */
+    default void serverOverloaded(long nowUs, String server) {}
 
-    /** A pooler's process was killed: what it had taken, sent and been told is gone with it. */
-    default void died(long nowUs, int pooler) {}
+    /** A pooler's process was killed: what it had taken, sent and learnt is gone with it. */
+    default void poolerKilled(long nowUs, int pooler) {}
 
-    /** A pooler stands still or is gone, or goes on: nobody is owed what it could not do meanwhile. */
-    default void paused(long nowUs, int pooler, boolean isPaused) {}
+    /** A pooler stands still or is gone, or runs again: nobody is owed what it could not do meanwhile. */
+    default void poolerPaused(long nowUs, int pooler, boolean isPaused) {}
 
     /** How a request was answered. */
     enum Answer {
         SERVED,
-        REFUSED,
+        REJECTED,
         FAILED
     }
 }
--- a/lab/src/main/java/frostreel/lab/virtual/SimulatedClients.java
+++ b/lab/src/main/java/frostreel/lab/virtual/SimulatedClients.java
@@ -128,7 +128,7 @@
         boolean sessionRead = requestClass.access() == Router.Access.SESSION;
         long wroteUs =
                 carried ? lastWriteUs[request.session()] : request.pooler().commit(request.session());
-        invariants.asked(nowUs, request.pooler().number, id, requestClass, deadlineUs);
+        invariants.requestTaken(nowUs, request.pooler().number, id, requestClass, deadlineUs);
         boolean lostCommit = sessionRead && !carried && cluster.lost(request.group(), wroteUs);
         long ledUs = lostCommit ? primaryAgeUs(request.group()) : 0;
         RequestAttributes attributes = new RequestAttributes(
@@ -222,7 +222,7 @@
         @Override
         public void rejected(long retryAfterUs) {
             statistics.refused++;
-            answered(Answer.REFUSED);
+            answered(Answer.REJECTED);
             if (request.mayRetry() && !isRetry) {
                 statistics.retries++;
                 scheduler.after(Math.max(retryAfterUs, MIN_RETRY_AFTER_US), () -> retry(request));
@@ -236,7 +236,7 @@
         }
 
         private void answered(Answer answer) {
-            invariants.answered(scheduler.now(), request.pooler().number, id, answer);
+            invariants.requestAnswered(scheduler.now(), request.pooler().number, id, answer);
             if (lostCommit) {
                 lostReads.add(new LostRead(request.session(), ledUs, answer));
             }
--- a/lab/src/main/java/frostreel/lab/virtual/VirtualPooler.java
+++ b/lab/src/main/java/frostreel/lab/virtual/VirtualPooler.java
@@ -79,7 +79,7 @@
     private final Scheduler kernel;
     private final Links links;
     private final Map<String, Server> servers;
-    private final RunListener witness;
+    private final RunListener listener;
     private final Router.Settings settings;
     private final long connectTimeoutUs;
     private final Set<String> reports;
@@ -101,7 +101,7 @@
             Scheduler kernel,
             Links links,
             Map<String, Server> servers,
-            RunListener witness,
+            RunListener listener,
             Set<String> reports,
             Router.Settings settings,
             BiFunction<Router.Settings, Router.Actions, Router> maker) {
@@ -110,7 +110,7 @@
         this.kernel = kernel;
         this.links = links;
         this.servers = servers;
-        this.witness = witness;
+        this.listener = listener;
         sentTo = new long[zones];
         this.reports = reports;
         this.settings = settings;
@@ -133,7 +133,7 @@
 
     void told(Router.ListKind kind, List<Router.Member> members) {
         members.forEach(m -> {
-            witness.told(kernel.now(), number, m.id(), m.state());
+            listener.endpointUpdated(kernel.now(), number, m.id(), m.state());
             bornUs.put(m.id(), m.startedUs());
         });
         broker.updateMembers(kind, members);
@@ -160,7 +160,7 @@
                 a.server.cancel(a.job);
             }
         });
-        witness.died(kernel.now(), number);
+        listener.poolerKilled(kernel.now(), number);
     }
 
     @Override
@@ -168,7 +168,7 @@
         Attempt a = new Attempt(servers.get(memberId), (Order) payload, sink);
         a.handle = attempts.add(a);
         sentTo[a.server.zone]++;
-        witness.sent(kernel.now(), number, a.order.id, memberId);
+        listener.attemptSent(kernel.now(), number, a.order.id, memberId);
         a.excused = a.server.ledSinceUs() > replicasAtUs.getOrDefault(memberId, 0L);
         ArrayDeque<Long> free = idle.computeIfAbsent(memberId, id -> new ArrayDeque<>());
         free.removeIf(since -> kernel.now() - since >= settings.limits().idleCloseUs());
@@ -245,7 +245,7 @@
         boolean fallen = s.fallen();
         s.arrive(job);
         if (s.fallen() && !fallen && s.pushed()) {
-            witness.fell(kernel.now(), s.id);
+            listener.serverOverloaded(kernel.now(), s.id);
         }
     }
 
@@ -260,7 +260,7 @@
         idle.get(a.server.id).add(kernel.now());
         boolean ok = outcome == Outcome.OK;
         if (ok && !a.order.write && !a.excused) {
-            witness.read(kernel.now(), a.order.id, role == Role.PRIMARY ? kernel.now() : positionUs, needUs);
+            listener.readServed(kernel.now(), a.order.id, role == Role.PRIMARY ? kernel.now() : positionUs, needUs);
         }
         if (role == Role.REPLICA) {
             replicasAtUs.put(a.server.id, kernel.now());
@@ -299,7 +299,7 @@
     private void finish(Attempt a, Result result) {
         if (attempts.remove(a.handle) == a) {
             if (a.order != null) {
-                witness.ended(
+                listener.attemptEnded(
                         kernel.now(),
                         number,
                         a.order.id,
@@ -322,7 +322,8 @@
         if (a == null) {
             return false;
         }
-        witness.ended(kernel.now(), number, a.order.id, a.written ? Outcome.TIMEOUT : Outcome.NOT_SENT, a.written);
+        listener.attemptEnded(
+                kernel.now(), number, a.order.id, a.written ? Outcome.TIMEOUT : Outcome.NOT_SENT, a.written);
         if (a.job != null && links.open(zone, a.server.zone)) {
             kernel.after(links.delayUs(zone, a.server.zone), () -> a.server.cancel(a.job));
         }
--- a/lab/src/test/java/frostreel/lab/processes/RecordersTest.java
+++ b/lab/src/test/java/frostreel/lab/processes/RecordersTest.java
@@ -23,16 +23,16 @@
             SETTINGS.classes().stream().collect(Collectors.toMap(Router.RequestClass::name, c -> c));
     private static final byte[] REFUSED = with(Messages.error(false, "53300", "no", null));
     private long nowUs = 1_700_000_000_000_000L;
-    private final InvariantChecker book = new InvariantChecker(SETTINGS.limits(), SETTINGS.rules());
-    private final ClientRecorder client = new ClientRecorder(() -> nowUs, 0, CLASSES, book, false);
-    private final EndpointListRecorder list = new EndpointListRecorder(() -> nowUs, 0, book);
+    private final InvariantChecker checker = new InvariantChecker(SETTINGS.limits(), SETTINGS.rules());
+    private final ClientRecorder client = new ClientRecorder(() -> nowUs, 0, CLASSES, checker, false);
+    private final EndpointListRecorder list = new EndpointListRecorder(() -> nowUs, 0, checker);
 
     private StatementRecorder server(String id) {
         return server(id, new SendOrder());
     }
 
     private StatementRecorder server(String id, SendOrder order) {
-        StatementRecorder tap = new StatementRecorder(() -> nowUs, 0, id, CLASSES, book, order);
+        StatementRecorder tap = new StatementRecorder(() -> nowUs, 0, id, CLASSES, checker, order);
         tap.says(Messages.startup());
         tap.hears(Messages.welcome(1, 1));
         return tap;
@@ -74,8 +74,11 @@
     }
 
     private List<String> broken() {
-        book.end(nowUs);
-        return book.rules().stream().filter(r -> r.broken() > 0).map(Rule::name).toList();
+        checker.end(nowUs);
+        return checker.rules().stream()
+                .filter(r -> r.broken() > 0)
+                .map(Rule::name)
+                .toList();
     }
 
     private void asks(byte[] query) {
@@ -109,25 +112,25 @@
         nowUs += 5_000_000;
         client.ended(true);
         assertThat(broken()).containsExactly("one final answer in time");
-        assertThat(book.broken()).isEqualTo(2);
+        assertThat(checker.broken()).isEqualTo(2);
     }
 
     @Test
     void whatAClientThatLeftOrAKilledPoolerOwesConvictsNobody() {
         asks(read("1", "account-view", ""));
         client.ended(false);
-        ClientRecorder second = new ClientRecorder(() -> nowUs, 1, CLASSES, book, false);
+        ClientRecorder second = new ClientRecorder(() -> nowUs, 1, CLASSES, checker, false);
         second.hears(Messages.startup());
         second.hears(read("2", "account-view", ""));
-        book.died(nowUs, 1);
+        checker.poolerKilled(nowUs, 1);
         second.ended(true);
-        ClientRecorder third = new ClientRecorder(() -> nowUs, 2, CLASSES, book, false);
+        ClientRecorder third = new ClientRecorder(() -> nowUs, 2, CLASSES, checker, false);
         third.hears(Messages.startup());
         third.says(Messages.welcome(1, 1));
         third.hears(read("3", "account-view", ""));
-        book.paused(nowUs, 2, true);
+        checker.poolerPaused(nowUs, 2, true);
         nowUs += 9_000_000;
-        book.paused(nowUs, 2, false);
+        checker.poolerPaused(nowUs, 2, false);
         third.says(REFUSED);
         assertThat(broken()).isEmpty();
     }
@@ -135,7 +138,7 @@
     @Test
     void whatCrossesTheEndOfAUsedConnectionIsExcusedWhereItMayAndElsewhereConvicts() {
         for (boolean mayCross : new boolean[] {true, false}) {
-            ClientRecorder tap = new ClientRecorder(() -> nowUs, 0, CLASSES, book, mayCross);
+            ClientRecorder tap = new ClientRecorder(() -> nowUs, 0, CLASSES, checker, mayCross);
             tap.hears(Messages.startup());
             tap.says(Messages.welcome(1, 1));
             tap.hears(read("used" + mayCross, "account-view", ""));
@@ -145,15 +148,15 @@
             nowUs += 9_000_000;
             assertThat(broken().isEmpty()).isEqualTo(mayCross);
         }
-        ClientRecorder fresh = new ClientRecorder(() -> nowUs, 0, CLASSES, book, true);
+        ClientRecorder fresh = new ClientRecorder(() -> nowUs, 0, CLASSES, checker, true);
         fresh.hears(Messages.startup());
         fresh.says(Messages.welcome(1, 1));
         fresh.hears(read("first", "account-view", ""));
         fresh.ended(true);
-        long before = book.broken();
+        long before = checker.broken();
         nowUs += 9_000_000;
-        book.end(nowUs);
-        assertThat(book.broken()).as("the first on its connection").isGreaterThan(before);
+        checker.end(nowUs);
+        assertThat(checker.broken()).as("the first on its connection").isGreaterThan(before);
     }
 
     @Test
@@ -222,6 +225,6 @@
         a.says(read("4", "receipt-view", ",after=" + (nowUs / 1000 - 100)));
         a.hears(row(150_000));
         assertThat(broken()).containsExactly("no stale read");
-        assertThat(book.broken()).isEqualTo(2);
+        assertThat(checker.broken()).isEqualTo(2);
     }
 }
--- a/lab/src/test/java/frostreel/lab/rules/InvariantCheckerTest.java
+++ b/lab/src/test/java/frostreel/lab/rules/InvariantCheckerTest.java
@@ -20,7 +20,7 @@
     private static final Router.RequestClass KEYED = requestClass(Router.Access.WRITE, Router.Idempotency.KEYED);
     private static final Router.RequestClass UNSAFE =
             requestClass(Router.Access.WRITE, Router.Idempotency.NON_IDEMPOTENT);
-    private InvariantChecker book;
+    private InvariantChecker checker;
 
     private static Router.RequestClass requestClass(Router.Access access, Router.Idempotency repeat) {
         return new Router.RequestClass(
@@ -29,112 +29,118 @@
 
     @BeforeEach
     void open() {
-        book = new InvariantChecker(LIMITS, FIGURES);
+        checker = new InvariantChecker(LIMITS, FIGURES);
     }
 
     private List<String> broken() {
-        return book.rules().stream().filter(r -> r.broken() > 0).map(Rule::name).toList();
+        return checker.rules().stream()
+                .filter(r -> r.broken() > 0)
+                .map(Rule::name)
+                .toList();
     }
 
     @Test
     void aRunThatKeepsAllIsNotConvicted() {
-        book.told(0, 1, "s", State.UP);
-        book.asked(10, 1, "a", KEYED, 5_000_000);
-        book.sent(20, 1, "a", "s");
-        book.ended(30, 1, "a", Outcome.TIMEOUT, true);
-        book.sent(2_000_000, 1, "a", "s");
-        book.ended(2_000_010, 1, "a", Outcome.OK, false);
-        book.answered(2_000_010, 1, "a", Answer.SERVED);
-        book.read(2_000_010, "a", 100, 100);
-        book.told(2_100_000, 1, "s", State.DRAINING);
-        book.asked(2_100_000, 1, "b", READ, 5_000_000);
-        book.sent(3_000_000, 1, "b", "s");
-        book.answered(3_100_000, 1, "b", Answer.REFUSED);
-        book.asked(9_000_000, 1, "c", READ, 9_990_000);
-        book.end(10_000_000);
+        checker.endpointUpdated(0, 1, "s", State.UP);
+        checker.requestTaken(10, 1, "a", KEYED, 5_000_000);
+        checker.attemptSent(20, 1, "a", "s");
+        checker.attemptEnded(30, 1, "a", Outcome.TIMEOUT, true);
+        checker.attemptSent(2_000_000, 1, "a", "s");
+        checker.attemptEnded(2_000_010, 1, "a", Outcome.OK, false);
+        checker.requestAnswered(2_000_010, 1, "a", Answer.SERVED);
+        checker.readServed(2_000_010, "a", 100, 100);
+        checker.endpointUpdated(2_100_000, 1, "s", State.DRAINING);
+        checker.requestTaken(2_100_000, 1, "b", READ, 5_000_000);
+        checker.attemptSent(3_000_000, 1, "b", "s");
+        checker.requestAnswered(3_100_000, 1, "b", Answer.REJECTED);
+        checker.requestTaken(9_000_000, 1, "c", READ, 9_990_000);
+        checker.end(10_000_000);
         assertThat(broken()).isEmpty();
-        assertThat(book.broken()).isZero();
+        assertThat(checker.broken()).isZero();
     }
 
     @Test
     void aSecondALateAndAMissingAnswer() {
-        book.asked(0, 1, "a", READ, 1000);
-        book.answered(10, 1, "a", Answer.REFUSED);
-        book.answered(20, 1, "a", Answer.SERVED);
-        book.asked(0, 1, "b", READ, 1000);
-        book.answered(21_001, 1, "b", Answer.SERVED);
-        book.asked(0, 1, "c", READ, 1000);
-        book.end(21_001);
+        checker.requestTaken(0, 1, "a", READ, 1000);
+        checker.requestAnswered(10, 1, "a", Answer.REJECTED);
+        checker.requestAnswered(20, 1, "a", Answer.SERVED);
+        checker.requestTaken(0, 1, "b", READ, 1000);
+        checker.requestAnswered(21_001, 1, "b", Answer.SERVED);
+        checker.requestTaken(0, 1, "c", READ, 1000);
+        checker.end(21_001);
         assertThat(broken()).containsExactly("one final answer in time");
-        assertThat(book.broken()).isEqualTo(3);
+        assertThat(checker.broken()).isEqualTo(3);
     }
 
     @Test
     void aDeadPoolerOwesNothingButItsNextLifeDoes() {
-        book.asked(0, 1, "a", READ, 1000);
-        book.asked(0, 1, "b", READ, 1000);
-        book.died(500, 1);
-        book.answered(600, 1, "a", Answer.SERVED); // It had been written before.
-        assertThat(book.broken()).isZero();
-        book.asked(700, 1, "b", READ, 2000);
-        book.answered(800, 1, "b", Answer.SERVED);
-        book.answered(900, 1, "b", Answer.SERVED);
-        assertThat(book.broken()).isEqualTo(1);
-        book.asked(1000, 1, "c", READ, 2000);
-        book.end(30_000);
-        assertThat(book.broken()).isEqualTo(2);
+        checker.requestTaken(0, 1, "a", READ, 1000);
+        checker.requestTaken(0, 1, "b", READ, 1000);
+        checker.poolerKilled(500, 1);
+        checker.requestAnswered(600, 1, "a", Answer.SERVED); // It had been written before.
+        assertThat(checker.broken()).isZero();
+        checker.requestTaken(700, 1, "b", READ, 2000);
+        checker.requestAnswered(800, 1, "b", Answer.SERVED);
+        checker.requestAnswered(900, 1, "b", Answer.SERVED);
+        assertThat(checker.broken()).isEqualTo(1);
+        checker.requestTaken(1000, 1, "c", READ, 2000);
+        checker.end(30_000);
+        assertThat(checker.broken()).isEqualTo(2);
     }
 
     @Test
     void twoAttemptsInFlightAndTooMany() {
-        book.asked(0, 1, "a", READ, 1000);
-        book.sent(1, 1, "a", "s");
-        book.sent(2, 1, "a", "t");
-        assertThat(book.broken()).isEqualTo(1);
+        checker.requestTaken(0, 1, "a", READ, 1000);
+        checker.attemptSent(1, 1, "a", "s");
+        checker.attemptSent(2, 1, "a", "t");
+        assertThat(checker.broken()).isEqualTo(1);
         for (int i = 0; i < 2; i++) {
-            book.ended(3, 1, "a", Outcome.WRONG_ROLE_OR_STALE, false);
-            book.sent(4, 1, "a", "s");
+            checker.attemptEnded(3, 1, "a", Outcome.WRONG_ROLE_OR_STALE, false);
+            checker.attemptSent(4, 1, "a", "s");
         }
         assertThat(broken()).containsExactly("one attempt at a time, 3 at most");
-        assertThat(book.broken()).isEqualTo(2);
+        assertThat(checker.broken()).isEqualTo(2);
     }
 
     @Test
     void whatMayHaveRunIsSentAgain() {
-        book.asked(0, 1, "a", UNSAFE, 9_000_000);
-        book.sent(1, 1, "a", "s");
-        book.ended(2, 1, "a", Outcome.TIMEOUT, true);
-        book.sent(3, 1, "a", "s");
-        book.asked(0, 1, "b", KEYED, 9_000_000);
-        book.sent(1, 1, "b", "s");
-        book.ended(2, 1, "b", Outcome.RESET, true);
-        book.sent(3_000_002, 1, "b", "s");
+        checker.requestTaken(0, 1, "a", UNSAFE, 9_000_000);
+        checker.attemptSent(1, 1, "a", "s");
+        checker.attemptEnded(2, 1, "a", Outcome.TIMEOUT, true);
+        checker.attemptSent(3, 1, "a", "s");
+        checker.requestTaken(0, 1, "b", KEYED, 9_000_000);
+        checker.attemptSent(1, 1, "b", "s");
+        checker.attemptEnded(2, 1, "b", Outcome.RESET, true);
+        checker.attemptSent(3_000_002, 1, "b", "s");
         assertThat(broken()).containsExactly("sent again only as the class permits");
-        assertThat(book.broken()).isEqualTo(2);
+        assertThat(checker.broken()).isEqualTo(2);
     }
 
     @Test
     void aSendAfterADrainWasToldBindsThePoolerThatWasTold() {
-        book.told(0, 1, "s", State.DRAINING);
-        book.sent(1_000_001, 1, "a", "s");
-        book.sent(1_000_001, 2, "b", "s");
+        checker.endpointUpdated(0, 1, "s", State.DRAINING);
+        checker.attemptSent(1_000_001, 1, "a", "s");
+        checker.attemptSent(1_000_001, 2, "b", "s");
         assertThat(broken()).containsExactly("drains and ends kept");
-        assertThat(book.broken()).isEqualTo(1);
-        book.told(2_000_000, 1, "s", State.UP);
-        book.sent(9_000_000, 1, "c", "s");
-        assertThat(book.broken()).isEqualTo(1);
+        assertThat(checker.broken()).isEqualTo(1);
+        checker.endpointUpdated(2_000_000, 1, "s", State.UP);
+        checker.attemptSent(9_000_000, 1, "c", "s");
+        assertThat(checker.broken()).isEqualTo(1);
     }
 
     @Test
     void aColdServerFallsOver() {
-        book.fell(1, "s");
+        checker.serverOverloaded(1, "s");
         assertThat(broken()).containsExactly("no cold server pushed over");
     }
 
     @Test
     void aStaleRead() {
-        book.read(1, "a", 99, 100);
+        checker.readServed(1, "a", 99, 100);
         assertThat(broken()).containsExactly("no stale read");
-        assertThat(book.rules().get(5).convictions()).singleElement().asString().contains("a was served 1 us");
+        assertThat(checker.rules().get(5).firstViolations())
+                .singleElement()
+                .asString()
+                .contains("a was served 1 us");
     }
 }
--- a/lab/src/test/java/frostreel/lab/virtual/KnownSitesTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/KnownSitesTest.java
@@ -54,7 +54,7 @@
     static void keepsTheRules(Simulation world) {
         assertThat(world.rules().rules())
                 .allSatisfy(r -> assertThat(r.broken())
-                        .as("%s: %s", r.name(), r.convictions())
+                        .as("%s: %s", r.name(), r.firstViolations())
                         .isZero());
         assertThat(world.strayExceptions()).isZero();
     }
--- a/lab/src/test/java/frostreel/lab/virtual/RandomSettingsTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/RandomSettingsTest.java
@@ -275,7 +275,7 @@
         Simulation world = draw.play();
         assertThat(world.rules().rules())
                 .allSatisfy(r -> assertThat(r.broken())
-                        .as("%s: %s", r.name(), r.convictions())
+                        .as("%s: %s", r.name(), r.firstViolations())
                         .isZero());
         assertThat(world.strayExceptions()).isZero();
     }
--- a/lab/src/test/java/frostreel/lab/virtual/RegressionSeedsTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/RegressionSeedsTest.java
@@ -24,7 +24,7 @@
                 assertThat(world.rules().rules())
                         .as("seed %d", seed)
                         .allSatisfy(r -> assertThat(r.broken())
-                                .as("%s: %s", r.name(), r.convictions())
+                                .as("%s: %s", r.name(), r.firstViolations())
                                 .isZero());
             }
         }
--- a/lab/src/test/java/frostreel/lab/virtual/SimulationTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/SimulationTest.java
@@ -23,7 +23,7 @@
     private static void keepsTheRules(Simulation world) {
         assertThat(world.rules().rules())
                 .allSatisfy(r -> assertThat(r.broken())
-                        .as("%s: %s", r.name(), r.convictions())
+                        .as("%s: %s", r.name(), r.firstViolations())
                         .isZero());
         assertThat(world.strayExceptions()).isZero();
         assertThat(world.fallen()).isZero();
--- a/lab/src/test/java/frostreel/lab/virtual/ZoneLossTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/ZoneLossTest.java
@@ -16,7 +16,7 @@
         world.run();
         assertThat(world.rules().rules())
                 .allSatisfy(r -> assertThat(r.broken())
-                        .as("%s: %s", r.name(), r.convictions())
+                        .as("%s: %s", r.name(), r.firstViolations())
                         .isZero());
         assertThat(world.fallen()).isZero();
         assertThat(world.strayExceptions()).isZero();
