--- a/lab/src/main/java/frostreel/lab/experiment/Experiment.java
+++ b/lab/src/main/java/frostreel/lab/experiment/Experiment.java
@@ -1,6 +1,7 @@
 package frostreel.lab.experiment;
 
 import frostreel.lab.virtual.Policy;
+import frostreel.lab.virtual.RunStatistics;
 import frostreel.lab.virtual.Simulation;
 import frostreel.lab.virtual.SimulationPlan;
 import frostreel.routing.Router;
@@ -19,10 +20,10 @@
 
 /** An experiment file, read against its schema and checked for sense. */
 public final class Experiment {
-    /** A check of all zones together. */
-    static final int ALL_ZONES = -1;
+    /** In place of the second of a loss: no zone is lost. */
+    static final int NO_LOSS = -1;
 
-    /** A bound on what a policy showed; {@code zone} may be {@link #ALL_ZONES}, {@code policy} null for every one. */
+    /** A bound on what a policy showed; {@code zone} may be all of them, {@code policy} null for every one. */
     record Check(String kind, String policy, int zone, double bound) {}
 
     private static final URL SCHEMA = Experiment.class.getResource("experiment.xsd");
@@ -31,7 +32,7 @@
     private final XmlElement fleet;
     private final XmlElement clients;
     private final int durationS;
-    private int firstLossS = -1;
+    private int firstLossS = NO_LOSS;
     private final Map<String, XmlElement> policies = new LinkedHashMap<>();
     private final List<Consumer<Simulation>> faults = new ArrayList<>();
     private final List<Check> checks = new ArrayList<>();
@@ -42,16 +43,16 @@
         durationS = (int) root.whole("durationS");
         fleet = root.child("fleet");
         clients = root.child("clients");
-        for (XmlElement p : root.child("policies").children()) {
-            if (policies.putIfAbsent(p.text("name"), p) != null) {
-                wrong.add(p.fault(file, "name", "policy '" + p.text("name") + "' stands there twice"));
+        for (XmlElement policy : root.child("policies").children()) {
+            if (policies.putIfAbsent(policy.text("name"), policy) != null) {
+                wrong.add(policy.fault(file, "name", "policy '" + policy.text("name") + "' stands there twice"));
             }
         }
-        for (XmlElement f : root.child("faults").children()) {
-            fault(file, f, wrong);
+        for (XmlElement fault : root.child("faults").children()) {
+            fault(file, fault, wrong);
         }
-        for (XmlElement c : root.child("checks").children()) {
-            check(file, c, wrong);
+        for (XmlElement check : root.child("checks").children()) {
+            check(file, check, wrong);
         }
     }
 
@@ -65,64 +66,64 @@
         return read;
     }
 
-    private int zone(String file, XmlElement e, String attribute, List<Fault> wrong) {
-        long zone = e.whole(attribute);
+    private int zone(String file, XmlElement element, String attribute, List<Fault> wrong) {
+        long zone = element.whole(attribute);
         if (zone >= fleet.whole("zones")) {
-            wrong.add(e.fault(file, attribute, "there is no zone " + zone + "; the first is 0"));
+            wrong.add(element.fault(file, attribute, "there is no zone " + zone + "; the first is 0"));
         }
         return (int) zone;
     }
 
-    private void fault(String file, XmlElement e, List<Fault> wrong) {
-        long atUs = e.seconds("atS");
-        if (e.number("atS") >= durationS) {
-            wrong.add(e.fault(file, "atS", "the run is over then"));
+    private void fault(String file, XmlElement element, List<Fault> wrong) {
+        long atUs = element.seconds("atS");
+        if (element.number("atS") >= durationS) {
+            wrong.add(element.fault(file, "atS", "the run is over then"));
         }
-        if (e.name().equals("cut")) {
-            int from = zone(file, e, "from", wrong);
-            int to = zone(file, e, "to", wrong);
-            long untilUs = e.seconds("untilS");
+        if (element.name().equals("cut")) {
+            int from = zone(file, element, "from", wrong);
+            int to = zone(file, element, "to", wrong);
+            long untilUs = element.seconds("untilS");
             if (untilUs <= atUs) {
-                wrong.add(e.fault(file, "untilS", "is not after atS"));
+                wrong.add(element.fault(file, "untilS", "is not after atS"));
             }
-            faults.add(world -> {
-                world.at(atUs, () -> world.cut(from, to, true));
-                world.at(untilUs, () -> world.cut(from, to, false));
+            faults.add(simulation -> {
+                simulation.at(atUs, () -> simulation.cut(from, to, true));
+                simulation.at(untilUs, () -> simulation.cut(from, to, false));
             });
             return;
         }
-        int zone = zone(file, e, "zone", wrong);
-        if (e.name().equals("loseZone") && (firstLossS < 0 || e.number("atS") < firstLossS)) {
-            firstLossS = (int) e.number("atS");
+        int zone = zone(file, element, "zone", wrong);
+        if (element.name().equals("loseZone") && (firstLossS == NO_LOSS || element.number("atS") < firstLossS)) {
+            firstLossS = (int) element.number("atS");
         }
         faults.add(
-                switch (e.name()) {
-                    case "loseZone" -> world -> world.at(atUs, () -> world.loseZone(zone));
-                    case "returnZone" -> world -> world.at(atUs, () -> world.returnZone(zone));
+                switch (element.name()) {
+                    case "loseZone" -> simulation -> simulation.at(atUs, () -> simulation.loseZone(zone));
+                    case "returnZone" -> simulation -> simulation.at(atUs, () -> simulation.returnZone(zone));
                     case "slowZone" -> {
-                        double times = e.number("times");
-                        yield world -> world.at(atUs, () -> world.slowZone(zone, times));
+                        double times = element.number("times");
+                        yield simulation -> simulation.at(atUs, () -> simulation.slowZone(zone, times));
                     }
                     default -> {
-                        double rate = e.number("rate");
-                        yield world -> world.at(atUs, () -> world.replayZone(zone, rate));
+                        double rate = element.number("rate");
+                        yield simulation -> simulation.at(atUs, () -> simulation.replayZone(zone, rate));
                     }
                 });
     }
 
-    private void check(String file, XmlElement e, List<Fault> wrong) {
-        if (e.name().equals("rules")) {
-            checks.add(new Check("rules", null, ALL_ZONES, 0));
+    private void check(String file, XmlElement element, List<Fault> wrong) {
+        if (element.name().equals("rules")) {
+            checks.add(new Check("rules", null, RunStatistics.ALL_ZONES, 0));
             return;
         }
-        if (!policies.containsKey(e.text("policy"))) {
-            wrong.add(e.fault(file, "policy", "there is no policy '" + e.text("policy") + "'"));
+        if (!policies.containsKey(element.text("policy"))) {
+            wrong.add(element.fault(file, "policy", "there is no policy '" + element.text("policy") + "'"));
         }
         checks.add(new Check(
-                e.name(),
-                e.text("policy"),
-                e.has("zone") ? zone(file, e, "zone", wrong) : ALL_ZONES,
-                e.number(e.has("atLeast") ? "atLeast" : "atMost")));
+                element.name(),
+                element.text("policy"),
+                element.has("zone") ? zone(file, element, "zone", wrong) : RunStatistics.ALL_ZONES,
+                element.number(element.has("atLeast") ? "atLeast" : "atMost")));
     }
 
     String name() {
@@ -134,7 +135,7 @@
         return seed;
     }
 
-    /** The second of the first loss of a zone, -1 where none is lost. */
+    /** The second of the first loss of a zone, or {@link #NO_LOSS}. */
     int firstLossS() {
         return firstLossS;
     }
@@ -160,16 +161,16 @@
                 clients.flag("retry"));
     }
 
-    /** A world of one policy with the faults set, not yet run. */
-    Simulation world(SimulationPlan plan, String policy) {
-        XmlElement p = policies.get(policy);
-        BiFunction<Router.Settings, Router.Actions, Router> maker = switch (p.name()) {
+    /** A simulation of one policy with the faults set, not yet run. */
+    Simulation simulation(SimulationPlan plan, String policy) {
+        XmlElement settings = policies.get(policy);
+        BiFunction<Router.Settings, Router.Actions, Router> routers = switch (settings.name()) {
             case "plain" -> Policy.plain();
             case "allToNext" -> Policy.allToTheNext(plan);
-            default -> Policy.tiers(plan, p.number("next"), p.number("rest"));
+            default -> Policy.tiers(plan, settings.number("next"), settings.number("rest"));
         };
-        Simulation world = new Simulation(plan, maker);
-        faults.forEach(f -> f.accept(world));
-        return world;
+        Simulation simulation = new Simulation(plan, routers);
+        faults.forEach(f -> f.accept(simulation));
+        return simulation;
     }
 }
--- a/lab/src/main/java/frostreel/lab/experiment/ResultFiles.java
+++ b/lab/src/main/java/frostreel/lab/experiment/ResultFiles.java
@@ -31,13 +31,18 @@
     private ResultFiles() {}
 
     /** The policies' figures as a table in Markdown. */
-    static String table(List<Outcome> outcomes) {
+    static String table(List<PolicyOutcome> outcomes) {
         return Tables.markdown(COLUMNS, rows(outcomes));
     }
 
     /** Writes all files into a folder, which is made where it is missing. */
     static void write(
-            Path folder, Experiment experiment, long firstSeed, int seeds, List<Outcome> outcomes, Verdict verdict)
+            Path folder,
+            Experiment experiment,
+            long firstSeed,
+            int seeds,
+            List<PolicyOutcome> outcomes,
+            Verdict verdict)
             throws IOException {
         Files.createDirectories(folder);
         JSONObject result = result(experiment, firstSeed, seeds, outcomes, verdict);
@@ -49,72 +54,73 @@
     }
 
     private static JSONObject result(
-            Experiment experiment, long firstSeed, int seeds, List<Outcome> outcomes, Verdict verdict) {
+            Experiment experiment, long firstSeed, int seeds, List<PolicyOutcome> outcomes, Verdict verdict) {
         JSONObject result = new JSONObject()
                 .put("experiment", experiment.name())
                 .put("firstSeed", firstSeed)
                 .put("seeds", seeds)
                 .put("verdict", verdict.word())
                 .put("checks", new JSONArray(verdict.lines()));
-        for (Outcome outcome : outcomes) {
+        for (PolicyOutcome outcome : outcomes) {
             result.append(
                     "policies",
                     new JSONObject()
                             .put("policy", outcome.policy)
-                            .put("worth", outcome.worth)
-                            .put("worstTenSeconds", outcome.worstTen)
+                            .put("worth", outcome.weightShare)
+                            .put("worstTenSeconds", outcome.worstTenSeconds)
                             .put("worstClass", outcome.worstClass)
                             .put("bound", outcome.bound)
-                            .put("backAfterS", outcome.backAfterS)
+                            .put("backAfterS", outcome.recoveryS)
                             .put("attempts", outcome.attempts)
-                            .put("fallen", outcome.fallen)
-                            .put("coldMultiple", outcome.coldMultiple)
-                            .put("broken", outcome.broken));
+                            .put("fallen", outcome.overloadedServers)
+                            .put("coldMultiple", outcome.largestMultiple)
+                            .put("broken", outcome.violations));
         }
         return result;
     }
 
-    private static List<List<String>> rows(List<Outcome> outcomes) {
+    private static List<List<String>> rows(List<PolicyOutcome> outcomes) {
         return outcomes.stream()
                 .map(outcome -> List.of(
                         outcome.policy,
-                        threeDecimals(outcome.worth),
-                        threeDecimals(outcome.worstTen),
+                        threeDecimals(outcome.weightShare),
+                        threeDecimals(outcome.worstTenSeconds),
                         threeDecimals(outcome.worstClass),
                         threeDecimals(outcome.bound),
-                        threeDecimals(outcome.worstTen / outcome.bound),
-                        threeDecimals(outcome.backAfterS),
+                        threeDecimals(outcome.worstTenSeconds / outcome.bound),
+                        threeDecimals(outcome.recoveryS),
                         threeDecimals(outcome.attempts),
-                        Long.toString(outcome.fallen),
-                        threeDecimals(outcome.coldMultiple),
-                        Long.toString(outcome.broken)))
+                        Long.toString(outcome.overloadedServers),
+                        threeDecimals(outcome.largestMultiple),
+                        Long.toString(outcome.violations)))
                 .toList();
     }
 
-    private static String seconds(List<Outcome> outcomes) {
+    private static String seconds(List<PolicyOutcome> outcomes) {
         List<String> columns = new ArrayList<>(List.of("second"));
-        for (Outcome outcome : outcomes) {
+        for (PolicyOutcome outcome : outcomes) {
             columns.add("worth " + outcome.policy);
             columns.add("spilt " + outcome.policy);
         }
         List<List<String>> rows = new ArrayList<>();
-        for (int second = 0; second < outcomes.get(0).worthBySecond.length; second++) {
+        for (int second = 0; second < outcomes.get(0).weightShareBySecond.length; second++) {
             List<String> row = new ArrayList<>(List.of(Integer.toString(second)));
-            for (Outcome outcome : outcomes) {
-                row.add(threeDecimals(outcome.worthBySecond[second]));
-                row.add(threeDecimals(outcome.spiltBySecond[second]));
+            for (PolicyOutcome outcome : outcomes) {
+                row.add(threeDecimals(outcome.weightShareBySecond[second]));
+                row.add(threeDecimals(outcome.leftZoneBySecond[second]));
             }
             rows.add(row);
         }
         return Tables.csv(columns, rows);
     }
 
-    private static void writeCharts(Path folder, Experiment experiment, List<Outcome> outcomes) throws IOException {
+    private static void writeCharts(Path folder, Experiment experiment, List<PolicyOutcome> outcomes)
+            throws IOException {
         Map<String, double[]> worth = new LinkedHashMap<>();
         Map<String, double[]> spilt = new LinkedHashMap<>();
-        for (Outcome outcome : outcomes) {
-            worth.put(outcome.policy, outcome.worthBySecond);
-            spilt.put(outcome.policy, outcome.spiltBySecond);
+        for (PolicyOutcome outcome : outcomes) {
+            worth.put(outcome.policy, outcome.weightShareBySecond);
+            spilt.put(outcome.policy, outcome.leftZoneBySecond);
         }
         Charts.bySecond(
                 folder.resolve("worth.png"),
--- a/lab/src/main/java/frostreel/lab/experiment/Runner.java
+++ b/lab/src/main/java/frostreel/lab/experiment/Runner.java
@@ -22,7 +22,7 @@
      * @param folder takes the results; null to keep nothing
      */
     public boolean run(Experiment experiment, long firstSeed, int seeds, Path folder) throws IOException {
-        List<Outcome> outcomes = new ArrayList<>();
+        List<PolicyOutcome> outcomes = new ArrayList<>();
         for (String policy : experiment.policies()) {
             outcomes.add(play(experiment, policy, firstSeed, seeds));
         }
@@ -37,18 +37,18 @@
         return verdict.passed();
     }
 
-    private Outcome play(Experiment experiment, String policy, long firstSeed, int seeds) {
-        Outcome outcome = new Outcome(policy, experiment.plan(firstSeed));
+    private PolicyOutcome play(Experiment experiment, String policy, long firstSeed, int seeds) {
+        PolicyOutcome outcome = new PolicyOutcome(policy, experiment.plan(firstSeed));
         for (int i = 0; i < seeds; i++) {
             outcome.play(experiment, experiment.plan(firstSeed + i));
         }
-        outcome.mean();
+        outcome.average();
         out.printf(
                 Locale.ROOT,
                 "played %s: %d seeds, %.0f requests a second of real time%n",
                 policy,
                 seeds,
-                outcome.requestsASecond);
+                outcome.requestsPerSecond);
         out.flush();
         return outcome;
     }
--- a/lab/src/main/java/frostreel/lab/experiment/Verdict.java
+++ b/lab/src/main/java/frostreel/lab/experiment/Verdict.java
@@ -1,5 +1,6 @@
 package frostreel.lab.experiment;
 
+import frostreel.lab.virtual.RunStatistics;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
@@ -14,11 +15,11 @@
     /** Kinds of checks whose bound is a maximum; that of all others is a minimum. */
     private static final Set<String> AT_MOST = Set.of("rules", "fallen", "coldMultiple");
 
-    static Verdict of(Experiment experiment, List<Outcome> outcomes) {
+    static Verdict of(Experiment experiment, List<PolicyOutcome> outcomes) {
         List<String> lines = new ArrayList<>();
         boolean passed = true;
         for (Experiment.Check check : experiment.checks()) {
-            for (Outcome outcome : outcomes) {
+            for (PolicyOutcome outcome : outcomes) {
                 if (check.policy() != null && !check.policy().equals(outcome.policy)) {
                     continue;
                 }
@@ -32,14 +33,15 @@
         return new Verdict(passed, List.copyOf(lines));
     }
 
-    private static String line(Experiment.Check check, Outcome outcome, double value, boolean atMost, boolean holds) {
+    private static String line(
+            Experiment.Check check, PolicyOutcome outcome, double value, boolean atMost, boolean holds) {
         return String.format(
                 Locale.ROOT,
                 "%s: %s of %s%s is %.3f, %s %.3f",
                 holds ? "pass" : "fail",
                 check.kind(),
                 outcome.policy,
-                check.zone() == Experiment.ALL_ZONES ? "" : " in zone " + check.zone(),
+                check.zone() == RunStatistics.ALL_ZONES ? "" : " in zone " + check.zone(),
                 value,
                 atMost ? "at most" : "at least",
                 check.bound());
--- a/lab/src/main/java/frostreel/lab/model/Cluster.java
+++ b/lab/src/main/java/frostreel/lab/model/Cluster.java
@@ -31,9 +31,9 @@
     private static final long HAND_OVER_US = 400_000;
 
     private static final long DRAIN_US = 3_000_000;
-    private final Scheduler kernel;
-    private final SplittableRandom chance;
-    private final Consumer<Server> changed;
+    private final Scheduler scheduler;
+    private final SplittableRandom random;
+    private final Consumer<Server> onChange;
     private final int groups;
     private final Links links;
     private final Map<String, Server> servers = new LinkedHashMap<>();
@@ -41,35 +41,35 @@
     private final List<Set<Long>> lost = new ArrayList<>();
 
     /**
-     * Each zone has one member of each group; {@code changed} hears of each server that the list has news of.
+     * Each zone has one member of each group; {@code onChange} hears of each server that the list has news of.
      */
     public Cluster(
-            Scheduler kernel, SplittableRandom chance, int zones, int groups, int cores, Consumer<Server> changed) {
-        this(kernel, chance, ServerParameters.USUAL, zones, 1, groups, cores, changed);
+            Scheduler scheduler, SplittableRandom random, int zones, int groups, int cores, Consumer<Server> onChange) {
+        this(scheduler, random, ServerParameters.USUAL, zones, 1, groups, cores, onChange);
     }
 
     /** Each zone has {@code members} of each group. */
     public Cluster(
-            Scheduler kernel,
-            SplittableRandom chance,
+            Scheduler scheduler,
+            SplittableRandom random,
             ServerParameters physics,
             int zones,
             int members,
             int groups,
             int cores,
-            Consumer<Server> changed) {
-        this.kernel = kernel;
-        this.chance = chance;
+            Consumer<Server> onChange) {
+        this.scheduler = scheduler;
+        this.random = random;
         this.groups = groups;
-        this.changed = changed;
+        this.onChange = onChange;
         links = new Links(zones, WITHIN_US, BETWEEN_US);
         for (int g = 0; g < groups; g++) {
             lost.add(new HashSet<>());
             for (int m = 0; m < zones * members; m++) {
-                String id = String.format("g%03d-%08x", g, chance.nextInt());
-                Server s = new Server(kernel, physics, id, m % zones, g, cores, 1);
-                s.promote(m == g % zones);
-                servers.put(id, s);
+                String id = String.format("g%03d-%08x", g, random.nextInt());
+                Server server = new Server(scheduler, physics, id, m % zones, g, cores, 1);
+                server.promote(m == g % zones);
+                servers.put(id, server);
             }
         }
     }
@@ -88,94 +88,97 @@
     }
 
     public List<Server> zone(int zone) {
-        return servers.values().stream().filter(s -> s.zone == zone).toList();
+        return servers.values().stream().filter(server -> server.zone == zone).toList();
     }
 
     /** Whether a group's commit was answered and is gone with its primary. */
-    public boolean lost(int group, long commitUs) {
+    public boolean isLost(int group, long commitUs) {
         return lost.get(group).contains(commitUs);
     }
 
     /** How many such there are. */
-    public int lost() {
+    public int lostCommits() {
         return lost.stream().mapToInt(Set::size).sum();
     }
 
     private List<Server> group(int group) {
-        return servers.values().stream().filter(s -> s.group == group).toList();
+        return servers.values().stream().filter(server -> server.group == group).toList();
     }
 
     /** What a list says of a server. */
-    public static Router.Member entry(Server s) {
-        Router.State state = !s.up() ? Router.State.GONE : s.draining() ? Router.State.DRAINING : Router.State.UP;
-        return new Router.Member(s.id, s.zone, 0, s.group, s.primary(), state, 1, s.bornUs());
+    public static Router.Member entry(Server server) {
+        Router.State state =
+                !server.up() ? Router.State.GONE : server.draining() ? Router.State.DRAINING : Router.State.UP;
+        return new Router.Member(
+                server.id, server.zone, 0, server.group, server.primary(), state, 1, server.startedUs());
     }
 
     /** Its machine is gone: it says nothing. */
-    public void vanish(Server s) {
-        end(s, s::vanish);
+    public void vanish(Server server) {
+        end(server, server::vanish);
     }
 
     /** Its process ends: what it held ends as a reset. */
-    public void crash(Server s) {
-        end(s, s::crash);
+    public void crash(Server server) {
+        end(server, server::crash);
     }
 
-    private void end(Server s, Runnable how) {
-        if (s.up()) {
-            boolean led = s.primary();
+    private void end(Server server, Runnable how) {
+        if (server.up()) {
+            boolean led = server.primary();
             how.run();
             if (led) {
-                elect(s.group);
+                elect(server.group);
             }
-            changed.accept(s);
+            onChange.accept(server);
         }
     }
 
     /** It wants nothing new, hands over if it leads, finishes what it has, and ends. */
-    public void drain(Server s) {
-        if (!s.up() || s.draining()) {
+    public void drain(Server server) {
+        if (!server.up() || server.draining()) {
             return;
         }
-        s.drain();
-        changed.accept(s);
-        kernel.after(HAND_OVER_US, () -> {
-            Server best = s.primary() ? best(s.group, s) : null;
+        server.drain();
+        onChange.accept(server);
+        scheduler.after(HAND_OVER_US, () -> {
+            Server best = server.primary() ? best(server.group, server) : null;
             if (best != null) {
-                s.promote(false);
+                server.promote(false);
                 lead(best);
             }
         });
-        kernel.after(DRAIN_US, () -> crash(s));
+        scheduler.after(DRAIN_US, () -> crash(server));
     }
 
     /** It comes back, cold. */
-    public void start(Server s) {
-        s.start();
-        if (s.up()) {
-            changed.accept(s);
+    public void start(Server server) {
+        server.start();
+        if (server.up()) {
+            onChange.accept(server);
         }
-        feed(s.group);
+        connectToLog(server.group);
     }
 
     /** Servers keep running, and what one zone sends another is lost on the way. */
     public void cut(int from, int to, boolean isCut) {
         links.cut(from, to, isCut);
         for (int g = 0; g < groups; g++) {
-            feed(g);
+            connectToLog(g);
         }
     }
 
     /** Who has the log of a group's primary: all that it reaches. */
-    private void feed(int group) {
+    private void connectToLog(int group) {
         List<Server> members = group(group);
         Server primary = members.stream().filter(Server::primary).findFirst().orElse(null);
-        members.forEach(s -> s.feed(primary != null && s.up() && links.open(primary.zone, s.zone)));
+        members.forEach(
+                server -> server.connectToLog(primary != null && server.up() && links.open(primary.zone, server.zone)));
     }
 
     private void elect(int group) {
-        feed(group);
-        kernel.after(chance.nextLong(LEAST_ELECTION_US, MOST_ELECTION_US), () -> {
+        connectToLog(group);
+        scheduler.after(random.nextLong(LEAST_ELECTION_US, MOST_ELECTION_US), () -> {
             if (group(group).stream().anyMatch(Server::primary)) {
                 return;
             }
@@ -183,8 +186,8 @@
             if (best == null) {
                 elect(group);
             } else {
-                group(group).forEach(s -> lost.get(group).addAll(s.lose(best.applied())));
-                best.succeed();
+                group(group).forEach(server -> lost.get(group).addAll(server.dropCommitsAfter(best.appliedUs())));
+                best.succeedLostPrimary();
                 tell(best);
             }
         });
@@ -193,20 +196,20 @@
     /** The one that has most of the log, of those that run and stay. */
     private Server best(int group, Server but) {
         Server best = null;
-        for (Server s : group(group)) {
-            boolean fit = s.up() && !s.draining() && s != but;
-            best = fit && (best == null || s.applied() > best.applied()) ? s : best;
+        for (Server server : group(group)) {
+            boolean fit = server.up() && !server.draining() && server != but;
+            best = fit && (best == null || server.appliedUs() > best.appliedUs()) ? server : best;
         }
         return best;
     }
 
-    private void lead(Server s) {
-        s.promote(true);
-        tell(s);
+    private void lead(Server server) {
+        server.promote(true);
+        tell(server);
     }
 
     private void tell(Server primary) {
-        feed(primary.group);
-        changed.accept(primary);
+        connectToLog(primary.group);
+        onChange.accept(primary);
     }
 }
--- a/lab/src/main/java/frostreel/lab/model/Server.java
+++ b/lab/src/main/java/frostreel/lab/model/Server.java
@@ -27,8 +27,8 @@
     private boolean up = true;
     private boolean vanished;
     private boolean draining;
-    private boolean fallen;
-    private long bornUs;
+    private boolean overloaded;
+    private long startedUs;
     private long stalledUntilUs;
     private double slowdown = 1;
     private double failingShare;
@@ -55,12 +55,12 @@
     }
 
     /** Whether it was sent more than it could take while cold; it does not start again. */
-    public boolean fallen() {
-        return fallen;
+    public boolean overloaded() {
+        return overloaded;
     }
 
     /** Whether its fall broke the rule: most of the work came from senders that knew of its start. */
-    public boolean pushed() {
+    public boolean overloadBrokeRule() {
         return warmUpLoad.mostSendersKnew();
     }
 
@@ -73,7 +73,7 @@
     }
 
     /** When it last became primary, 0 for never. */
-    public long ledSinceUs() {
+    public long primarySinceUs() {
         return log.primarySinceUs();
     }
 
@@ -83,12 +83,12 @@
     }
 
     /** From now on this share of its answers is lost on the way. */
-    public void losing(double share) {
+    public void loseAnswers(double share) {
         losingShare = share;
     }
 
     /** Whether the answer that it gives now is lost. */
-    public boolean losesAnswer() {
+    public boolean nextAnswerIsLost() {
         owedLosses += losingShare;
         boolean lost = owedLosses >= 1;
         owedLosses -= lost ? 1 : 0;
@@ -96,13 +96,13 @@
     }
 
     /** From now on this share of what comes ends at once, by an error. */
-    public void failing(double share) {
+    public void failRequests(double share) {
         failingShare = share;
     }
 
     /** When it last started, 0 for long ago. */
-    public long bornUs() {
-        return bornUs;
+    public long startedUs() {
+        return startedUs;
     }
 
     /** The largest multiple of its present capacity that it was sent over the rule's window while cold. */
@@ -117,10 +117,10 @@
 
     /** The share of its full capacity that it has by its age. */
     private double warmth() {
-        if (bornUs == 0) {
+        if (startedUs == 0) {
             return 1;
         }
-        double share = (double) (scheduler.now() - bornUs) / parameters.warmAfterUs();
+        double share = (double) (scheduler.now() - startedUs) / parameters.warmAfterUs();
         return Math.min(1, parameters.coldFrom() + (1 - parameters.coldFrom()) * share);
     }
 
@@ -130,12 +130,12 @@
     }
 
     /** Seconds of the log that it applies in a second from now on. */
-    public void replayAt(double rate) {
+    public void replayRate(double rate) {
         log.replayRate(rate);
     }
 
     /** Whether the primary's log reaches it: not while the group has none, nor across a cut. */
-    public void feed(boolean isFed) {
+    public void connectToLog(boolean isFed) {
         log.connected(isFed);
     }
 
@@ -145,22 +145,22 @@
     }
 
     /** It takes over from a primary that is gone, and has no more than it has applied. */
-    public void succeed() {
+    public void succeedLostPrimary() {
         log.succeedLostPrimary();
     }
 
     /** Forgets the commits after that, and returns them: the log goes on without them. */
-    List<Long> lose(long afterUs) {
+    List<Long> dropCommitsAfter(long afterUs) {
         return log.dropAfter(afterUs);
     }
 
     /** What it reports of how far it is; a primary that inherited its log knows of nothing beyond its end. */
-    public long position() {
+    public long reportedPositionUs() {
         return log.reportedUs();
     }
 
     /** A time up to which it has applied every commit that there still is. */
-    public long applied() {
+    public long appliedUs() {
         return log.appliedUs();
     }
 
@@ -206,10 +206,10 @@
     public void start() {
         vanished = false;
         draining = false;
-        if (!fallen) {
+        if (!overloaded) {
             log.appliedUs();
             up = true;
-            bornUs = scheduler.now();
+            startedUs = scheduler.now();
             warmUpLoad.clear();
         }
     }
@@ -229,8 +229,8 @@
                     arrive(job);
                 }
             });
-        } else if (bornUs != 0 && overloadedWhileCold(job)) {
-            fallen = true;
+        } else if (startedUs != 0 && overloadedWhileCold(job)) {
+            overloaded = true;
             end(job, Outcome.RESET);
             crash();
         } else {
@@ -305,16 +305,16 @@
         if (outcome == Outcome.OK && job.write) {
             log.commit();
         }
-        job.listener.ended(outcome, role(), position(), util());
+        job.listener.ended(outcome, role(), reportedPositionUs(), utilization());
     }
 
     private void occupy(int moreCores) {
-        util();
+        utilization();
         busyCores += moreCores;
     }
 
     /** Share of its cores in use, over about the last tenth of a second. */
-    public double util() {
+    public double utilization() {
         double fade = Math.exp((utilizationAtUs - scheduler.now()) / UTILIZATION_SPAN_US);
         utilization = utilization * fade + (1 - fade) * busyCores / cores;
         utilizationAtUs = scheduler.now();
--- a/lab/src/main/java/frostreel/lab/model/ServerParameters.java
+++ b/lab/src/main/java/frostreel/lab/model/ServerParameters.java
@@ -1,11 +1,11 @@
 package frostreel.lab.model;
 
 /**
- * The figures by which servers behave; the same that the settings state as rules.
+ * The figures by which servers behave; those that the settings state as rules are the same.
  *
  * @param coldFrom share of its capacity with which a server starts, and {@code warmAfterUs} when it is warm
  * @param fallMultiple sent more than so many times its present capacity over {@code fallUs}, a cold one falls
- * @param toldShare the least part of that work, from senders that knew of the start, by which a fall breaks
+ * @param informedShare the least part of that work, from senders that knew of the start, by which a fall breaks
  *     the rule
  * @param slackUs the mean work of a request, by which the rule leaves room for chance: where so many times
  *     its capacity are N such, it falls beyond N and two roots of N and two; 0 for a fall beyond N
@@ -21,10 +21,11 @@
         long logDelayUs,
         double replayRate,
         int queue,
-        double toldShare,
+        double informedShare,
         double slackUs,
         boolean cancels,
         boolean commitsWait) {
+    /** Those of the site in service. */
     public static final ServerParameters USUAL =
             new ServerParameters(0.22, 15_000_000, 3, 2_000_000, 8_000, 1.8, 64, 0, 0, true, true);
 }
--- a/lab/src/main/java/frostreel/lab/model/WarmUpLoad.java
+++ b/lab/src/main/java/frostreel/lab/model/WarmUpLoad.java
@@ -50,7 +50,7 @@
                 .filter(Sent::senderKnewStart)
                 .mapToDouble(Sent::workUs)
                 .sum();
-        mostSendersKnew = knownWorkUs >= parameters.toldShare() * recentWorkUs;
+        mostSendersKnew = knownWorkUs >= parameters.informedShare() * recentWorkUs;
         double allowedUs = parameters.fallMultiple() * capacity * parameters.fallUs();
         double slackUs = parameters.slackUs();
         return recentWorkUs > allowedUs + 2 * Math.sqrt(allowedUs * slackUs) + 2 * slackUs;
--- a/lab/src/main/java/frostreel/lab/processes/LoadGenerator.java
+++ b/lab/src/main/java/frostreel/lab/processes/LoadGenerator.java
@@ -106,7 +106,7 @@
     }
 
     private int drawClass() {
-        List<SimulationPlan.Kind> kinds = SimulationPlan.KINDS;
+        List<SimulationPlan.RequestKind> kinds = SimulationPlan.KINDS;
         double draw = random.nextDouble();
         int index = 0;
         while (index < kinds.size() - 1 && draw >= kinds.get(index).share()) {
--- a/lab/src/main/java/frostreel/lab/processes/LoadRequest.java
+++ b/lab/src/main/java/frostreel/lab/processes/LoadRequest.java
@@ -28,6 +28,6 @@
     }
 
     RequestClass requestClass() {
-        return SimulationPlan.KINDS.get(classIndex).c();
+        return SimulationPlan.KINDS.get(classIndex).requestClass();
     }
 }
--- a/lab/src/main/java/frostreel/lab/processes/RandomFaults.java
+++ b/lab/src/main/java/frostreel/lab/processes/RandomFaults.java
@@ -6,7 +6,7 @@
 /** Faults drawn from the run's seed: which, to whom and when; the same seed draws the same. */
 final class RandomFaults {
     private final Fleet fleet;
-    private final SplittableRandom chance;
+    private final SplittableRandom random;
     private final int poolers;
     private final int servers;
     private final long lengthUs;
@@ -16,18 +16,18 @@
         this.poolers = poolers;
         this.servers = servers;
         this.lengthUs = lengthUs;
-        chance = new SplittableRandom(seed);
+        random = new SplittableRandom(seed);
     }
 
     /** Sets so many, each to begin within the span and to last a tenth of the length at the least. */
     void set(int count, long fromUs, long untilUs) {
         for (int i = 0; i < count; i++) {
-            long atUs = chance.nextLong(fromUs, untilUs);
-            long endUs = atUs + chance.nextLong(lengthUs / 10, lengthUs + 1);
-            int pooler = chance.nextInt(poolers);
-            int server = chance.nextInt(servers);
-            NetworkSide side = List.of(NetworkSide.values()).get(chance.nextInt(NetworkSide.values().length));
-            switch (chance.nextInt(9)) {
+            long atUs = random.nextLong(fromUs, untilUs);
+            long endUs = atUs + random.nextLong(lengthUs / 10, lengthUs + 1);
+            int pooler = random.nextInt(poolers);
+            int server = random.nextInt(servers);
+            NetworkSide side = List.of(NetworkSide.values()).get(random.nextInt(NetworkSide.values().length));
+            switch (random.nextInt(9)) {
                 case 0 -> fleet.at(atUs, () -> fleet.lifecycle().kill(pooler, endUs - atUs, () -> {}));
                 case 1 -> fleet.at(atUs, () -> fleet.lifecycle().stop(pooler, endUs - atUs, () -> {}));
                 case 2 ->
@@ -62,7 +62,7 @@
     }
 
     private void cut(long atUs, long endUs, int pooler, NetworkSide side) {
-        int way = chance.nextInt(3);
+        int way = random.nextInt(3);
         between(
                 atUs,
                 endUs,
--- a/lab/src/main/java/frostreel/lab/processes/StandInServers.java
+++ b/lab/src/main/java/frostreel/lab/processes/StandInServers.java
@@ -65,7 +65,7 @@
     }
 
     private void serverChanged(Server server) {
-        boolean restarted = startTimesUs.put(server.id, server.bornUs()) != server.bornUs();
+        boolean restarted = startTimesUs.put(server.id, server.startedUs()) != server.startedUs();
         if (restarted || !server.up() && !server.vanished()) {
             databases.get(server.id).resetAll();
         }
--- a/lab/src/main/java/frostreel/lab/processes/StatementCosts.java
+++ b/lab/src/main/java/frostreel/lab/processes/StatementCosts.java
@@ -19,9 +19,9 @@
 
     @Override
     public double workUs(Statement statement) {
-        for (SimulationPlan.Kind kind : SimulationPlan.KINDS) {
-            if (kind.c().name().equals(statement.requestClass())) {
-                return kind.leastUs() + random.nextDouble() * (kind.mostUs() - kind.leastUs());
+        for (SimulationPlan.RequestKind kind : SimulationPlan.KINDS) {
+            if (kind.requestClass().name().equals(statement.requestClass())) {
+                return kind.minWorkUs() + random.nextDouble() * (kind.maxWorkUs() - kind.minWorkUs());
             }
         }
         throw new IllegalArgumentException("no class " + statement.requestClass());
--- a/lab/src/main/java/frostreel/lab/standin/Database.java
+++ b/lab/src/main/java/frostreel/lab/standin/Database.java
@@ -38,7 +38,7 @@
     private static final int MOST_BYTES = 1 << 18;
     private static final byte[] SHOW_LOAD = "SHOW load\0".getBytes(StandardCharsets.US_ASCII);
     private final EventLoop loop;
-    private final Scheduler kernel;
+    private final Scheduler scheduler;
     private final Server server;
     private final Orders orders;
     private final Runnable fell;
@@ -46,11 +46,12 @@
     private final Port port;
 
     /** {@code fell} hears that the server was sent more than it could take while cold. */
-    public Database(EventLoop loop, Scheduler kernel, Server server, Orders orders, Runnable fell, InetSocketAddress at)
+    public Database(
+            EventLoop loop, Scheduler scheduler, Server server, Orders orders, Runnable fell, InetSocketAddress at)
             throws IOException {
         this.fell = fell;
         this.loop = loop;
-        this.kernel = kernel;
+        this.scheduler = scheduler;
         this.server = server;
         this.orders = orders;
         port = new Port(loop, at, Session::new);
@@ -120,16 +121,19 @@
             // It is held before it arrives: a server may answer, or fall over, at once.
             Job[] made = new Job[1];
             made[0] = new Job(
-                    orders.workUs(s), s.write(), orders.needUs(s, kernel.now()), (outcome, role, positionUs, util) -> {
+                    orders.workUs(s),
+                    s.write(),
+                    orders.needUs(s, scheduler.now()),
+                    (outcome, role, positionUs, util) -> {
                         if (job == made[0]) {
                             job = null;
                             ended(s, outcome, role, positionUs);
                         }
                     });
             job = made[0];
-            boolean fallen = server.fallen();
+            boolean fallen = server.overloaded();
             server.arrive(job);
-            if (server.fallen() && !fallen) {
+            if (server.overloaded() && !fallen) {
                 fell.run();
             }
         }
@@ -186,9 +190,9 @@
         return String.format(
                 Locale.ROOT,
                 "x0=%.6f,x1=%d,load_share=%.3f",
-                server.applied() / 1e6,
+                server.appliedUs() / 1e6,
                 server.primary() ? 1 : 0,
-                server.util());
+                server.utilization());
     }
 
     /** A ParameterStatus message. */
--- a/lab/src/main/java/frostreel/lab/standin/Discovery.java
+++ b/lab/src/main/java/frostreel/lab/standin/Discovery.java
@@ -25,7 +25,7 @@
     private static final Pattern CALL =
             Pattern.compile("GET /discovery/hosts(?:\\?index=(\\d+)&wait=(\\d+))? HTTP/1\\.1\r\n");
     private final EventLoop loop;
-    private final Scheduler kernel;
+    private final Scheduler scheduler;
     private final Function<String, String> dial;
     private final Port port;
     /** Every server as last told, with the number at which that was. */
@@ -37,10 +37,10 @@
 
     /** {@code dial}: the address, as text, at which this pooler reaches a server. */
     public Discovery(
-            EventLoop loop, Scheduler kernel, Cluster cluster, Function<String, String> dial, InetSocketAddress at)
+            EventLoop loop, Scheduler scheduler, Cluster cluster, Function<String, String> dial, InetSocketAddress at)
             throws IOException {
         this.loop = loop;
-        this.kernel = kernel;
+        this.scheduler = scheduler;
         this.dial = dial;
         cluster.all().forEach(s -> hosts.put(s.id, Cluster.entry(s)));
         port = new Port(loop, at, Call::new);
@@ -142,7 +142,7 @@
             } else {
                 long mine = ++number;
                 watches.add(this);
-                kernel.after(waitUs, () -> {
+                scheduler.after(waitUs, () -> {
                     if (number == mine && watches.contains(this)) {
                         answer(changes(index));
                     }
--- a/lab/src/main/java/frostreel/lab/virtual/OptimalBound.java
+++ b/lab/src/main/java/frostreel/lab/virtual/OptimalBound.java
@@ -1,103 +1,130 @@
 package frostreel.lab.virtual;
 
+import frostreel.routing.Router.Access;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
 
 /**
- * What an all-knowing split of the same servers gets: at every moment it knows what each can do, fills them
- * with what is worth most for its work, loses nothing to queues or doubt, and holds a write exactly until its
- * group has a primary. No decisions can reach it; it is the measure that they are held against.
+ * What an omniscient split of the same servers gets: at every moment it knows what each can do, fills them with
+ * the requests of most weight for their work, loses nothing to queues or doubt, and holds a write exactly until
+ * its group has a primary. No decisions can reach it; it is the measure that they are compared with.
  */
 public final class OptimalBound {
+    private static final long US_PER_SECOND = 1_000_000;
     private static final long SAMPLE_US = 100_000;
-    private static final int SAMPLES = (int) (1_000_000 / SAMPLE_US);
-    /** Of a class's time, what a client waits on the mean. */
-    private static final double PATIENCE = 0.7;
+    private static final int SAMPLES_PER_SECOND = (int) (US_PER_SECOND / SAMPLE_US);
+    /** Of a class's deadline, what a client waits on the mean. */
+    private static final double MEAN_PATIENCE = 0.7;
+    /** The first seconds belong to the poolers' start, and are not judged. */
+    private static final int FIRST_JUDGED_SECOND = 5;
+
+    private static final int WINDOW_S = 10;
+
+    /** What one class asks for in a second: work, and the weight to be had for it. */
+    private record Demand(double work, double weight) {}
+
+    /** Of writes in a second: the share that can be served at all, and their weight as a share. */
+    private record WriteShares(double served, double weight) {
+        static final WriteShares ALL = new WriteShares(1, 1);
+    }
 
     private final SimulationPlan plan;
     private final List<Double> capacities = new ArrayList<>();
-    private final List<boolean[]> led = new ArrayList<>();
+    /** By sample and group: whether the group had a primary. */
+    private final List<boolean[]> hasPrimary = new ArrayList<>();
 
-    /** Samples a world, from before its run on. */
-    public OptimalBound(SimulationPlan plan, Simulation world) {
+    /** Samples a simulation that has not run yet. */
+    public OptimalBound(SimulationPlan plan, Simulation simulation) {
         this.plan = plan;
-        for (long at = 0; at < plan.durationUs(); at += SAMPLE_US) {
-            world.at(at, () -> {
-                capacities.add(world.capacity());
-                boolean[] now = new boolean[plan.groups()];
-                for (int g = 0; g < now.length; g++) {
-                    now[g] = world.led(g);
-                }
-                led.add(now);
-            });
+        for (long atUs = 0; atUs < plan.durationUs(); atUs += SAMPLE_US) {
+            simulation.at(atUs, () -> sample(simulation));
+        }
+    }
+
+    private void sample(Simulation simulation) {
+        capacities.add(simulation.capacity());
+        boolean[] groups = new boolean[plan.groups()];
+        for (int group = 0; group < groups.length; group++) {
+            groups[group] = simulation.hasPrimary(group);
         }
+        hasPrimary.add(groups);
     }
 
-    /** The least share of the worth asked for that it gets in any ten seconds on end, from the fifth on. */
+    /** The least share of the weight asked for in any ten seconds on end, behind the poolers' start. */
     public double worstTenSeconds() {
         double worst = 1;
-        for (int s = 5; s + 10 <= plan.durationUs() / 1_000_000; s++) {
+        for (int s = FIRST_JUDGED_SECOND; s + WINDOW_S <= plan.durationUs() / US_PER_SECOND; s++) {
             double sum = 0;
-            for (int i = s; i < s + 10; i++) {
+            for (int i = s; i < s + WINDOW_S; i++) {
                 sum += share(i);
             }
-            worst = Math.min(worst, sum / 10);
+            worst = Math.min(worst, sum / WINDOW_S);
         }
         return worst;
     }
 
-    /** The share that it gets of what is asked in one second. */
+    /** The share that it gets of the weight asked for in one second. */
     public double share(int second) {
-        record Demand(double work, double worth, double askedWorth) {}
         List<Demand> demands = new ArrayList<>();
-        double rate = plan.perPooler() * plan.poolersPerZone() * plan.zones();
+        double requestsPerSecond = plan.requestsPerPooler() * plan.poolersPerZone() * plan.zones();
         double asked = 0;
-        for (SimulationPlan.Kind k : SimulationPlan.KINDS) {
-            double each = k.share() * rate;
-            boolean write = k.c().access() == frostreel.routing.Router.Access.WRITE;
-            double[] inTime = write ? writes(second, k) : new double[] {1, 1};
+        for (SimulationPlan.RequestKind kind : SimulationPlan.KINDS) {
+            double requests = kind.share() * requestsPerSecond;
+            double weight = kind.requestClass().priorityWeight();
+            boolean isWrite = kind.requestClass().access() == Access.WRITE;
+            WriteShares possible = isWrite ? writeShares(second, kind) : WriteShares.ALL;
             demands.add(new Demand(
-                    each * inTime[0] * k.meanUs() / 1e6,
-                    each * inTime[1] * k.c().priorityWeight(),
-                    each * k.c().priorityWeight()));
-            asked += each * k.c().priorityWeight();
+                    requests * possible.served * kind.meanWorkUs() / 1e6, requests * possible.weight * weight));
+            asked += requests * weight;
         }
-        demands.sort(Comparator.comparingDouble(d -> d.work == 0 ? 0 : -d.worth / d.work));
-        double left = 0;
-        for (int i = second * SAMPLES; i < (second + 1) * SAMPLES; i++) {
-            left += capacities.get(i) / SAMPLES;
+        demands.sort(Comparator.comparingDouble(demand -> demand.work == 0 ? 0 : -demand.weight / demand.work));
+        return weightThatFits(demands, meanCapacity(second)) / asked;
+    }
+
+    private double meanCapacity(int second) {
+        double capacity = 0;
+        for (int i = second * SAMPLES_PER_SECOND; i < (second + 1) * SAMPLES_PER_SECOND; i++) {
+            capacity += capacities.get(i) / SAMPLES_PER_SECOND;
         }
-        double got = 0;
-        for (Demand d : demands) {
-            double fits = d.work == 0 ? 0 : Math.min(1, left / d.work);
-            got += d.worth * fits;
-            left -= d.work * fits;
+        return capacity;
+    }
+
+    private static double weightThatFits(List<Demand> demands, double capacity) {
+        double left = capacity;
+        double weight = 0;
+        for (Demand demand : demands) {
+            double share = demand.work == 0 ? 0 : Math.min(1, left / demand.work);
+            weight += demand.weight * share;
+            left -= demand.work * share;
         }
-        return got / asked;
+        return weight;
     }
 
-    /** The share of a second's writes that are served at all, and their worth as a share. */
-    private double[] writes(int second, SimulationPlan.Kind k) {
+    private WriteShares writeShares(int second, SimulationPlan.RequestKind kind) {
         double served = 0;
-        double worth = 0;
-        int n = 0;
-        for (int i = second * SAMPLES; i < (second + 1) * SAMPLES; i++) {
-            for (int g = 0; g < plan.groups(); g++, n++) {
-                int j = i;
-                while (j < led.size() && !led.get(j)[g]) {
-                    j++;
-                }
-                long waitUs = (j - i) * SAMPLE_US;
-                if (waitUs <= k.c().latencyObjectiveUs()) {
+        double weight = 0;
+        int count = 0;
+        for (int i = second * SAMPLES_PER_SECOND; i < (second + 1) * SAMPLES_PER_SECOND; i++) {
+            for (int group = 0; group < plan.groups(); group++, count++) {
+                long waitUs = waitForPrimaryUs(i, group);
+                if (waitUs <= kind.requestClass().latencyObjectiveUs()) {
                     served++;
-                    worth++;
-                } else if (waitUs <= k.c().deadlineUs() * PATIENCE) {
+                    weight++;
+                } else if (waitUs <= kind.requestClass().deadlineUs() * MEAN_PATIENCE) {
                     served++;
-                    worth += k.c().lateWeight();
+                    weight += kind.requestClass().lateWeight();
                 }
             }
         }
-        return new double[] {served / n, worth / n};
+        return new WriteShares(served / count, weight / count);
+    }
+
+    private long waitForPrimaryUs(int sample, int group) {
+        int next = sample;
+        while (next < hasPrimary.size() && !hasPrimary.get(next)[group]) {
+            next++;
+        }
+        return (next - sample) * SAMPLE_US;
     }
 }
--- a/lab/src/main/java/frostreel/lab/virtual/PoolerFleet.java
+++ b/lab/src/main/java/frostreel/lab/virtual/PoolerFleet.java
@@ -73,7 +73,7 @@
         cluster.all().forEach(server -> list.put(server.id, listEntry(server)));
         lists.add(list);
         serving[number] = start(number);
-        serving[number].told(Router.ListKind.FULL, List.copyOf(list.values()));
+        serving[number].updateEndpoints(Router.ListKind.FULL, List.copyOf(list.values()));
     }
 
     private VirtualPooler start(int number) {
@@ -118,13 +118,14 @@
         if (old == null) {
             return;
         }
-        old.die();
+        old.kill();
         serving[number] = null;
         List<Router.Member> cached = currentList(number);
         scheduler.after(downUs, () -> {
             VirtualPooler pooler = start(number);
-            pooler.told(Router.ListKind.CACHED, cached);
-            scheduler.after(LIST_AFTER_START_US, () -> pooler.told(Router.ListKind.CHANGES, currentList(number)));
+            pooler.updateEndpoints(Router.ListKind.CACHED, cached);
+            scheduler.after(
+                    LIST_AFTER_START_US, () -> pooler.updateEndpoints(Router.ListKind.CHANGES, currentList(number)));
             scheduler.after(CLIENTS_AFTER_START_US, () -> serving[number] = pooler);
         });
     }
@@ -142,7 +143,7 @@
             scheduler.after(delayUs, () -> {
                 lists.get(number).put(entry.id(), entry);
                 if (serving[number] != null) {
-                    serving[number].told(Router.ListKind.CHANGES, List.of(entry));
+                    serving[number].updateEndpoints(Router.ListKind.CHANGES, List.of(entry));
                 }
             });
         }
--- a/lab/src/main/java/frostreel/lab/virtual/SimulatedClients.java
+++ b/lab/src/main/java/frostreel/lab/virtual/SimulatedClients.java
@@ -70,7 +70,7 @@
 
     /** Schedules the next request at a pooler, and with it all that follow until the run's end. */
     void scheduleArrival(int pooler, SplittableRandom random) {
-        double gapUs = -Math.log(1 - random.nextDouble()) * 1e6 / plan.perPooler() / demand[pooler];
+        double gapUs = -Math.log(1 - random.nextDouble()) * 1e6 / plan.requestsPerPooler() / demand[pooler];
         scheduler.after((long) gapUs, () -> {
             if (scheduler.now() - startUs < plan.durationUs()) {
                 VirtualPooler serving = poolers.servingFor(pooler);
@@ -88,13 +88,14 @@
 
     private void ask(VirtualPooler pooler, SplittableRandom random) {
         int classIndex = drawClass(random);
-        SimulationPlan.Kind kind = plan.site().kinds().get(classIndex);
-        double workUs = kind.leastUs() + random.nextDouble() * (kind.mostUs() - kind.leastUs());
+        SimulationPlan.RequestKind kind = plan.site().kinds().get(classIndex);
+        double workUs = kind.minWorkUs() + random.nextDouble() * (kind.maxWorkUs() - kind.minWorkUs());
         int session = random.nextInt(lastWriteUs.length);
         double patience = MIN_PATIENCE + PATIENCE_SPREAD * random.nextDouble();
         boolean mayRetry = random.nextBoolean() && plan.clientRetries();
         statistics.requests++;
-        statistics.asked(second(), pooler.zone, classIndex, kind.c().priorityWeight());
+        statistics.recordAsked(
+                second(), pooler.zone, classIndex, kind.requestClass().priorityWeight());
         ClientRequest request = new ClientRequest(
                 pooler,
                 classIndex,
@@ -109,7 +110,7 @@
     }
 
     private int drawClass(SplittableRandom random) {
-        List<SimulationPlan.Kind> kinds = plan.site().kinds();
+        List<SimulationPlan.RequestKind> kinds = plan.site().kinds();
         double draw = random.nextDouble();
         int index = 0;
         while (index < kinds.size() - 1 && draw >= kinds.get(index).share()) {
@@ -120,16 +121,16 @@
 
     private void submit(ClientRequest request, boolean isRetry) {
         Router.RequestClass requestClass =
-                plan.site().kinds().get(request.classIndex()).c();
+                plan.site().kinds().get(request.classIndex()).requestClass();
         String id = Long.toString(++lastId, Character.MAX_RADIX);
         long nowUs = scheduler.now();
         long deadlineUs = nowUs + (long) (requestClass.deadlineUs() * request.patience());
         boolean carried = plan.site().settings().sessionTracking() == Router.SessionTracking.CARRIED;
         boolean sessionRead = requestClass.access() == Router.Access.SESSION;
         long wroteUs =
-                carried ? lastWriteUs[request.session()] : request.pooler().commit(request.session());
+                carried ? lastWriteUs[request.session()] : request.pooler().lastCommitUs(request.session());
         invariants.requestTaken(nowUs, request.pooler().number, id, requestClass, deadlineUs);
-        boolean lostCommit = sessionRead && !carried && cluster.lost(request.group(), wroteUs);
+        boolean lostCommit = sessionRead && !carried && cluster.isLost(request.group(), wroteUs);
         long ledUs = lostCommit ? primaryAgeUs(request.group()) : 0;
         RequestAttributes attributes = new RequestAttributes(
                 id,
@@ -139,7 +140,7 @@
                 deadlineUs,
                 sessionRead && carried && wroteUs > 0 ? nowUs - wroteUs : 0,
                 isRetry);
-        VirtualPooler.Order order = new VirtualPooler.Order(
+        SimulatedPayload payload = new SimulatedPayload(
                 id,
                 request.workUs(),
                 requestClass.access() == Router.Access.WRITE,
@@ -147,7 +148,7 @@
                 requestClass.access() == Router.Access.BOUNDED ? requestClass.boundUs() : 0,
                 requiredPositionUs(requestClass.access(), wroteUs, nowUs));
         request.pooler()
-                .submit(attributes, order, new ClientHandler(request, requestClass, id, isRetry, lostCommit, ledUs));
+                .submit(attributes, payload, new ClientHandler(request, requestClass, id, isRetry, lostCommit, ledUs));
     }
 
     private static long requiredPositionUs(Router.Access access, long wroteUs, long nowUs) {
@@ -162,7 +163,7 @@
     private long primaryAgeUs(int group) {
         return cluster.all().stream()
                 .filter(server -> server.group == group && server.primary())
-                .mapToLong(server -> scheduler.now() - server.ledSinceUs())
+                .mapToLong(server -> scheduler.now() - server.primarySinceUs())
                 .findFirst()
                 .orElse(0);
     }
@@ -174,7 +175,7 @@
         }
     }
 
-    /** In the order of their answers. */
+    /** In the payload of their answers. */
     List<LostRead> lostReads() {
         return lostReads;
     }
@@ -209,7 +210,7 @@
             answered(Answer.SERVED);
             long latencyUs = scheduler.now() - request.askedUs();
             double share = latencyUs <= requestClass.latencyObjectiveUs() ? 1 : requestClass.lateWeight();
-            statistics.got(
+            statistics.recordServed(
                     request.second(),
                     request.pooler().zone,
                     request.classIndex(),
@@ -221,7 +222,7 @@
 
         @Override
         public void rejected(long retryAfterUs) {
-            statistics.refused++;
+            statistics.rejected++;
             answered(Answer.REJECTED);
             if (request.mayRetry() && !isRetry) {
                 statistics.retries++;
--- a/lab/src/main/java/frostreel/lab/virtual/Simulation.java
+++ b/lab/src/main/java/frostreel/lab/virtual/Simulation.java
@@ -43,9 +43,9 @@
         cluster = new Cluster(
                 time,
                 environment,
-                plan.site().physics(),
+                plan.site().serverParameters(),
                 plan.zones(),
-                plan.site().members(),
+                plan.site().membersPerZone(),
                 plan.groups(),
                 plan.cores(),
                 this::publish);
@@ -64,7 +64,7 @@
     }
 
     /** From its next request on, the first of all poolers is asked so many times what the last one is. */
-    public void uneven(double times) {
+    public void skewDemand(double times) {
         clients.skewDemand(times);
     }
 
@@ -105,13 +105,13 @@
 
     /** Replicas of a zone apply so many seconds of the log in a second. */
     public void replayZone(int zone, double rate) {
-        cluster.zone(zone).forEach(server -> server.replayAt(rate));
+        cluster.zone(zone).forEach(server -> server.replayRate(rate));
     }
 
     /** Plays to the end, and a little longer for what is still open. */
     public Simulation run() {
         long longestUs = plan.site().kinds().stream()
-                .mapToLong(kind -> kind.c().deadlineUs())
+                .mapToLong(kind -> kind.requestClass().deadlineUs())
                 .max()
                 .orElse(0);
         time.runUntil(START_US + plan.durationUs() + longestUs + AFTERMATH_US);
@@ -119,17 +119,17 @@
         return this;
     }
 
-    public RunStatistics tally() {
+    public RunStatistics statistics() {
         return statistics;
     }
 
-    public InvariantChecker rules() {
+    public InvariantChecker invariants() {
         return invariants;
     }
 
     /** How many servers were knocked over while cold. */
-    public long fallen() {
-        return cluster.all().stream().filter(Server::fallen).count();
+    public long overloadedServers() {
+        return cluster.all().stream().filter(Server::overloaded).count();
     }
 
     /** The largest multiple of its present capacity that any cold server was sent. */
@@ -138,7 +138,7 @@
     }
 
     /** Attempts begun by poolers of one zone to servers of another, since the start. */
-    public long sent(int from, int to) {
+    public long attempts(int from, int to) {
         return poolers.all().stream()
                 .filter(pooler -> pooler.zone == from)
                 .mapToLong(pooler -> pooler.sentTo[to])
@@ -173,12 +173,12 @@
     }
 
     /** Whether a group has a primary now. */
-    boolean led(int group) {
+    boolean hasPrimary(int group) {
         return cluster.all().stream().anyMatch(server -> server.group == group && server.primary());
     }
 
     /** Equal for equal runs, to the byte. */
-    public String record() {
+    public String digest() {
         StringBuilder text = new StringBuilder(statistics.toString());
         poolers.all().forEach(pooler -> text.append('\n').append(pooler.counters));
         invariants
--- a/lab/src/main/java/frostreel/lab/virtual/SimulationPlan.java
+++ b/lab/src/main/java/frostreel/lab/virtual/SimulationPlan.java
@@ -4,11 +4,11 @@
 import java.util.List;
 
 /**
- * A run, before any fault.
+ * What a simulation is made of, before any fault.
  *
  * @param zones how many; each has its own poolers, and one member of each group
  * @param load what clients ask, as a share of what all servers can do
- * @param listLagUs how late a change reaches the poolers' lists
+ * @param listLagUs how late a change reaches the poolers' endpoint lists
  * @param durationUs how long clients ask
  * @param site what the deployment states
  */
@@ -23,6 +23,7 @@
         long durationUs,
         boolean clientRetries,
         Site site) {
+    /** A plan at the usual site. */
     public SimulationPlan(
             long seed,
             int zones,
@@ -36,33 +37,33 @@
         this(seed, zones, poolersPerZone, groups, cores, load, listLagUs, durationUs, clientRetries, Site.USUAL);
     }
 
-    /** A class of requests: its part of all, and its work in microseconds of a core. */
-    public record Kind(Router.RequestClass c, double share, double leastUs, double mostUs) {
-        double meanUs() {
-            return (leastUs + mostUs) / 2;
+    /** A class of requests: its share of all, and its work in microseconds of a core. */
+    public record RequestKind(Router.RequestClass requestClass, double share, double minWorkUs, double maxWorkUs) {
+        double meanWorkUs() {
+            return (minWorkUs + maxWorkUs) / 2;
         }
     }
 
     /** The classes of a billing site: what they need, and by when. */
-    public static final List<Kind> KINDS = List.of(
+    public static final List<RequestKind> KINDS = List.of(
             kind("account-view", Router.Access.BOUNDED, 300, 1_000, 2, 0, 0.42, 27, 47),
             kind("history-lookup", Router.Access.ANY, 200, 600, 3, 0.2, 0.34, 27, 47),
             kind("arrears-report", Router.Access.ANY, 4_000, 8_000, 6, 0.2, 0.02, 450, 780),
             kind("payment-post", Router.Access.WRITE, 600, 3_000, 4, 0.3, 0.17, 45, 78),
             kind("receipt-view", Router.Access.SESSION, 300, 1_000, 2, 0, 0.05, 27, 47));
 
-    private static Kind kind(
+    private static RequestKind kind(
             String name,
             Router.Access access,
-            long aimMs,
+            long latencyObjectiveMs,
             long deadlineMs,
-            double worth,
-            double lateWorth,
+            double priorityWeight,
+            double lateWeight,
             double share,
-            double leastMs,
-            double mostMs) {
+            double minWorkMs,
+            double maxWorkMs) {
         boolean write = access == Router.Access.WRITE;
-        return new Kind(
+        return new RequestKind(
                 new Router.RequestClass(
                         name,
                         access,
@@ -70,36 +71,37 @@
                         Router.DeduplicationScope.GROUP,
                         write ? 3_000_000 : 0,
                         access == Router.Access.BOUNDED ? 800_000 : 0,
-                        aimMs * 1000,
+                        latencyObjectiveMs * 1000,
                         deadlineMs * 1000,
-                        worth,
-                        lateWorth),
+                        priorityWeight,
+                        lateWeight),
                 share,
-                leastMs * 1000,
-                mostMs * 1000);
+                minWorkMs * 1000,
+                maxWorkMs * 1000);
     }
 
-    /** What a pooler of a zone is told. */
+    /** The settings of a pooler in a zone. */
     public Router.Settings settings(int zone, long poolerSeed) {
-        Router.Settings s = site.settings();
+        Router.Settings common = site.settings();
         return new Router.Settings(
                 poolerSeed,
                 zones * poolersPerZone,
                 zone,
-                s.tickUs(),
-                s.classes(),
-                s.stalenessCheck(),
-                s.listRole(),
-                s.sessionTracking(),
-                s.positions(),
-                s.limits(),
-                s.rules());
+                common.tickUs(),
+                common.classes(),
+                common.stalenessCheck(),
+                common.listRole(),
+                common.sessionTracking(),
+                common.positions(),
+                common.limits(),
+                common.rules());
     }
 
-    /** Requests a second that one pooler is asked. */
-    double perPooler() {
-        double meanWorkUs =
-                site.kinds().stream().mapToDouble(k -> k.share() * k.meanUs()).sum();
-        return load * zones * site.members() * groups * cores * 1e6 / meanWorkUs / (zones * poolersPerZone);
+    /** Requests a second that one pooler is asked on the mean. */
+    double requestsPerPooler() {
+        double meanWorkUs = site.kinds().stream()
+                .mapToDouble(kind -> kind.share() * kind.meanWorkUs())
+                .sum();
+        return load * zones * site.membersPerZone() * groups * cores * 1e6 / meanWorkUs / (zones * poolersPerZone);
     }
 }
--- a/lab/src/main/java/frostreel/lab/virtual/Site.java
+++ b/lab/src/main/java/frostreel/lab/virtual/Site.java
@@ -6,20 +6,21 @@
 import java.util.Set;
 
 /**
- * What a deployment states, and how its clients and servers are, whatever their number.
+ * A deployment: what it states, and how its clients and servers behave, whatever their number.
  *
+ * @param kinds the classes of requests, in the order of the settings' classes
  * @param settings as every pooler is told them, but for its seed, its zone and how many there are
  * @param reports which figures servers' reports carry, of {@code x0}, {@code x1}, {@code load_share}; with
- *     none of them there are no reports
- * @param members of each group in each zone
+ *     none of them there are no load reports
+ * @param membersPerZone of each group in each zone
  * @param sessions of all clients together
  */
 public record Site(
-        List<SimulationPlan.Kind> kinds,
+        List<SimulationPlan.RequestKind> kinds,
         Router.Settings settings,
-        ServerParameters physics,
+        ServerParameters serverParameters,
         Set<String> reports,
-        int members,
+        int membersPerZone,
         int sessions) {
     /** The site in service. */
     public static final Site USUAL = new Site(
@@ -29,7 +30,9 @@
                     0,
                     0,
                     1_000,
-                    SimulationPlan.KINDS.stream().map(SimulationPlan.Kind::c).toList(),
+                    SimulationPlan.KINDS.stream()
+                            .map(SimulationPlan.RequestKind::requestClass)
+                            .toList(),
                     Router.StalenessCheck.REFUSE,
                     Router.ListRole.LATE,
                     Router.SessionTracking.CARRIED,
--- a/lab/src/main/java/frostreel/lab/virtual/VirtualGroup.java
+++ b/lab/src/main/java/frostreel/lab/virtual/VirtualGroup.java
@@ -17,56 +17,67 @@
 import java.util.TreeMap;
 
 /**
- * The group of poolers in virtual time, for hundreds of them. It does not play a group protocol; it gives
- * what one promises: some time after ways or members changed, those that reach each other both ways have one
- * view, and what was sent within a view arrives in order or not at all. A pooler that hears but is not heard
- * is out, as one that is heard but does not hear.
+ * Cluster membership of poolers in virtual time, for hundreds of them. It does not play a group protocol; it
+ * gives what one guarantees: some time after links or members changed, those that reach each other in both
+ * directions have one view, and what was sent within a view arrives in order or not at all. A pooler that can
+ * only send, or only receive, is not in the view of the others.
  */
 public final class VirtualGroup {
-    /** Beyond the time after which silence counts, views come so much later at most. */
-    private static final long SPREAD_US = 500_000;
-
-    private static final long PROPOSAL_US = 10_000_000;
-    private static final long AGAIN_US = 100_000;
-    private final Scheduler kernel;
-    private final SplittableRandom chance;
-    private final Set<String> named;
-    private final long silentUs;
-    private final List<byte[]> entries = new ArrayList<>();
+    /** Beyond the silence timeout, views come so much later at most. */
+    private static final long MAX_VIEW_SPREAD_US = 500_000;
+
+    private static final long PROPOSAL_TIMEOUT_US = 10_000_000;
+    private static final long RETRY_INTERVAL_US = 100_000;
+    private final Scheduler scheduler;
+    private final SplittableRandom random;
+    private final Set<String> configuredNames;
+    private final long silenceTimeoutUs;
+    private final List<byte[]> committedEntries = new ArrayList<>();
     private final Map<String, Member> present = new TreeMap<>();
-    /** Who left with a word: nobody need be suspected first. */
-    private final Set<Peer> farewells = new HashSet<>();
-    /** Ways that are cut, from whom to whom, and since when. */
-    private final Map<List<String>, Long> cuts = new HashMap<>();
+    /** Who left gracefully, and so is not suspected first. */
+    private final Set<Peer> gracefulLeavers = new HashSet<>();
+    /** Directions that are cut, as sender and receiver, and since when. */
+    private final Map<List<String>, Long> cutsSinceUs = new HashMap<>();
 
     private final Map<List<String>, Long> delays = new HashMap<>();
     private final Map<List<String>, Long> lastArrivals = new HashMap<>();
     private final long usualDelayUs;
 
-    /** {@code silentUs}: how long silence lasts until it counts; {@code delayUs}: a message's usual way. */
-    public VirtualGroup(Scheduler kernel, SplittableRandom chance, Set<String> named, long silentUs, long delayUs) {
-        this.kernel = kernel;
-        this.chance = chance;
-        this.named = Set.copyOf(named);
-        this.silentUs = silentUs;
+    /**
+     * A group without members.
+     *
+     * @param configuredNames who may take part, and of whom a majority commits entries of the log
+     * @param silenceTimeoutUs after how long a silent member counts as absent
+     * @param delayUs how long a message usually takes
+     */
+    public VirtualGroup(
+            Scheduler scheduler,
+            SplittableRandom random,
+            Set<String> configuredNames,
+            long silenceTimeoutUs,
+            long delayUs) {
+        this.scheduler = scheduler;
+        this.random = random;
+        this.configuredNames = Set.copyOf(configuredNames);
+        this.silenceTimeoutUs = silenceTimeoutUs;
         usualDelayUs = delayUs;
     }
 
-    /** A pooler's part in the group, for one life. */
+    /** One incarnation of a pooler in the group. */
     private final class Member implements Membership {
         private final Peer self;
         private final Listener listener;
-        /** What came while it was paused. */
-        private final Queue<Runnable> missed = new ArrayDeque<>();
+        /** Events that came while it was paused. */
+        private final Queue<Runnable> missedEvents = new ArrayDeque<>();
 
         private MembershipView view = MembershipView.NONE;
-        /** The newest view there is for it; it takes it only once it does not pause. */
-        private MembershipView given = MembershipView.NONE;
-        /** Null where it takes no part in the log. */
-        private ReplicatedLog.Listener chosen;
+        /** The newest view there is for it, which it adopts as soon as it is not paused. */
+        private MembershipView latestView = MembershipView.NONE;
+        /** Null where it takes no part in the replicated log. */
+        private ReplicatedLog.Listener logListener;
 
-        private long toldNumber;
-        private boolean lags;
+        private long lastDeliveredNumber;
+        private boolean catchUpPending;
         private boolean paused;
         private long pausedAtUs;
         private boolean gone;
@@ -107,232 +118,244 @@
         @Override
         public void leave() {
             if (!gone) {
-                farewells.add(self);
+                gracefulLeavers.add(self);
                 end(this);
                 regroupIn(usualDelayUs);
             }
         }
 
-        private void hears(Runnable event) {
+        private void deliver(Runnable event) {
             if (gone) {
                 return;
             }
             if (paused) {
-                missed.add(event);
+                missedEvents.add(event);
             } else {
                 event.run();
             }
         }
 
-        private void takes(MembershipView next) {
+        private void adopt(MembershipView next) {
             MembershipView before = view;
             view = next;
-            next.left(before).stream().filter(p -> !farewells.contains(p)).forEach(listener::suspected);
+            next.left(before).stream()
+                    .filter(peer -> !gracefulLeavers.contains(peer))
+                    .forEach(listener::suspected);
             listener.changed(next, before);
         }
     }
 
-    /** A start under a name; an earlier life of that name has ended by then. */
+    /** A pooler starts under a name; an earlier incarnation of that name ends with it. */
     public Membership join(String name, long life, Membership.Listener listener) {
         Member before = present.get(name);
         if (before != null) {
             end(before);
         }
-        Member m = new Member(new Peer(name, life), listener);
-        if (!named.contains(name)) {
-            kernel.after(0, () -> m.hears(() -> listener.failed(name + " is not named")));
-            return m;
+        Member member = new Member(new Peer(name, life), listener);
+        if (!configuredNames.contains(name)) {
+            scheduler.after(0, () -> member.deliver(() -> listener.failed(name + " is not named")));
+            return member;
         }
-        present.put(name, m);
+        present.put(name, member);
         regroupIn(usualDelayUs);
-        return m;
+        return member;
     }
 
     /**
-     * A member's part in the majority's log; {@code chosen} hears all there is, and what comes. What was
-     * chosen outlasts every life, as if all kept their folders.
+     * A member's part in the replicated log; {@code listener} hears of all entries there are, and of those to
+     * come. Committed entries outlast every incarnation, as if all poolers kept their folders.
      */
-    public ReplicatedLog log(Membership member, ReplicatedLog.Listener chosen) {
-        Member m = (Member) member;
-        m.chosen = chosen;
-        catchUp(m);
-        return (entry, outcome) -> propose(m, entry, outcome);
+    public ReplicatedLog log(Membership membership, ReplicatedLog.Listener listener) {
+        Member member = (Member) membership;
+        member.logListener = listener;
+        catchUp(member);
+        return (entry, outcome) -> propose(member, entry, outcome);
     }
 
-    private void propose(Member m, byte[] entry, ReplicatedLog.Outcome outcome) {
+    private void propose(Member member, byte[] entry, ReplicatedLog.Outcome outcome) {
         ReplicatedLog.check(entry);
         byte[] copy = entry.clone();
-        long untilUs = kernel.now() + PROPOSAL_US;
-        kernel.after(2 * usualDelayUs, () -> attempt(m, copy, outcome, untilUs));
+        long deadlineUs = scheduler.now() + PROPOSAL_TIMEOUT_US;
+        scheduler.after(2 * usualDelayUs, () -> attempt(member, copy, outcome, deadlineUs));
     }
 
-    /** Goes on until a majority is there to choose it; its answer may be lost on the way back. */
-    private void attempt(Member m, byte[] entry, ReplicatedLog.Outcome outcome, long untilUs) {
-        if (m.gone) {
+    /** Retries until a majority can commit the entry; the outcome may be lost on the way back. */
+    private void attempt(Member member, byte[] entry, ReplicatedLog.Outcome outcome, long deadlineUs) {
+        if (member.gone) {
             return;
         }
-        if (kernel.now() >= untilUs) {
-            m.hears(() -> outcome.unknown("no majority"));
-        } else if (m.paused || partOf(m).size() <= named.size() / 2) {
-            kernel.after(AGAIN_US, () -> attempt(m, entry, outcome, untilUs));
+        if (scheduler.now() >= deadlineUs) {
+            member.deliver(() -> outcome.unknown("no majority"));
+        } else if (member.paused || !reachesMajority(member)) {
+            scheduler.after(RETRY_INTERVAL_US, () -> attempt(member, entry, outcome, deadlineUs));
         } else {
-            entries.add(entry);
-            long number = entries.size();
+            committedEntries.add(entry);
+            long number = committedEntries.size();
             present.values().forEach(this::catchUp);
-            kernel.after(2 * usualDelayUs, () -> {
-                if (partOf(m).size() > named.size() / 2) {
-                    m.hears(() -> outcome.chosen(number));
+            scheduler.after(2 * usualDelayUs, () -> {
+                if (reachesMajority(member)) {
+                    member.deliver(() -> outcome.chosen(number));
                 } else {
-                    kernel.after(PROPOSAL_US, () -> m.hears(() -> outcome.unknown("the answer was lost")));
+                    scheduler.after(
+                            PROPOSAL_TIMEOUT_US, () -> member.deliver(() -> outcome.unknown("the answer was lost")));
                 }
             });
         }
     }
 
-    /** Those that reach each other now, this one among them; a paused one reaches nobody. */
-    private List<Member> partOf(Member m) {
-        return present.values().stream()
-                .filter(o -> o == m || !o.paused && !m.paused && waysOpen(o, m))
-                .toList();
+    /** Whether it reaches a majority of the configured members, itself among them; a paused one reaches nobody. */
+    private boolean reachesMajority(Member member) {
+        long reached = present.values().stream()
+                .filter(other ->
+                        other == member || !other.paused && !member.paused && bothDirectionsOpen(other, member))
+                .count();
+        return reached > configuredNames.size() / 2;
     }
 
-    private boolean waysOpen(Member a, Member b) {
-        return !cuts.containsKey(List.of(a.self.name(), b.self.name()))
-                && !cuts.containsKey(List.of(b.self.name(), a.self.name()));
+    private boolean bothDirectionsOpen(Member one, Member other) {
+        return !cutsSinceUs.containsKey(List.of(one.self.name(), other.self.name()))
+                && !cutsSinceUs.containsKey(List.of(other.self.name(), one.self.name()));
     }
 
-    /** Tells a member what was chosen, as soon as it is in touch with a majority; it asks until then. */
-    private void catchUp(Member m) {
-        if (m.chosen == null || m.lags) {
+    /** Delivers the committed entries to a member as soon as it reaches a majority; it polls until then. */
+    private void catchUp(Member member) {
+        if (member.logListener == null || member.catchUpPending) {
             return;
         }
-        m.lags = true;
-        kernel.after(usualDelayUs, () -> {
-            m.lags = false;
-            if (m.gone) {
+        member.catchUpPending = true;
+        scheduler.after(usualDelayUs, () -> {
+            member.catchUpPending = false;
+            if (member.gone) {
                 return;
             }
-            if (m.paused || partOf(m).size() <= named.size() / 2) {
-                m.lags = true;
-                kernel.after(AGAIN_US, () -> {
-                    m.lags = false;
-                    catchUp(m);
+            if (member.paused || !reachesMajority(member)) {
+                member.catchUpPending = true;
+                scheduler.after(RETRY_INTERVAL_US, () -> {
+                    member.catchUpPending = false;
+                    catchUp(member);
                 });
                 return;
             }
-            m.toldNumber = Math.max(m.toldNumber, entries.size() - ReplicatedLog.KEPT);
-            while (m.toldNumber < entries.size()) {
-                long number = ++m.toldNumber;
-                m.hears(() -> m.chosen.chosen(number, entries.get((int) number - 1)));
+            member.lastDeliveredNumber =
+                    Math.max(member.lastDeliveredNumber, committedEntries.size() - ReplicatedLog.KEPT);
+            while (member.lastDeliveredNumber < committedEntries.size()) {
+                long number = ++member.lastDeliveredNumber;
+                member.deliver(() -> member.logListener.chosen(number, committedEntries.get((int) number - 1)));
             }
         });
     }
 
-    /** The process is gone without a word. */
+    /** The process ends without leaving first. */
     public void kill(String name) {
         end(present.get(name));
         regroup();
     }
 
-    private void end(Member m) {
-        m.gone = true;
-        present.remove(m.self.name(), m);
+    private void end(Member member) {
+        member.gone = true;
+        present.remove(member.self.name(), member);
     }
 
-    /** What one says does not reach the other, or does again. */
+    /** What one sends does not reach the other, or does again. */
     public void cut(String from, String to, boolean isCut) {
-        List<String> way = List.of(from, to);
-        if (isCut ? cuts.putIfAbsent(way, kernel.now()) == null : cuts.remove(way) != null) {
+        List<String> direction = List.of(from, to);
+        if (isCut
+                ? cutsSinceUs.putIfAbsent(direction, scheduler.now()) == null
+                : cutsSinceUs.remove(direction) != null) {
             regroup();
         }
     }
 
-    /** So much later what one says to the other arrives; 0 for the usual. */
+    /** Delays what one sends to the other beyond the usual; 0 for no longer. */
     public void delay(String from, String to, long us) {
         delays.put(List.of(from, to), us);
     }
 
-    /** A paused process does nothing, hears on waking what has come, and has been silent meanwhile. */
+    /** A paused process does nothing and is silent; once it resumes, it gets what came meanwhile. */
     public void pause(String name, boolean isPaused) {
-        Member m = present.get(name);
-        m.paused = isPaused;
-        m.pausedAtUs = kernel.now();
-        while (!isPaused && !m.paused && !m.missed.isEmpty()) {
-            m.missed.poll().run();
+        Member member = present.get(name);
+        member.paused = isPaused;
+        member.pausedAtUs = scheduler.now();
+        while (!isPaused && !member.paused && !member.missedEvents.isEmpty()) {
+            member.missedEvents.poll().run();
         }
         regroup();
     }
 
     private void carry(Member from, Peer to, byte[] message) {
-        Member m = present.get(to.name());
-        List<String> way = List.of(from.self.name(), to.name());
-        if (m == null || !m.self.equals(to) || cuts.containsKey(way)) {
+        Member member = present.get(to.name());
+        List<String> direction = List.of(from.self.name(), to.name());
+        if (member == null || !member.self.equals(to) || cutsSinceUs.containsKey(direction)) {
             return;
         }
-        long extraUs = delays.getOrDefault(way, 0L);
-        long atUs = Math.max(kernel.now() + usualDelayUs + extraUs, lastArrivals.getOrDefault(way, 0L));
-        lastArrivals.put(way, atUs);
+        long extraUs = delays.getOrDefault(direction, 0L);
+        long atUs = Math.max(scheduler.now() + usualDelayUs + extraUs, lastArrivals.getOrDefault(direction, 0L));
+        lastArrivals.put(direction, atUs);
         byte[] copy = message.clone();
-        kernel.after(atUs - kernel.now(), () -> {
-            if (!cuts.containsKey(way)) {
-                m.hears(() -> m.listener.received(from.self, copy));
+        scheduler.after(atUs - scheduler.now(), () -> {
+            if (!cutsSinceUs.containsKey(direction)) {
+                member.deliver(() -> member.listener.received(from.self, copy));
             }
         });
     }
 
-    /** Silence counts only after its time, and whoever notices first is a matter of chance. */
+    /** Silence counts only after its timeout, and whoever notices first is a matter of chance. */
     private void regroup() {
-        regroupIn(silentUs + chance.nextLong(SPREAD_US));
+        regroupIn(silenceTimeoutUs + random.nextLong(MAX_VIEW_SPREAD_US));
     }
 
     private void regroupIn(long us) {
-        kernel.after(us, this::settle);
+        scheduler.after(us, this::regroupNow);
     }
 
-    private boolean reach(Member a, Member b) {
-        return !silent(cuts.get(List.of(a.self.name(), b.self.name())))
-                && !silent(cuts.get(List.of(b.self.name(), a.self.name())));
+    private boolean inTouch(Member one, Member other) {
+        return !silent(cutsSinceUs.get(List.of(one.self.name(), other.self.name())))
+                && !silent(cutsSinceUs.get(List.of(other.self.name(), one.self.name())));
     }
 
     private boolean silent(Long sinceUs) {
-        return sinceUs != null && kernel.now() - sinceUs >= silentUs;
+        return sinceUs != null && scheduler.now() - sinceUs >= silenceTimeoutUs;
     }
 
-    private void settle() {
-        List<List<Member>> parts = new ArrayList<>();
-        for (Member m : present.values()) {
-            if (m.paused && silent(m.pausedAtUs)) {
-                continue; // It keeps its view until it wakes; the others go on without it.
+    private void regroupNow() {
+        List<List<Member>> partitions = new ArrayList<>();
+        for (Member member : present.values()) {
+            if (member.paused && silent(member.pausedAtUs)) {
+                continue; // It keeps its view until it resumes; the others go on without it.
             }
-            List<Member> mine = parts.stream()
-                    .filter(p -> p.stream().allMatch(o -> reach(o, m)))
+            List<Member> own = partitions.stream()
+                    .filter(partition -> partition.stream().allMatch(other -> inTouch(other, member)))
                     .findFirst()
                     .orElseGet(() -> {
-                        List<Member> part = new ArrayList<>();
-                        parts.add(part);
-                        return part;
+                        List<Member> partition = new ArrayList<>();
+                        partitions.add(partition);
+                        return partition;
                     });
-            mine.add(m);
+            own.add(member);
         }
-        parts.forEach(this::install);
+        partitions.forEach(this::install);
     }
 
-    private void install(List<Member> part) {
-        List<Peer> peers = part.stream().map(m -> m.self).toList();
-        if (part.stream().allMatch(m -> m.given.members().equals(peers))) {
+    private void install(List<Member> partition) {
+        List<Peer> peers = partition.stream().map(member -> member.self).toList();
+        if (partition.stream().allMatch(member -> member.latestView.members().equals(peers))) {
             return;
         }
-        long number = 1 + part.stream().mapToLong(m -> m.given.number()).max().orElse(0);
-        boolean merged = part.stream()
-                        .filter(m -> m.given != MembershipView.NONE)
-                        .map(m -> m.given.members())
+        long number = 1
+                + partition.stream()
+                        .mapToLong(member -> member.latestView.number())
+                        .max()
+                        .orElse(0);
+        boolean merged = partition.stream()
+                        .filter(member -> member.latestView != MembershipView.NONE)
+                        .map(member -> member.latestView.members())
                         .distinct()
                         .count()
                 > 1;
         MembershipView next = new MembershipView(number, peers, merged);
-        for (Member m : part) {
-            m.given = next;
-            m.hears(() -> m.takes(next));
+        for (Member member : partition) {
+            member.latestView = next;
+            member.deliver(() -> member.adopt(next));
         }
     }
 }
--- a/lab/src/main/java/frostreel/lab/virtual/VirtualPooler.java
+++ b/lab/src/main/java/frostreel/lab/virtual/VirtualPooler.java
@@ -25,321 +25,352 @@
 import java.util.function.BiFunction;
 
 /**
- * The program's own broker and decisions on virtual time; in place of sockets, the model's servers and links.
+ * One incarnation of a pooler: the program's own broker and decisions on virtual time, over the model's servers
+ * and links in place of sockets.
  */
 final class VirtualPooler implements BackEnd {
-    /**
-     * What a request costs a server, and what it must see; handed through the broker as its bytes would be.
-     */
-    record Order(String id, double workUs, boolean write, long session, long boundUs, long sinceUs) implements Payload {
-        @Override
-        public byte[] forServer(long patienceUs) {
-            throw new UnsupportedOperationException("the model takes the order itself");
-        }
-
-        /** The position that a server must have for it at a moment, 0 for any. */
-        long needAt(long nowUs) {
-            return boundUs > 0 ? nowUs - boundUs : sinceUs;
-        }
-    }
-
-    private final class Attempt {
+    /** An attempt of a request, or a health check, which has no payload. */
+    private static final class Attempt {
         final Server server;
-        final Order order;
-        final AttemptListener sink;
+        final SimulatedPayload payload;
+        final AttemptListener listener;
         long handle;
-        boolean linked;
         boolean written;
-        /** Whether this pooler had been told of its server's last start when it was sent. */
-        boolean told;
-        /** It may be too old: nothing has told this pooler yet that the server leads no more. */
-        boolean excused;
+        /** Whether this pooler knew of its server's last start when it was sent. */
+        boolean knewStart;
+        /** Its answer may be stale: this pooler cannot know yet that the server leads no more. */
+        boolean mayBeStale;
 
-        boolean held;
+        boolean waitedForReplay;
         Job job;
 
-        Attempt(Server server, Order order, AttemptListener sink) {
+        Attempt(Server server, SimulatedPayload payload, AttemptListener listener) {
             this.server = server;
-            this.order = order;
-            this.sink = sink;
+            this.payload = payload;
+            this.listener = listener;
         }
     }
 
     private static final double PROBE_WORK_US = 300;
-    /** What an answer tells counts as known so long after it was written, also where nobody waits for it. */
-    private static final long KNOWN_AFTER_US = 100_000;
+    private static final int MAX_ATTEMPTS_IN_FLIGHT = 1 << 19;
+    private static final int MAX_OPEN_REQUESTS = 1 << 16;
+    private static final long US_PER_MS = 1000;
 
     final int number;
     final int zone;
-    final Broker broker;
     final Counters counters = new Counters();
     /** Attempts begun to each zone. */
     final long[] sentTo;
 
-    private final Scheduler kernel;
+    private final Scheduler scheduler;
     private final Links links;
     private final Map<String, Server> servers;
-    private final RunListener listener;
+    private final RunListener runListener;
     private final Router.Settings settings;
     private final long connectTimeoutUs;
-    private final Set<String> reports;
-    private final Map<String, ArrayDeque<Long>> idle = new HashMap<>();
-    /** The servers' last starts as told, and when each last said to be a replica. */
-    private final Map<String, Long> bornUs = new HashMap<>();
-
-    private final Map<String, Long> replicasAtUs = new HashMap<>();
+    private final Set<String> reportFields;
+    private final Broker broker;
+    private final Map<String, ArrayDeque<Long>> idleConnections = new HashMap<>();
+    /** The servers' last starts, as the endpoint list has them. */
+    private final Map<String, Long> startTimesUs = new HashMap<>();
+    /** When each server last said to be a replica. */
+    private final Map<String, Long> lastSeenReplicaUs = new HashMap<>();
     /** The commits of sessions' writes that this pooler was answered, or would have been. */
     private final Map<Long, Long> commits = new HashMap<>();
 
-    private final SlotTable<Attempt> attempts = new SlotTable<>(1 << 19);
+    private final SlotTable<Attempt> attempts = new SlotTable<>(MAX_ATTEMPTS_IN_FLIGHT);
+    /** How many alarms were set; only the newest one counts. */
     private long alarms;
 
     VirtualPooler(
             int number,
             int zone,
             int zones,
-            Scheduler kernel,
+            Scheduler scheduler,
             Links links,
             Map<String, Server> servers,
-            RunListener listener,
-            Set<String> reports,
+            RunListener runListener,
+            Set<String> reportFields,
             Router.Settings settings,
-            BiFunction<Router.Settings, Router.Actions, Router> maker) {
+            BiFunction<Router.Settings, Router.Actions, Router> routers) {
         this.number = number;
         this.zone = zone;
-        this.kernel = kernel;
+        this.scheduler = scheduler;
         this.links = links;
         this.servers = servers;
-        this.listener = listener;
+        this.runListener = runListener;
         sentTo = new long[zones];
-        this.reports = reports;
+        this.reportFields = reportFields;
         this.settings = settings;
         connectTimeoutUs = settings.limits().connectTimeoutUs();
         Deadlines[] deadlines = new Deadlines[1];
-        deadlines[0] = new Deadlines(kernel::now, us -> {
+        deadlines[0] = new Deadlines(scheduler::now, us -> {
             long alarm = ++alarms;
-            kernel.after(us, () -> {
+            scheduler.after(us, () -> {
                 if (alarm == alarms) {
                     deadlines[0].runDue();
                 }
             });
         });
-        broker = new Broker(kernel::now, deadlines[0], counters, this, settings, 1 << 16, maker);
+        broker = new Broker(scheduler::now, deadlines[0], counters, this, settings, MAX_OPEN_REQUESTS, routers);
     }
 
-    void submit(RequestAttributes ask, Order order, ResponseHandler caller) {
-        broker.submit(ask, order, caller);
+    void submit(RequestAttributes attributes, SimulatedPayload payload, ResponseHandler handler) {
+        broker.submit(attributes, payload, handler);
     }
 
-    void told(Router.ListKind kind, List<Router.Member> members) {
-        members.forEach(m -> {
-            listener.endpointUpdated(kernel.now(), number, m.id(), m.state());
-            bornUs.put(m.id(), m.startedUs());
+    /** The endpoint list has news for it. */
+    void updateEndpoints(Router.ListKind kind, List<Router.Member> members) {
+        members.forEach(member -> {
+            runListener.endpointUpdated(scheduler.now(), number, member.id(), member.state());
+            startTimesUs.put(member.id(), member.startedUs());
         });
         broker.updateMembers(kind, members);
     }
 
     /**
-     * The last commit of a session's writes that it answered, 0 for none. A read of the session is owed
-     * data up to there, also where that commit was lost with its primary, as nobody is told so: a replica may
-     * answer only from beyond it. The new primary may, from its first moment on, whatever position it
-     * tells, as a primary is the newest there is; one that leads no more may not, once it has said so.
+     * The last commit of a session's writes that it answered, 0 for none. A read of the session is owed data up
+     * to there, also where that commit was lost with its primary, since nobody is notified of the loss: a replica
+     * may answer only from beyond it. The new primary may answer from its first moment on, whatever position it
+     * reports, since no server has newer data; a former primary may not, once it has said that it is a replica.
      */
-    long commit(long session) {
+    long lastCommitUs(long session) {
         return commits.getOrDefault(session, 0L);
     }
 
     /** Its process is killed: its connections end, and nothing runs any more. */
-    void die() {
-        alarms++;
-        List<Attempt> out = new ArrayList<>();
-        attempts.forEach(out::add);
-        out.forEach(a -> {
-            attempts.remove(a.handle);
-            if (a.job != null) {
-                a.server.cancel(a.job);
+    void kill() {
+        alarms++; // No alarm that is set is the newest any more.
+        List<Attempt> inFlight = new ArrayList<>();
+        attempts.forEach(inFlight::add);
+        inFlight.forEach(attempt -> {
+            attempts.remove(attempt.handle);
+            if (attempt.job != null) {
+                attempt.server.cancel(attempt.job);
             }
         });
-        listener.poolerKilled(kernel.now(), number);
+        runListener.poolerKilled(scheduler.now(), number);
     }
 
     @Override
-    public long start(String memberId, Payload payload, long patienceUs, AttemptListener sink) {
-        Attempt a = new Attempt(servers.get(memberId), (Order) payload, sink);
-        a.handle = attempts.add(a);
-        sentTo[a.server.zone]++;
-        listener.attemptSent(kernel.now(), number, a.order.id, memberId);
-        a.excused = a.server.ledSinceUs() > replicasAtUs.getOrDefault(memberId, 0L);
-        ArrayDeque<Long> free = idle.computeIfAbsent(memberId, id -> new ArrayDeque<>());
-        free.removeIf(since -> kernel.now() - since >= settings.limits().idleCloseUs());
-        if (free.pollLast() != null) {
-            write(a);
+    public long start(String memberId, Payload payload, long patienceUs, AttemptListener listener) {
+        Attempt attempt = new Attempt(servers.get(memberId), (SimulatedPayload) payload, listener);
+        attempt.handle = attempts.add(attempt);
+        sentTo[attempt.server.zone]++;
+        runListener.attemptSent(scheduler.now(), number, attempt.payload.id(), memberId);
+        attempt.mayBeStale = attempt.server.primarySinceUs() > lastSeenReplicaUs.getOrDefault(memberId, 0L);
+        ArrayDeque<Long> idleSinceUs = idleConnections.computeIfAbsent(memberId, id -> new ArrayDeque<>());
+        idleSinceUs.removeIf(
+                sinceUs -> scheduler.now() - sinceUs >= settings.limits().idleCloseUs());
+        if (idleSinceUs.pollLast() != null) {
+            write(attempt);
         } else {
-            connect(a, () -> write(a));
+            connect(attempt, () -> write(attempt));
         }
-        return a.handle;
+        return attempt.handle;
     }
 
-    private boolean out(Attempt a) {
-        return attempts.get(a.handle) == a;
+    /** Whether nobody has ended or abandoned it. */
+    private boolean isInFlight(Attempt attempt) {
+        return attempts.get(attempt.handle) == attempt;
     }
 
-    /** A connection comes up after a round trip, is refused after one, or says nothing. */
-    private void connect(Attempt a, Runnable then) {
-        int to = a.server.zone;
-        if (a.server.vanished() || !links.open(zone, to) || !links.open(to, zone)) {
-            kernel.after(connectTimeoutUs, () -> finish(a, Result.of(Outcome.CONNECT_FAILED)));
+    /** A connection is up after a round trip, or refused after one, or times out. */
+    private void connect(Attempt attempt, Runnable then) {
+        int to = attempt.server.zone;
+        if (attempt.server.vanished() || !links.open(zone, to) || !links.open(to, zone)) {
+            scheduler.after(connectTimeoutUs, () -> finish(attempt, Result.of(Outcome.CONNECT_FAILED)));
             return;
         }
-        kernel.after(links.delayUs(zone, to) + links.delayUs(to, zone), () -> {
-            if (!a.server.up()) {
-                finish(a, Result.of(Outcome.CONNECT_FAILED));
-            } else if (out(a) && a.sink.mayBegin()) {
+        scheduler.after(links.delayUs(zone, to) + links.delayUs(to, zone), () -> {
+            if (!attempt.server.up()) {
+                finish(attempt, Result.of(Outcome.CONNECT_FAILED));
+            } else if (isInFlight(attempt) && attempt.listener.mayBegin()) {
                 then.run();
             } else {
-                finish(a, Result.of(Outcome.NOT_SENT));
+                finish(attempt, Result.of(Outcome.NOT_SENT));
             }
         });
     }
 
-    private void write(Attempt a) {
-        a.linked = true;
-        a.written = true;
-        a.told = knowsStart(a.server);
-        if (links.open(zone, a.server.zone)) {
-            long needUs = a.order.write ? 0 : a.order.needAt(kernel.now());
-            kernel.after(links.delayUs(zone, a.server.zone), () -> arrive(a, needUs));
+    private void write(Attempt attempt) {
+        attempt.written = true;
+        attempt.knewStart = knowsStart(attempt.server);
+        if (links.open(zone, attempt.server.zone)) {
+            long requiredUs = attempt.payload.write() ? 0 : attempt.payload.requiredAt(scheduler.now());
+            scheduler.after(links.delayUs(zone, attempt.server.zone), () -> arrive(attempt, requiredUs));
         }
     }
 
-    /** At the server; one that its pooler gave up meanwhile is not begun. */
-    private void arrive(Attempt a, long needUs) {
-        if (!out(a)) {
+    /** At the server; an attempt that its pooler gave up meanwhile is not begun. */
+    private void arrive(Attempt attempt, long requiredUs) {
+        if (!isInFlight(attempt)) {
             return;
         }
-        if (settings.stalenessCheck() == Router.StalenessCheck.WAIT && !a.held && needUs > a.server.applied()) {
-            a.held = true;
-            kernel.after(settings.limits().holdsForUs(), () -> arrive(a, needUs));
+        boolean mayWait = settings.stalenessCheck() == Router.StalenessCheck.WAIT && !attempt.waitedForReplay;
+        if (mayWait && requiredUs > attempt.server.appliedUs()) {
+            attempt.waitedForReplay = true;
+            scheduler.after(settings.limits().holdsForUs(), () -> arrive(attempt, requiredUs));
             return;
         }
-        long checkedUs = settings.stalenessCheck() == Router.StalenessCheck.SILENT ? 0 : needUs;
-        a.job = new Job(a.order.workUs, a.order.write, checkedUs, a.told, (outcome, role, positionUs, util) -> {
-            if (links.open(a.server.zone, zone)) {
-                if (outcome == Outcome.OK && a.order.write) {
-                    kernel.after(KNOWN_AFTER_US, () -> committed(a.order, positionUs));
-                }
-            }
-            if (links.open(a.server.zone, zone) && !a.server.losesAnswer()) {
-                kernel.after(
-                        links.delayUs(a.server.zone, zone), () -> answer(a, needUs, outcome, role, positionUs, util));
-            }
-        });
-        hand(a.server, a.job);
+        long checkedUs = settings.stalenessCheck() == Router.StalenessCheck.SILENT ? 0 : requiredUs;
+        attempt.job = new Job(
+                attempt.payload.workUs(),
+                attempt.payload.write(),
+                checkedUs,
+                attempt.knewStart,
+                (outcome, role, positionUs, utilization) ->
+                        sendAnswer(attempt, requiredUs, outcome, role, positionUs, utilization));
+        handTo(attempt.server, attempt.job);
+    }
+
+    /** The server has answered: the answer is on its way, and a commit becomes known even where it is lost. */
+    private void sendAnswer(
+            Attempt attempt, long requiredUs, Outcome outcome, Role role, long positionUs, double utilization) {
+        Server server = attempt.server;
+        if (!links.open(server.zone, zone)) {
+            return;
+        }
+        if (outcome == Outcome.OK && attempt.payload.write()) {
+            scheduler.after(Router.KNOWN_AFTER_US, () -> committed(attempt.payload, positionUs));
+        }
+        if (!server.nextAnswerIsLost()) {
+            scheduler.after(
+                    links.delayUs(server.zone, zone),
+                    () -> receiveAnswer(attempt, requiredUs, outcome, role, positionUs, utilization));
+        }
     }
 
-    private boolean knowsStart(Server s) {
-        return bornUs.getOrDefault(s.id, 0L) == s.bornUs();
+    private boolean knowsStart(Server server) {
+        return startTimesUs.getOrDefault(server.id, 0L) == server.startedUs();
     }
 
-    private void hand(Server s, Job job) {
-        boolean fallen = s.fallen();
-        s.arrive(job);
-        if (s.fallen() && !fallen && s.pushed()) {
-            listener.serverOverloaded(kernel.now(), s.id);
+    private void handTo(Server server, Job job) {
+        boolean wasOverloaded = server.overloaded();
+        server.arrive(job);
+        if (server.overloaded() && !wasOverloaded && server.overloadBrokeRule()) {
+            runListener.serverOverloaded(scheduler.now(), server.id);
         }
     }
 
-    private void answer(Attempt a, long needUs, Outcome outcome, Role role, long positionUs, double util) {
-        if (!out(a)) {
+    private void receiveAnswer(
+            Attempt attempt, long requiredUs, Outcome outcome, Role role, long positionUs, double utilization) {
+        if (!isInFlight(attempt)) {
             return;
         }
         if (outcome == Outcome.RESET) {
-            finish(a, Result.of(outcome));
+            finish(attempt, Result.of(outcome));
             return;
         }
-        idle.get(a.server.id).add(kernel.now());
+        idleConnections.get(attempt.server.id).add(scheduler.now());
         boolean ok = outcome == Outcome.OK;
-        if (ok && !a.order.write && !a.excused) {
-            listener.readServed(kernel.now(), a.order.id, role == Role.PRIMARY ? kernel.now() : positionUs, needUs);
+        if (ok && !attempt.payload.write() && !attempt.mayBeStale) {
+            runListener.readServed(
+                    scheduler.now(),
+                    attempt.payload.id(),
+                    role == Role.PRIMARY ? scheduler.now() : positionUs,
+                    requiredUs);
         }
         if (role == Role.REPLICA) {
-            replicasAtUs.put(a.server.id, kernel.now());
+            lastSeenReplicaUs.put(attempt.server.id, scheduler.now());
         }
-        if (ok && a.order.write) {
-            committed(a.order, positionUs);
+        if (ok && attempt.payload.write()) {
+            committed(attempt.payload, positionUs);
         }
-        long told = ok && a.order.write ? ceilMs(positionUs) : settings.positions() ? floorMs(positionUs) : 0;
-        finish(a, new Result(outcome, role, told, report(role, positionUs, util), ok ? new byte[0] : null));
+        long toldUs = ok && attempt.payload.write() ? ceilMs(positionUs) : reportedPositionUs(positionUs);
+        finish(
+                attempt,
+                new Result(outcome, role, toldUs, report(role, positionUs, utilization), ok ? new byte[0] : null));
+    }
+
+    private void committed(SimulatedPayload write, long positionUs) {
+        commits.merge(write.session(), positionUs, Math::max);
     }
 
-    private void committed(Order write, long positionUs) {
-        commits.merge(write.session, positionUs, Math::max);
+    private long reportedPositionUs(long positionUs) {
+        return settings.positions() ? floorMs(positionUs) : 0;
     }
 
-    /** Positions are told in milliseconds: what a server has, rounded down, and commits, up. */
+    /** Positions are told in milliseconds: what a server has applied is rounded down, commits are rounded up. */
     private static long floorMs(long us) {
-        return us / 1000 * 1000;
+        return us / US_PER_MS * US_PER_MS;
     }
 
     private static long ceilMs(long us) {
-        return floorMs(us + 999);
+        return floorMs(us + US_PER_MS - 1);
     }
 
-    private Router.Report report(Role role, long positionUs, double util) {
-        return reports.isEmpty()
+    private Router.Report report(Role role, long positionUs, double utilization) {
+        return reportFields.isEmpty()
                 ? null
                 : new Router.Report(
-                        reports.contains("x0") ? floorMs(positionUs) : 0,
-                        reports.contains("x1") ? role : Role.UNKNOWN,
-                        reports.contains("load_share") ? util : Double.NaN,
+                        reportFields.contains("x0") ? floorMs(positionUs) : 0,
+                        reportFields.contains("x1") ? role : Role.UNKNOWN,
+                        reportFields.contains("load_share") ? utilization : Double.NaN,
                         Double.NaN,
                         Double.NaN);
     }
 
-    private void finish(Attempt a, Result result) {
-        if (attempts.remove(a.handle) == a) {
-            if (a.order != null) {
-                listener.attemptEnded(
-                        kernel.now(),
+    private void finish(Attempt attempt, Result result) {
+        if (attempts.remove(attempt.handle) == attempt) {
+            if (attempt.payload != null) {
+                runListener.attemptEnded(
+                        scheduler.now(),
                         number,
-                        a.order.id,
+                        attempt.payload.id(),
                         result.outcome(),
                         !result.outcome().provesNotRun && result.outcome() != Outcome.OK);
             }
-            a.sink.ended(result);
+            attempt.listener.ended(result);
         }
     }
 
     @Override
-    public boolean hasBegun(long attempt) {
-        Attempt a = attempts.get(attempt);
-        return a == null || a.written;
+    public boolean hasBegun(long handle) {
+        Attempt attempt = attempts.get(handle);
+        return attempt == null || attempt.written;
     }
 
     @Override
-    public boolean abandon(long attempt) {
-        Attempt a = attempts.remove(attempt);
-        if (a == null) {
+    public boolean abandon(long handle) {
+        Attempt attempt = attempts.remove(handle);
+        if (attempt == null) {
             return false;
         }
-        listener.attemptEnded(
-                kernel.now(), number, a.order.id, a.written ? Outcome.TIMEOUT : Outcome.NOT_SENT, a.written);
-        if (a.job != null && links.open(zone, a.server.zone)) {
-            kernel.after(links.delayUs(zone, a.server.zone), () -> a.server.cancel(a.job));
+        runListener.attemptEnded(
+                scheduler.now(),
+                number,
+                attempt.payload.id(),
+                attempt.written ? Outcome.TIMEOUT : Outcome.NOT_SENT,
+                attempt.written);
+        if (attempt.job != null && links.open(zone, attempt.server.zone)) {
+            scheduler.after(links.delayUs(zone, attempt.server.zone), () -> attempt.server.cancel(attempt.job));
         }
-        return a.written;
+        return attempt.written;
     }
 
     @Override
-    public void probe(String memberId, AttemptListener sink) {
-        Attempt a = new Attempt(servers.get(memberId), null, sink);
-        a.handle = attempts.add(a);
-        kernel.after(connectTimeoutUs, () -> finish(a, Result.of(Outcome.TIMEOUT)));
-        connect(a, () -> {
-            Server s = a.server;
-            Result report = new Result(Outcome.OK, Role.UNKNOWN, 0, report(s.role(), s.position(), s.util()), null);
-            hand(s, new Job(PROBE_WORK_US, false, 0, knowsStart(s), (outcome, role, positionUs, util) -> {}));
-            finish(a, report);
+    public void probe(String memberId, AttemptListener listener) {
+        Attempt attempt = new Attempt(servers.get(memberId), null, listener);
+        attempt.handle = attempts.add(attempt);
+        scheduler.after(connectTimeoutUs, () -> finish(attempt, Result.of(Outcome.TIMEOUT)));
+        connect(attempt, () -> {
+            Server server = attempt.server;
+            Result report = new Result(
+                    Outcome.OK,
+                    Role.UNKNOWN,
+                    0,
+                    report(server.role(), server.reportedPositionUs(), server.utilization()),
+                    null);
+            handTo(
+                    server,
+                    new Job(
+                            PROBE_WORK_US,
+                            false,
+                            0,
+                            knowsStart(server),
+                            (outcome, role, positionUs, utilization) -> {}));
+            finish(attempt, report);
         });
     }
 }
--- a/lab/src/test/java/frostreel/lab/model/ServerTest.java
+++ b/lab/src/test/java/frostreel/lab/model/ServerTest.java
@@ -9,8 +9,8 @@
 
 class ServerTest {
     private static final long START_US = 1_000_000_000;
-    private final VirtualTime kernel = new VirtualTime(START_US);
-    private final Server server = new Server(kernel, ServerParameters.USUAL, "s", 0, 0, 2, 1);
+    private final VirtualTime scheduler = new VirtualTime(START_US);
+    private final Server server = new Server(scheduler, ServerParameters.USUAL, "s", 0, 0, 2, 1);
     private final List<String> ended = new ArrayList<>();
 
     private Job job(String name, double workUs, boolean write, long needUs) {
@@ -18,7 +18,8 @@
                 workUs,
                 write,
                 needUs,
-                (outcome, role, positionUs, util) -> ended.add(name + " " + outcome + " " + (kernel.now() - START_US)));
+                (outcome, role, positionUs, util) ->
+                        ended.add(name + " " + outcome + " " + (scheduler.now() - START_US)));
     }
 
     private Job send(String name, double workUs) {
@@ -33,7 +34,7 @@
             send("j" + i, 1000);
         }
         assertThat(ended).containsExactly("j66 REJECTED 0");
-        kernel.runUntil(START_US + 2000);
+        scheduler.runUntil(START_US + 2000);
         assertThat(ended.subList(1, 5)).containsExactly("j0 OK 1000", "j1 OK 1000", "j2 OK 2000", "j3 OK 2000");
     }
 
@@ -45,27 +46,27 @@
         send("d", 1000);
         server.cancel(waiting);
         server.cancel(first);
-        kernel.runUntil(START_US + 20_000);
+        scheduler.runUntil(START_US + 20_000);
         assertThat(ended).containsExactly("d OK 1000", "b OK 10000");
     }
 
     @Test
     void aWriteMissesAReplicaAndAReadMissesWhatIsTooFarBehind() {
         server.arrive(job("w", 1000, true, 0));
-        server.arrive(job("r", 1000, false, kernel.now()));
-        server.replayAt(0.5);
-        kernel.runUntil(START_US + 1_000_000);
+        server.arrive(job("r", 1000, false, scheduler.now()));
+        server.replayRate(0.5);
+        scheduler.runUntil(START_US + 1_000_000);
         server.arrive(job("behind", 1000, false, START_US + 600_000));
         server.arrive(job("near", 1000, false, START_US + 400_000));
         assertThat(ended)
                 .containsExactly(
                         "w WRONG_ROLE_OR_STALE 0", "r WRONG_ROLE_OR_STALE 0", "behind WRONG_ROLE_OR_STALE 1000000");
-        server.feed(false);
-        long stood = server.applied();
-        kernel.runUntil(START_US + 2_000_000);
-        assertThat(server.applied()).isEqualTo(stood);
+        server.connectToLog(false);
+        long stood = server.appliedUs();
+        scheduler.runUntil(START_US + 2_000_000);
+        assertThat(server.appliedUs()).isEqualTo(stood);
         server.promote(true);
-        assertThat(server.applied()).isEqualTo(kernel.now());
+        assertThat(server.appliedUs()).isEqualTo(scheduler.now());
     }
 
     @Test
@@ -79,29 +80,29 @@
                 u.logDelayUs(),
                 u.replayRate(),
                 u.queue(),
-                u.toldShare(),
+                u.informedShare(),
                 u.slackUs(),
                 u.cancels(),
                 false);
-        Cluster cluster = new Cluster(kernel, new SplittableRandom(1), lossy, 1, 2, 1, 2, s -> {});
+        Cluster cluster = new Cluster(scheduler, new SplittableRandom(1), lossy, 1, 2, 1, 2, s -> {});
         Server old = cluster.all().stream().filter(Server::primary).findFirst().orElseThrow();
         Server next = cluster.all().stream().filter(s -> s != old).findFirst().orElseThrow();
-        next.replayAt(0);
-        long appliedUs = next.applied();
+        next.replayRate(0);
+        long appliedUs = next.appliedUs();
         old.arrive(job("w", 1000, true, 0));
-        kernel.runUntil(START_US + 2_000);
+        scheduler.runUntil(START_US + 2_000);
         cluster.vanish(old);
-        kernel.runUntil(START_US + 7_000_000);
+        scheduler.runUntil(START_US + 7_000_000);
         assertThat(next.primary()).isTrue();
-        assertThat(next.position()).isEqualTo(appliedUs);
-        assertThat(cluster.lost(0, START_US + 1_000)).isTrue();
+        assertThat(next.reportedPositionUs()).isEqualTo(appliedUs);
+        assertThat(cluster.isLost(0, START_US + 1_000)).isTrue();
         cluster.start(old);
         assertThat(old.primary()).isFalse();
         next.arrive(job("w2", 1000, true, 0));
-        kernel.runUntil(START_US + 20_000_000);
-        assertThat(next.position()).isEqualTo(kernel.now());
-        assertThat(old.position()).as("it follows").isEqualTo(kernel.now() - lossy.logDelayUs());
-        assertThat(cluster.lost()).isEqualTo(1);
+        scheduler.runUntil(START_US + 20_000_000);
+        assertThat(next.reportedPositionUs()).isEqualTo(scheduler.now());
+        assertThat(old.reportedPositionUs()).as("it follows").isEqualTo(scheduler.now() - lossy.logDelayUs());
+        assertThat(cluster.lostCommits()).isEqualTo(1);
     }
 
     @Test
@@ -110,14 +111,14 @@
         server.start();
         assertThat(server.capacity()).isEqualTo(2 * ServerParameters.USUAL.coldFrom());
         send("slow", 22_000);
-        kernel.runUntil(START_US + 100_000);
+        scheduler.runUntil(START_US + 100_000);
         assertThat(ended).containsExactly("slow OK 100000");
         double most = ServerParameters.USUAL.fallMultiple() * server.capacity() * ServerParameters.USUAL.fallUs();
         send("most", most - 23_000);
-        assertThat(server.fallen()).isFalse();
+        assertThat(server.overloaded()).isFalse();
         assertThat(server.largestMultiple()).isBetween(2.9, 3.0);
         send("straw", 2000);
-        assertThat(server.fallen()).isTrue();
+        assertThat(server.overloaded()).isTrue();
         assertThat(ended).contains("straw RESET 100000", "most RESET 100000");
         server.start();
         assertThat(server.up()).isFalse();
@@ -128,10 +129,10 @@
         send("a", 1000);
         server.vanish();
         send("b", 1000);
-        kernel.runUntil(START_US + 10_000);
+        scheduler.runUntil(START_US + 10_000);
         assertThat(ended).isEmpty();
         server.start();
-        kernel.runUntil(START_US + 16_000_000);
+        scheduler.runUntil(START_US + 16_000_000);
         assertThat(server.capacity()).isEqualTo(2);
     }
 }
--- a/lab/src/test/java/frostreel/lab/standin/StandInsTest.java
+++ b/lab/src/test/java/frostreel/lab/standin/StandInsTest.java
@@ -32,7 +32,7 @@
     private static final InetSocketAddress ANY = new InetSocketAddress("127.0.0.1", 0);
     private final CountDownLatch fell = new CountDownLatch(1);
     private EventLoop loop;
-    private Scheduler kernel;
+    private Scheduler scheduler;
     private Cluster cluster;
     private Server primary;
     private Server replica;
@@ -43,14 +43,14 @@
     @BeforeEach
     void raise() throws Exception {
         loop = new EventLoop();
-        kernel = new RealTime(loop);
+        scheduler = new RealTime(loop);
         onLoop(() -> {
-            cluster = new Cluster(kernel, new SplittableRandom(1), 2, 1, 1, s -> agent.hears(Cluster.entry(s)));
+            cluster = new Cluster(scheduler, new SplittableRandom(1), 2, 1, 1, s -> agent.hears(Cluster.entry(s)));
             primary = cluster.zone(0).get(0);
             replica = cluster.zone(1).get(0);
             first = database(primary);
             second = database(replica);
-            agent = new Discovery(loop, kernel, cluster, id -> "10.0.0.1:1", ANY);
+            agent = new Discovery(loop, scheduler, cluster, id -> "10.0.0.1:1", ANY);
             return null;
         });
     }
@@ -69,7 +69,7 @@
     private Database database(Server s) throws IOException {
         return new Database(
                 loop,
-                kernel,
+                scheduler,
                 s,
                 new Database.Orders() {
                     @Override
@@ -174,7 +174,7 @@
             assertThat(one.getInputStream().read()).isNegative();
         }
         fell.await();
-        assertThat(onLoop(replica::fallen)).isTrue();
+        assertThat(onLoop(replica::overloaded)).isTrue();
     }
 
     @Test
--- a/lab/src/test/java/frostreel/lab/virtual/ColdFleetTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/ColdFleetTest.java
@@ -16,12 +16,12 @@
     /** A zone of small servers comes back at once while the other one's carry all that there is. */
     private static Simulation comesBack(
             int poolers, long seed, BiFunction<Router.Settings, Router.Actions, Router> maker) {
-        Simulation world = new Simulation(
+        Simulation simulation = new Simulation(
                 new SimulationPlan(seed, ZONES, poolers / ZONES, 4, 2, 0.6, 1_000_000, 16_000_000, true), maker);
-        world.uneven(8);
-        world.at(4_000_000, () -> world.loseZone(1));
-        world.at(9_000_000, () -> world.returnZone(1));
-        return world.run();
+        simulation.skewDemand(8);
+        simulation.at(4_000_000, () -> simulation.loseZone(1));
+        simulation.at(9_000_000, () -> simulation.returnZone(1));
+        return simulation.run();
     }
 
     /** Decisions that take a started server for a warm one. */
@@ -55,15 +55,15 @@
     void theSumOfAllPoolersPushesNoColdServerOver(int poolers) {
         int pushedByTheCareless = 0;
         for (long seed = 1; seed <= SEEDS; seed++) {
-            Simulation world = comesBack(poolers, seed, ChainRouter::new);
-            assertThat(world.fallen())
-                    .as("seed %d, largest multiple %.2f", seed, world.largestMultiple())
+            Simulation simulation = comesBack(poolers, seed, ChainRouter::new);
+            assertThat(simulation.overloadedServers())
+                    .as("seed %d, largest multiple %.2f", seed, simulation.largestMultiple())
                     .isZero();
-            assertThat(world.rules().broken())
-                    .as("seed %d: %s", seed, world.rules().rules())
+            assertThat(simulation.invariants().broken())
+                    .as("seed %d: %s", seed, simulation.invariants().rules())
                     .isZero();
             pushedByTheCareless +=
-                    comesBack(poolers, seed, ColdFleetTest::careless).fallen() > 0 ? 1 : 0;
+                    comesBack(poolers, seed, ColdFleetTest::careless).overloadedServers() > 0 ? 1 : 0;
         }
         assertThat(pushedByTheCareless).isPositive();
     }
--- a/lab/src/test/java/frostreel/lab/virtual/KnownSitesTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/KnownSitesTest.java
@@ -51,12 +51,12 @@
                 .put("size", size);
     }
 
-    static void keepsTheRules(Simulation world) {
-        assertThat(world.rules().rules())
+    static void keepsTheRules(Simulation simulation) {
+        assertThat(simulation.invariants().rules())
                 .allSatisfy(r -> assertThat(r.broken())
                         .as("%s: %s", r.name(), r.firstViolations())
                         .isZero());
-        assertThat(world.strayExceptions()).isZero();
+        assertThat(simulation.strayExceptions()).isZero();
     }
 
     @Test
@@ -131,7 +131,7 @@
     void poolersRestartedInARowPushNoColdServerOver(int poolers) throws IOException, MalformedMessageException {
         for (long seed = 1; seed <= SEEDS; seed++) {
             double lenS = 10 + 17.0 * seed / SEEDS;
-            Simulation world = draw(
+            Simulation simulation = draw(
                             settings("bsas-main"),
                             poolers,
                             0.15,
@@ -140,10 +140,10 @@
                             event("roll", 2.5, lenS, 0.96, 0.7),
                             event("restart", 12, 2, 0.9, 0.5))
                     .play();
-            assertThat(world.fallen())
-                    .as("seed %d, largest multiple %.2f", seed, world.largestMultiple())
+            assertThat(simulation.overloadedServers())
+                    .as("seed %d, largest multiple %.2f", seed, simulation.largestMultiple())
                     .isZero();
-            keepsTheRules(world);
+            keepsTheRules(simulation);
         }
     }
 }
--- a/lab/src/test/java/frostreel/lab/virtual/LostCommitsTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/LostCommitsTest.java
@@ -10,7 +10,7 @@
 /**
  * Primaries die under writes where commits do not wait for a replica, and stay away until another leads: what
  * they answered last, no member has any more. What reads of such sessions are owed says {@link
- * VirtualPooler#commit}.
+ * VirtualPooler#lastCommitUs}.
  */
 class LostCommitsTest {
     private static final int SEEDS = 20;
@@ -36,12 +36,12 @@
     @Test
     void theRulesHoldAndReadsOfSessionsWhoseCommitIsLostAreServedAgain() throws Exception {
         for (long seed = 1; seed <= SEEDS; seed++) {
-            Simulation world = play("bsas-main", seed);
-            KnownSitesTest.keepsTheRules(world);
-            RunStatistics t = world.tally();
-            assertThat(t.served() + t.refused() + t.failed()).isEqualTo(t.requests() + t.retries);
-            assertThat(world.cluster().lost()).as("seed %d", seed).isPositive();
-            List<LostRead> settled = world.lostReads().stream()
+            Simulation simulation = play("bsas-main", seed);
+            KnownSitesTest.keepsTheRules(simulation);
+            RunStatistics t = simulation.statistics();
+            assertThat(t.served() + t.rejected() + t.failed()).isEqualTo(t.requests() + t.retries());
+            assertThat(simulation.cluster().lostCommits()).as("seed %d", seed).isPositive();
+            List<LostRead> settled = simulation.lostReads().stream()
                     .filter(r -> r.ledUs() > SETTLED_US)
                     .toList();
             assertThat(settled)
@@ -53,6 +53,6 @@
 
     @Test
     void whereCommitsWaitNoneIsLost() throws Exception {
-        assertThat(play("billing-kamloops", 1).cluster().lost()).isZero();
+        assertThat(play("billing-kamloops", 1).cluster().lostCommits()).isZero();
     }
 }
--- a/lab/src/test/java/frostreel/lab/virtual/RandomScenario.java
+++ b/lab/src/test/java/frostreel/lab/virtual/RandomScenario.java
@@ -33,14 +33,14 @@
     }
 
     /** Plays it with other routers. */
-    Simulation play(BiFunction<Router.Settings, Router.Actions, Router> maker) throws MalformedMessageException {
+    Simulation play(BiFunction<Router.Settings, Router.Actions, Router> routers) throws MalformedMessageException {
         JSONObject fleet = json.getJSONObject("fleet");
-        Simulation world = new Simulation(plan(fleet), maker);
-        world.uneven(fleet.getDouble("uneven"));
+        Simulation simulation = new Simulation(plan(fleet), routers);
+        simulation.skewDemand(fleet.getDouble("uneven"));
         for (Object e : json.getJSONArray("events")) {
-            schedule(world, (JSONObject) e);
+            schedule(simulation, (JSONObject) e);
         }
-        return world.run();
+        return simulation.run();
     }
 
     Router.Settings settings() throws MalformedMessageException {
@@ -56,12 +56,12 @@
         for (int i = 0; i < kinds.length(); i++) {
             shares += kinds.getJSONObject(i).getDouble("share");
         }
-        List<SimulationPlan.Kind> all = new ArrayList<>();
+        List<SimulationPlan.RequestKind> all = new ArrayList<>();
         double meanUs = 0;
         for (int i = 0; i < kinds.length(); i++) {
             double workUs = kinds.getJSONObject(i).getDouble("workMs") * 1e3;
             meanUs += workUs * kinds.getJSONObject(i).getDouble("share") / shares;
-            all.add(new SimulationPlan.Kind(
+            all.add(new SimulationPlan.RequestKind(
                     s.classes().get(i),
                     kinds.getJSONObject(i).getDouble("share") / shares,
                     0.7 * workUs,
@@ -175,9 +175,11 @@
         double usualReplay = json.getJSONObject("fleet").getDouble("replay");
         switch (event.getString("kind")) {
             case "lag" ->
-                during(simulation, atUs, lengthUs, servers, s -> s.replayAt(size), s -> s.replayAt(usualReplay));
-            case "errors" -> during(simulation, atUs, lengthUs, servers, s -> s.failing(size), s -> s.failing(0));
-            case "losses" -> during(simulation, atUs, lengthUs, servers, s -> s.losing(size), s -> s.losing(0));
+                during(simulation, atUs, lengthUs, servers, s -> s.replayRate(size), s -> s.replayRate(usualReplay));
+            case "errors" ->
+                during(simulation, atUs, lengthUs, servers, s -> s.failRequests(size), s -> s.failRequests(0));
+            case "losses" ->
+                during(simulation, atUs, lengthUs, servers, s -> s.loseAnswers(size), s -> s.loseAnswers(0));
             case "slow" -> during(simulation, atUs, lengthUs, servers, s -> s.slowDown(1 + size), s -> s.slowDown(1));
             case "stalls" -> {
                 long stallUs = (long) (100_000 + 300_000 * size);
@@ -196,9 +198,14 @@
     }
 
     private static void during(
-            Simulation world, long at, long len, List<Server> servers, Consumer<Server> from, Consumer<Server> to) {
-        world.at(at, () -> servers.forEach(from));
-        world.at(at + len, () -> servers.forEach(to));
+            Simulation simulation,
+            long at,
+            long len,
+            List<Server> servers,
+            Consumer<Server> from,
+            Consumer<Server> to) {
+        simulation.at(at, () -> servers.forEach(from));
+        simulation.at(at + len, () -> servers.forEach(to));
     }
 
     @Override
--- a/lab/src/test/java/frostreel/lab/virtual/RandomSettingsTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/RandomSettingsTest.java
@@ -272,11 +272,11 @@
 
     @Property(tries = TRIES, seed = "1", shrinking = ShrinkingMode.BOUNDED, afterFailure = AfterFailureMode.RANDOM_SEED)
     void theRulesHoldOnEveryDraw(@ForAll("draws") RandomScenario draw) throws MalformedMessageException {
-        Simulation world = draw.play();
-        assertThat(world.rules().rules())
+        Simulation simulation = draw.play();
+        assertThat(simulation.invariants().rules())
                 .allSatisfy(r -> assertThat(r.broken())
                         .as("%s: %s", r.name(), r.firstViolations())
                         .isZero());
-        assertThat(world.strayExceptions()).isZero();
+        assertThat(simulation.strayExceptions()).isZero();
     }
 }
--- a/lab/src/test/java/frostreel/lab/virtual/RegressionSeedsTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/RegressionSeedsTest.java
@@ -20,8 +20,8 @@
         try (InputStream in = RegressionSeedsTest.class.getResourceAsStream("/draws/" + name + ".json")) {
             JSONObject kept = new JSONObject(new String(in.readAllBytes(), StandardCharsets.UTF_8));
             for (int seed = 1; seed <= SEEDS; seed++) {
-                Simulation world = new RandomScenario(new JSONObject(kept.toString()).put("seed", seed)).play();
-                assertThat(world.rules().rules())
+                Simulation simulation = new RandomScenario(new JSONObject(kept.toString()).put("seed", seed)).play();
+                assertThat(simulation.invariants().rules())
                         .as("seed %d", seed)
                         .allSatisfy(r -> assertThat(r.broken())
                                 .as("%s: %s", r.name(), r.firstViolations())
--- a/lab/src/test/java/frostreel/lab/virtual/SimulationTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/SimulationTest.java
@@ -14,43 +14,45 @@
     }
 
     private static Simulation lossAndReturn(long seed) {
-        Simulation world = new Simulation(plan(seed), ChainRouter::new);
-        world.at(8_000_000, () -> world.loseZone(1));
-        world.at(15_000_000, () -> world.returnZone(1));
-        return world.run();
+        Simulation simulation = new Simulation(plan(seed), ChainRouter::new);
+        simulation.at(8_000_000, () -> simulation.loseZone(1));
+        simulation.at(15_000_000, () -> simulation.returnZone(1));
+        return simulation.run();
     }
 
-    private static void keepsTheRules(Simulation world) {
-        assertThat(world.rules().rules())
+    private static void keepsTheRules(Simulation simulation) {
+        assertThat(simulation.invariants().rules())
                 .allSatisfy(r -> assertThat(r.broken())
                         .as("%s: %s", r.name(), r.firstViolations())
                         .isZero());
-        assertThat(world.strayExceptions()).isZero();
-        assertThat(world.fallen()).isZero();
+        assertThat(simulation.strayExceptions()).isZero();
+        assertThat(simulation.overloadedServers()).isZero();
     }
 
     @Test
     void theSameSeedGivesTheSameRecordAndAnotherSeedAnother() {
-        String record = lossAndReturn(1).record();
-        assertThat(lossAndReturn(1).record()).isEqualTo(record);
-        assertThat(lossAndReturn(2).record()).isNotEqualTo(record);
+        String record = lossAndReturn(1).digest();
+        assertThat(lossAndReturn(1).digest()).isEqualTo(record);
+        assertThat(lossAndReturn(2).digest()).isNotEqualTo(record);
     }
 
     @Test
     void aCalmRunIsServedNearlyWholeAndEveryRequestHasOneAnswer() {
-        Simulation world = new Simulation(plan(3), ChainRouter::new).run();
-        keepsTheRules(world);
-        assertThat(world.tally().worth(5, 25, -1)).isGreaterThan(0.97);
-        RunStatistics t = world.tally();
-        assertThat(t.served() + t.refused() + t.failed()).isEqualTo(t.requests() + t.retries);
+        Simulation simulation = new Simulation(plan(3), ChainRouter::new).run();
+        keepsTheRules(simulation);
+        assertThat(simulation.statistics().weightShare(5, 25, RunStatistics.ALL_ZONES))
+                .isGreaterThan(0.97);
+        RunStatistics t = simulation.statistics();
+        assertThat(t.served() + t.rejected() + t.failed()).isEqualTo(t.requests() + t.retries());
     }
 
     @Test
     void theRulesHoldThroughTheLossAndReturnOfAZone() {
-        Simulation world = lossAndReturn(4);
-        keepsTheRules(world);
-        assertThat(world.tally().worstTenSeconds(1)).isLessThan(world.tally().worth(0, 8, 1));
-        assertThat(world.largestMultiple()).isPositive();
+        Simulation simulation = lossAndReturn(4);
+        keepsTheRules(simulation);
+        assertThat(simulation.statistics().worstTenSeconds(1))
+                .isLessThan(simulation.statistics().weightShare(0, 8, 1));
+        assertThat(simulation.largestMultiple()).isPositive();
     }
 
     /** Decisions that send on and on to the first member: the checkers must not be blind. */
@@ -117,14 +119,14 @@
 
     @Test
     void decisionsThatIgnoreTheListAndTheColdAreConvicted() {
-        Simulation world = new Simulation(plan(5), Stubborn::new);
-        world.at(8_000_000, () -> world.loseZone(0));
-        world.at(12_000_000, () -> world.returnZone(0));
-        world.run();
-        assertThat(world.rules().rules())
+        Simulation simulation = new Simulation(plan(5), Stubborn::new);
+        simulation.at(8_000_000, () -> simulation.loseZone(0));
+        simulation.at(12_000_000, () -> simulation.returnZone(0));
+        simulation.run();
+        assertThat(simulation.invariants().rules())
                 .filteredOn(r -> r.broken() > 0)
                 .extracting(Rule::name)
                 .contains("drains and ends kept", "no cold server pushed over");
-        assertThat(world.fallen()).isPositive();
+        assertThat(simulation.overloadedServers()).isPositive();
     }
 }
--- a/lab/src/test/java/frostreel/lab/virtual/VirtualGroupTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/VirtualGroupTest.java
@@ -197,20 +197,20 @@
     void aHundredAgreeOnceTheFaultsAreOver(long seed) {
         int count = 100;
         start(count, seed);
-        SplittableRandom chance = new SplittableRandom(seed);
+        SplittableRandom random = new SplittableRandom(seed);
         for (int i = 0; i < 300; i++) {
-            String one = name(chance.nextInt(count));
-            String other = name(chance.nextInt(count));
-            switch (chance.nextInt(4)) {
-                case 0 -> group.cut(one, other, chance.nextBoolean());
-                case 1 -> group.pause(one, chance.nextBoolean());
+            String one = name(random.nextInt(count));
+            String other = name(random.nextInt(count));
+            switch (random.nextInt(4)) {
+                case 0 -> group.cut(one, other, random.nextBoolean());
+                case 1 -> group.pause(one, random.nextBoolean());
                 case 2 -> {
                     group.kill(one);
                     join(one, i + 2);
                 }
                 default -> ears.get(one).mine.cast(other.getBytes());
             }
-            pass(chance.nextLong(200_000));
+            pass(random.nextLong(200_000));
         }
         for (int a = 0; a < count; a++) {
             group.pause(name(a), false);
@@ -281,12 +281,12 @@
         Map<String, Scribe> scribes = new TreeMap<>();
         ears.keySet().forEach(n -> scribes.put(n, new Scribe(n)));
         Map<Long, String> answered = new TreeMap<>();
-        SplittableRandom chance = new SplittableRandom(seed);
+        SplittableRandom random = new SplittableRandom(seed);
         for (int i = 0; i < 200; i++) {
-            String one = name(chance.nextInt(count));
-            switch (chance.nextInt(4)) {
-                case 0 -> group.cut(one, name(chance.nextInt(count)), chance.nextBoolean());
-                case 1 -> group.pause(one, chance.nextBoolean());
+            String one = name(random.nextInt(count));
+            switch (random.nextInt(4)) {
+                case 0 -> group.cut(one, name(random.nextInt(count)), random.nextBoolean());
+                case 1 -> group.pause(one, random.nextBoolean());
                 case 2 -> {
                     scribes.get(one).answered.forEach((entry, n) -> answered.put(n, entry));
                     group.kill(one);
@@ -295,7 +295,7 @@
                 }
                 default -> scribes.get(one).propose("e" + i);
             }
-            pass(chance.nextLong(100_000));
+            pass(random.nextLong(100_000));
         }
         for (int a = 0; a < count; a++) {
             group.pause(name(a), false);
--- a/lab/src/test/java/frostreel/lab/virtual/ZoneLossTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/ZoneLossTest.java
@@ -11,21 +11,21 @@
     private static final long SECOND = 1_000_000;
 
     private static Simulation play(SimulationPlan plan, boolean tiers, Consumer<Simulation> faults) {
-        Simulation world = new Simulation(plan, tiers ? Policy.tiers(plan, 1, 1) : Policy.plain());
-        faults.accept(world);
-        world.run();
-        assertThat(world.rules().rules())
+        Simulation simulation = new Simulation(plan, tiers ? Policy.tiers(plan, 1, 1) : Policy.plain());
+        faults.accept(simulation);
+        simulation.run();
+        assertThat(simulation.invariants().rules())
                 .allSatisfy(r -> assertThat(r.broken())
                         .as("%s: %s", r.name(), r.firstViolations())
                         .isZero());
-        assertThat(world.fallen()).isZero();
-        assertThat(world.strayExceptions()).isZero();
-        return world;
+        assertThat(simulation.overloadedServers()).isZero();
+        assertThat(simulation.strayExceptions()).isZero();
+        return simulation;
     }
 
-    private static void lossAndReturn(Simulation world) {
-        world.at(10 * SECOND, () -> world.loseZone(1));
-        world.at(20 * SECOND, () -> world.returnZone(1));
+    private static void lossAndReturn(Simulation simulation) {
+        simulation.at(10 * SECOND, () -> simulation.loseZone(1));
+        simulation.at(20 * SECOND, () -> simulation.returnZone(1));
     }
 
     @ParameterizedTest
@@ -35,9 +35,10 @@
         Simulation tiers = play(plan, true, ZoneLossTest::lossAndReturn);
         Simulation plain = play(plan, false, ZoneLossTest::lossAndReturn);
         assertThat(tiers.largestMultiple()).isLessThan(plain.largestMultiple());
-        assertThat(tiers.tally().worstTenSeconds(-1))
-                .isGreaterThan(plain.tally().worstTenSeconds(-1) + 0.05);
-        assertThat(tiers.tally().worth(5, 32, -1)).isGreaterThan(plain.tally().worth(5, 32, -1));
+        assertThat(tiers.statistics().worstTenSeconds(RunStatistics.ALL_ZONES))
+                .isGreaterThan(plain.statistics().worstTenSeconds(RunStatistics.ALL_ZONES) + 0.05);
+        assertThat(tiers.statistics().weightShare(5, 32, RunStatistics.ALL_ZONES))
+                .isGreaterThan(plain.statistics().weightShare(5, 32, RunStatistics.ALL_ZONES));
     }
 
     @ParameterizedTest
@@ -50,10 +51,10 @@
         lossAndReturn(closed);
         closed.run();
         for (int zone : new int[] {0, 2, 3}) {
-            assertThat(tiers.tally().worstTenSeconds(zone))
+            assertThat(tiers.statistics().worstTenSeconds(zone))
                     .as("zone %d", zone)
-                    .isGreaterThan(plain.tally().worstTenSeconds(zone))
-                    .isGreaterThan(closed.tally().worstTenSeconds(zone) - 0.05);
+                    .isGreaterThan(plain.statistics().worstTenSeconds(zone))
+                    .isGreaterThan(closed.statistics().worstTenSeconds(zone) - 0.05);
         }
     }
 
@@ -69,20 +70,20 @@
     /** Attempts to the zone in the three seconds in which it is back and its list entry is not. */
     private static long sentAfterTheSecondReturn(SimulationPlan plan, boolean tiers) {
         long[] sent = new long[2];
-        play(plan, tiers, world -> {
-            lossAndReturn(world);
-            world.at(25 * SECOND, () -> world.loseZone(1));
-            world.at(29 * SECOND, () -> {
-                world.returnZone(1);
-                sent[0] = sentTo(world, 1);
+        play(plan, tiers, simulation -> {
+            lossAndReturn(simulation);
+            simulation.at(25 * SECOND, () -> simulation.loseZone(1));
+            simulation.at(29 * SECOND, () -> {
+                simulation.returnZone(1);
+                sent[0] = sentTo(simulation, 1);
             });
-            world.at(32 * SECOND, () -> sent[1] = sentTo(world, 1));
+            simulation.at(32 * SECOND, () -> sent[1] = sentTo(simulation, 1));
         });
         return sent[1] - sent[0];
     }
 
-    private static long sentTo(Simulation world, int zone) {
-        return world.sent(0, zone) + world.sent(1, zone) + world.sent(2, zone);
+    private static long sentTo(Simulation simulation, int zone) {
+        return simulation.attempts(0, zone) + simulation.attempts(1, zone) + simulation.attempts(2, zone);
     }
 
     @ParameterizedTest
@@ -90,15 +91,15 @@
     void aSlowZoneSpillsSomeAndNotAll(long seed) {
         SimulationPlan plan = new SimulationPlan(seed, 3, 3, 6, 4, 0.6, 2 * SECOND, 25 * SECOND, true);
         long[] before = new long[2];
-        Simulation world = play(plan, true, w -> {
+        Simulation simulation = play(plan, true, w -> {
             w.at(10 * SECOND, () -> {
                 w.slowZone(1, 2.5);
-                before[0] = w.sent(1, 1);
-                before[1] = w.sent(1, 0) + w.sent(1, 2);
+                before[0] = w.attempts(1, 1);
+                before[1] = w.attempts(1, 0) + w.attempts(1, 2);
             });
         });
-        double home = world.sent(1, 1) - before[0];
-        double spilt = world.sent(1, 0) + world.sent(1, 2) - before[1];
+        double home = simulation.attempts(1, 1) - before[0];
+        double spilt = simulation.attempts(1, 0) + simulation.attempts(1, 2) - before[1];
         double calmShare = before[1] / (double) (before[0] + before[1]);
         assertThat(spilt / (home + spilt)).isGreaterThan(calmShare + 0.05).isLessThan(0.9);
     }
@@ -107,22 +108,24 @@
     @ValueSource(longs = {1, 2, 3})
     void aCutOfOneDirectionRepeatsNoWriteBeyondItsKeyAndEndsWithItsCause(long seed) {
         SimulationPlan plan = new SimulationPlan(seed, 3, 3, 6, 4, 0.5, 2 * SECOND, 40 * SECOND, true);
-        Simulation world = play(plan, true, w -> {
+        Simulation simulation = play(plan, true, w -> {
             for (int other : new int[] {0, 2}) { // Requests arrive there, and their answers are lost.
                 w.at(10 * SECOND, () -> w.cut(1, other, true));
                 w.at(20 * SECOND, () -> w.cut(1, other, false));
             }
         });
-        assertThat(world.tally().worth(10, 20, 0)).isLessThan(world.tally().worth(5, 10, 0));
-        assertThat(world.tally().worth(38, 40, -1)).isGreaterThan(0.95);
+        assertThat(simulation.statistics().weightShare(10, 20, 0))
+                .isLessThan(simulation.statistics().weightShare(5, 10, 0));
+        assertThat(simulation.statistics().weightShare(38, 40, RunStatistics.ALL_ZONES))
+                .isGreaterThan(0.95);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void readsThatMustBeFreshAreServedWhereOnlyAFarReplicaIs(long seed) {
         SimulationPlan plan = new SimulationPlan(seed, 3, 2, 6, 4, 0.4, 2 * SECOND, 25 * SECOND, true);
-        Simulation world = play(plan, true, w -> w.at(8 * SECOND, () -> w.replayZone(0, 0.2)));
-        assertThat(world.tally().worth(12, 25, 0)).isGreaterThan(0.8);
-        assertThat(world.sent(0, 1) + world.sent(0, 2)).isPositive();
+        Simulation simulation = play(plan, true, w -> w.at(8 * SECOND, () -> w.replayZone(0, 0.2)));
+        assertThat(simulation.statistics().weightShare(12, 25, 0)).isGreaterThan(0.8);
+        assertThat(simulation.attempts(0, 1) + simulation.attempts(0, 2)).isPositive();
     }
 }
