--- a/lab/src/main/java/frostreel/lab/model/Cluster.java
+++ b/lab/src/main/java/frostreel/lab/model/Cluster.java
@@ -12,23 +12,23 @@
 import java.util.function.Consumer;
 
 /**
- * Groups of servers over zones: who leads, who has the log, and what befalls them. It knows no pooler.
+ * Replica groups of servers over zones: who is primary, who has the log, and their faults. It knows no pooler.
  *
  * <p>Positions are times up to which a server has every commit that there still is. Where commits do not wait
- * for a replica, who takes over from a primary that is gone has the log as far as it had applied it; what was
- * committed later is lost, and an old primary that comes back has dropped it too. So no position ever goes
- * back: between the end of that log and its new primary's first commit there is nothing to be applied. A
- * primary that hands over loses nothing.
+ * for a replica, the successor of a lost primary has the log as far as it had applied it; what was committed
+ * later is lost, and an old primary that comes back has dropped it too. So no position ever goes back: between
+ * the end of that log and the new primary's first commit there is nothing to apply. A primary that hands over
+ * loses nothing.
  */
 public final class Cluster {
-    private static final long WITHIN_US = 250;
-    private static final long BETWEEN_US = 1_500;
-    /** An election: so long until a primary is given up, and until a replica takes over. */
-    private static final long LEAST_ELECTION_US = 2_800_000;
+    private static final long WITHIN_ZONE_DELAY_US = 250;
+    private static final long BETWEEN_ZONES_DELAY_US = 1_500;
+    /** From the loss of a primary until a replica takes over. */
+    private static final long MIN_ELECTION_US = 2_800_000;
 
-    private static final long MOST_ELECTION_US = 6_500_000;
+    private static final long MAX_ELECTION_US = 6_500_000;
     /** A primary that drains hands over; a draining server ends after so long. */
-    private static final long HAND_OVER_US = 400_000;
+    private static final long HANDOVER_US = 400_000;
 
     private static final long DRAIN_US = 3_000_000;
     private final Scheduler scheduler;
@@ -41,20 +41,20 @@
     private final List<Set<Long>> lost = new ArrayList<>();
 
     /**
-     * Each zone has one member of each group; {@code onChange} hears of each server that the list has news of.
+     * Each zone has one member of each group; {@code onChange} hears of each change that the endpoint list tells.
      */
     public Cluster(
             Scheduler scheduler, SplittableRandom random, int zones, int groups, int cores, Consumer<Server> onChange) {
         this(scheduler, random, ServerParameters.USUAL, zones, 1, groups, cores, onChange);
     }
 
-    /** Each zone has {@code members} of each group. */
+    /** Each zone has {@code membersPerZone} of each group. */
     public Cluster(
             Scheduler scheduler,
             SplittableRandom random,
-            ServerParameters physics,
+            ServerParameters parameters,
             int zones,
-            int members,
+            int membersPerZone,
             int groups,
             int cores,
             Consumer<Server> onChange) {
@@ -62,13 +62,13 @@
         this.random = random;
         this.groups = groups;
         this.onChange = onChange;
-        links = new Links(zones, WITHIN_US, BETWEEN_US);
-        for (int g = 0; g < groups; g++) {
+        links = new Links(zones, WITHIN_ZONE_DELAY_US, BETWEEN_ZONES_DELAY_US);
+        for (int group = 0; group < groups; group++) {
             lost.add(new HashSet<>());
-            for (int m = 0; m < zones * members; m++) {
-                String id = String.format("g%03d-%08x", g, random.nextInt());
-                Server server = new Server(scheduler, physics, id, m % zones, g, cores, 1);
-                server.promote(m == g % zones);
+            for (int m = 0; m < zones * membersPerZone; m++) {
+                String id = String.format("g%03d-%08x", group, random.nextInt());
+                Server server = new Server(scheduler, parameters, id, m % zones, group, cores, 1);
+                server.promote(m == group % zones);
                 servers.put(id, server);
             }
         }
@@ -123,10 +123,10 @@
         end(server, server::crash);
     }
 
-    private void end(Server server, Runnable how) {
+    private void end(Server server, Runnable ending) {
         if (server.up()) {
             boolean led = server.primary();
-            how.run();
+            ending.run();
             if (led) {
                 elect(server.group);
             }
@@ -141,11 +141,11 @@
         }
         server.drain();
         onChange.accept(server);
-        scheduler.after(HAND_OVER_US, () -> {
+        scheduler.after(HANDOVER_US, () -> {
             Server best = server.primary() ? best(server.group, server) : null;
             if (best != null) {
                 server.promote(false);
-                lead(best);
+                makePrimary(best);
             }
         });
         scheduler.after(DRAIN_US, () -> crash(server));
@@ -163,8 +163,8 @@
     /** Servers keep running, and what one zone sends another is lost on the way. */
     public void cut(int from, int to, boolean isCut) {
         links.cut(from, to, isCut);
-        for (int g = 0; g < groups; g++) {
-            connectToLog(g);
+        for (int group = 0; group < groups; group++) {
+            connectToLog(group);
         }
     }
 
@@ -178,7 +178,7 @@
 
     private void elect(int group) {
         connectToLog(group);
-        scheduler.after(random.nextLong(LEAST_ELECTION_US, MOST_ELECTION_US), () -> {
+        scheduler.after(random.nextLong(MIN_ELECTION_US, MAX_ELECTION_US), () -> {
             if (group(group).stream().anyMatch(Server::primary)) {
                 return;
             }
@@ -188,27 +188,27 @@
             } else {
                 group(group).forEach(server -> lost.get(group).addAll(server.dropCommitsAfter(best.appliedUs())));
                 best.succeedLostPrimary();
-                tell(best);
+                announce(best);
             }
         });
     }
 
     /** The one that has most of the log, of those that run and stay. */
-    private Server best(int group, Server but) {
+    private Server best(int group, Server excluded) {
         Server best = null;
         for (Server server : group(group)) {
-            boolean fit = server.up() && !server.draining() && server != but;
+            boolean fit = server.up() && !server.draining() && server != excluded;
             best = fit && (best == null || server.appliedUs() > best.appliedUs()) ? server : best;
         }
         return best;
     }
 
-    private void lead(Server server) {
+    private void makePrimary(Server server) {
         server.promote(true);
-        tell(server);
+        announce(server);
     }
 
-    private void tell(Server primary) {
+    private void announce(Server primary) {
         connectToLog(primary.group);
         onChange.accept(primary);
     }
--- a/lab/src/main/java/frostreel/lab/model/Links.java
+++ b/lab/src/main/java/frostreel/lab/model/Links.java
@@ -1,6 +1,6 @@
 package frostreel.lab.model;
 
-/** What lies between zones: a delay each way, and cuts, which may be of one direction alone. */
+/** The network between zones: delays, and cuts, which may be of one direction alone. */
 public final class Links {
     private final long[][] delayUs;
     private final boolean[][] cut;
--- a/lab/src/main/java/frostreel/lab/model/Scheduler.java
+++ b/lab/src/main/java/frostreel/lab/model/Scheduler.java
@@ -1,10 +1,10 @@
 package frostreel.lab.model;
 
-/** The time on which the model runs: virtual, or that of the sockets it stands behind. One thread has it. */
+/** The clock and timers on which the model runs, in virtual or in real time. Used by one thread. */
 public interface Scheduler {
-    /** Unix microseconds; never goes back. */
+    /** Unix microseconds; never decreases. */
     long now();
 
-    /** Runs a task in so many microseconds; at once, after what is due before it, where there are none. */
+    /** Runs a task after a delay in microseconds; 0 or less runs it behind what is due by now. */
     void after(long us, Runnable task);
 }
--- a/lab/src/main/java/frostreel/lab/model/VirtualTime.java
+++ b/lab/src/main/java/frostreel/lab/model/VirtualTime.java
@@ -2,7 +2,7 @@
 
 import java.util.PriorityQueue;
 
-/** Virtual time: tasks run in the order of their times, and of their making where those are equal. */
+/** Virtual time: tasks run in the order of their times, and of their scheduling where those are equal. */
 public final class VirtualTime implements Scheduler {
     private record Event(long atUs, long order, Runnable task) implements Comparable<Event> {
         @Override
--- a/lab/src/main/java/frostreel/lab/processes/AdminCall.java
+++ b/lab/src/main/java/frostreel/lab/processes/AdminCall.java
@@ -11,20 +11,21 @@
 import org.xnio.OptionMap;
 import org.xnio.StreamConnection;
 
-/** One call of an operator's: a line, and the line that answers it; empty where none comes. */
+/** One call at an admin endpoint: a line, and the line that answers it; an empty answer where none comes. */
 final class AdminCall implements SocketStream.Handler {
     private final Consumer<String> answer;
-    private final StringBuilder heard = new StringBuilder();
-    private boolean over;
+    private final StringBuilder received = new StringBuilder();
+    private boolean answered;
 
     private AdminCall(Consumer<String> answer) {
         this.answer = answer;
     }
 
-    static void make(EventLoop loop, InetSocketAddress at, String line, Consumer<String> answer) {
+    /** Connects and sends the line; {@code answer} takes the answer once the connection has ended. */
+    static void make(EventLoop loop, InetSocketAddress endpoint, String line, Consumer<String> answer) {
         AdminCall call = new AdminCall(answer);
-        IoFuture<StreamConnection> to = loop.thread().openStreamConnection(at, null, OptionMap.EMPTY);
-        to.addNotifier(
+        IoFuture<StreamConnection> connecting = loop.thread().openStreamConnection(endpoint, null, OptionMap.EMPTY);
+        connecting.addNotifier(
                 new IoFuture.HandlingNotifier<StreamConnection, Void>() {
                     @Override
                     public void handleDone(StreamConnection connection, Void none) {
@@ -43,15 +44,15 @@
 
     @Override
     public void received(ByteBuffer in) {
-        heard.append(StandardCharsets.US_ASCII.decode(in));
+        received.append(StandardCharsets.US_ASCII.decode(in));
     }
 
     /** The pooler ends the connection behind its answer. */
     @Override
     public void ended() {
-        if (!over) {
-            over = true;
-            answer.accept(heard.toString().trim());
+        if (!answered) {
+            answered = true;
+            answer.accept(received.toString().trim());
         }
     }
 }
--- a/lab/src/main/java/frostreel/lab/processes/ClientRecorder.java
+++ b/lab/src/main/java/frostreel/lab/processes/ClientRecorder.java
@@ -12,44 +12,54 @@
 import java.util.ArrayDeque;
 import java.util.Map;
 
-/** Tells of the requests on one connection of a client, as the pooler sees them: taken, and answered. */
+/** Reports the requests on one connection of a client as the pooler sees them: taken, and answered. */
 final class ClientRecorder implements FaultyRelay.TrafficRecorder {
-    private static final int MOST_BYTES = 1 << 18;
+    private static final int MAX_MESSAGE_BYTES = 1 << 18;
+    /** In place of the id of a query that is no request: an empty one, or one for a page. */
+    private static final String NO_REQUEST = "";
+
     private final Clock clock;
     private final int pooler;
     private final Map<String, Router.RequestClass> classes;
     private final RunListener listener;
-    private final MessageReader heard = new MessageReader(type -> MOST_BYTES);
-    private final MessageReader said = new MessageReader(type -> MOST_BYTES);
-    /** Queries not yet answered, by their ids; empty for what is none of a class. */
+    private final boolean mayCrossEnd;
+    private final MessageReader fromClient = new MessageReader(type -> MAX_MESSAGE_BYTES);
+    private final MessageReader toClient = new MessageReader(type -> MAX_MESSAGE_BYTES);
+    /** The ids of the queries that are not answered yet, in their order. */
     private final ArrayDeque<String> open = new ArrayDeque<>();
 
-    private final boolean mayCross;
     private boolean started;
     private boolean welcomed;
     private boolean used;
+    /** Of the query that is being answered; null until it is known. */
     private Answer answer;
 
     /**
-     * {@code mayCross}: poolers leave while clients ask, so that a request may cross the end of a connection
-     * that was used before; it comes again on a new one, and is counted where the load has it.
+     * A recorder for one connection.
+     *
+     * @param mayCrossEnd whether poolers leave while clients ask, so that a request may cross the end of a
+     *     connection that was used before; its client sends it again on a new one, and the load counts it
      */
     ClientRecorder(
-            Clock clock, int pooler, Map<String, Router.RequestClass> classes, RunListener listener, boolean mayCross) {
-        this.mayCross = mayCross;
+            Clock clock,
+            int pooler,
+            Map<String, Router.RequestClass> classes,
+            RunListener listener,
+            boolean mayCrossEnd) {
         this.clock = clock;
         this.pooler = pooler;
         this.classes = classes;
         this.listener = listener;
+        this.mayCrossEnd = mayCrossEnd;
     }
 
     @Override
-    public void hears(byte[] bytes) {
-        heard.feed(ByteBuffer.wrap(bytes));
+    public void poolerReceived(byte[] bytes) {
+        fromClient.feed(ByteBuffer.wrap(bytes));
         try {
-            while (started ? heard.next() : heard.nextStartup()) {
-                if (started && heard.type() == 'Q') {
-                    taken(heard.body());
+            while (started ? fromClient.next() : fromClient.nextStartup()) {
+                if (started && fromClient.type() == 'Q') {
+                    queryTaken(fromClient.body());
                 }
                 started = true;
             }
@@ -58,26 +68,30 @@
         }
     }
 
-    private void taken(byte[] sql) {
+    private void queryTaken(byte[] sql) {
         try {
-            Statement s = Statement.parse(sql);
-            open.add(s.id());
+            Statement statement = Statement.parse(sql);
+            open.add(statement.id());
             listener.requestTaken(
-                    clock.now(), pooler, s.id(), classes.get(s.requestClass()), clock.now() + s.timeoutMs() * 1000);
+                    clock.now(),
+                    pooler,
+                    statement.id(),
+                    classes.get(statement.requestClass()),
+                    clock.now() + statement.timeoutMs() * 1000);
         } catch (PgException e) {
-            open.add(""); // An empty query, or a page.
+            open.add(NO_REQUEST);
         }
     }
 
     @Override
-    public void says(byte[] bytes) {
-        said.feed(ByteBuffer.wrap(bytes));
+    public void poolerSent(byte[] bytes) {
+        toClient.feed(ByteBuffer.wrap(bytes));
         try {
-            while (said.next()) {
-                switch (said.type()) {
+            while (toClient.next()) {
+                switch (toClient.type()) {
                     case 'C' -> answer = Answer.SERVED;
-                    case 'E' -> answer = refusal(said.body()) ? Answer.REJECTED : Answer.FAILED;
-                    case 'Z' -> answered();
+                    case 'E' -> answer = isRejection(toClient.body()) ? Answer.REJECTED : Answer.FAILED;
+                    case 'Z' -> queryAnswered();
                     default -> {}
                 }
             }
@@ -86,19 +100,20 @@
         }
     }
 
-    static boolean refusal(byte[] error) {
+    /** Whether an error's fields say that the request did not run and may be retried. */
+    static boolean isRejection(byte[] error) {
         String fields = new String(error, StandardCharsets.UTF_8);
         return fields.contains("\0C53300\0") || fields.contains("\0C57P03\0");
     }
 
-    private void answered() {
+    private void queryAnswered() {
         if (!welcomed) {
             welcomed = true;
             return;
         }
         used = true;
         String id = open.poll();
-        if (id != null && !id.isEmpty()) {
+        if (id != null && !id.equals(NO_REQUEST)) {
             listener.requestAnswered(clock.now(), pooler, id, answer == null ? Answer.FAILED : answer);
         }
         answer = null;
@@ -106,12 +121,12 @@
 
     /** After a fatal error no ReadyForQuery comes; a request that the pooler leaves otherwise is lost. */
     @Override
-    public void ended(boolean byIt) {
+    public void connectionEnded(boolean byPooler) {
         if (answer != null) {
-            answered();
+            queryAnswered();
         }
-        if (!byIt || mayCross && used && open.size() == 1) {
-            open.stream().filter(id -> !id.isEmpty()).forEach(id -> listener.requestExcused(clock.now(), id));
+        if (!byPooler || mayCrossEnd && used && open.size() == 1) {
+            open.stream().filter(id -> !id.equals(NO_REQUEST)).forEach(id -> listener.requestExcused(clock.now(), id));
         }
     }
 }
--- a/lab/src/main/java/frostreel/lab/processes/ClusterFile.java
+++ b/lab/src/main/java/frostreel/lab/processes/ClusterFile.java
@@ -14,7 +14,7 @@
 
     /** Writes the file into a folder and returns it; {@code binds} has each pooler's own listening address. */
     static Path write(
-            Path folder, long silentAfterMs, List<PoolerNode> poolers, List<InetSocketAddress> binds, PeerLinks peers)
+            Path folder, long silentAfterMs, List<PoolerNode> poolers, List<InetSocketAddress> binds, PeerRelays peers)
             throws IOException {
         StringBuilder xml = new StringBuilder("<frostreel xmlns=\"urn:frostreel:settings:1\">\n"
                 + "  <cluster silentAfterMs=\"" + silentAfterMs + "\">\n");
@@ -22,9 +22,9 @@
             xml.append("    <pooler name=\"")
                     .append(poolers.get(i).name())
                     .append("\" at=\"")
-                    .append(PoolerProcess.text(peers.address(i)))
+                    .append(PoolerProcess.hostAndPort(peers.address(i)))
                     .append("\" bind=\"")
-                    .append(PoolerProcess.text(binds.get(i)))
+                    .append(PoolerProcess.hostAndPort(binds.get(i)))
                     .append("\"/>\n");
         }
         xml.append("  </cluster>\n</frostreel>\n");
--- a/lab/src/main/java/frostreel/lab/processes/EndpointListRecorder.java
+++ b/lab/src/main/java/frostreel/lab/processes/EndpointListRecorder.java
@@ -9,13 +9,13 @@
 import org.json.JSONArray;
 import org.json.JSONObject;
 
-/** Tells what the list has come to say to a pooler, from the stand-in's responses as they reach it. */
+/** Reports what the endpoint list comes to say to a pooler, from the agent's responses as they reach it. */
 final class EndpointListRecorder implements FaultyRelay.TrafficRecorder {
     private static final Pattern HEAD = Pattern.compile("(?s)^HTTP/1\\.1 200 OK.*?Content-Length: (\\d+)" + "\r\n\r\n");
     private final Clock clock;
     private final int pooler;
     private final RunListener listener;
-    /** One byte a character: the stand-in writes ASCII. */
+    /** What is not parsed yet, one byte a character: the agent writes ASCII. */
     private final StringBuilder text = new StringBuilder();
 
     EndpointListRecorder(Clock clock, int pooler, RunListener listener) {
@@ -25,27 +25,31 @@
     }
 
     @Override
-    public void hears(byte[] bytes) {
+    public void poolerReceived(byte[] bytes) {
         text.append(new String(bytes, StandardCharsets.ISO_8859_1));
         for (Matcher head = HEAD.matcher(text); head.find(); head = HEAD.matcher(text)) {
             int end = head.end() + Integer.parseInt(head.group(1));
             if (text.length() < end) {
                 return;
             }
-            JSONArray hosts = new JSONObject(text.substring(head.end(), end)).getJSONArray("hosts");
-            for (Object each : hosts) {
-                JSONObject host = (JSONObject) each;
-                listener.endpointUpdated(
-                        clock.now(),
-                        pooler,
-                        host.getString("host"),
-                        switch (host.getString("health")) {
-                            case "Ready" -> State.UP;
-                            case "Terminating" -> State.DRAINING;
-                            default -> State.GONE;
-                        });
-            }
+            report(new JSONObject(text.substring(head.end(), end)).getJSONArray("hosts"));
             text.delete(0, end);
         }
     }
+
+    private void report(JSONArray hosts) {
+        for (Object each : hosts) {
+            JSONObject host = (JSONObject) each;
+            State state = state(host.getString("health"));
+            listener.endpointUpdated(clock.now(), pooler, host.getString("host"), state);
+        }
+    }
+
+    private static State state(String health) {
+        return switch (health) {
+            case "Ready" -> State.UP;
+            case "Terminating" -> State.DRAINING;
+            default -> State.GONE;
+        };
+    }
 }
--- a/lab/src/main/java/frostreel/lab/processes/FaultCampaign.java
+++ b/lab/src/main/java/frostreel/lab/processes/FaultCampaign.java
@@ -13,18 +13,18 @@
 import java.util.stream.Collectors;
 
 /**
- * Plays each fault of the system at each point of a pooler's life, one after another, and says of each
- * whether the pooler came back, and whether the fleet served as before within seconds of the fault's end.
+ * Plays each fault of the system at each phase of a pooler process, one after another, and says of each whether
+ * the pooler came back, and whether the fleet served as before within seconds of the fault's end.
  */
 public final class FaultCampaign {
-    /** When a fault begins: right before a new life, under load, or right before SIGTERM. */
+    /** When a fault begins: right before a restart, under load, or right before SIGTERM. */
     enum Phase {
         START,
         LOAD,
         END
     }
 
-    /** One fault of the system, or of what the pooler speaks to; {@code xml} lacks pooler and times. */
+    /** One fault of the system or of a remote party; its {@code xml} lacks the pooler and the times. */
     record Kind(String name, String xml) {}
 
     /** A fleet to play on. */
@@ -36,7 +36,7 @@
     private static final int BACK_S = 3;
 
     private static final int SERVED_S = 3;
-    /** A new life may take so long beside the fault itself. */
+    /** A restart may take so long beside the fault itself. */
     private static final int START_S = 8;
 
     private static final List<Kind> KINDS = List.of(
@@ -87,13 +87,13 @@
         Files.createDirectories(folder);
         List<List<String>> rows = new ArrayList<>();
         boolean good = true;
-        for (int lasts : seconds) {
+        for (int faultS : seconds) {
             for (Kind kind : KINDS) {
                 for (Phase phase : Phase.values()) {
-                    String name = kind.name() + "-" + phase.name().toLowerCase(Locale.ROOT) + "-" + lasts;
-                    boolean playable = lasts > 0 || kind.xml().startsWith("<system");
+                    String name = kind.name() + "-" + phase.name().toLowerCase(Locale.ROOT) + "-" + faultS;
+                    boolean playable = faultS > 0 || kind.xml().startsWith("<system");
                     if (playable && name.startsWith(only)) {
-                        good &= play(kind, phase, lasts, name, jar, folder, rows);
+                        good &= play(kind, phase, faultS, name, jar, folder, rows);
                     }
                 }
             }
@@ -102,28 +102,31 @@
         return good;
     }
 
-    private boolean play(Kind kind, Phase phase, int lasts, String name, Path jar, Path folder, List<List<String>> rows)
+    private boolean play(
+            Kind kind, Phase phase, int faultS, String name, Path jar, Path folder, List<List<String>> rows)
             throws IOException, FaultyFileException, Exception {
-        Path file = Files.writeString(folder.resolve(name + ".xml"), experiment(kind, phase, lasts));
-        StringWriter told = new StringWriter();
-        boolean good = new ProcessExperimentRunner(new PrintWriter(told), false)
+        Path file = Files.writeString(folder.resolve(name + ".xml"), experiment(kind, phase, faultS));
+        StringWriter output = new StringWriter();
+        boolean good = new ProcessExperimentRunner(new PrintWriter(output), false)
                 .run(ProcessExperiment.read(file), 1, jar, folder.resolve(name));
-        String failed =
-                told.toString().lines().filter(l -> l.startsWith("fail:")).collect(Collectors.joining("; "));
+        String failed = output.toString()
+                .lines()
+                .filter(line -> line.startsWith("fail:"))
+                .collect(Collectors.joining("; "));
         out.println((good ? "pass: " : "FAIL: ") + name + (good ? "" : " " + failed));
         out.flush();
-        rows.add(List.of(kind.name(), phase.name(), Integer.toString(lasts), good ? "pass" : "fail", failed));
+        rows.add(List.of(kind.name(), phase.name(), Integer.toString(faultS), good ? "pass" : "fail", failed));
         return good;
     }
 
     /** The fault strikes pooler 0; one other fault puts that into the phase. */
-    private String experiment(Kind kind, Phase phase, int lasts) {
-        boolean once = lasts == 0;
-        double until = BEGINS_S + Math.max(lasts, 1);
+    private String experiment(Kind kind, Phase phase, int faultS) {
+        boolean once = faultS == 0;
+        double until = BEGINS_S + Math.max(faultS, 1);
         int back = (int) Math.ceil(until) + BACK_S + (phase == Phase.LOAD ? 0 : START_S / 2);
         String fault = kind.xml() + " pooler=\"0\" atS=\"" + BEGINS_S + "\" untilS=\"" + until + "\""
                 + (once ? " times=\"1\"" : "") + "/>";
-        String life = switch (phase) {
+        String phaseFault = switch (phase) {
             case START -> "<kill pooler=\"0\" atS=\"" + (BEGINS_S - 0.2) + "\" awayS=\"0.3\"/>";
             case LOAD -> "<reset pooler=\"0\" to=\"clients\" atS=\"" + (BEGINS_S + 0.1) + "\"/>";
             case END -> "<stop pooler=\"0\" atS=\"" + (BEGINS_S + 0.1) + "\"/>";
@@ -139,8 +142,8 @@
                         size.groups(),
                         40 * Math.min(size.poolers(), 12),
                         fault,
-                        life,
-                        lasts + START_S,
+                        phaseFault,
+                        faultS + START_S,
                         back,
                         back + SERVED_S);
     }
--- a/lab/src/main/java/frostreel/lab/processes/FaultyRelay.java
+++ b/lab/src/main/java/frostreel/lab/processes/FaultyRelay.java
@@ -17,93 +17,101 @@
 import org.xnio.StreamConnection;
 
 /**
- * What lies between two processes: connections to the near side's address go on to the far one, and what
- * befalls a network befalls them here. A cut is silent: bytes, ends of connections and new connections wait.
- * Once it has healed, connections on which something waited are reset, and the others go on.
+ * A relay between two processes, with the faults of a network: connections to the near side's address go on to
+ * the far one. A cut is silent: bytes, ends of connections and new connections wait. Once it has healed,
+ * connections on which something waited are reset, and the others go on.
  */
 final class FaultyRelay {
     /** Sees one connection as the pooler at one of its ends does; all of it on the loop's thread. */
     interface TrafficRecorder {
-        /** The pooler wrote. */
-        default void says(byte[] bytes) {}
+        /** The pooler has written these bytes. */
+        default void poolerSent(byte[] bytes) {}
 
-        /** The pooler is given these. */
-        default void hears(byte[] bytes) {}
+        /** The pooler is about to be given these bytes. */
+        default void poolerReceived(byte[] bytes) {}
 
-        /** The pooler ended the connection, or sees it end. */
-        default void ended(boolean byIt) {}
+        /** The connection has ended, {@code byPooler} or by its other side. */
+        default void connectionEnded(boolean byPooler) {}
     }
 
+    private static final long UNBOUNDED = 0;
+    private static final long US_PER_SECOND = 1_000_000;
+
     private final EventLoop loop;
     private final Supplier<InetSocketAddress> far;
     private final boolean poolerIsNear;
-    private final Supplier<TrafficRecorder> taps;
+    private final Supplier<TrafficRecorder> recorders;
     /** Null where connections are handed in by {@link #carry}. */
     private final Port port;
 
-    private final Set<Pipe> pipes = new HashSet<>();
+    private final Set<RelayedConnection> connections = new HashSet<>();
     private boolean forthCut;
     private boolean backCut;
     private long delayUs;
-    private long bytesPerS;
+    private long bytesPerSecond = UNBOUNDED;
 
     /**
-     * {@code near}: where it listens, port 0 for a free one, or null where another listens for it;
-     * {@code far}: where it goes on to.
+     * A relay without faults.
+     *
+     * @param near where it listens, port 0 for a free one, or null where another listens for it
+     * @param far where it goes on to
+     * @param recorders makes one recorder for each connection
      */
     FaultyRelay(
             EventLoop loop,
             InetSocketAddress near,
             Supplier<InetSocketAddress> far,
             boolean poolerIsNear,
-            Supplier<TrafficRecorder> taps)
+            Supplier<TrafficRecorder> recorders)
             throws IOException {
         this.loop = loop;
         this.poolerIsNear = poolerIsNear;
         this.far = far;
-        this.taps = taps;
+        this.recorders = recorders;
         port = near == null ? null : new Port(loop, near, this::carry);
     }
 
     /** Takes a connection that came in from the near side. */
     void carry(StreamConnection connection) {
-        new Pipe(connection);
+        new RelayedConnection(connection);
     }
 
+    /** Where the near side connects. */
     InetSocketAddress address() {
         return port.address();
     }
 
-    /** Cuts or mends each way; {@code forth} is from the near side to the far one. */
+    /** Cuts or heals each direction; {@code forth} is from the near side to the far one. */
     void cut(boolean forth, boolean back) {
         boolean healed = forthCut && !forth || backCut && !back;
         forthCut = forth;
         backCut = back;
         if (healed) {
-            List.copyOf(pipes).forEach(Pipe::healed);
+            List.copyOf(connections).forEach(RelayedConnection::healed);
         }
     }
 
-    /** Every byte comes so much later, each way; what is on its way comes as it would have. */
+    /** Delays every byte by so much, each way; what is on its way comes as it would have. */
     void delay(long us) {
         delayUs = us;
     }
 
-    /** So many bytes a second each way on each connection, 0 for no bound. */
-    void slow(long perSecond) {
-        bytesPerS = perSecond;
+    /** Limits the bytes a second each way on each connection, 0 for no limit. */
+    void slow(long newBytesPerSecond) {
+        bytesPerSecond = newBytesPerSecond;
     }
 
     /** Takes what the near side has written, or ended, by now. */
     void readNow() {
-        List.copyOf(pipes).forEach(p -> p.nearEnd.readNow());
+        List.copyOf(connections).forEach(connection -> connection.nearEnd.readNow());
     }
 
     /** Resets every connection there is. */
     void reset() {
-        List.copyOf(pipes).forEach(Pipe::close);
+        List.copyOf(connections).forEach(RelayedConnection::close);
     }
 
+    /** Stops listening, and resets every connection. */
     void close() {
         if (port != null) {
             port.close();
@@ -111,20 +119,22 @@
         reset();
     }
 
-    /** One direction's bytes on their way, in their order. */
+    /** The bytes of one direction of a connection on their way, in their order. */
     private final class Lane {
-        private final Pipe pipe;
+        private final RelayedConnection connection;
         private final boolean forth;
         private final ArrayDeque<byte[]> queue = new ArrayDeque<>();
+        /** When the last bytes that were taken have passed the bandwidth limit. */
         private long freeAtUs;
+
         private boolean moving;
 
-        Lane(Pipe pipe, boolean forth) {
-            this.pipe = pipe;
+        Lane(RelayedConnection connection, boolean forth) {
+            this.connection = connection;
             this.forth = forth;
         }
 
-        boolean cut() {
+        boolean isCut() {
             return forth ? forthCut : backCut;
         }
 
@@ -134,20 +144,20 @@
         }
 
         private void move() {
-            if (moving || queue.isEmpty() || cut() || forth && pipe.farEnd == null) {
+            if (moving || queue.isEmpty() || isCut() || forth && connection.farEnd == null) {
                 return;
             }
-            long now = loop.clock().now();
-            long takesUs = bytesPerS == 0 ? 0 : queue.peek().length * 1_000_000L / bytesPerS;
-            freeAtUs = Math.max(freeAtUs, now) + takesUs;
-            long inUs = freeAtUs - now + delayUs;
-            if (inUs == 0) {
+            long nowUs = loop.clock().now();
+            long transferUs = bytesPerSecond == UNBOUNDED ? 0 : queue.peek().length * US_PER_SECOND / bytesPerSecond;
+            freeAtUs = Math.max(freeAtUs, nowUs) + transferUs;
+            long waitUs = freeAtUs - nowUs + delayUs;
+            if (waitUs == 0) {
                 deliver();
             } else {
                 moving = true;
-                loop.deadlines().after(inUs, () -> {
+                loop.deadlines().after(waitUs, () -> {
                     moving = false;
-                    if (!cut()) {
+                    if (!isCut()) {
                         deliver();
                     }
                 });
@@ -156,28 +166,30 @@
 
         private void deliver() {
             byte[] next = queue.poll();
-            if (next != null && !pipe.closed) {
-                pipe.deliver(forth, next);
+            if (next != null && !connection.closed) {
+                connection.deliver(forth, next);
                 move();
             }
         }
     }
 
     /** One connection: what comes in at one end goes out at the other. */
-    private final class Pipe {
-        private final TrafficRecorder tap = taps.get();
+    private final class RelayedConnection {
+        private final TrafficRecorder recorder = recorders.get();
         private final Lane forth = new Lane(this, true);
         private final Lane back = new Lane(this, false);
         private final SocketStream nearEnd;
+        /** Null until the far side has accepted. */
         private SocketStream farEnd;
+
         private boolean nearEnded;
         private boolean farEnded;
         private boolean closed;
-        private boolean told;
+        private boolean endRecorded;
 
-        Pipe(StreamConnection connection) {
-            pipes.add(this);
-            nearEnd = new SocketStream(loop, connection, new SocketStream.Handler() {
+        RelayedConnection(StreamConnection near) {
+            connections.add(this);
+            nearEnd = new SocketStream(loop, near, new SocketStream.Handler() {
                 @Override
                 public void received(ByteBuffer in) {
                     forth.add(read(in, poolerIsNear));
@@ -187,86 +199,92 @@
                 public void ended() {
                     nearEnded = true;
                     if (poolerIsNear) {
-                        told(true);
+                        recordEnd(true);
                     }
-                    settle();
+                    closeIfDrained();
                 }
             });
             nearEnd.resumeReads();
             connect();
         }
 
-        /** Through a cut no connection comes up; once it is back, what waited is reset. */
+        /** Through a cut no connection comes up; once it has healed, what waited is reset. */
         private void connect() {
             if (forthCut || backCut) {
                 return;
             }
-            IoFuture<StreamConnection> to =
+            IoFuture<StreamConnection> connecting =
                     loop.thread().openStreamConnection(far.get(), null, OptionMap.create(Options.TCP_NODELAY, true));
-            to.addNotifier(
+            connecting.addNotifier(
                     new IoFuture.HandlingNotifier<StreamConnection, Void>() {
                         @Override
                         public void handleDone(StreamConnection connection, Void none) {
-                            farEnd = new SocketStream(loop, connection, new SocketStream.Handler() {
-                                @Override
-                                public void received(ByteBuffer in) {
-                                    back.add(read(in, !poolerIsNear));
-                                }
-
-                                @Override
-                                public void ended() {
-                                    farEnded = true;
-                                    if (!poolerIsNear) {
-                                        told(true);
-                                    }
-                                    settle();
-                                }
-                            });
-                            if (closed) {
-                                farEnd.close();
-                            } else {
-                                farEnd.resumeReads();
-                                forth.move();
-                            }
+                            connected(connection);
                         }
 
                         @Override
                         public void handleFailed(IOException e, Void none) {
                             farEnded = true;
-                            settle();
+                            closeIfDrained();
                         }
                     },
                     null);
         }
 
-        private void deliver(boolean onward, byte[] bytes) {
-            if (onward != poolerIsNear) {
-                tap.hears(bytes);
+        private void connected(StreamConnection connection) {
+            farEnd = new SocketStream(loop, connection, new SocketStream.Handler() {
+                @Override
+                public void received(ByteBuffer in) {
+                    back.add(read(in, !poolerIsNear));
+                }
+
+                @Override
+                public void ended() {
+                    farEnded = true;
+                    if (!poolerIsNear) {
+                        recordEnd(true);
+                    }
+                    closeIfDrained();
+                }
+            });
+            if (closed) {
+                farEnd.close();
+            } else {
+                farEnd.resumeReads();
+                forth.move();
+            }
+        }
+
+        private void deliver(boolean isForth, byte[] bytes) {
+            if (isForth != poolerIsNear) {
+                recorder.poolerReceived(bytes);
             }
-            (onward ? farEnd : nearEnd).write(bytes);
-            settle();
+            (isForth ? farEnd : nearEnd).write(bytes);
+            closeIfDrained();
         }
 
         private byte[] read(ByteBuffer in, boolean fromPooler) {
             byte[] bytes = new byte[in.remaining()];
             in.get(bytes);
             if (fromPooler) {
-                tap.says(bytes);
+                recorder.poolerSent(bytes);
             }
             return bytes;
         }
 
-        /** Once: the pooler's side of it is over. */
-        private void told(boolean byIt) {
-            if (!told) {
-                told = true;
-                tap.ended(byIt);
+        /** Once: the connection is over for its pooler. */
+        private void recordEnd(boolean byPooler) {
+            if (!endRecorded) {
+                endRecorded = true;
+                recorder.connectionEnded(byPooler);
             }
         }
 
         /** An end goes through once what was sent before it has, and not through a cut. */
-        private void settle() {
-            if (nearEnded && !forthCut && forth.queue.isEmpty() || farEnded && !backCut && back.queue.isEmpty()) {
+        private void closeIfDrained() {
+            boolean nearDone = nearEnded && !forthCut && forth.queue.isEmpty();
+            boolean farDone = farEnded && !backCut && back.queue.isEmpty();
+            if (nearDone || farDone) {
                 close();
             }
         }
@@ -280,8 +298,8 @@
         void close() {
             if (!closed) {
                 closed = true;
-                pipes.remove(this);
-                told(false);
+                connections.remove(this);
+                recordEnd(false);
                 nearEnd.close();
                 if (farEnd != null) {
                     farEnd.close();
--- a/lab/src/main/java/frostreel/lab/processes/Fleet.java
+++ b/lab/src/main/java/frostreel/lab/processes/Fleet.java
@@ -38,7 +38,7 @@
     private StandInServers servers;
     private LoadGenerator load;
     /** Null where the poolers do not see each other. */
-    private PeerLinks peers;
+    private PeerRelays peers;
 
     private PoolerLifecycle lifecycle;
     private ProcessUpgrades upgrades;
@@ -146,9 +146,9 @@
         List<InetSocketAddress> binds = new ArrayList<>();
         for (PoolerNode pooler : poolers) {
             InetAddress host = pooler.process.listen.getAddress();
-            binds.add(PoolerProcess.free(host));
+            binds.add(PoolerProcess.freePort(host));
         }
-        peers = new PeerLinks(loop, binds);
+        peers = new PeerRelays(loop, binds);
         Path file = ClusterFile.write(run.folder(), silentAfterMs, poolers, binds, peers);
         poolers.forEach(pooler -> pooler.useSettings(file));
     }
@@ -157,7 +157,7 @@
     private void publish(Router.Member entry) {
         for (PoolerNode pooler : poolers) {
             long delayUs = run.plan().listLagUs() + run.random().nextLong(MAX_LIST_SPREAD_US);
-            run.scheduler().after(delayUs, () -> pooler.agent.hears(entry));
+            run.scheduler().after(delayUs, () -> pooler.agent.publish(entry));
         }
     }
 
--- a/lab/src/main/java/frostreel/lab/processes/LoadGenerator.java
+++ b/lab/src/main/java/frostreel/lab/processes/LoadGenerator.java
@@ -159,7 +159,7 @@
     public void answered(LoadRequest request, LoadConnection.Answer answer) {
         if (answer.error() == null) {
             recordValue(request, answer.value());
-        } else if (!ClientRecorder.refusal(answer.error())) {
+        } else if (!ClientRecorder.isRejection(answer.error())) {
             statistics.failed++;
         } else {
             statistics.rejected++;
--- a/lab/src/main/java/frostreel/lab/processes/ViewWatch.java
+++ b/lab/src/main/java/frostreel/lab/processes/MembershipWatch.java
@@ -9,59 +9,64 @@
 import java.util.regex.Pattern;
 
 /**
- * Asks each pooler of a fleet again and again whom it sees, and notes each change with its time: how soon a
- * view follows what happened. A thread a pooler, as a paused one keeps whoever asks it waiting.
+ * Polls each pooler of a fleet for the members that it sees, and notes each change with its time: how soon a
+ * view follows what happened. One thread a pooler, since a paused one keeps whoever asks it waiting.
  */
-final class ViewWatch implements AutoCloseable {
+final class MembershipWatch implements AutoCloseable {
     static final List<String> COLUMNS = List.of("second", "pooler", "sees");
-    private static final long PAUSE_MS = 20;
+    private static final long POLL_INTERVAL_MS = 20;
+    private static final double NS_PER_SECOND = 1e9;
     private static final Pattern HERE = Pattern.compile("(?m)^(\\S+) here");
+    private static final String NO_ANSWER = "-";
+
     private final List<List<String>> rows = new ArrayList<>();
     private final List<Thread> threads = new ArrayList<>();
-    private final long beganNs = System.nanoTime();
-    private volatile boolean ended;
+    private final long startNs = System.nanoTime();
+    private volatile boolean closed;
 
-    ViewWatch(Fleet fleet, int poolers) {
+    /** Watches the first {@code poolers} of a fleet from now on. */
+    MembershipWatch(Fleet fleet, int poolers) {
         for (int i = 0; i < poolers; i++) {
             int number = i;
-            Thread t = new Thread(() -> watch(fleet, number), "views-" + i);
-            t.setDaemon(true);
-            t.start();
-            threads.add(t);
+            Thread thread = new Thread(() -> watch(fleet, number), "views-" + i);
+            thread.setDaemon(true);
+            thread.start();
+            threads.add(thread);
         }
     }
 
     private void watch(Fleet fleet, int number) {
         String last = "";
-        while (!ended) {
-            String now = sees(fleet, number);
+        while (!closed) {
+            String now = membersSeen(fleet, number);
             if (!now.equals(last)) {
                 last = now;
                 note(number, now);
             }
             try {
-                TimeUnit.MILLISECONDS.sleep(PAUSE_MS);
+                TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MS);
             } catch (InterruptedException e) {
                 return;
             }
         }
     }
 
-    private static String sees(Fleet fleet, int number) {
+    private static String membersSeen(Fleet fleet, int number) {
         try {
-            StringBuilder names = new StringBuilder();
+            List<String> names = new ArrayList<>();
             Matcher here = HERE.matcher(fleet.page(number, "fleet"));
             while (here.find()) {
-                names.append(names.isEmpty() ? "" : " ").append(here.group(1));
+                names.add(here.group(1));
             }
-            return names.toString();
+            return String.join(" ", names);
         } catch (IOException e) {
-            return "-"; // It is away.
+            return NO_ANSWER;
         }
     }
 
     private synchronized void note(int number, String names) {
-        rows.add(List.of(String.format(Locale.ROOT, "%.3f", (System.nanoTime() - beganNs) / 1e9), "p" + number, names));
+        String second = String.format(Locale.ROOT, "%.3f", (System.nanoTime() - startNs) / NS_PER_SECOND);
+        rows.add(List.of(second, "p" + number, names));
     }
 
     /** What each saw from when on, in the order of time; "-" while it does not answer. */
@@ -71,7 +76,7 @@
 
     @Override
     public void close() {
-        ended = true;
+        closed = true;
         threads.forEach(Thread::interrupt);
     }
 }
--- a/lab/src/main/java/frostreel/lab/processes/NetworkFaults.java
+++ b/lab/src/main/java/frostreel/lab/processes/NetworkFaults.java
@@ -9,9 +9,9 @@
     private final RunLog log;
     private final List<PoolerNode> poolers;
     /** Null where the poolers do not see each other. */
-    private final PeerLinks peers;
+    private final PeerRelays peers;
 
-    NetworkFaults(RunLog log, List<PoolerNode> poolers, PeerLinks peers) {
+    NetworkFaults(RunLog log, List<PoolerNode> poolers, PeerRelays peers) {
         this.log = log;
         this.poolers = poolers;
         this.peers = peers;
--- a/lab/src/main/java/frostreel/lab/processes/OperatorCalls.java
+++ b/lab/src/main/java/frostreel/lab/processes/OperatorCalls.java
@@ -31,7 +31,7 @@
             // The pooler may use the server before its answer has come.
             run.invariants().serverSuspended(run.scheduler().now(), number, serverId, false);
         }
-        AdminCall.make(run.loop(), pooler.process.control(), line, answer -> {
+        AdminCall.make(run.loop(), pooler.process.adminAddress(), line, answer -> {
             run.log().add(pooler.name() + ": " + line + ": " + answer);
             boolean accepted = answer.startsWith(ACCEPTED);
             rejected += accepted ? 0 : 1;
--- a/lab/src/main/java/frostreel/lab/processes/PoolerNode.java
+++ b/lab/src/main/java/frostreel/lab/processes/PoolerNode.java
@@ -1,7 +1,7 @@
 package frostreel.lab.processes;
 
-import frostreel.lab.standin.Database;
-import frostreel.lab.standin.Discovery;
+import frostreel.lab.standin.DiscoveryAgent;
+import frostreel.lab.standin.StandInDatabase;
 import frostreel.routing.Router;
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -24,7 +24,7 @@
     private static final long NOT_STARTING = 0;
 
     final PoolerProcess process;
-    final Discovery agent;
+    final DiscoveryAgent agent;
     private final RunContext run;
     private final long seed;
     private final Map<NetworkSide, List<FaultyRelay>> relays = new EnumMap<>(NetworkSide.class);
@@ -43,10 +43,10 @@
         seed = run.random().nextLong();
         process = run.operated()
                 ? new PoolerProcess(number, new SharedSocket(host), jar, run.folder())
-                : new PoolerProcess(number, PoolerProcess.free(InetAddress.getByName(host)), jar, run.folder());
+                : new PoolerProcess(number, PoolerProcess.freePort(InetAddress.getByName(host)), jar, run.folder());
         InetSocketAddress anyPort = new InetSocketAddress(host, 0);
         Map<String, String> dialAddresses = relayServers(number, anyPort, servers.databases());
-        agent = new Discovery(run.loop(), run.scheduler(), servers.cluster(), dialAddresses::get, anyPort);
+        agent = new DiscoveryAgent(run.loop(), run.scheduler(), servers.cluster(), dialAddresses::get, anyPort);
         relays.put(
                 NetworkSide.DISCOVERY,
                 List.of(new FaultyRelay(
@@ -67,12 +67,12 @@
     }
 
     /** A relay to each server; returns the address, as text, at which this pooler reaches each. */
-    private Map<String, String> relayServers(int number, InetSocketAddress anyPort, Map<String, Database> databases)
-            throws IOException {
+    private Map<String, String> relayServers(
+            int number, InetSocketAddress anyPort, Map<String, StandInDatabase> databases) throws IOException {
         List<FaultyRelay> toServers = new ArrayList<>();
         Map<String, String> dialAddresses = new HashMap<>();
-        SendOrder order = new SendOrder();
-        for (Map.Entry<String, Database> entry : databases.entrySet()) {
+        AttemptOrder order = new AttemptOrder();
+        for (Map.Entry<String, StandInDatabase> entry : databases.entrySet()) {
             FaultyRelay relay = new FaultyRelay(
                     run.loop(),
                     anyPort,
@@ -81,8 +81,8 @@
                     () -> new StatementRecorder(
                             run.loop().clock(), number, entry.getKey(), run.classes(), run.invariants(), order));
             toServers.add(relay);
-            order.looksBy(relay::readNow);
-            dialAddresses.put(entry.getKey(), PoolerProcess.text(relay.address()));
+            order.readBy(relay::readNow);
+            dialAddresses.put(entry.getKey(), PoolerProcess.hostAndPort(relay.address()));
         }
         relays.put(NetworkSide.SERVERS, toServers);
         return dialAddresses;
@@ -118,7 +118,7 @@
         expectedAlive = true;
         startingSinceUs = run.scheduler().now();
         run.invariants().poolerPaused(run.scheduler().now(), number(), false);
-        agent.members().stream()
+        agent.endpoints().stream()
                 .filter(member -> member.state() != Router.State.UP)
                 .forEach(member ->
                         run.invariants().endpointUpdated(run.scheduler().now(), number(), member.id(), member.state()));
@@ -133,7 +133,7 @@
     void startSuccessor() {
         cacheEndpoints();
         try {
-            process.succeed(config(), discoveryAddress(), settingsFile);
+            process.startSuccessor(config(), discoveryAddress(), settingsFile);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
@@ -143,17 +143,18 @@
         return PlatformConfig.of(
                 run.plan().settings(number() % run.plan().zones(), seed),
                 run.plan().zones(),
-                cachedEndpoints == null ? agent.whole() : cachedEndpoints,
+                cachedEndpoints == null ? agent.fullList() : cachedEndpoints,
                 SOCKET_LIMIT);
     }
 
     private String discoveryAddress() {
-        return PoolerProcess.text(relays.get(NetworkSide.DISCOVERY).get(0).address());
+        return PoolerProcess.hostAndPort(
+                relays.get(NetworkSide.DISCOVERY).get(0).address());
     }
 
     /** Keeps the endpoint list as it is now for the next incarnation. */
     void cacheEndpoints() {
-        cachedEndpoints = agent.whole();
+        cachedEndpoints = agent.fullList();
     }
 
     /** Its process is about to be ended on purpose. */
--- a/lab/src/main/java/frostreel/lab/processes/PoolerProcess.java
+++ b/lab/src/main/java/frostreel/lab/processes/PoolerProcess.java
@@ -16,7 +16,7 @@
 import java.util.TreeMap;
 import org.json.JSONObject;
 
-/** A process of the built program, under one name and address over all its lives. */
+/** A process of the built program, under one name and address over all its incarnations. */
 final class PoolerProcess {
     private static final List<String> JAVA = List.of(
             "-Djava.net.preferIPv4Stack=true",
@@ -30,75 +30,78 @@
     final InetSocketAddress listen;
     private final Path jar;
     private final Path folder;
-    /** Null where each life listens by itself, and operators do not call. */
-    private final SharedSocket shared;
+    /** Null where each incarnation listens by itself, and operators do not call. */
+    private final SharedSocket sharedSocket;
     /** Null where none of its system calls is to fail. */
     private SystemFaults faults;
 
     private ProcessHandle process;
-    private ProcessHandle before;
-    private int lives;
-    /** Where operators call the newest life. */
-    private InetSocketAddress control;
+    /** The old process during an upgrade; null at other times. */
+    private ProcessHandle old;
+
+    private int incarnations;
+    /** Where operators call the newest incarnation. */
+    private InetSocketAddress adminAddress;
 
     PoolerProcess(int number, InetSocketAddress listen, Path jar, Path folder) {
         this(number, listen, null, jar, folder);
     }
 
-    /** With a socket that all its lives share, operators call, and a successor may be started beside it. */
-    PoolerProcess(int number, SharedSocket shared, Path jar, Path folder) {
-        this(number, shared.address(), shared, jar, folder);
+    /** With a socket that all incarnations share: operators call, and a successor may be started beside it. */
+    PoolerProcess(int number, SharedSocket sharedSocket, Path jar, Path folder) {
+        this(number, sharedSocket.address(), sharedSocket, jar, folder);
     }
 
-    private PoolerProcess(int number, InetSocketAddress listen, SharedSocket shared, Path jar, Path folder) {
+    private PoolerProcess(int number, InetSocketAddress listen, SharedSocket sharedSocket, Path jar, Path folder) {
         this.number = number;
         this.listen = listen;
-        this.shared = shared;
+        this.sharedSocket = sharedSocket;
         this.jar = jar;
         this.folder = folder;
     }
 
-    /** From the next life on, its system calls can be made to fail. */
-    void faults(SystemFaults withFaults) {
-        faults = withFaults;
+    /** From the next incarnation on, its system calls can be made to fail. */
+    void injectFaults(SystemFaults injected) {
+        faults = injected;
     }
 
     SystemFaults faults() {
         return faults;
     }
 
-    /** What all lives of it share beside the socket. */
+    /** The folder for temporary files that all its incarnations share. */
     Path temporary() {
         return folder.resolve(name() + ".tmp");
     }
 
-    InetSocketAddress control() {
-        return control;
+    /** Where operators call the newest incarnation. */
+    InetSocketAddress adminAddress() {
+        return adminAddress;
     }
 
-    /** Starts a successor beside the life that runs, which goes on until {@link #retire}. */
-    void succeed(JSONObject config, String discovery, Path settings) throws IOException {
-        ProcessHandle old = process;
+    /** Starts a successor beside the running process, which goes on until {@link #terminateOld}. */
+    void startSuccessor(JSONObject config, String discovery, Path settings) throws IOException {
+        ProcessHandle running = process;
         start(config, discovery, settings);
-        before = old;
+        old = running;
     }
 
-    /** SIGTERM to the life that has a successor; {@code then} runs once it has ended. */
-    void retire(Runnable then) {
-        before.onExit().thenRun(then);
-        before.destroy();
+    /** SIGTERM to the process that has a successor; {@code then} runs once it has ended. */
+    void terminateOld(Runnable then) {
+        old.onExit().thenRun(then);
+        old.destroy();
     }
 
-    /** SIGKILL to the life that has a successor, where it has not ended; whether it was there. */
-    boolean finish() {
-        return before != null && before.destroyForcibly();
+    /** SIGKILL to the process that has a successor, where it has not ended; whether it was there. */
+    boolean killOld() {
+        return old != null && old.destroyForcibly();
     }
 
-    /** SIGKILL to the successor; the life before it is the one that runs again. */
-    void abort() {
+    /** SIGKILL to the successor; the old process is the one that runs again. */
+    void killSuccessor() {
         process.destroyForcibly();
-        process = before;
-        before = null;
+        process = old;
+        old = null;
     }
 
     String name() {
@@ -119,23 +122,30 @@
         if (settings != null) {
             command.addAll(List.of("--settings", settings.toString()));
         }
-        Path log = folder.resolve(name() + "-" + ++lives + ".log");
+        Path log = folder.resolve(name() + "-" + ++incarnations + ".log");
         Map<String, String> environment = new TreeMap<>(Map.of(
-                "GW_CONFIG", file.toString(), "GW_NAME", name(), "GW_LISTEN", text(listen), "GW_DISCOVERY", discovery));
+                "GW_CONFIG",
+                file.toString(),
+                "GW_NAME",
+                name(),
+                "GW_LISTEN",
+                hostAndPort(listen),
+                "GW_DISCOVERY",
+                discovery));
         if (faults != null) {
             environment.putAll(faults.environment());
         }
-        if (shared != null) {
-            control = free(listen.getAddress());
+        if (sharedSocket != null) {
+            adminAddress = freePort(listen.getAddress());
             Files.createDirectories(temporary());
             environment.putAll(Map.of(
                     "GW_CONTROL",
-                    text(control),
+                    hostAndPort(adminAddress),
                     "GW_FD",
                     "0",
                     "TMPDIR",
                     temporary().toString()));
-            process = shared.start(command, environment, log);
+            process = sharedSocket.start(command, environment, log);
             return;
         }
         ProcessBuilder builder =
@@ -146,14 +156,14 @@
     }
 
     /** A port that nobody has now. */
-    static InetSocketAddress free(InetAddress host) throws IOException {
-        try (ServerSocket s = new ServerSocket(0, 1, host)) {
-            return new InetSocketAddress(host, s.getLocalPort());
+    static InetSocketAddress freePort(InetAddress host) throws IOException {
+        try (ServerSocket socket = new ServerSocket(0, 1, host)) {
+            return new InetSocketAddress(host, socket.getLocalPort());
         }
     }
 
-    static String text(InetSocketAddress a) {
-        return a.getAddress().getHostAddress() + ":" + a.getPort();
+    static String hostAndPort(InetSocketAddress address) {
+        return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
     boolean alive() {
@@ -202,16 +212,16 @@
         new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start();
     }
 
-    /** Ends it, however it stands, and waits until it has. */
+    /** Kills all its processes and waits until they have ended. */
     void end() throws InterruptedException {
-        for (ProcessHandle life : new ProcessHandle[] {before, process}) {
-            if (life != null) {
-                life.destroyForcibly();
-                life.onExit().join();
+        for (ProcessHandle handle : new ProcessHandle[] {old, process}) {
+            if (handle != null) {
+                handle.destroyForcibly();
+                handle.onExit().join();
             }
         }
-        if (shared != null) {
-            shared.close();
+        if (sharedSocket != null) {
+            sharedSocket.close();
         }
     }
 }
--- a/lab/src/main/java/frostreel/lab/processes/ProcessExperimentRunner.java
+++ b/lab/src/main/java/frostreel/lab/processes/ProcessExperimentRunner.java
@@ -73,7 +73,7 @@
         fleet.start();
         CountDownLatch allAnswered = new CountDownLatch(1);
         fleet.begin(experiment.faults());
-        ViewWatch views = new ViewWatch(fleet, experiment.silentAfterMs() > 0 ? experiment.poolers() : 0);
+        MembershipWatch views = new MembershipWatch(fleet, experiment.silentAfterMs() > 0 ? experiment.poolers() : 0);
         fleet.onLoop(() -> {
             fleet.at(experiment.durationS() * US_PER_SECOND, () -> fleet.load().whenAllEnded(allAnswered::countDown));
             return null;
@@ -86,7 +86,7 @@
         if (keep) {
             ProcessRunFiles.write(work, experiment, seed, fleet, verdict);
             if (experiment.silentAfterMs() > 0) {
-                Files.writeString(work.resolve("views.csv"), Tables.csv(ViewWatch.COLUMNS, views.rows()));
+                Files.writeString(work.resolve("views.csv"), Tables.csv(MembershipWatch.COLUMNS, views.rows()));
             }
         }
         verdict.lines().forEach(out::println);
--- a/lab/src/main/java/frostreel/lab/processes/ProcessUpgrades.java
+++ b/lab/src/main/java/frostreel/lab/processes/ProcessUpgrades.java
@@ -38,7 +38,7 @@
         if (startSuccessor(pooler)) {
             run.scheduler().after(killAfterUs, () -> {
                 run.log().add(pooler.name() + ": the successor is killed");
-                pooler.process.abort();
+                pooler.process.killSuccessor();
                 pooler.upgrading(false);
             });
         }
@@ -55,7 +55,7 @@
     }
 
     private void awaitReady(PoolerNode pooler) {
-        AdminCall.make(run.loop(), pooler.process.control(), "STATUS", answer -> {
+        AdminCall.make(run.loop(), pooler.process.adminAddress(), "STATUS", answer -> {
             if (run.schedule().ending()) {
                 return;
             }
@@ -71,7 +71,7 @@
 
     private void retireOldProcess(PoolerNode pooler) {
         AtomicBoolean ended = new AtomicBoolean();
-        pooler.process.retire(() -> run.loop().thread().execute(() -> {
+        pooler.process.terminateOld(() -> run.loop().thread().execute(() -> {
             run.log().add(pooler.name() + ": the old process has ended");
             ended.set(true);
             pooler.upgrading(false);
@@ -80,7 +80,7 @@
             if (!ended.get() && !run.schedule().ending()) {
                 run.log().add(pooler.name() + ": the old process is killed");
                 killed++;
-                pooler.process.finish();
+                pooler.process.killOld();
             }
         });
     }
--- a/lab/src/main/java/frostreel/lab/processes/StandInServers.java
+++ b/lab/src/main/java/frostreel/lab/processes/StandInServers.java
@@ -2,7 +2,7 @@
 
 import frostreel.lab.model.Cluster;
 import frostreel.lab.model.Server;
-import frostreel.lab.standin.Database;
+import frostreel.lab.standin.StandInDatabase;
 import frostreel.routing.Router;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -20,7 +20,7 @@
     private final RunContext run;
     private final Cluster cluster;
     private final Consumer<Router.Member> changed;
-    private final Map<String, Database> databases = new LinkedHashMap<>();
+    private final Map<String, StandInDatabase> databases = new LinkedHashMap<>();
     /** When each server's present process started, to tell a restart from other changes. */
     private final Map<String, Long> startTimesUs = new HashMap<>();
 
@@ -40,7 +40,8 @@
             startTimesUs.put(server.id, 0L);
             databases.put(
                     server.id,
-                    new Database(run.loop(), run.scheduler(), server, costs, () -> overloadedWhileCold(server), bind));
+                    new StandInDatabase(
+                            run.loop(), run.scheduler(), server, costs, () -> overloadedWhileCold(server), bind));
         }
     }
 
@@ -49,7 +50,7 @@
     }
 
     /** Each server's stand-in, by the server's id. */
-    Map<String, Database> databases() {
+    Map<String, StandInDatabase> databases() {
         return databases;
     }
 
@@ -61,13 +62,13 @@
     private void overloadedWhileCold(Server server) {
         run.log().add("server " + server.id + " fell over");
         run.invariants().serverOverloaded(run.scheduler().now(), server.id);
-        databases.get(server.id).resetAll();
+        databases.get(server.id).resetConnections();
     }
 
     private void serverChanged(Server server) {
         boolean restarted = startTimesUs.put(server.id, server.startedUs()) != server.startedUs();
         if (restarted || !server.up() && !server.vanished()) {
-            databases.get(server.id).resetAll();
+            databases.get(server.id).resetConnections();
         }
         Router.Member entry = Cluster.entry(server);
         run.log().add("server " + server.id + " is " + entry.state() + (entry.primary() ? ", primary" : ""));
@@ -75,6 +76,6 @@
     }
 
     void close() {
-        databases.values().forEach(Database::close);
+        databases.values().forEach(StandInDatabase::close);
     }
 }
--- a/lab/src/main/java/frostreel/lab/processes/StatementCosts.java
+++ b/lab/src/main/java/frostreel/lab/processes/StatementCosts.java
@@ -1,6 +1,6 @@
 package frostreel.lab.processes;
 
-import frostreel.lab.standin.Database;
+import frostreel.lab.standin.StandInDatabase;
 import frostreel.lab.virtual.SimulationPlan;
 import frostreel.pg.Statement;
 import frostreel.routing.Router.RequestClass;
@@ -8,7 +8,7 @@
 import java.util.SplittableRandom;
 
 /** What a statement costs and how fresh its data must be, by its class; the work is drawn at random. */
-final class StatementCosts implements Database.Orders {
+final class StatementCosts implements StandInDatabase.CostModel {
     private final SplittableRandom random;
     private final Map<String, RequestClass> classes;
 
@@ -29,7 +29,7 @@
 
     /** A server does not check freshness by itself; the pooler asks for it by class and position. */
     @Override
-    public long needUs(Statement statement, long nowUs) {
+    public long requiredPositionUs(Statement statement, long nowUs) {
         if (statement.write()) {
             return 0;
         }
--- a/lab/src/main/java/frostreel/lab/processes/StatementRecorder.java
+++ b/lab/src/main/java/frostreel/lab/processes/StatementRecorder.java
@@ -12,25 +12,26 @@
 import java.nio.ByteBuffer;
 import java.util.Map;
 
-/** Tells of the attempts on one connection from a pooler to a server, as that pooler sees them. */
+/** Reports the attempts on one connection from a pooler to a server, as that pooler sees them. */
 final class StatementRecorder implements FaultyRelay.TrafficRecorder {
-    private static final int MOST_BYTES = 1 << 18;
+    private static final int MAX_MESSAGE_BYTES = 1 << 18;
+
     private final Clock clock;
     private final int pooler;
     private final String server;
     private final Map<String, Router.RequestClass> classes;
     private final RunListener listener;
-    private final SendOrder order;
-    private final MessageReader said = new MessageReader(type -> MOST_BYTES);
-    private final MessageReader heard = new MessageReader(Reply::maxLength);
+    private final AttemptOrder order;
+    private final MessageReader toServer = new MessageReader(type -> MAX_MESSAGE_BYTES);
+    private final MessageReader fromServer = new MessageReader(Reply::maxLength);
     private boolean started;
     private Reply reply = Reply.toStartup();
-    /** What is out, null for nothing or a probe; its first byte's time and its last's. */
-    private Statement out;
+    /** The statement that is in flight; null for none, or for a health check. */
+    private Statement inFlight;
 
-    private boolean told;
-    private long firstUs;
-    private long lastUs;
+    private boolean sentReported;
+    private long firstByteUs;
+    private long lastByteUs;
 
     StatementRecorder(
             Clock clock,
@@ -38,24 +39,24 @@
             String server,
             Map<String, Router.RequestClass> classes,
             RunListener listener,
-            SendOrder order) {
-        this.order = order;
+            AttemptOrder order) {
         this.clock = clock;
         this.pooler = pooler;
         this.server = server;
         this.classes = classes;
         this.listener = listener;
+        this.order = order;
     }
 
     @Override
-    public void says(byte[] bytes) {
-        firstUs = said.buffered() == 0 ? clock.now() : firstUs;
-        said.feed(ByteBuffer.wrap(bytes));
+    public void poolerSent(byte[] bytes) {
+        firstByteUs = toServer.buffered() == 0 ? clock.now() : firstByteUs;
+        toServer.feed(ByteBuffer.wrap(bytes));
         try {
-            while (started ? said.next() : said.nextStartup()) {
-                if (started && said.type() == 'Q') {
+            while (started ? toServer.next() : toServer.nextStartup()) {
+                if (started && toServer.type() == 'Q') {
                     reply = Reply.toQuery();
-                    begin(said.body());
+                    begin(toServer.body());
                 }
                 started = true;
             }
@@ -66,32 +67,32 @@
 
     private void begin(byte[] sql) {
         try {
-            out = Statement.parse(sql);
-            lastUs = clock.now();
-            told = false;
-            order.begins(this);
+            inFlight = Statement.parse(sql);
+            lastByteUs = clock.now();
+            sentReported = false;
+            order.begin(this);
         } catch (PgException e) {
-            out = null; // A probe.
+            inFlight = null; // A health check.
         }
     }
 
-    /** Tells of the statement that is out, once. */
-    void tell() {
-        if (out != null && !told) {
-            told = true;
-            listener.attemptSent(firstUs, pooler, out.id(), server);
+    /** Reports the statement that is in flight, once. */
+    void reportSent() {
+        if (inFlight != null && !sentReported) {
+            sentReported = true;
+            listener.attemptSent(firstByteUs, pooler, inFlight.id(), server);
         }
     }
 
     @Override
-    public void hears(byte[] bytes) {
-        tell();
-        heard.feed(ByteBuffer.wrap(bytes));
+    public void poolerReceived(byte[] bytes) {
+        reportSent();
+        fromServer.feed(ByteBuffer.wrap(bytes));
         try {
-            while (heard.next()) {
-                reply.accept(heard);
-                if (reply.ended() && out != null) {
-                    over(reply.result(false));
+            while (fromServer.next()) {
+                reply.accept(fromServer);
+                if (reply.ended() && inFlight != null) {
+                    attemptEnded(reply.result(false));
                 }
             }
         } catch (PgException e) {
@@ -99,32 +100,35 @@
         }
     }
 
-    private void over(BackEnd.Result result) {
-        Statement s = out;
-        out = null;
-        Outcome o = result.outcome();
-        listener.attemptEnded(clock.now(), pooler, s.id(), o, o != Outcome.OK && !o.provesNotRun);
-        Router.RequestClass c = classes.get(s.requestClass());
-        if (o == Outcome.OK && !s.write() && c != null) {
+    private void attemptEnded(BackEnd.Result result) {
+        Statement statement = inFlight;
+        inFlight = null;
+        Outcome outcome = result.outcome();
+        boolean mayHaveRun = outcome != Outcome.OK && !outcome.provesNotRun;
+        listener.attemptEnded(clock.now(), pooler, statement.id(), outcome, mayHaveRun);
+        Router.RequestClass requestClass = classes.get(statement.requestClass());
+        if (outcome == Outcome.OK && !statement.write() && requestClass != null) {
             long positionUs = result.role() == Router.Role.PRIMARY ? clock.now() : result.positionUs();
-            listener.readServed(
-                    clock.now(),
-                    s.id(),
-                    positionUs,
-                    switch (c.access()) {
-                        case BOUNDED -> lastUs - c.boundUs();
-                        case SESSION -> s.afterMs() * 1000;
-                        default -> 0;
-                    });
+            listener.readServed(clock.now(), statement.id(), positionUs, requiredUs(statement, requestClass));
         }
     }
 
+    /** The position that a read had to see. */
+    private long requiredUs(Statement statement, Router.RequestClass requestClass) {
+        return switch (requestClass.access()) {
+            case BOUNDED -> lastByteUs - requestClass.boundUs();
+            case SESSION -> statement.afterMs() * 1000;
+            default -> 0;
+        };
+    }
+
     @Override
-    public void ended(boolean byIt) {
-        tell();
-        if (out != null) {
-            listener.attemptEnded(clock.now(), pooler, out.id(), byIt ? Outcome.TIMEOUT : Outcome.RESET, true);
-            out = null;
+    public void connectionEnded(boolean byPooler) {
+        reportSent();
+        if (inFlight != null) {
+            Outcome outcome = byPooler ? Outcome.TIMEOUT : Outcome.RESET;
+            listener.attemptEnded(clock.now(), pooler, inFlight.id(), outcome, true);
+            inFlight = null;
         }
     }
 }
--- a/lab/src/main/java/frostreel/lab/processes/SystemFaultInjector.java
+++ b/lab/src/main/java/frostreel/lab/processes/SystemFaultInjector.java
@@ -18,7 +18,7 @@
     void preload(Path library) throws IOException {
         for (PoolerNode pooler : poolers) {
             Path table = run.folder().resolve(pooler.name() + ".faults");
-            pooler.process.faults(new SystemFaults(library, table));
+            pooler.process.injectFaults(new SystemFaults(library, table));
         }
     }
 
--- /dev/null
+++ b/lab/src/main/java/frostreel/lab/report/package-info.java
@@ -0,0 +1,2 @@
+/** Tables and charts of results. */
+package frostreel.lab.report;
--- a/lab/src/main/java/frostreel/lab/standin/RealTime.java
+++ b/lab/src/main/java/frostreel/lab/standin/RealTime.java
@@ -3,7 +3,7 @@
 import frostreel.lab.model.Scheduler;
 import frostreel.net.EventLoop;
 
-/** The model's time on sockets: the loop's clock and deadlines, on the loop's one thread. */
+/** A scheduler in real time: the event loop's clock and deadlines, on its one thread. */
 public final class RealTime implements Scheduler {
     private final EventLoop loop;
 
--- a/lab/src/main/java/frostreel/lab/standin/Database.java
+++ b/lab/src/main/java/frostreel/lab/standin/StandInDatabase.java
@@ -24,37 +24,42 @@
 import java.util.Set;
 import org.xnio.StreamConnection;
 
-/** A server of the model behind PostgreSQL's protocol: the part of it that poolers speak to servers. */
-public final class Database {
-    /** What statements cost and need; the stand-in asks, as a statement's comment does not tell. */
-    public interface Orders {
+/** A server of the model behind the part of PostgreSQL's protocol that poolers speak to servers. */
+public final class StandInDatabase {
+    /** What statements cost and need, which their text does not tell. */
+    public interface CostModel {
         /** Microseconds of a core of speed 1. */
         double workUs(Statement statement);
 
         /** The position that a read sent now has to see, 0 for any. */
-        long needUs(Statement statement, long nowUs);
+        long requiredPositionUs(Statement statement, long nowUs);
     }
 
-    private static final int MOST_BYTES = 1 << 18;
+    private static final int MAX_MESSAGE_BYTES = 1 << 18;
     private static final byte[] SHOW_LOAD = "SHOW load\0".getBytes(StandardCharsets.US_ASCII);
     private final EventLoop loop;
     private final Scheduler scheduler;
     private final Server server;
-    private final Orders orders;
-    private final Runnable fell;
+    private final CostModel costs;
+    private final Runnable onOverload;
     private final Set<Session> sessions = new HashSet<>();
     private final Port port;
 
-    /** {@code fell} hears that the server was sent more than it could take while cold. */
-    public Database(
-            EventLoop loop, Scheduler scheduler, Server server, Orders orders, Runnable fell, InetSocketAddress at)
+    /** {@code onOverload} runs when the server was sent more than it could take while cold. */
+    public StandInDatabase(
+            EventLoop loop,
+            Scheduler scheduler,
+            Server server,
+            CostModel costs,
+            Runnable onOverload,
+            InetSocketAddress bind)
             throws IOException {
-        this.fell = fell;
+        this.onOverload = onOverload;
         this.loop = loop;
         this.scheduler = scheduler;
         this.server = server;
-        this.orders = orders;
-        port = new Port(loop, at, Session::new);
+        this.costs = costs;
+        port = new Port(loop, bind, Session::new);
     }
 
     public InetSocketAddress address() {
@@ -63,18 +68,18 @@
 
     public void close() {
         port.close();
-        resetAll();
+        resetConnections();
     }
 
     /** Its process ended: its connections end with it, and what the model held is over. */
-    public void resetAll() {
+    public void resetConnections() {
         List.copyOf(sessions).forEach(Session::close);
     }
 
     /** One connection. */
     private final class Session implements SocketStream.Handler {
         private final SocketStream stream;
-        private final MessageReader reader = new MessageReader(type -> MOST_BYTES);
+        private final MessageReader reader = new MessageReader(type -> MAX_MESSAGE_BYTES);
         private boolean welcomed;
         private Job job;
 
@@ -117,38 +122,38 @@
                 answer(Messages.row("load", load()));
                 return;
             }
-            Statement s = Statement.parse(sql);
-            // It is held before it arrives: a server may answer, or fall over, at once.
-            Job[] made = new Job[1];
-            made[0] = new Job(
-                    orders.workUs(s),
-                    s.write(),
-                    orders.needUs(s, scheduler.now()),
-                    (outcome, role, positionUs, util) -> {
-                        if (job == made[0]) {
+            Statement statement = Statement.parse(sql);
+            // It is kept before it arrives: a server may answer, or fall over, at once.
+            Job[] begun = new Job[1];
+            begun[0] = new Job(
+                    costs.workUs(statement),
+                    statement.write(),
+                    costs.requiredPositionUs(statement, scheduler.now()),
+                    (outcome, role, positionUs, utilization) -> {
+                        if (job == begun[0]) {
                             job = null;
-                            ended(s, outcome, role, positionUs);
+                            ended(statement, outcome, role, positionUs);
                         }
                     });
-            job = made[0];
-            boolean fallen = server.overloaded();
+            job = begun[0];
+            boolean wasOverloaded = server.overloaded();
             server.arrive(job);
-            if (server.overloaded() && !fallen) {
-                fell.run();
+            if (server.overloaded() && !wasOverloaded) {
+                onOverload.run();
             }
         }
 
-        private void ended(Statement s, Outcome outcome, Role role, long positionUs) {
+        private void ended(Statement statement, Outcome outcome, Role role, long positionUs) {
             switch (outcome) {
                 case OK ->
                     answer(
-                            Messages.row("v", s.id()),
+                            Messages.row("v", statement.id()),
                             parameter("role", role == Role.PRIMARY ? "primary" : "replica"),
                             parameter("applied_ms", Long.toString(positionUs / 1000)),
                             parameter("load", load()));
                 case WRONG_ROLE_OR_STALE ->
                     answer(
-                            Messages.error(false, s.write() ? "25006" : "72000", "not here", null),
+                            Messages.error(false, statement.write() ? "25006" : "72000", "not here", null),
                             parameter("role", role == Role.PRIMARY ? "primary" : "replica"),
                             parameter("applied_ms", Long.toString(positionUs / 1000)));
                 case REJECTED -> answer(Messages.error(false, SqlState.TOO_MANY_CONNECTIONS, "no room", null));
@@ -176,10 +181,10 @@
 
         void close() {
             if (sessions.remove(this)) {
-                Job over = job;
+                Job open = job;
                 job = null;
-                if (over != null) {
-                    server.cancel(over);
+                if (open != null) {
+                    server.cancel(open);
                 }
                 stream.close();
             }
--- a/lab/src/main/java/frostreel/lab/virtual/Policy.java
+++ b/lab/src/main/java/frostreel/lab/virtual/Policy.java
@@ -9,24 +9,24 @@
 import java.util.SplittableRandom;
 import java.util.function.BiFunction;
 
-/** Decisions that runs are compared by. */
+/** The zone policies that experiments compare. */
 public final class Policy {
-    /** A bound that binds nobody. */
+    /** A spill limit that is never reached. */
     private static final double UNBOUNDED = 1e6;
 
     private Policy() {}
 
-    /** The decisions without an adviser on zones: another zone is dearer, and that is all. */
+    /** No zone policy: another zone costs more, and that is all. */
     public static BiFunction<Router.Settings, Router.Actions, Router> plain() {
         return ChainRouter::new;
     }
 
-    /** All that a lost zone leaves goes to the next one, without a bound. */
+    /** All load of a lost zone fails over to the next one, without a limit. */
     public static BiFunction<Router.Settings, Router.Actions, Router> allToTheNext(SimulationPlan plan) {
         return tiers(plan, UNBOUNDED, UNBOUNDED);
     }
 
-    /** The next zone as the first tier behind the own one, all others as the second. */
+    /** The next zone is the first failover tier, all others are the second; each takes a limited share. */
     public static BiFunction<Router.Settings, Router.Actions, Router> tiers(
             SimulationPlan plan, double nextSpill, double restSpill) {
         return (settings, actions) -> {
--- a/lab/src/test/java/frostreel/lab/processes/GroupRig.java
+++ b/lab/src/test/java/frostreel/lab/processes/GroupRig.java
@@ -36,7 +36,7 @@
     final List<InetSocketAddress> binds = new ArrayList<>();
     final Map<String, InetSocketAddress> addresses = new TreeMap<>();
     final BlockingQueue<Peer> suspects = new LinkedBlockingQueue<>();
-    private PeerLinks links;
+    private PeerRelays links;
 
     /** One pooler's part, with what it learnt. */
     final class Member implements Membership.Listener, ReplicatedLog.Listener {
@@ -123,7 +123,7 @@
                 binds.add(new InetSocketAddress(host, s.getLocalPort()));
             }
         }
-        links = onLoop(() -> new PeerLinks(loop, binds));
+        links = onLoop(() -> new PeerRelays(loop, binds));
         for (int i = 0; i < count; i++) {
             addresses.put("p" + i, links.address(i));
         }
--- a/lab/src/test/java/frostreel/lab/processes/HandoverTest.java
+++ b/lab/src/test/java/frostreel/lab/processes/HandoverTest.java
@@ -157,7 +157,7 @@
                     new JSONObject(CONFIG)
                             .put("known", new JSONObject(Map.of("seq", 1, "whole", true, "hosts", hosts)))
                             .toString());
-            InetSocketAddress control = PoolerProcess.free(InetAddress.getByName("127.0.0.1"));
+            InetSocketAddress control = PoolerProcess.freePort(InetAddress.getByName("127.0.0.1"));
             process = socket.start(
                     List.of(
                             "/bin/sh",
@@ -174,7 +174,7 @@
                             "GW_FD",
                             "0",
                             "GW_CONTROL",
-                            PoolerProcess.text(control),
+                            PoolerProcess.hostAndPort(control),
                             "TMPDIR",
                             dir.toString()),
                     log);
--- a/lab/src/test/java/frostreel/lab/processes/RecordersTest.java
+++ b/lab/src/test/java/frostreel/lab/processes/RecordersTest.java
@@ -28,14 +28,14 @@
     private final EndpointListRecorder list = new EndpointListRecorder(() -> nowUs, 0, checker);
 
     private StatementRecorder server(String id) {
-        return server(id, new SendOrder());
+        return server(id, new AttemptOrder());
     }
 
-    private StatementRecorder server(String id, SendOrder order) {
-        StatementRecorder tap = new StatementRecorder(() -> nowUs, 0, id, CLASSES, checker, order);
-        tap.says(Messages.startup());
-        tap.hears(Messages.welcome(1, 1));
-        return tap;
+    private StatementRecorder server(String id, AttemptOrder order) {
+        StatementRecorder recorder = new StatementRecorder(() -> nowUs, 0, id, CLASSES, checker, order);
+        recorder.poolerSent(Messages.startup());
+        recorder.poolerReceived(Messages.welcome(1, 1));
+        return recorder;
     }
 
     private static byte[] with(byte[]... parts) {
@@ -82,9 +82,9 @@
     }
 
     private void asks(byte[] query) {
-        client.hears(Messages.startup());
-        client.says(Messages.welcome(1, 1));
-        client.hears(query);
+        client.poolerReceived(Messages.startup());
+        client.poolerSent(Messages.welcome(1, 1));
+        client.poolerReceived(query);
     }
 
     @Test
@@ -93,11 +93,11 @@
         StatementRecorder s = server("a");
         byte[] query = read("1", "account-view", "");
         for (byte b : query) { // However the bytes are split.
-            s.says(new byte[] {b});
+            s.poolerSent(new byte[] {b});
         }
         nowUs += 40_000;
-        s.hears(row(500_000));
-        client.says(with(Messages.row("v", "x")));
+        s.poolerReceived(row(500_000));
+        client.poolerSent(with(Messages.row("v", "x")));
         nowUs += 10_000_000;
         assertThat(broken()).isEmpty();
     }
@@ -106,11 +106,11 @@
     void anAnswerThatIsLateOrNeverComesConvicts() {
         asks(read("1", "account-view", ""));
         nowUs += 1_100_000;
-        client.says(REFUSED);
+        client.poolerSent(REFUSED);
         assertThat(broken()).containsExactly("one final answer in time");
-        client.hears(read("2", "account-view", ""));
+        client.poolerReceived(read("2", "account-view", ""));
         nowUs += 5_000_000;
-        client.ended(true);
+        client.connectionEnded(true);
         assertThat(broken()).containsExactly("one final answer in time");
         assertThat(checker.broken()).isEqualTo(2);
     }
@@ -118,41 +118,41 @@
     @Test
     void whatAClientThatLeftOrAKilledPoolerOwesConvictsNobody() {
         asks(read("1", "account-view", ""));
-        client.ended(false);
+        client.connectionEnded(false);
         ClientRecorder second = new ClientRecorder(() -> nowUs, 1, CLASSES, checker, false);
-        second.hears(Messages.startup());
-        second.hears(read("2", "account-view", ""));
+        second.poolerReceived(Messages.startup());
+        second.poolerReceived(read("2", "account-view", ""));
         checker.poolerKilled(nowUs, 1);
-        second.ended(true);
+        second.connectionEnded(true);
         ClientRecorder third = new ClientRecorder(() -> nowUs, 2, CLASSES, checker, false);
-        third.hears(Messages.startup());
-        third.says(Messages.welcome(1, 1));
-        third.hears(read("3", "account-view", ""));
+        third.poolerReceived(Messages.startup());
+        third.poolerSent(Messages.welcome(1, 1));
+        third.poolerReceived(read("3", "account-view", ""));
         checker.poolerPaused(nowUs, 2, true);
         nowUs += 9_000_000;
         checker.poolerPaused(nowUs, 2, false);
-        third.says(REFUSED);
+        third.poolerSent(REFUSED);
         assertThat(broken()).isEmpty();
     }
 
     @Test
     void whatCrossesTheEndOfAUsedConnectionIsExcusedWhereItMayAndElsewhereConvicts() {
         for (boolean mayCross : new boolean[] {true, false}) {
-            ClientRecorder tap = new ClientRecorder(() -> nowUs, 0, CLASSES, checker, mayCross);
-            tap.hears(Messages.startup());
-            tap.says(Messages.welcome(1, 1));
-            tap.hears(read("used" + mayCross, "account-view", ""));
-            tap.says(REFUSED);
-            tap.hears(read("crossing" + mayCross, "account-view", ""));
-            tap.ended(true);
+            ClientRecorder recorder = new ClientRecorder(() -> nowUs, 0, CLASSES, checker, mayCross);
+            recorder.poolerReceived(Messages.startup());
+            recorder.poolerSent(Messages.welcome(1, 1));
+            recorder.poolerReceived(read("used" + mayCross, "account-view", ""));
+            recorder.poolerSent(REFUSED);
+            recorder.poolerReceived(read("crossing" + mayCross, "account-view", ""));
+            recorder.connectionEnded(true);
             nowUs += 9_000_000;
             assertThat(broken().isEmpty()).isEqualTo(mayCross);
         }
         ClientRecorder fresh = new ClientRecorder(() -> nowUs, 0, CLASSES, checker, true);
-        fresh.hears(Messages.startup());
-        fresh.says(Messages.welcome(1, 1));
-        fresh.hears(read("first", "account-view", ""));
-        fresh.ended(true);
+        fresh.poolerReceived(Messages.startup());
+        fresh.poolerSent(Messages.welcome(1, 1));
+        fresh.poolerReceived(read("first", "account-view", ""));
+        fresh.connectionEnded(true);
         long before = checker.broken();
         nowUs += 9_000_000;
         checker.end(nowUs);
@@ -161,20 +161,20 @@
 
     @Test
     void aSecondAttemptInFlightConvicts() {
-        server("a").says(read("1", "account-view", ""));
-        server("b").says(read("1", "account-view", ""));
+        server("a").poolerSent(read("1", "account-view", ""));
+        server("b").poolerSent(read("1", "account-view", ""));
         assertThat(broken()).containsExactly("one attempt at a time, 10 at most");
     }
 
     /** Two sockets that are ready at once are taken in any order. */
     @Test
     void anAttemptWhoseEndIsFoundBehindTheNextOnesBytesConvictsNobody() {
-        SendOrder order = new SendOrder();
+        AttemptOrder order = new AttemptOrder();
         StatementRecorder a = server("a", order);
         StatementRecorder b = server("b", order);
-        a.says(read("1", "account-view", ""));
-        order.looksBy(() -> a.ended(true));
-        b.says(read("1", "account-view", ""));
+        a.poolerSent(read("1", "account-view", ""));
+        order.readBy(() -> a.connectionEnded(true));
+        b.poolerSent(read("1", "account-view", ""));
         assertThat(broken()).isEmpty();
     }
 
@@ -182,15 +182,15 @@
     void aWriteSentAgainPastItsWindowConvictsAndWithinItDoesNot() {
         StatementRecorder a = server("a");
         asks(write("1"));
-        a.says(write("1"));
-        a.ended(true);
+        a.poolerSent(write("1"));
+        a.connectionEnded(true);
         nowUs += 2_900_000;
         StatementRecorder b = server("b");
-        b.says(write("1"));
-        b.ended(false);
+        b.poolerSent(write("1"));
+        b.connectionEnded(false);
         assertThat(broken()).isEmpty();
         nowUs += 200_000;
-        server("c").says(write("1"));
+        server("c").poolerSent(write("1"));
         assertThat(broken()).contains("sent again only as the class permits");
     }
 
@@ -200,30 +200,30 @@
                 .getBytes(StandardCharsets.US_ASCII);
         byte[] response =
                 ("HTTP/1.1 200 OK\r\nContent-Length: " + body.length + "\r\n\r\n").getBytes(StandardCharsets.US_ASCII);
-        list.hears(response);
-        list.hears(body);
+        list.poolerReceived(response);
+        list.poolerReceived(body);
         nowUs += 900_000;
         StatementRecorder a = server("a");
-        a.says(read("1", "account-view", ""));
-        a.hears(REFUSED);
+        a.poolerSent(read("1", "account-view", ""));
+        a.poolerReceived(REFUSED);
         assertThat(broken()).isEmpty();
         nowUs += 200_000;
-        a.says(read("1", "account-view", ""));
+        a.poolerSent(read("1", "account-view", ""));
         assertThat(broken()).containsExactly("drains and ends kept");
     }
 
     @Test
     void aReadOlderThanItsClassOrItsSessionAllowsConvicts() {
         StatementRecorder a = server("a");
-        a.says(read("1", "account-view", ""));
-        a.hears(row(790_000));
-        a.says(read("2", "receipt-view", ",after=" + (nowUs / 1000 - 100)));
-        a.hears(row(50_000));
+        a.poolerSent(read("1", "account-view", ""));
+        a.poolerReceived(row(790_000));
+        a.poolerSent(read("2", "receipt-view", ",after=" + (nowUs / 1000 - 100)));
+        a.poolerReceived(row(50_000));
         assertThat(broken()).isEmpty();
-        a.says(read("3", "account-view", ""));
-        a.hears(row(900_000));
-        a.says(read("4", "receipt-view", ",after=" + (nowUs / 1000 - 100)));
-        a.hears(row(150_000));
+        a.poolerSent(read("3", "account-view", ""));
+        a.poolerReceived(row(900_000));
+        a.poolerSent(read("4", "receipt-view", ",after=" + (nowUs / 1000 - 100)));
+        a.poolerReceived(row(150_000));
         assertThat(broken()).containsExactly("no stale read");
         assertThat(checker.broken()).isEqualTo(2);
     }
--- a/lab/src/test/java/frostreel/lab/standin/StandInsTest.java
+++ b/lab/src/test/java/frostreel/lab/standin/StandInsTest.java
@@ -36,21 +36,21 @@
     private Cluster cluster;
     private Server primary;
     private Server replica;
-    private Database first;
-    private Database second;
-    private Discovery agent;
+    private StandInDatabase first;
+    private StandInDatabase second;
+    private DiscoveryAgent agent;
 
     @BeforeEach
     void raise() throws Exception {
         loop = new EventLoop();
         scheduler = new RealTime(loop);
         onLoop(() -> {
-            cluster = new Cluster(scheduler, new SplittableRandom(1), 2, 1, 1, s -> agent.hears(Cluster.entry(s)));
+            cluster = new Cluster(scheduler, new SplittableRandom(1), 2, 1, 1, s -> agent.publish(Cluster.entry(s)));
             primary = cluster.zone(0).get(0);
             replica = cluster.zone(1).get(0);
             first = database(primary);
             second = database(replica);
-            agent = new Discovery(loop, scheduler, cluster, id -> "10.0.0.1:1", ANY);
+            agent = new DiscoveryAgent(loop, scheduler, cluster, id -> "10.0.0.1:1", ANY);
             return null;
         });
     }
@@ -66,19 +66,19 @@
         loop.end();
     }
 
-    private Database database(Server s) throws IOException {
-        return new Database(
+    private StandInDatabase database(Server s) throws IOException {
+        return new StandInDatabase(
                 loop,
                 scheduler,
                 s,
-                new Database.Orders() {
+                new StandInDatabase.CostModel() {
                     @Override
                     public double workUs(Statement statement) {
                         return statement.id().equals("long") ? 700_000 : 1_000;
                     }
 
                     @Override
-                    public long needUs(Statement statement, long nowUs) {
+                    public long requiredPositionUs(Statement statement, long nowUs) {
                         return statement.afterMs() * 1000;
                     }
                 },
@@ -119,7 +119,7 @@
         return reply;
     }
 
-    private static Socket welcomed(Database at) throws Exception {
+    private static Socket welcomed(StandInDatabase at) throws Exception {
         Socket s = connect(at.address());
         assertThat(answer(s, Messages.startup(), Reply.toStartup()).ready()).isTrue();
         return s;
