--- a/lab/src/test/java/frostreel/lab/virtual/KnownSitesTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/KnownSitesTest.java
@@ -1,5 +1,6 @@
 package frostreel.lab.virtual;
 
+import static frostreel.lab.virtual.SimulationAssertions.assertRulesKept;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import frostreel.routing.Router;
@@ -51,14 +52,6 @@
                 .put("size", size);
     }
 
-    static void keepsTheRules(Simulation simulation) {
-        assertThat(simulation.invariants().rules())
-                .allSatisfy(r -> assertThat(r.broken())
-                        .as("%s: %s", r.name(), r.firstViolations())
-                        .isZero());
-        assertThat(simulation.strayExceptions()).isZero();
-    }
-
     @Test
     void theirSettingsAreReadAsThePageNamesThem() throws IOException, MalformedMessageException {
         Router.Settings kamloops = draw(settings("billing-kamloops"), 1, 0.3, 1).settings();
@@ -109,7 +102,7 @@
     @ValueSource(strings = {"billing-kamloops", "bsas-main"})
     void theirRulesHoldThroughTheirTroubles(String site) throws IOException, MalformedMessageException {
         for (long seed = 1; seed <= SEEDS; seed++) {
-            keepsTheRules(draw(
+            Simulation simulation = draw(
                             settings(site),
                             2,
                             0.6,
@@ -121,7 +114,8 @@
                             event("errors", 18, 9, 0.18, 0.7),
                             event("stalls", 20, 10, 0.4, 0.5),
                             event("drain", 25, 2, 0.1, 0.5))
-                    .play());
+                    .play();
+            assertRulesKept("seed " + seed, simulation);
         }
     }
 
@@ -143,7 +137,7 @@
             assertThat(simulation.overloadedServers())
                     .as("seed %d, largest multiple %.2f", seed, simulation.largestMultiple())
                     .isZero();
-            keepsTheRules(simulation);
+            assertRulesKept("seed " + seed, simulation);
         }
     }
 }
--- a/lab/src/test/java/frostreel/lab/virtual/LostCommitsTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/LostCommitsTest.java
@@ -1,6 +1,7 @@
 package frostreel.lab.virtual;
 
 import static frostreel.lab.virtual.KnownSitesTest.event;
+import static frostreel.lab.virtual.SimulationAssertions.assertRulesKept;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import frostreel.lab.rules.RunListener.Answer;
@@ -37,9 +38,10 @@
     void theRulesHoldAndReadsOfSessionsWhoseCommitIsLostAreServedAgain() throws Exception {
         for (long seed = 1; seed <= SEEDS; seed++) {
             Simulation simulation = play("bsas-main", seed);
-            KnownSitesTest.keepsTheRules(simulation);
-            RunStatistics t = simulation.statistics();
-            assertThat(t.served() + t.rejected() + t.failed()).isEqualTo(t.requests() + t.retries());
+            assertRulesKept("seed " + seed, simulation);
+            RunStatistics statistics = simulation.statistics();
+            assertThat(statistics.served() + statistics.rejected() + statistics.failed())
+                    .isEqualTo(statistics.requests() + statistics.retries());
             assertThat(simulation.cluster().lostCommits()).as("seed %d", seed).isPositive();
             List<LostRead> settled = simulation.lostReads().stream()
                     .filter(r -> r.ledUs() > SETTLED_US)
--- a/lab/src/test/java/frostreel/lab/virtual/RandomSettingsTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/RandomSettingsTest.java
@@ -1,6 +1,6 @@
 package frostreel.lab.virtual;
 
-import static org.assertj.core.api.Assertions.assertThat;
+import static frostreel.lab.virtual.SimulationAssertions.assertRulesKept;
 
 import frostreel.wire.MalformedMessageException;
 import java.util.LinkedHashMap;
@@ -273,10 +273,6 @@
     @Property(tries = TRIES, seed = "1", shrinking = ShrinkingMode.BOUNDED, afterFailure = AfterFailureMode.RANDOM_SEED)
     void theRulesHoldOnEveryDraw(@ForAll("draws") RandomScenario draw) throws MalformedMessageException {
         Simulation simulation = draw.play();
-        assertThat(simulation.invariants().rules())
-                .allSatisfy(r -> assertThat(r.broken())
-                        .as("%s: %s", r.name(), r.firstViolations())
-                        .isZero());
-        assertThat(simulation.strayExceptions()).isZero();
+        assertRulesKept("draw", simulation);
     }
 }
--- a/lab/src/test/java/frostreel/lab/virtual/RegressionSeedsTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/RegressionSeedsTest.java
@@ -1,6 +1,6 @@
 package frostreel.lab.virtual;
 
-import static org.assertj.core.api.Assertions.assertThat;
+import static frostreel.lab.virtual.SimulationAssertions.assertRulesKept;
 
 import frostreel.wire.MalformedMessageException;
 import java.io.IOException;
@@ -21,11 +21,7 @@
             JSONObject kept = new JSONObject(new String(in.readAllBytes(), StandardCharsets.UTF_8));
             for (int seed = 1; seed <= SEEDS; seed++) {
                 Simulation simulation = new RandomScenario(new JSONObject(kept.toString()).put("seed", seed)).play();
-                assertThat(simulation.invariants().rules())
-                        .as("seed %d", seed)
-                        .allSatisfy(r -> assertThat(r.broken())
-                                .as("%s: %s", r.name(), r.firstViolations())
-                                .isZero());
+                assertRulesKept("seed " + seed, simulation);
             }
         }
     }
--- a/lab/src/test/java/frostreel/lab/virtual/SimulationTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/SimulationTest.java
@@ -1,5 +1,7 @@
 package frostreel.lab.virtual;
 
+import static frostreel.lab.virtual.SimulationAssertions.assertNoServerOverloaded;
+import static frostreel.lab.virtual.SimulationAssertions.assertRulesKept;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import frostreel.lab.rules.Rule;
@@ -20,15 +22,6 @@
         return simulation.run();
     }
 
-    private static void keepsTheRules(Simulation simulation) {
-        assertThat(simulation.invariants().rules())
-                .allSatisfy(r -> assertThat(r.broken())
-                        .as("%s: %s", r.name(), r.firstViolations())
-                        .isZero());
-        assertThat(simulation.strayExceptions()).isZero();
-        assertThat(simulation.overloadedServers()).isZero();
-    }
-
     @Test
     void theSameSeedGivesTheSameRecordAndAnotherSeedAnother() {
         String record = lossAndReturn(1).digest();
@@ -39,7 +32,8 @@
     @Test
     void aCalmRunIsServedNearlyWholeAndEveryRequestHasOneAnswer() {
         Simulation simulation = new Simulation(plan(3), ChainRouter::new).run();
-        keepsTheRules(simulation);
+        assertRulesKept("run", simulation);
+        assertNoServerOverloaded(simulation);
         assertThat(simulation.statistics().weightShare(5, 25, RunStatistics.ALL_ZONES))
                 .isGreaterThan(0.97);
         RunStatistics t = simulation.statistics();
@@ -49,7 +43,8 @@
     @Test
     void theRulesHoldThroughTheLossAndReturnOfAZone() {
         Simulation simulation = lossAndReturn(4);
-        keepsTheRules(simulation);
+        assertRulesKept("run", simulation);
+        assertNoServerOverloaded(simulation);
         assertThat(simulation.statistics().worstTenSeconds(1))
                 .isLessThan(simulation.statistics().weightShare(0, 8, 1));
         assertThat(simulation.largestMultiple()).isPositive();
--- a/lab/src/test/java/frostreel/lab/virtual/ZoneLossTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/ZoneLossTest.java
@@ -1,5 +1,7 @@
 package frostreel.lab.virtual;
 
+import static frostreel.lab.virtual.SimulationAssertions.assertNoServerOverloaded;
+import static frostreel.lab.virtual.SimulationAssertions.assertRulesKept;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.util.function.Consumer;
@@ -14,12 +16,8 @@
         Simulation simulation = new Simulation(plan, tiers ? Policy.tiers(plan, 1, 1) : Policy.plain());
         faults.accept(simulation);
         simulation.run();
-        assertThat(simulation.invariants().rules())
-                .allSatisfy(r -> assertThat(r.broken())
-                        .as("%s: %s", r.name(), r.firstViolations())
-                        .isZero());
-        assertThat(simulation.overloadedServers()).isZero();
-        assertThat(simulation.strayExceptions()).isZero();
+        assertRulesKept("run", simulation);
+        assertNoServerOverloaded(simulation);
         return simulation;
     }
 
