--- a/lab/src/main/java/frostreel/lab/virtual/SimulatedClients.java
+++ b/lab/src/main/java/frostreel/lab/virtual/SimulatedClients.java
@@ -1,11 +1,11 @@
 package frostreel.lab.virtual;
 
-import frostreel.request.RequestAttributes;
-import frostreel.request.ResponseHandler;
 import frostreel.lab.model.Cluster;
 import frostreel.lab.model.Scheduler;
 import frostreel.lab.rules.InvariantChecker;
 import frostreel.lab.rules.RunListener.Answer;
+import frostreel.request.RequestAttributes;
+import frostreel.request.ResponseHandler;
 import frostreel.routing.Router;
 import java.util.ArrayList;
 import java.util.Arrays;
