--- a/decisions/src/main/java/frostreel/routing/AttemptRecorder.java
+++ b/decisions/src/main/java/frostreel/routing/AttemptRecorder.java
@@ -34,20 +34,20 @@
     }
 
     /** An attempt is sent to a member. */
-    void recordSend(long now, PendingRequest request, MemberState member) {
+    void recordSend(long nowUs, PendingRequest request, MemberState member) {
         GroupState group = request.group;
         int classIndex = request.classIndex();
-        freshness.recordSend(now, request);
+        freshness.recordSend(nowUs, request);
         latencies.recordSend(classIndex);
-        member.outliers.recordSend(now, member.inFlight, latencies.meanUs(classIndex));
-        boolean connected = member.hasFreeConnection(now, settings.limits());
+        member.outliers.recordSend(nowUs, member.inFlight, latencies.meanUs(classIndex));
+        boolean connected = member.hasFreeConnection(nowUs, settings.limits());
         group.sendsSinceConnect = connected ? group.sendsSinceConnect + 1 : 0;
-        member.recordSend(now, settings.limits());
+        member.recordSend(nowUs, settings.limits());
         if (!request.needsPrimary) {
-            localityPolicy.sent(now, member.localityHandle, classIndex, latencies.meanUs(classIndex));
+            localityPolicy.sent(nowUs, member.localityHandle, classIndex, latencies.meanUs(classIndex));
         }
         request.currentMember = member;
-        request.sentAtUs = now;
+        request.sentAtUs = nowUs;
         request.attempts++;
         chargeSlowStart(request);
     }
@@ -60,13 +60,13 @@
     }
 
     /** A member reported on itself, by a health check or with an answer. */
-    void recordReport(long now, GroupState group, MemberState member, Report report) {
+    void recordReport(long nowUs, GroupState group, MemberState member, Report report) {
         slowStart.reported(member.slowStart, report.util());
         boolean hasPosition = report.positionUs() > 0;
         if (hasPosition) {
-            freshness.recordReport(now, member, report.positionUs());
+            freshness.recordReport(nowUs, member, report.positionUs());
         }
-        long asOfUs = hasPosition ? report.positionUs() : now - REPORT_AGE_US;
+        long asOfUs = hasPosition ? report.positionUs() : nowUs - REPORT_AGE_US;
         primaryTracker.recordRole(group, member, report.role(), asOfUs, false);
     }
 
@@ -77,7 +77,7 @@
      * @param report the report that came with the answer, or null
      */
     void recordOutcome(
-            long now,
+            long nowUs,
             PendingRequest request,
             MemberState member,
             Outcome outcome,
@@ -85,80 +85,80 @@
             Role role,
             long positionUs,
             Report report) {
-        member.recordEnd(now);
-        localityPolicy.ended(now, member.localityHandle, outcome, latencies.meanUs(request.classIndex()));
+        member.recordEnd(nowUs);
+        localityPolicy.ended(nowUs, member.localityHandle, outcome, latencies.meanUs(request.classIndex()));
         if (outcome == Outcome.OK
                 || outcome == Outcome.ERROR
                 || outcome == Outcome.REJECTED
                 || outcome == Outcome.WRONG_ROLE_OR_STALE) {
-            member.outliers.recordProgress(now);
+            member.outliers.recordProgress(nowUs);
             member.verified |= outcome != Outcome.ERROR;
         }
         if (member.inFlight == 0) {
             member.outliers.recordIdle();
         }
         if (report != null) {
-            recordReport(now, request.group, member, report);
+            recordReport(nowUs, request.group, member, report);
         }
         if (positionUs > 0) {
-            member.recordPosition(now, positionUs);
+            member.recordPosition(nowUs, positionUs);
         }
-        primaryTracker.recordRole(request.group, member, role, now, true);
-        freshness.recordOutcome(now, request, outcome, positionUs);
+        primaryTracker.recordRole(request.group, member, role, nowUs, true);
+        freshness.recordOutcome(nowUs, request, outcome, positionUs);
         switch (outcome) {
-            case OK -> recordSuccess(now, request, member, tookUs);
-            case WRONG_ROLE_OR_STALE -> recordWrongRoleOrStale(now, request, member, positionUs);
-            case REJECTED -> recordRejection(now, request, member);
-            case ERROR, TIMEOUT, CONNECT_FAILED, RESET -> recordFailure(now, request, member, outcome);
+            case OK -> recordSuccess(nowUs, request, member, tookUs);
+            case WRONG_ROLE_OR_STALE -> recordWrongRoleOrStale(nowUs, request, member, positionUs);
+            case REJECTED -> recordRejection(nowUs, request, member);
+            case ERROR, TIMEOUT, CONNECT_FAILED, RESET -> recordFailure(nowUs, request, member, outcome);
             case CANCELLED, NOT_SENT -> {} // Nothing is learned of the member.
         }
     }
 
-    private void recordSuccess(long now, PendingRequest request, MemberState member, long tookUs) {
+    private void recordSuccess(long nowUs, PendingRequest request, MemberState member, long tookUs) {
         int classIndex = request.classIndex();
-        member.outliers.recordSuccess(now, tookUs / latencies.meanUs(classIndex));
+        member.outliers.recordSuccess(nowUs, tookUs / latencies.meanUs(classIndex));
         latencies.recordAnswer(classIndex, tookUs);
         primaryTracker.recordSuccess(request.group, member);
-        slowStart.served(now, member.slowStart, classIndex, tookUs);
+        slowStart.served(nowUs, member.slowStart, classIndex, tookUs);
         long objectiveUs = request.requestClass.latencyObjectiveUs();
         boolean queueing = !latencies.isLongRunning(request)
-                && member.outliers.expectedLatencyUs(now, latencies.meanUs(classIndex)) > TARGET_SHARE * objectiveUs;
+                && member.outliers.expectedLatencyUs(nowUs, latencies.meanUs(classIndex)) > TARGET_SHARE * objectiveUs;
         if (tookUs > objectiveUs || queueing) {
-            member.window.shrink(now, member.inFlight, latencies.meanUs(classIndex));
+            member.window.shrink(nowUs, member.inFlight, latencies.meanUs(classIndex));
         } else {
             member.window.grow(member.inFlight);
         }
     }
 
-    private void recordWrongRoleOrStale(long now, PendingRequest request, MemberState member, long positionUs) {
+    private void recordWrongRoleOrStale(long nowUs, PendingRequest request, MemberState member, long positionUs) {
         if (request.requestClass.access() == Access.WRITE) {
-            primaryTracker.recordRole(request.group, member, Role.REPLICA, now, true);
+            primaryTracker.recordRole(request.group, member, Role.REPLICA, nowUs, true);
             return;
         }
-        member.staleAtUs = now;
+        member.staleAtUs = nowUs;
         if (positionUs == 0) { // Otherwise the answer has told how far behind it is.
-            healthChecker.check(now, member);
+            healthChecker.check(nowUs, member);
         }
     }
 
-    private void recordRejection(long now, PendingRequest request, MemberState member) {
+    private void recordRejection(long nowUs, PendingRequest request, MemberState member) {
         double meanUs = latencies.meanUs(request.classIndex());
-        member.window.shrink(now, member.inFlight, meanUs);
-        member.window.pause(now, meanUs);
+        member.window.shrink(nowUs, member.inFlight, meanUs);
+        member.window.pause(nowUs, meanUs);
     }
 
-    private void recordFailure(long now, PendingRequest request, MemberState member, Outcome outcome) {
+    private void recordFailure(long nowUs, PendingRequest request, MemberState member, Outcome outcome) {
         double meanUs = latencies.meanUs(request.classIndex());
         if (outcome == Outcome.RESET || outcome == Outcome.CONNECT_FAILED) {
             member.recordConnectionLoss();
         }
-        member.outliers.recordFailure(now);
+        member.outliers.recordFailure(nowUs);
         if (outcome != Outcome.ERROR) { // An error that came in time is no sign of a queue.
-            member.window.shrink(now, member.inFlight, meanUs);
+            member.window.shrink(nowUs, member.inFlight, meanUs);
         }
         if (outcome == Outcome.CONNECT_FAILED) {
-            member.window.pause(now, meanUs);
-            primaryTracker.recordConnectFailure(now, request.group, member);
+            member.window.pause(nowUs, meanUs);
+            primaryTracker.recordConnectFailure(nowUs, request.group, member);
         }
     }
 }
--- a/decisions/src/main/java/frostreel/routing/AttemptSender.java
+++ b/decisions/src/main/java/frostreel/routing/AttemptSender.java
@@ -4,5 +4,5 @@
 @FunctionalInterface
 interface AttemptSender {
     /** Starts an attempt if every rule permits it, and tells whether it did. */
-    boolean send(long now, PendingRequest request, MemberState member, long timeoutUs);
+    boolean send(long nowUs, PendingRequest request, MemberState member, long timeoutUs);
 }
--- a/decisions/src/main/java/frostreel/routing/ChainRouter.java
+++ b/decisions/src/main/java/frostreel/routing/ChainRouter.java
@@ -48,7 +48,7 @@
     }
 
     public ChainRouter(Settings settings, Actions actions, LocalityPolicy localityPolicy) {
-        this(settings, actions, localityPolicy, (now, session) -> 0);
+        this(settings, actions, localityPolicy, (nowUs, session) -> 0);
     }
 
     public ChainRouter(Settings settings, Actions actions, LocalityPolicy localityPolicy, PeerCommits peerCommits) {
@@ -73,21 +73,21 @@
     }
 
     @Override
-    public void onMembers(long now, ListKind kind, List<Member> entries) {
+    public void onMembers(long nowUs, ListKind kind, List<Member> entries) {
         boolean initial = !started;
         started = true;
         if (initial && settings.limits().subscribe()) {
             actions.subscribe();
         }
         if (kind != ListKind.FAILED) {
-            directory.update(now, kind, entries, initial);
+            directory.update(nowUs, kind, entries, initial);
         } else if (!initial && settings.limits().subscribe()) {
             actions.setTimer(SUBSCRIBE_RETRY_US, SUBSCRIBE_TIMER);
         }
     }
 
     @Override
-    public void onProbe(long now, String memberId, boolean ok, long tookUs, Report report) {
+    public void onProbe(long nowUs, String memberId, boolean ok, long tookUs, Report report) {
         MemberState member = directory.member(memberId);
         if (member == null) {
             return;
@@ -96,64 +96,64 @@
         member.healthCheckPending = false;
         member.verified |= ok;
         group.lastFreshnessCheckUs = 0;
-        components.localityPolicy.probed(now, member.localityHandle, ok);
+        components.localityPolicy.probed(nowUs, member.localityHandle, ok);
         if (ok && report != null) {
-            attemptRecorder.recordReport(now, group, member, report);
+            attemptRecorder.recordReport(nowUs, group, member, report);
         }
-        releaseWaiting(now, group);
+        releaseWaiting(nowUs, group);
     }
 
     @Override
-    public void onRequest(long now, Request original) {
+    public void onRequest(long nowUs, Request original) {
         retryPolicy.recordArrival();
         GroupState group = directory.group(original.group());
         RequestClass requestClass = settings.get().classes().get(original.cls());
         PendingRequest request = new PendingRequest(
-                original, requestClass, group, settings.limits().maxAttempts(), now);
+                original, requestClass, group, settings.limits().maxAttempts(), nowUs);
         requests.put(original.id(), request);
-        request.countsForGoodput = loadShedder.sheds(now, request);
+        request.countsForGoodput = loadShedder.sheds(nowUs, request);
         if (request.countsForGoodput) {
-            giveUp(now, request);
+            giveUp(nowUs, request);
         } else if (!request.needsPrimary) {
-            routeRead(now, request);
-        } else if (retryPolicy.isExhausted(now, request)) {
-            giveUp(now, request);
+            routeRead(nowUs, request);
+        } else if (retryPolicy.isExhausted(nowUs, request)) {
+            giveUp(nowUs, request);
         } else {
             waiting.addWrite(request);
-            releaseWaiting(now, group);
+            releaseWaiting(nowUs, group);
         }
         if (loadShedder.isNearLimit(requests.size())) {
             waiting.oldest().ifPresent(oldest -> {
                 waiting.remove(oldest);
-                giveUp(now, oldest);
+                giveUp(nowUs, oldest);
             });
         }
     }
 
-    private void routeRead(long now, PendingRequest request) {
-        switch (replicaSelector.route(now, request)) {
+    private void routeRead(long nowUs, PendingRequest request) {
+        switch (replicaSelector.route(nowUs, request)) {
             case SENT -> {}
             case WAIT -> waiting.addRead(request);
-            case GIVE_UP -> giveUp(now, request);
+            case GIVE_UP -> giveUp(nowUs, request);
         }
     }
 
     /** Sends what waits in a group as far as that is possible now: first writes, then reads, the newest first. */
-    private void releaseWaiting(long now, GroupState group) {
-        components.primaryTracker.suspectIfSilent(now, group);
+    private void releaseWaiting(long nowUs, GroupState group) {
+        components.primaryTracker.suspectIfSilent(nowUs, group);
         WaitingRequests.Queues queues = waiting.of(group);
-        writeQueue.release(now, group, queues.writes);
+        writeQueue.release(nowUs, group, queues.writes);
         for (int i = queues.reads.size() - 1; i >= 0; i--) {
             PendingRequest request = queues.reads.get(i);
             request.waitsAsRead = false;
-            routeRead(now, request);
+            routeRead(nowUs, request);
         }
         queues.reads.removeIf(request -> !request.waitsAsRead);
     }
 
     @Override
     public void onOutcome(
-            long now,
+            long nowUs,
             String requestId,
             int attempt,
             String memberId,
@@ -170,56 +170,56 @@
         }
         request.currentMember = null;
         request.countsForGoodput = outcome == Outcome.OK || outcome == Outcome.REJECTED || outcome == Outcome.TIMEOUT;
-        attemptRecorder.recordOutcome(now, request, member, outcome, tookUs, role, positionUs, report);
+        attemptRecorder.recordOutcome(nowUs, request, member, outcome, tookUs, role, positionUs, report);
         if (!outcome.provesNotRun) {
             retryPolicy.recordUncertainAttempt(request, member);
         }
         if (closed || request.ended || outcome == Outcome.OK) {
-            recordEnd(now, request, outcome == Outcome.OK);
+            recordEnd(nowUs, request, outcome == Outcome.OK);
             requests.remove(requestId);
         } else {
-            retry(now, request, member, outcome);
+            retry(nowUs, request, member, outcome);
         }
-        releaseWaiting(now, request.group);
+        releaseWaiting(nowUs, request.group);
     }
 
     /** Tries a request again whose attempt didn't serve it, if that is allowed. */
-    private void retry(long now, PendingRequest request, MemberState member, Outcome outcome) {
+    private void retry(long nowUs, PendingRequest request, MemberState member, Outcome outcome) {
         if (outcome != Outcome.REJECTED || !request.needsPrimary) {
             request.triedMembers.add(member);
         }
-        if (!retryPolicy.admitRetry(now, request, outcome)) {
-            giveUp(now, request);
+        if (!retryPolicy.admitRetry(nowUs, request, outcome)) {
+            giveUp(nowUs, request);
         } else if (!request.needsPrimary) {
-            routeRead(now, request);
+            routeRead(nowUs, request);
         } else {
-            retryPolicy.backOff(now, request, outcome);
+            retryPolicy.backOff(nowUs, request, outcome);
             primarySearch.continueRound(request);
             waiting.addWrite(request);
         }
     }
 
     @Override
-    public void onTimer(long now, String name) {
+    public void onTimer(long nowUs, String name) {
         if (!name.equals(WaitingRequests.SWEEP_TIMER)) {
             actions.subscribe();
             return;
         }
         for (WaitingRequests.Queues queues : waiting.groupsToSweep()) {
-            writeQueue.removeExpired(now, queues.group, queues.writes);
-            primarySearch.search(now, queues.group, queues.writes);
-            releaseWaiting(now, queues.group);
+            writeQueue.removeExpired(nowUs, queues.group, queues.writes);
+            primarySearch.search(nowUs, queues.group, queues.writes);
+            releaseWaiting(nowUs, queues.group);
         }
         waiting.endSweep();
     }
 
     @Override
-    public void onClientDisconnected(long now, String requestId) {
+    public void onClientDisconnected(long nowUs, String requestId) {
         PendingRequest request = requests.get(requestId);
         if (request == null || request.ended) {
             return;
         }
-        recordEnd(now, request, false);
+        recordEnd(nowUs, request, false);
         waiting.remove(request);
         if (request.currentMember == null) {
             requests.remove(requestId);
@@ -230,17 +230,17 @@
 
     /** Also whether its member is known to have restarted since: then the attempt has to be admitted anew. */
     @Override
-    public boolean mayStillBegin(long now, String requestId) {
+    public boolean mayStillBegin(long nowUs, String requestId) {
         PendingRequest request = requests.get(requestId);
         if (request == null || request.currentMember == null) {
             return true;
         }
         MemberState member = request.currentMember;
-        boolean fresh = freshness.isFreshEnough(now, request, member);
+        boolean fresh = freshness.isFreshEnough(nowUs, request, member);
         if (!fresh || request.memberStartedUs == member.slowStart.startedUs()) {
             return fresh;
         }
-        boolean admitted = slowStart.admits(now, member.slowStart, request.classIndex());
+        boolean admitted = slowStart.admits(nowUs, member.slowStart, request.classIndex());
         if (admitted) {
             attemptRecorder.chargeSlowStart(request);
         }
@@ -252,27 +252,27 @@
      * after the last, after the deadline or where a retry is not allowed, none to a member that is too stale,
      * and not too much to one in slow start.
      */
-    private boolean send(long now, PendingRequest request, MemberState member, long timeoutUs) {
+    private boolean send(long nowUs, PendingRequest request, MemberState member, long timeoutUs) {
         if (request.ended
                 || request.currentMember != null
                 || !member.isUsable(settings.rules())
                 || member.groupNumber != request.group.number
-                || retryPolicy.isExhausted(now, request)
-                || !slowStart.admits(now, member.slowStart, request.classIndex())) {
+                || retryPolicy.isExhausted(nowUs, request)
+                || !slowStart.admits(nowUs, member.slowStart, request.classIndex())) {
             return false;
         }
-        if (!freshness.isFreshEnough(now, request, member) || !request.mayGoToZone(member.zone)) {
+        if (!freshness.isFreshEnough(nowUs, request, member) || !request.mayGoToZone(member.zone)) {
             return false;
         }
-        attemptRecorder.recordSend(now, request, member);
-        long leftUs = request.original.deadlineUs() - now;
+        attemptRecorder.recordSend(nowUs, request, member);
+        long leftUs = request.original.deadlineUs() - nowUs;
         actions.send(request.original.id(), member.id, Math.max(1, Math.min(timeoutUs, leftUs)));
         return true;
     }
 
     /** The one place that ends a request unserved: with a rejection where a retry is harmless, else a failure. */
-    private void giveUp(long now, PendingRequest request) {
-        recordEnd(now, request, false);
+    private void giveUp(long nowUs, PendingRequest request) {
+        recordEnd(nowUs, request, false);
         requests.remove(request.original.id());
         if (RetryPolicy.isClientRetryHarmless(request)) {
             Limits limits = settings.limits();
@@ -283,8 +283,8 @@
         }
     }
 
-    private void recordEnd(long now, PendingRequest request, boolean answered) {
-        loadShedder.recordEnd(now, request, answered);
+    private void recordEnd(long nowUs, PendingRequest request, boolean answered) {
+        loadShedder.recordEnd(nowUs, request, answered);
         request.ended = true;
     }
 }
--- a/decisions/src/main/java/frostreel/routing/ConcurrencyWindow.java
+++ b/decisions/src/main/java/frostreel/routing/ConcurrencyWindow.java
@@ -32,12 +32,12 @@
     private int rejections;
 
     /** Whether one more attempt may be sent when only {@code share} of the window may be used. */
-    boolean hasRoom(long now, int inFlight, double share) {
-        return !isPaused(now) && inFlight < Math.max(SMALLEST_SIZE, size * share);
+    boolean hasRoom(long nowUs, int inFlight, double share) {
+        return !isPaused(nowUs) && inFlight < Math.max(SMALLEST_SIZE, size * share);
     }
 
-    boolean isPaused(long now) {
-        return now < pausedUntilUs;
+    boolean isPaused(long nowUs) {
+        return nowUs < pausedUntilUs;
     }
 
     /** Whether only one attempt at a time is allowed. */
@@ -65,11 +65,11 @@
     }
 
     /** A sign of a queue; counts at most once in {@code latencyUs}, as several attempts see the same queue. */
-    void shrink(long now, int inFlight, double latencyUs) {
+    void shrink(long nowUs, int inFlight, double latencyUs) {
         growingFast = false;
-        if (now - shrunkAtUs > latencyUs) {
+        if (nowUs - shrunkAtUs > latencyUs) {
             size = Math.max(SMALLEST_SIZE, Math.min(size, inFlight + 1) * DECREASE_FACTOR);
-            shrunkAtUs = now;
+            shrunkAtUs = nowUs;
         }
     }
 
@@ -77,8 +77,8 @@
      * The member rejected an attempt or could not be connected to. It does so at once, and without a pause
      * would attract a storm of attempts.
      */
-    void pause(long now, double latencyUs) {
+    void pause(long nowUs, double latencyUs) {
         long pauseUs = (long) latencyUs / FIRST_PAUSE_DIVISOR << Math.min(rejections++, MOST_DOUBLINGS);
-        pausedUntilUs = now + Math.min(LONGEST_PAUSE_US, pauseUs);
+        pausedUntilUs = nowUs + Math.min(LONGEST_PAUSE_US, pauseUs);
     }
 }
--- a/decisions/src/main/java/frostreel/routing/Freshness.java
+++ b/decisions/src/main/java/frostreel/routing/Freshness.java
@@ -55,17 +55,17 @@
     }
 
     /** An attempt is sent; writes of sessions are remembered where the settings say so. */
-    void recordSend(long now, PendingRequest request) {
+    void recordSend(long nowUs, PendingRequest request) {
         if (isTrackedWrite(request)) {
-            sessionCommits.sent(now, request.original.session());
+            sessionCommits.sent(nowUs, request.original.session());
         }
     }
 
     /** An attempt ended. */
-    void recordOutcome(long now, PendingRequest request, Outcome outcome, long positionUs) {
+    void recordOutcome(long nowUs, PendingRequest request, Outcome outcome, long positionUs) {
         if (isTrackedWrite(request)) {
             long deadlineUs = request.original.deadlineUs();
-            sessionCommits.ended(now, request.original.session(), deadlineUs, outcome, positionUs, retentionUs);
+            sessionCommits.ended(nowUs, request.original.session(), deadlineUs, outcome, positionUs, retentionUs);
         }
     }
 
@@ -75,47 +75,47 @@
     }
 
     /** A member reported its position. */
-    void recordReport(long now, MemberState member, long positionUs) {
-        member.recordPosition(now, positionUs);
+    void recordReport(long nowUs, MemberState member, long positionUs) {
+        member.recordPosition(nowUs, positionUs);
         usualLagUs = Math.min(usualLagUs + member.lagUs * LAG_WEIGHT, member.lagUs);
     }
 
     /** The position that a member must have applied to answer the request, 0 for any. */
-    long requiredPositionUs(long now, PendingRequest request) {
+    long requiredPositionUs(long nowUs, PendingRequest request) {
         return switch (request.requestClass.access()) {
-            case BOUNDED -> now - request.requestClass.boundUs() + ROUNDING_US;
-            case SESSION -> sessionPositionUs(now, request);
+            case BOUNDED -> nowUs - request.requestClass.boundUs() + ROUNDING_US;
+            case SESSION -> sessionPositionUs(nowUs, request);
             case ANY -> 0;
             case WRITE, FRESH -> LATEST;
         };
     }
 
-    private long sessionPositionUs(long now, PendingRequest request) {
+    private long sessionPositionUs(long nowUs, PendingRequest request) {
         if (settings.get().sessionTracking() == SessionTracking.CARRIED) {
             long sinceWriteUs = request.original.sinceWriteUs();
             return sinceWriteUs <= 0 ? 0 : request.arrivedUs - sinceWriteUs + ROUNDING_US;
         }
         long session = request.original.session();
-        return Math.max(sessionCommits.requiredPositionUs(now, session), peerCommits.boundUs(now, session));
+        return Math.max(sessionCommits.requiredPositionUs(nowUs, session), peerCommits.boundUs(nowUs, session));
     }
 
     /**
      * Whether a request may be sent to a member by what that reported. The primary is excused until it, or
      * another member as primary, reports that it is a replica.
      */
-    boolean isFreshEnough(long now, PendingRequest request, MemberState member) {
+    boolean isFreshEnough(long nowUs, PendingRequest request, MemberState member) {
         return settings.get().stalenessCheck() != StalenessCheck.SILENT
                 || request.requestClass.access() == Access.WRITE
-                || member.appliedUpToUs >= requiredPositionUs(now, request)
+                || member.appliedUpToUs >= requiredPositionUs(nowUs, request)
                 || member == request.group.primary && member.primaryAtUs > member.replicaAtUs;
     }
 
     /** Whether a member has the required position, or else checks that itself and probably has it. */
-    boolean isProbablyFresh(long now, MemberState member, long requiredUs) {
+    boolean isProbablyFresh(long nowUs, MemberState member, long requiredUs) {
         return member.appliedUpToUs >= requiredUs
                 || settings.get().stalenessCheck() != StalenessCheck.SILENT
-                        && now - member.staleAtUs > STALE_US
-                        && now - requiredUs + settings.limits().holdsForUs() >= unusualLagUs(member);
+                        && nowUs - member.staleAtUs > STALE_US
+                        && nowUs - requiredUs + settings.limits().holdsForUs() >= unusualLagUs(member);
     }
 
     /** By how much a member's last report was further behind than reports usually are. */
@@ -128,10 +128,10 @@
      * member wasn't checked just now, and it can have caught up since its last report. A waiting read that
      * checks again and again costs more than it is worth.
      */
-    boolean mayBeProvenFresh(long now, MemberState member, long requiredUs) {
-        long missingUs = member.lagUs - (now - requiredUs);
-        return now - requiredUs > usualLagUs
-                && now - member.healthCheckAtUs > CHECK_INTERVAL_US
-                && now - member.positionAtUs > CATCH_UP * missingUs;
+    boolean mayBeProvenFresh(long nowUs, MemberState member, long requiredUs) {
+        long missingUs = member.lagUs - (nowUs - requiredUs);
+        return nowUs - requiredUs > usualLagUs
+                && nowUs - member.healthCheckAtUs > CHECK_INTERVAL_US
+                && nowUs - member.positionAtUs > CATCH_UP * missingUs;
     }
 }
--- a/decisions/src/main/java/frostreel/routing/HealthChecker.java
+++ b/decisions/src/main/java/frostreel/routing/HealthChecker.java
@@ -25,12 +25,12 @@
     }
 
     /** Starts a health check of a usable member unless one is pending. */
-    void check(long now, MemberState member) {
+    void check(long nowUs, MemberState member) {
         if (settings.limits().probes() != Probes.NONE
                 && !member.healthCheckPending
                 && member.isUsable(settings.rules())) {
             member.healthCheckPending = true;
-            member.healthCheckAtUs = now;
+            member.healthCheckAtUs = nowUs;
             actions.probe(member.id);
         }
     }
@@ -39,9 +39,9 @@
      * Whether a member must not get reads yet: one that was listed after the start has to pass a health check
      * first, because the list may name servers of somebody else. Starts that check when it is due.
      */
-    boolean awaitsVerification(long now, MemberState member) {
-        if (!member.verified && now - member.healthCheckAtUs > VERIFICATION_INTERVAL_US) {
-            check(now, member);
+    boolean awaitsVerification(long nowUs, MemberState member) {
+        if (!member.verified && nowUs - member.healthCheckAtUs > VERIFICATION_INTERVAL_US) {
+            check(nowUs, member);
         }
         return !member.verified && settings.limits().probes() != Probes.NONE;
     }
--- a/decisions/src/main/java/frostreel/routing/LoadShedder.java
+++ b/decisions/src/main/java/frostreel/routing/LoadShedder.java
@@ -35,8 +35,8 @@
     }
 
     /** Whether to reject a request that has just arrived. */
-    boolean sheds(long now, PendingRequest request) {
-        return isOverloaded(request) && random.nextDouble() < request.group.goodput.excess(now, goodput);
+    boolean sheds(long nowUs, PendingRequest request) {
+        return isOverloaded(request) && random.nextDouble() < request.group.goodput.excess(nowUs, goodput);
     }
 
     /** Whether a member that could serve it is at the smallest window; a slow replica doesn't affect writes. */
@@ -51,18 +51,18 @@
      * A request has ended. Its end doesn't count if load was not the reason: rejecting other requests cures
      * neither errors nor the lack of a primary.
      */
-    void recordEnd(long now, PendingRequest request, boolean answered) {
-        double weight = answered ? answerWeight(now, request) : 0;
+    void recordEnd(long nowUs, PendingRequest request, boolean answered) {
+        double weight = answered ? answerWeight(nowUs, request) : 0;
         if (!request.ended && (weight > 0 || request.countsForGoodput)) {
-            goodput.add(now, weight);
-            request.group.goodput.add(now, weight);
+            goodput.add(nowUs, weight);
+            request.group.goodput.add(nowUs, weight);
         }
     }
 
     /** The value of an answer that comes now, from 0 to 1. */
-    private static double answerWeight(long now, PendingRequest request) {
+    private static double answerWeight(long nowUs, PendingRequest request) {
         RequestClass requestClass = request.requestClass;
-        return now - request.arrivedUs <= requestClass.latencyObjectiveUs() ? 1 : requestClass.lateWeight();
+        return nowUs - request.arrivedUs <= requestClass.latencyObjectiveUs() ? 1 : requestClass.lateWeight();
     }
 
     /** Whether this many concurrent requests are too many to let all of them wait. */
--- a/decisions/src/main/java/frostreel/routing/LongQueryPlacement.java
+++ b/decisions/src/main/java/frostreel/routing/LongQueryPlacement.java
@@ -31,23 +31,23 @@
     }
 
     /** The one replica that a read may go to now, null if it may go to any. */
-    MemberState requiredReplica(long now, PendingRequest request) {
-        boolean mayWait = now - request.arrivedUs < PATIENCE * request.requestClass.latencyObjectiveUs();
-        return mayWait && latencies.isLongRunning(request) ? chooseReplica(now, request) : null;
+    MemberState requiredReplica(long nowUs, PendingRequest request) {
+        boolean mayWait = nowUs - request.arrivedUs < PATIENCE * request.requestClass.latencyObjectiveUs();
+        return mayWait && latencies.isLongRunning(request) ? chooseReplica(nowUs, request) : null;
     }
 
     /**
      * Chooses the replica that is furthest behind, as all routers agree on that one, and keeps to it until
      * another is well behind it or it can't serve.
      */
-    private MemberState chooseReplica(long now, PendingRequest request) {
+    private MemberState chooseReplica(long nowUs, PendingRequest request) {
         GroupState group = request.group;
         MemberState best = null;
         double furthest = -1;
         for (MemberState member : group.chain) {
-            double costFactor = localityPolicy.costFactor(now, member.localityHandle);
-            if (isCandidate(now, request, member) && costFactor < Double.POSITIVE_INFINITY) {
-                double behind = behindUs(now, group, member) / costFactor;
+            double costFactor = localityPolicy.costFactor(nowUs, member.localityHandle);
+            if (isCandidate(nowUs, request, member) && costFactor < Double.POSITIVE_INFINITY) {
+                double behind = behindUs(nowUs, group, member) / costFactor;
                 best = behind > furthest ? member : best;
                 furthest = Math.max(furthest, behind);
             }
@@ -58,20 +58,20 @@
         return best;
     }
 
-    private boolean isCandidate(long now, PendingRequest request, MemberState member) {
+    private boolean isCandidate(long nowUs, PendingRequest request, MemberState member) {
         return member != request.group.primary
                 && member.isUsable(settings.rules())
                 && member.verified
                 && !request.triedMembers.contains(member)
-                && !member.window.isPaused(now)
-                && !member.outliers.isSilent(now, member.inFlight);
+                && !member.window.isPaused(nowUs)
+                && !member.outliers.isSilent(nowUs, member.inFlight);
     }
 
-    private static long behindUs(long now, GroupState group, MemberState member) {
+    private static long behindUs(long nowUs, GroupState group, MemberState member) {
         if (member.appliedUpToUs == 0) {
             return 0;
         }
-        return now - member.appliedUpToUs + (member == group.longQueryReplica ? KEEP_US : 0);
+        return nowUs - member.appliedUpToUs + (member == group.longQueryReplica ? KEEP_US : 0);
     }
 
     /**
--- a/decisions/src/main/java/frostreel/routing/MemberDirectory.java
+++ b/decisions/src/main/java/frostreel/routing/MemberDirectory.java
@@ -48,29 +48,29 @@
      *
      * @param initial whether it is the first: its members count as verified
      */
-    void update(long now, ListKind kind, List<Member> entries, boolean initial) {
+    void update(long nowUs, ListKind kind, List<Member> entries, boolean initial) {
         if (kind != ListKind.CHANGES) {
             members.values().forEach(member -> member.state = State.GONE);
         }
         for (Member entry : entries) {
-            apply(now, entry, initial);
+            apply(nowUs, entry, initial);
         }
         members.values().forEach(member -> slowStart.setUsable(member.slowStart, member.isUsable(settings.rules())));
         for (GroupState group : groups.values()) {
             group.chain.removeIf(
-                    member -> member.isForgettable(now, settings.rules(), freshness.retentionUs()) && forget(member));
+                    member -> member.isForgettable(nowUs, settings.rules(), freshness.retentionUs()) && forget(member));
             if (group.primary != null && !group.primary.isUsable(settings.rules())) {
                 primaryTracker.clearPrimary(group);
             }
         }
     }
 
-    private void apply(long now, Member entry, boolean initial) {
+    private void apply(long nowUs, Member entry, boolean initial) {
         MemberState member = members.get(entry.id());
         if (member == null) {
-            member = add(now, entry, initial);
+            member = add(nowUs, entry, initial);
         }
-        if (slowStart.listed(now, member.slowStart, entry)) {
+        if (slowStart.listed(nowUs, member.slowStart, entry)) {
             member.outliers.reset();
         }
         member.zone = entry.zone();
@@ -82,11 +82,11 @@
         }
     }
 
-    private MemberState add(long now, Member entry, boolean initial) {
+    private MemberState add(long nowUs, Member entry, boolean initial) {
         GroupState group = group(entry.group());
-        SlowStart.Member slowStartState = slowStart.register(now);
+        SlowStart.Member slowStartState = slowStart.register(nowUs);
         int localityHandle = localityPolicy.memberHandle(entry.group(), entry.zone());
-        MemberState member = new MemberState(entry.id(), group.number, slowStartState, localityHandle, now);
+        MemberState member = new MemberState(entry.id(), group.number, slowStartState, localityHandle, nowUs);
         member.verified = initial;
         members.put(member.id, member);
         int index = 0;
--- a/decisions/src/main/java/frostreel/routing/MemberState.java
+++ b/decisions/src/main/java/frostreel/routing/MemberState.java
@@ -55,12 +55,12 @@
 
     private long lastUsedAtUs;
 
-    MemberState(String id, int groupNumber, SlowStart.Member slowStart, int localityHandle, long now) {
+    MemberState(String id, int groupNumber, SlowStart.Member slowStart, int localityHandle, long nowUs) {
         this.id = id;
         this.groupNumber = groupNumber;
         this.slowStart = slowStart;
         this.localityHandle = localityHandle;
-        outliers = new OutlierDetector(now);
+        outliers = new OutlierDetector(nowUs);
     }
 
     /** Whether requests may be sent to it by the endpoint list. */
@@ -69,34 +69,34 @@
     }
 
     /** Whether an attempt would find an open connection with room for it. */
-    boolean hasFreeConnection(long now, Limits limits) {
-        return inFlight < connections * limits.requestsPerConnection() && now - lastUsedAtUs < limits.idleCloseUs();
+    boolean hasFreeConnection(long nowUs, Limits limits) {
+        return inFlight < connections * limits.requestsPerConnection() && nowUs - lastUsedAtUs < limits.idleCloseUs();
     }
 
     /** Whether it isn't on the list any more, nothing is in flight to it, and it needn't be remembered. */
-    boolean isForgettable(long now, Rules rules, long retentionUs) {
+    boolean isForgettable(long nowUs, Rules rules, long retentionUs) {
         if (state != State.GONE) {
             goneSinceUs = 0;
         } else if (goneSinceUs == 0) {
-            goneSinceUs = now;
+            goneSinceUs = nowUs;
         }
-        boolean kept = verified && (rules.onlyDrainingBinds() || now - goneSinceUs <= retentionUs);
+        boolean kept = verified && (rules.onlyDrainingBinds() || nowUs - goneSinceUs <= retentionUs);
         return goneSinceUs > 0 && inFlight == 0 && !kept;
     }
 
     /** An attempt goes out, on a free connection or on a new one. */
-    void recordSend(long now, Limits limits) {
-        if (!hasFreeConnection(now, limits)) {
+    void recordSend(long nowUs, Limits limits) {
+        if (!hasFreeConnection(nowUs, limits)) {
             connections = inFlight / limits.requestsPerConnection() + 1;
         }
-        lastUsedAtUs = now;
+        lastUsedAtUs = nowUs;
         inFlight++;
     }
 
     /** An attempt has ended. */
-    void recordEnd(long now) {
+    void recordEnd(long nowUs) {
         inFlight--;
-        lastUsedAtUs = now;
+        lastUsedAtUs = nowUs;
     }
 
     /** Connections were lost or refused: only those of the attempts in flight remain. */
@@ -105,9 +105,9 @@
     }
 
     /** It has told its position. */
-    void recordPosition(long now, long positionUs) {
+    void recordPosition(long nowUs, long positionUs) {
         appliedUpToUs = Math.max(appliedUpToUs, positionUs);
-        lagUs = Math.max(0, now - appliedUpToUs);
-        positionAtUs = now;
+        lagUs = Math.max(0, nowUs - appliedUpToUs);
+        positionAtUs = nowUs;
     }
 }
--- a/decisions/src/main/java/frostreel/routing/OutlierDetector.java
+++ b/decisions/src/main/java/frostreel/routing/OutlierDetector.java
@@ -28,9 +28,9 @@
     /** The longest expected latency among the attempts in flight. */
     private double slowestExpectedUs;
 
-    OutlierDetector(long now) {
-        observedAtUs = now;
-        lastProgressUs = now;
+    OutlierDetector(long nowUs) {
+        observedAtUs = nowUs;
+        lastProgressUs = nowUs;
     }
 
     /** The member was restarted: what was observed before says nothing of it. */
@@ -40,25 +40,25 @@
     }
 
     /** The latency to expect of it for a class with this mean latency among all members. */
-    double expectedLatencyUs(long now, double meanLatencyUs) {
-        return meanLatencyUs * (1 + (latencyRatio - 1) * fading(now));
+    double expectedLatencyUs(long nowUs, double meanLatencyUs) {
+        return meanLatencyUs * (1 + (latencyRatio - 1) * fading(nowUs));
     }
 
     /** How little it should be chosen: {@code load} raised by slow answers, failures and silence. */
-    double cost(long now, int inFlight, double load) {
-        double fading = fading(now);
+    double cost(long nowUs, int inFlight, double load) {
+        double fading = fading(nowUs);
         double cost = (1 + (latencyRatio - 1) * fading) * load * (1 + FAILURE_COST * failureRate * fading);
-        return isSilent(now, inFlight) ? cost * FAILURE_COST : cost;
+        return isSilent(nowUs, inFlight) ? cost * FAILURE_COST : cost;
     }
 
     /** Whether attempts are in flight and no answer has come for a multiple of the expected latency. */
-    boolean isSilent(long now, int inFlight) {
-        return inFlight > 0 && now - lastProgressUs > SILENCE_FACTOR * slowestExpectedUs;
+    boolean isSilent(long nowUs, int inFlight) {
+        return inFlight > 0 && nowUs - lastProgressUs > SILENCE_FACTOR * slowestExpectedUs;
     }
 
     /** An answer of any kind arrived. */
-    void recordProgress(long now) {
-        lastProgressUs = now;
+    void recordProgress(long nowUs) {
+        lastProgressUs = nowUs;
     }
 
     /** No attempt is in flight any more. */
@@ -67,34 +67,35 @@
     }
 
     /** An attempt goes out beside {@code inFlight} others, of a class with this mean latency. */
-    void recordSend(long now, int inFlight, double meanLatencyUs) {
+    void recordSend(long nowUs, int inFlight, double meanLatencyUs) {
         if (inFlight == 0) {
-            lastProgressUs = now;
+            lastProgressUs = nowUs;
         }
-        slowestExpectedUs = Math.max(slowestExpectedUs, Math.max(meanLatencyUs, expectedLatencyUs(now, meanLatencyUs)));
+        slowestExpectedUs =
+                Math.max(slowestExpectedUs, Math.max(meanLatencyUs, expectedLatencyUs(nowUs, meanLatencyUs)));
     }
 
     /** An attempt succeeded, after {@code ratio} times the mean latency of its class. */
-    void recordSuccess(long now, double ratio) {
-        fadeAndRecord(now, 0);
+    void recordSuccess(long nowUs, double ratio) {
+        fadeAndRecord(nowUs, 0);
         if (ratio > 0) {
             latencyRatio += SAMPLE_WEIGHT * (Math.min(ratio, HIGHEST_SAMPLE) - latencyRatio);
         }
     }
 
     /** An attempt failed. */
-    void recordFailure(long now) {
-        fadeAndRecord(now, FAILURE_WEIGHT);
+    void recordFailure(long nowUs) {
+        fadeAndRecord(nowUs, FAILURE_WEIGHT);
     }
 
-    private void fadeAndRecord(long now, double failure) {
-        double fading = fading(now);
+    private void fadeAndRecord(long nowUs, double failure) {
+        double fading = fading(nowUs);
         failureRate = failureRate * fading * (1 - FAILURE_WEIGHT) + failure;
         latencyRatio = 1 + (latencyRatio - 1) * fading;
-        observedAtUs = now;
+        observedAtUs = nowUs;
     }
 
-    private double fading(long now) {
-        return Math.exp(-(now - observedAtUs) / FADE_US);
+    private double fading(long nowUs) {
+        return Math.exp(-(nowUs - observedAtUs) / FADE_US);
     }
 }
--- a/decisions/src/main/java/frostreel/routing/PendingRequest.java
+++ b/decisions/src/main/java/frostreel/routing/PendingRequest.java
@@ -50,12 +50,12 @@
     /** Its end tells of the group's load: it was shed, answered, rejected or timed out. */
     boolean countsForGoodput;
 
-    PendingRequest(Request original, RequestClass requestClass, GroupState group, int maxAttempts, long now) {
+    PendingRequest(Request original, RequestClass requestClass, GroupState group, int maxAttempts, long nowUs) {
         this.original = original;
         this.requestClass = requestClass;
         this.group = group;
         this.maxAttempts = maxAttempts;
-        arrivedUs = now;
+        arrivedUs = nowUs;
         needsPrimary = requestClass.access() == Access.WRITE || requestClass.access() == Access.FRESH;
     }
 
--- a/decisions/src/main/java/frostreel/routing/PrimarySearch.java
+++ b/decisions/src/main/java/frostreel/routing/PrimarySearch.java
@@ -60,33 +60,33 @@
      * Looks at the next member, by a health check or else by a waiting write that was certainly not executed
      * yet. Slower where few writes wait, as every router searches.
      */
-    void search(long now, GroupState group, List<PendingRequest> writes) {
+    void search(long nowUs, GroupState group, List<PendingRequest> writes) {
         boolean urgent = group.primary == null || group.holdingWrites || group.primarySuspected;
         long intervalUs = ROUND_US / Math.max(1, Math.min(group.chain.size(), writes.size()));
-        boolean idle = !urgent && (writes.isEmpty() || now - group.primaryAtUs < RECENT_US);
-        if (now - group.lastSearchUs < intervalUs || group.chain.isEmpty() || idle) {
+        boolean idle = !urgent && (writes.isEmpty() || nowUs - group.primaryAtUs < RECENT_US);
+        if (nowUs - group.lastSearchUs < intervalUs || group.chain.isEmpty() || idle) {
             return;
         }
-        group.lastSearchUs = now;
+        group.lastSearchUs = nowUs;
         for (int i = 0; i < group.chain.size(); i++) {
             MemberState member = group.chain.get(group.searchIndex++ % group.chain.size());
             if (!member.isUsable(settings.rules()) || member.healthCheckPending) {
                 continue;
             }
             if (healthChecker.reportsPositions()) {
-                healthChecker.check(now, member);
+                healthChecker.check(nowUs, member);
                 return;
             }
-            if (urgent && sendTrialWrite(now, member, writes)) {
+            if (urgent && sendTrialWrite(nowUs, member, writes)) {
                 return;
             }
         }
     }
 
-    private boolean sendTrialWrite(long now, MemberState member, List<PendingRequest> writes) {
+    private boolean sendTrialWrite(long nowUs, MemberState member, List<PendingRequest> writes) {
         for (int i = 0; i < writes.size(); i++) {
             PendingRequest request = writes.get(i);
-            if (!request.mayHaveRun && sender.send(now, request, member, ROUND_US)) {
+            if (!request.mayHaveRun && sender.send(nowUs, request, member, ROUND_US)) {
                 writes.remove(i);
                 return true;
             }
--- a/decisions/src/main/java/frostreel/routing/PrimaryTracker.java
+++ b/decisions/src/main/java/frostreel/routing/PrimaryTracker.java
@@ -77,29 +77,29 @@
     }
 
     /** A member cannot be connected to: older evidence must not make it primary again. */
-    void recordConnectFailure(long now, GroupState group, MemberState member) {
+    void recordConnectFailure(long nowUs, GroupState group, MemberState member) {
         if (member == group.primary) {
             clearPrimary(group);
-            group.primaryAtUs = now;
+            group.primaryAtUs = nowUs;
         }
     }
 
     /** Suspects a primary that has attempts in flight and has long been silent. */
-    void suspectIfSilent(long now, GroupState group) {
+    void suspectIfSilent(long nowUs, GroupState group) {
         MemberState primary = group.primary;
-        if (primary != null && !group.primarySuspected && primary.outliers.isSilent(now, primary.inFlight)) {
+        if (primary != null && !group.primarySuspected && primary.outliers.isSilent(nowUs, primary.inFlight)) {
             group.primarySuspected = true;
-            group.lastTrialUs = now;
+            group.lastTrialUs = nowUs;
         }
     }
 
     /** Whether the primary is suspected and one request may be tried on it now. */
-    boolean isTrialDue(long now, GroupState group) {
-        return group.primarySuspected && now - group.lastTrialUs >= TRIAL_INTERVAL_US;
+    boolean isTrialDue(long nowUs, GroupState group) {
+        return group.primarySuspected && nowUs - group.lastTrialUs >= TRIAL_INTERVAL_US;
     }
 
     /** A request was sent to a suspected primary. */
-    void recordTrial(long now, GroupState group) {
-        group.lastTrialUs = now;
+    void recordTrial(long nowUs, GroupState group) {
+        group.lastTrialUs = nowUs;
     }
 }
--- a/decisions/src/main/java/frostreel/routing/ReplicaSelector.java
+++ b/decisions/src/main/java/frostreel/routing/ReplicaSelector.java
@@ -96,31 +96,31 @@
     }
 
     /** Sends a read if a member can take it now, and tells what becomes of it. */
-    ReadDecision route(long now, PendingRequest request) {
-        if (retryPolicy.isTooLateForRead(now, request)
-                || retryPolicy.hasWaitedTooLong(now, request)
-                || retryPolicy.isExhausted(now, request)) {
+    ReadDecision route(long nowUs, PendingRequest request) {
+        if (retryPolicy.isTooLateForRead(nowUs, request)
+                || retryPolicy.hasWaitedTooLong(nowUs, request)
+                || retryPolicy.isExhausted(nowUs, request)) {
             return ReadDecision.GIVE_UP;
         }
-        if (now < request.notBeforeUs) {
+        if (nowUs < request.notBeforeUs) {
             return ReadDecision.WAIT;
         }
-        long requiredPositionUs = freshness.requiredPositionUs(now, request);
-        if (sendTrial(now, request)) {
+        long requiredPositionUs = freshness.requiredPositionUs(nowUs, request);
+        if (sendTrial(nowUs, request)) {
             return ReadDecision.SENT;
         }
-        scanReplicas(now, request, requiredPositionUs);
-        if (scan.best != null && send(now, request, scan.best)) {
+        scanReplicas(nowUs, request, requiredPositionUs);
+        if (scan.best != null && send(nowUs, request, scan.best)) {
             request.group.rotation++;
             return ReadDecision.SENT;
         }
         if (scan.unproven != null) {
-            checkFreshness(now, request.group, scan.unproven);
+            checkFreshness(nowUs, request.group, scan.unproven);
         }
-        if (awaitsHealthCheck(now, request)) {
+        if (awaitsHealthCheck(nowUs, request)) {
             return ReadDecision.WAIT;
         }
-        if (scan.requiredReplica == null && sendToPrimary(now, request)) {
+        if (scan.requiredReplica == null && sendToPrimary(nowUs, request)) {
             return ReadDecision.SENT;
         }
         if (scan.denied && !scan.worthWaiting && scan.unproven == null) {
@@ -128,69 +128,69 @@
         }
         if (primarySearch.nextCandidate(request) == null) {
             request.triedMembers.clear();
-            request.notBeforeUs = now + ROUND_DELAY_US;
+            request.notBeforeUs = nowUs + ROUND_DELAY_US;
         }
         return ReadDecision.WAIT;
     }
 
-    private boolean send(long now, PendingRequest request, MemberState member) {
-        return sender.send(now, request, member, retryPolicy.readTimeoutUs(now, request, member));
+    private boolean send(long nowUs, PendingRequest request, MemberState member) {
+        return sender.send(nowUs, request, member, retryPolicy.readTimeoutUs(nowUs, request, member));
     }
 
     /** Tries an idempotent read on a suspected primary, which shows whether it still answers. */
-    private boolean sendTrial(long now, PendingRequest request) {
+    private boolean sendTrial(long nowUs, PendingRequest request) {
         GroupState group = request.group;
-        if (primaryTracker.isTrialDue(now, group)
+        if (primaryTracker.isTrialDue(nowUs, group)
                 && request.requestClass.idempotency() == Idempotency.IDEMPOTENT
                 && !request.triedMembers.contains(group.primary)
-                && send(now, request, group.primary)) {
-            primaryTracker.recordTrial(now, group);
+                && send(nowUs, request, group.primary)) {
+            primaryTracker.recordTrial(nowUs, group);
             return true;
         }
         return false;
     }
 
     /** Looks at each replica once, beginning with the one whose turn it is. */
-    private void scanReplicas(long now, PendingRequest request, long requiredPositionUs) {
+    private void scanReplicas(long nowUs, PendingRequest request, long requiredPositionUs) {
         GroupState group = request.group;
         boolean sharesWindow = request.requestClass.access() == Access.ANY && !latencies.isLongRunning(request);
-        MemberState requiredReplica = longQueries.requiredReplica(now, request);
+        MemberState requiredReplica = longQueries.requiredReplica(nowUs, request);
         scan.reset(requiredPositionUs, requiredReplica, sharesWindow ? ANY_READ_SHARE : WHOLE_WINDOW);
         int size = group.chain.size();
         for (int i = 0; i < size; i++) {
             MemberState member = group.chain.get((rotationSeed + group.rotation + i) % size);
-            if (isCandidate(now, request, member)) {
-                consider(now, request, member);
+            if (isCandidate(nowUs, request, member)) {
+                consider(nowUs, request, member);
             }
         }
     }
 
-    private boolean isCandidate(long now, PendingRequest request, MemberState member) {
+    private boolean isCandidate(long nowUs, PendingRequest request, MemberState member) {
         return member != request.group.primary
                 && member.isUsable(settings.rules())
                 && !request.triedMembers.contains(member)
-                && !healthChecker.awaitsVerification(now, member)
+                && !healthChecker.awaitsVerification(nowUs, member)
                 && (scan.requiredReplica == null || member == scan.requiredReplica);
     }
 
-    private void consider(long now, PendingRequest request, MemberState member) {
-        double costFactor = localityPolicy.costFactor(now, member.localityHandle);
+    private void consider(long nowUs, PendingRequest request, MemberState member) {
+        double costFactor = localityPolicy.costFactor(nowUs, member.localityHandle);
         if (costFactor == Double.POSITIVE_INFINITY) {
-            if (!member.healthCheckPending && localityPolicy.healthCheckDue(now, member.localityHandle)) {
-                healthChecker.check(now, member);
+            if (!member.healthCheckPending && localityPolicy.healthCheckDue(nowUs, member.localityHandle)) {
+                healthChecker.check(nowUs, member);
             }
             return;
         }
-        boolean fresh = freshness.isProbablyFresh(now, member, scan.requiredPositionUs);
-        if (fresh ? !hasCapacity(now, request, member) : !mayBeProvenFresh(now, member)) {
+        boolean fresh = freshness.isProbablyFresh(nowUs, member, scan.requiredPositionUs);
+        if (fresh ? !hasCapacity(nowUs, request, member) : !mayBeProvenFresh(nowUs, member)) {
             scan.worthWaiting = true;
             return;
         }
-        if (fresh && !localityPolicy.admits(now, member.localityHandle, request.classIndex())) {
+        if (fresh && !localityPolicy.admits(nowUs, member.localityHandle, request.classIndex())) {
             scan.denied = true;
             return;
         }
-        double cost = cost(now, request, member, costFactor);
+        double cost = cost(nowUs, request, member, costFactor);
         if (fresh && cost * EQUAL_COST < scan.bestCost) {
             scan.bestCost = cost;
             scan.best = member;
@@ -200,46 +200,46 @@
         }
     }
 
-    private boolean hasCapacity(long now, PendingRequest request, MemberState member) {
-        return member.window.hasRoom(now, member.inFlight, scan.windowShare)
-                && slowStart.admits(now, member.slowStart, request.classIndex());
+    private boolean hasCapacity(long nowUs, PendingRequest request, MemberState member) {
+        return member.window.hasRoom(nowUs, member.inFlight, scan.windowShare)
+                && slowStart.admits(nowUs, member.slowStart, request.classIndex());
     }
 
-    private boolean mayBeProvenFresh(long now, MemberState member) {
+    private boolean mayBeProvenFresh(long nowUs, MemberState member) {
         return !member.healthCheckPending
                 && healthChecker.reportsPositions()
-                && freshness.mayBeProvenFresh(now, member, scan.requiredPositionUs);
+                && freshness.mayBeProvenFresh(nowUs, member, scan.requiredPositionUs);
     }
 
-    private double cost(long now, PendingRequest request, MemberState member, double costFactor) {
+    private double cost(long nowUs, PendingRequest request, MemberState member, double costFactor) {
         double load = 1 + LOAD_COST * member.inFlight / Math.max(LEAST_WEIGHT, member.weight);
-        boolean mayConnect = member.hasFreeConnection(now, settings.limits())
+        boolean mayConnect = member.hasFreeConnection(nowUs, settings.limits())
                 || request.group.sendsSinceConnect >= SENDS_PER_CONNECTION;
-        return member.outliers.cost(now, member.inFlight, load)
+        return member.outliers.cost(nowUs, member.inFlight, load)
                 * costFactor
                 / longQueries.preference(request, member)
                 * (mayConnect ? 1 : NEW_CONNECTION_COST);
     }
 
     /** Checks a replica that may be fresh enough, at most one of the group in a sweep. */
-    private void checkFreshness(long now, GroupState group, MemberState member) {
-        if (now - group.lastFreshnessCheckUs >= sweepIntervalUs) {
-            group.lastFreshnessCheckUs = now;
-            healthChecker.check(now, member);
+    private void checkFreshness(long nowUs, GroupState group, MemberState member) {
+        if (nowUs - group.lastFreshnessCheckUs >= sweepIntervalUs) {
+            group.lastFreshnessCheckUs = nowUs;
+            healthChecker.check(nowUs, member);
         }
     }
 
     /** Whether to wait for a pending health check, which may prove a replica to be fresh enough. */
-    private boolean awaitsHealthCheck(long now, PendingRequest request) {
+    private boolean awaitsHealthCheck(long nowUs, PendingRequest request) {
         if (settings.get().stalenessCheck() != StalenessCheck.SILENT) {
             return false;
         }
         if (request.healthCheckWaitUntilUs == 0) {
             long shareUs = request.requestClass.latencyObjectiveUs() / WAITS_PER_OBJECTIVE;
             request.healthCheckWaitUntilUs =
-                    now + Math.max(LEAST_WAIT_TICKS * settings.get().tickUs(), shareUs);
+                    nowUs + Math.max(LEAST_WAIT_TICKS * settings.get().tickUs(), shareUs);
         }
-        return now < request.healthCheckWaitUntilUs
+        return nowUs < request.healthCheckWaitUntilUs
                 && healthChecker.reportsPositions()
                 && isHealthCheckPending(request);
     }
@@ -255,15 +255,15 @@
         return false;
     }
 
-    private boolean sendToPrimary(long now, PendingRequest request) {
+    private boolean sendToPrimary(long nowUs, PendingRequest request) {
         GroupState group = request.group;
         MemberState primary = group.primary;
         return primary != null
                 && !group.primarySuspected
                 && !request.triedMembers.contains(primary)
-                && primary.window.hasRoom(now, primary.inFlight, PRIMARY_READ_SHARE)
-                && localityPolicy.costFactor(now, primary.localityHandle) < Double.POSITIVE_INFINITY
-                && localityPolicy.admits(now, primary.localityHandle, request.classIndex())
-                && send(now, request, primary);
+                && primary.window.hasRoom(nowUs, primary.inFlight, PRIMARY_READ_SHARE)
+                && localityPolicy.costFactor(nowUs, primary.localityHandle) < Double.POSITIVE_INFINITY
+                && localityPolicy.admits(nowUs, primary.localityHandle, request.classIndex())
+                && send(nowUs, request, primary);
     }
 }
--- a/decisions/src/main/java/frostreel/routing/RequestEnder.java
+++ b/decisions/src/main/java/frostreel/routing/RequestEnder.java
@@ -4,5 +4,5 @@
 @FunctionalInterface
 interface RequestEnder {
     /** Gives the request its final answer: a rejection where a retry is harmless, else a failure. */
-    void giveUp(long now, PendingRequest request);
+    void giveUp(long nowUs, PendingRequest request);
 }
--- a/decisions/src/main/java/frostreel/routing/RetryPolicy.java
+++ b/decisions/src/main/java/frostreel/routing/RetryPolicy.java
@@ -46,31 +46,31 @@
     }
 
     /** Whether nothing more may be tried: time, attempts or the window of the idempotency key have run out. */
-    boolean isExhausted(long now, PendingRequest request) {
-        return now + SWEEPS_LEFT * sweepIntervalUs >= request.original.deadlineUs()
+    boolean isExhausted(long nowUs, PendingRequest request) {
+        return nowUs + SWEEPS_LEFT * sweepIntervalUs >= request.original.deadlineUs()
                 || request.attempts >= request.maxAttempts
-                || request.mayHaveRun && !mayRunTwice(now, request);
+                || request.mayHaveRun && !mayRunTwice(nowUs, request);
     }
 
-    private boolean mayRunTwice(long now, PendingRequest request) {
+    private boolean mayRunTwice(long nowUs, PendingRequest request) {
         RequestClass requestClass = request.requestClass;
         return switch (requestClass.idempotency()) {
             case IDEMPOTENT -> true;
-            case KEYED -> now + sweepIntervalUs <= request.firstUncertainSendUs + requestClass.windowUs();
+            case KEYED -> nowUs + sweepIntervalUs <= request.firstUncertainSendUs + requestClass.windowUs();
             case NON_IDEMPOTENT -> false;
         };
     }
 
     /** Whether so much of its time has passed that a request for which nothing was sent is ended. */
-    boolean hasWaitedTooLong(long now, PendingRequest request) {
+    boolean hasWaitedTooLong(long nowUs, PendingRequest request) {
         double mostWaitUs = MOST_WAIT * (request.original.deadlineUs() - request.arrivedUs);
-        return request.attempts == 0 && now + SWEEPS_LEFT * sweepIntervalUs > request.arrivedUs + mostWaitUs;
+        return request.attempts == 0 && nowUs + SWEEPS_LEFT * sweepIntervalUs > request.arrivedUs + mostWaitUs;
     }
 
     /** Whether a read can't be answered while that is worth anything, and isn't in its first attempt. */
-    boolean isTooLateForRead(long now, PendingRequest request) {
-        return now + latencies.meanUs(request.classIndex()) / 2 > usefulUntilUs(request)
-                && (request.attempts > 0 || now > request.arrivedUs);
+    boolean isTooLateForRead(long nowUs, PendingRequest request) {
+        return nowUs + latencies.meanUs(request.classIndex()) / 2 > usefulUntilUs(request)
+                && (request.attempts > 0 || nowUs > request.arrivedUs);
     }
 
     /** Until when an answer has any value: the deadline, or the objective where late answers have none. */
@@ -94,8 +94,8 @@
     }
 
     /** Whether a request may be tried again after this outcome; if so, a token is taken where it costs one. */
-    boolean admitRetry(long now, PendingRequest request, Outcome outcome) {
-        if (isExhausted(now, request)) {
+    boolean admitRetry(long nowUs, PendingRequest request, Outcome outcome) {
+        if (isExhausted(nowUs, request)) {
             return false;
         }
         if (!outcome.provesNotRun) {
@@ -108,9 +108,9 @@
     }
 
     /** Delays the retry of a write that the primary rejected or may have run, exponentially. */
-    void backOff(long now, PendingRequest request, Outcome outcome) {
+    void backOff(long nowUs, PendingRequest request, Outcome outcome) {
         if (outcome == Outcome.REJECTED || !outcome.provesNotRun) {
-            request.notBeforeUs = now + (FIRST_BACKOFF_US << Math.min(request.attempts, MOST_DOUBLINGS));
+            request.notBeforeUs = nowUs + (FIRST_BACKOFF_US << Math.min(request.attempts, MOST_DOUBLINGS));
         }
     }
 
@@ -129,20 +129,20 @@
      *
      * @param utilization the last report of the member, below 0 for none
      */
-    long writeTimeoutUs(long now, PendingRequest request, MemberState member, double utilization) {
+    long writeTimeoutUs(long nowUs, PendingRequest request, MemberState member, double utilization) {
         RequestClass requestClass = request.requestClass;
-        long leftUs = request.original.deadlineUs() - now;
+        long leftUs = request.original.deadlineUs() - nowUs;
         if (requestClass.idempotency() == Idempotency.NON_IDEMPOTENT
                 || utilization >= BUSY_UTILIZATION
                 || utilization < 0 && member.window.isBelowInitial()) {
             return leftUs;
         }
-        double silenceUs = OutlierDetector.SILENCE_FACTOR * expectedLatencyUs(now, request, member);
+        double silenceUs = OutlierDetector.SILENCE_FACTOR * expectedLatencyUs(nowUs, request, member);
         long timeoutUs = (long) Math.max(requestClass.latencyObjectiveUs(), silenceUs);
-        long keyUsedAtUs = request.mayHaveRun ? request.firstUncertainSendUs : now;
+        long keyUsedAtUs = request.mayHaveRun ? request.firstUncertainSendUs : nowUs;
         boolean mayRetry = request.attempts + 1 < request.maxAttempts
                 && (requestClass.idempotency() == Idempotency.IDEMPOTENT
-                        || now + timeoutUs + sweepIntervalUs < keyUsedAtUs + requestClass.windowUs());
+                        || nowUs + timeoutUs + sweepIntervalUs < keyUsedAtUs + requestClass.windowUs());
         return mayRetry ? Math.min(leftUs, timeoutUs) : leftUs;
     }
 
@@ -150,16 +150,16 @@
      * How long an attempt of a read may take: until a retry elsewhere could just be on time. At the smallest
      * window no read is kept waiting at the member beyond its use, as nothing else bounds the queue there.
      */
-    long readTimeoutUs(long now, PendingRequest request, MemberState member) {
+    long readTimeoutUs(long nowUs, PendingRequest request, MemberState member) {
         long untilUs = member.window.isSmallest() ? usefulUntilUs(request) : request.original.deadlineUs();
-        long leftUs = untilUs - now;
-        double expectedUs = expectedLatencyUs(now, request, member);
-        double spareUs = request.objectiveUs() - now - RETRY_LATENCY_FACTOR * expectedUs;
+        long leftUs = untilUs - nowUs;
+        double expectedUs = expectedLatencyUs(nowUs, request, member);
+        double spareUs = request.objectiveUs() - nowUs - RETRY_LATENCY_FACTOR * expectedUs;
         boolean mayRetry = spareUs > OutlierDetector.SILENCE_FACTOR * expectedUs && tokens >= 1;
         return mayRetry ? (long) Math.min(leftUs, spareUs) : leftUs;
     }
 
-    private double expectedLatencyUs(long now, PendingRequest request, MemberState member) {
-        return member.outliers.expectedLatencyUs(now, latencies.meanUs(request.classIndex()));
+    private double expectedLatencyUs(long nowUs, PendingRequest request, MemberState member) {
+        return member.outliers.expectedLatencyUs(nowUs, latencies.meanUs(request.classIndex()));
     }
 }
--- a/decisions/src/main/java/frostreel/routing/WriteQueue.java
+++ b/decisions/src/main/java/frostreel/routing/WriteQueue.java
@@ -28,13 +28,13 @@
     }
 
     /** Sends what may be sent now, and takes it from the queue. */
-    void release(long now, GroupState group, List<PendingRequest> writes) {
+    void release(long nowUs, GroupState group, List<PendingRequest> writes) {
         for (int i = writes.size() - 1; i >= 0; i--) {
-            if (group.holdingWrites || isPrimaryFull(now, group)) {
+            if (group.holdingWrites || isPrimaryFull(nowUs, group)) {
                 return;
             }
             PendingRequest request = writes.get(i);
-            if (!mayBeSent(now, request)) {
+            if (!mayBeSent(nowUs, request)) {
                 continue;
             }
             MemberState member = group.primary != null ? group.primary : primarySearch.nextCandidate(request);
@@ -43,38 +43,38 @@
                 return;
             }
             double utilization = slowStart.utilization(member.slowStart);
-            if (sender.send(now, request, member, retryPolicy.writeTimeoutUs(now, request, member, utilization))) {
+            if (sender.send(nowUs, request, member, retryPolicy.writeTimeoutUs(nowUs, request, member, utilization))) {
                 writes.remove(i);
                 if (group.primarySuspected) {
-                    primaryTracker.recordTrial(now, group);
+                    primaryTracker.recordTrial(nowUs, group);
                 }
             }
         }
     }
 
-    private boolean isPrimaryFull(long now, GroupState group) {
+    private boolean isPrimaryFull(long nowUs, GroupState group) {
         return group.primary != null
                 && !group.primarySuspected
-                && !group.primary.window.hasRoom(now, group.primary.inFlight, WHOLE_WINDOW);
+                && !group.primary.window.hasRoom(nowUs, group.primary.inFlight, WHOLE_WINDOW);
     }
 
     /** After its backoff; to a suspected primary only as a trial, which a write must survive being sent twice. */
-    private boolean mayBeSent(long now, PendingRequest request) {
+    private boolean mayBeSent(long nowUs, PendingRequest request) {
         GroupState group = request.group;
-        return now >= request.notBeforeUs
+        return nowUs >= request.notBeforeUs
                 && (!group.primarySuspected
-                        || primaryTracker.isTrialDue(now, group)
+                        || primaryTracker.isTrialDue(nowUs, group)
                                 && request.requestClass.idempotency() != Idempotency.NON_IDEMPOTENT);
     }
 
     /** Gives up the writes that can no longer be served. */
-    void removeExpired(long now, GroupState group, List<PendingRequest> writes) {
+    void removeExpired(long nowUs, GroupState group, List<PendingRequest> writes) {
         for (int i = 0; i < writes.size(); i++) {
             PendingRequest request = writes.get(i);
-            if (retryPolicy.isExhausted(now, request)
-                    || group.primary == null && retryPolicy.hasWaitedTooLong(now, request)) {
+            if (retryPolicy.isExhausted(nowUs, request)
+                    || group.primary == null && retryPolicy.hasWaitedTooLong(nowUs, request)) {
                 writes.remove(i--);
-                ender.giveUp(now, request);
+                ender.giveUp(nowUs, request);
             }
         }
     }
