--- a/pooler/src/main/java/frostreel/backend/ServerConnection.java
+++ b/pooler/src/main/java/frostreel/backend/ServerConnection.java
@@ -29,7 +29,7 @@
         CLOSED
     }
 
-    /** Slow peers take seconds to read or write; a long row of which nothing came for so long is given up. */
+    /** Slow peers take seconds to read or write; a long row of which nothing comes for this time is given up. */
     private static final long STALL_TIMEOUT_US = 30_000_000;
 
     private static final OptionMap OPTIONS = OptionMap.create(Options.TCP_NODELAY, true);
@@ -45,7 +45,7 @@
     private Reply reply = Reply.toStartup();
     private ServerPool.Attempt attempt;
     private Deadlines.Deadline deadline;
-    /** Takes a long row, of which so many bytes are still to come. */
+    /** Takes a long row, of which {@link #streamedBytesLeft} bytes are still to come. */
     private BackEnd.ResponseStream responseStream;
 
     private int streamedBytesLeft;
@@ -118,7 +118,7 @@
         return true;
     }
 
-    /** The connection is idle, and is closed after so long. */
+    /** The connection is idle, and is closed after this time. */
     void onIdle(long idleCloseUs) {
         deadline = loop.deadlines().after(idleCloseUs, this::close);
     }
--- a/pooler/src/main/java/frostreel/backend/ServerPool.java
+++ b/pooler/src/main/java/frostreel/backend/ServerPool.java
@@ -87,7 +87,7 @@
 
     private final SlotTable<Attempt> attempts = new SlotTable<>(MAX_ATTEMPTS);
 
-    /** An empty pool for at most so many connections. */
+    /** An empty pool for at most {@code maxConnections} connections. */
     public ServerPool(EventLoop loop, Router.Settings settings, int maxConnections) {
         this.loop = loop;
         onlyDrainingStopsSends = settings.rules().onlyDrainingBinds();
--- a/pooler/src/main/java/frostreel/broker/Deadlines.java
+++ b/pooler/src/main/java/frostreel/broker/Deadlines.java
@@ -8,7 +8,7 @@
 public final class Deadlines {
     /** Wakes the I/O thread, which then calls {@link #runDue}. */
     public interface Alarm {
-        /** Wakes it in so many microseconds, in place of any wake-up asked for before. */
+        /** Wakes it after this delay, in place of any wake-up asked for before. */
         void wakeAfter(long delayUs);
     }
 
@@ -46,7 +46,7 @@
         this.alarm = alarm;
     }
 
-    /** Runs the task in so many microseconds, unless it is cancelled before. */
+    /** Runs the task after this delay, unless it is cancelled before. */
     public Deadline after(long delayUs, Runnable task) {
         return at(clock.now() + delayUs, task);
     }
--- a/pooler/src/main/java/frostreel/broker/SlotTable.java
+++ b/pooler/src/main/java/frostreel/broker/SlotTable.java
@@ -21,7 +21,7 @@
     private int freeCount;
     private int usedCount;
 
-    /** A table for at most so many items. */
+    /** A table for at most {@code capacity} items. */
     public SlotTable(int capacity) {
         this.capacity = Math.min(capacity, NUMBER_MASK);
     }
--- a/pooler/src/main/java/frostreel/frontend/ArrivalTimes.java
+++ b/pooler/src/main/java/frostreel/frontend/ArrivalTimes.java
@@ -27,7 +27,7 @@
     private long arrivedBytes;
     private long grainUs = INITIAL_GRAIN_US;
 
-    /** So many more bytes arrived at that time. */
+    /** Notes that more bytes have arrived, and when. */
     public void add(int bytes, long atUs) {
         arrivedBytes += bytes;
         if (first == next) {
--- a/pooler/src/main/java/frostreel/frontend/ClientConnection.java
+++ b/pooler/src/main/java/frostreel/frontend/ClientConnection.java
@@ -24,7 +24,7 @@
         CLOSED
     }
 
-    /** After so many invalid queries in a row the connection ends: to answer them is work, too. */
+    /** The connection ends at this number of invalid queries in a row, as answering them is work, too. */
     private static final int MAX_INVALID_IN_A_ROW = 16;
     /** The wait advised where too many clients are connected, as far as the settings allow so much. */
     private static final long CROWDED_RETRY_AFTER_US = 200_000;
--- a/pooler/src/main/java/frostreel/frontend/ClientRequest.java
+++ b/pooler/src/main/java/frostreel/frontend/ClientRequest.java
@@ -14,7 +14,7 @@
  * answer. Used for one request after another, on the I/O thread.
  */
 final class ClientRequest implements ResponseHandler {
-    /** Beyond so many bytes of a long response that wait for their reader, the server is not read from. */
+    /** While more bytes of a long response wait for their reader, the server is not read from. */
     private static final int MAX_PENDING_BYTES = 1 << 17;
     /** From the client's sending, at which its timeout starts, to our reading, and back again. */
     private static final long TRANSIT_US = 4_000;
--- a/pooler/src/main/java/frostreel/frontend/IdleTimer.java
+++ b/pooler/src/main/java/frostreel/frontend/IdleTimer.java
@@ -11,7 +11,7 @@
 final class IdleTimer {
     /** After connecting, or after the first byte of a message, a complete one must have come within this time. */
     private static final long MESSAGE_TIMEOUT_US = 2_300_000;
-    /** A client that reads nothing of its answer for so long keeps its connection for nothing. */
+    /** A client that reads nothing of its answer for this time keeps its connection for nothing. */
     private static final long READER_TIMEOUT_US = 30_000_000;
 
     private final EventLoop loop;
--- a/pooler/src/main/java/frostreel/frontend/Lingering.java
+++ b/pooler/src/main/java/frostreel/frontend/Lingering.java
@@ -21,7 +21,7 @@
         this.close = close;
     }
 
-    /** Waits for so long for the client to end its connection. */
+    /** Gives the client this time to end its connection. */
     void begin(long lingerUs) {
         droppedBytes = 0;
         deadline = loop.deadlines().after(lingerUs, close);
--- a/pooler/src/main/java/frostreel/frontend/Listener.java
+++ b/pooler/src/main/java/frostreel/frontend/Listener.java
@@ -27,15 +27,15 @@
     private static final int BACKLOG = 1024;
     /** No query for a page is longer than this. */
     private static final int MAX_PAGE_QUERY_BYTES = 32;
-    /** So many connections below the limit are kept free by closing clients that have no request. */
+    /** The connections below the limit that are kept free by closing clients that have no request. */
     private static final int RESERVED_CONNECTIONS = 16;
     /** With so few left, lingering clients are closed at once. */
     private static final int RESERVED_FROM_LINGERING = 4;
-    /** A client that has had a request before may be evicted once it has been idle for so long. */
+    /** How long a client that has had a request is idle before it may be evicted. */
     private static final long MIN_IDLE_US = 2_000_000;
     /** How often evictions are tried while too many clients are connected. */
     private static final long EVICTION_INTERVAL_US = 50_000;
-    /** A client that has yet to send a message may be evicted at once after so long, before any idle one. */
+    /** How long a client owes a message before it is evicted in preference to any idle one. */
     private static final long MIN_SILENT_US = 300_000;
 
     private final EventLoop loop;
@@ -44,7 +44,7 @@
     private final RequestClassRegistry classes;
     private final Map<String, Supplier<String>> pages = new HashMap<>();
     private final int maxClients;
-    /** Beyond so many clients that may have requests, of which so many are idle, the longest idle is closed. */
+    /** Beyond this number of clients that may have requests, the longest idle is closed, if enough are idle. */
     private final int activeLimit;
 
     private final int idleLimit;
--- a/pooler/src/main/java/frostreel/net/EventLoop.java
+++ b/pooler/src/main/java/frostreel/net/EventLoop.java
@@ -209,7 +209,7 @@
         return clock.now() - lastHeartbeatUs;
     }
 
-    /** So many more bytes, or fewer where negative, are buffered for slow clients and servers. */
+    /** Adds to the count of bytes that are buffered for slow clients and servers; {@code change} may be negative. */
     public void addBufferedBytes(int change) {
         bufferedBytes += change;
     }
--- a/pooler/src/main/java/frostreel/net/EventLoopWatchdog.java
+++ b/pooler/src/main/java/frostreel/net/EventLoopWatchdog.java
@@ -9,11 +9,11 @@
  * accept clients and never serve them.
  */
 final class EventLoopWatchdog implements Runnable {
-    /** An I/O thread without a heartbeat for so long has stalled; it has five a second. */
+    /** An I/O thread without a heartbeat for this time has stalled; it has five a second. */
     static final long STALLED_NS = TimeUnit.MILLISECONDS.toNanos(1_500);
 
     private static final long CHECK_INTERVAL_MS = 500;
-    /** The watchdog's own sleep took longer by so much: the whole process was paused, and not just that thread. */
+    /** Where the watchdog's own sleep took longer by this, the whole process was paused, and not just that thread. */
     private static final long PROCESS_PAUSED_NS = TimeUnit.MILLISECONDS.toNanos(500);
 
     private static final int MAX_LOGGED_FRAMES = 12;
--- a/pooler/src/main/java/frostreel/pg/MessageReader.java
+++ b/pooler/src/main/java/frostreel/pg/MessageReader.java
@@ -104,7 +104,7 @@
                 && intAt(from + HEADER_BYTES + 2) == intAt(from + 1) - Integer.BYTES - ROW_HEADER_BYTES;
     }
 
-    /** Takes what is buffered, up to so many bytes. */
+    /** Takes what is buffered, up to {@code maxBytes}. */
     public byte[] takeBuffered(int maxBytes) {
         byte[] taken = Arrays.copyOfRange(buffer, from, Math.min(to, from + maxBytes));
         from += taken.length;
