--- a/pooler/src/main/java/frostreel/backend/ServerConnection.java
+++ b/pooler/src/main/java/frostreel/backend/ServerConnection.java
@@ -62,7 +62,7 @@
     void open(long timeoutUs) {
         deadline = loop.deadlines().after(timeoutUs, () -> {
             loop.events()
-                    .tell(
+                    .record(
                             EventLog.Kind.SERVER_CONNECTION_FAILED,
                             () -> "to " + address + ": not up in " + timeoutUs / 1000 + " ms, in " + phase);
             failOpening(Outcome.CONNECT_FAILED);
@@ -81,7 +81,7 @@
 
                     @Override
                     public void handleFailed(IOException e, Void none) {
-                        loop.events().tell(EventLog.Kind.SERVER_CONNECTION_FAILED, () -> "to " + address + ": " + e);
+                        loop.events().record(EventLog.Kind.SERVER_CONNECTION_FAILED, () -> "to " + address + ": " + e);
                         failOpening(Outcome.CONNECT_FAILED);
                     }
                 },
--- a/pooler/src/main/java/frostreel/broker/AttemptRunner.java
+++ b/pooler/src/main/java/frostreel/broker/AttemptRunner.java
@@ -90,7 +90,7 @@
         counters.outcome(result.outcome());
         request.lastOutcome = result.outcome();
         if (result.outcome() != Outcome.OK) {
-            log.tell(EventLog.Kind.ATTEMPT_FAILED, () -> request.describe(clock.now()));
+            log.record(EventLog.Kind.ATTEMPT_FAILED, () -> request.describe(clock.now()));
         }
         if (!result.outcome().provesNotRun) {
             request.firstMaybeRunUs = Math.min(request.firstMaybeRunUs, request.sentUs);
--- a/pooler/src/main/java/frostreel/broker/Broker.java
+++ b/pooler/src/main/java/frostreel/broker/Broker.java
@@ -172,7 +172,7 @@
     private void withdrawForGoneClient(ActiveRequest request) {
         if (!request.answered) {
             counters.clientsGone++;
-            log.tell(EventLog.Kind.REQUEST_WITHDRAWN, () -> describe(request) + ": its client has gone");
+            log.record(EventLog.Kind.REQUEST_WITHDRAWN, () -> describe(request) + ": its client has gone");
             withdraw(request);
         }
     }
@@ -186,7 +186,7 @@
             ActiveRequest request = requests.get(handle);
             if (request != null && !request.answered) {
                 counters.clientsCancelled++;
-                log.tell(EventLog.Kind.REQUEST_WITHDRAWN, () -> describe(request) + ": cancelled by its client");
+                log.record(EventLog.Kind.REQUEST_WITHDRAWN, () -> describe(request) + ": cancelled by its client");
                 withdraw(request);
                 request.handler.cancelled();
             }
@@ -223,7 +223,7 @@
     private void onOverdue(ActiveRequest request) {
         if (!request.answered) {
             counters.overdue++;
-            log.tell(EventLog.Kind.REQUEST_OVERDUE, () -> describe(request) + ": left open by the decisions");
+            log.record(EventLog.Kind.REQUEST_OVERDUE, () -> describe(request) + ": left open by the decisions");
             request.close(deadlines);
             request.handler.failed();
             router.onClientDisconnected(clock.now(), request.id);
@@ -254,7 +254,7 @@
         ActiveRequest request = requests.byId(requestId);
         if (request != null && !request.answered) {
             request.close(deadlines);
-            log.tell(
+            log.record(
                     EventLog.Kind.REQUEST_REFUSED,
                     () -> describe(request) + ": to come back in " + retryAfterUs / 1000 + " ms");
             counters.refused++;
@@ -268,7 +268,7 @@
         ActiveRequest request = requests.byId(requestId);
         if (request != null && !request.answered) {
             request.close(deadlines);
-            log.tell(EventLog.Kind.REQUEST_FAILED, () -> describe(request));
+            log.record(EventLog.Kind.REQUEST_FAILED, () -> describe(request));
             counters.failed++;
             request.handler.failed();
             requests.removeIfDone(request);
--- a/pooler/src/main/java/frostreel/frontend/ClientConnection.java
+++ b/pooler/src/main/java/frostreel/frontend/ClientConnection.java
@@ -181,7 +181,7 @@
 
     void onReaderStalled(int pendingBytes) {
         loop.events()
-                .tell(
+                .record(
                         EventLog.Kind.CLIENT_CLOSED,
                         () -> "it takes nothing of its answer, " + pendingBytes + " bytes wait");
         close();
@@ -317,7 +317,7 @@
     // ---- The end of the connection. ----
 
     private void closeWithError(String code, String text) {
-        loop.events().tell(EventLog.Kind.CLIENT_CLOSED, () -> "in " + phase + ": " + text);
+        loop.events().record(EventLog.Kind.CLIENT_CLOSED, () -> "in " + phase + ": " + text);
         stream.write(Answers.fatal(code, text));
         linger();
     }
--- a/pooler/src/main/java/frostreel/log/EventLog.java
+++ b/pooler/src/main/java/frostreel/log/EventLog.java
@@ -81,7 +81,7 @@
     }
 
     /** Writes a line unless the second has had enough of its kind; {@code text} is built only if it is written. */
-    public void tell(Kind kind, Supplier<String> text) {
+    public void record(Kind kind, Supplier<String> text) {
         Window window = windows.get(kind);
         if (!window.admits(nowUs.getAsLong())) {
             return;
--- a/pooler/src/test/java/frostreel/log/EventLogTest.java
+++ b/pooler/src/test/java/frostreel/log/EventLogTest.java
@@ -33,7 +33,7 @@
     private final EventLog log = new EventLog(() -> nowUs);
 
     @BeforeEach
-    void record() {
+    void startRecording() {
         logger.addHandler(recorder);
     }
 
@@ -42,16 +42,16 @@
         logger.removeHandler(recorder);
     }
 
-    private void tell(EventLog.Kind kind, int count) {
+    private void record(EventLog.Kind kind, int count) {
         for (int i = 0; i < count; i++) {
-            log.tell(kind, () -> "text");
+            log.record(kind, () -> "text");
         }
     }
 
     @Test
     void writesTwoLinesOfEachKindASecond() {
-        tell(EventLog.Kind.REQUEST_FAILED, 5);
-        tell(EventLog.Kind.CLIENT_CLOSED, 3);
+        record(EventLog.Kind.REQUEST_FAILED, 5);
+        record(EventLog.Kind.CLIENT_CLOSED, 3);
         assertThat(lines)
                 .containsExactly(
                         "REQUEST_FAILED text", "REQUEST_FAILED text", "CLIENT_CLOSED text", "CLIENT_CLOSED text");
@@ -59,19 +59,19 @@
 
     @Test
     void theNextLineOfAKindSaysHowManyWereLeftOut() {
-        tell(EventLog.Kind.REQUEST_FAILED, 5);
+        record(EventLog.Kind.REQUEST_FAILED, 5);
         nowUs = SECOND_US - 1;
-        tell(EventLog.Kind.REQUEST_FAILED, 1);
+        record(EventLog.Kind.REQUEST_FAILED, 1);
         lines.clear();
         nowUs = SECOND_US;
-        tell(EventLog.Kind.REQUEST_FAILED, 2);
+        record(EventLog.Kind.REQUEST_FAILED, 2);
         assertThat(lines).containsExactly("REQUEST_FAILED text (4 more before)", "REQUEST_FAILED text");
     }
 
     @Test
     void textOfALineThatIsLeftOutIsNotBuilt() {
-        tell(EventLog.Kind.REQUEST_FAILED, EventLog.MAX_LINES_PER_SECOND);
-        log.tell(EventLog.Kind.REQUEST_FAILED, () -> {
+        record(EventLog.Kind.REQUEST_FAILED, EventLog.MAX_LINES_PER_SECOND);
+        log.record(EventLog.Kind.REQUEST_FAILED, () -> {
             throw new AssertionError("built");
         });
         assertThat(lines).hasSize(EventLog.MAX_LINES_PER_SECOND);
@@ -80,7 +80,7 @@
     @Test
     void theSilentLogWritesNothing() {
         EventLog silent = EventLog.silent();
-        silent.tell(EventLog.Kind.REQUEST_FAILED, () -> "text");
+        silent.record(EventLog.Kind.REQUEST_FAILED, () -> "text");
         assertThat(lines).isEmpty();
     }
 }
