--- a/decisions/src/main/java/frostreel/routing/ChainRouter.java
+++ b/decisions/src/main/java/frostreel/routing/ChainRouter.java
@@ -107,7 +107,7 @@
     public void onRequest(long nowUs, Request original) {
         retryPolicy.recordArrival();
         GroupState group = directory.group(original.group());
-        RequestClass requestClass = settings.get().classes().get(original.cls());
+        RequestClass requestClass = settings.get().classes().get(original.classIndex());
         PendingRequest request = new PendingRequest(
                 original, requestClass, group, settings.limits().maxAttempts(), nowUs);
         requests.put(original.id(), request);
--- a/decisions/src/main/java/frostreel/routing/PendingRequest.java
+++ b/decisions/src/main/java/frostreel/routing/PendingRequest.java
@@ -61,7 +61,7 @@
 
     /** The number of its class in the settings. */
     int classIndex() {
-        return original.cls();
+        return original.classIndex();
     }
 
     /** Whether a member of this zone may be sent it: the members elsewhere may not know its key. */
--- a/decisions/src/main/java/frostreel/routing/Router.java
+++ b/decisions/src/main/java/frostreel/routing/Router.java
@@ -284,11 +284,12 @@
     /**
      * A client's request.
      *
-     * @param cls the number of its class in the settings
+     * @param classIndex the number of its class in the settings
      * @param sinceWriteUs the age of its session's last write, 0 where there is none
      * @param repeated whether the client marked it as a retry
      */
-    record Request(String id, int cls, long session, int group, long deadlineUs, long sinceWriteUs, boolean repeated) {}
+    record Request(
+            String id, int classIndex, long session, int group, long deadlineUs, long sinceWriteUs, boolean repeated) {}
 
     /**
      * The load report of a member, somewhat old; a value that it does not hold is NaN, its position 0.
