--- a/lab/src/main/java/frostreel/lab/processes/MembershipWatch.java
+++ b/lab/src/main/java/frostreel/lab/processes/MembershipWatch.java
@@ -16,7 +16,7 @@
     static final List<String> COLUMNS = List.of("second", "pooler", "sees");
     private static final long POLL_INTERVAL_MS = 20;
     private static final double NS_PER_SECOND = 1e9;
-    private static final Pattern HERE = Pattern.compile("(?m)^(\\S+) here");
+    private static final Pattern PRESENT = Pattern.compile("(?m)^(\\S+) present");
     private static final String NO_ANSWER = "-";
 
     private final List<List<String>> rows = new ArrayList<>();
@@ -54,9 +54,9 @@
     private static String membersSeen(Fleet fleet, int number) {
         try {
             List<String> names = new ArrayList<>();
-            Matcher here = HERE.matcher(fleet.page(number, "fleet"));
-            while (here.find()) {
-                names.add(here.group(1));
+            Matcher present = PRESENT.matcher(fleet.page(number, "fleet"));
+            while (present.find()) {
+                names.add(present.group(1));
             }
             return String.join(" ", names);
         } catch (IOException e) {
--- a/lab/src/test/java/frostreel/lab/processes/ClusterMemberTest.java
+++ b/lab/src/test/java/frostreel/lab/processes/ClusterMemberTest.java
@@ -39,9 +39,9 @@
                 20_000_000);
         fleet.start();
         fleet.begin(List.of());
-        await(0, "p0 here", "p1 here", "p2 here");
-        await(1, "p0 here", "p1 here", "p2 here");
-        await(2, "p0 here", "p1 here", "p2 here");
+        await(0, "p0 present", "p1 present", "p2 present");
+        await(1, "p0 present", "p1 present", "p2 present");
+        await(2, "p0 present", "p1 present", "p2 present");
     }
 
     @AfterEach
@@ -68,10 +68,11 @@
         });
     }
 
-    private static long life(String page, String name) {
-        Matcher life = Pattern.compile("(?m)^" + name + " here life=(\\d+)").matcher(page);
-        assertThat(life.find()).as(page).isTrue();
-        return Long.parseLong(life.group(1));
+    private static long incarnation(String page, String name) {
+        Matcher incarnation =
+                Pattern.compile("(?m)^" + name + " present incarnation=(\\d+)").matcher(page);
+        assertThat(incarnation.find()).as(page).isTrue();
+        return Long.parseLong(incarnation.group(1));
     }
 
     private void rulesWereKept() throws Exception {
@@ -92,37 +93,38 @@
     @Test
     void oneThatIsCutOffIsAbsentForTheOthersServesOnAndIsHereAgain() throws Exception {
         cut(true, List.of(2), List.of(0, 1));
-        await(0, "p0 here", "p1 here", "p2 absent");
-        await(1, "p0 here", "p1 here", "p2 absent");
+        await(0, "p0 present", "p1 present", "p2 absent");
+        await(1, "p0 present", "p1 present", "p2 absent");
         assertThat(fleet.page(2, "stats")).isNotEmpty();
         cut(false, List.of(2), List.of(0, 1));
         for (int i = 0; i < 3; i++) {
-            await(i, "p0 here", "p1 here", "p2 here");
+            await(i, "p0 present", "p1 present", "p2 present");
         }
         rulesWereKept();
     }
 
     @Test
     void oneThatIsKilledComesBackInANewLifeAndOneThatPausesInItsOldOne() throws Exception {
-        long first = life(await(0, "p1 here"), "p1");
+        long first = incarnation(await(0, "p1 present"), "p1");
         CountDownLatch back = new CountDownLatch(1);
         fleet.onLoop(() -> {
             fleet.lifecycle().kill(1, 0, back::countDown);
             return null;
         });
         back.await();
-        String page = await(0, "p1 here life=");
-        while (life(page, "p1") == first) {
-            page = await(0, "p1 here life=");
+        String page = await(0, "p1 present incarnation=");
+        while (incarnation(page, "p1") == first) {
+            page = await(0, "p1 present incarnation=");
         }
-        assertThat(life(page, "p1")).isGreaterThan(first);
-        long paused = life(await(0, "p2 here"), "p2");
+        assertThat(incarnation(page, "p1")).isGreaterThan(first);
+        long paused = incarnation(await(0, "p2 present"), "p2");
         pause(true);
         await(0, "p2 absent");
         await(1, "p2 absent");
         pause(false);
         for (int i = 0; i < 3; i++) {
-            assertThat(life(await(i, "p0 here", "p1 here", "p2 here"), "p2")).isEqualTo(paused);
+            assertThat(incarnation(await(i, "p0 present", "p1 present", "p2 present"), "p2"))
+                    .isEqualTo(paused);
         }
         rulesWereKept();
     }
