--- a/cluster/src/main/java/frostreel/cluster/jgroups/CommittedEntries.java
+++ b/cluster/src/main/java/frostreel/cluster/jgroups/CommittedEntries.java
@@ -31,7 +31,7 @@
      */
     private record LatestProposal(long incarnation, long sequence, long index) {
         boolean isAfter(LatestProposal other) {
-            return incarnation > other.incarnation || incarnation == other.incarnation && sequence > other.sequence;
+            return incarnation > other.incarnation || (incarnation == other.incarnation && sequence > other.sequence);
         }
 
         boolean isSameProposal(LatestProposal other) {
--- a/decisions/src/main/java/frostreel/operation/SharedCommitTable.java
+++ b/decisions/src/main/java/frostreel/operation/SharedCommitTable.java
@@ -125,7 +125,7 @@
     }
 
     private static int slotOf(long session) {
-        return (int) (session * FIBONACCI_HASH >>> Long.SIZE - SLOT_BITS);
+        return (int) ((session * FIBONACCI_HASH) >>> (Long.SIZE - SLOT_BITS));
     }
 
     private static int slotIndex(int region, int slot) {
--- a/decisions/src/main/java/frostreel/routing/ConcurrencyWindow.java
+++ b/decisions/src/main/java/frostreel/routing/ConcurrencyWindow.java
@@ -78,7 +78,7 @@
      * would attract a storm of attempts.
      */
     void pause(long nowUs, double latencyUs) {
-        long pauseUs = (long) latencyUs / FIRST_PAUSE_DIVISOR << Math.min(rejections++, MOST_DOUBLINGS);
+        long pauseUs = ((long) latencyUs / FIRST_PAUSE_DIVISOR) << Math.min(rejections++, MOST_DOUBLINGS);
         pausedUntilUs = nowUs + Math.min(LONGEST_PAUSE_US, pauseUs);
     }
 }
--- a/decisions/src/main/java/frostreel/routing/Freshness.java
+++ b/decisions/src/main/java/frostreel/routing/Freshness.java
@@ -77,7 +77,7 @@
     /** A member reported its position. */
     void recordReport(long nowUs, MemberState member, long positionUs) {
         member.recordPosition(nowUs, positionUs);
-        usualLagUs = Math.min(usualLagUs + member.lagUs * LAG_WEIGHT, member.lagUs);
+        usualLagUs = Math.min(usualLagUs + member.lagUs * LAG_WEIGHT, (double) member.lagUs);
     }
 
     /** The position that a member must have applied to answer the request, 0 for any. */
@@ -107,20 +107,20 @@
         return settings.get().stalenessCheck() != StalenessCheck.SILENT
                 || request.requestClass.access() == Access.WRITE
                 || member.appliedUpToUs >= requiredPositionUs(nowUs, request)
-                || member == request.group.primary && member.primaryAtUs > member.replicaAtUs;
+                || (member == request.group.primary && member.primaryAtUs > member.replicaAtUs);
     }
 
     /** Whether a member has the required position, or else checks that itself and probably has it. */
     boolean isProbablyFresh(long nowUs, MemberState member, long requiredUs) {
         return member.appliedUpToUs >= requiredUs
-                || settings.get().stalenessCheck() != StalenessCheck.SILENT
+                || (settings.get().stalenessCheck() != StalenessCheck.SILENT
                         && nowUs - member.staleAtUs > STALE_US
-                        && nowUs - requiredUs + settings.limits().holdsForUs() >= unusualLagUs(member);
+                        && nowUs - requiredUs + settings.limits().holdsForUs() >= unusualLagUs(member));
     }
 
     /** By how much a member's last report was further behind than reports usually are. */
     double unusualLagUs(MemberState member) {
-        return member.lagUs - Math.min(usualLagUs, member.lagUs);
+        return member.lagUs - Math.min(usualLagUs, (double) member.lagUs);
     }
 
     /**
--- a/decisions/src/main/java/frostreel/routing/MemberState.java
+++ b/decisions/src/main/java/frostreel/routing/MemberState.java
@@ -65,7 +65,7 @@
 
     /** Whether requests may be sent to it by the endpoint list. */
     boolean isUsable(Rules rules) {
-        return state == State.UP || state == State.GONE && rules.onlyDrainingBinds() && !drained;
+        return state == State.UP || (state == State.GONE && rules.onlyDrainingBinds() && !drained);
     }
 
     /** Whether an attempt would find an open connection with room for it. */
--- a/decisions/src/main/java/frostreel/routing/RetryPolicy.java
+++ b/decisions/src/main/java/frostreel/routing/RetryPolicy.java
@@ -49,7 +49,7 @@
     boolean isExhausted(long nowUs, PendingRequest request) {
         return nowUs + SWEEPS_LEFT * sweepIntervalUs >= request.original.deadlineUs()
                 || request.attempts >= request.maxAttempts
-                || request.mayHaveRun && !mayRunTwice(nowUs, request);
+                || (request.mayHaveRun && !mayRunTwice(nowUs, request));
     }
 
     private boolean mayRunTwice(long nowUs, PendingRequest request) {
@@ -119,8 +119,8 @@
         RequestClass requestClass = request.requestClass;
         return !request.mayHaveRun
                 || requestClass.idempotency() == Idempotency.IDEMPOTENT
-                || requestClass.idempotency() == Idempotency.KEYED
-                        && requestClass.deduplicationScope() == DeduplicationScope.ALL;
+                || (requestClass.idempotency() == Idempotency.KEYED
+                        && requestClass.deduplicationScope() == DeduplicationScope.ALL);
     }
 
     /**
@@ -134,11 +134,11 @@
         long leftUs = request.original.deadlineUs() - nowUs;
         if (requestClass.idempotency() == Idempotency.NON_IDEMPOTENT
                 || utilization >= BUSY_UTILIZATION
-                || utilization < 0 && member.window.isBelowInitial()) {
+                || (utilization < 0 && member.window.isBelowInitial())) {
             return leftUs;
         }
         double silenceUs = OutlierDetector.SILENCE_FACTOR * expectedLatencyUs(nowUs, request, member);
-        long timeoutUs = (long) Math.max(requestClass.latencyObjectiveUs(), silenceUs);
+        long timeoutUs = (long) Math.max((double) requestClass.latencyObjectiveUs(), silenceUs);
         long keyUsedAtUs = request.mayHaveRun ? request.firstUncertainSendUs : nowUs;
         boolean mayRetry = request.attempts + 1 < request.maxAttempts
                 && (requestClass.idempotency() == Idempotency.IDEMPOTENT
@@ -156,7 +156,7 @@
         double expectedUs = expectedLatencyUs(nowUs, request, member);
         double spareUs = request.objectiveUs() - nowUs - RETRY_LATENCY_FACTOR * expectedUs;
         boolean mayRetry = spareUs > OutlierDetector.SILENCE_FACTOR * expectedUs && tokens >= 1;
-        return mayRetry ? (long) Math.min(leftUs, spareUs) : leftUs;
+        return mayRetry ? (long) Math.min((double) leftUs, spareUs) : leftUs;
     }
 
     private double expectedLatencyUs(long nowUs, PendingRequest request, MemberState member) {
--- a/decisions/src/main/java/frostreel/routing/WriteQueue.java
+++ b/decisions/src/main/java/frostreel/routing/WriteQueue.java
@@ -63,8 +63,8 @@
         GroupState group = request.group;
         return nowUs >= request.notBeforeUs
                 && (!group.primarySuspected
-                        || primaryTracker.isTrialDue(nowUs, group)
-                                && request.requestClass.idempotency() != Idempotency.NON_IDEMPOTENT);
+                        || (primaryTracker.isTrialDue(nowUs, group)
+                                && request.requestClass.idempotency() != Idempotency.NON_IDEMPOTENT));
     }
 
     /** Gives up the writes that can no longer be served. */
@@ -72,7 +72,7 @@
         for (int i = 0; i < writes.size(); i++) {
             PendingRequest request = writes.get(i);
             if (retryPolicy.isExhausted(nowUs, request)
-                    || group.primary == null && retryPolicy.hasWaitedTooLong(nowUs, request)) {
+                    || (group.primary == null && retryPolicy.hasWaitedTooLong(nowUs, request))) {
                 writes.remove(i--);
                 ender.giveUp(nowUs, request);
             }
--- a/decisions/src/main/java/frostreel/zones/ZoneFailoverPolicy.java
+++ b/decisions/src/main/java/frostreel/zones/ZoneFailoverPolicy.java
@@ -204,7 +204,7 @@
     @Override
     public boolean admits(long nowUs, int handle, int classIndex) {
         ZoneReplicas replicas = replicasByHandle.get(handle);
-        if (!replicas.isOpen() || replicas.isRecovering() && !rampAdmits(nowUs, handle, replicas)) {
+        if (!replicas.isOpen() || (replicas.isRecovering() && !rampAdmits(nowUs, handle, replicas))) {
             return false;
         }
         if (replicas.isNearest() || !nearestHasServed) {
--- a/lab/src/main/java/frostreel/lab/model/Server.java
+++ b/lab/src/main/java/frostreel/lab/model/Server.java
@@ -243,7 +243,7 @@
         if (owedFailures >= 1) {
             owedFailures--;
             end(job, Outcome.ERROR);
-        } else if (job.write && !log.primary() || job.requiredPositionUs > log.appliedUs()) {
+        } else if ((job.write && !log.primary()) || job.requiredPositionUs > log.appliedUs()) {
             end(job, Outcome.WRONG_ROLE_OR_STALE);
         } else if (busyCores < cores) {
             begin(job);
--- a/lab/src/main/java/frostreel/lab/processes/ClientRecorder.java
+++ b/lab/src/main/java/frostreel/lab/processes/ClientRecorder.java
@@ -125,7 +125,7 @@
         if (answer != null) {
             queryAnswered();
         }
-        if (!byPooler || mayCrossEnd && used && open.size() == 1) {
+        if (!byPooler || (mayCrossEnd && used && open.size() == 1)) {
             open.stream().filter(id -> !id.equals(NO_REQUEST)).forEach(id -> listener.requestExcused(clock.now(), id));
         }
     }
--- a/lab/src/main/java/frostreel/lab/processes/FaultyRelay.java
+++ b/lab/src/main/java/frostreel/lab/processes/FaultyRelay.java
@@ -83,7 +83,7 @@
 
     /** Cuts or heals each direction; {@code forth} is from the near side to the far one. */
     void cut(boolean forth, boolean back) {
-        boolean healed = forthCut && !forth || backCut && !back;
+        boolean healed = (forthCut && !forth) || (backCut && !back);
         forthCut = forth;
         backCut = back;
         if (healed) {
@@ -144,7 +144,7 @@
         }
 
         private void move() {
-            if (moving || queue.isEmpty() || isCut() || forth && connection.farEnd == null) {
+            if (moving || queue.isEmpty() || isCut() || (forth && connection.farEnd == null)) {
                 return;
             }
             long nowUs = loop.clock().now();
--- a/lab/src/main/java/frostreel/lab/processes/StandInServers.java
+++ b/lab/src/main/java/frostreel/lab/processes/StandInServers.java
@@ -67,7 +67,7 @@
 
     private void serverChanged(Server server) {
         boolean restarted = startTimesUs.put(server.id, server.startedUs()) != server.startedUs();
-        if (restarted || !server.up() && !server.vanished()) {
+        if (restarted || (!server.up() && !server.vanished())) {
             databases.get(server.id).resetConnections();
         }
         Router.Member entry = Cluster.entry(server);
--- a/pooler/src/main/java/frostreel/backend/ServerPool.java
+++ b/pooler/src/main/java/frostreel/backend/ServerPool.java
@@ -132,7 +132,7 @@
     private void setState(Server server, Router.State state) {
         server.drained |= state == Router.State.DRAINING;
         server.usable =
-                state == Router.State.UP || state == Router.State.GONE && onlyDrainingStopsSends && !server.drained;
+                state == Router.State.UP || (state == Router.State.GONE && onlyDrainingStopsSends && !server.drained);
     }
 
     /**
--- a/pooler/src/main/java/frostreel/frontend/ClientConnection.java
+++ b/pooler/src/main/java/frostreel/frontend/ClientConnection.java
@@ -153,7 +153,7 @@
     private void awaitNext() {
         if (!stream.flushed()) {
             awaitReader();
-        } else if (!isIdle() || !hasAsked && !listener.closesAll()) {
+        } else if (!isIdle() || (!hasAsked && !listener.closesAll())) {
             awaitMessage();
         } else {
             idleTimer.onIdle();
@@ -344,7 +344,7 @@
      */
     boolean closeUnlessAsking() {
         boolean received = stream.readNow();
-        if (!isOpen() || received && request.isActive()) {
+        if (!isOpen() || (received && request.isActive())) {
             return false;
         }
         if (received && isIdle()) {
--- a/pooler/src/main/java/frostreel/pg/MessageReader.java
+++ b/pooler/src/main/java/frostreel/pg/MessageReader.java
@@ -151,7 +151,7 @@
     }
 
     private int intAt(int at) {
-        return buffer[at] << 24 | (buffer[at + 1] & 255) << 16 | (buffer[at + 2] & 255) << 8 | buffer[at + 3] & 255;
+        return buffer[at] << 24 | (buffer[at + 1] & 255) << 16 | (buffer[at + 2] & 255) << 8 | (buffer[at + 3] & 255);
     }
 
     /** A copy of its body. */
