--- a/cluster/src/main/java/frostreel/cluster/jgroups/RaftLog.java
+++ b/cluster/src/main/java/frostreel/cluster/jgroups/RaftLog.java
@@ -38,6 +38,7 @@
     /** Beyond this size of the log a snapshot is taken. */
     private static final int MAX_LOG_BYTES = 1 << 20;
 
+    @SuppressWarnings("ArrayRecordComponent") // Never compared.
     private record Proposal(byte[] bytes, ProposalListener listener) {}
 
     private final Peer self;
@@ -120,6 +121,7 @@
     }
 
     /** Runs on the channel executor. */
+    @SuppressWarnings("FutureReturnValueIgnored") // Both ends are handled in whenComplete.
     private void attempt(Proposal proposal, long deadlineMs) {
         CompletableFuture<byte[]> answer;
         try {
--- a/decisions/src/main/java/frostreel/routing/WaitingRequests.java
+++ b/decisions/src/main/java/frostreel/routing/WaitingRequests.java
@@ -35,7 +35,7 @@
 
     private final Actions actions;
     private final long sweepIntervalUs;
-    private final Map<GroupState, Queues> byGroup = new IdentityHashMap<>();
+    private final IdentityHashMap<GroupState, Queues> byGroup = new IdentityHashMap<>();
     /** The groups in which a request may wait, by their numbers: only these are swept. */
     private final Map<Integer, Queues> waiting = new TreeMap<>();
 
--- a/lab/src/main/java/frostreel/lab/cli/Processes.java
+++ b/lab/src/main/java/frostreel/lab/cli/Processes.java
@@ -38,6 +38,7 @@
     private CommandSpec spec;
 
     @Override
+    @SuppressWarnings("SystemConsoleNull") // Built and run with Java 17, where null means no terminal.
     public Integer call() throws Exception {
         Path jar = program.existing();
         ProcessExperiment experiment = ProcessExperiment.read(file);
--- a/lab/src/main/java/frostreel/lab/processes/LoadConnection.java
+++ b/lab/src/main/java/frostreel/lab/processes/LoadConnection.java
@@ -55,6 +55,7 @@
     }
 
     /** What a pooler answered: the value of its row, or an error's fields; either may be null. */
+    @SuppressWarnings("ArrayRecordComponent") // Never compared.
     record Answer(byte[] value, byte[] error) {}
 
     private static final int MAX_MESSAGE_BYTES = 1 << 18;
--- a/lab/src/main/java/frostreel/lab/processes/PoolerProcess.java
+++ b/lab/src/main/java/frostreel/lab/processes/PoolerProcess.java
@@ -87,6 +87,7 @@
     }
 
     /** SIGTERM to the process that has a successor; {@code then} runs once it has ended. */
+    @SuppressWarnings("FutureReturnValueIgnored") // The runnable is all that is wanted of it.
     void terminateOld(Runnable then) {
         old.onExit().thenRun(then);
         old.destroy();
@@ -202,6 +203,7 @@
     }
 
     /** SIGTERM; {@code then} runs once it has ended, on a thread of its own. */
+    @SuppressWarnings("FutureReturnValueIgnored") // The runnable is all that is wanted of it.
     void terminate(Runnable then) {
         process.onExit().thenRun(then);
         process.destroy();
--- a/lab/src/main/java/frostreel/lab/processes/ProcessFaultReader.java
+++ b/lab/src/main/java/frostreel/lab/processes/ProcessFaultReader.java
@@ -135,7 +135,7 @@
 
     private void systemFault(XmlElement element, int pooler, long atUs, long untilUs) {
         SystemFaults.Call call = SystemFaults.Call.valueOf(element.text("call"));
-        SystemFaults.Error error = SystemFaults.Error.valueOf(element.text("error"));
+        SystemFaults.Errno error = SystemFaults.Errno.valueOf(element.text("error"));
         long times = element.has("times") ? element.whole("times") : SystemFaults.ALWAYS;
         long spanUs = element.ms("spanMs") * (element.flag("back") ? -1 : 1);
         failsSystemCalls = true;
--- a/lab/src/main/java/frostreel/lab/processes/SystemFaultInjector.java
+++ b/lab/src/main/java/frostreel/lab/processes/SystemFaultInjector.java
@@ -23,7 +23,7 @@
     }
 
     /** Has a pooler's system calls fail; see {@link SystemFaults#strike}. */
-    void strike(int pooler, SystemFaults.Call call, SystemFaults.Error error, long forUs, long times, long spanUs) {
+    void strike(int pooler, SystemFaults.Call call, SystemFaults.Errno error, long forUs, long times, long spanUs) {
         run.log()
                 .add("p" + pooler + ": " + call + " meets " + error + " for " + forUs / 1000 + " ms"
                         + (times == SystemFaults.ALWAYS ? "" : ", " + times + " times"));
--- a/lab/src/main/java/frostreel/lab/processes/SystemFaults.java
+++ b/lab/src/main/java/frostreel/lab/processes/SystemFaults.java
@@ -5,6 +5,7 @@
 import java.nio.ByteOrder;
 import java.nio.MappedByteBuffer;
 import java.nio.channels.FileChannel;
+import java.nio.charset.Charset;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.nio.file.StandardOpenOption;
@@ -31,7 +32,7 @@
     }
 
     /** How it fails, by the numbers that Linux has on all its 64-bit machines in use. */
-    enum Error {
+    enum Errno {
         /** The call goes well, though late, or with another result. */
         NONE(0),
         /** Of a read or write: only one byte goes. */
@@ -50,7 +51,7 @@
 
         final int number;
 
-        Error(int number) {
+        Errno(int number) {
             this.number = number;
         }
     }
@@ -88,7 +89,7 @@
                         "gcc", "-O1", "-shared", "-fPIC", "-o", library.toString(), source.toString(), "-ldl")
                 .redirectErrorStream(true)
                 .start();
-        String said = new String(compiler.getInputStream().readAllBytes());
+        String said = new String(compiler.getInputStream().readAllBytes(), Charset.defaultCharset());
         if (compiler.waitFor() != 0) {
             throw new IOException("gcc cannot compile " + SOURCE + ": " + said);
         }
@@ -104,7 +105,8 @@
      * From now on for {@code forUs}, and at most {@code times} times, such calls fail; {@code spanUs}: how
      * long each takes, or by how much the wall clock is off. It replaces what was set for that call before.
      */
-    void strike(Call call, Error error, long forUs, long times, long spanUs) {
+    @SuppressWarnings("EnumOrdinal") // The library has a row for each call, in this order.
+    void strike(Call call, Errno error, long forUs, long times, long spanUs) {
         long now = System.nanoTime(); // CLOCK_MONOTONIC, which the library reads too.
         int at = call.ordinal() * FIELDS * Long.BYTES;
         mapped.putLong(at + 2 * Long.BYTES, 0); // Nothing strikes while the rest changes.
--- a/lab/src/main/java/frostreel/lab/virtual/VirtualGroup.java
+++ b/lab/src/main/java/frostreel/lab/virtual/VirtualGroup.java
@@ -207,7 +207,7 @@
     private boolean reachesMajority(Member member) {
         long reached = present.values().stream()
                 .filter(other ->
-                        other == member || !other.paused && !member.paused && bothDirectionsOpen(other, member))
+                        other == member || (!other.paused && !member.paused && bothDirectionsOpen(other, member)))
                 .count();
         return reached > configuredNames.size() / 2;
     }
@@ -336,6 +336,7 @@
         partitions.forEach(this::install);
     }
 
+    @SuppressWarnings("ReferenceEquality") // NONE is a null object: there is one of it.
     private void install(List<Member> partition) {
         List<Peer> peers = partition.stream().map(member -> member.self).toList();
         if (partition.stream().allMatch(member -> member.latestView.members().equals(peers))) {
--- a/pooler/src/main/java/frostreel/control/AdminRequestParser.java
+++ b/pooler/src/main/java/frostreel/control/AdminRequestParser.java
@@ -8,6 +8,7 @@
 
     private AdminRequestParser() {}
 
+    @SuppressWarnings("StringSplitter") // Empty words at the end are meant to drop out.
     static AdminRequest parse(String line) {
         String[] words = line.trim().split(SEPARATOR);
         return switch (words.length) {
--- a/pooler/src/main/java/frostreel/control/ClockAnchor.java
+++ b/pooler/src/main/java/frostreel/control/ClockAnchor.java
@@ -74,6 +74,7 @@
     }
 
     /** The offset in the file, empty if there is none of this boot. */
+    @SuppressWarnings("StringSplitter") // Empty words at the end are meant to drop out.
     private static OptionalLong storedOffsetUs(Path file, String bootId) throws IOException {
         try {
             String[] words =
--- a/pooler/src/main/java/frostreel/discovery/HttpResponseParser.java
+++ b/pooler/src/main/java/frostreel/discovery/HttpResponseParser.java
@@ -93,6 +93,7 @@
         }
     }
 
+    @SuppressWarnings("StringSplitter") // Empty words at the end are meant to drop out.
     private void acceptStatusLine(String text) throws MalformedResponseException {
         String[] words = text.split(" ");
         if (words.length < 2 || !words[0].startsWith("HTTP/1.")) {
@@ -131,6 +132,7 @@
     }
 
     /** An empty line ends the chunk before, and is skipped. */
+    @SuppressWarnings("StringSplitter") // Empty words at the end are meant to drop out.
     private void acceptChunkSize(String text) throws MalformedResponseException {
         if (text.isEmpty()) {
             return;
--- a/pooler/src/main/java/frostreel/log/LogQueue.java
+++ b/pooler/src/main/java/frostreel/log/LogQueue.java
@@ -115,6 +115,7 @@
     }
 
     @Override
+    @SuppressWarnings("UnsynchronizedOverridesSynchronized") // The target's own setter is synchronized.
     public void setFormatter(Formatter formatter) {
         target.setFormatter(formatter);
     }
--- a/pooler/src/main/java/frostreel/pg/LoadReport.java
+++ b/pooler/src/main/java/frostreel/pg/LoadReport.java
@@ -12,6 +12,7 @@
     private LoadReport() {}
 
     /** Fields that it does not know are skipped, and those that are not there are NaN, UNKNOWN or 0. */
+    @SuppressWarnings("StringSplitter") // Empty words at the end are meant to drop out.
     static Router.Report parse(String text) throws PgException {
         long positionUs = 0;
         Router.Role role = Router.Role.UNKNOWN;
--- a/pooler/src/main/java/frostreel/request/BackEnd.java
+++ b/pooler/src/main/java/frostreel/request/BackEnd.java
@@ -14,6 +14,7 @@
      * @param report the server's load report, null for none
      * @param answer the bytes of the answer, set for {@link Router.Outcome#OK} alone
      */
+    @SuppressWarnings("ArrayRecordComponent") // Never compared; the bytes are handed on.
     record Result(Router.Outcome outcome, Router.Role role, long positionUs, Router.Report report, byte[] answer) {
         /** A result without an answer, which tells nothing of the server. */
         public static Result of(Router.Outcome outcome) {
--- a/pooler/src/main/java/frostreel/settings/OperatorSettingsReader.java
+++ b/pooler/src/main/java/frostreel/settings/OperatorSettingsReader.java
@@ -112,6 +112,7 @@
     }
 
     /** The address of one machine; anything else is a fault. */
+    @SuppressWarnings("StringSplitter") // The schema admits one colon only.
     private Optional<InetSocketAddress> readAddress(XmlElement pooler, String attribute) {
         String[] parts = pooler.text(attribute).split(":");
         try {
