--- a/decisions/src/main/java/frostreel/routing/ChainRouter.java
+++ b/decisions/src/main/java/frostreel/routing/ChainRouter.java
@@ -43,14 +43,17 @@
     /** Whether an endpoint list was handed in. */
     private boolean started;
 
+    /** A router that prefers replicas of its own zone and has no peer process. */
     public ChainRouter(Settings settings, Actions actions) {
         this(settings, actions, new NearestZonePolicy(settings.zone()));
     }
 
+    /** A router without a peer process. */
     public ChainRouter(Settings settings, Actions actions, LocalityPolicy localityPolicy) {
         this(settings, actions, localityPolicy, (nowUs, session) -> 0);
     }
 
+    /** A router that decides for {@code actions}; its sessions also see the commits of the peer process. */
     public ChainRouter(Settings settings, Actions actions, LocalityPolicy localityPolicy, PeerCommits peerCommits) {
         this.actions = actions;
         components = new RoutingComponents(settings, actions, localityPolicy, peerCommits);
--- a/lab/src/main/java/frostreel/lab/model/VirtualTime.java
+++ b/lab/src/main/java/frostreel/lab/model/VirtualTime.java
@@ -6,8 +6,8 @@
 public final class VirtualTime implements Scheduler {
     private record Event(long atUs, long order, Runnable task) implements Comparable<Event> {
         @Override
-        public int compareTo(Event o) {
-            return atUs != o.atUs ? Long.compare(atUs, o.atUs) : Long.compare(order, o.order);
+        public int compareTo(Event other) {
+            return atUs != other.atUs ? Long.compare(atUs, other.atUs) : Long.compare(order, other.order);
         }
     }
 
@@ -32,9 +32,9 @@
     /** Runs all that is due up to that time, and stands there. */
     public void runUntil(long atUs) {
         while (!events.isEmpty() && events.peek().atUs <= atUs) {
-            Event e = events.poll();
-            nowUs = e.atUs;
-            e.task.run();
+            Event event = events.poll();
+            nowUs = event.atUs;
+            event.task.run();
         }
         nowUs = Math.max(nowUs, atUs);
     }
--- a/lab/src/main/java/frostreel/lab/processes/AdminCall.java
+++ b/lab/src/main/java/frostreel/lab/processes/AdminCall.java
@@ -35,7 +35,7 @@
                     }
 
                     @Override
-                    public void handleFailed(IOException e, Void none) {
+                    public void handleFailed(IOException failure, Void none) {
                         call.ended();
                     }
                 },
--- a/lab/src/main/java/frostreel/lab/processes/FaultCampaign.java
+++ b/lab/src/main/java/frostreel/lab/processes/FaultCampaign.java
@@ -75,8 +75,8 @@
         return new Kind(name, "<system call=\"" + call + "\" error=\"" + error + "\"");
     }
 
-    private static Kind spanning(String name, String call, long ms, boolean back) {
-        return new Kind(name, "<system call=\"" + call + "\" spanMs=\"" + ms + "\" back=\"" + back + "\"");
+    private static Kind spanning(String name, String call, long durationMs, boolean back) {
+        return new Kind(name, "<system call=\"" + call + "\" spanMs=\"" + durationMs + "\" back=\"" + back + "\"");
     }
 
     /**
--- a/lab/src/main/java/frostreel/lab/processes/FaultyRelay.java
+++ b/lab/src/main/java/frostreel/lab/processes/FaultyRelay.java
@@ -223,7 +223,7 @@
                         }
 
                         @Override
-                        public void handleFailed(IOException e, Void none) {
+                        public void handleFailed(IOException failure, Void none) {
                             farEnded = true;
                             closeIfDrained();
                         }
--- a/lab/src/main/java/frostreel/lab/processes/LoadConnection.java
+++ b/lab/src/main/java/frostreel/lab/processes/LoadConnection.java
@@ -122,7 +122,7 @@
                     }
 
                     @Override
-                    public void handleFailed(IOException e, Void none) {
+                    public void handleFailed(IOException failure, Void none) {
                         ended();
                     }
                 },
--- a/lab/src/test/java/frostreel/lab/DeployedRunTest.java
+++ b/lab/src/test/java/frostreel/lab/DeployedRunTest.java
@@ -141,8 +141,8 @@
     private static List<Integer> listeners(long pid) throws IOException {
         Set<String> sockets = new TreeSet<>();
         try (Stream<Path> open = Files.list(Path.of("/proc/" + pid + "/fd"))) {
-            for (Path fd : open.toList()) {
-                sockets.add(Files.readSymbolicLink(fd).toString());
+            for (Path link : open.toList()) {
+                sockets.add(Files.readSymbolicLink(link).toString());
             }
         }
         List<Integer> ports = new ArrayList<>();
--- a/lab/src/test/java/frostreel/lab/model/ServerTest.java
+++ b/lab/src/test/java/frostreel/lab/model/ServerTest.java
@@ -71,18 +71,18 @@
 
     @Test
     void whoSucceedsTellsTheEndOfItsLogAndWhoIsSucceededLosesWhatCameLater() {
-        ServerParameters u = ServerParameters.USUAL;
+        ServerParameters usual = ServerParameters.USUAL;
         ServerParameters lossy = new ServerParameters(
-                u.coldFrom(),
-                u.warmAfterUs(),
-                u.fallMultiple(),
-                u.fallUs(),
-                u.logDelayUs(),
-                u.replayRate(),
-                u.queue(),
-                u.informedShare(),
-                u.slackUs(),
-                u.cancels(),
+                usual.coldFrom(),
+                usual.warmAfterUs(),
+                usual.fallMultiple(),
+                usual.fallUs(),
+                usual.logDelayUs(),
+                usual.replayRate(),
+                usual.queue(),
+                usual.informedShare(),
+                usual.slackUs(),
+                usual.cancels(),
                 false);
         Cluster cluster = new Cluster(scheduler, new SplittableRandom(1), lossy, 1, 2, 1, 2, s -> {});
         Server old = cluster.all().stream().filter(Server::primary).findFirst().orElseThrow();
--- a/lab/src/test/java/frostreel/lab/processes/GroupRig.java
+++ b/lab/src/test/java/frostreel/lab/processes/GroupRig.java
@@ -90,12 +90,12 @@
         /** Waits for a view of these and nobody else, and returns it. */
         MembershipView sees(String... names) throws InterruptedException {
             while (true) {
-                MembershipView v = views.poll(HANG_S, TimeUnit.SECONDS);
-                assertThat(v)
+                MembershipView view = views.poll(HANG_S, TimeUnit.SECONDS);
+                assertThat(view)
                         .as("a view of %s at %s", List.of(names), group.self())
                         .isNotNull();
-                if (v.members().stream().map(Peer::name).toList().equals(List.of(names))) {
-                    return v;
+                if (view.members().stream().map(Peer::name).toList().equals(List.of(names))) {
+                    return view;
                 }
             }
         }
@@ -119,8 +119,8 @@
         long pid = ProcessHandle.current().pid();
         for (int i = 0; i < count; i++) {
             String host = "127." + (1 + pid % 250) + "." + pid / 250 % 250 + "." + (100 + i);
-            try (ServerSocket s = new ServerSocket(0, 1, InetAddress.getByName(host))) {
-                binds.add(new InetSocketAddress(host, s.getLocalPort()));
+            try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName(host))) {
+                binds.add(new InetSocketAddress(host, socket.getLocalPort()));
             }
         }
         links = onLoop(() -> new PeerRelays(loop, binds));
@@ -157,9 +157,9 @@
     }
 
     Member start(String name, int place) {
-        Member m = new Member(name, place, 1, null);
-        members.add(m);
-        return m;
+        Member member = new Member(name, place, 1, null);
+        members.add(member);
+        return member;
     }
 
     void five() throws Exception {
--- a/lab/src/test/java/frostreel/lab/processes/HandoverTest.java
+++ b/lab/src/test/java/frostreel/lab/processes/HandoverTest.java
@@ -125,15 +125,15 @@
     }
 
     private static void daemon(Task task) {
-        Thread t = new Thread(() -> {
+        Thread thread = new Thread(() -> {
             try {
                 task.run();
             } catch (IOException e) {
                 return; // The other side has gone, or the test is over.
             }
         });
-        t.setDaemon(true);
-        t.start();
+        thread.setDaemon(true);
+        thread.start();
     }
 
     /** A process, and one client of it. */
--- a/lab/src/test/java/frostreel/lab/processes/RecordersTest.java
+++ b/lab/src/test/java/frostreel/lab/processes/RecordersTest.java
@@ -90,13 +90,13 @@
     @Test
     void aRequestServedInTimeBreaksNothing() {
         asks(read("1", "account-view", ""));
-        StatementRecorder s = server("a");
+        StatementRecorder recorder = server("a");
         byte[] query = read("1", "account-view", "");
         for (byte b : query) { // However the bytes are split.
-            s.poolerSent(new byte[] {b});
+            recorder.poolerSent(new byte[] {b});
         }
         nowUs += 40_000;
-        s.poolerReceived(row(500_000));
+        recorder.poolerReceived(row(500_000));
         client.poolerSent(with(Messages.row("v", "x")));
         nowUs += 10_000_000;
         assertThat(broken()).isEmpty();
@@ -170,24 +170,24 @@
     @Test
     void anAttemptWhoseEndIsFoundBehindTheNextOnesBytesConvictsNobody() {
         AttemptOrder order = new AttemptOrder();
-        StatementRecorder a = server("a", order);
-        StatementRecorder b = server("b", order);
-        a.poolerSent(read("1", "account-view", ""));
-        order.readBy(() -> a.connectionEnded(true));
-        b.poolerSent(read("1", "account-view", ""));
+        StatementRecorder first = server("a", order);
+        StatementRecorder second = server("b", order);
+        first.poolerSent(read("1", "account-view", ""));
+        order.readBy(() -> first.connectionEnded(true));
+        second.poolerSent(read("1", "account-view", ""));
         assertThat(broken()).isEmpty();
     }
 
     @Test
     void aWriteSentAgainPastItsWindowConvictsAndWithinItDoesNot() {
-        StatementRecorder a = server("a");
+        StatementRecorder first = server("a");
         asks(write("1"));
-        a.poolerSent(write("1"));
-        a.connectionEnded(true);
+        first.poolerSent(write("1"));
+        first.connectionEnded(true);
         nowUs += 2_900_000;
-        StatementRecorder b = server("b");
-        b.poolerSent(write("1"));
-        b.connectionEnded(false);
+        StatementRecorder second = server("b");
+        second.poolerSent(write("1"));
+        second.connectionEnded(false);
         assertThat(broken()).isEmpty();
         nowUs += 200_000;
         server("c").poolerSent(write("1"));
@@ -203,27 +203,27 @@
         list.poolerReceived(response);
         list.poolerReceived(body);
         nowUs += 900_000;
-        StatementRecorder a = server("a");
-        a.poolerSent(read("1", "account-view", ""));
-        a.poolerReceived(REFUSED);
+        StatementRecorder first = server("a");
+        first.poolerSent(read("1", "account-view", ""));
+        first.poolerReceived(REFUSED);
         assertThat(broken()).isEmpty();
         nowUs += 200_000;
-        a.poolerSent(read("1", "account-view", ""));
+        first.poolerSent(read("1", "account-view", ""));
         assertThat(broken()).containsExactly("drains and ends kept");
     }
 
     @Test
     void aReadOlderThanItsClassOrItsSessionAllowsConvicts() {
-        StatementRecorder a = server("a");
-        a.poolerSent(read("1", "account-view", ""));
-        a.poolerReceived(row(790_000));
-        a.poolerSent(read("2", "receipt-view", ",after=" + (nowUs / 1000 - 100)));
-        a.poolerReceived(row(50_000));
+        StatementRecorder recorder = server("a");
+        recorder.poolerSent(read("1", "account-view", ""));
+        recorder.poolerReceived(row(790_000));
+        recorder.poolerSent(read("2", "receipt-view", ",after=" + (nowUs / 1000 - 100)));
+        recorder.poolerReceived(row(50_000));
         assertThat(broken()).isEmpty();
-        a.poolerSent(read("3", "account-view", ""));
-        a.poolerReceived(row(900_000));
-        a.poolerSent(read("4", "receipt-view", ",after=" + (nowUs / 1000 - 100)));
-        a.poolerReceived(row(150_000));
+        recorder.poolerSent(read("3", "account-view", ""));
+        recorder.poolerReceived(row(900_000));
+        recorder.poolerSent(read("4", "receipt-view", ",after=" + (nowUs / 1000 - 100)));
+        recorder.poolerReceived(row(150_000));
         assertThat(broken()).containsExactly("no stale read");
         assertThat(checker.broken()).isEqualTo(2);
     }
--- a/lab/src/test/java/frostreel/lab/standin/StandInsTest.java
+++ b/lab/src/test/java/frostreel/lab/standin/StandInsTest.java
@@ -66,11 +66,11 @@
         loop.end();
     }
 
-    private StandInDatabase database(Server s) throws IOException {
+    private StandInDatabase database(Server server) throws IOException {
         return new StandInDatabase(
                 loop,
                 scheduler,
-                s,
+                server,
                 new StandInDatabase.CostModel() {
                     @Override
                     public double workUs(Statement statement) {
@@ -102,16 +102,16 @@
         return new Socket(at.getAddress(), at.getPort());
     }
 
-    private static Reply answer(Socket s, byte[] query, Reply reply) throws Exception {
-        s.getOutputStream().write(query);
+    private static Reply answer(Socket socket, byte[] query, Reply reply) throws Exception {
+        socket.getOutputStream().write(query);
         MessageReader reader = new MessageReader(Reply::maxLength);
         byte[] some = new byte[4096];
         while (!reply.ended()) {
-            int n = s.getInputStream().read(some);
-            if (n < 0) {
+            int length = socket.getInputStream().read(some);
+            if (length < 0) {
                 return reply;
             }
-            reader.feed(ByteBuffer.wrap(some, 0, n));
+            reader.feed(ByteBuffer.wrap(some, 0, length));
             while (reader.next()) {
                 reply.accept(reader);
             }
@@ -120,13 +120,14 @@
     }
 
     private static Socket welcomed(StandInDatabase at) throws Exception {
-        Socket s = connect(at.address());
-        assertThat(answer(s, Messages.startup(), Reply.toStartup()).ready()).isTrue();
-        return s;
+        Socket socket = connect(at.address());
+        assertThat(answer(socket, Messages.startup(), Reply.toStartup()).ready())
+                .isTrue();
+        return socket;
     }
 
-    private static Reply ask(Socket s, String sql) throws Exception {
-        return answer(s, Messages.query((sql + "\0").getBytes(StandardCharsets.US_ASCII)), Reply.toQuery());
+    private static Reply ask(Socket socket, String sql) throws Exception {
+        return answer(socket, Messages.query((sql + "\0").getBytes(StandardCharsets.US_ASCII)), Reply.toQuery());
     }
 
     private static String read(String more) {
@@ -138,22 +139,23 @@
 
     @Test
     void theProgramsOwnReaderTakesWhatServersAnswer() throws Exception {
-        try (Socket p = welcomed(first);
-                Socket r = welcomed(second)) {
-            Reply written = ask(p, WRITE);
+        try (Socket primary = welcomed(first);
+                Socket replica = welcomed(second)) {
+            Reply written = ask(primary, WRITE);
             assertThat(written.result(false).outcome()).isEqualTo(Outcome.OK);
             assertThat(written.result(false).role()).isEqualTo(Role.PRIMARY);
             assertThat(new String(written.result(false).answer(), StandardCharsets.US_ASCII))
                     .contains("w");
-            assertThat(ask(r, WRITE).errorCode()).isEqualTo("25006");
-            Reply served = ask(r, read(""));
+            assertThat(ask(replica, WRITE).errorCode()).isEqualTo("25006");
+            Reply served = ask(replica, read(""));
             assertThat(served.result(false).role()).isEqualTo(Role.REPLICA);
             assertThat(served.result(false).positionUs()).isPositive();
-            assertThat(ask(r, read(",after=" + (System.currentTimeMillis() + 60_000)))
+            assertThat(ask(replica, read(",after=" + (System.currentTimeMillis() + 60_000)))
                             .errorCode())
                     .isEqualTo("72000");
-            assertThat(ask(r, "SHOW load").probeResult(false).report().role()).isEqualTo(Role.REPLICA);
-            assertThat(ask(r, "SELECT 1").errorCode()).isEqualTo("08P01");
+            assertThat(ask(replica, "SHOW load").probeResult(false).report().role())
+                    .isEqualTo(Role.REPLICA);
+            assertThat(ask(replica, "SELECT 1").errorCode()).isEqualTo("08P01");
         }
     }
 
@@ -179,31 +181,31 @@
 
     @Test
     void aWatchIsToldOfADrainAndOneThatIsNotBehindWaits() throws Exception {
-        try (Socket s = connect(onLoop(agent::address))) {
-            JSONObject whole = call(s, "");
+        try (Socket socket = connect(onLoop(agent::address))) {
+            JSONObject whole = call(socket, "");
             assertThat(whole.getBoolean("whole")).isTrue();
             assertThat(whole.getJSONArray("hosts")).hasSize(2);
-            assertThat(call(s, "?index=0&wait=1").getJSONArray("hosts")).isEmpty();
+            assertThat(call(socket, "?index=0&wait=1").getJSONArray("hosts")).isEmpty();
             onLoop(() -> {
                 cluster.drain(replica);
                 return null;
             });
-            JSONObject changes = call(s, "?index=0&wait=60000");
+            JSONObject changes = call(socket, "?index=0&wait=60000");
             assertThat(changes.getBoolean("whole")).isFalse();
             assertThat(changes.getLong("seq")).isEqualTo(1);
             assertThat(changes.getJSONArray("hosts").getJSONObject(0).getString("health"))
                     .isEqualTo("Terminating");
         }
-        try (Socket s = welcomed(second)) {
-            assertThat(ask(s, read("")).errorCode()).isEqualTo("53300");
+        try (Socket socket = welcomed(second)) {
+            assertThat(ask(socket, read("")).errorCode()).isEqualTo("53300");
         }
     }
 
-    private static JSONObject call(Socket s, String query) throws IOException {
-        s.getOutputStream()
+    private static JSONObject call(Socket socket, String query) throws IOException {
+        socket.getOutputStream()
                 .write(("GET /discovery/hosts" + query + " HTTP/1.1\r\nHost: x\r\n\r\n")
                         .getBytes(StandardCharsets.US_ASCII));
-        DataInputStream in = new DataInputStream(s.getInputStream());
+        DataInputStream in = new DataInputStream(socket.getInputStream());
         StringBuilder head = new StringBuilder();
         while (head.indexOf("\r\n\r\n") < 0) {
             head.append((char) in.readUnsignedByte());
--- a/lab/src/test/java/frostreel/lab/virtual/ColdFleetTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/ColdFleetTest.java
@@ -25,28 +25,28 @@
     }
 
     /** Decisions that take a started server for a warm one. */
-    private static Router careless(Router.Settings s, Router.Actions actions) {
-        Router.Rules r = s.rules();
+    private static Router careless(Router.Settings settings, Router.Actions actions) {
+        Router.Rules rules = settings.rules();
         return new ChainRouter(
                 new Router.Settings(
-                        s.seed(),
-                        s.instances(),
-                        s.zone(),
-                        s.tickUs(),
-                        s.classes(),
-                        s.stalenessCheck(),
-                        s.listRole(),
-                        s.sessionTracking(),
-                        s.positions(),
-                        s.limits(),
+                        settings.seed(),
+                        settings.instances(),
+                        settings.zone(),
+                        settings.tickUs(),
+                        settings.classes(),
+                        settings.stalenessCheck(),
+                        settings.listRole(),
+                        settings.sessionTracking(),
+                        settings.positions(),
+                        settings.limits(),
                         new Router.Rules(
-                                r.answerSlackUs(),
-                                r.stopSendingUs(),
-                                r.onlyDrainingBinds(),
+                                rules.answerSlackUs(),
+                                rules.stopSendingUs(),
+                                rules.onlyDrainingBinds(),
                                 1,
-                                r.warmAfterUs(),
-                                r.fallMultiple(),
-                                r.fallUs())),
+                                rules.warmAfterUs(),
+                                rules.fallMultiple(),
+                                rules.fallUs())),
                 actions);
     }
 
--- a/lab/src/test/java/frostreel/lab/virtual/RandomScenario.java
+++ b/lab/src/test/java/frostreel/lab/virtual/RandomScenario.java
@@ -49,8 +49,8 @@
     }
 
     private SimulationPlan plan(JSONObject fleet) throws MalformedMessageException {
-        Router.Settings s = settings();
-        Router.Rules r = s.rules();
+        Router.Settings site = settings();
+        Router.Rules rules = site.rules();
         double shares = 0;
         JSONArray kinds = fleet.getJSONArray("kinds");
         for (int i = 0; i < kinds.length(); i++) {
@@ -62,7 +62,7 @@
             double workUs = kinds.getJSONObject(i).getDouble("workMs") * 1e3;
             meanUs += workUs * kinds.getJSONObject(i).getDouble("share") / shares;
             all.add(new SimulationPlan.RequestKind(
-                    s.classes().get(i),
+                    site.classes().get(i),
                     kinds.getJSONObject(i).getDouble("share") / shares,
                     0.7 * workUs,
                     1.3 * workUs));
@@ -70,10 +70,10 @@
         boolean commitsWait =
                 json.getJSONObject("settings").getJSONObject("familyInfo").optBoolean("commitWaits", true);
         ServerParameters physics = new ServerParameters(
-                r.coldFrom(),
-                r.warmAfterUs(),
-                r.fallMultiple(),
-                r.fallUs(),
+                rules.coldFrom(),
+                rules.warmAfterUs(),
+                rules.fallMultiple(),
+                rules.fallUs(),
                 us(fleet, "logDelayS"),
                 fleet.getDouble("replay"),
                 fleet.getInt("queue"),
@@ -96,19 +96,19 @@
                 us(fleet, "listLagS"),
                 us(fleet, "durationS"),
                 fleet.getBoolean("retries"),
-                new Site(all, s, physics, reports, fleet.getInt("members"), fleet.getInt("sessions")));
+                new Site(all, site, physics, reports, fleet.getInt("members"), fleet.getInt("sessions")));
     }
 
-    private static long us(JSONObject o, String key) {
-        return Math.round(o.getDouble(key) * US);
+    private static long us(JSONObject json, String key) {
+        return Math.round(json.getDouble(key) * US);
     }
 
     /** The first so many of a list, from a place on, so that events meet different ones. */
-    private static <T> List<T> part(List<T> all, JSONObject e) {
-        int count = Math.max(1, (int) Math.floor(e.getDouble("part") * all.size()));
+    private static <T> List<T> part(List<T> all, JSONObject event) {
+        int count = Math.max(1, (int) Math.floor(event.getDouble("part") * all.size()));
         List<T> some = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            some.add(all.get((e.getInt("from") + i) % all.size()));
+            some.add(all.get((event.getInt("from") + i) % all.size()));
         }
         return some;
     }
@@ -191,9 +191,9 @@
         }
     }
 
-    private static void start(Cluster cluster, Server s) {
-        if (!s.up()) {
-            cluster.start(s);
+    private static void start(Cluster cluster, Server server) {
+        if (!server.up()) {
+            cluster.start(server);
         }
     }
 
--- a/lab/src/test/java/frostreel/lab/virtual/RandomSettingsTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/RandomSettingsTest.java
@@ -70,9 +70,9 @@
         }
     }
 
-    private static JSONObject copy(JSONObject o) {
+    private static JSONObject copy(JSONObject original) {
         JSONObject other = new JSONObject();
-        o.keySet().forEach(key -> other.put(key, o.get(key)));
+        original.keySet().forEach(key -> other.put(key, original.get(key)));
         return other;
     }
 
--- a/lab/src/test/java/frostreel/lab/virtual/SimulationTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/SimulationTest.java
@@ -36,8 +36,9 @@
         assertNoServerOverloaded(simulation);
         assertThat(simulation.statistics().weightShare(5, 25, RunStatistics.ALL_ZONES))
                 .isGreaterThan(0.97);
-        RunStatistics t = simulation.statistics();
-        assertThat(t.served() + t.rejected() + t.failed()).isEqualTo(t.requests() + t.retries());
+        RunStatistics statistics = simulation.statistics();
+        assertThat(statistics.served() + statistics.rejected() + statistics.failed())
+                .isEqualTo(statistics.requests() + statistics.retries());
     }
 
     @Test
@@ -63,13 +64,13 @@
         public void onSettings(Settings settings) {}
 
         @Override
-        public void onRequest(long nowUs, Request q) {
-            act.send(q.id(), first(q), q.deadlineUs() - nowUs);
+        public void onRequest(long nowUs, Request request) {
+            act.send(request.id(), first(request), request.deadlineUs() - nowUs);
         }
 
-        private String first(Request q) {
+        private String first(Request request) {
             return members.stream()
-                    .filter(m -> m.group() == q.group())
+                    .filter(m -> m.group() == request.group())
                     .findFirst()
                     .orElseThrow()
                     .id();
--- a/lab/src/test/java/frostreel/lab/virtual/VirtualGroupTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/VirtualGroupTest.java
@@ -64,10 +64,10 @@
     }
 
     private Ears join(String name, long life) {
-        Ears e = new Ears();
-        e.mine = group.join(name, life, e);
-        ears.put(name, e);
-        return e;
+        Ears member = new Ears();
+        member.mine = group.join(name, life, member);
+        ears.put(name, member);
+        return member;
     }
 
     private void start(int count, long seed) {
@@ -79,8 +79,8 @@
         ears.values().forEach(e -> assertThat(e.sees()).containsExactlyElementsOf(names));
     }
 
-    private static String name(int i) {
-        return String.format("p%03d", i);
+    private static String name(int index) {
+        return String.format("p%03d", index);
     }
 
     private void pass(long us) {
@@ -154,16 +154,16 @@
     @Test
     void messagesKeepTheirOrderThoughTheWayGetsShorter() {
         start(2, 1);
-        Membership a = ears.get("p000").mine;
+        Membership first = ears.get("p000").mine;
         group.delay("p000", "p001", 500_000);
-        a.send(ears.get("p001").mine.self(), "one".getBytes());
+        first.send(ears.get("p001").mine.self(), "one".getBytes());
         group.delay("p000", "p001", 0);
-        a.broadcast("two".getBytes());
+        first.broadcast("two".getBytes());
         pass(400_000);
         assertThat(ears.get("p001").heard).isEmpty();
         pass(200_000);
         assertThat(ears.get("p001").heard).containsExactly("p000:one", "p000:two");
-        assertThatThrownBy(() -> a.broadcast(new byte[Membership.MAX_MESSAGE_BYTES + 1]))
+        assertThatThrownBy(() -> first.broadcast(new byte[Membership.MAX_MESSAGE_BYTES + 1]))
                 .hasMessageContaining("at most");
     }
 
--- a/pooler/src/main/java/frostreel/backend/ServerConnection.java
+++ b/pooler/src/main/java/frostreel/backend/ServerConnection.java
@@ -80,8 +80,9 @@
                     }
 
                     @Override
-                    public void handleFailed(IOException e, Void none) {
-                        loop.events().record(EventLog.Kind.SERVER_CONNECTION_FAILED, () -> "to " + address + ": " + e);
+                    public void handleFailed(IOException failure, Void none) {
+                        loop.events()
+                                .record(EventLog.Kind.SERVER_CONNECTION_FAILED, () -> "to " + address + ": " + failure);
                         failOpening(Outcome.CONNECT_FAILED);
                     }
                 },
--- a/pooler/src/main/java/frostreel/discovery/AgentConnection.java
+++ b/pooler/src/main/java/frostreel/discovery/AgentConnection.java
@@ -80,8 +80,8 @@
                     }
 
                     @Override
-                    public void handleFailed(IOException e, Void none) {
-                        fail("the connection failed: " + e.getMessage());
+                    public void handleFailed(IOException failure, Void none) {
+                        fail("the connection failed: " + failure.getMessage());
                     }
                 },
                 null);
