--- a/lab/src/main/java/frostreel/lab/rules/InvariantChecker.java
+++ b/lab/src/main/java/frostreel/lab/rules/InvariantChecker.java
@@ -11,6 +11,8 @@
 public final class InvariantChecker implements RunListener {
     private final OneAnswerRule answers;
     private final List<Rule> rules;
+    /** The same as an array: each event of a run goes to all of them, and costs no allocation so. */
+    private final Rule[] notified;
 
     /** A checker by the limits and figures that a deployment states. */
     public InvariantChecker(Limits limits, Rules figures) {
@@ -22,6 +24,7 @@
                 new DrainRule(figures.stopSendingUs(), figures.onlyDrainingBinds()),
                 new ColdServerRule(),
                 new FreshnessRule());
+        notified = rules.toArray(new Rule[0]);
     }
 
     /** The run is over: what is open past its deadline was never answered. */
@@ -41,56 +44,78 @@
 
     @Override
     public void requestTaken(long nowUs, int pooler, String id, RequestClass requestClass, long deadlineUs) {
-        rules.forEach(rule -> rule.requestTaken(nowUs, pooler, id, requestClass, deadlineUs));
+        for (Rule rule : notified) {
+            rule.requestTaken(nowUs, pooler, id, requestClass, deadlineUs);
+        }
     }
 
     @Override
     public void requestAnswered(long nowUs, int pooler, String id, Answer answer) {
-        rules.forEach(rule -> rule.requestAnswered(nowUs, pooler, id, answer));
+        for (Rule rule : notified) {
+            rule.requestAnswered(nowUs, pooler, id, answer);
+        }
     }
 
     @Override
     public void requestExcused(long nowUs, String id) {
-        rules.forEach(rule -> rule.requestExcused(nowUs, id));
+        for (Rule rule : notified) {
+            rule.requestExcused(nowUs, id);
+        }
     }
 
     @Override
     public void attemptSent(long nowUs, int pooler, String id, String server) {
-        rules.forEach(rule -> rule.attemptSent(nowUs, pooler, id, server));
+        for (Rule rule : notified) {
+            rule.attemptSent(nowUs, pooler, id, server);
+        }
     }
 
     @Override
     public void attemptEnded(long nowUs, int pooler, String id, Outcome outcome, boolean mayHaveRun) {
-        rules.forEach(rule -> rule.attemptEnded(nowUs, pooler, id, outcome, mayHaveRun));
+        for (Rule rule : notified) {
+            rule.attemptEnded(nowUs, pooler, id, outcome, mayHaveRun);
+        }
     }
 
     @Override
     public void readServed(long nowUs, String id, long positionUs, long requiredUs) {
-        rules.forEach(rule -> rule.readServed(nowUs, id, positionUs, requiredUs));
+        for (Rule rule : notified) {
+            rule.readServed(nowUs, id, positionUs, requiredUs);
+        }
     }
 
     @Override
     public void endpointUpdated(long nowUs, int pooler, String server, State state) {
-        rules.forEach(rule -> rule.endpointUpdated(nowUs, pooler, server, state));
+        for (Rule rule : notified) {
+            rule.endpointUpdated(nowUs, pooler, server, state);
+        }
     }
 
     @Override
     public void serverSuspended(long nowUs, int pooler, String server, boolean isSuspended) {
-        rules.forEach(rule -> rule.serverSuspended(nowUs, pooler, server, isSuspended));
+        for (Rule rule : notified) {
+            rule.serverSuspended(nowUs, pooler, server, isSuspended);
+        }
     }
 
     @Override
     public void serverOverloaded(long nowUs, String server) {
-        rules.forEach(rule -> rule.serverOverloaded(nowUs, server));
+        for (Rule rule : notified) {
+            rule.serverOverloaded(nowUs, server);
+        }
     }
 
     @Override
     public void poolerKilled(long nowUs, int pooler) {
-        rules.forEach(rule -> rule.poolerKilled(nowUs, pooler));
+        for (Rule rule : notified) {
+            rule.poolerKilled(nowUs, pooler);
+        }
     }
 
     @Override
     public void poolerPaused(long nowUs, int pooler, boolean isPaused) {
-        rules.forEach(rule -> rule.poolerPaused(nowUs, pooler, isPaused));
+        for (Rule rule : notified) {
+            rule.poolerPaused(nowUs, pooler, isPaused);
+        }
     }
 }
