--- a/decisions/src/jmh/java/frostreel/zones/LocalityPolicyBenchmark.java
+++ b/decisions/src/jmh/java/frostreel/zones/LocalityPolicyBenchmark.java
@@ -67,7 +67,7 @@
                 Router.ListRole.LATE,
                 Router.SessionTracking.CARRIED,
                 true,
-                new Router.Limits(10, Router.Probes.REPORT, true, true, 1, false, 0, 250_000, 50_000, 30_000_000, 1),
+                new Router.Limits(10, Router.HealthChecks.REPORT, true, true, 1, false, 0, 250_000, 50_000, 30_000_000, 1),
                 new Router.Rules(20_000, 1_000_000, false, 0.2, 15_000_000, 3, 2_000_000));
     }
 
--- a/decisions/src/main/java/frostreel/routing/ChainRouter.java
+++ b/decisions/src/main/java/frostreel/routing/ChainRouter.java
@@ -90,7 +90,7 @@
     }
 
     @Override
-    public void onProbe(long nowUs, String memberId, boolean ok, long tookUs, Report report) {
+    public void onHealthCheck(long nowUs, String memberId, boolean ok, long tookUs, Report report) {
         MemberState member = directory.member(memberId);
         if (member == null) {
             return;
@@ -99,7 +99,7 @@
         member.healthCheckPending = false;
         member.verified |= ok;
         group.lastFreshnessCheckUs = 0;
-        components.localityPolicy.probed(nowUs, member.localityHandle, ok);
+        components.localityPolicy.onHealthCheck(nowUs, member.localityHandle, ok);
         if (ok && report != null) {
             attemptRecorder.recordReport(nowUs, group, member, report);
         }
--- a/decisions/src/main/java/frostreel/routing/HealthChecker.java
+++ b/decisions/src/main/java/frostreel/routing/HealthChecker.java
@@ -1,7 +1,7 @@
 package frostreel.routing;
 
 import frostreel.routing.Router.Actions;
-import frostreel.routing.Router.Probes;
+import frostreel.routing.Router.HealthChecks;
 
 /** Starts health checks where the deployment allows them, at most one per member at a time. */
 final class HealthChecker {
@@ -21,17 +21,17 @@
 
     /** Whether health checks report role and position. */
     boolean reportsPositions() {
-        return settings.limits().probes() == Probes.REPORT;
+        return settings.limits().healthChecks() == HealthChecks.REPORT;
     }
 
     /** Starts a health check of a usable member unless one is pending. */
     void check(long nowUs, MemberState member) {
-        if (settings.limits().probes() != Probes.NONE
+        if (settings.limits().healthChecks() != HealthChecks.NONE
                 && !member.healthCheckPending
                 && member.isUsable(settings.rules())) {
             member.healthCheckPending = true;
             member.healthCheckAtUs = nowUs;
-            actions.probe(member.id);
+            actions.checkHealth(member.id);
         }
     }
 
@@ -43,6 +43,6 @@
         if (!member.verified && nowUs - member.healthCheckAtUs > VERIFICATION_INTERVAL_US) {
             check(nowUs, member);
         }
-        return !member.verified && settings.limits().probes() != Probes.NONE;
+        return !member.verified && settings.limits().healthChecks() != HealthChecks.NONE;
     }
 }
--- a/decisions/src/main/java/frostreel/routing/LocalityPolicy.java
+++ b/decisions/src/main/java/frostreel/routing/LocalityPolicy.java
@@ -18,7 +18,7 @@
     void ended(long nowUs, int handle, Router.Outcome outcome, double workUs);
 
     /** A health check ended. */
-    void probed(long nowUs, int handle, boolean ok);
+    void onHealthCheck(long nowUs, int handle, boolean ok);
 
     /** A read of this class was sent. */
     void sent(long nowUs, int handle, int requestClass, double workUs);
--- a/decisions/src/main/java/frostreel/routing/NearestZonePolicy.java
+++ b/decisions/src/main/java/frostreel/routing/NearestZonePolicy.java
@@ -30,7 +30,7 @@
     public void ended(long nowUs, int handle, Router.Outcome outcome, double workUs) {}
 
     @Override
-    public void probed(long nowUs, int handle, boolean ok) {}
+    public void onHealthCheck(long nowUs, int handle, boolean ok) {}
 
     @Override
     public void sent(long nowUs, int handle, int requestClass, double workUs) {}
--- a/decisions/src/main/java/frostreel/routing/Router.java
+++ b/decisions/src/main/java/frostreel/routing/Router.java
@@ -68,7 +68,7 @@
     }
 
     /** Whether health checks are permitted, and whether they tell role and position or only that a member runs. */
-    enum Probes {
+    enum HealthChecks {
         NONE,
         LIVENESS,
         REPORT
@@ -144,7 +144,7 @@
      */
     record Limits(
             int maxAttempts,
-            Probes probes,
+            HealthChecks healthChecks,
             boolean cancel,
             boolean retryAfterAllowed,
             long maxRetryAfterUs,
@@ -158,7 +158,7 @@
         /** Limits without a bound on the open requests of clients. */
         public Limits(
                 int maxAttempts,
-                Probes probes,
+                HealthChecks healthChecks,
                 boolean cancel,
                 boolean retryAfterAllowed,
                 long maxRetryAfterUs,
@@ -170,7 +170,7 @@
                 int requestsPerConnection) {
             this(
                     maxAttempts,
-                    probes,
+                    healthChecks,
                     cancel,
                     retryAfterAllowed,
                     maxRetryAfterUs,
@@ -186,7 +186,7 @@
         private Limits with(int newMaxAttempts, int newRequestsPerConnection, int newConcurrentRequestLimit) {
             return new Limits(
                     newMaxAttempts,
-                    probes,
+                    healthChecks,
                     cancel,
                     retryAfterAllowed,
                     maxRetryAfterUs,
@@ -338,7 +338,7 @@
     void onMembers(long nowUs, ListKind kind, List<Member> members);
 
     /** A health check ended; {@code report} is null where none came. */
-    void onProbe(long nowUs, String memberId, boolean ok, long tookUs, Report report);
+    void onHealthCheck(long nowUs, String memberId, boolean ok, long tookUs, Report report);
 
     /** A timer fired. */
     void onTimer(long nowUs, String name);
@@ -361,7 +361,7 @@
         void cancel(String requestId, int attempt);
 
         /** Starts a health check. */
-        void probe(String memberId);
+        void checkHealth(String memberId);
 
         /** Sets a timer of this name. */
         void setTimer(long inUs, String name);
--- a/decisions/src/main/java/frostreel/simulator/ActionWriter.java
+++ b/decisions/src/main/java/frostreel/simulator/ActionWriter.java
@@ -55,7 +55,7 @@
     }
 
     @Override
-    public void probe(String memberId) {
+    public void checkHealth(String memberId) {
         begin("HealthCheck");
         text("member", memberId);
         end();
--- a/decisions/src/main/java/frostreel/simulator/SimulatedInstance.java
+++ b/decisions/src/main/java/frostreel/simulator/SimulatedInstance.java
@@ -76,7 +76,7 @@
     }
 
     private void healthCheckResult(long nowUs, MessageFields message) throws MalformedMessageException {
-        router.onProbe(
+        router.onHealthCheck(
                 nowUs,
                 message.text("member"),
                 MessageDecoder.outcome(message) == Router.Outcome.OK,
--- a/decisions/src/main/java/frostreel/wire/SettingsReader.java
+++ b/decisions/src/main/java/frostreel/wire/SettingsReader.java
@@ -119,7 +119,7 @@
             throws MalformedMessageException {
         return new Router.Limits(
                 (int) capabilities.whole("maxAttempts", 1, MAX_COUNT, 1),
-                probes(capabilities, options),
+                healthChecks(capabilities, options),
                 capabilities.flag("cancel"),
                 capabilities.flag("retryAfter"),
                 capabilities.micros("maxRetryAfterS", 0),
@@ -143,16 +143,16 @@
     }
 
     /** Whether health checks are permitted, and whether their answers hold the position and role of a member. */
-    private static Router.Probes probes(MessageFields capabilities, MessageFields options)
+    private static Router.HealthChecks healthChecks(MessageFields capabilities, MessageFields options)
             throws MalformedMessageException {
         if (!capabilities.flag("probes")) {
-            return Router.Probes.NONE;
+            return Router.HealthChecks.NONE;
         }
         MessageFields reports = options.has("stats") ? options.object("stats") : null;
         boolean reportsRole = reports != null
                 && reports.has("names")
                 && reports.list("names").containsAll(POSITION_AND_ROLE)
                 && reports.oneOf("how", SENDS_REPORTS);
-        return reportsRole ? Router.Probes.REPORT : Router.Probes.LIVENESS;
+        return reportsRole ? Router.HealthChecks.REPORT : Router.HealthChecks.LIVENESS;
     }
 }
--- a/decisions/src/main/java/frostreel/zones/ZoneFailoverPolicy.java
+++ b/decisions/src/main/java/frostreel/zones/ZoneFailoverPolicy.java
@@ -129,7 +129,7 @@
     }
 
     @Override
-    public void probed(long nowUs, int handle, boolean ok) {
+    public void onHealthCheck(long nowUs, int handle, boolean ok) {
         ZoneReplicas replicas = replicasByHandle.get(handle);
         if (!ok) {
             recordFailure(nowUs, replicas);
--- a/decisions/src/test/java/example/Embedding.java
+++ b/decisions/src/test/java/example/Embedding.java
@@ -44,7 +44,7 @@
                 Router.SessionTracking.CARRIED,
                 false,
                 new Router.Limits(
-                        8, Router.Probes.REPORT, true, true, 500_000, false, 0, 250_000, 50_000, 30_000_000, 1),
+                        8, Router.HealthChecks.REPORT, true, true, 500_000, false, 0, 250_000, 50_000, 30_000_000, 1),
                 new Router.Rules(20_000, 500_000, false, 0.15, 18_000_000, 3, 3_000_000));
     }
 
@@ -95,7 +95,7 @@
     public void cancel(String requestId, int attempt) {}
 
     @Override
-    public void probe(String memberId) {}
+    public void checkHealth(String memberId) {}
 
     @Override
     public void setTimer(long inUs, String name) {}
--- a/decisions/src/test/java/frostreel/routing/PrimarySearchTest.java
+++ b/decisions/src/test/java/frostreel/routing/PrimarySearchTest.java
@@ -45,10 +45,10 @@
     }
 
     @ParameterizedTest
-    @EnumSource(value = Router.Probes.class, names = "REPORT", mode = EnumSource.Mode.EXCLUDE)
-    void searchSendsASingleTrialWriteWhereHealthChecksReportNoRoles(Router.Probes probes) {
+    @EnumSource(value = Router.HealthChecks.class, names = "REPORT", mode = EnumSource.Mode.EXCLUDE)
+    void searchSendsASingleTrialWriteWhereHealthChecksReportNoRoles(Router.HealthChecks healthChecks) {
         RouterHarness harness =
-                new SettingsBuilder().probes(probes).start(primary("a", 0), replica("b", 0), replica("c", 1));
+                new SettingsBuilder().healthChecks(healthChecks).start(primary("a", 0), replica("b", 0), replica("c", 1));
         harness.submit("write", NON_IDEMPOTENT_WRITE);
         harness.rejectAsReplicas("write", 3);
         harness.submit("second write", NON_IDEMPOTENT_WRITE);
--- a/decisions/src/test/java/frostreel/routing/PromotionTest.java
+++ b/decisions/src/test/java/frostreel/routing/PromotionTest.java
@@ -12,7 +12,7 @@
 import frostreel.routing.Router.ListKind;
 import frostreel.routing.Router.ListRole;
 import frostreel.routing.Router.Outcome;
-import frostreel.routing.Router.Probes;
+import frostreel.routing.Router.HealthChecks;
 import frostreel.routing.Router.Role;
 import frostreel.routing.Router.SessionTracking;
 import frostreel.routing.Router.State;
@@ -37,7 +37,7 @@
         harness = new SettingsBuilder()
                 .listRole(ListRole.START)
                 .sessionTracking(SessionTracking.REMEMBERED)
-                .probes(Probes.LIVENESS)
+                .healthChecks(HealthChecks.LIVENESS)
                 .start(primary("a", 0), replica("b", 0), replica("c", 0));
         commitUs = harness.nowUs;
         reports("b", Role.REPLICA, commitUs - BEHIND_US);
--- a/decisions/src/test/java/frostreel/routing/RetryTest.java
+++ b/decisions/src/test/java/frostreel/routing/RetryTest.java
@@ -87,7 +87,7 @@
     /** Where no report tells that a primary is busy, its late answers do: a retried write would add to its queue. */
     @Test
     void writeToAPrimaryThatAnsweredLateIsNotTimedOutForARetry() {
-        SettingsBuilder settings = new SettingsBuilder().probes(Router.Probes.LIVENESS);
+        SettingsBuilder settings = new SettingsBuilder().healthChecks(Router.HealthChecks.LIVENESS);
         RouterHarness late = settings.start(primary("a", 0), replica("b", 0));
         RouterHarness soon = settings.start(primary("a", 0), replica("b", 0));
         for (int i = 0; i < 8; i++) {
--- a/decisions/src/test/java/frostreel/routing/RouterHarness.java
+++ b/decisions/src/test/java/frostreel/routing/RouterHarness.java
@@ -156,12 +156,12 @@
 
     /** Answers a health check with a report. */
     void healthCheckSucceeded(String member, Report report) {
-        router.onProbe(nowUs, member, true, HEALTH_CHECK_DURATION_US, report);
+        router.onHealthCheck(nowUs, member, true, HEALTH_CHECK_DURATION_US, report);
     }
 
     /** Lets a health check fail. */
     void healthCheckFailed(String member) {
-        router.onProbe(nowUs, member, false, HEALTH_CHECK_DURATION_US, null);
+        router.onHealthCheck(nowUs, member, false, HEALTH_CHECK_DURATION_US, null);
     }
 
     void updateMembers(ListKind kind, Member... members) {
@@ -238,7 +238,7 @@
     }
 
     @Override
-    public void probe(String memberId) {
+    public void checkHealth(String memberId) {
         healthChecked.add(memberId);
     }
 
--- a/decisions/src/test/java/frostreel/routing/SettingsBuilder.java
+++ b/decisions/src/test/java/frostreel/routing/SettingsBuilder.java
@@ -6,7 +6,7 @@
 import frostreel.routing.Router.ListKind;
 import frostreel.routing.Router.ListRole;
 import frostreel.routing.Router.Member;
-import frostreel.routing.Router.Probes;
+import frostreel.routing.Router.HealthChecks;
 import frostreel.routing.Router.RequestClass;
 import frostreel.routing.Router.SessionTracking;
 import frostreel.routing.Router.StalenessCheck;
@@ -19,7 +19,7 @@
     private StalenessCheck stalenessCheck = StalenessCheck.SILENT;
     private ListRole listRole = ListRole.LATE;
     private SessionTracking sessionTracking = SessionTracking.CARRIED;
-    private Probes probes = Probes.REPORT;
+    private HealthChecks healthChecks = HealthChecks.REPORT;
     private boolean subscribe;
     private boolean onlyDrainingIsBinding;
     private int maxAttempts = 8;
@@ -42,8 +42,8 @@
         return this;
     }
 
-    SettingsBuilder probes(Probes value) {
-        probes = value;
+    SettingsBuilder healthChecks(HealthChecks value) {
+        healthChecks = value;
         return this;
     }
 
@@ -102,7 +102,7 @@
     private Router.Limits limits() {
         return new Router.Limits(
                 maxAttempts,
-                probes,
+                healthChecks,
                 true,
                 true,
                 2_000_000,
--- a/decisions/src/test/java/frostreel/wire/SettingsReaderTest.java
+++ b/decisions/src/test/java/frostreel/wire/SettingsReaderTest.java
@@ -54,7 +54,7 @@
                         Router.ListRole.SILENT,
                         Router.SessionTracking.REMEMBERED,
                         false,
-                        new Router.Limits(1, Router.Probes.NONE, false, false, 0, false, 0, 0, 0, 0, 1),
+                        new Router.Limits(1, Router.HealthChecks.NONE, false, false, 0, false, 0, 0, 0, 0, 1),
                         new Router.Rules(0, 0, false, 1, 0, 1, 0)));
     }
 
@@ -118,11 +118,11 @@
         "true, pull, x0, LIVENESS"
     })
     void healthChecksReportRolesWhereReportsHoldPositionAndRole(
-            boolean permitted, String how, String names, Router.Probes probes) throws MalformedMessageException {
+            boolean permitted, String how, String names, Router.HealthChecks healthChecks) throws MalformedMessageException {
         JSONObject settings = minimalSettings();
         settings.getJSONObject("caps").put("probes", permitted);
         settings.put("stats", new JSONObject().put("how", how).put("names", new JSONArray(names.split(" "))));
-        assertThat(read(settings).limits().probes()).isEqualTo(probes);
+        assertThat(read(settings).limits().healthChecks()).isEqualTo(healthChecks);
     }
 
     @ParameterizedTest
--- a/decisions/src/test/java/frostreel/zones/ZoneFailoverPolicyTest.java
+++ b/decisions/src/test/java/frostreel/zones/ZoneFailoverPolicyTest.java
@@ -27,7 +27,7 @@
             Router.SessionTracking.CARRIED,
             true,
             new Router.Limits(
-                    10, Router.Probes.REPORT, true, true, SECOND_US, false, 0, 250_000, 50_000, 30 * SECOND_US, 1),
+                    10, Router.HealthChecks.REPORT, true, true, SECOND_US, false, 0, 250_000, 50_000, 30 * SECOND_US, 1),
             new Router.Rules(20_000, SECOND_US, false, 0.2, 15 * SECOND_US, 3, 2 * SECOND_US));
     private final ZoneSettings zones = new ZoneSettings(
             0, List.of(new ZoneSettings.Tier(List.of(1), SPILL), new ZoneSettings.Tier(List.of(), SPILL)), 10);
@@ -129,9 +129,9 @@
             assertThat(isOpen(group[0])).isFalse();
         }
         assertThat(isOpen(handles[0][1])).isTrue();
-        policy.probed(now, handles[3][0], true); // It had no failure of its own: no ramp.
+        policy.onHealthCheck(now, handles[3][0], true); // It had no failure of its own: no ramp.
         assertThat(sendReads(handles[3][0], CHEAP, 50, 1)).isEqualTo(50);
-        policy.probed(now, handles[1][0], true);
+        policy.onHealthCheck(now, handles[1][0], true);
         assertThat(policy.admits(now, handles[1][0], CHEAP)).as("in a ramp").isFalse();
     }
 
@@ -182,7 +182,7 @@
         int handle = handles[0][0];
         assertThat(policy.healthCheckDue(now, handle)).isTrue();
         assertThat(policy.healthCheckDue(now, handle)).as("again right away").isFalse();
-        policy.probed(now, handle, true);
+        policy.onHealthCheck(now, handle, true);
         assertThat(isOpen(handle)).isTrue();
         assertThat(policy.admits(now, handle, CHEAP))
                 .as("the ramp begins below zero")
@@ -199,25 +199,25 @@
         serveNearestTier();
         int handle = handles[0][0];
         fail(handle, 3);
-        policy.probed(now, handle, true);
+        policy.onHealthCheck(now, handle, true);
         assertThat(isOpen(handle)).isTrue();
         now += 10 * SECOND_US;
         fail(handle, 1); // During a ramp one failure is enough.
         assertThat(isOpen(handle)).isFalse();
-        policy.probed(now, handle, true);
+        policy.onHealthCheck(now, handle, true);
         assertThat(isOpen(handle)).as("on probation").isFalse();
         now += SECOND_US / 2;
-        policy.probed(now, handle, false); // The delay starts again.
+        policy.onHealthCheck(now, handle, false); // The delay starts again.
         now += SECOND_US;
-        policy.probed(now, handle, true);
+        policy.onHealthCheck(now, handle, true);
         assertThat(isOpen(handle)).isFalse();
         now += 10 * SECOND_US;
-        policy.probed(now, handle, true);
+        policy.onHealthCheck(now, handle, true);
         assertThat(isOpen(handle)).isTrue();
         now += 600 * SECOND_US;
         assertThat(policy.admits(now, handle, CHEAP)).isTrue();
         fail(handle, 3);
-        policy.probed(now, handle, true);
+        policy.onHealthCheck(now, handle, true);
         assertThat(isOpen(handle)).isTrue();
     }
 
@@ -252,7 +252,7 @@
         test.serveNearestTier();
         test.takeZoneDown();
         int sent = test.sendReads(test.handles[1][1], DEAR, 70, 5);
-        test.policy.probed(test.now, test.handles[1][0], true);
+        test.policy.onHealthCheck(test.now, test.handles[1][0], true);
         return sent + " " + test.sendReads(test.handles[1][0], CHEAP, 30, 5) + " " + test.policy;
     }
 }
--- a/lab/src/main/java/frostreel/lab/processes/PlatformConfig.java
+++ b/lab/src/main/java/frostreel/lab/processes/PlatformConfig.java
@@ -77,7 +77,7 @@
     private static JSONObject limits(Router.Limits limits) {
         return new JSONObject()
                 .put("maxAttempts", limits.maxAttempts())
-                .put("probes", limits.probes() != Router.Probes.NONE)
+                .put("probes", limits.healthChecks() != Router.HealthChecks.NONE)
                 .put("cancel", limits.cancel())
                 .put("retryAfter", limits.retryAfterAllowed())
                 .put("maxRetryAfterS", seconds(limits.maxRetryAfterUs()))
--- a/lab/src/main/java/frostreel/lab/virtual/Site.java
+++ b/lab/src/main/java/frostreel/lab/virtual/Site.java
@@ -38,7 +38,7 @@
                     Router.SessionTracking.CARRIED,
                     true,
                     new Router.Limits(
-                            10, Router.Probes.REPORT, true, true, 2_000_000, false, 0, 250_000, 50_000, 30_000_000, 1),
+                            10, Router.HealthChecks.REPORT, true, true, 2_000_000, false, 0, 250_000, 50_000, 30_000_000, 1),
                     new Router.Rules(20_000, 1_000_000, false, 0.22, 15_000_000, 3, 2_000_000)),
             ServerParameters.USUAL,
             Set.of("x0", "x1", "load_share"),
--- a/lab/src/main/java/frostreel/lab/virtual/VirtualPooler.java
+++ b/lab/src/main/java/frostreel/lab/virtual/VirtualPooler.java
@@ -51,7 +51,7 @@
         }
     }
 
-    private static final double PROBE_WORK_US = 300;
+    private static final double HEALTH_CHECK_WORK_US = 300;
     private static final int MAX_ATTEMPTS_IN_FLIGHT = 1 << 19;
     private static final int MAX_OPEN_REQUESTS = 1 << 16;
     private static final long US_PER_MS = 1000;
@@ -350,7 +350,7 @@
     }
 
     @Override
-    public void probe(String memberId, AttemptListener listener) {
+    public void checkHealth(String memberId, AttemptListener listener) {
         Attempt attempt = new Attempt(servers.get(memberId), null, listener);
         attempt.handle = attempts.add(attempt);
         scheduler.after(connectTimeoutUs, () -> finish(attempt, Result.of(Outcome.TIMEOUT)));
@@ -365,7 +365,7 @@
             handTo(
                     server,
                     new Job(
-                            PROBE_WORK_US,
+                            HEALTH_CHECK_WORK_US,
                             false,
                             0,
                             knowsStart(server),
--- a/lab/src/test/java/frostreel/lab/virtual/ActionDigest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/ActionDigest.java
@@ -82,9 +82,9 @@
         }
 
         @Override
-        public void probe(String memberId) {
+        public void checkHealth(String memberId) {
             took("probe", memberId);
-            to.probe(memberId);
+            to.checkHealth(memberId);
         }
 
         @Override
--- a/lab/src/test/java/frostreel/lab/virtual/KnownSitesTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/KnownSitesTest.java
@@ -85,7 +85,7 @@
         assertThat(bsas.limits())
                 .isEqualTo(new Router.Limits(
                         10,
-                        Router.Probes.LIVENESS,
+                        Router.HealthChecks.LIVENESS,
                         true,
                         false,
                         500_000,
--- a/lab/src/test/java/frostreel/lab/virtual/SimulationTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/SimulationTest.java
@@ -104,7 +104,7 @@
         }
 
         @Override
-        public void onProbe(long nowUs, String memberId, boolean ok, long tookUs, Report report) {}
+        public void onHealthCheck(long nowUs, String memberId, boolean ok, long tookUs, Report report) {}
 
         @Override
         public void onTimer(long nowUs, String name) {}
--- a/pooler/src/main/java/frostreel/backend/ServerConnection.java
+++ b/pooler/src/main/java/frostreel/backend/ServerConnection.java
@@ -171,7 +171,7 @@
     private boolean streamsLongRow() throws PgException {
         int length = streamedBytesLeft > 0 ? 0 : reader.longRowLength(Reply.MAX_BUFFERED_ROW);
         if (length > 0) {
-            byte[] before = reply.beginLongRow(attempt != null && !attempt.probe && reader.rowHoldsOneValue());
+            byte[] before = reply.beginLongRow(attempt != null && !attempt.healthCheck && reader.rowHoldsOneValue());
             ServerPool.Attempt longAttempt = attempt;
             responseStream = longAttempt.listener.longResponseBegins(this);
             if (responseStream == null) {
@@ -235,7 +235,7 @@
     }
 
     private BackEnd.Result result(Reply answer, boolean broken) {
-        BackEnd.Result result = attempt.probe ? answer.probeResult(broken) : answer.result(broken);
+        BackEnd.Result result = attempt.healthCheck ? answer.healthCheckResult(broken) : answer.result(broken);
         loop.counters().unreadReports += answer.unreadableReports();
         return result;
     }
--- a/pooler/src/main/java/frostreel/backend/ServerPool.java
+++ b/pooler/src/main/java/frostreel/backend/ServerPool.java
@@ -30,7 +30,7 @@
     /** An attempt or a health check that runs on a connection, or waits for one. */
     static final class Attempt {
         final Server server;
-        final boolean probe;
+        final boolean healthCheck;
         final AttemptListener listener;
         /** The request, null for a health check. */
         private final Payload payload;
@@ -46,13 +46,13 @@
             this.server = server;
             this.payload = payload;
             this.timeoutAtUs = timeoutAtUs;
-            probe = payload == null;
+            healthCheck = payload == null;
             this.listener = listener;
         }
 
         /** The message to send where it begins now, with the time that is left from now on. */
         byte[] query(long nowUs) {
-            return probe ? SHOW_LOAD : payload.forServer(timeoutAtUs - nowUs);
+            return healthCheck ? SHOW_LOAD : payload.forServer(timeoutAtUs - nowUs);
         }
     }
 
@@ -158,7 +158,7 @@
     }
 
     @Override
-    public void probe(String memberId, AttemptListener listener) {
+    public void checkHealth(String memberId, AttemptListener listener) {
         Attempt attempt = begin(memberId, null, 0, listener);
         attempt.timeout = loop.deadlines().after(connectTimeoutUs, () -> {
             if (attempts.get(attempt.handle) != null) {
--- a/pooler/src/main/java/frostreel/broker/Broker.java
+++ b/pooler/src/main/java/frostreel/broker/Broker.java
@@ -276,14 +276,14 @@
     }
 
     @Override
-    public void probe(String memberId) {
-        counters.probes++;
+    public void checkHealth(String memberId) {
+        counters.healthChecks++;
         long sentUs = clock.now();
-        backEnd.probe(
+        backEnd.checkHealth(
                 memberId,
                 result -> events.run(() -> {
                     long now = clock.now();
-                    router.onProbe(now, memberId, result.outcome() == Outcome.OK, now - sentUs, result.report());
+                    router.onHealthCheck(now, memberId, result.outcome() == Outcome.OK, now - sentUs, result.report());
                 }));
     }
 
--- a/pooler/src/main/java/frostreel/pg/Reply.java
+++ b/pooler/src/main/java/frostreel/pg/Reply.java
@@ -237,7 +237,7 @@
     }
 
     /** The same for a health check, whose row holds the load report. */
-    public BackEnd.Result probeResult(boolean broken) {
+    public BackEnd.Result healthCheckResult(boolean broken) {
         BackEnd.Result result = result(broken);
         if (result.outcome() != Outcome.OK) {
             return result;
--- a/pooler/src/main/java/frostreel/request/BackEnd.java
+++ b/pooler/src/main/java/frostreel/request/BackEnd.java
@@ -75,5 +75,5 @@
     boolean abandon(long attemptHandle);
 
     /** Asks a server for its load report. */
-    void probe(String memberId, AttemptListener listener);
+    void checkHealth(String memberId, AttemptListener listener);
 }
--- a/pooler/src/main/java/frostreel/stats/Counters.java
+++ b/pooler/src/main/java/frostreel/stats/Counters.java
@@ -46,7 +46,7 @@
 
     public long attempts;
     /** Health checks sent. */
-    public long probes;
+    public long healthChecks;
 
     public long serverConnections;
     public long serverConnectFailures;
@@ -99,7 +99,7 @@
                 + " failed=" + failed
                 + " overdue=" + overdue
                 + " attempts=" + attempts
-                + " probes=" + probes
+                + " probes=" + healthChecks
                 + " server_connections=" + serverConnections
                 + " server_connect_failures=" + serverConnectFailures
                 + " server_connections_evicted=" + serverConnectionsEvicted
--- a/pooler/src/test/java/frostreel/broker/BrokerTest.java
+++ b/pooler/src/test/java/frostreel/broker/BrokerTest.java
@@ -39,7 +39,7 @@
                 Router.ListRole.LATE,
                 Router.SessionTracking.CARRIED,
                 true,
-                new Router.Limits(4, Router.Probes.NONE, true, true, 0, false, 0, 0, 0, 0, 1),
+                new Router.Limits(4, Router.HealthChecks.NONE, true, true, 0, false, 0, 0, 0, 0, 1),
                 new Router.Rules(answerSlackUs, 1_000_000, false, 1, 0, 1, 0));
     }
 
@@ -154,7 +154,7 @@
         public void onMembers(long nowUs, ListKind kind, List<Member> members) {}
 
         @Override
-        public void onProbe(long nowUs, String memberId, boolean ok, long tookUs, Report report) {}
+        public void onHealthCheck(long nowUs, String memberId, boolean ok, long tookUs, Report report) {}
 
         @Override
         public void onTimer(long nowUs, String name) {}
