--- a/decisions/src/main/java/frostreel/routing/AttemptRecorder.java
+++ b/decisions/src/main/java/frostreel/routing/AttemptRecorder.java
@@ -61,7 +61,7 @@
 
     /** A member reported on itself, by a health check or with an answer. */
     void recordReport(long nowUs, GroupState group, MemberState member, Report report) {
-        slowStart.reported(member.slowStart, report.util());
+        slowStart.reported(member.slowStart, report.utilization());
         boolean hasPosition = report.positionUs() > 0;
         if (hasPosition) {
             freshness.recordReport(nowUs, member, report.positionUs());
--- a/decisions/src/main/java/frostreel/routing/Router.java
+++ b/decisions/src/main/java/frostreel/routing/Router.java
@@ -294,10 +294,10 @@
     /**
      * The load report of a member, somewhat old; a value that it does not hold is NaN, its position 0.
      *
-     * @param util the used share from 0 to 1 of its present capacity
-     * @param inHand how many requests it is working on
+     * @param utilization the used share from 0 to 1 of its present capacity
+     * @param inProgress how many requests it is working on
      */
-    record Report(long positionUs, Role role, double util, double queued, double inHand) {}
+    record Report(long positionUs, Role role, double utilization, double queued, double inProgress) {}
 
     /**
      * New settings, for requests from now on. Their classes begin with those in force, so that a class keeps its
--- a/lab/src/test/java/frostreel/lab/model/ServerTest.java
+++ b/lab/src/test/java/frostreel/lab/model/ServerTest.java
@@ -18,7 +18,7 @@
                 workUs,
                 write,
                 needUs,
-                (outcome, role, positionUs, util) ->
+                (outcome, role, positionUs, utilization) ->
                         ended.add(name + " " + outcome + " " + (scheduler.now() - START_US)));
     }
 
--- a/lab/src/test/java/frostreel/lab/processes/RecordersTest.java
+++ b/lab/src/test/java/frostreel/lab/processes/RecordersTest.java
@@ -47,9 +47,9 @@
         return all.toByteArray();
     }
 
-    private static byte[] read(String id, String cls, String more) {
+    private static byte[] read(String id, String className, String more) {
         return query(
-                "SELECT v FROM records WHERE k = 's1' /* id=" + id + ",c=" + cls + ",d=1000,cluster=0" + more + " */");
+                "SELECT v FROM records WHERE k = 's1' /* id=" + id + ",c=" + className + ",d=1000,cluster=0" + more + " */");
     }
 
     private static byte[] write(String id) {
--- a/pooler/src/main/java/frostreel/broker/Broker.java
+++ b/pooler/src/main/java/frostreel/broker/Broker.java
@@ -129,7 +129,7 @@
                 attributes,
                 payload,
                 handler,
-                settings.classes().get(attributes.cls()),
+                settings.classes().get(attributes.classIndex()),
                 settings.limits().maxAttempts());
         if (!requests.reserveSlot(request) || !knownGroups.contains(attributes.group())) {
             requests.freeSlot(request);
@@ -145,7 +145,7 @@
                 clock.now(),
                 new Router.Request(
                         request.id,
-                        attributes.cls(),
+                        attributes.classIndex(),
                         attributes.session(),
                         attributes.group(),
                         attributes.deadlineUs(),
