--- a/lab/src/main/java/frostreel/lab/processes/ClientRecorder.java
+++ b/lab/src/main/java/frostreel/lab/processes/ClientRecorder.java
@@ -1,6 +1,6 @@
 package frostreel.lab.processes;
 
-import frostreel.broker.Clock;
+import frostreel.time.Clock;
 import frostreel.lab.rules.RunListener;
 import frostreel.lab.rules.RunListener.Answer;
 import frostreel.pg.MessageReader;
--- a/lab/src/main/java/frostreel/lab/processes/StatementRecorder.java
+++ b/lab/src/main/java/frostreel/lab/processes/StatementRecorder.java
@@ -1,6 +1,6 @@
 package frostreel.lab.processes;
 
-import frostreel.broker.Clock;
+import frostreel.time.Clock;
 import frostreel.lab.rules.RunListener;
 import frostreel.pg.MessageReader;
 import frostreel.pg.PgException;
--- a/lab/src/main/java/frostreel/lab/virtual/VirtualPooler.java
+++ b/lab/src/main/java/frostreel/lab/virtual/VirtualPooler.java
@@ -1,8 +1,8 @@
 package frostreel.lab.virtual;
 
 import frostreel.broker.Broker;
-import frostreel.broker.Deadlines;
-import frostreel.broker.SlotTable;
+import frostreel.time.Deadlines;
+import frostreel.util.SlotTable;
 import frostreel.lab.model.Job;
 import frostreel.lab.model.Links;
 import frostreel.lab.model.Scheduler;
--- a/lab/src/test/java/frostreel/lab/LayersTest.java
+++ b/lab/src/test/java/frostreel/lab/LayersTest.java
@@ -1,6 +1,7 @@
 package frostreel.lab;
 
 import static com.tngtech.archunit.core.domain.JavaClass.Predicates.belongToAnyOf;
+import static com.tngtech.archunit.core.domain.JavaClass.Predicates.resideInAPackage;
 import static com.tngtech.archunit.core.domain.JavaClass.Predicates.resideInAnyPackage;
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
 import static org.assertj.core.api.Assertions.assertThat;
@@ -22,7 +23,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.TestFactory;
 
-/** Which room may lean on which, within the lines that the build's modules hold. */
+/** Which package may depend on which, within the lines that the build's modules hold. */
 class LayersTest {
     /** The simulator's adapter reads and writes streams for the decisions; it decides nothing. */
     private static final DescribedPredicate<JavaClass> DECISIONS = resideInAnyPackage(
@@ -124,6 +125,18 @@
                         .because("the lab is not on the serving class path"));
     }
 
+    /** What all packages of the program use knows none of them. */
+    private static Stream<ArchRule> foundationRules() {
+        return Stream.of("frostreel.time..", "frostreel.util..")
+                .map(foundation -> noClasses()
+                        .that()
+                        .resideInAPackage(foundation)
+                        .should()
+                        .dependOnClassesThat(resideInAPackage("frostreel..")
+                                .and(DescribedPredicate.not(resideInAPackage(foundation))))
+                        .because("every package may use it"));
+    }
+
     private static Stream<ArchRule> socketRules() {
         return Stream.of(
                 noClasses()
@@ -176,7 +189,7 @@
 
     @TestFactory
     Stream<DynamicTest> layersHold() {
-        return Stream.of(decisionRules(), protocolRules(), optionalRules(), socketRules())
+        return Stream.of(decisionRules(), protocolRules(), optionalRules(), foundationRules(), socketRules())
                 .flatMap(rules -> rules)
                 .map(rule -> DynamicTest.dynamicTest(rule.getDescription(), () -> rule.check(ALL)));
     }
--- a/lab/src/test/java/frostreel/lab/Packages.java
+++ b/lab/src/test/java/frostreel/lab/Packages.java
@@ -26,6 +26,8 @@
             "frostreel.settings",
             "frostreel.simulator",
             "frostreel.stats",
+            "frostreel.time",
+            "frostreel.util",
             "frostreel.wire");
 
     private Packages() {}
--- a/pooler/src/main/java/frostreel/EndpointSource.java
+++ b/pooler/src/main/java/frostreel/EndpointSource.java
@@ -1,6 +1,6 @@
 package frostreel;
 
-import frostreel.broker.Deadlines;
+import frostreel.time.Deadlines;
 import frostreel.config.Config;
 import frostreel.config.EndpointList;
 import frostreel.discovery.DiscoveryWatch;
--- a/pooler/src/main/java/frostreel/backend/ServerConnection.java
+++ b/pooler/src/main/java/frostreel/backend/ServerConnection.java
@@ -1,6 +1,6 @@
 package frostreel.backend;
 
-import frostreel.broker.Deadlines;
+import frostreel.time.Deadlines;
 import frostreel.log.EventLog;
 import frostreel.net.EventLoop;
 import frostreel.net.SocketStream;
--- a/pooler/src/main/java/frostreel/backend/ServerPool.java
+++ b/pooler/src/main/java/frostreel/backend/ServerPool.java
@@ -1,7 +1,7 @@
 package frostreel.backend;
 
-import frostreel.broker.Deadlines;
-import frostreel.broker.SlotTable;
+import frostreel.time.Deadlines;
+import frostreel.util.SlotTable;
 import frostreel.config.EndpointList;
 import frostreel.net.EventLoop;
 import frostreel.pg.Messages;
--- a/pooler/src/main/java/frostreel/broker/ActiveRequest.java
+++ b/pooler/src/main/java/frostreel/broker/ActiveRequest.java
@@ -1,5 +1,7 @@
 package frostreel.broker;
 
+import frostreel.util.SlotTable;
+import frostreel.time.Deadlines;
 import frostreel.request.Payload;
 import frostreel.request.RequestAttributes;
 import frostreel.request.ResponseHandler;
--- a/pooler/src/main/java/frostreel/broker/Broker.java
+++ b/pooler/src/main/java/frostreel/broker/Broker.java
@@ -1,5 +1,8 @@
 package frostreel.broker;
 
+import frostreel.util.SlotTable;
+import frostreel.time.Deadlines;
+import frostreel.time.Clock;
 import frostreel.log.EventLog;
 import frostreel.operation.WriteObserver;
 import frostreel.request.BackEnd;
--- a/pooler/src/main/java/frostreel/broker/RequestTable.java
+++ b/pooler/src/main/java/frostreel/broker/RequestTable.java
@@ -1,5 +1,6 @@
 package frostreel.broker;
 
+import frostreel.util.SlotTable;
 import java.util.HashSet;
 import java.util.Set;
 
--- a/pooler/src/main/java/frostreel/control/AdminConnection.java
+++ b/pooler/src/main/java/frostreel/control/AdminConnection.java
@@ -1,6 +1,6 @@
 package frostreel.control;
 
-import frostreel.broker.Deadlines;
+import frostreel.time.Deadlines;
 import frostreel.net.EventLoop;
 import frostreel.net.SocketStream;
 import java.nio.ByteBuffer;
--- a/pooler/src/main/java/frostreel/control/ClockAnchor.java
+++ b/pooler/src/main/java/frostreel/control/ClockAnchor.java
@@ -1,6 +1,6 @@
 package frostreel.control;
 
-import frostreel.broker.Clock;
+import frostreel.time.Clock;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.FileAlreadyExistsException;
--- a/pooler/src/main/java/frostreel/discovery/AgentConnection.java
+++ b/pooler/src/main/java/frostreel/discovery/AgentConnection.java
@@ -1,6 +1,6 @@
 package frostreel.discovery;
 
-import frostreel.broker.Deadlines;
+import frostreel.time.Deadlines;
 import frostreel.net.EventLoop;
 import frostreel.net.SocketStream;
 import java.io.IOException;
--- a/pooler/src/main/java/frostreel/discovery/DiscoveryWatch.java
+++ b/pooler/src/main/java/frostreel/discovery/DiscoveryWatch.java
@@ -1,6 +1,6 @@
 package frostreel.discovery;
 
-import frostreel.broker.Deadlines;
+import frostreel.time.Deadlines;
 import frostreel.config.EndpointList;
 import frostreel.net.EventLoop;
 import frostreel.wire.MalformedMessageException;
--- a/pooler/src/main/java/frostreel/frontend/IdleTimer.java
+++ b/pooler/src/main/java/frostreel/frontend/IdleTimer.java
@@ -1,6 +1,6 @@
 package frostreel.frontend;
 
-import frostreel.broker.Deadlines;
+import frostreel.time.Deadlines;
 import frostreel.net.EventLoop;
 import frostreel.net.SocketStream;
 
--- a/pooler/src/main/java/frostreel/frontend/Listener.java
+++ b/pooler/src/main/java/frostreel/frontend/Listener.java
@@ -1,7 +1,7 @@
 package frostreel.frontend;
 
 import frostreel.broker.Broker;
-import frostreel.broker.SlotTable;
+import frostreel.util.SlotTable;
 import frostreel.net.Acceptor;
 import frostreel.net.EventLoop;
 import frostreel.operation.ReadinessStatus;
--- a/pooler/src/main/java/frostreel/net/EventLoop.java
+++ b/pooler/src/main/java/frostreel/net/EventLoop.java
@@ -1,7 +1,7 @@
 package frostreel.net;
 
-import frostreel.broker.Clock;
-import frostreel.broker.Deadlines;
+import frostreel.time.Clock;
+import frostreel.time.Deadlines;
 import frostreel.log.EventLog;
 import frostreel.stats.Counters;
 import java.io.IOException;
--- a/pooler/src/main/java/frostreel/broker/Clock.java
+++ b/pooler/src/main/java/frostreel/time/Clock.java
@@ -1,4 +1,4 @@
-package frostreel.broker;
+package frostreel.time;
 
 import java.time.Instant;
 import java.time.temporal.ChronoUnit;
--- a/pooler/src/main/java/frostreel/broker/Deadlines.java
+++ b/pooler/src/main/java/frostreel/time/Deadlines.java
@@ -1,4 +1,4 @@
-package frostreel.broker;
+package frostreel.time;
 
 import java.util.TreeSet;
 import java.util.logging.Level;
--- a/pooler/src/main/java/frostreel/broker/SlotTable.java
+++ b/pooler/src/main/java/frostreel/util/SlotTable.java
@@ -1,4 +1,4 @@
-package frostreel.broker;
+package frostreel.util;
 
 import java.util.Arrays;
 import java.util.function.Consumer;
--- /dev/null
+++ b/pooler/src/main/java/frostreel/util/package-info.java
@@ -0,0 +1,2 @@
+/** Data structures that several packages of the program use; it knows none of them. */
+package frostreel.util;
--- a/pooler/src/test/java/frostreel/broker/BrokerTest.java
+++ b/pooler/src/test/java/frostreel/broker/BrokerTest.java
@@ -1,5 +1,6 @@
 package frostreel.broker;
 
+import frostreel.time.Deadlines;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import frostreel.request.RequestAttributes;
--- a/pooler/src/test/java/frostreel/broker/RequestTableTest.java
+++ b/pooler/src/test/java/frostreel/broker/RequestTableTest.java
@@ -1,5 +1,6 @@
 package frostreel.broker;
 
+import frostreel.util.SlotTable;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import frostreel.request.RequestAttributes;
--- a/pooler/src/test/java/frostreel/control/ClockAnchorTest.java
+++ b/pooler/src/test/java/frostreel/control/ClockAnchorTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import frostreel.broker.Clock;
+import frostreel.time.Clock;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
--- a/pooler/src/test/java/frostreel/control/StoredFilesOf223cd4eTest.java
+++ b/pooler/src/test/java/frostreel/control/StoredFilesOf223cd4eTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import frostreel.broker.Clock;
+import frostreel.time.Clock;
 import frostreel.operation.CommandState;
 import frostreel.operation.CommandTarget;
 import frostreel.operation.SharedCommitTable;
--- a/pooler/src/test/java/frostreel/broker/DeadlinesTest.java
+++ b/pooler/src/test/java/frostreel/time/DeadlinesTest.java
@@ -1,4 +1,4 @@
-package frostreel.broker;
+package frostreel.time;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/pooler/src/test/java/frostreel/broker/SlotTableTest.java
+++ b/pooler/src/test/java/frostreel/util/SlotTableTest.java
@@ -1,4 +1,4 @@
-package frostreel.broker;
+package frostreel.util;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
