--- a/decisions/src/test/java/frostreel/routing/PrimarySearchTest.java
+++ b/decisions/src/test/java/frostreel/routing/PrimarySearchTest.java
@@ -47,8 +47,9 @@
     @ParameterizedTest
     @EnumSource(value = Router.HealthChecks.class, names = "REPORT", mode = EnumSource.Mode.EXCLUDE)
     void searchSendsASingleTrialWriteWhereHealthChecksReportNoRoles(Router.HealthChecks healthChecks) {
-        RouterHarness harness =
-                new SettingsBuilder().healthChecks(healthChecks).start(primary("a", 0), replica("b", 0), replica("c", 1));
+        RouterHarness harness = new SettingsBuilder()
+                .healthChecks(healthChecks)
+                .start(primary("a", 0), replica("b", 0), replica("c", 1));
         harness.submit("write", NON_IDEMPOTENT_WRITE);
         harness.rejectAsReplicas("write", 3);
         harness.submit("second write", NON_IDEMPOTENT_WRITE);
--- a/decisions/src/test/java/frostreel/routing/PromotionTest.java
+++ b/decisions/src/test/java/frostreel/routing/PromotionTest.java
@@ -9,10 +9,10 @@
 import static frostreel.routing.RouterHarness.startedAt;
 import static org.assertj.core.api.Assertions.assertThat;
 
+import frostreel.routing.Router.HealthChecks;
 import frostreel.routing.Router.ListKind;
 import frostreel.routing.Router.ListRole;
 import frostreel.routing.Router.Outcome;
-import frostreel.routing.Router.HealthChecks;
 import frostreel.routing.Router.Role;
 import frostreel.routing.Router.SessionTracking;
 import frostreel.routing.Router.State;
--- a/decisions/src/test/java/frostreel/routing/SettingsBuilder.java
+++ b/decisions/src/test/java/frostreel/routing/SettingsBuilder.java
@@ -2,11 +2,11 @@
 
 import frostreel.routing.Router.Access;
 import frostreel.routing.Router.DeduplicationScope;
+import frostreel.routing.Router.HealthChecks;
 import frostreel.routing.Router.Idempotency;
 import frostreel.routing.Router.ListKind;
 import frostreel.routing.Router.ListRole;
 import frostreel.routing.Router.Member;
-import frostreel.routing.Router.HealthChecks;
 import frostreel.routing.Router.RequestClass;
 import frostreel.routing.Router.SessionTracking;
 import frostreel.routing.Router.StalenessCheck;
--- a/decisions/src/test/java/frostreel/wire/SettingsReaderTest.java
+++ b/decisions/src/test/java/frostreel/wire/SettingsReaderTest.java
@@ -118,7 +118,8 @@
         "true, pull, x0, LIVENESS"
     })
     void healthChecksReportRolesWhereReportsHoldPositionAndRole(
-            boolean permitted, String how, String names, Router.HealthChecks healthChecks) throws MalformedMessageException {
+            boolean permitted, String how, String names, Router.HealthChecks healthChecks)
+            throws MalformedMessageException {
         JSONObject settings = minimalSettings();
         settings.getJSONObject("caps").put("probes", permitted);
         settings.put("stats", new JSONObject().put("how", how).put("names", new JSONArray(names.split(" "))));
--- a/decisions/src/test/java/frostreel/zones/ZoneFailoverPolicyTest.java
+++ b/decisions/src/test/java/frostreel/zones/ZoneFailoverPolicyTest.java
@@ -27,7 +27,17 @@
             Router.SessionTracking.CARRIED,
             true,
             new Router.Limits(
-                    10, Router.HealthChecks.REPORT, true, true, SECOND_US, false, 0, 250_000, 50_000, 30 * SECOND_US, 1),
+                    10,
+                    Router.HealthChecks.REPORT,
+                    true,
+                    true,
+                    SECOND_US,
+                    false,
+                    0,
+                    250_000,
+                    50_000,
+                    30 * SECOND_US,
+                    1),
             new Router.Rules(20_000, SECOND_US, false, 0.2, 15 * SECOND_US, 3, 2 * SECOND_US));
     private final ZoneSettings zones = new ZoneSettings(
             0, List.of(new ZoneSettings.Tier(List.of(1), SPILL), new ZoneSettings.Tier(List.of(), SPILL)), 10);
--- a/lab/src/main/java/frostreel/lab/processes/ClientRecorder.java
+++ b/lab/src/main/java/frostreel/lab/processes/ClientRecorder.java
@@ -1,12 +1,12 @@
 package frostreel.lab.processes;
 
-import frostreel.time.Clock;
 import frostreel.lab.rules.RunListener;
 import frostreel.lab.rules.RunListener.Answer;
 import frostreel.pg.MessageReader;
 import frostreel.pg.PgException;
 import frostreel.pg.Statement;
 import frostreel.routing.Router;
+import frostreel.time.Clock;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
--- a/lab/src/main/java/frostreel/lab/processes/EndpointListRecorder.java
+++ b/lab/src/main/java/frostreel/lab/processes/EndpointListRecorder.java
@@ -1,8 +1,8 @@
 package frostreel.lab.processes;
 
-import frostreel.time.Clock;
 import frostreel.lab.rules.RunListener;
 import frostreel.routing.Router.State;
+import frostreel.time.Clock;
 import java.nio.charset.StandardCharsets;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
--- a/lab/src/main/java/frostreel/lab/processes/StatementRecorder.java
+++ b/lab/src/main/java/frostreel/lab/processes/StatementRecorder.java
@@ -1,6 +1,5 @@
 package frostreel.lab.processes;
 
-import frostreel.time.Clock;
 import frostreel.lab.rules.RunListener;
 import frostreel.pg.MessageReader;
 import frostreel.pg.PgException;
@@ -9,6 +8,7 @@
 import frostreel.request.BackEnd;
 import frostreel.routing.Router;
 import frostreel.routing.Router.Outcome;
+import frostreel.time.Clock;
 import java.nio.ByteBuffer;
 import java.util.Map;
 
--- a/lab/src/main/java/frostreel/lab/virtual/VirtualPooler.java
+++ b/lab/src/main/java/frostreel/lab/virtual/VirtualPooler.java
@@ -1,8 +1,6 @@
 package frostreel.lab.virtual;
 
 import frostreel.broker.Broker;
-import frostreel.time.Deadlines;
-import frostreel.util.SlotTable;
 import frostreel.lab.model.Job;
 import frostreel.lab.model.Links;
 import frostreel.lab.model.Scheduler;
@@ -16,6 +14,8 @@
 import frostreel.routing.Router.Outcome;
 import frostreel.routing.Router.Role;
 import frostreel.stats.Counters;
+import frostreel.time.Deadlines;
+import frostreel.util.SlotTable;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/lab/src/test/java/frostreel/lab/processes/RecordersTest.java
+++ b/lab/src/test/java/frostreel/lab/processes/RecordersTest.java
@@ -48,8 +48,8 @@
     }
 
     private static byte[] read(String id, String className, String more) {
-        return query(
-                "SELECT v FROM records WHERE k = 's1' /* id=" + id + ",c=" + className + ",d=1000,cluster=0" + more + " */");
+        return query("SELECT v FROM records WHERE k = 's1' /* id=" + id + ",c=" + className + ",d=1000,cluster=0" + more
+                + " */");
     }
 
     private static byte[] write(String id) {
--- a/lab/src/test/java/frostreel/lab/standin/StandInsTest.java
+++ b/lab/src/test/java/frostreel/lab/standin/StandInsTest.java
@@ -153,7 +153,10 @@
             assertThat(ask(replica, read(",after=" + (System.currentTimeMillis() + 60_000)))
                             .errorCode())
                     .isEqualTo("72000");
-            assertThat(ask(replica, "SHOW load").healthCheckResult(false).report().role())
+            assertThat(ask(replica, "SHOW load")
+                            .healthCheckResult(false)
+                            .report()
+                            .role())
                     .isEqualTo(Role.REPLICA);
             assertThat(ask(replica, "SELECT 1").errorCode()).isEqualTo("08P01");
         }
--- a/pooler/src/main/java/frostreel/EndpointSource.java
+++ b/pooler/src/main/java/frostreel/EndpointSource.java
@@ -1,11 +1,11 @@
 package frostreel;
 
-import frostreel.time.Deadlines;
 import frostreel.config.Config;
 import frostreel.config.EndpointList;
 import frostreel.discovery.DiscoveryWatch;
 import frostreel.net.EventLoop;
 import frostreel.routing.Router;
+import frostreel.time.Deadlines;
 import java.util.function.BiConsumer;
 import java.util.logging.Logger;
 
--- a/pooler/src/main/java/frostreel/backend/ServerConnection.java
+++ b/pooler/src/main/java/frostreel/backend/ServerConnection.java
@@ -1,6 +1,5 @@
 package frostreel.backend;
 
-import frostreel.time.Deadlines;
 import frostreel.log.EventLog;
 import frostreel.net.EventLoop;
 import frostreel.net.SocketStream;
@@ -10,6 +9,7 @@
 import frostreel.pg.Reply;
 import frostreel.request.BackEnd;
 import frostreel.routing.Router.Outcome;
+import frostreel.time.Deadlines;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
--- a/pooler/src/main/java/frostreel/backend/ServerPool.java
+++ b/pooler/src/main/java/frostreel/backend/ServerPool.java
@@ -1,7 +1,5 @@
 package frostreel.backend;
 
-import frostreel.time.Deadlines;
-import frostreel.util.SlotTable;
 import frostreel.config.EndpointList;
 import frostreel.net.EventLoop;
 import frostreel.pg.Messages;
@@ -9,6 +7,8 @@
 import frostreel.request.Payload;
 import frostreel.routing.Router;
 import frostreel.routing.Router.Outcome;
+import frostreel.time.Deadlines;
+import frostreel.util.SlotTable;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
--- a/pooler/src/main/java/frostreel/broker/ActiveRequest.java
+++ b/pooler/src/main/java/frostreel/broker/ActiveRequest.java
@@ -1,12 +1,12 @@
 package frostreel.broker;
 
-import frostreel.util.SlotTable;
-import frostreel.time.Deadlines;
 import frostreel.request.Payload;
 import frostreel.request.RequestAttributes;
 import frostreel.request.ResponseHandler;
 import frostreel.routing.Router;
 import frostreel.routing.Router.Outcome;
+import frostreel.time.Deadlines;
+import frostreel.util.SlotTable;
 
 /**
  * The state of one request from its submission until it is answered and its last attempt has ended. Owned by the
--- a/pooler/src/main/java/frostreel/broker/AttemptRunner.java
+++ b/pooler/src/main/java/frostreel/broker/AttemptRunner.java
@@ -1,14 +1,14 @@
 package frostreel.broker;
 
-import frostreel.util.SlotTable;
-import frostreel.time.Deadlines;
-import frostreel.time.Clock;
 import frostreel.log.EventLog;
 import frostreel.operation.WriteObserver;
 import frostreel.request.BackEnd;
 import frostreel.routing.Router;
 import frostreel.routing.Router.Outcome;
 import frostreel.stats.Counters;
+import frostreel.time.Clock;
+import frostreel.time.Deadlines;
+import frostreel.util.SlotTable;
 import java.util.function.Consumer;
 
 /**
--- a/pooler/src/main/java/frostreel/broker/Broker.java
+++ b/pooler/src/main/java/frostreel/broker/Broker.java
@@ -1,8 +1,5 @@
 package frostreel.broker;
 
-import frostreel.util.SlotTable;
-import frostreel.time.Deadlines;
-import frostreel.time.Clock;
 import frostreel.log.EventLog;
 import frostreel.operation.WriteObserver;
 import frostreel.request.BackEnd;
@@ -12,6 +9,9 @@
 import frostreel.routing.Router;
 import frostreel.routing.Router.Outcome;
 import frostreel.stats.Counters;
+import frostreel.time.Clock;
+import frostreel.time.Deadlines;
+import frostreel.util.SlotTable;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
--- a/pooler/src/main/java/frostreel/control/AdminConnection.java
+++ b/pooler/src/main/java/frostreel/control/AdminConnection.java
@@ -1,8 +1,8 @@
 package frostreel.control;
 
-import frostreel.time.Deadlines;
 import frostreel.net.EventLoop;
 import frostreel.net.SocketStream;
+import frostreel.time.Deadlines;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import org.xnio.StreamConnection;
--- a/pooler/src/main/java/frostreel/discovery/AgentConnection.java
+++ b/pooler/src/main/java/frostreel/discovery/AgentConnection.java
@@ -1,8 +1,8 @@
 package frostreel.discovery;
 
-import frostreel.time.Deadlines;
 import frostreel.net.EventLoop;
 import frostreel.net.SocketStream;
+import frostreel.time.Deadlines;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
--- a/pooler/src/main/java/frostreel/discovery/DiscoveryWatch.java
+++ b/pooler/src/main/java/frostreel/discovery/DiscoveryWatch.java
@@ -1,8 +1,8 @@
 package frostreel.discovery;
 
-import frostreel.time.Deadlines;
 import frostreel.config.EndpointList;
 import frostreel.net.EventLoop;
+import frostreel.time.Deadlines;
 import frostreel.wire.MalformedMessageException;
 import java.net.InetSocketAddress;
 import java.util.List;
--- a/pooler/src/main/java/frostreel/frontend/ClientRequest.java
+++ b/pooler/src/main/java/frostreel/frontend/ClientRequest.java
@@ -1,13 +1,13 @@
 package frostreel.frontend;
 
 import frostreel.broker.Broker;
-import frostreel.util.SlotTable;
 import frostreel.net.EventLoop;
 import frostreel.net.SocketStream;
 import frostreel.pg.Statement;
 import frostreel.request.BackEnd;
 import frostreel.request.RequestAttributes;
 import frostreel.request.ResponseHandler;
+import frostreel.util.SlotTable;
 
 /**
  * The active request of one client's connection, of which there is at most one: submits it to the broker, and takes its
--- a/pooler/src/main/java/frostreel/frontend/IdleTimer.java
+++ b/pooler/src/main/java/frostreel/frontend/IdleTimer.java
@@ -1,8 +1,8 @@
 package frostreel.frontend;
 
-import frostreel.time.Deadlines;
 import frostreel.net.EventLoop;
 import frostreel.net.SocketStream;
+import frostreel.time.Deadlines;
 
 /**
  * The time-outs of a client that has no active request: for the complete message that it owes, or for taking its
--- a/pooler/src/main/java/frostreel/frontend/Lingering.java
+++ b/pooler/src/main/java/frostreel/frontend/Lingering.java
@@ -1,7 +1,7 @@
 package frostreel.frontend;
 
-import frostreel.time.Deadlines;
 import frostreel.net.EventLoop;
+import frostreel.time.Deadlines;
 
 /**
  * How long, and for how many bytes, a client is still read from whose input is only dropped. Used on the I/O thread.
--- a/pooler/src/main/java/frostreel/frontend/Listener.java
+++ b/pooler/src/main/java/frostreel/frontend/Listener.java
@@ -1,13 +1,13 @@
 package frostreel.frontend;
 
 import frostreel.broker.Broker;
-import frostreel.util.SlotTable;
 import frostreel.net.Acceptor;
 import frostreel.net.EventLoop;
 import frostreel.operation.ReadinessStatus;
 import frostreel.operation.RequestClassRegistry;
 import frostreel.operation.ServingLifecycle;
 import frostreel.pg.Statement;
+import frostreel.util.SlotTable;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
--- a/pooler/src/main/java/frostreel/net/EventLoop.java
+++ b/pooler/src/main/java/frostreel/net/EventLoop.java
@@ -1,9 +1,9 @@
 package frostreel.net;
 
-import frostreel.time.Clock;
-import frostreel.time.Deadlines;
 import frostreel.log.EventLog;
 import frostreel.stats.Counters;
+import frostreel.time.Clock;
+import frostreel.time.Deadlines;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.util.concurrent.TimeUnit;
--- a/pooler/src/test/java/frostreel/broker/BrokerTest.java
+++ b/pooler/src/test/java/frostreel/broker/BrokerTest.java
@@ -1,12 +1,12 @@
 package frostreel.broker;
 
-import frostreel.time.Deadlines;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import frostreel.request.RequestAttributes;
 import frostreel.request.ResponseHandler;
 import frostreel.routing.Router;
 import frostreel.stats.Counters;
+import frostreel.time.Deadlines;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
--- a/pooler/src/test/java/frostreel/broker/RequestTableTest.java
+++ b/pooler/src/test/java/frostreel/broker/RequestTableTest.java
@@ -1,9 +1,9 @@
 package frostreel.broker;
 
-import frostreel.util.SlotTable;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import frostreel.request.RequestAttributes;
+import frostreel.util.SlotTable;
 import org.junit.jupiter.api.Test;
 
 /** When a request is found, and by which of its ids. */
--- a/pooler/src/test/java/frostreel/control/StoredFilesOf223cd4eTest.java
+++ b/pooler/src/test/java/frostreel/control/StoredFilesOf223cd4eTest.java
@@ -2,11 +2,11 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import frostreel.time.Clock;
 import frostreel.operation.CommandState;
 import frostreel.operation.CommandTarget;
 import frostreel.operation.SharedCommitTable;
 import frostreel.routing.Router.Outcome;
+import frostreel.time.Clock;
 import java.io.IOException;
 import java.net.URISyntaxException;
 import java.nio.charset.StandardCharsets;
