--- a/pooler/src/main/java/frostreel/backend/ServerConnection.java
+++ b/pooler/src/main/java/frostreel/backend/ServerConnection.java
@@ -45,7 +45,7 @@
     private Reply reply = Reply.toStartup();
     private ServerPool.Attempt attempt;
     private Deadlines.Deadline deadline;
-    /** Takes a long row, of which {@link #streamedBytesLeft} bytes are still to come. */
+    /** Takes a long row, of which {@link #streamedBytesLeft} bytes are still to come; null while there is none. */
     private BackEnd.ResponseStream responseStream;
 
     private int streamedBytesLeft;
@@ -212,6 +212,11 @@
 
     /** Takes a complete answer; where a byte came behind it, the connection is not used again. */
     private void onAnswered(Reply answer) {
+        if (responseStream != null) {
+            // Whoever paused a long response with its last piece does not resume it: it is complete.
+            responseStream = null;
+            stream.resumeReads();
+        }
         boolean clean = answer.ready() && reader.buffered() == 0;
         if (answer.ready() && !clean) {
             loop.counters().strayBytes++;
--- a/pooler/src/test/java/frostreel/LongValuesTest.java
+++ b/pooler/src/test/java/frostreel/LongValuesTest.java
@@ -31,7 +31,7 @@
     }
 
     /** Returns a RowDescription and the head of a DataRow, up to the value. */
-    private static byte[] head(int rowLength, int valueLength) {
+    static byte[] head(int rowLength, int valueLength) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         out.writeBytes(TestMessages.bytes('T', "\0\1v|" + "|".repeat(18)));
         out.write('D');
@@ -43,7 +43,7 @@
         return out.toByteArray();
     }
 
-    private static final byte[] TAIL = tail();
+    static final byte[] TAIL = tail();
 
     private static byte[] tail() {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
