--- a/decisions/src/jmh/java/frostreel/zones/LocalityPolicyBenchmark.java
+++ b/decisions/src/jmh/java/frostreel/zones/LocalityPolicyBenchmark.java
@@ -1,5 +1,6 @@
 package frostreel.zones;
 
+import frostreel.routing.Limits;
 import frostreel.routing.Router;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
@@ -67,7 +68,7 @@
                 Router.ListRole.LATE,
                 Router.SessionTracking.CARRIED,
                 true,
-                new Router.Limits(10, Router.HealthChecks.REPORT, true, true, 1, false, 0, 250_000, 50_000, 30_000_000, 1),
+                new Limits(10, Router.HealthChecks.REPORT, true, true, 1, false, 0, 250_000, 50_000, 30_000_000, 1),
                 new Router.Rules(20_000, 1_000_000, false, 0.2, 15_000_000, 3, 2_000_000));
     }
 
--- a/decisions/src/main/java/frostreel/routing/ActiveSettings.java
+++ b/decisions/src/main/java/frostreel/routing/ActiveSettings.java
@@ -1,6 +1,5 @@
 package frostreel.routing;
 
-import frostreel.routing.Router.Limits;
 import frostreel.routing.Router.Rules;
 import frostreel.routing.Router.Settings;
 
--- a/decisions/src/main/java/frostreel/wire/SettingsReader.java
+++ b/decisions/src/main/java/frostreel/wire/SettingsReader.java
@@ -2,6 +2,7 @@
 
 import static frostreel.wire.NamedValue.named;
 
+import frostreel.routing.Limits;
 import frostreel.routing.Router;
 import java.util.ArrayList;
 import java.util.List;
@@ -58,7 +59,7 @@
         List<Router.RequestClass> classes = requestClasses(options, family);
         MessageFields capabilities = options.object("caps");
         MessageFields rules = options.object("rules");
-        Router.Limits limits = limits(options, family, capabilities, rules);
+        Limits limits = limits(options, family, capabilities, rules);
         Router.Rules routingRules = rules(rules);
         return new Router.Settings(
                 seed,
@@ -114,10 +115,10 @@
                 fields.number("lateWorth", 0));
     }
 
-    private static Router.Limits limits(
+    private static Limits limits(
             MessageFields options, MessageFields family, MessageFields capabilities, MessageFields rules)
             throws MalformedMessageException {
-        return new Router.Limits(
+        return new Limits(
                 (int) capabilities.whole("maxAttempts", 1, MAX_COUNT, 1),
                 healthChecks(capabilities, options),
                 capabilities.flag("cancel"),
--- a/decisions/src/test/java/example/Embedding.java
+++ b/decisions/src/test/java/example/Embedding.java
@@ -1,6 +1,7 @@
 package example;
 
 import frostreel.routing.ChainRouter;
+import frostreel.routing.Limits;
 import frostreel.routing.Router;
 import java.util.List;
 
@@ -43,7 +44,7 @@
                 Router.ListRole.LATE,
                 Router.SessionTracking.CARRIED,
                 false,
-                new Router.Limits(
+                new Limits(
                         8, Router.HealthChecks.REPORT, true, true, 500_000, false, 0, 250_000, 50_000, 30_000_000, 1),
                 new Router.Rules(20_000, 500_000, false, 0.15, 18_000_000, 3, 3_000_000));
     }
--- a/decisions/src/test/java/frostreel/routing/SettingsBuilder.java
+++ b/decisions/src/test/java/frostreel/routing/SettingsBuilder.java
@@ -99,8 +99,8 @@
                 new Router.Rules(20_000, 500_000, onlyDrainingIsBinding, 0.2, 18_000_000, 3, 2_000_000));
     }
 
-    private Router.Limits limits() {
-        return new Router.Limits(
+    private Limits limits() {
+        return new Limits(
                 maxAttempts,
                 healthChecks,
                 true,
--- a/decisions/src/test/java/frostreel/wire/SettingsReaderTest.java
+++ b/decisions/src/test/java/frostreel/wire/SettingsReaderTest.java
@@ -3,6 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
+import frostreel.routing.Limits;
 import frostreel.routing.Router;
 import java.util.List;
 import org.json.JSONArray;
@@ -54,7 +55,7 @@
                         Router.ListRole.SILENT,
                         Router.SessionTracking.REMEMBERED,
                         false,
-                        new Router.Limits(1, Router.HealthChecks.NONE, false, false, 0, false, 0, 0, 0, 0, 1),
+                        new Limits(1, Router.HealthChecks.NONE, false, false, 0, false, 0, 0, 0, 0, 1),
                         new Router.Rules(0, 0, false, 1, 0, 1, 0)));
     }
 
--- a/decisions/src/test/java/frostreel/zones/ZoneFailoverPolicyTest.java
+++ b/decisions/src/test/java/frostreel/zones/ZoneFailoverPolicyTest.java
@@ -4,6 +4,7 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 import static org.assertj.core.api.Assertions.within;
 
+import frostreel.routing.Limits;
 import frostreel.routing.Router;
 import frostreel.routing.Router.Outcome;
 import java.util.List;
@@ -26,18 +27,8 @@
             Router.ListRole.LATE,
             Router.SessionTracking.CARRIED,
             true,
-            new Router.Limits(
-                    10,
-                    Router.HealthChecks.REPORT,
-                    true,
-                    true,
-                    SECOND_US,
-                    false,
-                    0,
-                    250_000,
-                    50_000,
-                    30 * SECOND_US,
-                    1),
+            new Limits(
+                    10, Router.HealthChecks.REPORT, true, true, SECOND_US, false, 0, 250_000, 50_000, 30 * SECOND_US, 1),
             new Router.Rules(20_000, SECOND_US, false, 0.2, 15 * SECOND_US, 3, 2 * SECOND_US));
     private final ZoneSettings zones = new ZoneSettings(
             0, List.of(new ZoneSettings.Tier(List.of(1), SPILL), new ZoneSettings.Tier(List.of(), SPILL)), 10);
--- a/lab/src/main/java/frostreel/lab/processes/PlatformConfig.java
+++ b/lab/src/main/java/frostreel/lab/processes/PlatformConfig.java
@@ -1,5 +1,6 @@
 package frostreel.lab.processes;
 
+import frostreel.routing.Limits;
 import frostreel.routing.Router;
 import java.util.Locale;
 import org.json.JSONArray;
@@ -74,7 +75,7 @@
         };
     }
 
-    private static JSONObject limits(Router.Limits limits) {
+    private static JSONObject limits(Limits limits) {
         return new JSONObject()
                 .put("maxAttempts", limits.maxAttempts())
                 .put("probes", limits.healthChecks() != Router.HealthChecks.NONE)
--- a/lab/src/main/java/frostreel/lab/rules/InvariantChecker.java
+++ b/lab/src/main/java/frostreel/lab/rules/InvariantChecker.java
@@ -1,6 +1,6 @@
 package frostreel.lab.rules;
 
-import frostreel.routing.Router.Limits;
+import frostreel.routing.Limits;
 import frostreel.routing.Router.Outcome;
 import frostreel.routing.Router.RequestClass;
 import frostreel.routing.Router.Rules;
--- a/lab/src/main/java/frostreel/lab/virtual/Site.java
+++ b/lab/src/main/java/frostreel/lab/virtual/Site.java
@@ -1,6 +1,7 @@
 package frostreel.lab.virtual;
 
 import frostreel.lab.model.ServerParameters;
+import frostreel.routing.Limits;
 import frostreel.routing.Router;
 import java.util.List;
 import java.util.Set;
@@ -37,18 +38,8 @@
                     Router.ListRole.LATE,
                     Router.SessionTracking.CARRIED,
                     true,
-                    new Router.Limits(
-                            10,
-                            Router.HealthChecks.REPORT,
-                            true,
-                            true,
-                            2_000_000,
-                            false,
-                            0,
-                            250_000,
-                            50_000,
-                            30_000_000,
-                            1),
+                    new Limits(
+                            10, Router.HealthChecks.REPORT, true, true, 2_000_000, false, 0, 250_000, 50_000, 30_000_000, 1),
                     new Router.Rules(20_000, 1_000_000, false, 0.22, 15_000_000, 3, 2_000_000)),
             ServerParameters.USUAL,
             Set.of("x0", "x1", "load_share"),
--- a/lab/src/test/java/frostreel/lab/rules/InvariantCheckerTest.java
+++ b/lab/src/test/java/frostreel/lab/rules/InvariantCheckerTest.java
@@ -3,6 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import frostreel.lab.rules.RunListener.Answer;
+import frostreel.routing.Limits;
 import frostreel.routing.Router;
 import frostreel.routing.Router.Outcome;
 import frostreel.routing.Router.State;
@@ -12,8 +13,8 @@
 
 /** Each checker convicts what breaks its rule, and nothing that keeps it. */
 class InvariantCheckerTest {
-    private static final Router.Limits LIMITS = new Router.Limits(
-            3, Router.HealthChecks.REPORT, true, true, 2_000_000, false, 0, 250_000, 50_000, 30_000_000, 1);
+    private static final Limits LIMITS =
+            new Limits(3, Router.HealthChecks.REPORT, true, true, 2_000_000, false, 0, 250_000, 50_000, 30_000_000, 1);
     private static final Router.Rules FIGURES =
             new Router.Rules(20_000, 1_000_000, false, 0.22, 15_000_000, 3, 2_000_000);
     private static final Router.RequestClass READ = requestClass(Router.Access.ANY, Router.Idempotency.IDEMPOTENT);
--- a/lab/src/test/java/frostreel/lab/virtual/KnownSitesTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/KnownSitesTest.java
@@ -3,6 +3,7 @@
 import static frostreel.lab.virtual.SimulationAssertions.assertRulesKept;
 import static org.assertj.core.api.Assertions.assertThat;
 
+import frostreel.routing.Limits;
 import frostreel.routing.Router;
 import frostreel.wire.MalformedMessageException;
 import java.io.IOException;
@@ -83,7 +84,7 @@
         assertThat(bsas.sessionTracking()).isEqualTo(Router.SessionTracking.REMEMBERED);
         assertThat(bsas.positions()).isTrue();
         assertThat(bsas.limits())
-                .isEqualTo(new Router.Limits(
+                .isEqualTo(new Limits(
                         10,
                         Router.HealthChecks.LIVENESS,
                         true,
--- a/pooler/src/main/java/frostreel/broker/Broker.java
+++ b/pooler/src/main/java/frostreel/broker/Broker.java
@@ -6,6 +6,7 @@
 import frostreel.request.Payload;
 import frostreel.request.RequestAttributes;
 import frostreel.request.ResponseHandler;
+import frostreel.routing.Limits;
 import frostreel.routing.Router;
 import frostreel.routing.Router.Outcome;
 import frostreel.stats.Counters;
@@ -112,7 +113,7 @@
 
     /** The wait that a rejection may advise: at most the settings' maximum, 0 where they allow no advice. */
     public long retryAfterUs(long wantedUs) {
-        Router.Limits limits = settings.limits();
+        Limits limits = settings.limits();
         return limits.retryAfterAllowed() ? Math.min(wantedUs, limits.maxRetryAfterUs()) : 0;
     }
 
--- a/pooler/src/test/java/frostreel/broker/BrokerTest.java
+++ b/pooler/src/test/java/frostreel/broker/BrokerTest.java
@@ -4,6 +4,7 @@
 
 import frostreel.request.RequestAttributes;
 import frostreel.request.ResponseHandler;
+import frostreel.routing.Limits;
 import frostreel.routing.Router;
 import frostreel.stats.Counters;
 import frostreel.time.Deadlines;
@@ -40,7 +41,7 @@
                 Router.ListRole.LATE,
                 Router.SessionTracking.CARRIED,
                 true,
-                new Router.Limits(4, Router.HealthChecks.NONE, true, true, 0, false, 0, 0, 0, 0, 1),
+                new Limits(4, Router.HealthChecks.NONE, true, true, 0, false, 0, 0, 0, 0, 1),
                 new Router.Rules(answerSlackUs, 1_000_000, false, 1, 0, 1, 0));
     }
 
