--- a/decisions/src/jmh/java/frostreel/zones/LocalityPolicyBenchmark.java
+++ b/decisions/src/jmh/java/frostreel/zones/LocalityPolicyBenchmark.java
@@ -68,7 +68,16 @@
                 Router.ListRole.LATE,
                 Router.SessionTracking.CARRIED,
                 true,
-                new Limits(10, Router.HealthChecks.REPORT, true, true, 1, false, 0, 250_000, 50_000, 30_000_000, 1),
+                Limits.builder()
+                        .maxAttempts(10)
+                        .healthChecks(Router.HealthChecks.REPORT)
+                        .cancel(true)
+                        .retryAfterAllowed(true)
+                        .maxRetryAfterUs(1)
+                        .connectTimeoutUs(250_000)
+                        .holdsForUs(50_000)
+                        .idleCloseUs(30_000_000)
+                        .build(),
                 new Router.Rules(20_000, 1_000_000, false, 0.2, 15_000_000, 3, 2_000_000));
     }
 
--- a/decisions/src/main/java/frostreel/routing/Limits.java
+++ b/decisions/src/main/java/frostreel/routing/Limits.java
@@ -2,17 +2,7 @@
 
 import frostreel.routing.Router.HealthChecks;
 
-/**
- * What the deployment permits.
- *
- * @param cancel whether attempts may be cancelled
- * @param retryAfterAllowed whether clients receive a Retry-After, of at most {@code maxRetryAfterUs}
- * @param subscribe whether changes of the endpoint list must be subscribed to
- * @param askWithinUs how old a list may be before it counts as known without having been asked for
- * @param holdsForUs how long a member that checks staleness by waiting holds a read
- * @param idleCloseUs after which an idle connection closes
- * @param concurrentRequestLimit how many requests of clients may be open here, 0 where nothing bounds them
- */
+/** What the deployment permits. Each component is described at the method of {@link Builder} that sets it. */
 public record Limits(
         int maxAttempts,
         HealthChecks healthChecks,
@@ -26,47 +16,135 @@
         long idleCloseUs,
         int requestsPerConnection,
         int concurrentRequestLimit) {
-    /** Limits without a bound on the open requests of clients. */
-    public Limits(
-            int maxAttempts,
-            HealthChecks healthChecks,
-            boolean cancel,
-            boolean retryAfterAllowed,
-            long maxRetryAfterUs,
-            boolean subscribe,
-            long askWithinUs,
-            long connectTimeoutUs,
-            long holdsForUs,
-            long idleCloseUs,
-            int requestsPerConnection) {
-        this(
-                maxAttempts,
-                healthChecks,
-                cancel,
-                retryAfterAllowed,
-                maxRetryAfterUs,
-                subscribe,
-                askWithinUs,
-                connectTimeoutUs,
-                holdsForUs,
-                idleCloseUs,
-                requestsPerConnection,
-                0);
+    /** The {@link #concurrentRequestLimit} of a deployment that does not bound the open requests of clients. */
+    public static final int UNLIMITED = 0;
+
+    /** Starts from a deployment that permits one attempt for each request, and nothing else. */
+    public static Builder builder() {
+        return new Builder();
+    }
+
+    /** Starts from these limits. */
+    public Builder toBuilder() {
+        return new Builder()
+                .maxAttempts(maxAttempts)
+                .healthChecks(healthChecks)
+                .cancel(cancel)
+                .retryAfterAllowed(retryAfterAllowed)
+                .maxRetryAfterUs(maxRetryAfterUs)
+                .subscribe(subscribe)
+                .askWithinUs(askWithinUs)
+                .connectTimeoutUs(connectTimeoutUs)
+                .holdsForUs(holdsForUs)
+                .idleCloseUs(idleCloseUs)
+                .requestsPerConnection(requestsPerConnection)
+                .concurrentRequestLimit(concurrentRequestLimit);
     }
 
-    Limits with(int newMaxAttempts, int newRequestsPerConnection, int newConcurrentRequestLimit) {
-        return new Limits(
-                newMaxAttempts,
-                healthChecks,
-                cancel,
-                retryAfterAllowed,
-                maxRetryAfterUs,
-                subscribe,
-                askWithinUs,
-                connectTimeoutUs,
-                holdsForUs,
-                idleCloseUs,
-                newRequestsPerConnection,
-                newConcurrentRequestLimit);
+    /** Builds limits by name: a call with twelve figures in a row could not be read. */
+    public static final class Builder {
+        private int maxAttempts = 1;
+        private HealthChecks healthChecks = HealthChecks.NONE;
+        private boolean cancel;
+        private boolean retryAfterAllowed;
+        private long maxRetryAfterUs;
+        private boolean subscribe;
+        private long askWithinUs;
+        private long connectTimeoutUs;
+        private long holdsForUs;
+        private long idleCloseUs;
+        private int requestsPerConnection = 1;
+        private int concurrentRequestLimit = UNLIMITED;
+
+        private Builder() {}
+
+        /** How many attempts a request may have, counting the first. */
+        public Builder maxAttempts(int value) {
+            maxAttempts = value;
+            return this;
+        }
+
+        /** Whether members may be health-checked, and what such a check tells. */
+        public Builder healthChecks(HealthChecks value) {
+            healthChecks = value;
+            return this;
+        }
+
+        /** Whether an attempt that is in flight may be cancelled. */
+        public Builder cancel(boolean value) {
+            cancel = value;
+            return this;
+        }
+
+        /** Whether rejected clients receive a Retry-After. */
+        public Builder retryAfterAllowed(boolean value) {
+            retryAfterAllowed = value;
+            return this;
+        }
+
+        /** The longest Retry-After that a client may receive. */
+        public Builder maxRetryAfterUs(long value) {
+            maxRetryAfterUs = value;
+            return this;
+        }
+
+        /** Whether changes of the endpoint list have to be subscribed to. */
+        public Builder subscribe(boolean value) {
+            subscribe = value;
+            return this;
+        }
+
+        /** How old an endpoint list may be and still count as known without having been asked for. */
+        public Builder askWithinUs(long value) {
+            askWithinUs = value;
+            return this;
+        }
+
+        /** How long connecting to a member may take. */
+        public Builder connectTimeoutUs(long value) {
+            connectTimeoutUs = value;
+            return this;
+        }
+
+        /** How long a member that checks staleness by waiting holds a read. */
+        public Builder holdsForUs(long value) {
+            holdsForUs = value;
+            return this;
+        }
+
+        /** After how long without use a connection is closed. */
+        public Builder idleCloseUs(long value) {
+            idleCloseUs = value;
+            return this;
+        }
+
+        /** How many requests one connection to a member carries at a time. */
+        public Builder requestsPerConnection(int value) {
+            requestsPerConnection = value;
+            return this;
+        }
+
+        /** How many client requests may be open here, or {@link Limits#UNLIMITED}. */
+        public Builder concurrentRequestLimit(int value) {
+            concurrentRequestLimit = value;
+            return this;
+        }
+
+        /** The limits as they were set. */
+        public Limits build() {
+            return new Limits(
+                    maxAttempts,
+                    healthChecks,
+                    cancel,
+                    retryAfterAllowed,
+                    maxRetryAfterUs,
+                    subscribe,
+                    askWithinUs,
+                    connectTimeoutUs,
+                    holdsForUs,
+                    idleCloseUs,
+                    requestsPerConnection,
+                    concurrentRequestLimit);
+        }
     }
 }
--- a/decisions/src/main/java/frostreel/routing/Router.java
+++ b/decisions/src/main/java/frostreel/routing/Router.java
@@ -178,14 +178,17 @@
             Rules rules) {
         /** The same settings with other classes and another number of attempts. */
         public Settings with(List<RequestClass> newClasses, int maxAttempts) {
-            return with(
-                    newClasses,
-                    limits.with(maxAttempts, limits.requestsPerConnection(), limits.concurrentRequestLimit()));
+            return with(newClasses, limits.toBuilder().maxAttempts(maxAttempts).build());
         }
 
         /** The same settings on sockets: one attempt at a time a connection, and a limit of clients' requests. */
         public Settings onSockets(int concurrentRequestLimit) {
-            return with(classes, limits.with(limits.maxAttempts(), 1, concurrentRequestLimit));
+            return with(
+                    classes,
+                    limits.toBuilder()
+                            .requestsPerConnection(1)
+                            .concurrentRequestLimit(concurrentRequestLimit)
+                            .build());
         }
 
         private Settings with(List<RequestClass> newClasses, Limits newLimits) {
--- a/decisions/src/main/java/frostreel/wire/SettingsReader.java
+++ b/decisions/src/main/java/frostreel/wire/SettingsReader.java
@@ -118,18 +118,19 @@
     private static Limits limits(
             MessageFields options, MessageFields family, MessageFields capabilities, MessageFields rules)
             throws MalformedMessageException {
-        return new Limits(
-                (int) capabilities.whole("maxAttempts", 1, MAX_COUNT, 1),
-                healthChecks(capabilities, options),
-                capabilities.flag("cancel"),
-                capabilities.flag("retryAfter"),
-                capabilities.micros("maxRetryAfterS", 0),
-                options.oneOf("membershipMode", SUBSCRIBES, false),
-                rules.micros("askWithinS", 0),
-                capabilities.micros("connectTimeoutS", 0),
-                family.micros("holdsForS", 0),
-                capabilities.micros("idleCloseS", 0),
-                (int) capabilities.whole("streamsPerConn", 1, MAX_COUNT, 1));
+        return Limits.builder()
+                .maxAttempts((int) capabilities.whole("maxAttempts", 1, MAX_COUNT, 1))
+                .healthChecks(healthChecks(capabilities, options))
+                .cancel(capabilities.flag("cancel"))
+                .retryAfterAllowed(capabilities.flag("retryAfter"))
+                .maxRetryAfterUs(capabilities.micros("maxRetryAfterS", 0))
+                .subscribe(options.oneOf("membershipMode", SUBSCRIBES, false))
+                .askWithinUs(rules.micros("askWithinS", 0))
+                .connectTimeoutUs(capabilities.micros("connectTimeoutS", 0))
+                .holdsForUs(family.micros("holdsForS", 0))
+                .idleCloseUs(capabilities.micros("idleCloseS", 0))
+                .requestsPerConnection((int) capabilities.whole("streamsPerConn", 1, MAX_COUNT, 1))
+                .build();
     }
 
     private static Router.Rules rules(MessageFields rules) throws MalformedMessageException {
--- a/decisions/src/test/java/example/Embedding.java
+++ b/decisions/src/test/java/example/Embedding.java
@@ -44,8 +44,16 @@
                 Router.ListRole.LATE,
                 Router.SessionTracking.CARRIED,
                 false,
-                new Limits(
-                        8, Router.HealthChecks.REPORT, true, true, 500_000, false, 0, 250_000, 50_000, 30_000_000, 1),
+                Limits.builder()
+                        .maxAttempts(8)
+                        .healthChecks(Router.HealthChecks.REPORT)
+                        .cancel(true)
+                        .retryAfterAllowed(true)
+                        .maxRetryAfterUs(500_000)
+                        .connectTimeoutUs(250_000)
+                        .holdsForUs(50_000)
+                        .idleCloseUs(30_000_000)
+                        .build(),
                 new Router.Rules(20_000, 500_000, false, 0.15, 18_000_000, 3, 3_000_000));
     }
 
--- a/decisions/src/test/java/frostreel/routing/SettingsBuilder.java
+++ b/decisions/src/test/java/frostreel/routing/SettingsBuilder.java
@@ -100,19 +100,19 @@
     }
 
     private Limits limits() {
-        return new Limits(
-                maxAttempts,
-                healthChecks,
-                true,
-                true,
-                2_000_000,
-                subscribe,
-                10_000_000,
-                250_000,
-                50_000,
-                30_000_000,
-                1,
-                concurrentRequestLimit);
+        return Limits.builder()
+                .maxAttempts(maxAttempts)
+                .healthChecks(healthChecks)
+                .cancel(true)
+                .retryAfterAllowed(true)
+                .maxRetryAfterUs(2_000_000)
+                .subscribe(subscribe)
+                .askWithinUs(10_000_000)
+                .connectTimeoutUs(250_000)
+                .holdsForUs(50_000)
+                .idleCloseUs(30_000_000)
+                .concurrentRequestLimit(concurrentRequestLimit)
+                .build();
     }
 
     private static List<RequestClass> classes() {
--- a/decisions/src/test/java/frostreel/wire/SettingsReaderTest.java
+++ b/decisions/src/test/java/frostreel/wire/SettingsReaderTest.java
@@ -55,7 +55,20 @@
                         Router.ListRole.SILENT,
                         Router.SessionTracking.REMEMBERED,
                         false,
-                        new Limits(1, Router.HealthChecks.NONE, false, false, 0, false, 0, 0, 0, 0, 1),
+                        Limits.builder()
+                                .maxAttempts(1)
+                                .healthChecks(Router.HealthChecks.NONE)
+                                .cancel(false)
+                                .retryAfterAllowed(false)
+                                .maxRetryAfterUs(0)
+                                .subscribe(false)
+                                .askWithinUs(0)
+                                .connectTimeoutUs(0)
+                                .holdsForUs(0)
+                                .idleCloseUs(0)
+                                .requestsPerConnection(1)
+                                .concurrentRequestLimit(Limits.UNLIMITED)
+                                .build(),
                         new Router.Rules(0, 0, false, 1, 0, 1, 0)));
     }
 
--- a/decisions/src/test/java/frostreel/zones/ZoneFailoverPolicyTest.java
+++ b/decisions/src/test/java/frostreel/zones/ZoneFailoverPolicyTest.java
@@ -27,8 +27,16 @@
             Router.ListRole.LATE,
             Router.SessionTracking.CARRIED,
             true,
-            new Limits(
-                    10, Router.HealthChecks.REPORT, true, true, SECOND_US, false, 0, 250_000, 50_000, 30 * SECOND_US, 1),
+            Limits.builder()
+                    .maxAttempts(10)
+                    .healthChecks(Router.HealthChecks.REPORT)
+                    .cancel(true)
+                    .retryAfterAllowed(true)
+                    .maxRetryAfterUs(SECOND_US)
+                    .connectTimeoutUs(250_000)
+                    .holdsForUs(50_000)
+                    .idleCloseUs(30 * SECOND_US)
+                    .build(),
             new Router.Rules(20_000, SECOND_US, false, 0.2, 15 * SECOND_US, 3, 2 * SECOND_US));
     private final ZoneSettings zones = new ZoneSettings(
             0, List.of(new ZoneSettings.Tier(List.of(1), SPILL), new ZoneSettings.Tier(List.of(), SPILL)), 10);
--- a/lab/src/test/java/frostreel/lab/rules/InvariantCheckerTest.java
+++ b/lab/src/test/java/frostreel/lab/rules/InvariantCheckerTest.java
@@ -13,8 +13,16 @@
 
 /** Each checker convicts what breaks its rule, and nothing that keeps it. */
 class InvariantCheckerTest {
-    private static final Limits LIMITS =
-            new Limits(3, Router.HealthChecks.REPORT, true, true, 2_000_000, false, 0, 250_000, 50_000, 30_000_000, 1);
+    private static final Limits LIMITS = Limits.builder()
+            .maxAttempts(3)
+            .healthChecks(Router.HealthChecks.REPORT)
+            .cancel(true)
+            .retryAfterAllowed(true)
+            .maxRetryAfterUs(2_000_000)
+            .connectTimeoutUs(250_000)
+            .holdsForUs(50_000)
+            .idleCloseUs(30_000_000)
+            .build();
     private static final Router.Rules FIGURES =
             new Router.Rules(20_000, 1_000_000, false, 0.22, 15_000_000, 3, 2_000_000);
     private static final Router.RequestClass READ = requestClass(Router.Access.ANY, Router.Idempotency.IDEMPOTENT);
--- a/lab/src/test/java/frostreel/lab/virtual/KnownSitesTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/KnownSitesTest.java
@@ -84,18 +84,20 @@
         assertThat(bsas.sessionTracking()).isEqualTo(Router.SessionTracking.REMEMBERED);
         assertThat(bsas.positions()).isTrue();
         assertThat(bsas.limits())
-                .isEqualTo(new Limits(
-                        10,
-                        Router.HealthChecks.LIVENESS,
-                        true,
-                        false,
-                        500_000,
-                        false,
-                        10_000_000,
-                        250_000,
-                        0,
-                        15_000_000,
-                        8));
+                .isEqualTo(Limits.builder()
+                        .maxAttempts(10)
+                        .healthChecks(Router.HealthChecks.LIVENESS)
+                        .cancel(true)
+                        .retryAfterAllowed(false)
+                        .maxRetryAfterUs(500_000)
+                        .subscribe(false)
+                        .askWithinUs(10_000_000)
+                        .connectTimeoutUs(250_000)
+                        .holdsForUs(0)
+                        .idleCloseUs(15_000_000)
+                        .requestsPerConnection(8)
+                        .concurrentRequestLimit(Limits.UNLIMITED)
+                        .build());
         assertThat(bsas.rules()).isEqualTo(new Router.Rules(20_000, 250_000, false, 0.16, 15_000_000, 2, 1_000_000));
     }
 
--- a/pooler/src/test/java/frostreel/broker/BrokerTest.java
+++ b/pooler/src/test/java/frostreel/broker/BrokerTest.java
@@ -41,7 +41,11 @@
                 Router.ListRole.LATE,
                 Router.SessionTracking.CARRIED,
                 true,
-                new Limits(4, Router.HealthChecks.NONE, true, true, 0, false, 0, 0, 0, 0, 1),
+                Limits.builder()
+                        .maxAttempts(4)
+                        .cancel(true)
+                        .retryAfterAllowed(true)
+                        .build(),
                 new Router.Rules(answerSlackUs, 1_000_000, false, 1, 0, 1, 0));
     }
 
