--- a/decisions/src/jmh/java/frostreel/zones/LocalityPolicyBenchmark.java
+++ b/decisions/src/jmh/java/frostreel/zones/LocalityPolicyBenchmark.java
@@ -37,12 +37,12 @@
     public void takeNearestZoneDown() {
         policy = new ZoneFailoverPolicy(settings(), zones(), 0.5);
         for (int i = 0; i < handles.length; i++) {
-            handles[i] = policy.memberHandle(i / ZONES, i % ZONES);
-            policy.ended(nowUs, handles[i], Router.Outcome.OK, WORK_US);
+            handles[i] = policy.onMemberAdded(i / ZONES, i % ZONES);
+            policy.onAttemptEnded(nowUs, handles[i], Router.Outcome.OK, WORK_US);
         }
         for (int i = 0; i < 5 * handles.length; i += ZONES) {
             nowUs += 100_000;
-            policy.ended(nowUs, handles[i % handles.length], Router.Outcome.TIMEOUT, WORK_US);
+            policy.onAttemptEnded(nowUs, handles[i % handles.length], Router.Outcome.TIMEOUT, WORK_US);
         }
     }
 
@@ -105,8 +105,8 @@
     public void recordAttempt() {
         advance();
         int handle = handles[ZONES * group + 1];
-        policy.sent(nowUs, handle, 1, WORK_US);
-        policy.ended(nowUs, handle, Router.Outcome.OK, WORK_US);
+        policy.onAttemptSent(nowUs, handle, 1, WORK_US);
+        policy.onAttemptEnded(nowUs, handle, Router.Outcome.OK, WORK_US);
     }
 
     private void advance() {
--- a/decisions/src/main/java/frostreel/routing/AttemptRecorder.java
+++ b/decisions/src/main/java/frostreel/routing/AttemptRecorder.java
@@ -44,7 +44,7 @@
         group.sendsSinceConnect = connected ? group.sendsSinceConnect + 1 : 0;
         member.recordSend(nowUs, settings.limits());
         if (!request.needsPrimary) {
-            localityPolicy.sent(nowUs, member.localityHandle, classIndex, latencies.meanUs(classIndex));
+            localityPolicy.onAttemptSent(nowUs, member.localityHandle, classIndex, latencies.meanUs(classIndex));
         }
         request.currentMember = member;
         request.sentAtUs = nowUs;
@@ -86,7 +86,7 @@
             long positionUs,
             Report report) {
         member.recordEnd(nowUs);
-        localityPolicy.ended(nowUs, member.localityHandle, outcome, latencies.meanUs(request.classIndex()));
+        localityPolicy.onAttemptEnded(nowUs, member.localityHandle, outcome, latencies.meanUs(request.classIndex()));
         if (outcome == Outcome.OK
                 || outcome == Outcome.ERROR
                 || outcome == Outcome.REJECTED
--- a/decisions/src/main/java/frostreel/routing/MemberDirectory.java
+++ b/decisions/src/main/java/frostreel/routing/MemberDirectory.java
@@ -85,7 +85,7 @@
     private MemberState add(long nowUs, Member entry, boolean initial) {
         GroupState group = group(entry.group());
         SlowStart.Member slowStartState = slowStart.register(nowUs);
-        int localityHandle = localityPolicy.memberHandle(entry.group(), entry.zone());
+        int localityHandle = localityPolicy.onMemberAdded(entry.group(), entry.zone());
         MemberState member = new MemberState(entry.id(), group.number, slowStartState, localityHandle, nowUs);
         member.verified = initial;
         members.put(member.id, member);
@@ -98,7 +98,7 @@
     }
 
     private boolean forget(MemberState member) {
-        localityPolicy.left(member.localityHandle);
+        localityPolicy.onMemberRemoved(member.localityHandle);
         slowStart.forget(member.slowStart);
         return members.remove(member.id, member);
     }
--- a/decisions/src/main/java/frostreel/routing/NearestZonePolicy.java
+++ b/decisions/src/main/java/frostreel/routing/NearestZonePolicy.java
@@ -16,24 +16,24 @@
     }
 
     @Override
-    public void settings(Router.Settings settings) {}
+    public void onSettings(Router.Settings settings) {}
 
     @Override
-    public int memberHandle(int group, int zone) {
+    public int onMemberAdded(int group, int zone) {
         return zone;
     }
 
     @Override
-    public void left(int handle) {}
+    public void onMemberRemoved(int handle) {}
 
     @Override
-    public void ended(long nowUs, int handle, Router.Outcome outcome, double workUs) {}
+    public void onAttemptSent(long nowUs, int handle, int classIndex, double workUs) {}
 
     @Override
-    public void onHealthCheck(long nowUs, int handle, boolean ok) {}
+    public void onAttemptEnded(long nowUs, int handle, Router.Outcome outcome, double workUs) {}
 
     @Override
-    public void sent(long nowUs, int handle, int requestClass, double workUs) {}
+    public void onHealthCheck(long nowUs, int handle, boolean ok) {}
 
     @Override
     public double costFactor(long nowUs, int handle) {
@@ -41,7 +41,7 @@
     }
 
     @Override
-    public boolean admits(long nowUs, int handle, int requestClass) {
+    public boolean admits(long nowUs, int handle, int classIndex) {
         return true;
     }
 
--- a/decisions/src/main/java/frostreel/routing/RoutingComponents.java
+++ b/decisions/src/main/java/frostreel/routing/RoutingComponents.java
@@ -40,7 +40,7 @@
         healthChecker = new HealthChecker(settings, actions);
         primaryTracker = new PrimaryTracker(settings);
         loadShedder = new LoadShedder(settings, random);
-        localityPolicy.settings(initialSettings);
+        localityPolicy.onSettings(initialSettings);
     }
 
     /** Puts new settings in force. */
@@ -49,6 +49,6 @@
         latencies.onSettings(newSettings);
         freshness.onSettings(newSettings);
         slowStart.settings(newSettings);
-        localityPolicy.settings(newSettings);
+        localityPolicy.onSettings(newSettings);
     }
 }
--- a/decisions/src/main/java/frostreel/zones/ZoneFailoverPolicy.java
+++ b/decisions/src/main/java/frostreel/zones/ZoneFailoverPolicy.java
@@ -57,11 +57,11 @@
     public ZoneFailoverPolicy(Router.Settings settings, ZoneSettings zones, double rampPhase) {
         this.rampPhase = rampPhase;
         configure(zones);
-        settings(settings);
+        onSettings(settings);
     }
 
     @Override
-    public void settings(Router.Settings settings) {
+    public void onSettings(Router.Settings settings) {
         rules = settings.rules();
         ranking.configure(settings.classes());
     }
@@ -81,7 +81,7 @@
     }
 
     @Override
-    public int memberHandle(int group, int zone) {
+    public int onMemberAdded(int group, int zone) {
         ZoneReplicas replicas =
                 replicaSets.computeIfAbsent((long) group << Integer.SIZE | zone, key -> newReplicas(group, zone));
         replicas.addMember();
@@ -105,13 +105,13 @@
     }
 
     @Override
-    public void left(int handle) {
+    public void onMemberRemoved(int handle) {
         replicasByHandle.get(handle).removeMember();
         freeHandles.add(handle);
     }
 
     @Override
-    public void ended(long nowUs, int handle, Router.Outcome outcome, double workUs) {
+    public void onAttemptEnded(long nowUs, int handle, Router.Outcome outcome, double workUs) {
         ZoneReplicas replicas = replicasByHandle.get(handle);
         switch (outcome) {
             case OK -> {
@@ -183,7 +183,7 @@
     }
 
     @Override
-    public void sent(long nowUs, int handle, int classIndex, double workUs) {
+    public void onAttemptSent(long nowUs, int handle, int classIndex, double workUs) {
         ZoneReplicas replicas = replicasByHandle.get(handle);
         budgets.countSent(replicas.tier());
         ranking.recordSent(classIndex, workUs);
--- a/decisions/src/test/java/frostreel/zones/ZoneFailoverPolicyTest.java
+++ b/decisions/src/test/java/frostreel/zones/ZoneFailoverPolicyTest.java
@@ -49,7 +49,7 @@
     ZoneFailoverPolicyTest() {
         for (int g = 0; g < handles.length; g++) {
             for (int z = 0; z < 3; z++) {
-                handles[g][z] = policy.memberHandle(g, z);
+                handles[g][z] = policy.onMemberAdded(g, z);
             }
         }
     }
@@ -74,8 +74,8 @@
         for (int i = 0; i < perSecond * seconds; i++) {
             now += SECOND_US / perSecond;
             if (policy.costFactor(now, handle) < Double.POSITIVE_INFINITY && policy.admits(now, handle, classIndex)) {
-                policy.sent(now, handle, classIndex, WORK_US);
-                policy.ended(now, handle, Outcome.OK, WORK_US);
+                policy.onAttemptSent(now, handle, classIndex, WORK_US);
+                policy.onAttemptEnded(now, handle, Outcome.OK, WORK_US);
                 admitted++;
             }
         }
@@ -93,7 +93,7 @@
     private void fail(int handle, int times) {
         for (int i = 0; i < times; i++) {
             now += 250_000;
-            policy.ended(now, handle, Outcome.CONNECT_FAILED, WORK_US);
+            policy.onAttemptEnded(now, handle, Outcome.CONNECT_FAILED, WORK_US);
         }
     }
 
@@ -119,7 +119,7 @@
     void replicasGoDownByThreeFailuresWithoutAnAnswerBetween() {
         serveNearestTier();
         fail(handles[0][0], 2);
-        policy.ended(now, handles[0][0], Outcome.WRONG_ROLE_OR_STALE, WORK_US);
+        policy.onAttemptEnded(now, handles[0][0], Outcome.WRONG_ROLE_OR_STALE, WORK_US);
         fail(handles[0][0], 2);
         assertThat(isOpen(handles[0][0])).isTrue();
         fail(handles[0][0], 1);
@@ -180,7 +180,7 @@
     void withoutOutageATierServesItsShareAndGroupsWithoutNearerMembersAreNotBounded() {
         serveNearestTier();
         assertThat(sendReads(handles[0][2], CHEAP, 100, 10)).isLessThan(100);
-        int far = policy.memberHandle(9, 1);
+        int far = policy.onMemberAdded(9, 1);
         assertThat(sendReads(far, CHEAP, 100, 2)).isEqualTo(200);
     }
 
@@ -233,8 +233,8 @@
     @Test
     void handlesAreReusedAndReplicasWithoutMembersStillCountAsNearest() {
         serveNearestTier();
-        policy.left(handles[0][0]);
-        assertThat(policy.memberHandle(1, 2)).isEqualTo(handles[0][0]);
+        policy.onMemberRemoved(handles[0][0]);
+        assertThat(policy.onMemberAdded(1, 2)).isEqualTo(handles[0][0]);
         sendReads(handles[0][1], CHEAP, 100, 3);
         assertThat(sendReads(handles[0][1], CHEAP, 100, 5)).as("still a spill").isLessThan(100);
     }
