--- a/decisions/src/main/java/frostreel/routing/AttemptRecorder.java
+++ b/decisions/src/main/java/frostreel/routing/AttemptRecorder.java
@@ -55,13 +55,13 @@
     /** Charges an attempt to what its member may be sent in slow start. */
     void chargeSlowStart(PendingRequest request) {
         SlowStart.Member slowStartState = request.currentMember.slowStart;
-        slowStart.sent(slowStartState, request.classIndex());
+        slowStart.recordSend(slowStartState, request.classIndex());
         request.memberStartedUs = slowStartState.startedUs();
     }
 
     /** A member reported on itself, by a health check or with an answer. */
     void recordReport(long nowUs, GroupState group, MemberState member, Report report) {
-        slowStart.reported(member.slowStart, report.utilization());
+        slowStart.recordUtilization(member.slowStart, report.utilization());
         boolean hasPosition = report.positionUs() > 0;
         if (hasPosition) {
             freshness.recordReport(nowUs, member, report.positionUs());
@@ -119,7 +119,7 @@
         member.outliers.recordSuccess(nowUs, tookUs / latencies.meanUs(classIndex));
         latencies.recordAnswer(classIndex, tookUs);
         primaryTracker.recordSuccess(request.group, member);
-        slowStart.served(nowUs, member.slowStart, classIndex, tookUs);
+        slowStart.recordAnswer(nowUs, member.slowStart, classIndex, tookUs);
         long objectiveUs = request.requestClass.latencyObjectiveUs();
         boolean queueing = !latencies.isLongRunning(request)
                 && member.outliers.expectedLatencyUs(nowUs, latencies.meanUs(classIndex)) > TARGET_SHARE * objectiveUs;
--- a/decisions/src/main/java/frostreel/routing/MemberDirectory.java
+++ b/decisions/src/main/java/frostreel/routing/MemberDirectory.java
@@ -70,7 +70,7 @@
         if (member == null) {
             member = add(nowUs, entry, initial);
         }
-        if (slowStart.listed(nowUs, member.slowStart, entry)) {
+        if (slowStart.recordListEntry(nowUs, member.slowStart, entry)) {
             member.outliers.reset();
         }
         member.zone = entry.zone();
--- a/decisions/src/main/java/frostreel/routing/RoutingComponents.java
+++ b/decisions/src/main/java/frostreel/routing/RoutingComponents.java
@@ -48,7 +48,7 @@
         settings.replace(newSettings);
         latencies.onSettings(newSettings);
         freshness.onSettings(newSettings);
-        slowStart.settings(newSettings);
+        slowStart.onSettings(newSettings);
         localityPolicy.onSettings(newSettings);
     }
 }
--- a/decisions/src/main/java/frostreel/routing/SlowStart.java
+++ b/decisions/src/main/java/frostreel/routing/SlowStart.java
@@ -69,11 +69,11 @@
 
     SlowStart(Router.Settings settings) {
         random = new SplittableRandom(settings.seed()).split();
-        settings(settings);
+        onSettings(settings);
     }
 
     /** Takes new settings; classes that are already known keep what was learned of them. */
-    void settings(Router.Settings newSettings) {
+    void onSettings(Router.Settings newSettings) {
         settings = newSettings;
         int known = leastUs.length;
         leastUs = Arrays.copyOf(leastUs, newSettings.classes().size());
@@ -102,7 +102,7 @@
      *
      * @return whether the entry tells of another start than the last one
      */
-    boolean listed(long nowUs, Member member, Router.Member entry) {
+    boolean recordListEntry(long nowUs, Member member, Router.Member entry) {
         member.machineKind = entry.kind();
         member.weight = entry.weight();
         boolean restarted = member.startedUs != entry.startedUs();
@@ -123,7 +123,7 @@
     }
 
     /** Takes the used share of a member's present capacity from a report; NaN where the report holds none. */
-    void reported(Member member, double utilization) {
+    void recordUtilization(Member member, double utilization) {
         member.utilization = utilization >= 0 ? Math.max(utilization, MIN_UTILIZATION) : member.utilization;
     }
 
@@ -133,19 +133,19 @@
     }
 
     /** Learns from an answer that served a request of this class in {@code tookUs}. */
-    void served(long nowUs, Member member, int requestClass, long tookUs) {
-        double weight = weight(requestClass, tookUs);
-        leastUs[requestClass] += weight * (tookUs - leastUs[requestClass]);
-        answered[requestClass] = true;
-        member.servedWork.add(nowUs, leastUs[requestClass]);
+    void recordAnswer(long nowUs, Member member, int classIndex, long tookUs) {
+        double weight = weight(classIndex, tookUs);
+        leastUs[classIndex] += weight * (tookUs - leastUs[classIndex]);
+        answered[classIndex] = true;
+        member.servedWork.add(nowUs, leastUs[classIndex]);
         estimateUnanswered();
     }
 
-    private double weight(int requestClass, long tookUs) {
-        if (!answered[requestClass]) {
+    private double weight(int classIndex, long tookUs) {
+        if (!answered[classIndex]) {
             return 1;
         }
-        return tookUs < leastUs[requestClass] ? QUICKER_WEIGHT : SLOWER_WEIGHT;
+        return tookUs < leastUs[classIndex] ? QUICKER_WEIGHT : SLOWER_WEIGHT;
     }
 
     /** Expects classes without an answer to be off from their estimate as much as the others are from theirs. */
@@ -161,13 +161,13 @@
         }
     }
 
-    private double estimateUs(int requestClass) {
-        return settings.classes().get(requestClass).latencyObjectiveUs() / OBJECTIVE_TO_WORK;
+    private double estimateUs(int classIndex) {
+        return settings.classes().get(classIndex).latencyObjectiveUs() / OBJECTIVE_TO_WORK;
     }
 
     /** Takes a request of this class, which is sent to the member, off its budget. */
-    void sent(Member member, int requestClass) {
-        member.budgetUs -= leastUs[requestClass];
+    void recordSend(Member member, int classIndex) {
+        member.budgetUs -= leastUs[classIndex];
     }
 
     /**
@@ -177,7 +177,7 @@
      * overloads it. Each of hundreds of routers may have a budget below one request, so each draws the part of a
      * request that it waits for before its first one.
      */
-    boolean admits(long nowUs, Member member, int requestClass) {
+    boolean admits(long nowUs, Member member, int classIndex) {
         double warmth = warmth(nowUs, member);
         if (warmth >= 1) {
             return true;
@@ -189,10 +189,10 @@
         double shareOfOneCore = settings.instances() > 0 ? warmth / settings.instances() : 0;
         double workPerUs = Math.max(share(nowUs, member.machineKind) * warmth * member.weight * factor, shareOfOneCore);
         member.budgetUs = Math.min(
-                Math.max(workPerUs * settings.rules().fallUs() * BUDGET_SPAN_SHARE, leastUs[requestClass]),
+                Math.max(workPerUs * settings.rules().fallUs() * BUDGET_SPAN_SHARE, leastUs[classIndex]),
                 member.budgetUs + workPerUs * (nowUs - member.budgetUpdatedUs));
         member.budgetUpdatedUs = nowUs;
-        return member.budgetUs > member.sendThreshold * leastUs[requestClass];
+        return member.budgetUs > member.sendThreshold * leastUs[classIndex];
     }
 
     /**
--- a/decisions/src/test/java/frostreel/routing/SlowStartTest.java
+++ b/decisions/src/test/java/frostreel/routing/SlowStartTest.java
@@ -27,7 +27,7 @@
         int sent = 0;
         for (long nowUs = fromUs; nowUs < fromUs + 2 * SECOND_US; nowUs += stepUs) {
             if (slowStart.admits(nowUs, cold, requestClass)) {
-                slowStart.sent(cold, requestClass);
+                slowStart.recordSend(cold, requestClass);
                 sent++;
             }
         }
@@ -39,7 +39,7 @@
             SlowStart slowStart, SlowStart.Member warm, int requestClass, int perSecond, long tookUs) {
         long nowUs = START_US;
         for (; nowUs < START_US + 20 * SECOND_US; nowUs += SECOND_US / perSecond) {
-            slowStart.served(nowUs, warm, requestClass, tookUs);
+            slowStart.recordAnswer(nowUs, warm, requestClass, tookUs);
         }
         return nowUs;
     }
@@ -54,7 +54,7 @@
         for (int seed = 0; seed < 60; seed++) {
             SlowStart slowStart = slowStart(60, seed);
             SlowStart.Member cold = slowStart.register(START_US);
-            slowStart.listed(START_US, cold, entry("b", START_US));
+            slowStart.recordListEntry(START_US, cold, entry("b", START_US));
             all += sent(slowStart, cold, START_US, LONG, 1_000);
         }
         // A quarter of a core does four requests of a fifth of their objective in 2 s; three times that overloads it.
@@ -69,12 +69,12 @@
     void queueingTimeIsNotCountedAsWork() {
         SlowStart slowStart = slowStart(1, 7);
         SlowStart.Member warm = slowStart.register(START_US);
-        slowStart.listed(START_US, warm, entry("a", 0));
-        slowStart.served(START_US, warm, SHORT, WORK_US);
-        slowStart.served(START_US, warm, LONG, 20 * WORK_US);
+        slowStart.recordListEntry(START_US, warm, entry("a", 0));
+        slowStart.recordAnswer(START_US, warm, SHORT, WORK_US);
+        slowStart.recordAnswer(START_US, warm, LONG, 20 * WORK_US);
         long nowUs = serve(slowStart, warm, SHORT, 10, 20 * WORK_US); // Queued: ten a second of 50 ms.
         SlowStart.Member cold = slowStart.register(nowUs);
-        slowStart.listed(nowUs, cold, entry("b", nowUs));
+        slowStart.recordListEntry(nowUs, cold, entry("b", nowUs));
         assertThat(sent(slowStart, cold, nowUs, LONG, 5_000)).isLessThanOrEqualTo(2);
     }
 
@@ -83,15 +83,15 @@
     void withoutReportsAStartingMemberReceivesMoreThanOthersServeButLessThanOverloadsIt() {
         SlowStart slowStart = slowStart(1, 7);
         SlowStart.Member warm = slowStart.register(START_US);
-        slowStart.listed(START_US, warm, entry("a", 0));
+        slowStart.recordListEntry(START_US, warm, entry("a", 0));
         long startedUs = serve(slowStart, warm, SHORT, 40, WORK_US);
         SlowStart.Member cold = slowStart.register(startedUs);
-        slowStart.listed(startedUs, cold, entry("b", startedUs));
+        slowStart.recordListEntry(startedUs, cold, entry("b", startedUs));
         int sent = 0;
         for (long nowUs = startedUs; nowUs < startedUs + 2 * SECOND_US; nowUs += SECOND_US / 40) {
-            slowStart.served(nowUs, warm, SHORT, WORK_US);
+            slowStart.recordAnswer(nowUs, warm, SHORT, WORK_US);
             if (slowStart.admits(nowUs, cold, SHORT)) {
-                slowStart.sent(cold, SHORT);
+                slowStart.recordSend(cold, SHORT);
                 sent++;
             }
         }
@@ -104,11 +104,11 @@
     void workOfAClassWithoutAnswersIsEstimatedFromTheOtherClasses() {
         SlowStart slowStart = slowStart(0, 7);
         SlowStart.Member only = slowStart.register(START_US);
-        slowStart.listed(START_US, only, entry("a", 0));
+        slowStart.recordListEntry(START_US, only, entry("a", 0));
         for (int i = 0; i < 20; i++) {
-            slowStart.served(START_US, only, SHORT, WORK_US / 1000);
+            slowStart.recordAnswer(START_US, only, SHORT, WORK_US / 1000);
         }
-        slowStart.listed(START_US, only, entry("a", START_US));
+        slowStart.recordListEntry(START_US, only, entry("a", START_US));
         assertThat(sent(slowStart, only, START_US, LONG, 1_000)).isBetween(1, 60);
     }
 
@@ -116,7 +116,7 @@
     void warmMemberIsNotLimited() {
         SlowStart slowStart = slowStart(100, 7);
         SlowStart.Member member = slowStart.register(START_US);
-        slowStart.listed(START_US, member, entry("a", START_US - 18 * SECOND_US));
+        slowStart.recordListEntry(START_US, member, entry("a", START_US - 18 * SECOND_US));
         assertThat(sent(slowStart, member, START_US, SHORT, 10_000)).isEqualTo(200);
     }
 }
