--- a/decisions/src/main/java/frostreel/routing/Freshness.java
+++ b/decisions/src/main/java/frostreel/routing/Freshness.java
@@ -57,7 +57,7 @@
     /** An attempt is sent; writes of sessions are remembered where the settings say so. */
     void recordSend(long nowUs, PendingRequest request) {
         if (isTrackedWrite(request)) {
-            sessionCommits.sent(nowUs, request.original.session());
+            sessionCommits.recordSend(nowUs, request.original.session());
         }
     }
 
@@ -65,7 +65,7 @@
     void recordOutcome(long nowUs, PendingRequest request, Outcome outcome, long positionUs) {
         if (isTrackedWrite(request)) {
             long deadlineUs = request.original.deadlineUs();
-            sessionCommits.ended(nowUs, request.original.session(), deadlineUs, outcome, positionUs, retentionUs);
+            sessionCommits.recordOutcome(nowUs, request.original.session(), deadlineUs, outcome, positionUs, retentionUs);
         }
     }
 
--- a/decisions/src/main/java/frostreel/routing/SessionCommits.java
+++ b/decisions/src/main/java/frostreel/routing/SessionCommits.java
@@ -38,7 +38,7 @@
     private long floorUs;
 
     /** A write of the session was sent. */
-    void sent(long nowUs, long session) {
+    void recordSend(long nowUs, long session) {
         SessionWrites writes = sessions.remove(session);
         writes = writes == null ? new SessionWrites() : writes;
         sessions.put(session, writes);
@@ -52,7 +52,7 @@
      * @param commitUs its commit, 0 where none was reported
      * @param retentionUs after which commits are dropped, to bind the reads of all sessions from then on
      */
-    void ended(long nowUs, long session, long deadlineUs, Router.Outcome outcome, long commitUs, long retentionUs) {
+    void recordOutcome(long nowUs, long session, long deadlineUs, Router.Outcome outcome, long commitUs, long retentionUs) {
         SessionWrites writes = sessions.get(session);
         if (writes != null) { // A session that was dropped binds all reads already.
             writes.inFlight = Math.max(0, writes.inFlight - 1);
--- a/decisions/src/test/java/frostreel/routing/SessionCommitsTest.java
+++ b/decisions/src/test/java/frostreel/routing/SessionCommitsTest.java
@@ -23,18 +23,18 @@
 
     @Test
     void reportedCommitBindsItsOwnSessionOnly() {
-        commits.sent(START_US, SESSION);
-        commits.ended(afterMs(50), SESSION, DEADLINE_US, Outcome.OK, afterMs(40), RETENTION_US);
+        commits.recordSend(START_US, SESSION);
+        commits.recordOutcome(afterMs(50), SESSION, DEADLINE_US, Outcome.OK, afterMs(40), RETENTION_US);
         assertThat(commits.requiredPositionUs(afterMs(60), SESSION)).isEqualTo(afterMs(41));
         assertThat(commits.requiredPositionUs(afterMs(60), OTHER_SESSION)).isZero();
     }
 
     @Test
     void writeInFlightBindsOnceItsAnswerMayCountAsKnown() {
-        commits.sent(START_US, SESSION);
+        commits.recordSend(START_US, SESSION);
         assertThat(commits.requiredPositionUs(afterMs(100), SESSION)).isZero();
         assertThat(commits.requiredPositionUs(afterMs(150), SESSION)).isEqualTo(afterMs(50));
-        commits.ended(afterMs(200), SESSION, DEADLINE_US, Outcome.WRONG_ROLE_OR_STALE, NO_COMMIT, RETENTION_US);
+        commits.recordOutcome(afterMs(200), SESSION, DEADLINE_US, Outcome.WRONG_ROLE_OR_STALE, NO_COMMIT, RETENTION_US);
         assertThat(commits.requiredPositionUs(afterMs(250), SESSION))
                 .as("it never ran")
                 .isZero();
@@ -42,18 +42,18 @@
 
     @Test
     void oldestOfTwoConcurrentWritesBindsUntilBothHaveEnded() {
-        commits.sent(START_US, SESSION);
-        commits.sent(afterMs(500), SESSION);
-        commits.ended(afterMs(510), SESSION, DEADLINE_US, Outcome.REJECTED, NO_COMMIT, RETENTION_US);
+        commits.recordSend(START_US, SESSION);
+        commits.recordSend(afterMs(500), SESSION);
+        commits.recordOutcome(afterMs(510), SESSION, DEADLINE_US, Outcome.REJECTED, NO_COMMIT, RETENTION_US);
         assertThat(commits.requiredPositionUs(afterMs(520), SESSION)).isEqualTo(afterMs(420));
-        commits.ended(afterMs(530), SESSION, DEADLINE_US, Outcome.OK, afterMs(5), RETENTION_US);
+        commits.recordOutcome(afterMs(530), SESSION, DEADLINE_US, Outcome.OK, afterMs(5), RETENTION_US);
         assertThat(commits.requiredPositionUs(afterMs(540), SESSION)).isEqualTo(afterMs(6));
     }
 
     @Test
     void writeThatTimedOutBindsUpToItsDeadline() {
-        commits.sent(START_US, SESSION);
-        commits.ended(afterMs(700), SESSION, DEADLINE_US, Outcome.TIMEOUT, NO_COMMIT, RETENTION_US);
+        commits.recordSend(START_US, SESSION);
+        commits.recordOutcome(afterMs(700), SESSION, DEADLINE_US, Outcome.TIMEOUT, NO_COMMIT, RETENTION_US);
         assertThat(commits.requiredPositionUs(afterMs(800), SESSION)).isEqualTo(afterMs(700));
         assertThat(commits.requiredPositionUs(afterMs(2_000), SESSION)).isEqualTo(afterMs(1_900));
         assertThat(commits.requiredPositionUs(afterMs(60_000), SESSION)).isEqualTo(afterMs(3_000));
@@ -64,18 +64,18 @@
             value = Outcome.class,
             names = {"RESET", "ERROR", "OK"})
     void writeWithoutReportedCommitBindsUpToItsEnd(Outcome outcome) {
-        commits.sent(START_US, SESSION);
-        commits.ended(afterMs(700), SESSION, DEADLINE_US, outcome, NO_COMMIT, RETENTION_US);
+        commits.recordSend(START_US, SESSION);
+        commits.recordOutcome(afterMs(700), SESSION, DEADLINE_US, outcome, NO_COMMIT, RETENTION_US);
         assertThat(commits.requiredPositionUs(afterMs(60_000), SESSION)).isEqualTo(afterMs(700));
     }
 
     @Test
     void forgottenCommitBindsEverySession() {
-        commits.sent(START_US, SESSION);
-        commits.ended(START_US, SESSION, afterMs(1), Outcome.OK, afterMs(-1), RETENTION_US);
+        commits.recordSend(START_US, SESSION);
+        commits.recordOutcome(START_US, SESSION, afterMs(1), Outcome.OK, afterMs(-1), RETENTION_US);
         long laterUs = START_US + 2 * RETENTION_US;
-        commits.sent(laterUs, OTHER_SESSION);
-        commits.ended(laterUs, OTHER_SESSION, laterUs + RETENTION_US, Outcome.OK, laterUs, RETENTION_US);
+        commits.recordSend(laterUs, OTHER_SESSION);
+        commits.recordOutcome(laterUs, OTHER_SESSION, laterUs + RETENTION_US, Outcome.OK, laterUs, RETENTION_US);
         assertThat(commits.size()).isEqualTo(1);
         assertThat(commits.requiredPositionUs(laterUs, 3)).isEqualTo(afterMs(-1));
     }
@@ -83,9 +83,9 @@
     @Test
     void numberOfSessionsIsBoundedAndADroppedWriteStillBinds() {
         for (int session = 0; session <= SessionCommits.MAX_SESSIONS + 1; session++) {
-            commits.sent(START_US, session);
+            commits.recordSend(START_US, session);
         }
-        commits.ended(START_US, 7, afterMs(1), Outcome.WRONG_ROLE_OR_STALE, NO_COMMIT, RETENTION_US);
+        commits.recordOutcome(START_US, 7, afterMs(1), Outcome.WRONG_ROLE_OR_STALE, NO_COMMIT, RETENTION_US);
         assertThat(commits.size()).isLessThanOrEqualTo(SessionCommits.MAX_SESSIONS);
         assertThat(commits.requiredPositionUs(afterMs(500), 0)).isEqualTo(afterMs(500));
     }
