--- a/decisions/src/main/java/frostreel/operation/SharedCommitTable.java
+++ b/decisions/src/main/java/frostreel/operation/SharedCommitTable.java
@@ -180,7 +180,7 @@
     }
 
     @Override
-    public long boundUs(long nowUs, long session) {
+    public long requiredPositionUs(long nowUs, long session) {
         int slot = slotOf(session);
         long bound = boundUs(nowUs, inheritedCommitUs[slot], inheritedUncertainUntilUs[slot], 0, 0);
         for (int region = 0; region < LONGS; region += REGION_LONGS) {
--- a/decisions/src/main/java/frostreel/routing/ChainRouter.java
+++ b/decisions/src/main/java/frostreel/routing/ChainRouter.java
@@ -50,7 +50,7 @@
 
     /** A router without a peer process. */
     public ChainRouter(Settings settings, Actions actions, LocalityPolicy localityPolicy) {
-        this(settings, actions, localityPolicy, (nowUs, session) -> 0);
+        this(settings, actions, localityPolicy, PeerCommits.NONE);
     }
 
     /** A router that decides for {@code actions}; its sessions also see the commits of the peer process. */
--- a/decisions/src/main/java/frostreel/routing/Freshness.java
+++ b/decisions/src/main/java/frostreel/routing/Freshness.java
@@ -96,7 +96,7 @@
             return sinceWriteUs <= 0 ? 0 : request.arrivedUs - sinceWriteUs + ROUNDING_US;
         }
         long session = request.original.session();
-        return Math.max(sessionCommits.requiredPositionUs(nowUs, session), peerCommits.boundUs(nowUs, session));
+        return Math.max(sessionCommits.requiredPositionUs(nowUs, session), peerCommits.requiredPositionUs(nowUs, session));
     }
 
     /**
--- a/decisions/src/main/java/frostreel/routing/PeerCommits.java
+++ b/decisions/src/main/java/frostreel/routing/PeerCommits.java
@@ -5,6 +5,9 @@
  * handover. Asked with every session read: answers within nanoseconds and allocates nothing.
  */
 public interface PeerCommits {
-    /** The position that a read of the session must see now, 0 for any. */
-    long boundUs(long nowUs, long session);
+    /** Of a process that has no peers: requires nothing. */
+    PeerCommits NONE = (nowUs, session) -> 0;
+
+    /** The position that a read of the session must see now because of those commits, 0 for any. */
+    long requiredPositionUs(long nowUs, long session);
 }
--- a/decisions/src/test/java/frostreel/operation/SharedCommitTableTest.java
+++ b/decisions/src/test/java/frostreel/operation/SharedCommitTableTest.java
@@ -56,23 +56,23 @@
         write(alone, 10, Outcome.OK, NOW_US + 5);
         write(alone, 10, Outcome.TIMEOUT, 0);
         alone.onSent(NOW_US, SESSION, DEADLINE_US);
-        assertThat(alone.boundUs(NOW_US + 2_000_000, SESSION)).isZero();
+        assertThat(alone.requiredPositionUs(NOW_US + 2_000_000, SESSION)).isZero();
     }
 
     @Test
     void anAnsweredCommitBindsTheOtherProcessBothWaysAndNoOtherSession() {
         write(before, 10, Outcome.OK, NOW_US - 4_000);
-        assertThat(after.boundUs(NOW_US + 10, SESSION))
+        assertThat(after.requiredPositionUs(NOW_US + 10, SESSION))
                 .as("rounded up to milliseconds")
                 .isEqualTo(NOW_US - 3_000);
-        assertThat(before.boundUs(NOW_US + 10, SESSION)).isZero();
-        assertThat(after.boundUs(NOW_US + 10, SESSION + 1)).isZero();
+        assertThat(before.requiredPositionUs(NOW_US + 10, SESSION)).isZero();
+        assertThat(after.requiredPositionUs(NOW_US + 10, SESSION + 1)).isZero();
         write(after, 20, Outcome.OK, 0);
-        assertThat(before.boundUs(NOW_US + 2_000, SESSION))
+        assertThat(before.requiredPositionUs(NOW_US + 2_000, SESSION))
                 .as("the server stated no position")
                 .isEqualTo(NOW_US + 1_020);
         write(before, 30, Outcome.OK, NOW_US - 6_000);
-        assertThat(after.boundUs(NOW_US + 10, SESSION))
+        assertThat(after.requiredPositionUs(NOW_US + 10, SESSION))
                 .as("an older one after it")
                 .isEqualTo(NOW_US - 3_000);
     }
@@ -81,22 +81,22 @@
     void aWriteInFlightBindsOnceItsResponseMayCountAsKnown() {
         before.onSent(NOW_US, SESSION, DEADLINE_US);
         before.onSent(NOW_US + 50_000, SESSION, DEADLINE_US);
-        assertThat(after.boundUs(NOW_US + 100_000, SESSION)).isZero();
-        assertThat(after.boundUs(NOW_US + 150_000, SESSION)).isEqualTo(NOW_US + 50_000);
+        assertThat(after.requiredPositionUs(NOW_US + 100_000, SESSION)).isZero();
+        assertThat(after.requiredPositionUs(NOW_US + 150_000, SESSION)).isEqualTo(NOW_US + 50_000);
         before.onEnded(NOW_US + 160_000, SESSION, DEADLINE_US, Outcome.CONNECT_FAILED, 0);
-        assertThat(after.boundUs(NOW_US + 170_000, SESSION)).isEqualTo(NOW_US + 70_000);
+        assertThat(after.requiredPositionUs(NOW_US + 170_000, SESSION)).isEqualTo(NOW_US + 70_000);
         before.onEnded(NOW_US + 180_000, SESSION, DEADLINE_US, Outcome.WRONG_ROLE_OR_STALE, 0);
-        assertThat(after.boundUs(NOW_US + 190_000, SESSION)).isZero();
+        assertThat(after.requiredPositionUs(NOW_US + 190_000, SESSION)).isZero();
     }
 
     @Test
     void aWriteOfUnknownOutcomeBindsForAsLongAsItMayCommit() {
         write(before, 10, Outcome.RESET, 0);
-        assertThat(after.boundUs(NOW_US + 10_000, SESSION)).isEqualTo(knownUs(NOW_US + 10_000));
-        assertThat(after.boundUs(NOW_US + 900_000, SESSION)).isEqualTo(NOW_US + 10);
+        assertThat(after.requiredPositionUs(NOW_US + 10_000, SESSION)).isEqualTo(knownUs(NOW_US + 10_000));
+        assertThat(after.requiredPositionUs(NOW_US + 900_000, SESSION)).isEqualTo(NOW_US + 10);
         write(before, 20, Outcome.TIMEOUT, 0);
-        assertThat(after.boundUs(NOW_US + 900_000, SESSION)).isEqualTo(knownUs(NOW_US + 900_000));
-        assertThat(after.boundUs(DEADLINE_US + 900_000, SESSION)).isEqualTo(DEADLINE_US);
+        assertThat(after.requiredPositionUs(NOW_US + 900_000, SESSION)).isEqualTo(knownUs(NOW_US + 900_000));
+        assertThat(after.requiredPositionUs(DEADLINE_US + 900_000, SESSION)).isEqualTo(DEADLINE_US);
     }
 
     @Test
@@ -104,8 +104,8 @@
         before.onSent(NOW_US, SESSION, DEADLINE_US);
         SharedCommitTable laterProcess = startProcess(NOW_US + 500_000);
         for (SharedCommitTable other : new SharedCommitTable[] {after, laterProcess}) {
-            assertThat(other.boundUs(NOW_US + 900_000, SESSION)).isEqualTo(knownUs(NOW_US + 900_000));
-            assertThat(other.boundUs(DEADLINE_US + 900_000, SESSION)).isEqualTo(DEADLINE_US);
+            assertThat(other.requiredPositionUs(NOW_US + 900_000, SESSION)).isEqualTo(knownUs(NOW_US + 900_000));
+            assertThat(other.requiredPositionUs(DEADLINE_US + 900_000, SESSION)).isEqualTo(DEADLINE_US);
         }
     }
 
@@ -113,7 +113,7 @@
     void aProcessSuspendedPastItsDeadlinesBindsAgainOnceResumed() {
         before.onSent(NOW_US, SESSION, DEADLINE_US);
         before.onEnded(DEADLINE_US + 1_000_000, SESSION, DEADLINE_US, Outcome.OK, DEADLINE_US + 40_000);
-        assertThat(after.boundUs(DEADLINE_US + 2_000_000, SESSION)).isEqualTo(DEADLINE_US + 41_000);
+        assertThat(after.requiredPositionUs(DEADLINE_US + 2_000_000, SESSION)).isEqualTo(DEADLINE_US + 41_000);
     }
 
     @Test
@@ -126,10 +126,10 @@
         }
         SharedCommitTable last = startProcess(NOW_US + 20);
         write(before, 30, Outcome.OK, NOW_US + 4_000);
-        assertThat(last.boundUs(NOW_US + 10_000, SESSION)).isEqualTo(NOW_US + 5_000);
-        assertThat(after.boundUs(NOW_US + 10_000, SESSION)).isEqualTo(NOW_US + 5_000);
+        assertThat(last.requiredPositionUs(NOW_US + 10_000, SESSION)).isEqualTo(NOW_US + 5_000);
+        assertThat(after.requiredPositionUs(NOW_US + 10_000, SESSION)).isEqualTo(NOW_US + 5_000);
         write(last, 40, Outcome.OK, NOW_US + 6_000);
-        assertThat(before.boundUs(NOW_US + 10_000, SESSION)).isEqualTo(NOW_US + 7_000);
+        assertThat(before.requiredPositionUs(NOW_US + 10_000, SESSION)).isEqualTo(NOW_US + 7_000);
     }
 
     @Test
@@ -141,8 +141,8 @@
             later[i] = startProcess(NOW_US + 1 + i);
         }
         for (SharedCommitTable other : later) {
-            assertThat(other.boundUs(NOW_US + 10, SESSION)).isEqualTo(NOW_US - 3_000);
-            assertThat(other.boundUs(NOW_US + 900_000, SESSION)).isEqualTo(knownUs(NOW_US + 900_000));
+            assertThat(other.requiredPositionUs(NOW_US + 10, SESSION)).isEqualTo(NOW_US - 3_000);
+            assertThat(other.requiredPositionUs(NOW_US + 900_000, SESSION)).isEqualTo(knownUs(NOW_US + 900_000));
         }
     }
 
@@ -155,11 +155,11 @@
         }
         before.onHeartbeat(NOW_US + 100);
         for (SharedCommitTable other : later) {
-            assertThat(other.boundUs(NOW_US + 900_000, SESSION)).isEqualTo(knownUs(NOW_US + 900_000));
+            assertThat(other.requiredPositionUs(NOW_US + 900_000, SESSION)).isEqualTo(knownUs(NOW_US + 900_000));
         }
         before.onEnded(NOW_US + 900_000, SESSION, DEADLINE_US, Outcome.OK, NOW_US + 898_000);
         for (SharedCommitTable other : later) {
-            assertThat(other.boundUs(NOW_US + 990_000, SESSION)).isEqualTo(NOW_US + 899_000);
+            assertThat(other.requiredPositionUs(NOW_US + 990_000, SESSION)).isEqualTo(NOW_US + 899_000);
         }
     }
 
@@ -167,13 +167,13 @@
     void valuesOfAClockThatWasAheadOrOfDamagedMemoryBindToNowAtMost() {
         SplittableRandom random = new SplittableRandom(7);
         write(before, 10, Outcome.OK, NOW_US + 9_000_000);
-        assertThat(after.boundUs(NOW_US, SESSION)).isEqualTo(NOW_US);
+        assertThat(after.requiredPositionUs(NOW_US, SESSION)).isEqualTo(NOW_US);
         Arrays.setAll(values, i -> i % 3 == 0 ? 0 : random.nextLong());
         SharedCommitTable amidDamage = startProcess(NOW_US);
         amidDamage.onSent(NOW_US, SESSION, DEADLINE_US);
         amidDamage.onEnded(NOW_US, SESSION, DEADLINE_US, Outcome.OK, NOW_US);
         for (long session = 0; session < 1000; session++) {
-            assertThat(amidDamage.boundUs(NOW_US, session)).isBetween(0L, NOW_US);
+            assertThat(amidDamage.requiredPositionUs(NOW_US, session)).isBetween(0L, NOW_US);
         }
     }
 }
--- a/pooler/src/main/java/frostreel/control/PeerProcessCommits.java
+++ b/pooler/src/main/java/frostreel/control/PeerProcessCommits.java
@@ -19,12 +19,11 @@
  */
 public record PeerProcessCommits(WriteObserver writeObserver, PeerCommits peerCommits) {
     private static final Logger LOG = Logger.getLogger(PeerProcessCommits.class.getName());
-    private static final PeerCommits NO_PEERS = (nowUs, session) -> 0;
 
     /** Opens the file if there is to be one. Blocks, so call it before the event loop has work to do. */
     public static PeerProcessCommits open(Config config, long nowUs) {
         if (!config.inheritsListener() || config.settings().sessionTracking() != Router.SessionTracking.REMEMBERED) {
-            return new PeerProcessCommits(WriteObserver.NONE, NO_PEERS);
+            return new PeerProcessCommits(WriteObserver.NONE, PeerCommits.NONE);
         }
         return SharedFile.open(config, nowUs);
     }
--- a/pooler/src/test/java/frostreel/HandoverTest.java
+++ b/pooler/src/test/java/frostreel/HandoverTest.java
@@ -45,32 +45,33 @@
     }
 
     /** Returns the commit that a read of the session must see. */
-    private static long boundUs(PeerProcessCommits process) {
-        return process.peerCommits().boundUs(NOW + 50_000, 7);
+    private static long requiredPositionUs(PeerProcessCommits process) {
+        return process.peerCommits().requiredPositionUs(NOW + 50_000, 7);
     }
 
     private void assertBlind(PeerProcessCommits process) {
-        assertThat(boundUs(process)).as("all that counts as known").isEqualTo(NOW - 50_000);
+        assertThat(requiredPositionUs(process)).as("all that counts as known").isEqualTo(NOW - 50_000);
     }
 
     @Test
     void commitsOfEachProcessBindTheOther() throws Exception {
         PeerProcessCommits before = open();
         PeerProcessCommits after = open();
-        assertThat(List.of(boundUs(before), boundUs(after))).containsOnly(0L);
+        assertThat(List.of(requiredPositionUs(before), requiredPositionUs(after)))
+                .containsOnly(0L);
         write(before, NOW + 2_000);
-        assertThat(boundUs(after)).isEqualTo(NOW + 3_000);
-        assertThat(boundUs(before)).isZero();
+        assertThat(requiredPositionUs(after)).isEqualTo(NOW + 3_000);
+        assertThat(requiredPositionUs(before)).isZero();
         write(after, NOW + 5_000);
-        assertThat(boundUs(before)).isEqualTo(NOW + 6_000);
-        assertThat(boundUs(open())).as("a third").isEqualTo(NOW + 6_000);
+        assertThat(requiredPositionUs(before)).isEqualTo(NOW + 6_000);
+        assertThat(requiredPositionUs(open())).as("a third").isEqualTo(NOW + 6_000);
     }
 
     @Test
     void noFileWithoutPeerProcessOrSessionTracking() throws Exception {
         for (PeerProcessCommits alone : List.of(open(REMEMBERED, ""), open(CARRIED, "0"))) {
             write(alone, NOW);
-            assertThat(boundUs(alone)).isZero();
+            assertThat(requiredPositionUs(alone)).isZero();
         }
         assertThat(folder()).doesNotExist();
     }
@@ -99,7 +100,7 @@
             write(first, NOW + 2_000);
             assertBlind(first);
             PeerProcessCommits second = open();
-            assertThat(boundUs(second)).as(how).isEqualTo(NOW + 3_000);
+            assertThat(requiredPositionUs(second)).as(how).isEqualTo(NOW + 3_000);
             write(second, NOW + 60_000);
             assertBlind(first);
         }
--- a/pooler/src/test/java/frostreel/control/ProcessWithoutCommitTableTest.java
+++ b/pooler/src/test/java/frostreel/control/ProcessWithoutCommitTableTest.java
@@ -50,7 +50,7 @@
         successor.onEnded(NOW_US, 7, NOW_US + 1_000_000, Outcome.OK, NOW_US);
         oldStore.removeStale();
         assertThat(Files.size(dir.resolve(CommitTableFile.NAME))).isEqualTo((1 + SharedCommitTable.LONGS) * Long.BYTES);
-        assertThat(table(2).boundUs(NOW_US + 50_000, 7)).isEqualTo(NOW_US + 1_000);
+        assertThat(table(2).requiredPositionUs(NOW_US + 50_000, 7)).isEqualTo(NOW_US + 1_000);
     }
 
     @Test
@@ -62,7 +62,7 @@
         SharedCommitTable third = table(2);
         third.onSent(NOW_US, 8, NOW_US + 1_000_000);
         third.onEnded(NOW_US, 8, NOW_US + 1_000_000, Outcome.OK, NOW_US + 4_000);
-        assertThat(third.boundUs(NOW_US + 50_000, 7)).isEqualTo(NOW_US + 3_000);
-        assertThat(successor.boundUs(NOW_US + 50_000, 8)).isEqualTo(NOW_US + 5_000);
+        assertThat(third.requiredPositionUs(NOW_US + 50_000, 7)).isEqualTo(NOW_US + 3_000);
+        assertThat(successor.requiredPositionUs(NOW_US + 50_000, 8)).isEqualTo(NOW_US + 5_000);
     }
 }
--- a/pooler/src/test/java/frostreel/control/StoredFilesOf223cd4eTest.java
+++ b/pooler/src/test/java/frostreel/control/StoredFilesOf223cd4eTest.java
@@ -136,7 +136,9 @@
         for (String[] row : expected("bound")) {
             long nowUs = Long.parseLong(row[0]);
             long session = Long.parseLong(row[1]);
-            assertThat(table.boundUs(nowUs, session)).as("session %d", session).isEqualTo(Long.parseLong(row[2]));
+            assertThat(table.requiredPositionUs(nowUs, session))
+                    .as("session %d", session)
+                    .isEqualTo(Long.parseLong(row[2]));
         }
         write(table, 7, Outcome.OK, READ_US + 7_000);
         write(table, 20, Outcome.TIMEOUT, 0);
