--- a/decisions/src/main/java/frostreel/routing/ChainRouter.java
+++ b/decisions/src/main/java/frostreel/routing/ChainRouter.java
@@ -65,7 +65,7 @@
         primarySearch = new PrimarySearch(this.settings, components.healthChecker, this::send);
         replicaSelector = new ReplicaSelector(components, primarySearch, this::send);
         writeQueue = new WriteQueue(components, primarySearch, this::send, this::giveUp);
-        waiting = new WaitingRequests(actions, components.sweepIntervalUs);
+        waiting = new WaitingRequests(actions, components.recheckIntervalUs);
         directory = new MemberDirectory(components);
         attemptRecorder = new AttemptRecorder(components);
     }
@@ -204,16 +204,16 @@
 
     @Override
     public void onTimer(long nowUs, String name) {
-        if (!name.equals(WaitingRequests.SWEEP_TIMER)) {
+        if (!name.equals(WaitingRequests.RECHECK_TIMER)) {
             actions.subscribe();
             return;
         }
-        for (WaitingRequests.Queues queues : waiting.groupsToSweep()) {
+        for (WaitingRequests.Queues queues : waiting.groupsToRecheck()) {
             writeQueue.removeExpired(nowUs, queues.group, queues.writes);
             primarySearch.search(nowUs, queues.group, queues.writes);
             releaseWaiting(nowUs, queues.group);
         }
-        waiting.endSweep();
+        waiting.finishRecheck();
     }
 
     @Override
--- a/decisions/src/main/java/frostreel/routing/ReplicaSelector.java
+++ b/decisions/src/main/java/frostreel/routing/ReplicaSelector.java
@@ -47,7 +47,7 @@
 
         double unprovenCost;
         /** A replica might serve the read later. */
-        boolean worthWaiting;
+        boolean mayServeLater;
         /** The locality policy permits no more reads to a replica that could serve it. */
         boolean denied;
 
@@ -59,14 +59,14 @@
             bestCost = Double.MAX_VALUE;
             unproven = null;
             unprovenCost = Double.MAX_VALUE;
-            worthWaiting = false;
+            mayServeLater = false;
             denied = false;
         }
     }
 
     private final Scan scan = new Scan();
     private final int rotationSeed;
-    private final long sweepIntervalUs;
+    private final long recheckIntervalUs;
     private final LocalityPolicy localityPolicy;
     private final SlowStart slowStart;
     private final ClassLatencies latencies;
@@ -84,7 +84,7 @@
         this.sender = sender;
         settings = components.settings;
         rotationSeed = components.rotationSeed;
-        sweepIntervalUs = components.sweepIntervalUs;
+        recheckIntervalUs = components.recheckIntervalUs;
         localityPolicy = components.localityPolicy;
         slowStart = components.slowStart;
         latencies = components.latencies;
@@ -123,7 +123,7 @@
         if (scan.requiredReplica == null && sendToPrimary(nowUs, request)) {
             return ReadDecision.SENT;
         }
-        if (scan.denied && !scan.worthWaiting && scan.unproven == null) {
+        if (scan.denied && !scan.mayServeLater && scan.unproven == null) {
             return ReadDecision.GIVE_UP;
         }
         if (primarySearch.nextCandidate(request) == null) {
@@ -183,7 +183,7 @@
         }
         boolean fresh = freshness.isProbablyFresh(nowUs, member, scan.requiredPositionUs);
         if (fresh ? !hasCapacity(nowUs, request, member) : !mayBeProvenFresh(nowUs, member)) {
-            scan.worthWaiting = true;
+            scan.mayServeLater = true;
             return;
         }
         if (fresh && !localityPolicy.admits(nowUs, member.localityHandle, request.classIndex())) {
@@ -221,9 +221,9 @@
                 * (mayConnect ? 1 : NEW_CONNECTION_COST);
     }
 
-    /** Checks a replica that may be fresh enough, at most one of the group in a sweep. */
+    /** Checks a replica that may be fresh enough, at most one of the group per recheck interval. */
     private void checkFreshness(long nowUs, GroupState group, MemberState member) {
-        if (nowUs - group.lastFreshnessCheckUs >= sweepIntervalUs) {
+        if (nowUs - group.lastFreshnessCheckUs >= recheckIntervalUs) {
             group.lastFreshnessCheckUs = nowUs;
             healthChecker.check(nowUs, member);
         }
--- a/decisions/src/main/java/frostreel/routing/RetryPolicy.java
+++ b/decisions/src/main/java/frostreel/routing/RetryPolicy.java
@@ -28,15 +28,15 @@
     private static final double BUSY_UTILIZATION = 0.9;
     /** A retried read should still be on time, if it takes this many times the expected latency. */
     private static final double RETRY_LATENCY_FACTOR = 1.5;
-    /** A request must have this many sweeps left, as the next one may come late. */
-    private static final int SWEEPS_LEFT = 2;
+    /** A request must have time for this many rechecks, as the next one may come late. */
+    private static final int RECHECKS_LEFT = 2;
 
-    private final long sweepIntervalUs;
+    private final long recheckIntervalUs;
     private final ClassLatencies latencies;
     private double tokens = MOST_TOKENS;
 
-    RetryPolicy(long sweepIntervalUs, ClassLatencies latencies) {
-        this.sweepIntervalUs = sweepIntervalUs;
+    RetryPolicy(long recheckIntervalUs, ClassLatencies latencies) {
+        this.recheckIntervalUs = recheckIntervalUs;
         this.latencies = latencies;
     }
 
@@ -47,7 +47,7 @@
 
     /** Whether nothing more may be tried: time, attempts or the window of the idempotency key have run out. */
     boolean isExhausted(long nowUs, PendingRequest request) {
-        return nowUs + SWEEPS_LEFT * sweepIntervalUs >= request.original.deadlineUs()
+        return nowUs + RECHECKS_LEFT * recheckIntervalUs >= request.original.deadlineUs()
                 || request.attempts >= request.maxAttempts
                 || (request.mayHaveRun && !mayRunTwice(nowUs, request));
     }
@@ -56,7 +56,7 @@
         RequestClass requestClass = request.requestClass;
         return switch (requestClass.idempotency()) {
             case IDEMPOTENT -> true;
-            case KEYED -> nowUs + sweepIntervalUs <= request.firstUncertainSendUs + requestClass.windowUs();
+            case KEYED -> nowUs + recheckIntervalUs <= request.firstUncertainSendUs + requestClass.windowUs();
             case NON_IDEMPOTENT -> false;
         };
     }
@@ -64,7 +64,7 @@
     /** Whether so much of its time has passed that a request for which nothing was sent is ended. */
     boolean hasWaitedTooLong(long nowUs, PendingRequest request) {
         double mostWaitUs = MOST_WAIT * (request.original.deadlineUs() - request.arrivedUs);
-        return request.attempts == 0 && nowUs + SWEEPS_LEFT * sweepIntervalUs > request.arrivedUs + mostWaitUs;
+        return request.attempts == 0 && nowUs + RECHECKS_LEFT * recheckIntervalUs > request.arrivedUs + mostWaitUs;
     }
 
     /** Whether a read can't be answered while that is worth anything, and isn't in its first attempt. */
@@ -142,7 +142,7 @@
         long keyUsedAtUs = request.mayHaveRun ? request.firstUncertainSendUs : nowUs;
         boolean mayRetry = request.attempts + 1 < request.maxAttempts
                 && (requestClass.idempotency() == Idempotency.IDEMPOTENT
-                        || nowUs + timeoutUs + sweepIntervalUs < keyUsedAtUs + requestClass.windowUs());
+                        || nowUs + timeoutUs + recheckIntervalUs < keyUsedAtUs + requestClass.windowUs());
         return mayRetry ? Math.min(leftUs, timeoutUs) : leftUs;
     }
 
--- a/decisions/src/main/java/frostreel/routing/RoutingComponents.java
+++ b/decisions/src/main/java/frostreel/routing/RoutingComponents.java
@@ -6,14 +6,14 @@
 
 /** The parts of a router that several of its classes use, wired together. */
 final class RoutingComponents {
-    /** Shortest interval between two looks at waiting requests, in microseconds. */
-    private static final long SHORTEST_SWEEP_US = 10_000;
+    /** Shortest interval between two rechecks of waiting requests, in microseconds. */
+    private static final long SHORTEST_RECHECK_US = 10_000;
 
     final ActiveSettings settings;
     final Actions actions;
     final LocalityPolicy localityPolicy;
-    /** How often waiting requests are looked at. */
-    final long sweepIntervalUs;
+    /** How often waiting requests are rechecked. */
+    final long recheckIntervalUs;
     /** Where the rotation of reads begins: from the seed, so that routers don't all start at the same member. */
     final int rotationSeed;
 
@@ -30,13 +30,13 @@
         this.actions = actions;
         this.localityPolicy = localityPolicy;
         settings = new ActiveSettings(initialSettings);
-        sweepIntervalUs = Math.max(initialSettings.tickUs(), SHORTEST_SWEEP_US);
+        recheckIntervalUs = Math.max(initialSettings.tickUs(), SHORTEST_RECHECK_US);
         SplittableRandom random = new SplittableRandom(initialSettings.seed());
         rotationSeed = (int) (random.nextLong() >>> 40);
         slowStart = new SlowStart(initialSettings);
         latencies = new ClassLatencies(initialSettings);
         freshness = new Freshness(settings, peerCommits);
-        retryPolicy = new RetryPolicy(sweepIntervalUs, latencies);
+        retryPolicy = new RetryPolicy(recheckIntervalUs, latencies);
         healthChecker = new HealthChecker(settings, actions);
         primaryTracker = new PrimaryTracker(settings);
         loadShedder = new LoadShedder(settings, random);
--- a/decisions/src/main/java/frostreel/routing/WaitingRequests.java
+++ b/decisions/src/main/java/frostreel/routing/WaitingRequests.java
@@ -11,12 +11,12 @@
 import java.util.stream.Stream;
 
 /**
- * The requests that wait unsent, by group, and the timer by which they are looked at. The timer runs only
- * while a request waits, so that an idle router costs nothing.
+ * The requests that wait unsent, by group, and the timer by which they are rechecked: whether they can be sent by
+ * now, or have to be given up. The timer runs only while a request waits, so that an idle router costs nothing.
  */
 final class WaitingRequests {
-    /** The name of the timer. */
-    static final String SWEEP_TIMER = "sweep";
+    /** The name of the timer, which event logs of the simulator hold. */
+    static final String RECHECK_TIMER = "sweep";
 
     /** The waiting requests of one group. */
     static final class Queues {
@@ -34,16 +34,16 @@
     }
 
     private final Actions actions;
-    private final long sweepIntervalUs;
+    private final long recheckIntervalUs;
     private final IdentityHashMap<GroupState, Queues> byGroup = new IdentityHashMap<>();
-    /** The groups in which a request may wait, by their numbers: only these are swept. */
+    /** The groups in which a request may wait, by their numbers: only these are rechecked. */
     private final Map<Integer, Queues> waiting = new TreeMap<>();
 
-    private boolean sweeping;
+    private boolean timerSet;
 
-    WaitingRequests(Actions actions, long sweepIntervalUs) {
+    WaitingRequests(Actions actions, long recheckIntervalUs) {
         this.actions = actions;
-        this.sweepIntervalUs = sweepIntervalUs;
+        this.recheckIntervalUs = recheckIntervalUs;
     }
 
     Queues of(GroupState group) {
@@ -54,7 +54,7 @@
     void addWrite(PendingRequest request) {
         Queues queues = of(request.group);
         queues.writes.add(request);
-        startSweeping(queues);
+        scheduleRecheck(queues);
     }
 
     /**
@@ -66,7 +66,7 @@
         Queues queues = of(request.group);
         if (!request.waitsAsRead && !queues.reads.contains(request)) {
             queues.reads.add(request.original.repeated() ? 0 : queues.reads.size(), request);
-            startSweeping(queues);
+            scheduleRecheck(queues);
         }
         request.waitsAsRead = true;
     }
@@ -84,25 +84,25 @@
                 .min(Comparator.comparingLong(request -> request.arrivedUs));
     }
 
-    /** The groups to sweep now, as a copy, since the sweep may change them. */
-    List<Queues> groupsToSweep() {
+    /** The groups in which a request may wait, as a copy, since rechecking them may change them. */
+    List<Queues> groupsToRecheck() {
         return List.copyOf(waiting.values());
     }
 
-    /** Ends a sweep: forgets the groups in which nothing waits any more, and sets the timer anew for the rest. */
-    void endSweep() {
+    /** Forgets the groups in which nothing waits any more, and sets the timer anew for the rest. */
+    void finishRecheck() {
         waiting.values().removeIf(Queues::isEmpty);
-        sweeping = !waiting.isEmpty();
-        if (sweeping) {
-            actions.setTimer(sweepIntervalUs, SWEEP_TIMER);
+        timerSet = !waiting.isEmpty();
+        if (timerSet) {
+            actions.setTimer(recheckIntervalUs, RECHECK_TIMER);
         }
     }
 
-    private void startSweeping(Queues queues) {
+    private void scheduleRecheck(Queues queues) {
         waiting.put(queues.group.number, queues);
-        if (!sweeping) {
-            sweeping = true;
-            actions.setTimer(sweepIntervalUs, SWEEP_TIMER);
+        if (!timerSet) {
+            timerSet = true;
+            actions.setTimer(recheckIntervalUs, RECHECK_TIMER);
         }
     }
 }
--- a/decisions/src/test/java/frostreel/routing/WaitingReadsTest.java
+++ b/decisions/src/test/java/frostreel/routing/WaitingReadsTest.java
@@ -80,7 +80,7 @@
         assertNotNull(harness.lastAttempt("read" + waiting));
     }
 
-    /** A read that waits for capacity once triggered health checks at every sweep: 16 a request under overload. */
+    /** A read that waits for capacity once triggered health checks at every recheck: 16 a request under overload. */
     @Test
     void waitingReadDoesNotRepeatHealthChecksContinuously() {
         RouterHarness harness = new SettingsBuilder().start(replica("a", 0), replica("b", 0), replica("c", 0));
