--- a/decisions/src/main/java/frostreel/routing/LocalityPolicy.java
+++ b/decisions/src/main/java/frostreel/routing/LocalityPolicy.java
@@ -6,6 +6,9 @@
  * Members are identified by handles, which it gives out.
  */
 public interface LocalityPolicy {
+    /** The cost factor of a member that may be sent nothing. */
+    double EXCLUDED = Double.POSITIVE_INFINITY;
+
     /** New settings are in force, as in {@link Router#onSettings}. */
     void onSettings(Router.Settings settings);
 
@@ -24,7 +27,7 @@
     /** A health check ended. */
     void onHealthCheck(long nowUs, int handle, boolean ok);
 
-    /** The cost of a member relative to the nearest, from 1; infinite where it may be sent nothing now. */
+    /** The cost of a member relative to the nearest, from 1, or {@link #EXCLUDED}. */
     double costFactor(long nowUs, int handle);
 
     /** Whether one more read of this class may be sent to a member now. */
--- a/decisions/src/main/java/frostreel/routing/LongQueryPlacement.java
+++ b/decisions/src/main/java/frostreel/routing/LongQueryPlacement.java
@@ -46,7 +46,7 @@
         double furthest = -1;
         for (MemberState member : group.chain) {
             double costFactor = localityPolicy.costFactor(nowUs, member.localityHandle);
-            if (isCandidate(nowUs, request, member) && costFactor < Double.POSITIVE_INFINITY) {
+            if (isCandidate(nowUs, request, member) && costFactor != LocalityPolicy.EXCLUDED) {
                 double behind = behindUs(nowUs, group, member) / costFactor;
                 best = behind > furthest ? member : best;
                 furthest = Math.max(furthest, behind);
--- a/decisions/src/main/java/frostreel/routing/PendingRequest.java
+++ b/decisions/src/main/java/frostreel/routing/PendingRequest.java
@@ -9,6 +9,8 @@
 final class PendingRequest {
     /** The key of the request may be known in any zone, as no attempt may have run yet. */
     static final int ANY_ZONE = -1;
+    /** It has not had to wait for a health check so far. */
+    static final long NO_WAIT_YET = 0;
     /** Room for the members of a usual group, so that the list need not grow. */
     private static final int USUAL_GROUP_SIZE = 4;
 
@@ -41,8 +43,8 @@
     int deduplicationZone = ANY_ZONE;
 
     long notBeforeUs;
-    /** Until when it waits for a health check that may prove a replica fresh, 0 while that isn't set. */
-    long healthCheckWaitUntilUs;
+    /** Until when it waits for a health check that may prove a replica fresh enough, or {@link #NO_WAIT_YET}. */
+    long healthCheckWaitUntilUs = NO_WAIT_YET;
     /** Whether it is among the waiting reads; cleared while they are routed again. */
     boolean waitsAsRead;
     /** It has its final answer, or its client is gone. */
--- a/decisions/src/main/java/frostreel/routing/ReplicaSelector.java
+++ b/decisions/src/main/java/frostreel/routing/ReplicaSelector.java
@@ -10,16 +10,6 @@
  * primary serves reads only if no replica can.
  */
 final class ReplicaSelector {
-    /** Replicas this close in cost are equals, and take turns. */
-    private static final double EQUAL_COST = 1.25;
-    /** How much dearer a replica is if a connection must be opened: that costs it work, and the read time. */
-    private static final double NEW_CONNECTION_COST = 1.5;
-    /** For each further connection a group's requests are sent on open ones this many times. */
-    private static final int SENDS_PER_CONNECTION = 10;
-    /** Attempts in flight raise a replica's cost by this much over its weight. */
-    private static final double LOAD_COST = 0.5;
-    /** Weights below it count as this much, so that the cost stays finite. */
-    private static final double LEAST_WEIGHT = 0.1;
     /** Part of a replica's window for short reads that any member may answer; the rest is for other reads. */
     private static final double ANY_READ_SHARE = 0.8;
     /** Other reads may use all of a replica's window. */
@@ -33,38 +23,7 @@
     /** A read that was tried on all members is tried again after this time in microseconds. */
     private static final long ROUND_DELAY_US = 50_000;
 
-    /** The state of one pass over a group's replicas. There is one object only, so that none is allocated. */
-    private static final class Scan {
-        long requiredPositionUs;
-        MemberState requiredReplica;
-        double windowShare;
-        /** The cheapest that can serve the read now. */
-        MemberState best;
-
-        double bestCost;
-        /** The cheapest that a health check might prove to be fresh enough. */
-        MemberState unproven;
-
-        double unprovenCost;
-        /** A replica might serve the read later. */
-        boolean mayServeLater;
-        /** The locality policy permits no more reads to a replica that could serve it. */
-        boolean denied;
-
-        void reset(long newRequiredPositionUs, MemberState newRequiredReplica, double newWindowShare) {
-            requiredPositionUs = newRequiredPositionUs;
-            requiredReplica = newRequiredReplica;
-            windowShare = newWindowShare;
-            best = null;
-            bestCost = Double.MAX_VALUE;
-            unproven = null;
-            unprovenCost = Double.MAX_VALUE;
-            mayServeLater = false;
-            denied = false;
-        }
-    }
-
-    private final Scan scan = new Scan();
+    private final ReplicaScan scan = new ReplicaScan();
     private final int rotationSeed;
     private final long recheckIntervalUs;
     private final LocalityPolicy localityPolicy;
@@ -72,6 +31,7 @@
     private final ClassLatencies latencies;
     private final Freshness freshness;
     private final LongQueryPlacement longQueries;
+    private final ReplicaCost replicaCost;
     private final RetryPolicy retryPolicy;
     private final HealthChecker healthChecker;
     private final PrimaryTracker primaryTracker;
@@ -93,44 +53,44 @@
         healthChecker = components.healthChecker;
         primaryTracker = components.primaryTracker;
         longQueries = new LongQueryPlacement(settings, localityPolicy, latencies, freshness);
+        replicaCost = new ReplicaCost(settings, longQueries);
     }
 
     /** Sends a read if a member can take it now, and tells what becomes of it. */
     ReadDecision route(long nowUs, PendingRequest request) {
-        if (retryPolicy.isTooLateForRead(nowUs, request)
-                || retryPolicy.hasWaitedTooLong(nowUs, request)
-                || retryPolicy.isExhausted(nowUs, request)) {
+        if (hasNoUse(nowUs, request)) {
             return ReadDecision.GIVE_UP;
         }
         if (nowUs < request.notBeforeUs) {
             return ReadDecision.WAIT;
         }
-        long requiredPositionUs = freshness.requiredPositionUs(nowUs, request);
-        if (sendTrial(nowUs, request)) {
-            return ReadDecision.SENT;
-        }
-        scanReplicas(nowUs, request, requiredPositionUs);
-        if (scan.best != null && send(nowUs, request, scan.best)) {
-            request.group.rotation++;
+        if (sendTrial(nowUs, request) || sendToReplica(nowUs, request)) {
             return ReadDecision.SENT;
         }
-        if (scan.unproven != null) {
-            checkFreshness(nowUs, request.group, scan.unproven);
-        }
         if (awaitsHealthCheck(nowUs, request)) {
             return ReadDecision.WAIT;
         }
         if (scan.requiredReplica == null && sendToPrimary(nowUs, request)) {
             return ReadDecision.SENT;
         }
-        if (scan.denied && !scan.mayServeLater && scan.unproven == null) {
+        if (scan.isOnlyDenied()) {
             return ReadDecision.GIVE_UP;
         }
+        startNextRoundIfAllWereTried(nowUs, request);
+        return ReadDecision.WAIT;
+    }
+
+    private boolean hasNoUse(long nowUs, PendingRequest request) {
+        return retryPolicy.isTooLateForRead(nowUs, request)
+                || retryPolicy.hasWaitedTooLong(nowUs, request)
+                || retryPolicy.isExhausted(nowUs, request);
+    }
+
+    private void startNextRoundIfAllWereTried(long nowUs, PendingRequest request) {
         if (primarySearch.nextCandidate(request) == null) {
             request.triedMembers.clear();
             request.notBeforeUs = nowUs + ROUND_DELAY_US;
         }
-        return ReadDecision.WAIT;
     }
 
     private boolean send(long nowUs, PendingRequest request, MemberState member) {
@@ -150,12 +110,27 @@
         return false;
     }
 
+    /** Sends a read to the cheapest replica that can serve it; where none can, has a likely one checked. */
+    private boolean sendToReplica(long nowUs, PendingRequest request) {
+        scanReplicas(nowUs, request);
+        if (scan.best() != null && send(nowUs, request, scan.best())) {
+            request.group.rotation++;
+            return true;
+        }
+        if (scan.unproven() != null) {
+            checkFreshness(nowUs, request.group, scan.unproven());
+        }
+        return false;
+    }
+
     /** Looks at each replica once, beginning with the one whose turn it is. */
-    private void scanReplicas(long nowUs, PendingRequest request, long requiredPositionUs) {
+    private void scanReplicas(long nowUs, PendingRequest request) {
         GroupState group = request.group;
         boolean sharesWindow = request.requestClass.access() == Access.ANY && !latencies.isLongRunning(request);
-        MemberState requiredReplica = longQueries.requiredReplica(nowUs, request);
-        scan.reset(requiredPositionUs, requiredReplica, sharesWindow ? ANY_READ_SHARE : WHOLE_WINDOW);
+        scan.reset(
+                freshness.requiredPositionUs(nowUs, request),
+                longQueries.requiredReplica(nowUs, request),
+                sharesWindow ? ANY_READ_SHARE : WHOLE_WINDOW);
         int size = group.chain.size();
         for (int i = 0; i < size; i++) {
             MemberState member = group.chain.get((rotationSeed + group.rotation + i) % size);
@@ -175,28 +150,36 @@
 
     private void consider(long nowUs, PendingRequest request, MemberState member) {
         double costFactor = localityPolicy.costFactor(nowUs, member.localityHandle);
-        if (costFactor == Double.POSITIVE_INFINITY) {
-            if (!member.healthCheckPending && localityPolicy.healthCheckDue(nowUs, member.localityHandle)) {
-                healthChecker.check(nowUs, member);
-            }
-            return;
+        if (costFactor == LocalityPolicy.EXCLUDED) {
+            checkHealthIfDue(nowUs, member);
+        } else if (freshness.isProbablyFresh(nowUs, member, scan.requiredPositionUs)) {
+            considerFresh(nowUs, request, member, costFactor);
+        } else {
+            considerUnproven(nowUs, request, member, costFactor);
         }
-        boolean fresh = freshness.isProbablyFresh(nowUs, member, scan.requiredPositionUs);
-        if (fresh ? !hasCapacity(nowUs, request, member) : !mayBeProvenFresh(nowUs, member)) {
-            scan.mayServeLater = true;
-            return;
+    }
+
+    private void checkHealthIfDue(long nowUs, MemberState member) {
+        if (!member.healthCheckPending && localityPolicy.healthCheckDue(nowUs, member.localityHandle)) {
+            healthChecker.check(nowUs, member);
         }
-        if (fresh && !localityPolicy.admits(nowUs, member.localityHandle, request.classIndex())) {
+    }
+
+    private void considerFresh(long nowUs, PendingRequest request, MemberState member, double costFactor) {
+        if (!hasCapacity(nowUs, request, member)) {
+            scan.mayServeLater = true;
+        } else if (!localityPolicy.admits(nowUs, member.localityHandle, request.classIndex())) {
             scan.denied = true;
-            return;
+        } else {
+            scan.offer(member, replicaCost.of(nowUs, request, member, costFactor));
         }
-        double cost = cost(nowUs, request, member, costFactor);
-        if (fresh && cost * EQUAL_COST < scan.bestCost) {
-            scan.bestCost = cost;
-            scan.best = member;
-        } else if (!fresh && cost * EQUAL_COST < scan.unprovenCost) {
-            scan.unprovenCost = cost;
-            scan.unproven = member;
+    }
+
+    private void considerUnproven(long nowUs, PendingRequest request, MemberState member, double costFactor) {
+        if (mayBeProvenFresh(nowUs, member)) {
+            scan.offerUnproven(member, replicaCost.of(nowUs, request, member, costFactor));
+        } else {
+            scan.mayServeLater = true;
         }
     }
 
@@ -211,16 +194,6 @@
                 && freshness.mayBeProvenFresh(nowUs, member, scan.requiredPositionUs);
     }
 
-    private double cost(long nowUs, PendingRequest request, MemberState member, double costFactor) {
-        double load = 1 + LOAD_COST * member.inFlight / Math.max(LEAST_WEIGHT, member.weight);
-        boolean mayConnect = member.hasFreeConnection(nowUs, settings.limits())
-                || request.group.sendsSinceConnect >= SENDS_PER_CONNECTION;
-        return member.outliers.cost(nowUs, member.inFlight, load)
-                * costFactor
-                / longQueries.preference(request, member)
-                * (mayConnect ? 1 : NEW_CONNECTION_COST);
-    }
-
     /** Checks a replica that may be fresh enough, at most one of the group per recheck interval. */
     private void checkFreshness(long nowUs, GroupState group, MemberState member) {
         if (nowUs - group.lastFreshnessCheckUs >= recheckIntervalUs) {
@@ -234,16 +207,19 @@
         if (settings.get().stalenessCheck() != StalenessCheck.SILENT) {
             return false;
         }
-        if (request.healthCheckWaitUntilUs == 0) {
-            long shareUs = request.requestClass.latencyObjectiveUs() / WAITS_PER_OBJECTIVE;
-            request.healthCheckWaitUntilUs =
-                    nowUs + Math.max(LEAST_WAIT_TICKS * settings.get().tickUs(), shareUs);
+        if (request.healthCheckWaitUntilUs == PendingRequest.NO_WAIT_YET) {
+            request.healthCheckWaitUntilUs = nowUs + longestWaitUs(request);
         }
         return nowUs < request.healthCheckWaitUntilUs
                 && healthChecker.reportsPositions()
                 && isHealthCheckPending(request);
     }
 
+    private long longestWaitUs(PendingRequest request) {
+        long shareUs = request.requestClass.latencyObjectiveUs() / WAITS_PER_OBJECTIVE;
+        return Math.max(LEAST_WAIT_TICKS * settings.get().tickUs(), shareUs);
+    }
+
     private boolean isHealthCheckPending(PendingRequest request) {
         for (MemberState member : request.group.chain) {
             if (member.healthCheckPending
@@ -262,7 +238,7 @@
                 && !group.primarySuspected
                 && !request.triedMembers.contains(primary)
                 && primary.window.hasRoom(nowUs, primary.inFlight, PRIMARY_READ_SHARE)
-                && localityPolicy.costFactor(nowUs, primary.localityHandle) < Double.POSITIVE_INFINITY
+                && localityPolicy.costFactor(nowUs, primary.localityHandle) != LocalityPolicy.EXCLUDED
                 && localityPolicy.admits(nowUs, primary.localityHandle, request.classIndex())
                 && send(nowUs, request, primary);
     }
--- a/decisions/src/main/java/frostreel/zones/ZoneFailoverPolicy.java
+++ b/decisions/src/main/java/frostreel/zones/ZoneFailoverPolicy.java
@@ -198,7 +198,7 @@
     @Override
     public double costFactor(long nowUs, int handle) {
         ZoneReplicas replicas = replicasByHandle.get(handle);
-        return replicas.isOpen() ? budgets.costFactor(replicas.tier()) : Double.POSITIVE_INFINITY;
+        return replicas.isOpen() ? budgets.costFactor(replicas.tier()) : EXCLUDED;
     }
 
     @Override
