--- a/decisions/src/main/java/frostreel/routing/RetryPolicy.java
+++ b/decisions/src/main/java/frostreel/routing/RetryPolicy.java
@@ -127,14 +127,14 @@
      * How long an attempt of a write may take. A primary that reports itself busy, or that reports nothing and
      * was late of late, isn't silent: the same write again would only add to its work.
      *
-     * @param utilization the last report of the member, below 0 for none
+     * @param utilization as the member last reported it, or {@link SlowStart#NO_REPORT}
      */
     long writeTimeoutUs(long nowUs, PendingRequest request, MemberState member, double utilization) {
         RequestClass requestClass = request.requestClass;
         long leftUs = request.original.deadlineUs() - nowUs;
         if (requestClass.idempotency() == Idempotency.NON_IDEMPOTENT
                 || utilization >= BUSY_UTILIZATION
-                || (utilization < 0 && member.window.isBelowInitial())) {
+                || (utilization == SlowStart.NO_REPORT && member.window.isBelowInitial())) {
             return leftUs;
         }
         double silenceUs = OutlierDetector.SILENCE_FACTOR * expectedLatencyUs(nowUs, request, member);
--- /dev/null
+++ b/decisions/src/main/java/frostreel/routing/ServiceTimes.java
@@ -0,0 +1,81 @@
+package frostreel.routing;
+
+import frostreel.routing.Router.RequestClass;
+import frostreel.routing.Router.Settings;
+import java.util.Arrays;
+import java.util.List;
+
+/**
+ * The service time of each request class: in what time its requests are answered when nothing is queued. Mean times
+ * would include queueing, and under overload made a short query seem as expensive as a long one.
+ */
+final class ServiceTimes {
+    /** Weight of an answer that was quicker than the service time of its class so far. */
+    private static final double QUICKER_WEIGHT = 0.2;
+    /** Weight of an answer that was slower, which is mostly queueing. */
+    private static final double SLOWER_WEIGHT = 0.001;
+    /** A class that nothing is known of is expected to take its latency objective divided by this. */
+    private static final double SERVICE_TIMES_PER_OBJECTIVE = 5.0;
+
+    private List<RequestClass> classes;
+    /** By class; an estimate until the class was {@link #answered}. */
+    private double[] serviceUs = {};
+
+    private boolean[] answered = {};
+
+    ServiceTimes(Settings settings) {
+        onSettings(settings);
+    }
+
+    /** New settings are in force; classes that are already known keep what was learned of them. */
+    void onSettings(Settings settings) {
+        classes = settings.classes();
+        int known = serviceUs.length;
+        serviceUs = Arrays.copyOf(serviceUs, classes.size());
+        answered = Arrays.copyOf(answered, serviceUs.length);
+        for (int i = known; i < serviceUs.length; i++) {
+            serviceUs[i] = estimateUs(i);
+        }
+    }
+
+    /** The service time of a class in microseconds. */
+    double us(int classIndex) {
+        return serviceUs[classIndex];
+    }
+
+    /** A request of this class was answered in {@code tookUs}. */
+    void recordAnswer(int classIndex, long tookUs) {
+        double weight = weight(classIndex, tookUs);
+        serviceUs[classIndex] += weight * (tookUs - serviceUs[classIndex]);
+        answered[classIndex] = true;
+        estimateUnanswered();
+    }
+
+    private double weight(int classIndex, long tookUs) {
+        if (!answered[classIndex]) {
+            return 1;
+        }
+        return tookUs < serviceUs[classIndex] ? QUICKER_WEIGHT : SLOWER_WEIGHT;
+    }
+
+    /** Expects classes without an answer to be off from their estimate as much as the others are from theirs. */
+    private void estimateUnanswered() {
+        double estimatedUs = 0;
+        double measuredUs = 0;
+        for (int i = 0; i < serviceUs.length; i++) {
+            if (answered[i]) {
+                estimatedUs += estimateUs(i);
+                measuredUs += serviceUs[i];
+            }
+        }
+        for (int i = 0; i < serviceUs.length; i++) {
+            if (!answered[i]) {
+                serviceUs[i] = estimateUs(i) * measuredUs / estimatedUs;
+            }
+        }
+    }
+
+    private double estimateUs(int classIndex) {
+        return classes.get(classIndex).latencyObjectiveUs() / SERVICE_TIMES_PER_OBJECTIVE;
+    }
+}
