--- a/decisions/src/main/java/frostreel/routing/AttemptRecorder.java
+++ b/decisions/src/main/java/frostreel/routing/AttemptRecorder.java
@@ -67,7 +67,7 @@
             freshness.recordReport(nowUs, member, report.positionUs());
         }
         long asOfUs = hasPosition ? report.positionUs() : nowUs - REPORT_AGE_US;
-        primaryTracker.recordRole(group, member, report.role(), asOfUs, false);
+        primaryTracker.recordRole(group, member, report.role(), asOfUs, RoleEvidence.REPORT);
     }
 
     /**
@@ -103,7 +103,7 @@
         if (positionUs > 0) {
             member.recordPosition(nowUs, positionUs);
         }
-        primaryTracker.recordRole(request.group, member, role, nowUs, true);
+        primaryTracker.recordRole(request.group, member, role, nowUs, RoleEvidence.ANSWER);
         freshness.recordOutcome(nowUs, request, outcome, positionUs);
         switch (outcome) {
             case OK -> recordSuccess(nowUs, request, member, tookUs);
@@ -132,7 +132,7 @@
 
     private void recordWrongRoleOrStale(long nowUs, PendingRequest request, MemberState member, long positionUs) {
         if (request.requestClass.access() == Access.WRITE) {
-            primaryTracker.recordRole(request.group, member, Role.REPLICA, nowUs, true);
+            primaryTracker.recordRole(request.group, member, Role.REPLICA, nowUs, RoleEvidence.ANSWER);
             return;
         }
         member.staleAtUs = nowUs;
--- a/decisions/src/main/java/frostreel/routing/PrimaryTracker.java
+++ b/decisions/src/main/java/frostreel/routing/PrimaryTracker.java
@@ -10,18 +10,21 @@
     /** How often, in microseconds, a request is tried on a suspected primary: half a second is felt by few. */
     private static final long TRIAL_INTERVAL_US = 500_000;
 
+    /** The list's entry counts as older than whatever a member tells, since nobody knows how late the list is. */
+    private static final long LISTED_AT_US = 0;
+
     private final ActiveSettings settings;
 
     PrimaryTracker(ActiveSettings settings) {
         this.settings = settings;
     }
 
-    /** A member told its role, as of this time, by an answer or else by a health check. */
-    void recordRole(GroupState group, MemberState member, Role role, long atUs, boolean fromAnswer) {
+    /** A member told its role, as of this time. */
+    void recordRole(GroupState group, MemberState member, Role role, long atUs, RoleEvidence evidence) {
         if (role == Role.PRIMARY && atUs > member.replicaAtUs) {
             member.primaryAtUs = Math.max(member.primaryAtUs, atUs);
             if (member.isUsable(settings.rules())) {
-                acceptPrimary(group, member, atUs, fromAnswer);
+                acceptPrimary(group, member, atUs, evidence);
             }
         } else if (role == Role.REPLICA && atUs > member.primaryAtUs) {
             member.replicaAtUs = Math.max(member.replicaAtUs, atUs);
@@ -31,33 +34,39 @@
         }
     }
 
-    private void acceptPrimary(GroupState group, MemberState member, long atUs, boolean fromAnswer) {
-        boolean replaceable = group.primary == null || group.primarySuspected || !group.primaryConfirmed;
+    private void acceptPrimary(GroupState group, MemberState member, long atUs, RoleEvidence evidence) {
         if (group.primary == member) {
             group.primaryAtUs = Math.max(group.primaryAtUs, atUs);
-            group.primaryConfirmed |= fromAnswer;
-        } else if (atUs > group.primaryAtUs && (fromAnswer || replaceable)) {
-            setPrimary(group, member, atUs, fromAnswer);
+            group.primaryConfirmed |= evidence == RoleEvidence.ANSWER;
+        } else if (atUs > group.primaryAtUs && outranksPrimary(group, evidence)) {
+            setPrimary(group, member, atUs, evidence);
         }
     }
 
+    private static boolean outranksPrimary(GroupState group, RoleEvidence evidence) {
+        return evidence == RoleEvidence.ANSWER
+                || group.primary == null
+                || group.primarySuspected
+                || !group.primaryConfirmed;
+    }
+
     /** The endpoint list names a usable member as primary: that counts until anything else is known. */
     void recordListedPrimary(GroupState group, MemberState member) {
         group.searchStart = member;
-        if (group.primaryAtUs < 0 && member.replicaAtUs < 0) {
-            member.primaryAtUs = Math.max(member.primaryAtUs, 0);
-            setPrimary(group, member, 0, false);
+        if (group.primaryAtUs == MemberState.NEVER && member.replicaAtUs == MemberState.NEVER) {
+            member.primaryAtUs = Math.max(member.primaryAtUs, LISTED_AT_US);
+            setPrimary(group, member, LISTED_AT_US, RoleEvidence.LIST);
         }
     }
 
-    private void setPrimary(GroupState group, MemberState member, long atUs, boolean fromAnswer) {
+    private void setPrimary(GroupState group, MemberState member, long atUs, RoleEvidence evidence) {
         if (group.holdingWrites || group.primarySuspected) {
             member.window.restart();
         }
         group.primary = member;
         group.searchStart = member;
         group.primaryAtUs = atUs;
-        group.primaryConfirmed = fromAnswer;
+        group.primaryConfirmed = evidence == RoleEvidence.ANSWER;
         group.holdingWrites = false;
         group.primarySuspected = false;
     }
