--- a/decisions/src/main/java/frostreel/routing/AttemptRecorder.java
+++ b/decisions/src/main/java/frostreel/routing/AttemptRecorder.java
@@ -40,8 +40,8 @@
         freshness.recordSend(nowUs, request);
         latencies.recordSend(classIndex);
         member.outliers.recordSend(nowUs, member.inFlight, latencies.meanUs(classIndex));
-        boolean connected = member.hasFreeConnection(nowUs, settings.limits());
-        group.sendsSinceConnect = connected ? group.sendsSinceConnect + 1 : 0;
+        boolean usesOpenConnection = member.hasFreeConnection(nowUs, settings.limits());
+        group.sendsSinceConnect = usesOpenConnection ? group.sendsSinceConnect + 1 : 0;
         member.recordSend(nowUs, settings.limits());
         if (!request.needsPrimary) {
             localityPolicy.onAttemptSent(nowUs, member.localityHandle, classIndex, latencies.meanUs(classIndex));
@@ -62,7 +62,7 @@
     /** A member reported on itself, by a health check or with an answer. */
     void recordReport(long nowUs, GroupState group, MemberState member, Report report) {
         slowStart.recordUtilization(member.slowStart, report.utilization());
-        boolean hasPosition = report.positionUs() > 0;
+        boolean hasPosition = hasPosition(report.positionUs());
         if (hasPosition) {
             freshness.recordReport(nowUs, member, report.positionUs());
         }
@@ -73,7 +73,7 @@
     /**
      * An attempt ended.
      *
-     * @param positionUs the position that the answer told, 0 for none
+     * @param positionUs the position that the answer told, or {@link Router#NO_POSITION}
      * @param report the report that came with the answer, or null
      */
     void recordOutcome(
@@ -87,20 +87,11 @@
             Report report) {
         member.recordEnd(nowUs);
         localityPolicy.onAttemptEnded(nowUs, member.localityHandle, outcome, latencies.meanUs(request.classIndex()));
-        if (outcome == Outcome.OK
-                || outcome == Outcome.ERROR
-                || outcome == Outcome.REJECTED
-                || outcome == Outcome.WRONG_ROLE_OR_STALE) {
-            member.outliers.recordProgress(nowUs);
-            member.verified |= outcome != Outcome.ERROR;
-        }
-        if (member.inFlight == 0) {
-            member.outliers.recordIdle();
-        }
+        recordProgress(nowUs, member, outcome);
         if (report != null) {
             recordReport(nowUs, request.group, member, report);
         }
-        if (positionUs > 0) {
+        if (hasPosition(positionUs)) {
             member.recordPosition(nowUs, positionUs);
         }
         primaryTracker.recordRole(request.group, member, role, nowUs, RoleEvidence.ANSWER);
@@ -114,29 +105,51 @@
         }
     }
 
+    private static void recordProgress(long nowUs, MemberState member, Outcome outcome) {
+        boolean answered = outcome == Outcome.OK
+                || outcome == Outcome.ERROR
+                || outcome == Outcome.REJECTED
+                || outcome == Outcome.WRONG_ROLE_OR_STALE;
+        if (answered) {
+            member.outliers.recordProgress(nowUs);
+            member.verified |= outcome != Outcome.ERROR; // Any server may answer with an error.
+        }
+        if (member.inFlight == 0) {
+            member.outliers.recordIdle();
+        }
+    }
+
+    private static boolean hasPosition(long positionUs) {
+        return positionUs > Router.NO_POSITION;
+    }
+
     private void recordSuccess(long nowUs, PendingRequest request, MemberState member, long tookUs) {
         int classIndex = request.classIndex();
         member.outliers.recordSuccess(nowUs, tookUs / latencies.meanUs(classIndex));
         latencies.recordAnswer(classIndex, tookUs);
         primaryTracker.recordSuccess(request.group, member);
         slowStart.recordAnswer(nowUs, member.slowStart, classIndex, tookUs);
-        long objectiveUs = request.requestClass.latencyObjectiveUs();
-        boolean queueing = !latencies.isLongRunning(request)
-                && member.outliers.expectedLatencyUs(nowUs, latencies.meanUs(classIndex)) > TARGET_SHARE * objectiveUs;
-        if (tookUs > objectiveUs || queueing) {
+        if (tookUs > request.requestClass.latencyObjectiveUs() || isQueueing(nowUs, request, member)) {
             member.window.shrink(nowUs, member.inFlight, latencies.meanUs(classIndex));
         } else {
             member.window.grow(member.inFlight);
         }
     }
 
+    /** Whether the latency of a member is a sign of a queue; that of long-running queries is their own work. */
+    private boolean isQueueing(long nowUs, PendingRequest request, MemberState member) {
+        double expectedUs = member.outliers.expectedLatencyUs(nowUs, latencies.meanUs(request.classIndex()));
+        return !latencies.isLongRunning(request)
+                && expectedUs > TARGET_SHARE * request.requestClass.latencyObjectiveUs();
+    }
+
     private void recordWrongRoleOrStale(long nowUs, PendingRequest request, MemberState member, long positionUs) {
         if (request.requestClass.access() == Access.WRITE) {
             primaryTracker.recordRole(request.group, member, Role.REPLICA, nowUs, RoleEvidence.ANSWER);
             return;
         }
         member.staleAtUs = nowUs;
-        if (positionUs == 0) { // Otherwise the answer has told how far behind it is.
+        if (positionUs == Router.NO_POSITION) { // Otherwise the answer has told how far behind it is.
             healthChecker.check(nowUs, member);
         }
     }
--- a/decisions/src/main/java/frostreel/routing/Freshness.java
+++ b/decisions/src/main/java/frostreel/routing/Freshness.java
@@ -65,7 +65,8 @@
     void recordOutcome(long nowUs, PendingRequest request, Outcome outcome, long positionUs) {
         if (isTrackedWrite(request)) {
             long deadlineUs = request.original.deadlineUs();
-            sessionCommits.recordOutcome(nowUs, request.original.session(), deadlineUs, outcome, positionUs, retentionUs);
+            sessionCommits.recordOutcome(
+                    nowUs, request.original.session(), deadlineUs, outcome, positionUs, retentionUs);
         }
     }
 
@@ -80,12 +81,12 @@
         usualLagUs = Math.min(usualLagUs + member.lagUs * LAG_WEIGHT, (double) member.lagUs);
     }
 
-    /** The position that a member must have applied to answer the request, 0 for any. */
+    /** The position that a member must have applied to answer the request, or {@link Router#NO_POSITION}. */
     long requiredPositionUs(long nowUs, PendingRequest request) {
         return switch (request.requestClass.access()) {
             case BOUNDED -> nowUs - request.requestClass.boundUs() + ROUNDING_US;
             case SESSION -> sessionPositionUs(nowUs, request);
-            case ANY -> 0;
+            case ANY -> Router.NO_POSITION;
             case WRITE, FRESH -> LATEST;
         };
     }
@@ -93,10 +94,12 @@
     private long sessionPositionUs(long nowUs, PendingRequest request) {
         if (settings.get().sessionTracking() == SessionTracking.CARRIED) {
             long sinceWriteUs = request.original.sinceWriteUs();
-            return sinceWriteUs <= 0 ? 0 : request.arrivedUs - sinceWriteUs + ROUNDING_US;
+            boolean hasWritten = sinceWriteUs > Router.NO_WRITE;
+            return hasWritten ? request.arrivedUs - sinceWriteUs + ROUNDING_US : Router.NO_POSITION;
         }
         long session = request.original.session();
-        return Math.max(sessionCommits.requiredPositionUs(nowUs, session), peerCommits.requiredPositionUs(nowUs, session));
+        return Math.max(
+                sessionCommits.requiredPositionUs(nowUs, session), peerCommits.requiredPositionUs(nowUs, session));
     }
 
     /**
--- a/decisions/src/main/java/frostreel/routing/LongQueryPlacement.java
+++ b/decisions/src/main/java/frostreel/routing/LongQueryPlacement.java
@@ -17,6 +17,9 @@
     /** Lag, in microseconds, beyond which a replica isn't preferred any more strongly. */
     private static final long MOST_LAG_US = 2_000_000;
 
+    /** Any replica is further behind than none. */
+    private static final double BEHIND_OF_NONE_US = -1;
+
     private final LocalityPolicy localityPolicy;
     private final ClassLatencies latencies;
     private final Freshness freshness;
@@ -43,13 +46,15 @@
     private MemberState chooseReplica(long nowUs, PendingRequest request) {
         GroupState group = request.group;
         MemberState best = null;
-        double furthest = -1;
+        double furthestBehindUs = BEHIND_OF_NONE_US;
         for (MemberState member : group.chain) {
             double costFactor = localityPolicy.costFactor(nowUs, member.localityHandle);
             if (isCandidate(nowUs, request, member) && costFactor != LocalityPolicy.EXCLUDED) {
-                double behind = behindUs(nowUs, group, member) / costFactor;
-                best = behind > furthest ? member : best;
-                furthest = Math.max(furthest, behind);
+                double behindUs = behindUs(nowUs, group, member) / costFactor;
+                if (behindUs > furthestBehindUs) {
+                    furthestBehindUs = behindUs;
+                    best = member;
+                }
             }
         }
         if (best != null) {
@@ -68,10 +73,11 @@
     }
 
     private static long behindUs(long nowUs, GroupState group, MemberState member) {
-        if (member.appliedUpToUs == 0) {
+        if (member.appliedUpToUs == Router.NO_POSITION) {
             return 0;
         }
-        return nowUs - member.appliedUpToUs + (member == group.longQueryReplica ? KEEP_US : 0);
+        long lagUs = nowUs - member.appliedUpToUs;
+        return member == group.longQueryReplica ? lagUs + KEEP_US : lagUs;
     }
 
     /**
--- a/decisions/src/main/java/frostreel/routing/PeerCommits.java
+++ b/decisions/src/main/java/frostreel/routing/PeerCommits.java
@@ -6,8 +6,8 @@
  */
 public interface PeerCommits {
     /** Of a process that has no peers: requires nothing. */
-    PeerCommits NONE = (nowUs, session) -> 0;
+    PeerCommits NONE = (nowUs, session) -> Router.NO_POSITION;
 
-    /** The position that a read of the session must see now because of those commits, 0 for any. */
+    /** The position that a read of the session must see now because of those commits, or {@link Router#NO_POSITION}. */
     long requiredPositionUs(long nowUs, long session);
 }
--- a/decisions/src/main/java/frostreel/routing/Router.java
+++ b/decisions/src/main/java/frostreel/routing/Router.java
@@ -11,6 +11,11 @@
  * clock; equal events give equal actions.
  */
 public interface Router {
+    /** In place of the age of a session's last write: it has not written. */
+    long NO_WRITE = 0;
+    /** In place of a position: none was told, or none is required. */
+    long NO_POSITION = 0;
+
     /** What an answer tells counts as known this long after it was written, whether or not it arrived. */
     long KNOWN_AFTER_US = 100_000;
 
@@ -220,14 +225,14 @@
      * A client's request.
      *
      * @param classIndex the number of its class in the settings
-     * @param sinceWriteUs the age of its session's last write, 0 where there is none
+     * @param sinceWriteUs the age of its session's last write, or {@link #NO_WRITE}
      * @param repeated whether the client marked it as a retry
      */
     record Request(
             String id, int classIndex, long session, int group, long deadlineUs, long sinceWriteUs, boolean repeated) {}
 
     /**
-     * The load report of a member, somewhat old; a value that it does not hold is NaN, its position 0.
+     * The load report of a member, somewhat old; a value that it does not hold is NaN, a position {@link #NO_POSITION}.
      *
      * @param utilization the used share from 0 to 1 of its present capacity
      * @param inProgress how many requests it is working on
@@ -248,7 +253,7 @@
      *
      * @param closed whether the request is finished with it
      * @param role of the member, UNKNOWN where it was not told
-     * @param positionUs of the member, 0 where it was not told
+     * @param positionUs of the member, or {@link #NO_POSITION}
      * @param report of the member, null where none came
      */
     void onOutcome(
--- a/decisions/src/main/java/frostreel/routing/SessionCommits.java
+++ b/decisions/src/main/java/frostreel/routing/SessionCommits.java
@@ -39,17 +39,22 @@
 
     /** A write of the session was sent. */
     void recordSend(long nowUs, long session) {
-        SessionWrites writes = sessions.remove(session);
-        writes = writes == null ? new SessionWrites() : writes;
+        SessionWrites writes = sessions.remove(session); // Put back as the one that was used last.
+        if (writes == null) {
+            writes = new SessionWrites();
+        }
         sessions.put(session, writes);
-        writes.inFlightSinceUs = writes.inFlight++ == 0 ? nowUs : writes.inFlightSinceUs;
+        if (writes.inFlight == 0) {
+            writes.inFlightSinceUs = nowUs;
+        }
+        writes.inFlight++;
     }
 
     /**
      * A write that was sent has ended. One that may have run and has no commit has an unknown outcome: its server
      * answered by now or, where it may still be running, answers by its deadline.
      *
-     * @param commitUs its commit, 0 where none was reported
+     * @param commitUs its commit, or {@link Router#NO_POSITION} where none was reported
      * @param retentionUs after which commits are dropped, to bind the reads of all sessions from then on
      */
     void recordOutcome(long nowUs, long session, long deadlineUs, Router.Outcome outcome, long commitUs, long retentionUs) {
@@ -63,11 +68,12 @@
 
     private static void learn(
             SessionWrites writes, long nowUs, long deadlineUs, Router.Outcome outcome, long commitUs) {
-        if (outcome == Router.Outcome.OK && commitUs > 0) {
+        if (outcome == Router.Outcome.OK && commitUs > Router.NO_POSITION) {
             writes.lastCommitUs = Math.max(writes.lastCommitUs, commitUs);
         } else if (!outcome.provesNotRun) {
             boolean mayStillRun = outcome == Router.Outcome.TIMEOUT || outcome == Router.Outcome.CANCELLED;
-            writes.unknownUntilUs = Math.max(writes.unknownUntilUs, mayStillRun ? Math.max(nowUs, deadlineUs) : nowUs);
+            long answeredByUs = mayStillRun ? Math.max(nowUs, deadlineUs) : nowUs;
+            writes.unknownUntilUs = Math.max(writes.unknownUntilUs, answeredByUs);
         }
     }
 
@@ -79,19 +85,20 @@
             if (!aged && sessions.size() <= MAX_SESSIONS) {
                 break;
             }
-            floorUs = Math.max(floorUs, oldest.inFlight == 0 ? oldest.latestUs() : nowUs + retentionUs);
+            long mayCommitUntilUs = oldest.inFlight == 0 ? oldest.latestUs() : nowUs + retentionUs;
+            floorUs = Math.max(floorUs, mayCommitUntilUs);
             oldestFirst.remove();
         }
     }
 
-    /** The position that a read of the session must see now, 0 for any. */
+    /** The position that a read of the session must see now, or {@link Router#NO_POSITION}. */
     long requiredPositionUs(long nowUs, long session) {
         SessionWrites writes = sessions.get(session);
         long requiredUs = Math.min(floorUs, nowUs);
         if (writes == null) {
             return requiredUs;
         }
-        if (writes.lastCommitUs > 0) {
+        if (writes.lastCommitUs > Router.NO_POSITION) {
             requiredUs = Math.max(requiredUs, writes.lastCommitUs + ROUNDING_US);
         }
         long knownUs = nowUs - Router.KNOWN_AFTER_US;
--- a/decisions/src/main/java/frostreel/simulator/MessageDecoder.java
+++ b/decisions/src/main/java/frostreel/simulator/MessageDecoder.java
@@ -110,10 +110,10 @@
         return role == MARK_ROLE_REPLICA ? Router.Role.REPLICA : Router.Role.UNKNOWN;
     }
 
-    /** The position that a mark holds, 0 where it holds none. */
+    /** The position that a mark holds, or {@link Router#NO_POSITION}. */
     static long markedPositionUs(long mark, long baseTimeUs) {
         long positionMs = mark >> MARK_ROLE_BITS;
-        return positionMs == 0 ? 0 : baseTimeUs + positionMs * MICROS_PER_MILLI;
+        return positionMs == 0 ? Router.NO_POSITION : baseTimeUs + positionMs * MICROS_PER_MILLI;
     }
 
     /** The load report that came with a message, or null where none did. */
@@ -126,16 +126,21 @@
         if (report.map().isEmpty()) {
             return null;
         }
-        long positionUs =
-                report.has("x0") ? baseTimeUs + (long) Math.floor(report.number("x0") * MICROS_PER_SECOND) : 0;
         return new Router.Report(
-                positionUs,
+                reportedPositionUs(report, baseTimeUs),
                 reportsRole ? reportedRole(report) : Router.Role.UNKNOWN,
                 report.number("load_share", Double.NaN),
                 report.number("depth", Double.NaN),
                 report.number("concurrent", Double.NaN));
     }
 
+    private static long reportedPositionUs(MessageFields report, long baseTimeUs) throws MalformedMessageException {
+        if (!report.has("x0")) {
+            return Router.NO_POSITION;
+        }
+        return baseTimeUs + (long) Math.floor(report.number("x0") * MICROS_PER_SECOND);
+    }
+
     private static Router.Role reportedRole(MessageFields report) throws MalformedMessageException {
         return report.number("x1", 0) == 1 ? Router.Role.PRIMARY : Router.Role.REPLICA;
     }
