--- a/decisions/src/main/java/frostreel/routing/RetryPolicy.java
+++ b/decisions/src/main/java/frostreel/routing/RetryPolicy.java
@@ -47,11 +47,16 @@
 
     /** Whether nothing more may be tried: time, attempts or the window of the idempotency key have run out. */
     boolean isExhausted(long nowUs, PendingRequest request) {
-        return nowUs + RECHECKS_LEFT * recheckIntervalUs >= request.original.deadlineUs()
+        return recheckedByUs(nowUs) >= request.original.deadlineUs()
                 || request.attempts >= request.maxAttempts
                 || (request.mayHaveRun && !mayRunTwice(nowUs, request));
     }
 
+    /** By when a request that has to wait now is rechecked at the latest. */
+    private long recheckedByUs(long nowUs) {
+        return nowUs + RECHECKS_LEFT * recheckIntervalUs;
+    }
+
     private boolean mayRunTwice(long nowUs, PendingRequest request) {
         RequestClass requestClass = request.requestClass;
         return switch (requestClass.idempotency()) {
@@ -64,13 +69,16 @@
     /** Whether so much of its time has passed that a request for which nothing was sent is ended. */
     boolean hasWaitedTooLong(long nowUs, PendingRequest request) {
         double mostWaitUs = MOST_WAIT * (request.original.deadlineUs() - request.arrivedUs);
-        return request.attempts == 0 && nowUs + RECHECKS_LEFT * recheckIntervalUs > request.arrivedUs + mostWaitUs;
+        return request.attempts == 0 && recheckedByUs(nowUs) > request.arrivedUs + mostWaitUs;
     }
 
-    /** Whether a read can't be answered while that is worth anything, and isn't in its first attempt. */
+    /**
+     * Whether a read would be answered when that has no value any more, even in half of the usual time. One that
+     * has just arrived is tried in any case.
+     */
     boolean isTooLateForRead(long nowUs, PendingRequest request) {
-        return nowUs + latencies.meanUs(request.classIndex()) / 2 > usefulUntilUs(request)
-                && (request.attempts > 0 || nowUs > request.arrivedUs);
+        boolean justArrived = request.attempts == 0 && nowUs <= request.arrivedUs;
+        return !justArrived && nowUs + latencies.meanUs(request.classIndex()) / 2 > usefulUntilUs(request);
     }
 
     /** Until when an answer has any value: the deadline, or the objective where late answers have none. */
@@ -85,12 +93,14 @@
         if (request.mayHaveRun) {
             return;
         }
-        RequestClass requestClass = request.requestClass;
-        boolean keyKnownInZone = requestClass.idempotency() == Idempotency.KEYED
-                && requestClass.deduplicationScope() == DeduplicationScope.ZONE;
         request.mayHaveRun = true;
         request.firstUncertainSendUs = request.sentAtUs;
-        request.deduplicationZone = keyKnownInZone ? member.zone : PendingRequest.ANY_ZONE;
+        request.deduplicationZone = isKeyedWithinZone(request.requestClass) ? member.zone : PendingRequest.ANY_ZONE;
+    }
+
+    private static boolean isKeyedWithinZone(RequestClass requestClass) {
+        return requestClass.idempotency() == Idempotency.KEYED
+                && requestClass.deduplicationScope() == DeduplicationScope.ZONE;
     }
 
     /** Whether a request may be tried again after this outcome; if so, a token is taken where it costs one. */
@@ -98,19 +108,23 @@
         if (isExhausted(nowUs, request)) {
             return false;
         }
-        if (!outcome.provesNotRun) {
-            if (tokens < 1 && request.requestClass.idempotency() == Idempotency.IDEMPOTENT) {
-                return false;
-            }
-            tokens = Math.max(0, tokens - 1);
+        return outcome.provesNotRun || takeToken(request);
+    }
+
+    /** Takes a token; only keyed writes may be retried without a whole one. */
+    private boolean takeToken(PendingRequest request) {
+        if (tokens < 1 && request.requestClass.idempotency() == Idempotency.IDEMPOTENT) {
+            return false;
         }
+        tokens = Math.max(0, tokens - 1);
         return true;
     }
 
     /** Delays the retry of a write that the primary rejected or may have run, exponentially. */
     void backOff(long nowUs, PendingRequest request, Outcome outcome) {
         if (outcome == Outcome.REJECTED || !outcome.provesNotRun) {
-            request.notBeforeUs = nowUs + (FIRST_BACKOFF_US << Math.min(request.attempts, MOST_DOUBLINGS));
+            long backoffUs = FIRST_BACKOFF_US << Math.min(request.attempts, MOST_DOUBLINGS);
+            request.notBeforeUs = nowUs + backoffUs;
         }
     }
 
@@ -124,26 +138,38 @@
     }
 
     /**
-     * How long an attempt of a write may take. A primary that reports itself busy, or that reports nothing and
-     * was late of late, isn't silent: the same write again would only add to its work.
+     * How long an attempt of a write may take: until its member counts as silent, if the write can be retried then,
+     * else until the deadline.
      *
      * @param utilization as the member last reported it, or {@link SlowStart#NO_REPORT}
      */
     long writeTimeoutUs(long nowUs, PendingRequest request, MemberState member, double utilization) {
-        RequestClass requestClass = request.requestClass;
         long leftUs = request.original.deadlineUs() - nowUs;
-        if (requestClass.idempotency() == Idempotency.NON_IDEMPOTENT
-                || utilization >= BUSY_UTILIZATION
-                || (utilization == SlowStart.NO_REPORT && member.window.isBelowInitial())) {
+        if (request.requestClass.idempotency() == Idempotency.NON_IDEMPOTENT || isBusy(member, utilization)) {
             return leftUs;
         }
         double silenceUs = OutlierDetector.SILENCE_FACTOR * expectedLatencyUs(nowUs, request, member);
-        long timeoutUs = (long) Math.max((double) requestClass.latencyObjectiveUs(), silenceUs);
+        long timeoutUs = (long) Math.max((double) request.requestClass.latencyObjectiveUs(), silenceUs);
+        return mayRetryAt(nowUs + timeoutUs, nowUs, request) ? Math.min(leftUs, timeoutUs) : leftUs;
+    }
+
+    /**
+     * Whether a primary reports itself busy, or reports nothing and was late of late. Such a primary isn't silent: the
+     * same write again would only add to its work.
+     */
+    private static boolean isBusy(MemberState member, double utilization) {
+        return utilization >= BUSY_UTILIZATION
+                || (utilization == SlowStart.NO_REPORT && member.window.isBelowInitial());
+    }
+
+    /** Whether a write that is sent now may be sent again at that time. */
+    private boolean mayRetryAt(long timeUs, long nowUs, PendingRequest request) {
+        if (request.attempts + 1 >= request.maxAttempts) {
+            return false;
+        }
         long keyUsedAtUs = request.mayHaveRun ? request.firstUncertainSendUs : nowUs;
-        boolean mayRetry = request.attempts + 1 < request.maxAttempts
-                && (requestClass.idempotency() == Idempotency.IDEMPOTENT
-                        || nowUs + timeoutUs + recheckIntervalUs < keyUsedAtUs + requestClass.windowUs());
-        return mayRetry ? Math.min(leftUs, timeoutUs) : leftUs;
+        return request.requestClass.idempotency() == Idempotency.IDEMPOTENT
+                || timeUs + recheckIntervalUs < keyUsedAtUs + request.requestClass.windowUs();
     }
 
     /**
@@ -155,8 +181,8 @@
         long leftUs = untilUs - nowUs;
         double expectedUs = expectedLatencyUs(nowUs, request, member);
         double spareUs = request.objectiveUs() - nowUs - RETRY_LATENCY_FACTOR * expectedUs;
-        boolean mayRetry = spareUs > OutlierDetector.SILENCE_FACTOR * expectedUs && tokens >= 1;
-        return mayRetry ? (long) Math.min((double) leftUs, spareUs) : leftUs;
+        boolean retryWouldBeOnTime = spareUs > OutlierDetector.SILENCE_FACTOR * expectedUs;
+        return retryWouldBeOnTime && tokens >= 1 ? (long) Math.min((double) leftUs, spareUs) : leftUs;
     }
 
     private double expectedLatencyUs(long nowUs, PendingRequest request, MemberState member) {
