--- a/decisions/src/main/java/frostreel/routing/ChainRouter.java
+++ b/decisions/src/main/java/frostreel/routing/ChainRouter.java
@@ -114,22 +114,33 @@
         PendingRequest request = new PendingRequest(
                 original, requestClass, group, settings.limits().maxAttempts(), nowUs);
         requests.put(original.id(), request);
-        request.countsForGoodput = loadShedder.sheds(nowUs, request);
-        if (request.countsForGoodput) {
+        boolean shed = loadShedder.sheds(nowUs, request);
+        request.countsForGoodput = shed;
+        if (shed) {
             giveUp(nowUs, request);
-        } else if (!request.needsPrimary) {
+        } else if (request.needsPrimary) {
+            routeWrite(nowUs, request);
+        } else {
             routeRead(nowUs, request);
-        } else if (retryPolicy.isExhausted(nowUs, request)) {
+        }
+        if (loadShedder.isNearLimit(requests.size())) {
+            giveUpOldestWaiting(nowUs);
+        }
+    }
+
+    private void giveUpOldestWaiting(long nowUs) {
+        waiting.oldest().ifPresent(oldest -> {
+            waiting.remove(oldest);
+            giveUp(nowUs, oldest);
+        });
+    }
+
+    private void routeWrite(long nowUs, PendingRequest request) {
+        if (retryPolicy.isExhausted(nowUs, request)) {
             giveUp(nowUs, request);
         } else {
             waiting.addWrite(request);
-            releaseWaiting(nowUs, group);
-        }
-        if (loadShedder.isNearLimit(requests.size())) {
-            waiting.oldest().ifPresent(oldest -> {
-                waiting.remove(oldest);
-                giveUp(nowUs, oldest);
-            });
+            releaseWaiting(nowUs, request.group);
         }
     }
 
@@ -239,10 +250,15 @@
             return true;
         }
         MemberState member = request.currentMember;
-        boolean fresh = freshness.isFreshEnough(nowUs, request, member);
-        if (!fresh || request.memberStartedUs == member.slowStart.startedUs()) {
-            return fresh;
+        if (!freshness.isFreshEnough(nowUs, request, member)) {
+            return false;
         }
+        boolean restarted = request.memberStartedUs != member.slowStart.startedUs();
+        return !restarted || admitAnew(nowUs, request, member);
+    }
+
+    /** Charges an attempt to the slow start of its restarted member, if that admits it. */
+    private boolean admitAnew(long nowUs, PendingRequest request, MemberState member) {
         boolean admitted = slowStart.admits(nowUs, member.slowStart, request.classIndex());
         if (admitted) {
             attemptRecorder.chargeSlowStart(request);
@@ -250,21 +266,9 @@
         return admitted;
     }
 
-    /**
-     * The one place that sends. Here the rules hold: no draining members, none of other groups, no attempt
-     * after the last, after the deadline or where a retry is not allowed, none to a member that is too stale,
-     * and not too much to one in slow start.
-     */
+    /** The one place that sends: only where every rule permits it. */
     private boolean send(long nowUs, PendingRequest request, MemberState member, long timeoutUs) {
-        if (request.ended
-                || request.currentMember != null
-                || !member.isUsable(settings.rules())
-                || member.groupNumber != request.group.number
-                || retryPolicy.isExhausted(nowUs, request)
-                || !slowStart.admits(nowUs, member.slowStart, request.classIndex())) {
-            return false;
-        }
-        if (!freshness.isFreshEnough(nowUs, request, member) || !request.mayGoToZone(member.zone)) {
+        if (!mayBeSent(nowUs, request, member)) {
             return false;
         }
         attemptRecorder.recordSend(nowUs, request, member);
@@ -273,19 +277,38 @@
         return true;
     }
 
+    /**
+     * The rules that every attempt keeps: one at a time for each request, none to draining members or to those of
+     * other groups, none after the last, after the deadline or where a retry is not allowed, not too much to a member
+     * in slow start, and none to a member that is too stale or does not know the request's idempotency key.
+     */
+    private boolean mayBeSent(long nowUs, PendingRequest request, MemberState member) {
+        return !request.ended
+                && request.currentMember == null
+                && member.isUsable(settings.rules())
+                && member.groupNumber == request.group.number
+                && !retryPolicy.isExhausted(nowUs, request)
+                && slowStart.admits(nowUs, member.slowStart, request.classIndex())
+                && freshness.isFreshEnough(nowUs, request, member)
+                && request.mayGoToZone(member.zone);
+    }
+
     /** The one place that ends a request unserved: with a rejection where a retry is harmless, else a failure. */
     private void giveUp(long nowUs, PendingRequest request) {
         recordEnd(nowUs, request, false);
         requests.remove(request.original.id());
         if (RetryPolicy.isClientRetryHarmless(request)) {
-            Limits limits = settings.limits();
-            long retryAfterUs = limits.retryAfterAllowed() ? Math.min(RETRY_AFTER_US, limits.maxRetryAfterUs()) : 0;
-            actions.reject(request.original.id(), retryAfterUs);
+            actions.reject(request.original.id(), retryAfterUs());
         } else {
             actions.fail(request.original.id());
         }
     }
 
+    private long retryAfterUs() {
+        Limits limits = settings.limits();
+        return limits.retryAfterAllowed() ? Math.min(RETRY_AFTER_US, limits.maxRetryAfterUs()) : Actions.NO_RETRY_AFTER;
+    }
+
     private void recordEnd(long nowUs, PendingRequest request, boolean answered) {
         loadShedder.recordEnd(nowUs, request, answered);
         request.ended = true;
--- a/decisions/src/main/java/frostreel/routing/PrimarySearch.java
+++ b/decisions/src/main/java/frostreel/routing/PrimarySearch.java
@@ -32,18 +32,23 @@
      */
     MemberState nextCandidate(PendingRequest request) {
         List<MemberState> chain = request.group.chain;
-        MemberState searchStart = request.group.searchStart;
-        int from = searchStart == null ? 0 : Math.max(0, chain.indexOf(searchStart));
-        for (int i = 0; i < 2 * chain.size(); i++) {
-            MemberState member = chain.get((from + i) % chain.size());
-            boolean lastResort = !member.verified || !request.mayGoToZone(member.zone);
-            if (member.isUsable(settings.rules())
-                    && !request.triedMembers.contains(member)
-                    && (!lastResort || i >= chain.size())) {
+        int start = startOfRound(request.group);
+        MemberState lastResort = null;
+        for (int i = 0; i < chain.size(); i++) {
+            MemberState member = chain.get((start + i) % chain.size());
+            if (!member.isUsable(settings.rules()) || request.triedMembers.contains(member)) {
+                continue;
+            }
+            if (member.verified && request.mayGoToZone(member.zone)) {
                 return member;
             }
+            lastResort = lastResort == null ? member : lastResort;
         }
-        return null;
+        return lastResort;
+    }
+
+    private static int startOfRound(GroupState group) {
+        return group.searchStart == null ? 0 : Math.max(0, group.chain.indexOf(group.searchStart));
     }
 
     /** Starts the next round for a write whose attempt failed; after a round without a primary writes are held. */
@@ -61,28 +66,42 @@
      * yet. Slower where few writes wait, as every router searches.
      */
     void search(long nowUs, GroupState group, List<PendingRequest> writes) {
-        boolean urgent = group.primary == null || group.holdingWrites || group.primarySuspected;
-        long intervalUs = ROUND_US / Math.max(1, Math.min(group.chain.size(), writes.size()));
-        boolean idle = !urgent && (writes.isEmpty() || nowUs - group.primaryAtUs < RECENT_US);
-        if (nowUs - group.lastSearchUs < intervalUs || group.chain.isEmpty() || idle) {
+        if (!isSearchDue(nowUs, group, writes)) {
             return;
         }
         group.lastSearchUs = nowUs;
         for (int i = 0; i < group.chain.size(); i++) {
             MemberState member = group.chain.get(group.searchIndex++ % group.chain.size());
-            if (!member.isUsable(settings.rules()) || member.healthCheckPending) {
-                continue;
-            }
-            if (healthChecker.reportsPositions()) {
-                healthChecker.check(nowUs, member);
-                return;
-            }
-            if (urgent && sendTrialWrite(nowUs, member, writes)) {
+            boolean mayBeProbed = member.isUsable(settings.rules()) && !member.healthCheckPending;
+            if (mayBeProbed && probe(nowUs, group, member, writes)) {
                 return;
             }
         }
     }
 
+    private static boolean isSearchDue(long nowUs, GroupState group, List<PendingRequest> writes) {
+        if (group.chain.isEmpty()) {
+            return false;
+        }
+        boolean heardRecently = nowUs - group.primaryAtUs < RECENT_US;
+        boolean wanted = isUrgent(group) || !(writes.isEmpty() || heardRecently);
+        long intervalUs = ROUND_US / Math.max(1, Math.min(group.chain.size(), writes.size()));
+        return wanted && nowUs - group.lastSearchUs >= intervalUs;
+    }
+
+    private static boolean isUrgent(GroupState group) {
+        return group.primary == null || group.holdingWrites || group.primarySuspected;
+    }
+
+    /** Has a member show whether it is the primary, if there is a way to do so. */
+    private boolean probe(long nowUs, GroupState group, MemberState member, List<PendingRequest> writes) {
+        if (healthChecker.reportsPositions()) {
+            healthChecker.check(nowUs, member);
+            return true;
+        }
+        return isUrgent(group) && sendTrialWrite(nowUs, member, writes);
+    }
+
     private boolean sendTrialWrite(long nowUs, MemberState member, List<PendingRequest> writes) {
         for (int i = 0; i < writes.size(); i++) {
             PendingRequest request = writes.get(i);
--- a/decisions/src/main/java/frostreel/routing/Router.java
+++ b/decisions/src/main/java/frostreel/routing/Router.java
@@ -288,10 +288,13 @@
 
     /** What the router asks of the proxy that embeds it. */
     interface Actions {
+        /** In place of a Retry-After: the client receives none. */
+        long NO_RETRY_AFTER = 0;
+
         /** Starts an attempt; a request's attempts are numbered 0, 1, 2 ... in this order. */
         void send(String requestId, String memberId, long timeoutUs);
 
-        /** Final answer: nothing ran or a retry is harmless; {@code retryAfterUs} is 0 for no advice. */
+        /** Final answer: nothing ran or a retry is harmless; with a Retry-After or {@link #NO_RETRY_AFTER}. */
         void reject(String requestId, long retryAfterUs);
 
         /** Final answer: the request may or may not have run. */
--- a/decisions/src/main/java/frostreel/routing/WriteQueue.java
+++ b/decisions/src/main/java/frostreel/routing/WriteQueue.java
@@ -42,37 +42,47 @@
                 group.holdingWrites = true;
                 return;
             }
-            double utilization = slowStart.utilization(member.slowStart);
-            if (sender.send(nowUs, request, member, retryPolicy.writeTimeoutUs(nowUs, request, member, utilization))) {
+            if (send(nowUs, request, member)) {
                 writes.remove(i);
-                if (group.primarySuspected) {
-                    primaryTracker.recordTrial(nowUs, group);
-                }
             }
         }
     }
 
+    private boolean send(long nowUs, PendingRequest request, MemberState member) {
+        double utilization = slowStart.utilization(member.slowStart);
+        long timeoutUs = retryPolicy.writeTimeoutUs(nowUs, request, member, utilization);
+        boolean sent = sender.send(nowUs, request, member, timeoutUs);
+        if (sent && request.group.primarySuspected) {
+            primaryTracker.recordTrial(nowUs, request.group);
+        }
+        return sent;
+    }
+
     private boolean isPrimaryFull(long nowUs, GroupState group) {
         return group.primary != null
                 && !group.primarySuspected
                 && !group.primary.window.hasRoom(nowUs, group.primary.inFlight, WHOLE_WINDOW);
     }
 
-    /** After its backoff; to a suspected primary only as a trial, which a write must survive being sent twice. */
+    /**
+     * A write waits for its backoff. It is sent to a suspected primary only as a trial, and not if it must not be
+     * executed twice.
+     */
     private boolean mayBeSent(long nowUs, PendingRequest request) {
-        GroupState group = request.group;
-        return nowUs >= request.notBeforeUs
-                && (!group.primarySuspected
-                        || (primaryTracker.isTrialDue(nowUs, group)
-                                && request.requestClass.idempotency() != Idempotency.NON_IDEMPOTENT));
+        return nowUs >= request.notBeforeUs && (!request.group.primarySuspected || mayBeTrial(nowUs, request));
+    }
+
+    private boolean mayBeTrial(long nowUs, PendingRequest request) {
+        return primaryTracker.isTrialDue(nowUs, request.group)
+                && request.requestClass.idempotency() != Idempotency.NON_IDEMPOTENT;
     }
 
     /** Gives up the writes that can no longer be served. */
     void removeExpired(long nowUs, GroupState group, List<PendingRequest> writes) {
         for (int i = 0; i < writes.size(); i++) {
             PendingRequest request = writes.get(i);
-            if (retryPolicy.isExhausted(nowUs, request)
-                    || (group.primary == null && retryPolicy.hasWaitedTooLong(nowUs, request))) {
+            boolean waitsInVain = group.primary == null && retryPolicy.hasWaitedTooLong(nowUs, request);
+            if (waitsInVain || retryPolicy.isExhausted(nowUs, request)) {
                 writes.remove(i--);
                 ender.giveUp(nowUs, request);
             }
