--- a/decisions/src/main/java/frostreel/routing/ChainRouter.java
+++ b/decisions/src/main/java/frostreel/routing/ChainRouter.java
@@ -98,7 +98,7 @@
         GroupState group = directory.group(member.groupNumber);
         member.healthCheckPending = false;
         member.verified |= ok;
-        group.lastFreshnessCheckUs = 0;
+        group.lastFreshnessCheckUs = GroupState.NO_FRESHNESS_CHECK;
         components.localityPolicy.onHealthCheck(nowUs, member.localityHandle, ok);
         if (ok && report != null) {
             attemptRecorder.recordReport(nowUs, group, member, report);
--- a/decisions/src/main/java/frostreel/routing/Goodput.java
+++ b/decisions/src/main/java/frostreel/routing/Goodput.java
@@ -22,12 +22,13 @@
         useful = new DecayingRate(timeConstantUs);
     }
 
-    /** A request ended; {@code value} of its answer, from 0 for none to 1 for one in time. */
+    /** A request ended; {@code value} is that of its answer, from 0 for none to 1 for one in time. */
     void add(long nowUs, double value) {
         ended.add(nowUs, 1);
         useful.add(nowUs, value);
     }
 
+    /** The rate of requests beyond what is admitted for the useful ones. */
     private double excessRate(long nowUs) {
         return Math.max(0, ended.at(nowUs) - ADMITTED_PER_USEFUL * useful.at(nowUs));
     }
@@ -41,7 +42,7 @@
     double excess(long nowUs, Goodput allGroups) {
         double oneRequest = 1.0 / timeConstantUs.getAsLong();
         double overallShare = allGroups.excessRate(nowUs) / (allGroups.ended.at(nowUs) + oneRequest);
-        return Math.min(
-                MAX_SHED_SHARE, (excessRate(nowUs) + overallShare * oneRequest) / (ended.at(nowUs) + oneRequest));
+        double share = (excessRate(nowUs) + overallShare * oneRequest) / (ended.at(nowUs) + oneRequest);
+        return Math.min(MAX_SHED_SHARE, share);
     }
 }
--- a/decisions/src/main/java/frostreel/routing/GroupState.java
+++ b/decisions/src/main/java/frostreel/routing/GroupState.java
@@ -8,17 +8,20 @@
  * are microseconds on the router's clock.
  */
 final class GroupState {
+    /** No health check was made for a read since the last one was answered: the next may be made at once. */
+    static final long NO_FRESHNESS_CHECK = 0;
+
     final int number;
     /** The failover chain: the members in the order of their ids, the same for every router. */
     final List<MemberState> chain = new ArrayList<>();
-    /** Requests that ended of late, and what their answers were worth. */
+    /** The requests that ended recently, and how many of them were useful. */
     final Goodput goodput;
 
     /** The member last known as primary, null while none is. */
     MemberState primary;
     /** When the primary was last heard as such. */
     long primaryAtUs = MemberState.NEVER;
-    /** Whether an answer of the primary itself told so, which outranks health checks and the list. */
+    /** Whether the primary is known by an answer of its own, which outranks reports and the list. */
     boolean primaryConfirmed;
     /** The primary has been silent for too long: only trial writes are sent to it. */
     boolean primarySuspected;
@@ -36,8 +39,8 @@
 
     /** Where this group's long-running reads go. */
     MemberState longQueryReplica;
-    /** When a health check was last made for a read that needs a fresh replica, 0 once one was answered. */
-    long lastFreshnessCheckUs;
+    /** When a health check was last made for a read that needs a fresh replica, or {@link #NO_FRESHNESS_CHECK}. */
+    long lastFreshnessCheckUs = NO_FRESHNESS_CHECK;
     /** Shifts the member that reads look at first. */
     int rotation;
     /** Requests sent on open connections since the last that needed a new one. */
@@ -47,4 +50,13 @@
         this.number = number;
         this.goodput = goodput;
     }
+
+    /** Inserts a member into the failover chain, at its place in the order of ids. */
+    void insert(MemberState member) {
+        int index = 0;
+        while (index < chain.size() && chain.get(index).id.compareTo(member.id) < 0) {
+            index++;
+        }
+        chain.add(index, member);
+    }
 }
--- a/decisions/src/main/java/frostreel/routing/MemberDirectory.java
+++ b/decisions/src/main/java/frostreel/routing/MemberDirectory.java
@@ -57,20 +57,26 @@
         }
         members.values().forEach(member -> slowStart.setUsable(member.slowStart, member.isUsable(settings.rules())));
         for (GroupState group : groups.values()) {
-            group.chain.removeIf(
-                    member -> member.isForgettable(nowUs, settings.rules(), freshness.retentionUs()) && forget(member));
+            forgetGone(nowUs, group);
             if (group.primary != null && !group.primary.isUsable(settings.rules())) {
                 primaryTracker.clearPrimary(group);
             }
         }
     }
 
+    private void forgetGone(long nowUs, GroupState group) {
+        group.chain.forEach(member -> member.recordPresence(nowUs));
+        group.chain.removeIf(
+                member -> member.isForgettable(nowUs, settings.rules(), freshness.retentionUs()) && forget(member));
+    }
+
     private void apply(long nowUs, Member entry, boolean initial) {
         MemberState member = members.get(entry.id());
         if (member == null) {
             member = add(nowUs, entry, initial);
         }
-        if (slowStart.recordListEntry(nowUs, member.slowStart, entry)) {
+        boolean restarted = slowStart.recordListEntry(nowUs, member.slowStart, entry);
+        if (restarted) {
             member.outliers.reset();
         }
         member.zone = entry.zone();
@@ -89,14 +95,11 @@
         MemberState member = new MemberState(entry.id(), group.number, slowStartState, localityHandle, nowUs);
         member.verified = initial;
         members.put(member.id, member);
-        int index = 0;
-        while (index < group.chain.size() && group.chain.get(index).id.compareTo(member.id) < 0) {
-            index++;
-        }
-        group.chain.add(index, member);
+        group.insert(member);
         return member;
     }
 
+    /** Forgets a member; whether it was known. */
     private boolean forget(MemberState member) {
         localityPolicy.onMemberRemoved(member.localityHandle);
         slowStart.forget(member.slowStart);
--- a/decisions/src/main/java/frostreel/routing/MemberState.java
+++ b/decisions/src/main/java/frostreel/routing/MemberState.java
@@ -13,36 +13,40 @@
     /** No evidence of a role yet. */
     static final long NEVER = -1;
 
+    private static final long LISTED = 0;
+
     final String id;
     final int groupNumber;
     final SlowStart.Member slowStart;
     final ConcurrencyWindow window = new ConcurrencyWindow();
     final OutlierDetector outliers;
-    /** The name that the locality policy knows it by. */
+    /** Its handle at the locality policy. */
     final int localityHandle;
 
     int zone;
     double weight = 1;
     State state = State.UP;
-    /** Was listed as draining: it stays out of use even when the list no longer names it. */
+    /** It was listed as draining once: it stays out of use even when the list no longer names it. */
     boolean drained;
-    /** On the first list, or heard from since; the list may name servers that don't belong to the group. */
+    /** It was on the first list or has answered since; the list may name servers that don't belong to the group. */
     boolean verified;
-    /** When it left the list, 0 while it is on it. */
-    long goneSinceUs;
+    /** When it left the list, {@link #LISTED} while it is on it. */
+    private long goneSinceUs = LISTED;
 
     /** It has applied every commit up to this time; never moves back. */
     long appliedUpToUs;
-    /** How far its last report was behind, and when that came. */
+    /** How far it was behind by the last position that it told. */
     long lagUs;
 
+    /** When it last told its position. */
     long positionAtUs = LONG_AGO;
     /** When it last declined a read as too stale for it. */
     long staleAtUs = LONG_AGO;
 
-    /** When it last was known to be primary or replica; an answer counts from its arrival. */
+    /** When it last was known to be the primary; an answer counts from its arrival. */
     long primaryAtUs = NEVER;
 
+    /** When it last was known to be a replica. */
     long replicaAtUs = NEVER;
 
     boolean healthCheckPending;
@@ -72,15 +76,22 @@
         return inFlight < connections * limits.requestsPerConnection() && nowUs - lastUsedAtUs < limits.idleCloseUs();
     }
 
-    /** Whether it isn't on the list any more, nothing is in flight to it, and it needn't be remembered. */
-    boolean isForgettable(long nowUs, Rules rules, long retentionUs) {
+    /** An endpoint list was applied: notes since when the member is missing from it. */
+    void recordPresence(long nowUs) {
         if (state != State.GONE) {
-            goneSinceUs = 0;
-        } else if (goneSinceUs == 0) {
+            goneSinceUs = LISTED;
+        } else if (goneSinceUs == LISTED) {
             goneSinceUs = nowUs;
         }
-        boolean kept = verified && (rules.onlyDrainingBinds() || nowUs - goneSinceUs <= retentionUs);
-        return goneSinceUs > 0 && inFlight == 0 && !kept;
+    }
+
+    /** Whether it isn't on the list any more, nothing is in flight to it, and it needn't be remembered. */
+    boolean isForgettable(long nowUs, Rules rules, long retentionUs) {
+        if (goneSinceUs == LISTED || inFlight != 0) {
+            return false;
+        }
+        boolean mayServeAgain = rules.onlyDrainingBinds() || nowUs - goneSinceUs <= retentionUs;
+        return !(verified && mayServeAgain);
     }
 
     /** An attempt goes out, on a free connection or on a new one. */
--- a/decisions/src/main/java/frostreel/routing/OutlierDetector.java
+++ b/decisions/src/main/java/frostreel/routing/OutlierDetector.java
@@ -14,8 +14,10 @@
     private static final double FAILURE_WEIGHT = 2 * SAMPLE_WEIGHT;
     /** One answer counts as at most this many times slower than the mean, so that it doesn't decide alone. */
     private static final double HIGHEST_SAMPLE = 10;
-    /** Cost factor added for a member all of whose attempts fail, and factor for a silent one. */
+    /** Cost added, in multiples of the cost without failures, for a member all of whose attempts fail. */
     private static final double FAILURE_COST = 12;
+    /** A silent member costs this many times as much as one that answers. */
+    private static final double SILENCE_COST = 12;
     /** A member is silent after this many times the expected latency without any answer. */
     static final double SILENCE_FACTOR = 4;
 
@@ -47,8 +49,10 @@
     /** How little it should be chosen: {@code load} raised by slow answers, failures and silence. */
     double cost(long nowUs, int inFlight, double load) {
         double fading = fading(nowUs);
-        double cost = (1 + (latencyRatio - 1) * fading) * load * (1 + FAILURE_COST * failureRate * fading);
-        return isSilent(nowUs, inFlight) ? cost * FAILURE_COST : cost;
+        double latencyCost = 1 + (latencyRatio - 1) * fading;
+        double failureCost = 1 + FAILURE_COST * failureRate * fading;
+        double cost = latencyCost * load * failureCost;
+        return isSilent(nowUs, inFlight) ? cost * SILENCE_COST : cost;
     }
 
     /** Whether attempts are in flight and no answer has come for a multiple of the expected latency. */
@@ -71,8 +75,8 @@
         if (inFlight == 0) {
             lastProgressUs = nowUs;
         }
-        slowestExpectedUs =
-                Math.max(slowestExpectedUs, Math.max(meanLatencyUs, expectedLatencyUs(nowUs, meanLatencyUs)));
+        double expectedUs = Math.max(meanLatencyUs, expectedLatencyUs(nowUs, meanLatencyUs));
+        slowestExpectedUs = Math.max(slowestExpectedUs, expectedUs);
     }
 
     /** An attempt succeeded, after {@code ratio} times the mean latency of its class. */
