--- a/decisions/src/main/java/frostreel/zones/ZoneFailoverPolicy.java
+++ b/decisions/src/main/java/frostreel/zones/ZoneFailoverPolicy.java
@@ -1,58 +1,52 @@
 package frostreel.zones;
 
-import frostreel.routing.DecayingRate;
 import frostreel.routing.LocalityPolicy;
 import frostreel.routing.Router;
-import java.util.ArrayDeque;
-import java.util.ArrayList;
 import java.util.EnumMap;
 import java.util.HashMap;
-import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
 
 /**
- * Prefers nearer tiers of zones, bounds what spills over to farther ones when nearer replicas fail, and ramps
- * up replicas that recover.
+ * Fails reads over between zones: prefers nearer tiers of zones, limits what spills over to farther ones when nearer
+ * replicas fail, and ramps up replicas that recover. Writes are not affected.
  *
- * <p>The replicas of a group in a zone go down after consecutive failures, sooner where much of their zone
- * fails too. They get no requests then but health checks. What the nearest tier no longer serves may go to
- * farther ones as far as their budgets reach, classes with the highest priority weight for their work first;
- * the rest is not admitted. Replicas that answer again are ramped up over the time in which a restarted
- * server warms up, each pooler sending its part of what they served before, beginning at a moment that
- * differs among poolers. Replicas that fail again and again must pass health checks for a while first. Writes
- * are not affected.
+ * <ul>
+ *   <li>Failure: the replicas of a group in a zone go down after consecutive failures, sooner where much of their zone
+ *       fails too. They are only health-checked then.
+ *   <li>Spill: what the nearest tier no longer serves may go to farther ones as far as their budgets reach, classes
+ *       with the highest priority weight for their work first; the rest is not admitted.
+ *   <li>Recovery: replicas that answer again are ramped up over the time in which a restarted server warms up. Each
+ *       pooler sends its part of what they served before, from a moment on that differs among poolers. Replicas that
+ *       fail again and again must pass health checks for a while first.
+ * </ul>
  */
 public final class ZoneFailoverPolicy implements LocalityPolicy {
-    /**
-     * Recovering replicas get so many times their share of what they served: they have the capacity for that.
-     */
+    /** Recovering replicas get this many times their share of what they served: they have the capacity for that. */
     private static final double RAMP_HEADROOM = 1.5;
+    /** A ramp's budget holds at least one request, else what it gains in the overload rule's time span over this. */
+    private static final int RAMP_SPAN_DIVISOR = 2;
+    /** Replicas that served this pooler nothing can do at least the work of one core, for all poolers together. */
+    private static final double ONE_CORE = 1.0;
 
     private final double rampPhase;
     private final Map<Long, ZoneReplicas> replicaSets = new HashMap<>();
-    private final Map<Integer, ZoneReplicas.NearestTier> nearestTiers = new HashMap<>();
+    private final Map<Integer, NearestTier> nearestTiers = new HashMap<>();
     private final Map<Integer, ZoneFailureDetector> zoneDetectors = new HashMap<>();
-    private final List<ZoneReplicas> replicasByHandle = new ArrayList<>();
-    private final List<TokenBucket> rampByHandle = new ArrayList<>();
-    private final ArrayDeque<Integer> freeHandles = new ArrayDeque<>();
+    private final MemberHandles members = new MemberHandles();
     private final ClassRanking ranking = new ClassRanking();
-    /** What the replicas of nearest tiers serve that are up. */
-    private final DecayingRate nearestServed = new DecayingRate(() -> ZoneReplicas.SERVED_SPAN_US);
+    private final NearestTierLoad nearestLoad = new NearestTierLoad();
 
     private Router.Rules rules;
     private ZoneSettings zones;
     private SpillBudgets budgets;
-    /** What the replicas of nearest tiers served that are not up. */
-    private double missingRate;
-
-    private boolean nearestHasServed;
     private long outages;
     private long recoveries;
 
     /**
-     * {@code rampPhase}: at least 0 and under 1, drawn for each pooler, so that ramps do not begin in the
-     * same moment.
+     * A policy with these tiers.
+     *
+     * @param rampPhase at least 0 and under 1, drawn for each pooler, so that ramps do not begin in the same moment
      */
     public ZoneFailoverPolicy(Router.Settings settings, ZoneSettings zones, double rampPhase) {
         this.rampPhase = rampPhase;
@@ -70,85 +64,92 @@
     public void configure(ZoneSettings settings) {
         zones = settings;
         budgets = new SpillBudgets(settings);
-        nearestTiers.values().forEach(ZoneReplicas.NearestTier::reset);
+        nearestTiers.values().forEach(NearestTier::reset);
         for (ZoneReplicas replicas : replicaSets.values()) {
             replicas.assignTier(zones.tierOf(replicas.zone()));
         }
-        missingRate = 0;
+        nearestLoad.resetMissing();
         for (ZoneReplicas replicas : replicaSets.values()) {
-            missingRate += replicas.isNearest() && !replicas.isUp() ? replicas.servedBeforeOutage() : 0;
+            if (replicas.isNearest() && !replicas.isUp()) {
+                nearestLoad.addMissing(replicas.servedBeforeOutage());
+            }
         }
     }
 
     @Override
     public int onMemberAdded(int group, int zone) {
-        ZoneReplicas replicas =
-                replicaSets.computeIfAbsent((long) group << Integer.SIZE | zone, key -> newReplicas(group, zone));
+        ZoneReplicas replicas = replicaSets.computeIfAbsent(key(group, zone), key -> newReplicas(group, zone));
         replicas.addMember();
-        Integer handle = freeHandles.poll();
-        if (handle == null) {
-            handle = replicasByHandle.size();
-            replicasByHandle.add(replicas);
-            rampByHandle.add(new TokenBucket());
-        } else {
-            replicasByHandle.set(handle, replicas);
-            rampByHandle.set(handle, new TokenBucket());
-        }
-        return handle;
+        return members.add(replicas);
+    }
+
+    private static long key(int group, int zone) {
+        return (long) group << Integer.SIZE | zone;
     }
 
     private ZoneReplicas newReplicas(int group, int zone) {
         return new ZoneReplicas(
-                nearestTiers.computeIfAbsent(group, key -> new ZoneReplicas.NearestTier()),
+                nearestTiers.computeIfAbsent(group, key -> new NearestTier()),
                 zoneDetectors.computeIfAbsent(zone, ZoneFailureDetector::new),
                 zones.tierOf(zone));
     }
 
     @Override
     public void onMemberRemoved(int handle) {
-        replicasByHandle.get(handle).removeMember();
-        freeHandles.add(handle);
+        members.replicas(handle).removeMember();
+        members.release(handle);
+    }
+
+    @Override
+    public void onAttemptSent(long nowUs, int handle, int classIndex, double workUs) {
+        ZoneReplicas replicas = members.replicas(handle);
+        budgets.countSent(replicas.tier());
+        ranking.recordSent(classIndex, workUs);
+        if (replicas.isRecovering()) {
+            members.ramp(handle).take(workUs);
+        }
+        if (!replicas.isNearest()) {
+            budgets.spend(replicas.tier(), workUs);
+        }
     }
 
     @Override
     public void onAttemptEnded(long nowUs, int handle, Router.Outcome outcome, double workUs) {
-        ZoneReplicas replicas = replicasByHandle.get(handle);
+        ZoneReplicas replicas = members.replicas(handle);
         switch (outcome) {
-            case OK -> {
-                replicas.recordSuccess(nowUs);
-                replicas.recordServed(nowUs, workUs);
-                if (replicas.isNearest() && replicas.isUp()) {
-                    nearestServed.add(nowUs, workUs);
-                    nearestHasServed = true;
-                }
-            }
+            case OK -> recordServed(nowUs, replicas, workUs);
             case WRONG_ROLE_OR_STALE, REJECTED, ERROR -> replicas.recordSuccess(nowUs); // It answers.
             case TIMEOUT, RESET, CONNECT_FAILED -> recordFailure(nowUs, replicas);
-            default -> {}
+            case CANCELLED, NOT_SENT -> {} // Nothing is learned of the replicas.
+        }
+    }
+
+    private void recordServed(long nowUs, ZoneReplicas replicas, double workUs) {
+        replicas.recordSuccess(nowUs);
+        replicas.recordServed(nowUs, workUs);
+        if (replicas.isNearest() && replicas.isUp()) {
+            nearestLoad.recordServed(nowUs, workUs);
         }
     }
 
     @Override
     public void onHealthCheck(long nowUs, int handle, boolean ok) {
-        ZoneReplicas replicas = replicasByHandle.get(handle);
+        ZoneReplicas replicas = members.replicas(handle);
         if (!ok) {
             recordFailure(nowUs, replicas);
         } else if (replicas.recordHealthy(nowUs)) {
-            recoveries++;
-            if (replicas.isUp()) {
-                recordRecovery(nowUs, replicas);
-            } else {
-                beginRamp(nowUs, replicas);
-            }
+            recordReturn(nowUs, replicas);
         }
     }
 
-    /** Poolers that see the recovery in the same moment must not all send in the same moment. */
-    private void beginRamp(long nowUs, ZoneReplicas replicas) {
-        for (int handle = 0; handle < replicasByHandle.size(); handle++) {
-            if (replicasByHandle.get(handle) == replicas) {
-                rampByHandle.get(handle).reset(nowUs, -rampPhase * ranking.meanWorkUs());
-            }
+    /** Replicas may be sent requests again: all at once where they did not fail themselves, else by a ramp. */
+    private void recordReturn(long nowUs, ZoneReplicas replicas) {
+        recoveries++;
+        if (replicas.isUp()) {
+            recordRecovery(nowUs, replicas);
+        } else {
+            // Poolers that see the recovery in the same moment must not all send in the same moment.
+            members.resetRamps(nowUs, replicas, -rampPhase * ranking.meanWorkUs());
         }
     }
 
@@ -157,10 +158,14 @@
             markDown(nowUs, replicas);
         }
         if (replicas.zoneDetector().hasFailed()) {
-            for (ZoneReplicas other : replicas.zoneDetector().replicaSets()) {
-                if (other.isOpen()) {
-                    markDown(nowUs, other);
-                }
+            markZoneDown(nowUs, replicas.zoneDetector());
+        }
+    }
+
+    private void markZoneDown(long nowUs, ZoneFailureDetector zone) {
+        for (ZoneReplicas replicas : zone.replicaSets()) {
+            if (replicas.isOpen()) {
+                markDown(nowUs, replicas);
             }
         }
     }
@@ -170,67 +175,60 @@
         outages++;
         replicas.markDown(nowUs);
         if (servedNearest) {
-            nearestServed.shift(nowUs, -replicas.servedBeforeOutage());
-            missingRate += replicas.servedBeforeOutage();
+            nearestLoad.recordOutage(nowUs, replicas.servedBeforeOutage());
         }
     }
 
     private void recordRecovery(long nowUs, ZoneReplicas replicas) {
         if (replicas.isNearest()) {
-            missingRate = Math.max(0, missingRate - replicas.servedBeforeOutage());
-            nearestServed.shift(nowUs, replicas.servedBeforeOutage());
-        }
-    }
-
-    @Override
-    public void onAttemptSent(long nowUs, int handle, int classIndex, double workUs) {
-        ZoneReplicas replicas = replicasByHandle.get(handle);
-        budgets.countSent(replicas.tier());
-        ranking.recordSent(classIndex, workUs);
-        if (replicas.isRecovering()) {
-            rampByHandle.get(handle).take(workUs);
-        }
-        if (!replicas.isNearest()) {
-            budgets.spend(replicas.tier(), workUs);
+            nearestLoad.recordRecovery(nowUs, replicas.servedBeforeOutage());
         }
     }
 
     @Override
     public double costFactor(long nowUs, int handle) {
-        ZoneReplicas replicas = replicasByHandle.get(handle);
+        ZoneReplicas replicas = members.replicas(handle);
         return replicas.isOpen() ? budgets.costFactor(replicas.tier()) : EXCLUDED;
     }
 
     @Override
     public boolean admits(long nowUs, int handle, int classIndex) {
-        ZoneReplicas replicas = replicasByHandle.get(handle);
-        if (!replicas.isOpen() || (replicas.isRecovering() && !rampAdmits(nowUs, handle, replicas))) {
-            return false;
-        }
-        if (replicas.isNearest() || !nearestHasServed) {
-            return true;
-        }
-        double nearestRate = nearestServed.at(nowUs) + missingRate;
-        return budgets.admits(nowUs, replicas.tier(), nearestRate, ranking.meanWorkUs(), ranking.reserve(classIndex));
+        ZoneReplicas replicas = members.replicas(handle);
+        return replicas.isOpen() && rampAdmits(nowUs, handle, replicas) && tierAdmits(nowUs, replicas, classIndex);
     }
 
     private boolean rampAdmits(long nowUs, int handle, ZoneReplicas replicas) {
+        if (!replicas.isRecovering()) {
+            return true;
+        }
         double share = replicas.rampShare(nowUs, rules.coldFrom(), rules.warmAfterUs());
         if (share >= 1) {
             recordRecovery(nowUs, replicas);
             replicas.completeRecovery();
             return true;
         }
-        // Replicas that served this pooler nothing still get a little: one core's work, divided among all poolers.
-        double fullRate = Math.max(replicas.usualRate(nowUs) / replicas.members(), 1.0 / zones.poolers());
-        double rate = RAMP_HEADROOM * share * fullRate;
-        double capacityUs = Math.max(rate * rules.fallUs() / 2, ranking.meanWorkUs());
-        return rampByHandle.get(handle).fill(nowUs, rate, capacityUs) > 0;
+        double rate = RAMP_HEADROOM * share * fullRate(nowUs, replicas);
+        double capacityUs = Math.max(rate * rules.fallUs() / RAMP_SPAN_DIVISOR, ranking.meanWorkUs());
+        return members.ramp(handle).fill(nowUs, rate, capacityUs) > 0;
+    }
+
+    /** What one member can take of this pooler's work when it is warm. */
+    private double fullRate(long nowUs, ZoneReplicas replicas) {
+        return Math.max(replicas.usualRate(nowUs) / replicas.members(), ONE_CORE / zones.poolers());
+    }
+
+    /** The nearest tier is never limited, nor is any before it is known what the nearest one serves. */
+    private boolean tierAdmits(long nowUs, ZoneReplicas replicas, int classIndex) {
+        if (replicas.isNearest() || !nearestLoad.everServed()) {
+            return true;
+        }
+        double nearestRate = nearestLoad.usualRate(nowUs);
+        return budgets.admits(nowUs, replicas.tier(), nearestRate, ranking.meanWorkUs(), ranking.reserve(classIndex));
     }
 
     @Override
     public boolean healthCheckDue(long nowUs, int handle) {
-        return replicasByHandle.get(handle).healthCheckDue(nowUs);
+        return members.replicas(handle).healthCheckDue(nowUs);
     }
 
     /**
--- a/decisions/src/main/java/frostreel/zones/ZoneReplicas.java
+++ b/decisions/src/main/java/frostreel/zones/ZoneReplicas.java
@@ -23,28 +23,11 @@
         RECOVERING
     }
 
-    /**
-     * The nearest tier in which a group ever had a member. It stays when those leave, so that they are
-     * missed.
-     */
-    static final class NearestTier {
-        private static final int NONE = Integer.MAX_VALUE;
-        private int tier = NONE;
-
-        void include(int other) {
-            tier = Math.min(tier, other);
-        }
-
-        void reset() {
-            tier = NONE;
-        }
-    }
-
-    /** Consecutive failures by which replicas go down. */
+    /** Consecutive failures by which replicas go down that are up. */
     private static final int FAILURES_TO_MARK_DOWN = 3;
-    /** The same while they are not up. */
+    /** Consecutive failures by which replicas go down that are recovering or on probation. */
     private static final int FAILURES_TO_MARK_DOWN_AGAIN = 1;
-
+    /** How often replicas are health-checked that may be sent nothing. */
     private static final long HEALTH_CHECK_INTERVAL_US = 500_000;
     /** What they serve is averaged over this time. */
     static final long SERVED_SPAN_US = 10_000_000;
@@ -93,7 +76,7 @@
 
     /** Whether they are in the nearest tier of their group. */
     boolean isNearest() {
-        return tier <= nearestTier.tier;
+        return nearestTier.isNearest(tier);
     }
 
     int members() {
@@ -123,7 +106,7 @@
 
     /** Whether requests may be sent. */
     boolean isOpen() {
-        return health == Health.UP || health == Health.RECOVERING;
+        return isUp() || isRecovering();
     }
 
     void recordSuccess(long nowUs) {
@@ -140,10 +123,12 @@
     boolean recordFailure(long nowUs) {
         failures++;
         zoneDetector.recordFailure(nowUs, this);
-        int limit = health == Health.UP ? FAILURES_TO_MARK_DOWN : FAILURES_TO_MARK_DOWN_AGAIN;
-        return health != Health.DOWN
-                && nowUs - lastSuccessUs > ZoneFailureDetector.SUCCESS_GRACE_US
-                && failures >= limit;
+        boolean answeredRecently = nowUs - lastSuccessUs <= ZoneFailureDetector.SUCCESS_GRACE_US;
+        return health != Health.DOWN && !answeredRecently && failures >= failuresToMarkDown();
+    }
+
+    private int failuresToMarkDown() {
+        return isUp() ? FAILURES_TO_MARK_DOWN : FAILURES_TO_MARK_DOWN_AGAIN;
     }
 
     /**
@@ -152,8 +137,8 @@
      */
     void markDown(long nowUs) {
         downWithZone = failures == 0;
-        if (health == Health.UP) {
-            servedBeforeOutage = served.at(Math.max(lastSuccessUs, 0));
+        if (isUp()) {
+            servedBeforeOutage = served.at(Math.max(lastSuccessUs, 0)); // It may never have answered.
         }
         if (!downWithZone) {
             damping.recordFailure(nowUs);
@@ -174,7 +159,7 @@
             health = Health.PROBATION;
             probationSinceUs = nowUs;
         }
-        if (health == Health.PROBATION && nowUs - probationSinceUs >= damping.delayUs(probationSinceUs)) {
+        if (health == Health.PROBATION && isProbationOver(nowUs)) {
             health = Health.RECOVERING;
             recoveringSinceUs = nowUs;
             return true;
@@ -182,12 +167,16 @@
         return false;
     }
 
+    private boolean isProbationOver(long nowUs) {
+        return nowUs - probationSinceUs >= damping.delayUs(probationSinceUs);
+    }
+
     /** Ends the ramp. */
     void completeRecovery() {
         health = Health.UP;
     }
 
-    /** Whether a health check is due; counts as made where it is. */
+    /** Whether a health check is due; where it is, the next one is due after the interval. */
     boolean healthCheckDue(long nowUs) {
         if (isOpen() || nowUs < nextHealthCheckUs) {
             return false;
@@ -196,9 +185,10 @@
         return true;
     }
 
-    /** The share of their full capacity that they have by now: all of their members may have restarted. */
+    /** The share of their full capacity that they have at the least by now: all of them may have restarted. */
     double rampShare(long nowUs, double coldShare, long warmAfterUs) {
-        return Math.min(1, coldShare + (1 - coldShare) * (nowUs - recoveringSinceUs) / warmAfterUs);
+        double share = coldShare + (1 - coldShare) * (nowUs - recoveringSinceUs) / warmAfterUs;
+        return Math.min(1, share);
     }
 
     /** What they served before they last went down, in microseconds of work a microsecond. */
@@ -208,6 +198,6 @@
 
     /** What they usually serve, in microseconds of work a microsecond: now, or before they went down. */
     double usualRate(long nowUs) {
-        return health == Health.UP ? served.at(nowUs) : servedBeforeOutage;
+        return isUp() ? served.at(nowUs) : servedBeforeOutage;
     }
 }
