--- a/decisions/src/main/java/frostreel/zones/ClassRanking.java
+++ b/decisions/src/main/java/frostreel/zones/ClassRanking.java
@@ -8,9 +8,9 @@
 final class ClassRanking {
     /** The weight of the latest request in an average. */
     private static final double SMOOTHING = 0.05;
-    /** Until its first request, a class is taken to need this part of its latency objective. */
+    /** Until its first request, a class is taken to need its latency objective divided by this. */
     private static final double OBJECTIVE_DIVISOR = 5.0;
-
+    /** Classes are ranked anew after this many requests. */
     private static final int REQUESTS_BETWEEN_RANKINGS = 500;
     /** The share of a spill budget that must be left by the class of the lowest rank. */
     private static final double MAX_RESERVE = 0.7;
@@ -57,13 +57,20 @@
     }
 
     private void rank() {
+        int otherClasses = Math.max(1, workUs.length - 1);
         for (int i = 0; i < workUs.length; i++) {
-            int higher = 0;
-            for (int j = 0; j < workUs.length; j++) {
-                higher += weightPerWork(j) > weightPerWork(i) ? 1 : 0;
+            reserves[i] = MAX_RESERVE * countOfHigherRank(i) / otherClasses;
+        }
+    }
+
+    private int countOfHigherRank(int classIndex) {
+        int count = 0;
+        for (int other = 0; other < workUs.length; other++) {
+            if (weightPerWork(other) > weightPerWork(classIndex)) {
+                count++;
             }
-            reserves[i] = MAX_RESERVE * higher / Math.max(1, workUs.length - 1);
         }
+        return count;
     }
 
     private double weightPerWork(int classIndex) {
--- a/decisions/src/main/java/frostreel/zones/FlapDamping.java
+++ b/decisions/src/main/java/frostreel/zones/FlapDamping.java
@@ -1,16 +1,19 @@
 package frostreel.zones;
 
-/** Delays the return of replicas that fail again and again: the delay doubles with each failure of late. */
+/** Delays the recovery of replicas that fail again and again: each recent failure at least doubles the delay. */
 final class FlapDamping {
     /** A failure's weight fades to 1/e in this time. */
     private static final double FADE_US = 60e6;
-    /** Failures of this weight in all, one and the rest of an older one, cause no delay. */
+    /** Failures up to this weight cause no delay: one, and what is left of an older one. */
     private static final double FREE_FAILURES = 1.2;
-
+    /** The delay for a weight of one more than {@link #FREE_FAILURES}; each further failure more than doubles it. */
     private static final double BASE_DELAY_US = 2e6;
+    /** The longest delay. */
     private static final double MAX_DELAY_US = 60e6;
 
+    /** The number of failures, each of which fades with time. */
     private double weight;
+
     private long updatedUs;
 
     void recordFailure(long nowUs) {
--- a/decisions/src/main/java/frostreel/zones/SpillBudgets.java
+++ b/decisions/src/main/java/frostreel/zones/SpillBudgets.java
@@ -4,7 +4,7 @@
 
 /** The budget of each tier for requests that nearer tiers cannot serve, and what was sent to it. */
 final class SpillBudgets {
-    /** Each tier is so many times as expensive as the next nearer one. */
+    /** Each tier is this many times as expensive as the next nearer one. */
     private static final double COST_PER_TIER = 2;
     /** A budget holds what it gains in this time. */
     private static final double CAPACITY_US = 500_000;
@@ -51,7 +51,9 @@
         double rate = settings.tiers().get(tier - 1).spill() * nearestRate;
         double capacityUs = Math.max(rate * CAPACITY_US, minCapacityUs);
         boolean admitted = buckets[tier].fill(nowUs, rate, capacityUs) > reserve * capacityUs;
-        denied[tier] += admitted ? 0 : 1;
+        if (!admitted) {
+            denied[tier]++;
+        }
         return admitted;
     }
 
--- a/decisions/src/main/java/frostreel/zones/ZoneFailureDetector.java
+++ b/decisions/src/main/java/frostreel/zones/ZoneFailureDetector.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * Detects that a whole zone has failed, from the failures of all groups' replicas in it: with few reads a
- * group, their sum tells sooner than each alone.
+ * Detects that a whole zone has failed, from the failures of all groups' replicas in it: where each group has few
+ * reads, their sum shows it sooner.
  */
 final class ZoneFailureDetector {
     /** After a success failures are not counted for this time: their requests may be older than it. */
@@ -19,10 +19,11 @@
     final int zone;
     private final List<ZoneReplicas> replicaSets = new ArrayList<>();
     private int failures;
-    /** Whose failure came first since the last success, null for none. */
+    /** The replicas that failed first since the last success, null for none. */
     private ZoneReplicas firstFailed;
-
+    /** Whether other replicas have failed, too. */
     private boolean severalFailed;
+
     private long lastSuccessUs = NEVER_US;
 
     ZoneFailureDetector(int zone) {
@@ -46,11 +47,14 @@
     }
 
     void recordFailure(long nowUs, ZoneReplicas replicas) {
-        if (nowUs - lastSuccessUs > SUCCESS_GRACE_US) {
-            failures++;
-            firstFailed = firstFailed == null ? replicas : firstFailed;
-            severalFailed |= firstFailed != replicas;
+        if (nowUs - lastSuccessUs <= SUCCESS_GRACE_US) {
+            return;
+        }
+        failures++;
+        if (firstFailed == null) {
+            firstFailed = replicas;
         }
+        severalFailed |= firstFailed != replicas;
     }
 
     boolean hasFailed() {
