--- a/decisions/src/main/java/frostreel/simulator/MessageDecoder.java
+++ b/decisions/src/main/java/frostreel/simulator/MessageDecoder.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Decodes what the simulator's messages tell into the values of {@link Router}. */
+/** Decodes the fields of the simulator's messages into the values of {@link Router}. */
 final class MessageDecoder {
     private static final long NO_SESSION = -1;
     private static final int MAX_COUNT = 1 << 20;
--- a/decisions/src/main/java/frostreel/simulator/SimulatedInstance.java
+++ b/decisions/src/main/java/frostreel/simulator/SimulatedInstance.java
@@ -33,9 +33,7 @@
         MessageFields options = message.object("options");
         MessageFields family = options.object("familyInfo");
         long baseTimeUs = family.micros("baseTimeS", 0);
-        boolean reportsRole = options.has("stats")
-                && options.object("stats").has("names")
-                && options.object("stats").list("names").contains("x1");
+        boolean reportsRole = reportsRole(options);
         long seed = message.whole("initSeed", -MessageFields.MAX_EXACT_INTEGER, Long.MAX_VALUE);
         Router.Settings settings = SettingsReader.read(seed, options);
         Router router = factory.apply(settings, actions);
@@ -43,6 +41,14 @@
                 router, baseTimeUs, reportsRole, settings.classes().size());
     }
 
+    private static boolean reportsRole(MessageFields options) throws MalformedMessageException {
+        if (!options.has("stats")) {
+            return false;
+        }
+        MessageFields reports = options.object("stats");
+        return reports.has("names") && reports.list("names").contains("x1");
+    }
+
     void updateMembers(long nowUs, Router.ListKind kind, List<Router.Member> members) {
         router.onMembers(nowUs, kind, members);
     }
@@ -51,16 +57,16 @@
     void event(String type, long nowUs, MessageFields message) throws MalformedMessageException {
         switch (type) {
             case "Ingress" -> router.onRequest(nowUs, MessageDecoder.request(message, classCount));
-            case "Answer" -> outcome(nowUs, message);
-            case "StatusBack" -> healthCheckResult(nowUs, message);
+            case "Answer" -> endAttempt(nowUs, message);
+            case "StatusBack" -> endHealthCheck(nowUs, message);
             case "Fired" -> router.onTimer(nowUs, message.text("ctx"));
             case "ClientGone" -> router.onClientDisconnected(nowUs, message.text("xid"));
-            case "Accepted", "Datagram" -> {} // They tell a router nothing.
+            case "Accepted", "Datagram" -> {} // They do not concern a router.
             default -> throw new MalformedMessageException("field 't': unknown message " + type);
         }
     }
 
-    private void outcome(long nowUs, MessageFields message) throws MalformedMessageException {
+    private void endAttempt(long nowUs, MessageFields message) throws MalformedMessageException {
         long mark = MessageDecoder.mark(message);
         router.onOutcome(
                 nowUs,
@@ -75,7 +81,7 @@
                 MessageDecoder.report(message, baseTimeUs, reportsRole));
     }
 
-    private void healthCheckResult(long nowUs, MessageFields message) throws MalformedMessageException {
+    private void endHealthCheck(long nowUs, MessageFields message) throws MalformedMessageException {
         router.onHealthCheck(
                 nowUs,
                 message.text("member"),
--- a/decisions/src/main/java/frostreel/simulator/SimulatedInstances.java
+++ b/decisions/src/main/java/frostreel/simulator/SimulatedInstances.java
@@ -9,7 +9,7 @@
 
 /** The instances of a simulation by name, and the member lists that were registered for them. */
 final class SimulatedInstances {
-    /** Class names begin so in the stack frames that a fault names. */
+    /** The first stack frame of a class in these packages is named in a fault. */
     private static final String OWN_PACKAGES = "frostreel.";
 
     private static final int MAX_LIST_NUMBER = 15;
@@ -32,28 +32,35 @@
     /** Hands an event to the instance that it names, and reports an exception of its router as a fault. */
     void event(String type, long nowUs, MessageFields message) throws MalformedMessageException {
         if (type.equals("Register")) {
-            List<Router.Member> members = MessageDecoder.members(message);
-            memberLists.put(listNumber(message), members);
+            register(message);
             return;
         }
         String name = message.text("i");
-        SimulatedInstance instance = instances.get(name);
-        if (instance == null && !type.equals("Create")) {
+        if (!type.equals("Create") && !instances.containsKey(name)) {
             throw new MalformedMessageException("field 'i': no instance '" + name + "' was created");
         }
         try {
-            switch (type) {
-                case "Create" -> instances.put(name, create(name, message));
-                case "Endpoints" -> updateMembers(instance, nowUs, message);
-                case "Down" -> instances.remove(name);
-                default -> instance.event(type, nowUs, message);
-            }
+            event(type, name, nowUs, message);
         } catch (RuntimeException e) {
             faulted = true;
             new ActionWriter(name, out).fault(type + ": " + e + location(e));
         }
     }
 
+    private void register(MessageFields message) throws MalformedMessageException {
+        List<Router.Member> members = MessageDecoder.members(message);
+        memberLists.put(listNumber(message), members);
+    }
+
+    private void event(String type, String name, long nowUs, MessageFields message) throws MalformedMessageException {
+        switch (type) {
+            case "Create" -> instances.put(name, create(name, message));
+            case "Endpoints" -> updateMembers(instances.get(name), nowUs, message);
+            case "Down" -> instances.remove(name);
+            default -> instances.get(name).event(type, nowUs, message);
+        }
+    }
+
     private SimulatedInstance create(String name, MessageFields message) throws MalformedMessageException {
         return SimulatedInstance.create(message, new ActionWriter(name, out), factory);
     }
--- a/decisions/src/main/java/frostreel/simulator/WireAdapter.java
+++ b/decisions/src/main/java/frostreel/simulator/WireAdapter.java
@@ -16,8 +16,8 @@
 import org.json.JSONTokener;
 
 /**
- * Plays the simulator's wire: reads batches of events, one JSON object a line, hands them to one router an
- * instance, and writes their actions when the batch ends. It decides nothing.
+ * Serves the simulator's protocol: reads batches of events, one JSON object a line, hands them to one router for each
+ * simulated instance, and writes the routers' actions at the end of the batch. It decides nothing.
  */
 public final class WireAdapter {
     private static final int SUCCESS = 0;
@@ -29,17 +29,17 @@
 
     private final StringBuilder out = new StringBuilder(OUTPUT_BUFFER_CHARS);
     private final SimulatedInstances instances;
-    private final OutputStream to;
+    private final OutputStream output;
     private long nowUs;
     private boolean inBatch;
 
-    private WireAdapter(SimulatedInstance.RouterFactory factory, OutputStream to) {
-        this.to = to;
+    private WireAdapter(SimulatedInstance.RouterFactory factory, OutputStream output) {
+        this.output = output;
         instances = new SimulatedInstances(factory, out);
     }
 
     /**
-     * Plays batches until the input ends.
+     * Serves batches until the input ends.
      *
      * @param in events
      * @param out actions, written and flushed once a batch
@@ -52,10 +52,10 @@
 
     static int run(InputStream in, PrintStream out, PrintStream err, SimulatedInstance.RouterFactory factory)
             throws IOException {
-        return new WireAdapter(factory, out).play(new BufferedInputStream(in, INPUT_BUFFER_BYTES), err);
+        return new WireAdapter(factory, out).serve(new BufferedInputStream(in, INPUT_BUFFER_BYTES), err);
     }
 
-    private int play(InputStream in, PrintStream err) throws IOException {
+    private int serve(InputStream in, PrintStream err) throws IOException {
         ByteArrayOutputStream line = new ByteArrayOutputStream(LINE_BUFFER_BYTES);
         long lineNumber = 0;
         while (readLine(in, line)) {
@@ -64,7 +64,7 @@
                 continue;
             }
             try {
-                message(decode(line.toByteArray()));
+                handle(decode(line.toByteArray()));
             } catch (MalformedMessageException e) {
                 return malformed(err, lineNumber, e.getMessage());
             } catch (JSONException e) {
@@ -85,7 +85,7 @@
         return FAILURE;
     }
 
-    private void message(MessageFields message) throws MalformedMessageException, IOException {
+    private void handle(MessageFields message) throws MalformedMessageException, IOException {
         String type = message.text("t");
         if (type.equals("Clock")) {
             beginBatch(message);
@@ -109,8 +109,8 @@
     private void endBatch() throws IOException {
         inBatch = false;
         out.append("{\"t\":\"Ack\"}\n");
-        to.write(out.toString().getBytes(StandardCharsets.UTF_8));
-        to.flush();
+        output.write(out.toString().getBytes(StandardCharsets.UTF_8));
+        output.flush();
         out.setLength(0);
     }
 
