--- a/decisions/src/main/java/frostreel/routing/Router.java
+++ b/decisions/src/main/java/frostreel/routing/Router.java
@@ -16,7 +16,7 @@
     /** In place of a position: none was told, or none is required. */
     long NO_POSITION = 0;
 
-    /** What an answer tells counts as known this long after it was written, whether or not it arrived. */
+    /** The content of an answer counts as known this long after it was written, whether or not the answer arrived. */
     long KNOWN_AFTER_US = 100_000;
 
     /**
@@ -72,7 +72,7 @@
         REPLICA
     }
 
-    /** Whether health checks are permitted, and whether they tell role and position or only that a member runs. */
+    /** Whether health checks are permitted, and whether they report role and position or only that a member runs. */
     enum HealthChecks {
         NONE,
         LIVENESS,
@@ -86,7 +86,7 @@
         GONE
     }
 
-    /** An endpoint list: complete, changed entries, complete but possibly stale, or one that could not be had. */
+    /** An endpoint list: complete, only what changed, complete but possibly stale, or a failed update. */
     enum ListKind {
         FULL,
         CHANGES,
@@ -106,7 +106,7 @@
         NOT_SENT(true),
         WRONG_ROLE_OR_STALE(true);
 
-        /** Whether it proves that the attempt did not run, so that even a non-idempotent request may be retried. */
+        /** Whether it proves that the attempt was not executed: even a non-idempotent request may be retried then. */
         public final boolean provesNotRun;
 
         Outcome(boolean provesNotRun) {
@@ -120,7 +120,7 @@
      * @param windowUs how long after a first attempt that may have run a KEYED request is deduplicated
      * @param boundUs the greatest staleness that a BOUNDED read accepts
      * @param latencyObjectiveUs from the arrival; an answer after it is late
-     * @param deadlineUs the usual time that clients leave, from the arrival
+     * @param deadlineUs how long after the arrival clients usually wait for an answer
      * @param priorityWeight the value of an answer in time, relative to those of other classes
      * @param lateWeight the value of a late answer, as a share from 0 to 1 of one in time
      */
@@ -139,12 +139,12 @@
     /**
      * The figures of the rules that every router keeps.
      *
-     * @param answerSlackUs after a deadline, in which the final answer still counts
-     * @param stopSendingUs in which sends to a member end after it was listed as draining or gone
+     * @param answerSlackUs how long after its deadline the final answer to a request still counts
+     * @param stopSendingUs how long after a member was listed as draining or gone the last request may be sent to it
      * @param onlyDrainingBinds whether members that are gone, but were never listed as draining, may be sent to
      * @param coldFrom the least share from 0 to 1 of its capacity that a member starts with
-     * @param warmAfterUs after its start, a member has all its capacity
-     * @param fallMultiple a starting member that is sent this multiple of its capacity over {@code fallUs} collapses
+     * @param warmAfterUs how long after its start a member has all its capacity
+     * @param fallMultiple a starting member collapses if it is sent this multiple of its capacity over {@code fallUs}
      */
     record Rules(
             long answerSlackUs,
@@ -154,19 +154,23 @@
             long warmAfterUs,
             double fallMultiple,
             long fallUs) {
-        /** The least share of its capacity that a member has now, to 1; {@code startedUs} 0 is the distant past. */
+        /** The least share of its capacity, to 1, that a member has now that started then. */
         double warmth(long nowUs, long startedUs) {
-            double age = startedUs == 0 ? warmAfterUs : Math.max(0, nowUs - startedUs);
-            return age >= warmAfterUs ? 1 : coldFrom + (1 - coldFrom) * age / warmAfterUs;
+            double ageUs = startedUs == Member.LONG_AGO ? warmAfterUs : Math.max(0, nowUs - startedUs);
+            if (ageUs >= warmAfterUs) {
+                return 1;
+            }
+            return coldFrom + (1 - coldFrom) * ageUs / warmAfterUs;
         }
     }
 
     /**
-     * All that a router is told of its deployment.
+     * The settings of one router.
      *
-     * @param seed from which its random choices follow
+     * @param seed determines its random choices
      * @param instances how many routers there are, 0 where that is not known
-     * @param tickUs how often events are handed in at the most
+     * @param zone the zone of the router
+     * @param tickUs the shortest interval at which events are handed in
      * @param positions whether every answer carries a position
      */
     record Settings(
@@ -216,10 +220,13 @@
      * An entry of the endpoint list.
      *
      * @param kind the kind of machine; members of one kind have equal capacity for equal weight
-     * @param startedUs 0 for the distant past
+     * @param startedUs when it started, or {@link #LONG_AGO}
      */
     record Member(
-            String id, int zone, int kind, int group, boolean primary, State state, double weight, long startedUs) {}
+            String id, int zone, int kind, int group, boolean primary, State state, double weight, long startedUs) {
+        /** The start of a member of which the list says no more than that it started before all that matters. */
+        public static final long LONG_AGO = 0;
+    }
 
     /**
      * A client's request.
@@ -252,7 +259,7 @@
      * An attempt ended.
      *
      * @param closed whether the request is finished with it
-     * @param role of the member, UNKNOWN where it was not told
+     * @param role of the member, UNKNOWN where it did not tell it
      * @param positionUs of the member, or {@link #NO_POSITION}
      * @param report of the member, null where none came
      */
@@ -274,7 +281,7 @@
      */
     boolean mayStillBegin(long nowUs, String requestId);
 
-    /** An endpoint list arrived, or could not be had. */
+    /** An endpoint list arrived, or its update failed. */
     void onMembers(long nowUs, ListKind kind, List<Member> members);
 
     /** A health check ended; {@code report} is null where none came. */
@@ -286,7 +293,7 @@
     /** The client of a request disconnected; it needs no answer any more. */
     void onClientDisconnected(long nowUs, String requestId);
 
-    /** What the router asks of the proxy that embeds it. */
+    /** What the router asks the proxy to do that embeds it. */
     interface Actions {
         /** In place of a Retry-After: the client receives none. */
         long NO_RETRY_AFTER = 0;
@@ -294,10 +301,10 @@
         /** Starts an attempt; a request's attempts are numbered 0, 1, 2 ... in this order. */
         void send(String requestId, String memberId, long timeoutUs);
 
-        /** Final answer: nothing ran or a retry is harmless; with a Retry-After or {@link #NO_RETRY_AFTER}. */
+        /** Final answer: nothing was executed or a retry is harmless; with a Retry-After or {@link #NO_RETRY_AFTER}. */
         void reject(String requestId, long retryAfterUs);
 
-        /** Final answer: the request may or may not have run. */
+        /** Final answer: the request may or may not have been executed. */
         void fail(String requestId);
 
         /** Cancels an attempt that is in flight. */
--- a/decisions/src/main/java/frostreel/simulator/MessageDecoder.java
+++ b/decisions/src/main/java/frostreel/simulator/MessageDecoder.java
@@ -64,7 +64,7 @@
                 fields.number("leads", 0) == 1,
                 state,
                 fields.number("scale", 1),
-                fields.micros("cameUpS", 0));
+                fields.micros("cameUpS", Router.Member.LONG_AGO));
     }
 
     static Router.Request request(MessageFields message, int classCount) throws MalformedMessageException {
