--- /dev/null
+++ b/decisions/src/test/java/frostreel/routing/PrimaryTrackerTest.java
@@ -0,0 +1,103 @@
+package frostreel.routing;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import frostreel.routing.Router.Role;
+import frostreel.routing.Router.State;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
+/** Which evidence of a role replaces which, and when a suspected primary is tried. */
+class PrimaryTrackerTest {
+    private static final long NOW_US = 10_000_000;
+    private final Router.Settings settings = new SettingsBuilder().build();
+    private final SlowStart slowStart = new SlowStart(settings);
+    private final PrimaryTracker tracker = new PrimaryTracker(new ActiveSettings(settings));
+    private final GroupState group = new GroupState(1, new Goodput(() -> 1_000_000));
+    private final MemberState first = member("first");
+    private final MemberState second = member("second");
+
+    private MemberState member(String id) {
+        return new MemberState(id, 1, slowStart.register(NOW_US), 0, NOW_US);
+    }
+
+    private void tellPrimary(MemberState member, RoleEvidence evidence, long atUs) {
+        if (evidence == RoleEvidence.LIST) {
+            tracker.recordListedPrimary(group, member);
+        } else {
+            tracker.recordRole(group, member, Role.PRIMARY, atUs, evidence);
+        }
+    }
+
+    @ParameterizedTest
+    @CsvSource({
+        "LIST, LIST, false",
+        "LIST, REPORT, true",
+        "LIST, ANSWER, true",
+        "REPORT, LIST, false",
+        "REPORT, REPORT, true",
+        "REPORT, ANSWER, true",
+        "ANSWER, LIST, false",
+        "ANSWER, REPORT, false",
+        "ANSWER, ANSWER, true"
+    })
+    void newerEvidenceReplacesThePrimaryUnlessItIsOfLowerRank(
+            RoleEvidence known, RoleEvidence newer, boolean replaces) {
+        tellPrimary(first, known, NOW_US);
+        tellPrimary(second, newer, NOW_US + 1);
+        assertThat(group.primary).isSameAs(replaces ? second : first);
+    }
+
+    @Test
+    void evidenceOlderThanThatForThePrimaryIsIgnored() {
+        tellPrimary(first, RoleEvidence.REPORT, NOW_US);
+        tellPrimary(second, RoleEvidence.ANSWER, NOW_US);
+        assertThat(group.primary).isSameAs(first);
+    }
+
+    @Test
+    void primaryThatTellsThatItIsAReplicaIsNoLongerKnownAsPrimary() {
+        tellPrimary(first, RoleEvidence.ANSWER, NOW_US);
+        tracker.recordRole(group, first, Role.REPLICA, NOW_US, RoleEvidence.ANSWER);
+        assertThat(group.primary).as("not later").isSameAs(first);
+        tracker.recordRole(group, first, Role.REPLICA, NOW_US + 1, RoleEvidence.REPORT);
+        assertThat(group.primary).isNull();
+    }
+
+    @Test
+    void memberThatMayNotBeSentToDoesNotBecomePrimary() {
+        first.state = State.DRAINING;
+        tellPrimary(first, RoleEvidence.ANSWER, NOW_US);
+        assertThat(group.primary).isNull();
+    }
+
+    @Test
+    void evidenceFromBeforeAFailedConnectionDoesNotRestoreThePrimary() {
+        tellPrimary(first, RoleEvidence.ANSWER, NOW_US);
+        tracker.recordConnectFailure(NOW_US + 1_000, group, first);
+        tellPrimary(first, RoleEvidence.REPORT, NOW_US + 1_000);
+        assertThat(group.primary).isNull();
+        tellPrimary(first, RoleEvidence.REPORT, NOW_US + 1_001);
+        assertThat(group.primary).isSameAs(first);
+    }
+
+    @Test
+    void silentPrimaryIsSuspectedAndTriedEachHalfSecondUntilItServesARequest() {
+        tellPrimary(first, RoleEvidence.ANSWER, NOW_US);
+        first.outliers.recordSend(NOW_US, 0, 100_000);
+        first.inFlight = 1;
+        long silentUs = NOW_US + 400_001;
+        tracker.suspectIfSilent(silentUs - 1, group);
+        assertThat(group.primarySuspected).isFalse();
+        tracker.suspectIfSilent(silentUs, group);
+        assertThat(tracker.isTrialDue(silentUs + 499_999, group)).isFalse();
+        assertThat(tracker.isTrialDue(silentUs + 500_000, group)).isTrue();
+        tracker.recordTrial(silentUs + 500_000, group);
+        assertThat(tracker.isTrialDue(silentUs + 999_999, group)).isFalse();
+        tracker.recordSuccess(group, second);
+        assertThat(group.primarySuspected).isTrue();
+        tracker.recordSuccess(group, first);
+        assertThat(group.primarySuspected).isFalse();
+    }
+}
