--- a/decisions/src/test/java/frostreel/routing/ConcurrencyLimitTest.java
+++ b/decisions/src/test/java/frostreel/routing/ConcurrencyLimitTest.java
@@ -4,6 +4,7 @@
 import static frostreel.routing.RouterHarness.NON_IDEMPOTENT_WRITE;
 import static frostreel.routing.RouterHarness.primary;
 import static frostreel.routing.RouterHarness.replica;
+import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -24,12 +25,9 @@
         RouterHarness harness = new SettingsBuilder().start(primary("a", 0), replica("b", 0));
         for (int i = 0; i < 100; i++) {
             harness.submit("read" + i, ANY_READ);
-            for (int j = 0; j < 2 && harness.lastAttempt("read" + i) != null; j++) {
-                harness.complete(
-                        "read" + i,
-                        outcome,
-                        harness.lastAttempt("read" + i).member().equals("a") ? Role.PRIMARY : Role.REPLICA,
-                        0);
+            for (int attempts = 0; attempts < 2 && harness.lastAttempt("read" + i) != null; attempts++) {
+                boolean fromPrimary = harness.lastAttempt("read" + i).member().equals("a");
+                harness.complete("read" + i, outcome, fromPrimary ? Role.PRIMARY : Role.REPLICA, 0);
             }
             harness.advance(1_000);
         }
@@ -43,13 +41,8 @@
     @Test
     void memberWhoseServiceTimeIsAThirdOfTheObjectiveReceivesConcurrentRequests() {
         RouterHarness harness = new SettingsBuilder().start(replica("b", 0));
-        for (int i = 0; i < 200; i++) {
-            harness.submit("read" + i, ANY_READ);
-            harness.advance(200_000);
-            if (harness.lastAttempt("read" + i) != null) {
-                harness.answer(harness.lastAttempt("read" + i), 200_000, Role.REPLICA);
-            }
-        }
+        harness.submitInTurn(
+                "read", 200, ANY_READ, 200_000, attempt -> harness.answer(attempt, 200_000, Role.REPLICA));
         assertSentAtOnce(harness, ANY_READ);
     }
 
@@ -57,11 +50,13 @@
     @Test
     void errorsThatArriveInTimeDoNotNarrowTheWindow() {
         RouterHarness harness = new SettingsBuilder().start(primary("a", 0));
-        for (int i = 0; i < 30; i++) {
-            harness.submit("write" + i, NON_IDEMPOTENT_WRITE);
-            harness.advance(200_000);
-            harness.complete("write" + i, Outcome.ERROR, Role.PRIMARY, 0);
-        }
+        int attempted = harness.submitInTurn(
+                "write",
+                30,
+                NON_IDEMPOTENT_WRITE,
+                200_000,
+                attempt -> harness.complete(attempt.requestId(), Outcome.ERROR, Role.PRIMARY, 0));
+        assertEquals(30, attempted);
         assertSentAtOnce(harness, NON_IDEMPOTENT_WRITE);
     }
 
--- a/decisions/src/test/java/frostreel/routing/FleetTest.java
+++ b/decisions/src/test/java/frostreel/routing/FleetTest.java
@@ -66,21 +66,10 @@
         RouterHarness harness = new SettingsBuilder()
                 .instances(INSTANCES)
                 .start(primary("a", 0), replica("b", 0), startedAt(replica("c", 0), 99_900_000));
-        for (int i = 0; i < 400; i++) {
-            String id = "read" + i;
-            harness.submit(id, ANY_READ);
-            harness.advance(10_000);
-            RouterHarness.Attempt sent = harness.lastAttempt(id);
-            if (sent != null) {
-                harness.complete(
-                        sent,
-                        Outcome.OK,
-                        USUAL_DURATION_US,
-                        Role.REPLICA,
-                        harness.nowUs,
-                        new Report(harness.nowUs, Role.REPLICA, utilization, Double.NaN, Double.NaN));
-            }
-        }
+        harness.submitInTurn("read", 400, ANY_READ, 10_000, attempt -> {
+            Report report = new Report(harness.nowUs, Role.REPLICA, utilization, Double.NaN, Double.NaN);
+            harness.complete(attempt, Outcome.OK, USUAL_DURATION_US, Role.REPLICA, harness.nowUs, report);
+        });
         return harness;
     }
 
@@ -140,9 +129,8 @@
             for (int i = 0; i < writes; i++) {
                 harness.submit("write" + i, NON_IDEMPOTENT_WRITE);
             }
-            for (int i = 0;
-                    i < harness.attempts.size();
-                    i++) { // Each rejection moves the write on, until the round is complete.
+            // Each rejection moves the write on, which adds an attempt, until the round is complete.
+            for (int i = 0; i < harness.attempts.size(); i++) {
                 harness.complete(harness.attempts.get(i), Outcome.WRONG_ROLE_OR_STALE, 1_000, Role.REPLICA, 0, null);
             }
             for (int i = 0; i < 20; i++) {
--- a/decisions/src/test/java/frostreel/routing/FreshnessTest.java
+++ b/decisions/src/test/java/frostreel/routing/FreshnessTest.java
@@ -20,6 +20,13 @@
 
 /** Which members are fresh enough for a read. */
 class FreshnessTest {
+    /** A router that remembers the writes of sessions, with a primary a and a replica b. */
+    private static RouterHarness rememberingSessions() {
+        return new SettingsBuilder()
+                .sessionTracking(SessionTracking.REMEMBERED)
+                .start(primary("a", 0), replica("b", 0));
+    }
+
     @Test
     void boundedReadNeedsAPositionWithinItsStalenessBound() {
         RouterHarness harness = threeMembers();
@@ -44,9 +51,7 @@
 
     @Test
     void readsOfASessionMustSeeItsRememberedCommits() {
-        RouterHarness harness = new SettingsBuilder()
-                .sessionTracking(SessionTracking.REMEMBERED)
-                .start(primary("a", 0), replica("b", 0));
+        RouterHarness harness = rememberingSessions();
         harness.healthCheckSucceeded("b", Role.REPLICA, harness.nowUs - 100_000);
         harness.submit("write", NON_IDEMPOTENT_WRITE);
         harness.complete("write", Outcome.OK, Role.PRIMARY, harness.nowUs - 5_000);
@@ -62,9 +67,7 @@
     /** The server may have answered and the answer may be lost: what it contained counts as known all the same. */
     @Test
     void readsOfASessionMustSeeItsWritesWithUnknownOutcome() {
-        RouterHarness harness = new SettingsBuilder()
-                .sessionTracking(SessionTracking.REMEMBERED)
-                .start(primary("a", 0), replica("b", 0));
+        RouterHarness harness = rememberingSessions();
         harness.healthCheckSucceeded("b", Role.REPLICA, harness.nowUs - 10_000);
         harness.submit("write", NON_IDEMPOTENT_WRITE);
         harness.advance(150_000);
@@ -81,9 +84,7 @@
     /** While an attempt waits for its connection, further commits may become known that its answer must contain. */
     @Test
     void attemptThatWaitsForAConnectionMayBeginOnlyWhileItsMemberIsFreshEnough() {
-        RouterHarness harness = new SettingsBuilder()
-                .sessionTracking(SessionTracking.REMEMBERED)
-                .start(primary("a", 0), replica("b", 0));
+        RouterHarness harness = rememberingSessions();
         harness.healthCheckSucceeded("b", Role.REPLICA, harness.nowUs - 100_000);
         harness.submit("write", NON_IDEMPOTENT_WRITE);
         harness.submit("read", SESSION_READ);
@@ -98,9 +99,7 @@
     /** Forgetting a commit must not permit its session to read data that is older than its write. */
     @Test
     void forgottenCommitsStillBindReads() {
-        RouterHarness harness = new SettingsBuilder()
-                .sessionTracking(SessionTracking.REMEMBERED)
-                .start(primary("a", 0), replica("b", 0));
+        RouterHarness harness = rememberingSessions();
         harness.submit("write", NON_IDEMPOTENT_WRITE);
         long commitUs = harness.nowUs;
         harness.complete("write", Outcome.OK, Role.PRIMARY, commitUs);
--- a/decisions/src/test/java/frostreel/routing/LoadSheddingTest.java
+++ b/decisions/src/test/java/frostreel/routing/LoadSheddingTest.java
@@ -58,8 +58,8 @@
         RouterHarness harness = threeMembers();
         int ended = 0;
         for (int i = 0; i < 60; i++) {
-            for (int j = 0; j < 6; j++) {
-                harness.submit("read" + i + j, ANY_READ);
+            for (int read = 0; read < 6; read++) {
+                harness.submit("read" + i + read, ANY_READ);
             }
             harness.advance(200_000);
             for (; ended < harness.attempts.size(); ended++) { // Each completion may start another attempt.
--- a/decisions/src/test/java/frostreel/routing/OutlierDetectionTest.java
+++ b/decisions/src/test/java/frostreel/routing/OutlierDetectionTest.java
@@ -3,30 +3,40 @@
 import static frostreel.routing.RouterHarness.ANY_READ;
 import static frostreel.routing.RouterHarness.primary;
 import static frostreel.routing.RouterHarness.replica;
-import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import frostreel.routing.Router.Outcome;
 import frostreel.routing.Router.Role;
+import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 
 /** Members that fail or are slower than their peers. */
 class OutlierDetectionTest {
+    private static final long INTERVAL_US = 10_000;
+    private final RouterHarness harness =
+            new SettingsBuilder().start(primary("a", 0), replica("b", 0), replica("c", 0));
+
+    /** Submits reads in turn, none of which may have to wait. */
+    private void submitReads(int count, Consumer<RouterHarness.Attempt> end) {
+        assertEquals(count, harness.submitInTurn("read", count, ANY_READ, INTERVAL_US, end), "reads that did not wait");
+    }
+
+    private void assertSecondReplicaReceivesFarMoreThanTheFirst() {
+        assertTrue(
+                harness.attemptCountTo("b") < harness.attemptCountTo("c") / 4,
+                harness.attemptCountTo("b") + " against " + harness.attemptCountTo("c"));
+    }
+
     @Test
     void failingReplicaLosesItsReadsButIsTriedAgainLater() {
-        RouterHarness harness = new SettingsBuilder().start(primary("a", 0), replica("b", 0), replica("c", 0));
-        for (int i = 0; i < 400; i++) {
-            harness.submit("read" + i, ANY_READ);
-            harness.advance(10_000);
-            RouterHarness.Attempt attempt = harness.lastAttempt("read" + i);
+        submitReads(400, attempt -> {
             if (attempt.member().equals("b")) {
-                harness.complete("read" + i, Outcome.ERROR, Role.REPLICA, 0);
+                harness.complete(attempt.requestId(), Outcome.ERROR, Role.REPLICA, 0);
             }
-            harness.complete("read" + i, Outcome.OK, Role.REPLICA, harness.nowUs);
-        }
-        assertTrue(
-                harness.attemptCountTo("b") < harness.attemptCountTo("c") / 4,
-                harness.attemptCountTo("b") + " against " + harness.attemptCountTo("c"));
+            harness.answerAsReplica(harness.lastAttempt(attempt.requestId()));
+        });
+        assertSecondReplicaReceivesFarMoreThanTheFirst();
         long before = harness.attemptCountTo("b");
         harness.advance(20_000_000);
         for (int i = 0; i < 20; i++) {
@@ -38,29 +48,18 @@
 
     @Test
     void slowReplicaReceivesLessThanItsPeer() {
-        RouterHarness harness = new SettingsBuilder().start(primary("a", 0), replica("b", 0), replica("c", 0));
-        for (int i = 0; i < 300; i++) {
-            harness.submit("read" + i, ANY_READ);
-            harness.advance(10_000);
-            RouterHarness.Attempt attempt = harness.lastAttempt("read" + i);
-            harness.answer(attempt, attempt.member().equals("b") ? 500_000 : 50_000, Role.REPLICA);
-        }
-        assertTrue(
-                harness.attemptCountTo("b") < harness.attemptCountTo("c") / 4,
-                harness.attemptCountTo("b") + " against " + harness.attemptCountTo("c"));
+        submitReads(
+                300, attempt -> harness.answer(attempt, attempt.member().equals("b") ? 500_000 : 50_000, Role.REPLICA));
+        assertSecondReplicaReceivesFarMoreThanTheFirst();
     }
 
     /** Health is relative: when all members are slow, no majority is ejected. */
     @Test
     void allMembersKeepServingWhenAllAreSlow() {
-        RouterHarness harness = new SettingsBuilder().start(primary("a", 0), replica("b", 0), replica("c", 0));
-        for (int i = 0; i < 200; i++) {
-            harness.submit("read" + i, ANY_READ);
-            harness.advance(10_000);
-            RouterHarness.Attempt attempt = harness.lastAttempt("read" + i);
-            assertNotNull(attempt, "request " + i + " waits although nothing is in flight");
-            harness.answer(attempt, 900_000, attempt.member().equals("a") ? Role.PRIMARY : Role.REPLICA);
-        }
+        submitReads(
+                200,
+                attempt ->
+                        harness.answer(attempt, 900_000, attempt.member().equals("a") ? Role.PRIMARY : Role.REPLICA));
         assertTrue(harness.attemptCountTo("b") > 50 && harness.attemptCountTo("c") > 50);
     }
 }
--- a/decisions/src/test/java/frostreel/routing/PrimaryTrackingTest.java
+++ b/decisions/src/test/java/frostreel/routing/PrimaryTrackingTest.java
@@ -15,27 +15,33 @@
 
 /** Which evidence of a role decides who is taken for the primary, and when that is doubted. */
 class PrimaryTrackingTest {
-    @Test
-    void primaryConfirmedByAnAnswerIsNotReplacedByALateMemberList() {
+    /** Three members of which a is listed as primary, and b has answered a write as primary. */
+    private static RouterHarness answeredByBAsPrimary() {
         RouterHarness harness = threeMembers();
         harness.submit("write", KEYED_WRITE);
         harness.complete("write", Outcome.WRONG_ROLE_OR_STALE, Role.REPLICA, 0);
         harness.complete("write", Outcome.OK, Role.PRIMARY, 0);
+        return harness;
+    }
+
+    private static void assertNextWriteGoesToB(RouterHarness harness) {
+        harness.submit("next write", KEYED_WRITE);
+        assertEquals("b", harness.lastAttempt("next write").member());
+    }
+
+    @Test
+    void primaryConfirmedByAnAnswerIsNotReplacedByALateMemberList() {
+        RouterHarness harness = answeredByBAsPrimary();
         harness.advance(20_000);
         harness.updateMembers(ListKind.FULL, primary("a", 0), replica("b", 0), replica("c", 1));
-        harness.submit("second write", KEYED_WRITE);
-        assertEquals("b", harness.lastAttempt("second write").member());
+        assertNextWriteGoesToB(harness);
     }
 
     @Test
     void primaryConfirmedByAnAnswerIsNotReplacedByAnOldReport() {
-        RouterHarness harness = threeMembers();
-        harness.submit("write", KEYED_WRITE);
-        harness.complete("write", Outcome.WRONG_ROLE_OR_STALE, Role.REPLICA, 0);
-        harness.complete("write", Outcome.OK, Role.PRIMARY, 0);
+        RouterHarness harness = answeredByBAsPrimary();
         harness.healthCheckSucceeded("a", Role.PRIMARY, harness.nowUs - 300_000);
-        harness.submit("second write", KEYED_WRITE);
-        assertEquals("b", harness.lastAttempt("second write").member());
+        assertNextWriteGoesToB(harness);
     }
 
     @Test
--- a/decisions/src/test/java/frostreel/routing/RouterHarness.java
+++ b/decisions/src/test/java/frostreel/routing/RouterHarness.java
@@ -9,6 +9,7 @@
 import frostreel.routing.Router.State;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.function.Consumer;
 
 /**
  * A router under test with a clock that a test advances by hand. Records what the router asked for, and fires its
@@ -112,6 +113,31 @@
         router.onRequest(nowUs, new Request(id, requestClass, SESSION, GROUP, nowUs + USUAL_DEADLINE_US, 0, true));
     }
 
+    /**
+     * Submits requests one after another, numbered from 0 behind a prefix, and lets an interval pass after each.
+     *
+     * @param end ends the newest attempt of each request that has one when its interval is over
+     * @return how many requests that were
+     */
+    int submitInTurn(String prefix, int count, int requestClass, long intervalUs, Consumer<Attempt> end) {
+        int attempted = 0;
+        for (int i = 0; i < count; i++) {
+            submit(prefix + i, requestClass);
+            advance(intervalUs);
+            Attempt attempt = lastAttempt(prefix + i);
+            if (attempt != null) {
+                end.accept(attempt);
+                attempted++;
+            }
+        }
+        return attempted;
+    }
+
+    /** Ends an attempt with an answer of a replica that took the usual time and is current as of now. */
+    void answerAsReplica(Attempt attempt) {
+        answer(attempt, USUAL_DURATION_US, Role.REPLICA);
+    }
+
     /** Ends the newest attempt of a request; OK also ends the request. */
     void complete(String id, Outcome outcome, Role role, long positionUs) {
         complete(lastAttempt(id), outcome, USUAL_DURATION_US, role, positionUs, null);
--- a/decisions/src/test/java/frostreel/routing/SlowStartRoutingTest.java
+++ b/decisions/src/test/java/frostreel/routing/SlowStartRoutingTest.java
@@ -15,35 +15,34 @@
 
 /** What routers send a member that started a short while ago. */
 class SlowStartRoutingTest {
+    private static final long STARTED_US = 99_900_000;
+
+    /** A primary, a warm replica b, and a replica c that has just started. */
+    private static RouterHarness withStartingReplica() {
+        return new SettingsBuilder().start(primary("a", 0), replica("b", 0), startedAt(replica("c", 0), STARTED_US));
+    }
+
+    private static void assertSomeButLessThanHalf(long startingMemberAttempts, long warmMemberAttempts) {
+        assertTrue(startingMemberAttempts > 0, "the starting member receives some");
+        assertTrue(
+                startingMemberAttempts < warmMemberAttempts / 2,
+                startingMemberAttempts + " against " + warmMemberAttempts);
+    }
+
     @Test
     void startingMemberReceivesAShareOfWhatAWarmMemberServes() {
-        RouterHarness harness =
-                new SettingsBuilder().start(primary("a", 0), replica("b", 0), startedAt(replica("c", 0), 99_900_000));
-        for (int i = 0; i < 400; i++) {
-            harness.submit("read" + i, ANY_READ);
-            harness.advance(10_000);
-            if (harness.lastAttempt("read" + i) != null) {
-                harness.complete("read" + i, Outcome.OK, Role.REPLICA, harness.nowUs);
-            }
-        }
-        assertTrue(harness.attemptCountTo("c") > 0, "it gets some");
-        assertTrue(
-                harness.attemptCountTo("c") < harness.attemptCountTo("b") / 2,
-                harness.attemptCountTo("c") + " against " + harness.attemptCountTo("b"));
+        RouterHarness harness = withStartingReplica();
+        harness.submitInTurn("read", 400, ANY_READ, 10_000, harness::answerAsReplica);
+        assertSomeButLessThanHalf(harness.attemptCountTo("c"), harness.attemptCountTo("b"));
     }
 
     /** A burst of rejections by warm members once raised the share of a starting member beyond its capacity. */
     @Test
     void rejectedWorkDoesNotRaiseTheShareOfAStartingMember() {
-        RouterHarness harness =
-                new SettingsBuilder().start(primary("a", 0), replica("b", 0), startedAt(replica("c", 0), 99_900_000));
+        RouterHarness harness = withStartingReplica();
         for (int i = 0; i < 300; i++) {
             harness.submit("read" + i, ANY_READ);
-            for (int j = 0;
-                    j < 3
-                            && harness.lastAttempt("read" + i) != null
-                            && !harness.lastAttempt("read" + i).member().equals("c");
-                    j++) {
+            for (int rejections = 0; rejections < 3 && isAtWarmMember(harness, "read" + i); rejections++) {
                 harness.complete("read" + i, Outcome.REJECTED, Role.REPLICA, harness.nowUs);
             }
             harness.advance(5_000);
@@ -51,6 +50,11 @@
         assertTrue(harness.attemptCountTo("c") <= 1, "sent " + harness.attemptCountTo("c"));
     }
 
+    private static boolean isAtWarmMember(RouterHarness harness, String id) {
+        RouterHarness.Attempt attempt = harness.lastAttempt(id);
+        return attempt != null && !attempt.member().equals("c");
+    }
+
     /**
      * The member had another slow-start budget when it was chosen, and all connections to a returning member open
      * at once.
@@ -94,9 +98,6 @@
             startingMemberAttempts += harness.attemptCountTo("c");
             warmMemberAttempts += harness.attemptCountTo("b");
         }
-        assertTrue(startingMemberAttempts > 0, "it gets some");
-        assertTrue(
-                startingMemberAttempts < warmMemberAttempts / 2,
-                startingMemberAttempts + " against " + warmMemberAttempts);
+        assertSomeButLessThanHalf(startingMemberAttempts, warmMemberAttempts);
     }
 }
