--- a/decisions/src/test/java/frostreel/routing/ConcurrencyLimitTest.java
+++ b/decisions/src/test/java/frostreel/routing/ConcurrencyLimitTest.java
@@ -41,8 +41,7 @@
     @Test
     void memberWhoseServiceTimeIsAThirdOfTheObjectiveReceivesConcurrentRequests() {
         RouterHarness harness = new SettingsBuilder().start(replica("b", 0));
-        harness.submitInTurn(
-                "read", 200, ANY_READ, 200_000, attempt -> harness.answer(attempt, 200_000, Role.REPLICA));
+        harness.submitInTurn("read", 200, ANY_READ, 200_000, attempt -> harness.answer(attempt, 200_000, Role.REPLICA));
         assertSentAtOnce(harness, ANY_READ);
     }
 
@@ -75,8 +74,8 @@
         harness.advance(700_000);
         harness.complete("read", Outcome.TIMEOUT);
         harness.advance(60_000_000);
-        harness.submit("read2", ANY_READ);
-        assertTrue(harness.lastAttempt("read2").timeoutUs() <= 600_000);
-        assertTrue(harness.lastAttempt("read2").timeoutUs() > 100_000);
+        harness.submit("second read", ANY_READ);
+        assertTrue(harness.lastAttempt("second read").timeoutUs() <= 600_000);
+        assertTrue(harness.lastAttempt("second read").timeoutUs() > 100_000);
     }
 }
--- a/decisions/src/test/java/frostreel/routing/FreshnessTest.java
+++ b/decisions/src/test/java/frostreel/routing/FreshnessTest.java
@@ -60,8 +60,8 @@
         harness.advance(700_000);
         assertEquals(0, harness.attemptCountTo("b"));
         harness.healthCheckSucceeded("b", Role.REPLICA, harness.nowUs - 50_000);
-        harness.submit("read2", SESSION_READ);
-        assertEquals("b", harness.lastAttempt("read2").member());
+        harness.submit("second read", SESSION_READ);
+        assertEquals("b", harness.lastAttempt("second read").member());
     }
 
     /** The server may have answered and the answer may be lost: what it contained counts as known all the same. */
--- a/decisions/src/test/java/frostreel/routing/MembershipTest.java
+++ b/decisions/src/test/java/frostreel/routing/MembershipTest.java
@@ -101,11 +101,11 @@
         harness.complete("write", Outcome.WRONG_ROLE_OR_STALE, Role.REPLICA, 0);
         assertEquals("c", harness.lastAttempt("write").member(), "an unverified member is the last of the chain");
         harness.healthCheckFailed("a");
-        harness.submit("read2", ANY_READ);
+        harness.submit("second read", ANY_READ);
         assertEquals(0, harness.attemptCountTo("a"));
         harness.healthCheckSucceeded("a", Role.REPLICA, harness.nowUs);
-        harness.submit("read3", ANY_READ);
-        assertEquals("a", harness.lastAttempt("read3").member());
+        harness.submit("third read", ANY_READ);
+        assertEquals("a", harness.lastAttempt("third read").member());
     }
 
     /** Unverified members must not stay for ever where only draining is binding. */
--- a/decisions/src/test/java/frostreel/routing/SlowStartTest.java
+++ b/decisions/src/test/java/frostreel/routing/SlowStartTest.java
@@ -17,17 +17,28 @@
         return RouterHarness.startedAt(RouterHarness.replica(id, 0), startedUs);
     }
 
+    /** Registers a member that the list says has started then. */
+    private static SlowStart.Member register(SlowStart slowStart, String id, long nowUs, long startedUs) {
+        SlowStart.Member member = slowStart.register(nowUs);
+        slowStart.recordListEntry(nowUs, member, entry(id, startedUs));
+        return member;
+    }
+
+    private static SlowStart.Member registerWarm(SlowStart slowStart) {
+        return register(slowStart, "warm", START_US, Member.LONG_AGO);
+    }
+
     private static SlowStart slowStart(int instances, long seed) {
         return new SlowStart(
                 new SettingsBuilder().instances(instances).seed(seed).build());
     }
 
     /** How many requests of a class one router sends a member that has just started, over 2 s. */
-    private static int sent(SlowStart slowStart, SlowStart.Member cold, long fromUs, int requestClass, long stepUs) {
+    private static int sent(SlowStart slowStart, SlowStart.Member cold, long fromUs, int classIndex, long stepUs) {
         int sent = 0;
         for (long nowUs = fromUs; nowUs < fromUs + 2 * SECOND_US; nowUs += stepUs) {
-            if (slowStart.admits(nowUs, cold, requestClass)) {
-                slowStart.recordSend(cold, requestClass);
+            if (slowStart.admits(nowUs, cold, classIndex)) {
+                slowStart.recordSend(cold, classIndex);
                 sent++;
             }
         }
@@ -35,11 +46,10 @@
     }
 
     /** Lets a warm member serve requests of a class for 20 s at a steady rate. */
-    private static long serve(
-            SlowStart slowStart, SlowStart.Member warm, int requestClass, int perSecond, long tookUs) {
+    private static long serve(SlowStart slowStart, SlowStart.Member warm, int classIndex, int perSecond, long tookUs) {
         long nowUs = START_US;
         for (; nowUs < START_US + 20 * SECOND_US; nowUs += SECOND_US / perSecond) {
-            slowStart.recordAnswer(nowUs, warm, requestClass, tookUs);
+            slowStart.recordAnswer(nowUs, warm, classIndex, tookUs);
         }
         return nowUs;
     }
@@ -53,8 +63,7 @@
         int all = 0;
         for (int seed = 0; seed < 60; seed++) {
             SlowStart slowStart = slowStart(60, seed);
-            SlowStart.Member cold = slowStart.register(START_US);
-            slowStart.recordListEntry(START_US, cold, entry("b", START_US));
+            SlowStart.Member cold = register(slowStart, "cold", START_US, START_US);
             all += sent(slowStart, cold, START_US, LONG, 1_000);
         }
         // A quarter of a core does four requests of a fifth of their objective in 2 s; three times that overloads it.
@@ -68,13 +77,11 @@
     @Test
     void queueingTimeIsNotCountedAsWork() {
         SlowStart slowStart = slowStart(1, 7);
-        SlowStart.Member warm = slowStart.register(START_US);
-        slowStart.recordListEntry(START_US, warm, entry("a", 0));
+        SlowStart.Member warm = registerWarm(slowStart);
         slowStart.recordAnswer(START_US, warm, SHORT, WORK_US);
         slowStart.recordAnswer(START_US, warm, LONG, 20 * WORK_US);
         long nowUs = serve(slowStart, warm, SHORT, 10, 20 * WORK_US); // Queued: ten a second of 50 ms.
-        SlowStart.Member cold = slowStart.register(nowUs);
-        slowStart.recordListEntry(nowUs, cold, entry("b", nowUs));
+        SlowStart.Member cold = register(slowStart, "cold", nowUs, nowUs);
         assertThat(sent(slowStart, cold, nowUs, LONG, 5_000)).isLessThanOrEqualTo(2);
     }
 
@@ -82,11 +89,9 @@
     @Test
     void withoutReportsAStartingMemberReceivesMoreThanOthersServeButLessThanOverloadsIt() {
         SlowStart slowStart = slowStart(1, 7);
-        SlowStart.Member warm = slowStart.register(START_US);
-        slowStart.recordListEntry(START_US, warm, entry("a", 0));
+        SlowStart.Member warm = registerWarm(slowStart);
         long startedUs = serve(slowStart, warm, SHORT, 40, WORK_US);
-        SlowStart.Member cold = slowStart.register(startedUs);
-        slowStart.recordListEntry(startedUs, cold, entry("b", startedUs));
+        SlowStart.Member cold = register(slowStart, "cold", startedUs, startedUs);
         int sent = 0;
         for (long nowUs = startedUs; nowUs < startedUs + 2 * SECOND_US; nowUs += SECOND_US / 40) {
             slowStart.recordAnswer(nowUs, warm, SHORT, WORK_US);
@@ -103,20 +108,18 @@
     @Test
     void workOfAClassWithoutAnswersIsEstimatedFromTheOtherClasses() {
         SlowStart slowStart = slowStart(0, 7);
-        SlowStart.Member only = slowStart.register(START_US);
-        slowStart.recordListEntry(START_US, only, entry("a", 0));
+        SlowStart.Member only = registerWarm(slowStart);
         for (int i = 0; i < 20; i++) {
             slowStart.recordAnswer(START_US, only, SHORT, WORK_US / 1000);
         }
-        slowStart.recordListEntry(START_US, only, entry("a", START_US));
+        slowStart.recordListEntry(START_US, only, entry("warm", START_US)); // It restarts.
         assertThat(sent(slowStart, only, START_US, LONG, 1_000)).isBetween(1, 60);
     }
 
     @Test
     void warmMemberIsNotLimited() {
         SlowStart slowStart = slowStart(100, 7);
-        SlowStart.Member member = slowStart.register(START_US);
-        slowStart.recordListEntry(START_US, member, entry("a", START_US - 18 * SECOND_US));
+        SlowStart.Member member = register(slowStart, "warm", START_US, START_US - 18 * SECOND_US);
         assertThat(sent(slowStart, member, START_US, SHORT, 10_000)).isEqualTo(200);
     }
 }
--- a/decisions/src/test/java/frostreel/zones/ZoneFailoverPolicyTest.java
+++ b/decisions/src/test/java/frostreel/zones/ZoneFailoverPolicyTest.java
@@ -12,8 +12,15 @@
 
 /** A pooler in zone 0 with zones 1 and 2 as its tiers, and four groups with a member in each zone. */
 class ZoneFailoverPolicyTest {
-    private static final int CHEAP = 0;
-    private static final int DEAR = 1;
+    /** The pooler's own zone; each zone is a tier. */
+    private static final int OWN = 0;
+
+    private static final int NEXT = 1;
+    private static final int FARTHEST = 2;
+    /** Request classes by their rank: the first has twice the priority weight for the same work. */
+    private static final int HIGH_RANK = 0;
+
+    private static final int LOW_RANK = 1;
     private static final double WORK_US = 40_000;
     private static final long SECOND_US = 1_000_000;
     private static final double SPILL = 0.25;
@@ -22,7 +29,7 @@
             0,
             0,
             1000,
-            List.of(read("cheap", 2), read("dear", 1)),
+            List.of(read("high", 2), read("low", 1)),
             Router.StalenessCheck.REFUSE,
             Router.ListRole.LATE,
             Router.SessionTracking.CARRIED,
@@ -44,12 +51,12 @@
     /** Handles by group and zone. */
     private final int[][] handles = new int[4][3];
 
-    private long now = 1_000 * SECOND_US;
+    private long nowUs = 1_000 * SECOND_US;
 
     ZoneFailoverPolicyTest() {
-        for (int g = 0; g < handles.length; g++) {
-            for (int z = 0; z < 3; z++) {
-                handles[g][z] = policy.onMemberAdded(g, z);
+        for (int group = 0; group < handles.length; group++) {
+            for (int zone : new int[] {OWN, NEXT, FARTHEST}) {
+                handles[group][zone] = policy.onMemberAdded(group, zone);
             }
         }
     }
@@ -72,10 +79,11 @@
     private int sendReads(int handle, int classIndex, int perSecond, double seconds) {
         int admitted = 0;
         for (int i = 0; i < perSecond * seconds; i++) {
-            now += SECOND_US / perSecond;
-            if (policy.costFactor(now, handle) < Double.POSITIVE_INFINITY && policy.admits(now, handle, classIndex)) {
-                policy.onAttemptSent(now, handle, classIndex, WORK_US);
-                policy.onAttemptEnded(now, handle, Outcome.OK, WORK_US);
+            nowUs += SECOND_US / perSecond;
+            if (policy.costFactor(nowUs, handle) < Double.POSITIVE_INFINITY
+                    && policy.admits(nowUs, handle, classIndex)) {
+                policy.onAttemptSent(nowUs, handle, classIndex, WORK_US);
+                policy.onAttemptEnded(nowUs, handle, Outcome.OK, WORK_US);
                 admitted++;
             }
         }
@@ -85,79 +93,81 @@
     private void serveNearestTier() {
         for (int i = 0; i < 40; i++) {
             for (int[] group : handles) {
-                assertThat(sendReads(group[0], CHEAP, 10, 1)).isEqualTo(10);
+                assertThat(sendReads(group[OWN], HIGH_RANK, 10, 1)).isEqualTo(10);
             }
         }
     }
 
     private void fail(int handle, int times) {
         for (int i = 0; i < times; i++) {
-            now += 250_000;
-            policy.onAttemptEnded(now, handle, Outcome.CONNECT_FAILED, WORK_US);
+            nowUs += 250_000;
+            policy.onAttemptEnded(nowUs, handle, Outcome.CONNECT_FAILED, WORK_US);
         }
     }
 
     private boolean isOpen(int handle) {
-        return policy.costFactor(now, handle) < Double.POSITIVE_INFINITY;
+        return policy.costFactor(nowUs, handle) < Double.POSITIVE_INFINITY;
     }
 
     private void takeZoneDown() {
         for (int[] group : handles) {
-            fail(group[0], 3);
+            fail(group[OWN], 3);
         }
     }
 
     @Test
     void costFactorDoublesWithEachTier() {
-        assertThat(policy.costFactor(now, handles[0][0])).isEqualTo(1);
-        assertThat(policy.costFactor(now, handles[0][1])).isEqualTo(2);
-        assertThat(policy.costFactor(now, handles[0][2])).isEqualTo(4);
+        assertThat(policy.costFactor(nowUs, handles[0][OWN])).isEqualTo(1);
+        assertThat(policy.costFactor(nowUs, handles[0][NEXT])).isEqualTo(2);
+        assertThat(policy.costFactor(nowUs, handles[0][FARTHEST])).isEqualTo(4);
         assertThatThrownBy(() -> new ZoneSettings.Tier(List.of(1), 0)).isInstanceOf(IllegalArgumentException.class);
     }
 
     @Test
     void replicasGoDownByThreeFailuresWithoutAnAnswerBetween() {
         serveNearestTier();
-        fail(handles[0][0], 2);
-        policy.onAttemptEnded(now, handles[0][0], Outcome.WRONG_ROLE_OR_STALE, WORK_US);
-        fail(handles[0][0], 2);
-        assertThat(isOpen(handles[0][0])).isTrue();
-        fail(handles[0][0], 1);
-        assertThat(isOpen(handles[0][0])).isFalse();
-        assertThat(isOpen(handles[1][0])).isTrue();
+        fail(handles[0][OWN], 2);
+        policy.onAttemptEnded(nowUs, handles[0][OWN], Outcome.WRONG_ROLE_OR_STALE, WORK_US);
+        fail(handles[0][OWN], 2);
+        assertThat(isOpen(handles[0][OWN])).isTrue();
+        fail(handles[0][OWN], 1);
+        assertThat(isOpen(handles[0][OWN])).isFalse();
+        assertThat(isOpen(handles[1][OWN])).isTrue();
     }
 
     @Test
     void zoneWithFailuresInSeveralGroupsAndNoAnswerGoesDownAsAWhole() {
         serveNearestTier();
-        fail(handles[0][0], 2);
-        fail(handles[1][0], 1);
-        assertThat(isOpen(handles[0][0])).isTrue();
-        fail(handles[2][0], 1);
+        fail(handles[0][OWN], 2);
+        fail(handles[1][OWN], 1);
+        assertThat(isOpen(handles[0][OWN])).isTrue();
+        fail(handles[2][OWN], 1);
         for (int[] group : handles) {
-            assertThat(isOpen(group[0])).isFalse();
+            assertThat(isOpen(group[OWN])).isFalse();
         }
-        assertThat(isOpen(handles[0][1])).isTrue();
-        policy.onHealthCheck(now, handles[3][0], true); // It had no failure of its own: no ramp.
-        assertThat(sendReads(handles[3][0], CHEAP, 50, 1)).isEqualTo(50);
-        policy.onHealthCheck(now, handles[1][0], true);
-        assertThat(policy.admits(now, handles[1][0], CHEAP)).as("in a ramp").isFalse();
+        assertThat(isOpen(handles[0][NEXT])).isTrue();
+        policy.onHealthCheck(nowUs, handles[3][OWN], true); // It had no failure of its own: no ramp.
+        assertThat(sendReads(handles[3][OWN], HIGH_RANK, 50, 1)).isEqualTo(50);
+        policy.onHealthCheck(nowUs, handles[1][OWN], true);
+        assertThat(policy.admits(nowUs, handles[1][OWN], HIGH_RANK))
+                .as("in a ramp")
+                .isFalse();
     }
 
     @Test
     void failuresOfOneGroupDoNotTakeItsZoneDown() {
         serveNearestTier();
-        fail(handles[0][0], 9);
-        assertThat(isOpen(handles[0][0])).isFalse();
-        assertThat(isOpen(handles[1][0])).isTrue();
+        fail(handles[0][OWN], 9);
+        assertThat(isOpen(handles[0][OWN])).isFalse();
+        assertThat(isOpen(handles[1][OWN])).isTrue();
     }
 
     @Test
     void spillIsBoundedByTheTiersShareOfWhatTheNearestServed() {
         serveNearestTier();
         takeZoneDown();
-        sendReads(handles[0][1], CHEAP, 100, 3); // Uses what the budget had saved up.
-        int sent = sendReads(handles[0][1], CHEAP, 100, 20);
+        sendReads(handles[0][NEXT], HIGH_RANK, 100, 3); // Uses what the budget had saved up.
+        int sent = sendReads(handles[0][NEXT], HIGH_RANK, 100, 20);
         // Ten reads a second sent to one of the four groups at a time.
         assertThat(sent / 20.0).isCloseTo(SPILL * 10, within(0.5));
     }
@@ -166,77 +176,79 @@
     void classesOfLessWeightForTheirWorkAreDeniedFirst() {
         serveNearestTier();
         takeZoneDown();
-        sendReads(handles[0][1], CHEAP, 100, 3);
-        int cheap = 0;
-        int dear = 0;
+        sendReads(handles[0][NEXT], HIGH_RANK, 100, 3);
+        int highRankAdmitted = 0;
+        int lowRankAdmitted = 0;
         for (int i = 0; i < 200; i++) {
-            dear += sendReads(handles[0][1], DEAR, 10, 0.1);
-            cheap += sendReads(handles[0][1], CHEAP, 10, 0.1);
+            lowRankAdmitted += sendReads(handles[0][NEXT], LOW_RANK, 10, 0.1);
+            highRankAdmitted += sendReads(handles[0][NEXT], HIGH_RANK, 10, 0.1);
         }
-        assertThat(cheap).isGreaterThan(5 * Math.max(1, dear));
+        assertThat(highRankAdmitted).isGreaterThan(5 * Math.max(1, lowRankAdmitted));
     }
 
     @Test
     void withoutOutageATierServesItsShareAndGroupsWithoutNearerMembersAreNotBounded() {
         serveNearestTier();
-        assertThat(sendReads(handles[0][2], CHEAP, 100, 10)).isLessThan(100);
-        int far = policy.onMemberAdded(9, 1);
-        assertThat(sendReads(far, CHEAP, 100, 2)).isEqualTo(200);
+        assertThat(sendReads(handles[0][FARTHEST], HIGH_RANK, 100, 10)).isLessThan(100);
+        int far = policy.onMemberAdded(9, NEXT);
+        assertThat(sendReads(far, HIGH_RANK, 100, 2)).isEqualTo(200);
     }
 
     @Test
     void recoveringReplicasAreRampedUpFromTheirColdShare() {
         serveNearestTier();
         takeZoneDown();
-        int handle = handles[0][0];
-        assertThat(policy.healthCheckDue(now, handle)).isTrue();
-        assertThat(policy.healthCheckDue(now, handle)).as("again right away").isFalse();
-        policy.onHealthCheck(now, handle, true);
+        int handle = handles[0][OWN];
+        assertThat(policy.healthCheckDue(nowUs, handle)).isTrue();
+        assertThat(policy.healthCheckDue(nowUs, handle)).as("again right away").isFalse();
+        policy.onHealthCheck(nowUs, handle, true);
         assertThat(isOpen(handle)).isTrue();
-        assertThat(policy.admits(now, handle, CHEAP))
+        assertThat(policy.admits(nowUs, handle, HIGH_RANK))
                 .as("the ramp begins below zero")
                 .isFalse();
-        double first = sendReads(handle, CHEAP, 50, 3) / 3.0;
+        double first = sendReads(handle, HIGH_RANK, 50, 3) / 3.0;
         assertThat(first).isBetween(0.3, 1.5); // Of 2.5 a second before; cold it can do 0.2 to 0.36 of that.
-        sendReads(handle, CHEAP, 50, 12);
-        assertThat(sendReads(handle, CHEAP, 50, 1)).isEqualTo(50);
+        sendReads(handle, HIGH_RANK, 50, 12);
+        assertThat(sendReads(handle, HIGH_RANK, 50, 1)).isEqualTo(50);
         assertThat(policy.toString()).contains("recoveries=1").contains("0={UP=1, DOWN=3}");
     }
 
     @Test
     void secondOutageWithinAMinuteDelaysTheRecoveryAndMinutesLaterItDoesNot() {
         serveNearestTier();
-        int handle = handles[0][0];
+        int handle = handles[0][OWN];
         fail(handle, 3);
-        policy.onHealthCheck(now, handle, true);
+        policy.onHealthCheck(nowUs, handle, true);
         assertThat(isOpen(handle)).isTrue();
-        now += 10 * SECOND_US;
+        nowUs += 10 * SECOND_US;
         fail(handle, 1); // During a ramp one failure is enough.
         assertThat(isOpen(handle)).isFalse();
-        policy.onHealthCheck(now, handle, true);
+        policy.onHealthCheck(nowUs, handle, true);
         assertThat(isOpen(handle)).as("on probation").isFalse();
-        now += SECOND_US / 2;
-        policy.onHealthCheck(now, handle, false); // The delay starts again.
-        now += SECOND_US;
-        policy.onHealthCheck(now, handle, true);
+        nowUs += SECOND_US / 2;
+        policy.onHealthCheck(nowUs, handle, false); // The delay starts again.
+        nowUs += SECOND_US;
+        policy.onHealthCheck(nowUs, handle, true);
         assertThat(isOpen(handle)).isFalse();
-        now += 10 * SECOND_US;
-        policy.onHealthCheck(now, handle, true);
+        nowUs += 10 * SECOND_US;
+        policy.onHealthCheck(nowUs, handle, true);
         assertThat(isOpen(handle)).isTrue();
-        now += 600 * SECOND_US;
-        assertThat(policy.admits(now, handle, CHEAP)).isTrue();
+        nowUs += 600 * SECOND_US;
+        assertThat(policy.admits(nowUs, handle, HIGH_RANK)).isTrue();
         fail(handle, 3);
-        policy.onHealthCheck(now, handle, true);
+        policy.onHealthCheck(nowUs, handle, true);
         assertThat(isOpen(handle)).isTrue();
     }
 
     @Test
     void handlesAreReusedAndReplicasWithoutMembersStillCountAsNearest() {
         serveNearestTier();
-        policy.onMemberRemoved(handles[0][0]);
-        assertThat(policy.onMemberAdded(1, 2)).isEqualTo(handles[0][0]);
-        sendReads(handles[0][1], CHEAP, 100, 3);
-        assertThat(sendReads(handles[0][1], CHEAP, 100, 5)).as("still a spill").isLessThan(100);
+        policy.onMemberRemoved(handles[0][OWN]);
+        assertThat(policy.onMemberAdded(1, FARTHEST)).isEqualTo(handles[0][OWN]);
+        sendReads(handles[0][NEXT], HIGH_RANK, 100, 3);
+        assertThat(sendReads(handles[0][NEXT], HIGH_RANK, 100, 5))
+                .as("still a spill")
+                .isLessThan(100);
     }
 
     @Test
@@ -245,10 +257,10 @@
         takeZoneDown();
         policy.configure(new ZoneSettings(
                 0, List.of(new ZoneSettings.Tier(List.of(2), 1), new ZoneSettings.Tier(List.of(1), SPILL)), 10));
-        assertThat(policy.costFactor(now, handles[0][2])).isEqualTo(2);
-        assertThat(isOpen(handles[0][0])).isFalse();
-        sendReads(handles[0][2], CHEAP, 100, 3);
-        assertThat(sendReads(handles[0][2], CHEAP, 100, 10) / 10.0).isCloseTo(10, within(2.0));
+        assertThat(policy.costFactor(nowUs, handles[0][FARTHEST])).isEqualTo(2);
+        assertThat(isOpen(handles[0][OWN])).isFalse();
+        sendReads(handles[0][FARTHEST], HIGH_RANK, 100, 3);
+        assertThat(sendReads(handles[0][FARTHEST], HIGH_RANK, 100, 10) / 10.0).isCloseTo(10, within(2.0));
     }
 
     @Test
@@ -260,8 +272,8 @@
     private static String play(ZoneFailoverPolicyTest test) {
         test.serveNearestTier();
         test.takeZoneDown();
-        int sent = test.sendReads(test.handles[1][1], DEAR, 70, 5);
-        test.policy.onHealthCheck(test.now, test.handles[1][0], true);
-        return sent + " " + test.sendReads(test.handles[1][0], CHEAP, 30, 5) + " " + test.policy;
+        int sent = test.sendReads(test.handles[1][NEXT], LOW_RANK, 70, 5);
+        test.policy.onHealthCheck(test.nowUs, test.handles[1][OWN], true);
+        return sent + " " + test.sendReads(test.handles[1][OWN], HIGH_RANK, 30, 5) + " " + test.policy;
     }
 }
