--- a/decisions/src/main/java/frostreel/routing/AttemptRecorder.java
+++ b/decisions/src/main/java/frostreel/routing/AttemptRecorder.java
@@ -5,11 +5,11 @@
 import frostreel.routing.Router.Report;
 import frostreel.routing.Router.Role;
 
-/** Records attempts, and learns from their outcomes and from reports what a member can do, and in which role. */
+/** Records attempts, and updates what is known of members from their outcomes and reports. */
 final class AttemptRecorder {
     /**
-     * Part of the latency objective beyond which the mean latency of a member is a sign of a queue: a longer
-     * mean would leave no reserve, and a queue serves nobody.
+     * Part of the latency objective beyond which the mean latency of a member is a sign of a queue. A longer mean
+     * would leave no reserve for slower answers.
      */
     private static final double TARGET_SHARE = 0.5;
     /** A report without a position is taken to be this old, in microseconds. */
@@ -73,7 +73,7 @@
     /**
      * An attempt ended.
      *
-     * @param positionUs the position that the answer told, or {@link Router#NO_POSITION}
+     * @param positionUs the position in the answer, or {@link Router#NO_POSITION}
      * @param report the report that came with the answer, or null
      */
     void recordOutcome(
@@ -149,7 +149,7 @@
             return;
         }
         member.staleAtUs = nowUs;
-        if (positionUs == Router.NO_POSITION) { // Otherwise the answer has told how far behind it is.
+        if (positionUs == Router.NO_POSITION) { // Otherwise the answer says how far behind it is.
             healthChecker.check(nowUs, member);
         }
     }
--- a/decisions/src/main/java/frostreel/routing/ChainRouter.java
+++ b/decisions/src/main/java/frostreel/routing/ChainRouter.java
@@ -9,7 +9,7 @@
  * Router}; this class coordinates the classes that decide.
  *
  * <p>The members of a group form a chain, ordered by id. Writes and fresh reads go to the member last heard as
- * primary. An answer that tells so confirms it; a member that declines a write, or can't be connected to, has
+ * primary. Its answers confirm that; a member that declines a write, or can't be connected to, has
  * certainly not executed it, so that the write moves on to the next member of the chain; after a timeout it is
  * sent again only if it is idempotent or has a key. After a full round without a primary the group holds its
  * writes, unsent, while {@link PrimarySearch} looks at one member after another, and releases them when one
@@ -38,7 +38,7 @@
     private final WaitingRequests waiting;
     private final MemberDirectory directory;
     private final AttemptRecorder attemptRecorder;
-    /** The open requests by their ids. */
+    /** The open requests by id. */
     private final Map<String, PendingRequest> requests = new HashMap<>();
     /** Whether an endpoint list was handed in. */
     private boolean started;
@@ -242,7 +242,7 @@
         }
     }
 
-    /** Also whether its member is known to have restarted since: then the attempt has to be admitted anew. */
+    /** Where the member has restarted since, the attempt also has to be admitted to its slow start again. */
     @Override
     public boolean mayStillBegin(long nowUs, String requestId) {
         PendingRequest request = requests.get(requestId);
--- a/decisions/src/main/java/frostreel/routing/ClassLatencies.java
+++ b/decisions/src/main/java/frostreel/routing/ClassLatencies.java
@@ -6,8 +6,8 @@
 
 /** The mean latency of each request class over all members, and the mean of what is sent. */
 final class ClassLatencies {
-    /** Until the first answer a class is taken to need one fifth of its latency objective. */
-    private static final double GUESSES_PER_OBJECTIVE = 5.0;
+    /** Until its first answer a class is expected to take its latency objective divided by this. */
+    private static final double OBJECTIVE_DIVISOR = 5.0;
     /** Weight of one more answer in a class's mean; small, as all members count into one mean. */
     private static final double ANSWER_WEIGHT = 0.02;
     /** Weight of one more request in the mean of what is sent. */
@@ -16,7 +16,7 @@
     private static final double LONG_RUNNING_FACTOR = 4;
 
     private double[] meanUs = {};
-    /** The mean latency of the requests sent of late. */
+    /** The mean latency of the requests that were sent recently. */
     private double meanRequestUs;
 
     ClassLatencies(Settings settings) {
@@ -24,12 +24,12 @@
         meanRequestUs = Arrays.stream(meanUs).min().orElse(Double.MAX_VALUE);
     }
 
-    /** New settings; classes that are known keep what was learned. */
+    /** New settings are in force; classes that are already known keep what was learned of them. */
     void onSettings(Settings settings) {
         int known = meanUs.length;
         meanUs = Arrays.copyOf(meanUs, settings.classes().size());
         for (int i = known; i < meanUs.length; i++) {
-            meanUs[i] = settings.classes().get(i).latencyObjectiveUs() / GUESSES_PER_OBJECTIVE;
+            meanUs[i] = settings.classes().get(i).latencyObjectiveUs() / OBJECTIVE_DIVISOR;
         }
     }
 
@@ -47,7 +47,7 @@
         meanUs[classIndex] += ANSWER_WEIGHT * (tookUs - meanUs[classIndex]);
     }
 
-    /** Whether this is a query that any member may answer, and whose own work rather than a queue takes long. */
+    /** Whether any member may answer this query, and its own work rather than a queue makes it slow. */
     boolean isLongRunning(PendingRequest request) {
         return request.requestClass.access() == Access.ANY
                 && meanUs[request.classIndex()] > LONG_RUNNING_FACTOR * meanRequestUs;
--- a/decisions/src/main/java/frostreel/routing/HealthChecker.java
+++ b/decisions/src/main/java/frostreel/routing/HealthChecker.java
@@ -6,8 +6,8 @@
 /** Starts health checks where the deployment allows them, at most one per member at a time. */
 final class HealthChecker {
     /**
-     * How often, in microseconds, an unverified member is checked: rarely, as each of hundreds of routers does
-     * so and the member may be somebody else's.
+     * How often, in microseconds, an unverified member is checked: rarely, as each of hundreds of routers does so
+     * and the member may belong to another deployment.
      */
     private static final long VERIFICATION_INTERVAL_US = 5_000_000;
 
@@ -36,8 +36,8 @@
     }
 
     /**
-     * Whether a member must not get reads yet: one that was listed after the start has to pass a health check
-     * first, because the list may name servers of somebody else. Starts that check when it is due.
+     * Whether a member must not receive reads yet. A member that was listed after the router started has to pass a
+     * health check first, because the list may name servers of another deployment. Starts that check when it is due.
      */
     boolean awaitsVerification(long nowUs, MemberState member) {
         if (!member.verified && nowUs - member.healthCheckAtUs > VERIFICATION_INTERVAL_US) {
--- a/decisions/src/main/java/frostreel/routing/Limits.java
+++ b/decisions/src/main/java/frostreel/routing/Limits.java
@@ -64,7 +64,7 @@
             return this;
         }
 
-        /** Whether members may be health-checked, and what such a check tells. */
+        /** Whether members may be health-checked, and what such a check reports. */
         public Builder healthChecks(HealthChecks value) {
             healthChecks = value;
             return this;
--- a/decisions/src/main/java/frostreel/routing/MemberState.java
+++ b/decisions/src/main/java/frostreel/routing/MemberState.java
@@ -35,10 +35,10 @@
 
     /** It has applied every commit up to this time; never moves back. */
     long appliedUpToUs;
-    /** How far it was behind by the last position that it told. */
+    /** How far it was behind by the last position that it reported. */
     long lagUs;
 
-    /** When it last told its position. */
+    /** When it last reported its position. */
     long positionAtUs = LONG_AGO;
     /** When it last declined a read as too stale for it. */
     long staleAtUs = LONG_AGO;
@@ -85,7 +85,7 @@
         }
     }
 
-    /** Whether it isn't on the list any more, nothing is in flight to it, and it needn't be remembered. */
+    /** Whether it is gone from the list, nothing is in flight to it, and it need not be remembered. */
     boolean isForgettable(long nowUs, Rules rules, long retentionUs) {
         if (goneSinceUs == LISTED || inFlight != 0) {
             return false;
@@ -114,7 +114,7 @@
         connections = inFlight;
     }
 
-    /** It has told its position. */
+    /** It has reported its position. */
     void recordPosition(long nowUs, long positionUs) {
         appliedUpToUs = Math.max(appliedUpToUs, positionUs);
         lagUs = Math.max(0, nowUs - appliedUpToUs);
--- a/decisions/src/main/java/frostreel/routing/PendingRequest.java
+++ b/decisions/src/main/java/frostreel/routing/PendingRequest.java
@@ -14,13 +14,13 @@
     /** Room for the members of a usual group, so that the list need not grow. */
     private static final int USUAL_GROUP_SIZE = 4;
 
-    /** As the client sent it. */
+    /** The request as the client sent it. */
     final Request original;
 
     final RequestClass requestClass;
     final GroupState group;
     final long arrivedUs;
-    /** Writes, and reads that must see the latest commit. */
+    /** Only the primary can serve it: a write, or a read that must see the latest commit. */
     final boolean needsPrimary;
 
     final int maxAttempts;
@@ -32,7 +32,7 @@
 
     int attempts;
     long sentAtUs;
-    /** When the current member had started, as was known when the attempt was charged to its slow start. */
+    /** The start of the current member, as it was known when the attempt was charged to its slow start. */
     long memberStartedUs;
 
     /** An attempt may have run although its answer did not come. */
@@ -42,6 +42,7 @@
     /** The one zone whose members know its idempotency key, {@link #ANY_ZONE} while it may go anywhere. */
     int deduplicationZone = ANY_ZONE;
 
+    /** Its next attempt may not start before this time. */
     long notBeforeUs;
     /** Until when it waits for a health check that may prove a replica fresh enough, or {@link #NO_WAIT_YET}. */
     long healthCheckWaitUntilUs = NO_WAIT_YET;
@@ -49,7 +50,7 @@
     boolean waitsAsRead;
     /** It has its final answer, or its client is gone. */
     boolean ended;
-    /** Its end tells of the group's load: it was shed, answered, rejected or timed out. */
+    /** Its end depends on the group's load: it was shed, answered, rejected or timed out. */
     boolean countsForGoodput;
 
     PendingRequest(Request original, RequestClass requestClass, GroupState group, int maxAttempts, long nowUs) {
@@ -66,9 +67,9 @@
         return original.classIndex();
     }
 
-    /** Whether a member of this zone may be sent it: the members elsewhere may not know its key. */
+    /** Whether it may be sent to members of this zone: those of other zones may not know its idempotency key. */
     boolean mayGoToZone(int zone) {
-        return deduplicationZone < 0 || zone == deduplicationZone;
+        return deduplicationZone == ANY_ZONE || zone == deduplicationZone;
     }
 
     /** The time up to which an answer counts as on time. */
--- a/decisions/src/main/java/frostreel/routing/PrimaryTracker.java
+++ b/decisions/src/main/java/frostreel/routing/PrimaryTracker.java
@@ -7,10 +7,10 @@
  * check, which outranks the endpoint list; evidence older than that for the present primary is ignored.
  */
 final class PrimaryTracker {
-    /** How often, in microseconds, a request is tried on a suspected primary: half a second is felt by few. */
+    /** How often, in microseconds, a request is tried on a suspected primary: few clients notice half a second. */
     private static final long TRIAL_INTERVAL_US = 500_000;
 
-    /** The list's entry counts as older than whatever a member tells, since nobody knows how late the list is. */
+    /** An entry of the list counts as older than any report, since it is not known how late the list is. */
     private static final long LISTED_AT_US = 0;
 
     private final ActiveSettings settings;
@@ -19,7 +19,7 @@
         this.settings = settings;
     }
 
-    /** A member told its role, as of this time. */
+    /** A member reported its role, as of this time. */
     void recordRole(GroupState group, MemberState member, Role role, long atUs, RoleEvidence evidence) {
         if (role == Role.PRIMARY && atUs > member.replicaAtUs) {
             member.primaryAtUs = Math.max(member.primaryAtUs, atUs);
@@ -50,7 +50,7 @@
                 || !group.primaryConfirmed;
     }
 
-    /** The endpoint list names a usable member as primary: that counts until anything else is known. */
+    /** The endpoint list names a usable member as primary, which counts until anything else is known. */
     void recordListedPrimary(GroupState group, MemberState member) {
         group.searchStart = member;
         if (group.primaryAtUs == MemberState.NEVER && member.replicaAtUs == MemberState.NEVER) {
@@ -102,7 +102,7 @@
         }
     }
 
-    /** Whether the primary is suspected and one request may be tried on it now. */
+    /** Whether the primary is suspected and one request may be sent to it now as a trial. */
     boolean isTrialDue(long nowUs, GroupState group) {
         return group.primarySuspected && nowUs - group.lastTrialUs >= TRIAL_INTERVAL_US;
     }
--- a/decisions/src/main/java/frostreel/routing/ReadDecision.java
+++ b/decisions/src/main/java/frostreel/routing/ReadDecision.java
@@ -1,11 +1,11 @@
 package frostreel.routing;
 
-/** What has become of a read that was routed. */
+/** The result of routing a read. */
 enum ReadDecision {
     /** An attempt is in flight. */
     SENT,
     /** No member can take it now: it waits for capacity, or for a health check. */
     WAIT,
-    /** It can't be served in time, or waiting would not help it. */
+    /** It can't be served in time, or waiting would not help. */
     GIVE_UP
 }
--- a/decisions/src/main/java/frostreel/routing/ReplicaSelector.java
+++ b/decisions/src/main/java/frostreel/routing/ReplicaSelector.java
@@ -56,7 +56,7 @@
         replicaCost = new ReplicaCost(settings, longQueries);
     }
 
-    /** Sends a read if a member can take it now, and tells what becomes of it. */
+    /** Sends a read if a member can take it now; else decides whether it waits. */
     ReadDecision route(long nowUs, PendingRequest request) {
         if (hasNoUse(nowUs, request)) {
             return ReadDecision.GIVE_UP;
--- a/decisions/src/main/java/frostreel/routing/RequestEnder.java
+++ b/decisions/src/main/java/frostreel/routing/RequestEnder.java
@@ -1,6 +1,6 @@
 package frostreel.routing;
 
-/** The router's one place that ends a request unserved, as seen by the classes that find that it has to be. */
+/** Ends requests that cannot be served; the router implements it for the classes that decide so. */
 @FunctionalInterface
 interface RequestEnder {
     /** Gives the request its final answer: a rejection where a retry is harmless, else a failure. */
--- a/decisions/src/main/java/frostreel/routing/RetryPolicy.java
+++ b/decisions/src/main/java/frostreel/routing/RetryPolicy.java
@@ -11,17 +11,17 @@
  * multiply an overload.
  */
 final class RetryPolicy {
-    /** Retries after attempts that may have run, for each request that arrives. */
+    /** Tokens that each arriving request adds; a retry after an attempt that may have run takes one. */
     private static final double TOKENS_PER_REQUEST = 0.2;
-    /** Retries that may be made at once after a quiet time. */
+    /** The most tokens that are kept for later. */
     private static final double MOST_TOKENS = 10;
     /** First backoff of a write in microseconds; a primary that is merely full takes one within that time. */
     private static final long FIRST_BACKOFF_US = 25_000;
     /** How often the backoff may double. */
     private static final int MOST_DOUBLINGS = 5;
     /**
-     * A request for which nothing was sent waits this part of its time: after that its client does better to
-     * try another router.
+     * Part of its time that a request waits at the most before its first attempt: after that its client does better
+     * to try another router.
      */
     private static final double MOST_WAIT = 0.45;
     /** A primary that reports this utilization is busy rather than silent. */
@@ -66,7 +66,7 @@
         };
     }
 
-    /** Whether so much of its time has passed that a request for which nothing was sent is ended. */
+    /** Whether a request that has had no attempt yet has waited for too much of its time. */
     boolean hasWaitedTooLong(long nowUs, PendingRequest request) {
         double mostWaitUs = MOST_WAIT * (request.original.deadlineUs() - request.arrivedUs);
         return request.attempts == 0 && recheckedByUs(nowUs) > request.arrivedUs + mostWaitUs;
@@ -81,7 +81,7 @@
         return !justArrived && nowUs + latencies.meanUs(request.classIndex()) / 2 > usefulUntilUs(request);
     }
 
-    /** Until when an answer has any value: the deadline, or the objective where late answers have none. */
+    /** Until when an answer has any value: until the deadline, or the objective where late answers have none. */
     private static long usefulUntilUs(PendingRequest request) {
         return request.requestClass.lateWeight() > 0
                 ? request.original.deadlineUs()
@@ -154,8 +154,8 @@
     }
 
     /**
-     * Whether a primary reports itself busy, or reports nothing and was late of late. Such a primary isn't silent: the
-     * same write again would only add to its work.
+     * Whether a primary reports itself busy, or reports nothing and has recently been late. A busy primary is not a
+     * silent one: the same write again would only add to its work.
      */
     private static boolean isBusy(MemberState member, double utilization) {
         return utilization >= BUSY_UTILIZATION
--- a/decisions/src/main/java/frostreel/routing/Router.java
+++ b/decisions/src/main/java/frostreel/routing/Router.java
@@ -13,7 +13,7 @@
 public interface Router {
     /** In place of the age of a session's last write: it has not written. */
     long NO_WRITE = 0;
-    /** In place of a position: none was told, or none is required. */
+    /** In place of a position: none was reported, or none is required. */
     long NO_POSITION = 0;
 
     /** The content of an answer counts as known this long after it was written, whether or not the answer arrived. */
--- a/decisions/src/main/java/frostreel/routing/SessionCommits.java
+++ b/decisions/src/main/java/frostreel/routing/SessionCommits.java
@@ -15,7 +15,7 @@
 final class SessionCommits {
     /** Commits are reported in milliseconds. */
     private static final long ROUNDING_US = 1_000;
-    /** How many sessions are kept; the longest unused beyond it bind all reads, as those that have aged do. */
+    /** How many sessions are kept. Those beyond it that were not used for longest bind all reads, as aged ones do. */
     static final int MAX_SESSIONS = 1 << 16;
 
     private static final class SessionWrites {
@@ -39,7 +39,7 @@
 
     /** A write of the session was sent. */
     void recordSend(long nowUs, long session) {
-        SessionWrites writes = sessions.remove(session); // Put back as the one that was used last.
+        SessionWrites writes = sessions.remove(session); // Inserted again at the end, as the last used.
         if (writes == null) {
             writes = new SessionWrites();
         }
@@ -57,7 +57,8 @@
      * @param commitUs its commit, or {@link Router#NO_POSITION} where none was reported
      * @param retentionUs after which commits are dropped, to bind the reads of all sessions from then on
      */
-    void recordOutcome(long nowUs, long session, long deadlineUs, Router.Outcome outcome, long commitUs, long retentionUs) {
+    void recordOutcome(
+            long nowUs, long session, long deadlineUs, Router.Outcome outcome, long commitUs, long retentionUs) {
         SessionWrites writes = sessions.get(session);
         if (writes != null) { // A session that was dropped binds all reads already.
             writes.inFlight = Math.max(0, writes.inFlight - 1);
--- a/decisions/src/main/java/frostreel/routing/SlowStart.java
+++ b/decisions/src/main/java/frostreel/routing/SlowStart.java
@@ -26,7 +26,7 @@
 
     private static final long NOT_BEGUN = Long.MIN_VALUE;
 
-    /** What the endpoint list and the answers tell of a member; owned by who got it from {@link #register}. */
+    /** What is known of a member from the endpoint list and from answers; made by {@link #register}. */
     static final class Member {
         private final DecayingRate servedWork;
         private int machineKind;
@@ -93,7 +93,7 @@
     /**
      * Takes over what the endpoint list says of a member.
      *
-     * @return whether the entry tells of another start than the last one
+     * @return whether the member has restarted since the last entry
      */
     boolean recordListEntry(long nowUs, Member member, Router.Member entry) {
         member.machineKind = entry.kind();
--- a/decisions/src/main/java/frostreel/routing/WaitingRequests.java
+++ b/decisions/src/main/java/frostreel/routing/WaitingRequests.java
@@ -58,9 +58,9 @@
     }
 
     /**
-     * Adds a read unless it is there already. Reads are served newest first; one that its client marked as a
-     * retry is put behind first attempts: part of its objective has passed, and under overload retries would
-     * take the capacity in which first attempts still are on time.
+     * Adds a read unless it is there already. Reads are served newest first, but those that clients marked as retries
+     * come after the others: part of their objective has passed, and under overload they would take the capacity
+     * in which other reads still are on time.
      */
     void addRead(PendingRequest request) {
         Queues queues = of(request.group);
--- a/decisions/src/main/java/frostreel/zones/ZoneReplicas.java
+++ b/decisions/src/main/java/frostreel/zones/ZoneReplicas.java
@@ -11,15 +11,15 @@
  * RECOVERING} becomes {@code UP} at the end of the ramp, or {@code DOWN} by a single failure.
  */
 final class ZoneReplicas {
-    /** Whether requests are sent. */
+    /** Whether requests are sent to the replicas. */
     enum Health {
-        /** They are. */
+        /** Requests are sent. */
         UP,
-        /** They are not: the replicas failed. */
+        /** No requests are sent: the replicas have failed. */
         DOWN,
-        /** They are not: health checks succeed, but the replicas failed too often of late. */
+        /** No requests are sent yet: health checks succeed, but the replicas have failed too often recently. */
         PROBATION,
-        /** They are, at a share that grows. */
+        /** Requests are sent, at a share that grows. */
         RECOVERING
     }
 
--- a/decisions/src/main/java/frostreel/zones/ZoneSettings.java
+++ b/decisions/src/main/java/frostreel/zones/ZoneSettings.java
@@ -11,6 +11,8 @@
  *     are divided
  */
 public record ZoneSettings(int own, List<Tier> tiers, int poolers) {
+    private static final int OWN_TIER = 0;
+
     /**
      * Zones of equal preference.
      *
@@ -44,10 +46,10 @@
         }
     }
 
-    /** The tier of a zone: 0 for the own one, and the last for one that no tier names. */
+    /** The tier of a zone: 0 for the pooler's own zone, the last tier for zones that no tier names. */
     int tierOf(int zone) {
         if (zone == own) {
-            return 0;
+            return OWN_TIER;
         }
         for (int i = 0; i < tiers.size(); i++) {
             if (tiers.get(i).zones().contains(zone)) {
