--- a/decisions/src/main/java/frostreel/wire/MessageFields.java
+++ b/decisions/src/main/java/frostreel/wire/MessageFields.java
@@ -116,17 +116,6 @@
         return has(key) ? oneOf(key, choices) : absent;
     }
 
-    /** The index among {@code names} of the name that the field holds; it must be present and one of them. */
-    public int oneOf(String key, String... names) throws MalformedMessageException {
-        String name = text(key);
-        for (int index = 0; index < names.length; index++) {
-            if (names[index].equals(name)) {
-                return index;
-            }
-        }
-        throw malformed(key, "one of " + String.join(", ", names));
-    }
-
     private MalformedMessageException malformed(String key, String expected) {
         return new MalformedMessageException(
                 has(key) ? "field '" + key + "' is not " + expected : "field '" + key + "' is missing");
--- a/decisions/src/test/java/frostreel/wire/MessageFieldsTest.java
+++ b/decisions/src/test/java/frostreel/wire/MessageFieldsTest.java
@@ -52,8 +52,6 @@
     @Test
     void aNameStandsForItsValue() throws MalformedMessageException {
         assertThat(fields("{\"choice\":\"second\"}").oneOf("choice", CHOICES)).isEqualTo(2);
-        assertThat(fields("{\"choice\":\"second\"}").oneOf("choice", "first", "second"))
-                .isEqualTo(1);
     }
 
     @ParameterizedTest
--- a/pooler/src/main/java/frostreel/config/EndpointList.java
+++ b/pooler/src/main/java/frostreel/config/EndpointList.java
@@ -1,8 +1,11 @@
 package frostreel.config;
 
+import static frostreel.wire.NamedValue.named;
+
 import frostreel.routing.Router;
 import frostreel.wire.MalformedMessageException;
 import frostreel.wire.MessageFields;
+import frostreel.wire.NamedValue;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
@@ -22,8 +25,16 @@
     /** Complete and without servers, where none is known from the start. */
     static final EndpointList EMPTY = new EndpointList(0, true, List.of());
 
+    private static final long MICROS_PER_MILLI = 1000;
     /** A start time in milliseconds may not exceed what fits in microseconds. */
-    private static final long MAX_STARTED_MS = Long.MAX_VALUE / 1000;
+    private static final long MAX_STARTED_MS = Long.MAX_VALUE / MICROS_PER_MILLI;
+
+    private static final List<NamedValue<Boolean>> IS_PRIMARY =
+            List.of(named("primary", true), named("replica", false));
+    private static final List<NamedValue<Router.State>> STATE = List.of(
+            named("Ready", Router.State.UP),
+            named("Terminating", Router.State.DRAINING),
+            named("Gone", Router.State.GONE));
 
     /**
      * Reads a decoded list. Zones and machine types are named in it; the routing decisions know them by their
@@ -48,24 +59,16 @@
             throw new MalformedMessageException("field 'hosts' is not a list of objects");
         }
         MessageFields host = new MessageFields((Map<String, Object>) json);
-        Router.State state = state(host);
+        Router.State state = host.oneOf("health", STATE);
         Router.Member member = new Router.Member(
                 host.text("host"),
                 Math.max(0, zones.indexOf(host.map().get("site"))),
                 Math.max(0, machineTypes.indexOf(host.map().get("class"))),
                 (int) host.whole("block", 0, Integer.MAX_VALUE, 0),
-                host.has("role") && host.oneOf("role", "primary", "replica") == 0,
+                host.oneOf("role", IS_PRIMARY, false),
                 state,
                 host.number("share", 1),
-                host.whole("born_ms", 0, MAX_STARTED_MS, 0) * 1000);
+                host.whole("born_ms", 0, MAX_STARTED_MS, 0) * MICROS_PER_MILLI);
         return new Endpoint(member, NumericAddress.parse(host.text("dial"), "dial"));
     }
-
-    private static Router.State state(MessageFields host) throws MalformedMessageException {
-        return switch (host.oneOf("health", "Ready", "Terminating", "Gone")) {
-            case 0 -> Router.State.UP;
-            case 1 -> Router.State.DRAINING;
-            default -> Router.State.GONE;
-        };
-    }
 }
