--- a/pooler/src/main/java/frostreel/config/Config.java
+++ b/pooler/src/main/java/frostreel/config/Config.java
@@ -45,8 +45,8 @@
         int maxServerConnections,
         int maxOpenRequests,
         EndpointList initialEndpoints,
-        List<Object> zones,
-        List<Object> machineTypes,
+        List<String> zones,
+        List<String> machineTypes,
         Router.Settings settings,
         JSONObject source) {
 
--- a/pooler/src/main/java/frostreel/config/ConfigReader.java
+++ b/pooler/src/main/java/frostreel/config/ConfigReader.java
@@ -32,8 +32,8 @@
         int descriptors = descriptors();
         MessageFields options = file.object("settings");
         Router.Settings settings = SettingsReader.read(seed(), options);
-        List<Object> zones = options.has("zones") ? options.list("zones") : List.of();
-        List<Object> machineTypes = options.has("machineTypes") ? options.list("machineTypes") : List.of();
+        List<String> zones = names(options, "zones");
+        List<String> machineTypes = names(options, "machineTypes");
         int maxOpenRequests = maxOpenRequests(options.object("caps"));
         EndpointList initialEndpoints = file.has("known")
                 ? EndpointList.read(file.object("known").map(), zones, machineTypes)
@@ -68,6 +68,13 @@
                 DescriptorBudget.DEFAULT_DESCRIPTORS);
     }
 
+    /** The names of a list that may be left out. A name that is written as a number is read as its digits. */
+    private static List<String> names(MessageFields options, String key) throws MalformedMessageException {
+        return options.has(key)
+                ? options.list(key).stream().map(String::valueOf).toList()
+                : List.of();
+    }
+
     private static int maxOpenRequests(MessageFields caps) throws MalformedMessageException {
         long stated = caps.whole("maxOpen", 1, Integer.MAX_VALUE, MAX_OPEN_REQUESTS);
         return (int) Math.min(stated, MAX_OPEN_REQUESTS);
--- a/pooler/src/main/java/frostreel/config/EndpointList.java
+++ b/pooler/src/main/java/frostreel/config/EndpointList.java
@@ -42,7 +42,7 @@
      *
      * @throws MalformedMessageException naming the field that is missing or out of range
      */
-    public static EndpointList read(Map<String, Object> json, List<Object> zones, List<Object> machineTypes)
+    public static EndpointList read(Map<String, Object> json, List<String> zones, List<String> machineTypes)
             throws MalformedMessageException {
         MessageFields list = new MessageFields(json);
         List<Endpoint> endpoints = new ArrayList<>();
@@ -53,7 +53,7 @@
     }
 
     @SuppressWarnings("unchecked") // The keys of a decoded JSON object are strings.
-    private static Endpoint endpoint(Object json, List<Object> zones, List<Object> machineTypes)
+    private static Endpoint endpoint(Object json, List<String> zones, List<String> machineTypes)
             throws MalformedMessageException {
         if (!(json instanceof Map)) {
             throw new MalformedMessageException("field 'hosts' is not a list of objects");
@@ -62,8 +62,8 @@
         Router.State state = host.oneOf("health", STATE);
         Router.Member member = new Router.Member(
                 host.text("host"),
-                Math.max(0, zones.indexOf(host.map().get("site"))),
-                Math.max(0, machineTypes.indexOf(host.map().get("class"))),
+                indexOfName(zones, host, "site"),
+                indexOfName(machineTypes, host, "class"),
                 (int) host.whole("block", 0, Integer.MAX_VALUE, 0),
                 host.oneOf("role", IS_PRIMARY, false),
                 state,
@@ -71,4 +71,9 @@
                 host.whole("born_ms", 0, MAX_STARTED_MS, 0) * MICROS_PER_MILLI);
         return new Endpoint(member, NumericAddress.parse(host.text("dial"), "dial"));
     }
+
+    /** The index among {@code names} of the field's value, 0 where it is missing or not configured. */
+    private static int indexOfName(List<String> names, MessageFields host, String key) {
+        return host.has(key) ? Math.max(0, names.indexOf(host.map().get(key).toString())) : 0;
+    }
 }
--- a/pooler/src/main/java/frostreel/discovery/DiscoveryWatch.java
+++ b/pooler/src/main/java/frostreel/discovery/DiscoveryWatch.java
@@ -49,8 +49,8 @@
 
     private final EventLoop loop;
     private final InetSocketAddress address;
-    private final List<Object> zones;
-    private final List<Object> machineTypes;
+    private final List<String> zones;
+    private final List<String> machineTypes;
     private final Consumer<EndpointList> listener;
     private final DiscoveryStatus status = new DiscoveryStatus();
     private final Backoff backoff = new Backoff();
@@ -77,8 +77,8 @@
     public DiscoveryWatch(
             EventLoop loop,
             InetSocketAddress address,
-            List<Object> zones,
-            List<Object> machineTypes,
+            List<String> zones,
+            List<String> machineTypes,
             long version,
             Consumer<EndpointList> listener) {
         this.version = version;
--- a/pooler/src/main/java/frostreel/settings/OperatorSettings.java
+++ b/pooler/src/main/java/frostreel/settings/OperatorSettings.java
@@ -82,7 +82,7 @@
      * @param zoneNames names of the zones, in the order of their numbers; tiers' names that are not among
      *     them are left out
      */
-    public Optional<ZoneSettings> zoneSettings(int own, List<Object> zoneNames) {
+    public Optional<ZoneSettings> zoneSettings(int own, List<String> zoneNames) {
         return Optional.ofNullable(zones)
                 .map(stated -> new ZoneSettings(
                         own,
@@ -92,7 +92,7 @@
                         stated.poolers));
     }
 
-    private static ZoneSettings.Tier tierByNumber(Tier tier, List<Object> zoneNames) {
+    private static ZoneSettings.Tier tierByNumber(Tier tier, List<String> zoneNames) {
         List<Integer> numbers = tier.zones.stream()
                 .map(zoneNames::indexOf)
                 .filter(number -> number >= 0)
