--- a/pooler/src/test/java/frostreel/PoolerHarness.java
+++ b/pooler/src/test/java/frostreel/PoolerHarness.java
@@ -175,31 +175,12 @@
     void startSilent(String... hosts) throws Exception {
         Config config = Config.load(environment(configured(discovery.address(), hosts)));
         pooler = new Pooler(
-                unlimitedConcurrency ? withUnlimitedConcurrency(config) : config,
+                unlimitedConcurrency ? config.withSettings(config.settings().onSockets(0)) : config,
                 operators,
                 configuredListPatienceUs,
                 lingerUs);
     }
 
-    private static Config withUnlimitedConcurrency(Config config) {
-        return new Config(
-                config.name(),
-                config.listenAddress(),
-                config.adminAddress(),
-                config.inheritsListener(),
-                config.commandFolder(),
-                config.discoveryAddress(),
-                config.maxClients(),
-                config.expectedClients(),
-                config.maxServerConnections(),
-                config.maxOpenRequests(),
-                config.initialEndpoints(),
-                config.zones(),
-                config.machineTypes(),
-                config.settings().onSockets(0),
-                config.source());
-    }
-
     /** Reloads the current settings with this discovery agent, as SIGHUP would. */
     void reload(ScriptedPeer discovery) throws Exception {
         pooler.reload(Config.load(environment(configured(discovery.address()))));
