--- a/pooler/src/main/java/frostreel/Pooler.java
+++ b/pooler/src/main/java/frostreel/Pooler.java
@@ -47,7 +47,7 @@
      * {@code lingerUs}: how long a client whose connection was ended may take to end it too.
      */
     Pooler(Config config, OperatorSettings operators, long configuredListPatienceUs, long lingerUs) throws IOException {
-        loop = new EventLoop(ClockAnchor.clock(config.commandFolder()));
+        loop = new EventLoop(ClockAnchor.clock(config.commandFolder().orElse(null)));
         PeerProcessCommits peer = PeerProcessCommits.open(config, loop.clock().now());
         loop.onHeartbeat(peer.writeObserver()::onHeartbeat);
         ServerPool pool = new ServerPool(loop, config.settings(), config.maxServerConnections());
@@ -58,8 +58,14 @@
                 config.inheritsListener(), ConfigReloader.longestDeadlineUs(config.settings()), lingerUs);
         listener = listener(config, classes);
         commands = new CommandExecutor(
-                loop, lifecycle, pool, broker, listener::applyLifecycle, config.commandFolder(), incarnation(config));
-        AdminListener admin = config.adminAddress() == null ? null : new AdminListener(loop, commands);
+                loop,
+                lifecycle,
+                pool,
+                broker,
+                listener::applyLifecycle,
+                config.commandFolder().orElse(null),
+                incarnation(config));
+        AdminListener admin = config.adminAddress().isPresent() ? new AdminListener(loop, commands) : null;
         ClusterMember clusterMember =
                 operators.cluster() == null ? null : new ClusterMember(operators.cluster(), config.name(), loop);
         readiness = new Readiness(lifecycle, listener);
--- a/pooler/src/main/java/frostreel/ServingSockets.java
+++ b/pooler/src/main/java/frostreel/ServingSockets.java
@@ -70,13 +70,14 @@
 
     private void openAdmin() throws IOException {
         if (admin != null) {
-            admin.open(config.adminAddress());
+            admin.open(config.adminAddress().orElseThrow());
             LOG.info("admin endpoint listening on " + admin.address());
         }
     }
 
     private String addresses() {
-        return config.listenAddress() + (admin == null ? "" : " and " + config.adminAddress());
+        return config.listenAddress()
+                + (admin == null ? "" : " and " + config.adminAddress().orElseThrow());
     }
 
     /** Waits for the sockets and returns the address for clients; not for the I/O thread. */
--- a/pooler/src/main/java/frostreel/config/Config.java
+++ b/pooler/src/main/java/frostreel/config/Config.java
@@ -19,9 +19,9 @@
  *
  * @param name of this pooler
  * @param listenAddress for clients
- * @param adminAddress for operators' calls, null where there are none
+ * @param adminAddress of the admin endpoint, empty for none
  * @param inheritsListener whether the clients' listening socket is inherited as descriptor 0
- * @param commandFolder where operators' commands outlast the process, null where they do not
+ * @param commandFolder where operators' commands outlast the process, empty where they do not
  * @param discoveryAddress of the discovery agent
  * @param maxClients most client connections at once
  * @param expectedClients client connections that the platform says are usual at most
@@ -36,9 +36,9 @@
 public record Config(
         String name,
         InetSocketAddress listenAddress,
-        InetSocketAddress adminAddress,
+        Optional<InetSocketAddress> adminAddress,
         boolean inheritsListener,
-        Path commandFolder,
+        Optional<Path> commandFolder,
         InetSocketAddress discoveryAddress,
         int maxClients,
         int expectedClients,
--- a/pooler/src/main/java/frostreel/config/ConfigReader.java
+++ b/pooler/src/main/java/frostreel/config/ConfigReader.java
@@ -8,6 +8,7 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import org.json.JSONObject;
 
 /** Reads a {@link Config} from the decoded file and the environment, which takes precedence. */
@@ -44,9 +45,9 @@
         return new Config(
                 text("name", "GW_NAME"),
                 address("listen", "GW_LISTEN"),
-                hasAdmin ? address("control", "GW_CONTROL") : null,
+                hasAdmin ? Optional.of(address("control", "GW_CONTROL")) : Optional.empty(),
                 inheritsListener,
-                hasAdmin ? commandFolder() : null,
+                hasAdmin ? commandFolder() : Optional.empty(),
                 address("discovery", "GW_DISCOVERY"),
                 budget.maxClients(),
                 budget.expectedClients(),
@@ -87,9 +88,9 @@
         return isSet("GW_FD");
     }
 
-    private Path commandFolder() {
+    private Optional<Path> commandFolder() {
         String temporary = environment.get("TMPDIR");
-        return temporary == null ? null : Path.of(temporary, COMMAND_FOLDER);
+        return temporary == null ? Optional.empty() : Optional.of(Path.of(temporary, COMMAND_FOLDER));
     }
 
     private long seed() throws MalformedMessageException {
--- a/pooler/src/main/java/frostreel/control/PeerProcessCommits.java
+++ b/pooler/src/main/java/frostreel/control/PeerProcessCommits.java
@@ -6,6 +6,7 @@
 import frostreel.routing.PeerCommits;
 import frostreel.routing.Router;
 import java.io.IOException;
+import java.nio.file.Path;
 import java.util.SplittableRandom;
 import java.util.logging.Logger;
 
@@ -32,10 +33,8 @@
     private static final class SharedFile {
         static PeerProcessCommits open(Config config, long nowUs) {
             try {
-                if (config.commandFolder() == null) {
-                    throw new IOException("there is no folder for it");
-                }
-                CommitTableFile file = CommitTableFile.open(config.commandFolder());
+                Path folder = config.commandFolder().orElseThrow(() -> new IOException("there is no folder for it"));
+                CommitTableFile file = CommitTableFile.open(folder);
                 SharedCommitTable table = new SharedCommitTable(file, newIncarnation(), nowUs);
                 file.replacementReason().ifPresent(SharedFile::warn);
                 boolean peersKnown = file.replacementReason().isEmpty();
