--- a/pooler/src/main/java/frostreel/ConfigReloader.java
+++ b/pooler/src/main/java/frostreel/ConfigReloader.java
@@ -9,7 +9,7 @@
 import frostreel.routing.Router;
 import frostreel.settings.OperatorSettings;
 import frostreel.zones.ZoneFailoverPolicy;
-import java.util.Objects;
+import java.util.Optional;
 import java.util.logging.Logger;
 
 /** Applies a reloaded configuration to the running process, each in one step on the I/O thread. */
@@ -22,7 +22,7 @@
     private final ServingLifecycle lifecycle;
     private final RequestClassRegistry classes;
     private final EndpointSource endpoints;
-    private final OperatorSettings.Cluster cluster;
+    private final Optional<OperatorSettings.Cluster> cluster;
     /** Null where no zone tiers were configured at the start. */
     private final ZoneFailoverPolicy zonePolicy;
 
@@ -104,7 +104,7 @@
      * which poolers form the cluster, is fixed at the start.
      */
     void reload(Config config, OperatorSettings operators) {
-        if (!Objects.equals(cluster, operators.cluster())) {
+        if (!cluster.equals(operators.cluster())) {
             LOG.warning("other poolers are named now: they hold from the next start");
         }
         loop.thread()
--- a/pooler/src/main/java/frostreel/Pooler.java
+++ b/pooler/src/main/java/frostreel/Pooler.java
@@ -66,8 +66,9 @@
                 config.commandFolder().orElse(null),
                 incarnation(config));
         AdminListener admin = config.adminAddress().isPresent() ? new AdminListener(loop, commands) : null;
-        ClusterMember clusterMember =
-                operators.cluster() == null ? null : new ClusterMember(operators.cluster(), config.name(), loop);
+        ClusterMember clusterMember = operators.cluster().isPresent()
+                ? new ClusterMember(operators.cluster().get(), config.name(), loop)
+                : null;
         readiness = new Readiness(lifecycle, listener);
         endpoints = new EndpointSource(loop, config, configuredListPatienceUs, commands::onEndpointList, readiness);
         readiness.beforeServing(endpoints::applyConfigured);
@@ -99,7 +100,7 @@
             PeerProcessCommits peer,
             Router.Settings settings,
             Router.Actions actions) {
-        if (operators.zones() == null) {
+        if (operators.zones().isEmpty()) {
             return new ChainRouter(settings, actions, new NearestZonePolicy(settings.zone()), peer.peerCommits());
         }
         zonePolicy = new ZoneFailoverPolicy(
--- a/pooler/src/main/java/frostreel/settings/OperatorSettings.java
+++ b/pooler/src/main/java/frostreel/settings/OperatorSettings.java
@@ -15,10 +15,11 @@
  *
  * @param logFormat of the lines on standard error
  * @param logLevel the least level that is logged
- * @param zones preferences among zones, null where none are stated
- * @param cluster the poolers that see each other, null where none are stated
+ * @param zones preferences among zones, if any are stated
+ * @param cluster the poolers that form a cluster, if any are stated
  */
-public record OperatorSettings(Logging.Format logFormat, Level logLevel, Zones zones, Cluster cluster) {
+public record OperatorSettings(
+        Logging.Format logFormat, Level logLevel, Optional<Zones> zones, Optional<Cluster> cluster) {
     /**
      * Zones of equal preference.
      *
@@ -53,7 +54,8 @@
     public record Cluster(String group, long silentAfterMs, Map<String, MemberAddress> members) {}
 
     /** In force where there is no file. */
-    public static final OperatorSettings DEFAULT = new OperatorSettings(Logging.Format.TEXT, Level.INFO, null, null);
+    public static final OperatorSettings DEFAULT =
+            new OperatorSettings(Logging.Format.TEXT, Level.INFO, Optional.empty(), Optional.empty());
     /** The schema of the file. */
     public static final URL SCHEMA = OperatorSettings.class.getResource("frostreel.xsd");
 
@@ -83,13 +85,10 @@
      *     them are left out
      */
     public Optional<ZoneSettings> zoneSettings(int own, List<String> zoneNames) {
-        return Optional.ofNullable(zones)
-                .map(stated -> new ZoneSettings(
-                        own,
-                        stated.tiers.stream()
-                                .map(tier -> tierByNumber(tier, zoneNames))
-                                .toList(),
-                        stated.poolers));
+        return zones.map(stated -> new ZoneSettings(
+                own,
+                stated.tiers.stream().map(tier -> tierByNumber(tier, zoneNames)).toList(),
+                stated.poolers));
     }
 
     private static ZoneSettings.Tier tierByNumber(Tier tier, List<String> zoneNames) {
--- a/pooler/src/main/java/frostreel/settings/OperatorSettingsReader.java
+++ b/pooler/src/main/java/frostreel/settings/OperatorSettingsReader.java
@@ -49,10 +49,8 @@
                 log.map(element -> Logging.Format.valueOf(constant(element, "format")))
                         .orElse(OperatorSettings.DEFAULT.logFormat()),
                 log.map(element -> Level.parse(constant(element, "level"))).orElse(OperatorSettings.DEFAULT.logLevel()),
-                Optional.ofNullable(root.child("zones")).map(this::readZones).orElse(null),
-                Optional.ofNullable(root.child("cluster"))
-                        .map(this::readCluster)
-                        .orElse(null));
+                Optional.ofNullable(root.child("zones")).map(this::readZones),
+                Optional.ofNullable(root.child("cluster")).map(this::readCluster));
         if (!faults.isEmpty()) {
             throw new FaultyFileException(faults);
         }
--- a/pooler/src/test/java/frostreel/StatusPagesTest.java
+++ b/pooler/src/test/java/frostreel/StatusPagesTest.java
@@ -6,6 +6,7 @@
 import frostreel.log.Logging;
 import frostreel.settings.OperatorSettings;
 import java.util.List;
+import java.util.Optional;
 import java.util.logging.Level;
 import org.junit.jupiter.api.Test;
 
@@ -28,8 +29,8 @@
         harness.operators = new OperatorSettings(
                 Logging.Format.TEXT,
                 Level.INFO,
-                new OperatorSettings.Zones(List.of(new OperatorSettings.Tier(List.of(), 1)), 2),
-                null);
+                Optional.of(new OperatorSettings.Zones(List.of(new OperatorSettings.Tier(List.of(), 1)), 2)),
+                Optional.empty());
         start();
         try (WireConnection client = harness.client()) {
             assertThat(value(client.execute(readSql("1", 9000)))).isEqualTo("from-replica");
--- a/pooler/src/test/java/frostreel/settings/OperatorSettingsTest.java
+++ b/pooler/src/test/java/frostreel/settings/OperatorSettingsTest.java
@@ -10,6 +10,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
+import java.util.Optional;
 import java.util.logging.Level;
 import org.assertj.core.api.InstanceOfAssertFactories;
 import org.junit.jupiter.api.Test;
@@ -42,7 +43,7 @@
     @Test
     void omittedPartsGetDefaults() throws Exception {
         assertThat(OperatorSettings.read(write(HEAD + "<log format=\"json\"/></frostreel>")))
-                .isEqualTo(new OperatorSettings(Logging.Format.JSON, Level.INFO, null, null));
+                .isEqualTo(new OperatorSettings(Logging.Format.JSON, Level.INFO, Optional.empty(), Optional.empty()));
         assertThat(OperatorSettings.read(write(HEAD + "</frostreel>"))).isEqualTo(OperatorSettings.DEFAULT);
     }
 
@@ -83,7 +84,7 @@
     void clusterMembersAreReadAndTheirFaultsReported() throws Exception {
         Path file = write(HEAD + "<cluster silentAfterMs='800'><pooler name='a' at='10.0.0.1:7800'/>"
                 + "<pooler name='b' at='10.0.0.2:7800' bind='127.0.0.2:7801'/></cluster></frostreel>");
-        OperatorSettings.Cluster read = OperatorSettings.read(file, "b").cluster();
+        OperatorSettings.Cluster read = OperatorSettings.read(file, "b").cluster().orElseThrow();
         assertThat(read.group()).isEqualTo("frostreel");
         assertThat(read.silentAfterMs()).isEqualTo(800);
         InetSocketAddress first = new InetSocketAddress("10.0.0.1", 7800);
