--- a/lab/src/main/java/frostreel/lab/experiment/Experiment.java
+++ b/lab/src/main/java/frostreel/lab/experiment/Experiment.java
@@ -39,8 +39,8 @@
 
     private Experiment(String file, XmlElement root, List<Fault> wrong) {
         name = root.text("name");
-        seed = root.whole("seed");
-        durationS = (int) root.whole("durationS");
+        seed = root.integer("seed");
+        durationS = (int) root.integer("durationS");
         fleet = root.child("fleet");
         clients = root.child("clients");
         for (XmlElement policy : root.child("policies").children()) {
@@ -67,22 +67,22 @@
     }
 
     private int zone(String file, XmlElement element, String attribute, List<Fault> wrong) {
-        long zone = element.whole(attribute);
-        if (zone >= fleet.whole("zones")) {
+        long zone = element.integer(attribute);
+        if (zone >= fleet.integer("zones")) {
             wrong.add(element.fault(file, attribute, "there is no zone " + zone + "; the first is 0"));
         }
         return (int) zone;
     }
 
     private void fault(String file, XmlElement element, List<Fault> wrong) {
-        long atUs = element.seconds("atS");
-        if (element.number("atS") >= durationS) {
+        long atUs = element.microsFromSeconds("atS");
+        if (element.decimal("atS") >= durationS) {
             wrong.add(element.fault(file, "atS", "the run is over then"));
         }
         if (element.name().equals("cut")) {
             int from = zone(file, element, "from", wrong);
             int to = zone(file, element, "to", wrong);
-            long untilUs = element.seconds("untilS");
+            long untilUs = element.microsFromSeconds("untilS");
             if (untilUs <= atUs) {
                 wrong.add(element.fault(file, "untilS", "is not after atS"));
             }
@@ -93,19 +93,19 @@
             return;
         }
         int zone = zone(file, element, "zone", wrong);
-        if (element.name().equals("loseZone") && (firstLossS == NO_LOSS || element.number("atS") < firstLossS)) {
-            firstLossS = (int) element.number("atS");
+        if (element.name().equals("loseZone") && (firstLossS == NO_LOSS || element.decimal("atS") < firstLossS)) {
+            firstLossS = (int) element.decimal("atS");
         }
         faults.add(
                 switch (element.name()) {
                     case "loseZone" -> simulation -> simulation.at(atUs, () -> simulation.loseZone(zone));
                     case "returnZone" -> simulation -> simulation.at(atUs, () -> simulation.returnZone(zone));
                     case "slowZone" -> {
-                        double times = element.number("times");
+                        double times = element.decimal("times");
                         yield simulation -> simulation.at(atUs, () -> simulation.slowZone(zone, times));
                     }
                     default -> {
-                        double rate = element.number("rate");
+                        double rate = element.decimal("rate");
                         yield simulation -> simulation.at(atUs, () -> simulation.replayZone(zone, rate));
                     }
                 });
@@ -123,7 +123,7 @@
                 element.name(),
                 element.text("policy"),
                 element.has("zone") ? zone(file, element, "zone", wrong) : RunStatistics.ALL_ZONES,
-                element.number(element.has("atLeast") ? "atLeast" : "atMost")));
+                element.decimal(element.has("atLeast") ? "atLeast" : "atMost")));
     }
 
     String name() {
@@ -151,14 +151,14 @@
     SimulationPlan plan(long withSeed) {
         return new SimulationPlan(
                 withSeed,
-                (int) fleet.whole("zones"),
-                (int) fleet.whole("poolersPerZone"),
-                (int) fleet.whole("groups"),
-                (int) fleet.whole("cores"),
-                clients.number("load"),
-                fleet.seconds("listLagS"),
+                (int) fleet.integer("zones"),
+                (int) fleet.integer("poolersPerZone"),
+                (int) fleet.integer("groups"),
+                (int) fleet.integer("cores"),
+                clients.decimal("load"),
+                fleet.microsFromSeconds("listLagS"),
                 durationS * 1_000_000L,
-                clients.flag("retry"));
+                clients.isTrue("retry"));
     }
 
     /** A simulation of one policy with the faults set, not yet run. */
@@ -167,7 +167,7 @@
         BiFunction<Router.Settings, Router.Actions, Router> routers = switch (settings.name()) {
             case "plain" -> Policy.plain();
             case "allToNext" -> Policy.allToTheNext(plan);
-            default -> Policy.tiers(plan, settings.number("next"), settings.number("rest"));
+            default -> Policy.tiers(plan, settings.decimal("next"), settings.decimal("rest"));
         };
         Simulation simulation = new Simulation(plan, routers);
         faults.forEach(f -> f.accept(simulation));
--- a/lab/src/main/java/frostreel/lab/processes/ProcessExperiment.java
+++ b/lab/src/main/java/frostreel/lab/processes/ProcessExperiment.java
@@ -34,8 +34,8 @@
     private ProcessExperiment(String file, XmlElement root, List<Fault> errors) {
         this.file = file;
         name = root.text("name");
-        seed = root.whole("seed");
-        durationS = (int) root.whole("durationS");
+        seed = root.integer("seed");
+        durationS = (int) root.integer("durationS");
         fleetSettings = root.child("fleet");
         clientSettings = root.child("clients");
         if (silentAfterMs() > 0 && (silentAfterMs() < MIN_SILENT_MS || silentAfterMs() > MAX_SILENT_MS)) {
@@ -60,19 +60,19 @@
     private void readCheck(XmlElement element, List<Fault> errors) {
         switch (element.name()) {
             case "rules" -> {
-                slackUs = element.ms("slackMs");
+                slackUs = element.microsFromMillis("slackMs");
                 checks.add(new Check("rules", 0, 0, 0));
             }
             case "worth" -> {
-                int from = (int) element.whole("fromS");
-                int to = (int) element.whole("toS");
+                int from = (int) element.integer("fromS");
+                int to = (int) element.integer("toS");
                 if (to <= from || to > durationS) {
                     errors.add(element.fault(file, "toS", "is not after fromS and within the run"));
                 }
-                checks.add(new Check("worth", from, to, element.number("atLeast")));
+                checks.add(new Check("worth", from, to, element.decimal("atLeast")));
             }
-            case "upgrades" -> checks.add(new Check("upgrades", 0, 0, element.number("atLeast")));
-            default -> checks.add(new Check(element.name(), 0, 0, element.number("atMost")));
+            case "upgrades" -> checks.add(new Check("upgrades", 0, 0, element.decimal("atLeast")));
+            default -> checks.add(new Check(element.name(), 0, 0, element.decimal("atMost")));
         }
     }
 
@@ -86,21 +86,21 @@
     }
 
     int poolers() {
-        return (int) fleetSettings.whole("poolers");
+        return (int) fleetSettings.integer("poolers");
     }
 
     int servers() {
-        return (int) (fleetSettings.whole("zones") * fleetSettings.whole("groups"));
+        return (int) (fleetSettings.integer("zones") * fleetSettings.integer("groups"));
     }
 
     /** After how long poolers count a silent peer as absent; 0 where they have no peers. */
     long silentAfterMs() {
-        return fleetSettings.whole("silentAfterMs");
+        return fleetSettings.integer("silentAfterMs");
     }
 
     /** Whether operators call, and each pooler has a listening socket that outlives it. */
     boolean operated() {
-        return fleetSettings.flag("operated");
+        return fleetSettings.isTrue("operated");
     }
 
     /** Whether system calls are to fail, so that the poolers need the library for that. */
@@ -127,16 +127,16 @@
 
     /** Its load is in requests a second; poolers are spread evenly over the zones. */
     SimulationPlan plan(long withSeed) {
-        int zones = (int) fleetSettings.whole("zones");
+        int zones = (int) fleetSettings.integer("zones");
         return new SimulationPlan(
                 withSeed,
                 zones,
                 (poolers() + zones - 1) / zones,
-                (int) fleetSettings.whole("groups"),
-                (int) fleetSettings.whole("cores"),
-                clientSettings.number("perSecond"),
-                fleetSettings.seconds("listLagS"),
+                (int) fleetSettings.integer("groups"),
+                (int) fleetSettings.integer("cores"),
+                clientSettings.decimal("perSecond"),
+                fleetSettings.microsFromSeconds("listLagS"),
                 durationS * 1_000_000L,
-                clientSettings.flag("retry"));
+                clientSettings.isTrue("retry"));
     }
 }
--- a/lab/src/main/java/frostreel/lab/processes/ProcessFaultReader.java
+++ b/lab/src/main/java/frostreel/lab/processes/ProcessFaultReader.java
@@ -38,11 +38,11 @@
 
     /** Reads one fault. */
     void read(XmlElement element) {
-        long atUs = element.seconds("atS");
-        if (element.number("atS") >= experiment.durationS()) {
+        long atUs = element.microsFromSeconds("atS");
+        if (element.decimal("atS") >= experiment.durationS()) {
             errors.add(element.fault(file, "atS", "the run is over then"));
         }
-        long untilUs = element.has("untilS") ? element.seconds("untilS") : 0;
+        long untilUs = element.has("untilS") ? element.microsFromSeconds("untilS") : 0;
         if (element.has("untilS") && untilUs <= atUs) {
             errors.add(element.fault(file, "untilS", "is not after atS"));
         }
@@ -58,7 +58,7 @@
     }
 
     private int number(XmlElement element, String attribute, long count) {
-        long number = element.whole(attribute);
+        long number = element.integer(attribute);
         if (number >= count) {
             errors.add(element.fault(file, attribute, "there is no " + attribute + " " + number + "; the first is 0"));
         }
@@ -77,8 +77,8 @@
     }
 
     private void randomFaults(XmlElement element, long atUs, long untilUs) {
-        long lengthUs = element.seconds("lengthS");
-        int count = (int) element.whole("count");
+        long lengthUs = element.microsFromSeconds("lengthS");
+        int count = (int) element.integer("count");
         int poolers = experiment.poolers();
         int servers = experiment.servers();
         faults.add(
@@ -97,11 +97,11 @@
             case "call" -> operatorCall(element, pooler, atUs);
             case "system" -> systemFault(element, pooler, atUs, untilUs);
             case "kill" -> {
-                long downUs = element.seconds("awayS");
+                long downUs = element.microsFromSeconds("awayS");
                 at(atUs, fleet -> fleet.lifecycle().kill(pooler, downUs, () -> {}));
             }
             case "stop" -> {
-                long downUs = element.seconds("awayS");
+                long downUs = element.microsFromSeconds("awayS");
                 at(atUs, fleet -> fleet.lifecycle().stop(pooler, downUs, () -> {}));
             }
             case "pause" ->
@@ -115,7 +115,7 @@
     }
 
     private void upgrade(XmlElement element, int pooler, long atUs) {
-        long killAfterUs = element.has("diesAfterMs") ? element.ms("diesAfterMs") : 0;
+        long killAfterUs = element.has("diesAfterMs") ? element.microsFromMillis("diesAfterMs") : 0;
         if (killAfterUs > 0) {
             at(atUs, fleet -> fleet.upgrades().upgradeAborted(pooler, killAfterUs));
         } else {
@@ -136,8 +136,8 @@
     private void systemFault(XmlElement element, int pooler, long atUs, long untilUs) {
         SystemFaults.Call call = SystemFaults.Call.valueOf(element.text("call"));
         SystemFaults.Errno error = SystemFaults.Errno.valueOf(element.text("error"));
-        long times = element.has("times") ? element.whole("times") : SystemFaults.ALWAYS;
-        long spanUs = element.ms("spanMs") * (element.flag("back") ? -1 : 1);
+        long times = element.has("times") ? element.integer("times") : SystemFaults.ALWAYS;
+        long spanUs = element.microsFromMillis("spanMs") * (element.isTrue("back") ? -1 : 1);
         failsSystemCalls = true;
         at(atUs, fleet -> fleet.systemFaults().strike(pooler, call, error, untilUs - atUs, times, spanUs));
     }
@@ -155,7 +155,7 @@
                         fleet -> fleet.network().cut(pooler, side, false, false));
             }
             case "delay" -> {
-                long delayUs = element.ms("ms");
+                long delayUs = element.microsFromMillis("ms");
                 between(
                         atUs,
                         untilUs,
@@ -163,7 +163,7 @@
                         fleet -> fleet.network().delay(pooler, side, 0));
             }
             case "slow" -> {
-                long bytesPerSecond = element.whole("bytesPerS");
+                long bytesPerSecond = element.integer("bytesPerS");
                 between(
                         atUs,
                         untilUs,
@@ -193,7 +193,7 @@
                         fleet -> cutPeers(fleet, from, to, both, false));
             }
             case "delayPeers" -> {
-                long delayUs = element.ms("ms");
+                long delayUs = element.microsFromMillis("ms");
                 between(
                         atUs,
                         untilUs,
@@ -201,7 +201,7 @@
                         fleet -> fleet.network().delayPeers(from, to, 0));
             }
             default -> {
-                long bytesPerSecond = element.whole("bytesPerS");
+                long bytesPerSecond = element.integer("bytesPerS");
                 between(
                         atUs,
                         untilUs,
--- a/pooler/src/main/java/frostreel/settings/OperatorSettingsReader.java
+++ b/pooler/src/main/java/frostreel/settings/OperatorSettingsReader.java
@@ -77,9 +77,9 @@
                     faults.add(element.fault(file, "zones", "zone '" + name + "' stands in tier " + other + " too"));
                 }
             }
-            tiers.add(new OperatorSettings.Tier(names, element.number("spill")));
+            tiers.add(new OperatorSettings.Tier(names, element.decimal("spill")));
         }
-        return new OperatorSettings.Zones(tiers, (int) zones.whole("poolers"));
+        return new OperatorSettings.Zones(tiers, (int) zones.integer("poolers"));
     }
 
     private static List<String> zoneNames(XmlElement tier) {
@@ -106,7 +106,7 @@
         if (self.isPresent() && !members.containsKey(self.get())) {
             faults.add(cluster.fault(file, null, "this pooler, '" + self.get() + "', is not among them"));
         }
-        return new OperatorSettings.Cluster(cluster.text("group"), cluster.whole("silentAfterMs"), members);
+        return new OperatorSettings.Cluster(cluster.text("group"), cluster.integer("silentAfterMs"), members);
     }
 
     /** The address of one machine; anything else is a fault. */
--- a/pooler/src/main/java/frostreel/settings/XmlElement.java
+++ b/pooler/src/main/java/frostreel/settings/XmlElement.java
@@ -10,6 +10,9 @@
  * the schema gives them, so that the accessors do not fail on what a user wrote.
  */
 public final class XmlElement {
+    private static final double MICROS_PER_MILLI = 1e3;
+    private static final double MICROS_PER_SECOND = 1e6;
+
     private final XmlElement parent;
     private final String name;
     private final Map<String, String> attributes;
@@ -56,29 +59,29 @@
         return value.strip();
     }
 
-    /** A decimal attribute. */
-    public double number(String attribute) {
+    /** The value of a decimal attribute. */
+    public double decimal(String attribute) {
         return Double.parseDouble(text(attribute));
     }
 
-    /** An integer attribute. */
-    public long whole(String attribute) {
+    /** The value of an integer attribute. */
+    public long integer(String attribute) {
         return Long.parseLong(text(attribute));
     }
 
-    /** A boolean attribute, in either of the schema's two forms. */
-    public boolean flag(String attribute) {
+    /** Whether a boolean attribute is set, in either of the schema's two forms. */
+    public boolean isTrue(String attribute) {
         return text(attribute).equals("true") || text(attribute).equals("1");
     }
 
-    /** An attribute in milliseconds, converted to microseconds. */
-    public long ms(String attribute) {
-        return Math.round(number(attribute) * 1000);
+    /** The value in microseconds of an attribute in milliseconds. */
+    public long microsFromMillis(String attribute) {
+        return Math.round(decimal(attribute) * MICROS_PER_MILLI);
     }
 
-    /** An attribute in seconds, converted to microseconds. */
-    public long seconds(String attribute) {
-        return Math.round(number(attribute) * 1_000_000);
+    /** The value in microseconds of an attribute in seconds. */
+    public long microsFromSeconds(String attribute) {
+        return Math.round(decimal(attribute) * MICROS_PER_SECOND);
     }
 
     /** The child elements of a name, in the order of the file. */
