--- a/pooler/src/main/java/frostreel/settings/OperatorSettingsReader.java
+++ b/pooler/src/main/java/frostreel/settings/OperatorSettingsReader.java
@@ -44,13 +44,13 @@
 
     OperatorSettings read() throws FaultyFileException {
         XmlElement root = XmlFile.read(path, OperatorSettings.SCHEMA);
-        Optional<XmlElement> log = Optional.ofNullable(root.child("log"));
+        Optional<XmlElement> log = root.optionalChild("log");
         OperatorSettings settings = new OperatorSettings(
                 log.map(element -> Logging.Format.valueOf(constant(element, "format")))
                         .orElse(OperatorSettings.DEFAULT.logFormat()),
                 log.map(element -> Level.parse(constant(element, "level"))).orElse(OperatorSettings.DEFAULT.logLevel()),
-                Optional.ofNullable(root.child("zones")).map(this::readZones),
-                Optional.ofNullable(root.child("cluster")).map(this::readCluster));
+                root.optionalChild("zones").map(this::readZones),
+                root.optionalChild("cluster").map(this::readCluster));
         if (!faults.isEmpty()) {
             throw new FaultyFileException(faults);
         }
--- a/pooler/src/main/java/frostreel/settings/XmlElement.java
+++ b/pooler/src/main/java/frostreel/settings/XmlElement.java
@@ -3,6 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.stream.Stream;
 
 /**
@@ -94,9 +95,19 @@
         return children;
     }
 
-    /** The only child element of a name, null where there is none. */
+    /**
+     * The child element of a name that the schema requires.
+     *
+     * @throws IllegalStateException where the schema does not
+     */
     public XmlElement child(String childName) {
-        return children(childName).findFirst().orElse(null);
+        return optionalChild(childName)
+                .orElseThrow(() -> new IllegalStateException("the schema leaves out " + path() + "/" + childName));
+    }
+
+    /** The child element of a name that the schema permits at most once. */
+    Optional<XmlElement> optionalChild(String childName) {
+        return children(childName).findFirst();
     }
 
     /** The names of the elements from the root to this one, separated by slashes. */
