--- a/pooler/src/main/java/frostreel/discovery/DiscoveryWatch.java
+++ b/pooler/src/main/java/frostreel/discovery/DiscoveryWatch.java
@@ -38,14 +38,12 @@
      * once.
      */
     static final long TIMEOUT_US = 1_500_000;
-    /** An overdue request is abandoned after this time without any bytes. */
-    static final long OVERDUE_SILENCE_US = 15_000_000;
-    /** An overdue request is abandoned after this time in all. */
-    static final long MAX_OVERDUE_US = 60_000_000;
     /** The version of a watch that holds no list; the complete one is requested. */
-    public static final long NO_VERSION = -1;
+    public static final long NO_VERSION = ListVersion.NONE;
 
+    private static final String PATH = "/discovery/hosts";
     private static final int HTTP_OK = 200;
+    private static final long MICROS_PER_MILLI = 1000;
 
     private final EventLoop loop;
     private final InetSocketAddress address;
@@ -54,14 +52,13 @@
     private final Consumer<EndpointList> listener;
     private final DiscoveryStatus status = new DiscoveryStatus();
     private final Backoff backoff = new Backoff();
-    /** The connection with the current request, or being established for it; null between two. */
-    private AgentConnection current;
-    /** The connection of a request that is overdue and may still be answered; null for none. */
-    private AgentConnection overdue;
-
+    private final AgentConnections connections = new AgentConnections();
+    private final ListVersion held;
+    /** The pending reconnect after a failure; null before the first one. */
     private Deadlines.Deadline reconnect;
-    private long version;
+    /** Whether the first request was written. */
     private boolean requested;
+
     private boolean stopped;
     private Runnable onFirstRequest = () -> {};
     private Runnable onFirstList = () -> {};
@@ -81,7 +78,7 @@
             List<String> machineTypes,
             long version,
             Consumer<EndpointList> listener) {
-        this.version = version;
+        held = new ListVersion(version);
         this.loop = loop;
         this.address = address;
         this.zones = zones;
@@ -104,38 +101,24 @@
 
     /** Begins to watch, or reconnects; without effect while a connection is current. */
     public void start() {
-        if (stopped || current != null) {
+        if (stopped || connections.hasCurrent()) {
             return;
         }
-        current = new AgentConnection(loop, address, TIMEOUT_US, this);
-        current.begin();
+        AgentConnection connection = new AgentConnection(loop, address, TIMEOUT_US, this);
+        connections.setCurrent(connection);
+        connection.begin();
     }
 
     /** Stops for good: no request, retry or list follows. */
     public void stop() {
         stopped = true;
         loop.deadlines().cancel(reconnect);
-        close(current);
-        close(overdue);
-    }
-
-    private void close(AgentConnection connection) {
-        if (connection != null) {
-            connection.close();
-        }
-        current = connection == current ? null : current;
-        overdue = connection == overdue ? null : overdue;
+        connections.closeAll();
     }
 
     /** Processes what the agent has sent by now, before the loop acts on other events. */
     public void readNow() {
-        AgentConnection second = overdue; // Reading from the current connection may close it, or make it current.
-        if (current != null) {
-            current.readNow();
-        }
-        if (second != null) {
-            second.readNow();
-        }
+        connections.readNow();
     }
 
     @Override
@@ -145,13 +128,15 @@
 
     private void poll(AgentConnection connection) {
         loop.counters().watches++;
-        boolean complete = version < 0;
-        long waitMs = status.isAnswering() ? LONG_POLL_MS : PROBE_POLL_MS;
-        String query = complete ? "" : "?index=" + version + "&wait=" + waitMs;
-        long pollUs = complete ? 0 : waitMs * 1000;
         boolean first = !requested;
         requested = true;
-        connection.request("/discovery/hosts" + query, version, TIMEOUT_US + pollUs);
+        if (held.isNone()) {
+            connection.request(PATH, held.value(), TIMEOUT_US);
+        } else {
+            long waitMs = status.isAnswering() ? LONG_POLL_MS : PROBE_POLL_MS;
+            String query = "?index=" + held.value() + "&wait=" + waitMs;
+            connection.request(PATH + query, held.value(), waitMs * MICROS_PER_MILLI + TIMEOUT_US);
+        }
         if (first) {
             onFirstRequest.run();
         }
@@ -163,14 +148,14 @@
         try {
             list = parse(response);
         } catch (MalformedResponseException | MalformedMessageException | JSONException e) {
-            close(connection);
+            connections.close(connection);
             retry(e.getMessage());
             return;
         }
         loop.counters().lists++;
-        boolean relevant = isRelevant(connection.fromVersion(), list);
+        boolean relevant = held.isRelevant(list, connection.fromVersion());
         if (relevant) {
-            version = versionAfter(list);
+            held.advanceTo(list);
         }
         status.answered(loop.clock().now());
         backoff.reset();
@@ -188,19 +173,6 @@
         return EndpointList.read(new JSONObject(response.body()).toMap(), zones, machineTypes);
     }
 
-    /** Whether the list adds to the one held; the response to an overdue request may be older than that. */
-    private boolean isRelevant(long fromVersion, EndpointList list) {
-        return fromVersion == version || list.version() >= version;
-    }
-
-    /**
-     * Versions that went back belong to another count, so that changes since then are not those that are
-     * missing.
-     */
-    private long versionAfter(EndpointList list) {
-        return list.complete() || list.version() >= version ? list.version() : NO_VERSION;
-    }
-
     private void deliver(EndpointList list) {
         Runnable beforeFirst = onFirstList;
         onFirstList = () -> {};
@@ -208,47 +180,30 @@
         listener.accept(list);
     }
 
-    /** Goes on with the connection that was answered; the request on the other one has become useless. */
+    /** Sends the next request, on the connection that was answered if it can carry one. */
     private void continueOn(AgentConnection connection, boolean keepAlive) {
         loop.deadlines().cancel(reconnect);
-        close(connection == current ? overdue : current);
-        overdue = null;
-        current = connection;
+        connections.keepOnly(connection);
         if (keepAlive) {
             poll(connection);
         } else {
-            close(connection);
+            connections.close(connection);
             start();
         }
     }
 
     @Override
     public void onOverdue(AgentConnection connection, String reason) {
-        if (connection != current) {
-            return;
-        }
-        current = null;
-        if (overdue != null && hasExpired(overdue)) {
-            close(overdue);
-        }
-        if (overdue == null) {
-            overdue = connection;
-        } else {
-            connection.close(); // The older request is nearer to its response.
+        if (connections.isCurrent(connection)) {
+            connections.moveCurrentToOverdue(loop.clock().now());
+            retry(reason);
         }
-        retry(reason);
-    }
-
-    private boolean hasExpired(AgentConnection connection) {
-        long nowUs = loop.clock().now();
-        return nowUs - connection.lastReceivedUs() > OVERDUE_SILENCE_US
-                || nowUs - connection.requestedUs() > MAX_OVERDUE_US;
     }
 
     @Override
     public void onFailed(AgentConnection connection, String reason) {
-        boolean wasOverdue = connection == overdue;
-        close(connection);
+        boolean wasOverdue = connections.isOverdue(connection);
+        connections.close(connection);
         if (!wasOverdue) {
             retry(reason);
         }
@@ -258,7 +213,7 @@
     private void retry(String reason) {
         loop.counters().discoveryFailures++;
         status.failed(loop.clock().now(), reason);
-        if (stopped || current != null) {
+        if (stopped || connections.hasCurrent()) {
             return;
         }
         loop.deadlines().cancel(reconnect);
@@ -268,6 +223,6 @@
     /** The fields of {@code SHOW health} on discovery. */
     @Override
     public String toString() {
-        return status.describe(loop.clock().now(), version);
+        return status.describe(loop.clock().now(), held.value());
     }
 }
