--- a/decisions/src/main/java/frostreel/wire/MessageFields.java
+++ b/decisions/src/main/java/frostreel/wire/MessageFields.java
@@ -87,6 +87,11 @@
         throw malformed(key, "an object");
     }
 
+    /** A nested object; one without fields where the field is missing. */
+    public MessageFields objectOrEmpty(String key) throws MalformedMessageException {
+        return has(key) ? object(key) : new MessageFields(Map.of());
+    }
+
     /** A list, which must be present. */
     @SuppressWarnings("unchecked") // Each element is checked by who reads it.
     public List<Object> list(String key) throws MalformedMessageException {
@@ -96,6 +101,11 @@
         throw malformed(key, "a list");
     }
 
+    /** A list; an empty one where the field is missing. */
+    public List<Object> listOrEmpty(String key) throws MalformedMessageException {
+        return has(key) ? list(key) : List.of();
+    }
+
     /** The value whose name the field holds; it must be present and one of {@code choices}. */
     public <T> T oneOf(String key, List<NamedValue<T>> choices) throws MalformedMessageException {
         String name = text(key);
--- a/decisions/src/main/java/frostreel/wire/SettingsReader.java
+++ b/decisions/src/main/java/frostreel/wire/SettingsReader.java
@@ -75,28 +75,38 @@
                 routingRules);
     }
 
-    /** The classes in their order, which numbers them; what each needs of the data stands in lists beside them. */
+    /** The classes in their order, which numbers them; how fresh a read must be stands in lists apart from them. */
     @SuppressWarnings("unchecked") // JSON objects have text keys only.
     private static List<Router.RequestClass> requestClasses(MessageFields options, MessageFields family)
             throws MalformedMessageException {
         List<Object> freshness = family.list("freshness");
-        List<Object> stalenessBounds = family.has("lagAllowedS") ? family.list("lagAllowedS") : List.of();
+        List<Object> stalenessBoundsS = family.listOrEmpty("lagAllowedS");
         List<Router.RequestClass> classes = new ArrayList<>();
         for (Object each : options.list("classes")) {
             int number = classes.size();
             MessageFields fields = new MessageFields((Map<String, Object>) each);
-            if (number >= freshness.size() || !(freshness.get(number) instanceof String)) {
-                throw new MalformedMessageException("field 'freshness' has no word for class " + number);
-            }
-            double boundS = number < stalenessBounds.size() && stalenessBounds.get(number) instanceof Number bound
-                    ? bound.doubleValue()
-                    : 0;
-            classes.add(requestClass(number, fields, freshness.get(number), boundS));
+            String accessName = accessName(freshness, number);
+            classes.add(requestClass(number, fields, accessName, stalenessBoundUs(stalenessBoundsS, number)));
         }
         return List.copyOf(classes);
     }
 
-    private static Router.RequestClass requestClass(int number, MessageFields fields, Object freshness, double boundS)
+    private static String accessName(List<Object> freshness, int number) throws MalformedMessageException {
+        if (number < freshness.size() && freshness.get(number) instanceof String name) {
+            return name;
+        }
+        throw new MalformedMessageException("field 'freshness' has no word for class " + number);
+    }
+
+    /** How stale the data of a bounded read may be, 0 where no bound is stated. */
+    private static long stalenessBoundUs(List<Object> boundsS, int number) {
+        return number < boundsS.size() && boundsS.get(number) instanceof Number seconds
+                ? Math.round(seconds.doubleValue() * MICROS_PER_SECOND)
+                : 0;
+    }
+
+    private static Router.RequestClass requestClass(
+            int number, MessageFields fields, String accessName, long stalenessBoundUs)
             throws MalformedMessageException {
         long deadlineUs = fields.micros("deadlineS");
         if (deadlineUs <= 0) {
@@ -104,11 +114,11 @@
         }
         return new Router.RequestClass(
                 fields.has("name") ? fields.text("name") : "class " + number,
-                new MessageFields(Map.of("freshness", freshness)).oneOf("freshness", ACCESS),
+                new MessageFields(Map.of("freshness", accessName)).oneOf("freshness", ACCESS),
                 fields.oneOf("repeat", IDEMPOTENCY),
                 fields.oneOf("group", DEDUPLICATION_SCOPE, Router.DeduplicationScope.GROUP),
                 fields.micros("repeatWindowS", 0),
-                Math.round(boundS * MICROS_PER_SECOND),
+                stalenessBoundUs,
                 fields.micros("onTimeS", deadlineUs),
                 deadlineUs,
                 fields.number("worth", 1),
@@ -150,9 +160,8 @@
         if (!capabilities.flag("probes")) {
             return Router.HealthChecks.NONE;
         }
-        MessageFields reports = options.has("stats") ? options.object("stats") : null;
-        boolean reportsRole = reports != null
-                && reports.has("names")
+        MessageFields reports = options.objectOrEmpty("stats");
+        boolean reportsRole = reports.has("names")
                 && reports.list("names").containsAll(POSITION_AND_ROLE)
                 && reports.oneOf("how", SENDS_REPORTS);
         return reportsRole ? Router.HealthChecks.REPORT : Router.HealthChecks.LIVENESS;
--- a/pooler/src/main/java/frostreel/config/ConfigReader.java
+++ b/pooler/src/main/java/frostreel/config/ConfigReader.java
@@ -61,8 +61,7 @@
     }
 
     private int descriptors() throws MalformedMessageException {
-        MessageFields limits = file.has("limits") ? file.object("limits") : new MessageFields(Map.of());
-        return (int) limits.whole(
+        return (int) file.objectOrEmpty("limits").whole(
                 "sockets",
                 DescriptorBudget.MIN_DESCRIPTORS,
                 DescriptorBudget.MAX_DESCRIPTORS,
@@ -71,9 +70,7 @@
 
     /** The names of a list that may be left out. A name that is written as a number is read as its digits. */
     private static List<String> names(MessageFields options, String key) throws MalformedMessageException {
-        return options.has(key)
-                ? options.list(key).stream().map(String::valueOf).toList()
-                : List.of();
+        return options.listOrEmpty(key).stream().map(String::valueOf).toList();
     }
 
     private static int maxOpenRequests(MessageFields caps) throws MalformedMessageException {
