--- a/decisions/src/main/java/frostreel/simulator/MessageDecoder.java
+++ b/decisions/src/main/java/frostreel/simulator/MessageDecoder.java
@@ -58,32 +58,32 @@
         Router.State state = fields.oneOf("status", MEMBER_STATE, Router.State.UP);
         return new Router.Member(
                 fields.text("member"),
-                (int) fields.whole("site", 0, MAX_COUNT, 0),
-                (int) fields.whole("hw", 0, MAX_COUNT, 0),
-                (int) fields.whole("set", 0, Integer.MAX_VALUE, 0),
+                (int) fields.integer("site", 0, MAX_COUNT, 0),
+                (int) fields.integer("hw", 0, MAX_COUNT, 0),
+                (int) fields.integer("set", 0, Integer.MAX_VALUE, 0),
                 fields.number("leads", 0) == 1,
                 state,
                 fields.number("scale", 1),
-                fields.micros("cameUpS", Router.Member.LONG_AGO));
+                fields.microsFromSeconds("cameUpS", Router.Member.LONG_AGO));
     }
 
     static Router.Request request(MessageFields message, int classCount) throws MalformedMessageException {
         return new Router.Request(
                 message.text("xid"),
-                (int) message.whole("category", 0, classCount - 1, 0),
-                message.whole("sess", 0, MessageFields.MAX_EXACT_INTEGER, NO_SESSION),
-                (int) message.whole("clusterNo", 0, Integer.MAX_VALUE, 0),
-                message.micros("expiresS"),
+                (int) message.integer("category", 0, classCount - 1, 0),
+                message.integer("sess", 0, MessageFields.MAX_EXACT_INTEGER, NO_SESSION),
+                (int) message.integer("clusterNo", 0, Integer.MAX_VALUE, 0),
+                message.microsFromSeconds("expiresS"),
                 Math.round(message.number("tokenAgeMs", 0) * MICROS_PER_MILLI),
-                (message.whole("attrs", 0, MessageFields.MAX_EXACT_INTEGER, 0) & RETRY_FLAG) != 0);
+                (message.integer("attrs", 0, MessageFields.MAX_EXACT_INTEGER, 0) & RETRY_FLAG) != 0);
     }
 
     static int attempt(MessageFields message) throws MalformedMessageException {
-        return (int) message.whole("leg", 0, MAX_COUNT, 0);
+        return (int) message.integer("leg", 0, MAX_COUNT, 0);
     }
 
     static Outcome outcome(MessageFields message) throws MalformedMessageException {
-        return switch ((int) message.whole("outcome", 0, MAX_OUTCOME_CODE, 0)) {
+        return switch ((int) message.integer("outcome", 0, MAX_OUTCOME_CODE, 0)) {
             case 0 -> Outcome.OK;
             case 1 -> Outcome.CANCELLED;
             case 4 -> Outcome.TIMEOUT;
@@ -99,7 +99,7 @@
 
     /** The mark that an answer carries; 0 where it carries none. */
     static long mark(MessageFields message) throws MalformedMessageException {
-        return message.whole("mark", 0, MessageFields.MAX_EXACT_INTEGER, 0);
+        return message.integer("mark", 0, MessageFields.MAX_EXACT_INTEGER, 0);
     }
 
     static Router.Role markedRole(long mark) {
--- a/decisions/src/main/java/frostreel/simulator/SimulatedInstance.java
+++ b/decisions/src/main/java/frostreel/simulator/SimulatedInstance.java
@@ -32,9 +32,9 @@
             throws MalformedMessageException {
         MessageFields options = message.object("options");
         MessageFields family = options.object("familyInfo");
-        long baseTimeUs = family.micros("baseTimeS", 0);
+        long baseTimeUs = family.microsFromSeconds("baseTimeS", 0);
         boolean reportsRole = reportsRole(options);
-        long seed = message.whole("initSeed", -MessageFields.MAX_EXACT_INTEGER, Long.MAX_VALUE);
+        long seed = message.integer("initSeed", -MessageFields.MAX_EXACT_INTEGER, Long.MAX_VALUE);
         Router.Settings settings = SettingsReader.read(seed, options);
         Router router = factory.apply(settings, actions);
         return new SimulatedInstance(
@@ -74,8 +74,8 @@
                 MessageDecoder.attempt(message),
                 message.text("member"),
                 MessageDecoder.outcome(message),
-                message.flag("finished"),
-                message.micros("waitTimeS", 0),
+                message.isTrue("finished"),
+                message.microsFromSeconds("waitTimeS", 0),
                 MessageDecoder.markedRole(mark),
                 MessageDecoder.markedPositionUs(mark, baseTimeUs),
                 MessageDecoder.report(message, baseTimeUs, reportsRole));
@@ -86,7 +86,7 @@
                 nowUs,
                 message.text("member"),
                 MessageDecoder.outcome(message) == Router.Outcome.OK,
-                message.micros("waitTimeS", 0),
+                message.microsFromSeconds("waitTimeS", 0),
                 MessageDecoder.report(message, baseTimeUs, reportsRole));
     }
 }
--- a/decisions/src/main/java/frostreel/simulator/SimulatedInstances.java
+++ b/decisions/src/main/java/frostreel/simulator/SimulatedInstances.java
@@ -81,7 +81,7 @@
     }
 
     private static long listNumber(MessageFields message) throws MalformedMessageException {
-        return message.whole("buffer", 0, MAX_LIST_NUMBER, 0);
+        return message.integer("buffer", 0, MAX_LIST_NUMBER, 0);
     }
 
     private static String location(RuntimeException exception) {
--- a/decisions/src/main/java/frostreel/simulator/WireAdapter.java
+++ b/decisions/src/main/java/frostreel/simulator/WireAdapter.java
@@ -102,7 +102,7 @@
         if (inBatch) {
             throw new MalformedMessageException("field 't': Clock inside a batch");
         }
-        nowUs = message.micros("timeS");
+        nowUs = message.microsFromSeconds("timeS");
         inBatch = true;
     }
 
--- a/decisions/src/main/java/frostreel/wire/MessageFields.java
+++ b/decisions/src/main/java/frostreel/wire/MessageFields.java
@@ -6,10 +6,10 @@
 /**
  * A decoded JSON object whose fields are read by name, each checked for its type and range.
  *
- * @param map the fields by name; a field that is null counts as absent
+ * @param map the fields by name; a field that is null counts as missing
  */
 public record MessageFields(Map<String, Object> map) {
-    /** Whole numbers beyond 2^53 are not told apart by every JSON reader. */
+    /** JSON readers that hold numbers as doubles cannot represent each integer beyond 2^53. */
     public static final long MAX_EXACT_INTEGER = 1L << 53;
 
     private static final double MAX_SECONDS = 1e12;
@@ -20,7 +20,7 @@
         return map.get(key) != null;
     }
 
-    /** A text, which must be present. */
+    /** A string, which must be present. */
     public String text(String key) throws MalformedMessageException {
         if (map.get(key) instanceof String text) {
             return text;
@@ -36,27 +36,27 @@
         throw malformed(key, "a number");
     }
 
-    /** A finite number, or {@code absent} where the field is missing. */
-    public double number(String key, double absent) throws MalformedMessageException {
-        return has(key) ? number(key) : absent;
+    /** A finite number, or {@code fallback} where the field is missing. */
+    public double number(String key, double fallback) throws MalformedMessageException {
+        return has(key) ? number(key) : fallback;
     }
 
-    /** A whole number from {@code least} to {@code most}, both included, which must be present. */
-    public long whole(String key, long least, long most) throws MalformedMessageException {
+    /** An integer from {@code min} to {@code max}, both included, which must be present. */
+    public long integer(String key, long min, long max) throws MalformedMessageException {
         double number = number(key);
-        if (number != Math.rint(number) || number < least || number > most) {
-            throw malformed(key, "a whole number from " + least + " to " + most);
+        if (number != Math.rint(number) || number < min || number > max) {
+            throw malformed(key, "a whole number from " + min + " to " + max);
         }
         return map.get(key) instanceof Long exact ? exact : (long) number;
     }
 
-    /** A whole number from {@code least} to {@code most}, or {@code absent} where the field is missing. */
-    public long whole(String key, long least, long most, long absent) throws MalformedMessageException {
-        return has(key) ? whole(key, least, most) : absent;
+    /** An integer from {@code min} to {@code max}, or {@code fallback} where the field is missing. */
+    public long integer(String key, long min, long max, long fallback) throws MalformedMessageException {
+        return has(key) ? integer(key, min, max) : fallback;
     }
 
-    /** A time that is written in seconds, as microseconds. */
-    public long micros(String key) throws MalformedMessageException {
+    /** The value in microseconds of a field in seconds, which must be present. */
+    public long microsFromSeconds(String key) throws MalformedMessageException {
         double seconds = number(key);
         if (Math.abs(seconds) > MAX_SECONDS) {
             throw malformed(key, "a time in range");
@@ -64,13 +64,13 @@
         return Math.round(seconds * MICROS_PER_SECOND);
     }
 
-    /** A time that is written in seconds, as microseconds, or {@code absent} where the field is missing. */
-    public long micros(String key, long absent) throws MalformedMessageException {
-        return has(key) ? micros(key) : absent;
+    /** The value in microseconds of a field in seconds, or {@code fallback} where the field is missing. */
+    public long microsFromSeconds(String key, long fallback) throws MalformedMessageException {
+        return has(key) ? microsFromSeconds(key) : fallback;
     }
 
-    /** A boolean; false where the field is missing. */
-    public boolean flag(String key) throws MalformedMessageException {
+    /** Whether a boolean field is set; false where it is missing. */
+    public boolean isTrue(String key) throws MalformedMessageException {
         Object value = map.get(key);
         if (value == null || value instanceof Boolean) {
             return value == Boolean.TRUE;
@@ -79,7 +79,7 @@
     }
 
     /** A nested object, which must be present. */
-    @SuppressWarnings("unchecked") // JSON objects have text keys only.
+    @SuppressWarnings("unchecked") // The keys of JSON objects are strings.
     public MessageFields object(String key) throws MalformedMessageException {
         if (map.get(key) instanceof Map<?, ?> object) {
             return new MessageFields((Map<String, Object>) object);
@@ -93,7 +93,7 @@
     }
 
     /** A list, which must be present. */
-    @SuppressWarnings("unchecked") // Each element is checked by who reads it.
+    @SuppressWarnings("unchecked") // The caller checks each element.
     public List<Object> list(String key) throws MalformedMessageException {
         if (map.get(key) instanceof List<?> list) {
             return (List<Object>) list;
@@ -121,9 +121,9 @@
                                 ", ", choices.stream().map(NamedValue::name).toList()));
     }
 
-    /** As {@link #oneOf(String, List)}, or {@code absent} where the field is missing. */
-    public <T> T oneOf(String key, List<NamedValue<T>> choices, T absent) throws MalformedMessageException {
-        return has(key) ? oneOf(key, choices) : absent;
+    /** As {@link #oneOf(String, List)}, or {@code fallback} where the field is missing. */
+    public <T> T oneOf(String key, List<NamedValue<T>> choices, T fallback) throws MalformedMessageException {
+        return has(key) ? oneOf(key, choices) : fallback;
     }
 
     private MalformedMessageException malformed(String key, String expected) {
--- a/decisions/src/main/java/frostreel/wire/SettingsReader.java
+++ b/decisions/src/main/java/frostreel/wire/SettingsReader.java
@@ -63,20 +63,20 @@
         Router.Rules routingRules = rules(rules);
         return new Router.Settings(
                 seed,
-                (int) options.whole("instances", 1, MAX_COUNT, 0),
-                (int) options.whole("zone", 0, MAX_COUNT, 0),
-                options.micros("roundS", DEFAULT_TICK_US),
+                (int) options.integer("instances", 1, MAX_COUNT, 0),
+                (int) options.integer("zone", 0, MAX_COUNT, 0),
+                options.microsFromSeconds("roundS", DEFAULT_TICK_US),
                 classes,
                 family.oneOf("serverChecks", STALENESS_CHECK, Router.StalenessCheck.SILENT),
                 family.oneOf("listRole", LIST_ROLE, Router.ListRole.SILENT),
                 family.oneOf("writeMarks", SESSION_TRACKING, Router.SessionTracking.REMEMBERED),
-                family.flag("positions"),
+                family.isTrue("positions"),
                 limits,
                 routingRules);
     }
 
     /** The classes in their order, which numbers them; how fresh a read must be stands in lists apart from them. */
-    @SuppressWarnings("unchecked") // JSON objects have text keys only.
+    @SuppressWarnings("unchecked") // The keys of JSON objects are strings.
     private static List<Router.RequestClass> requestClasses(MessageFields options, MessageFields family)
             throws MalformedMessageException {
         List<Object> freshness = family.list("freshness");
@@ -108,7 +108,7 @@
     private static Router.RequestClass requestClass(
             int number, MessageFields fields, String accessName, long stalenessBoundUs)
             throws MalformedMessageException {
-        long deadlineUs = fields.micros("deadlineS");
+        long deadlineUs = fields.microsFromSeconds("deadlineS");
         if (deadlineUs <= 0) {
             throw new MalformedMessageException("field 'deadlineS' of class " + number + " is not above 0");
         }
@@ -117,9 +117,9 @@
                 new MessageFields(Map.of("freshness", accessName)).oneOf("freshness", ACCESS),
                 fields.oneOf("repeat", IDEMPOTENCY),
                 fields.oneOf("group", DEDUPLICATION_SCOPE, Router.DeduplicationScope.GROUP),
-                fields.micros("repeatWindowS", 0),
+                fields.microsFromSeconds("repeatWindowS", 0),
                 stalenessBoundUs,
-                fields.micros("onTimeS", deadlineUs),
+                fields.microsFromSeconds("onTimeS", deadlineUs),
                 deadlineUs,
                 fields.number("worth", 1),
                 fields.number("lateWorth", 0));
@@ -129,35 +129,35 @@
             MessageFields options, MessageFields family, MessageFields capabilities, MessageFields rules)
             throws MalformedMessageException {
         return Limits.builder()
-                .maxAttempts((int) capabilities.whole("maxAttempts", 1, MAX_COUNT, 1))
+                .maxAttempts((int) capabilities.integer("maxAttempts", 1, MAX_COUNT, 1))
                 .healthChecks(healthChecks(capabilities, options))
-                .cancel(capabilities.flag("cancel"))
-                .retryAfterAllowed(capabilities.flag("retryAfter"))
-                .maxRetryAfterUs(capabilities.micros("maxRetryAfterS", 0))
+                .cancel(capabilities.isTrue("cancel"))
+                .retryAfterAllowed(capabilities.isTrue("retryAfter"))
+                .maxRetryAfterUs(capabilities.microsFromSeconds("maxRetryAfterS", 0))
                 .subscribe(options.oneOf("membershipMode", SUBSCRIBES, false))
-                .askWithinUs(rules.micros("askWithinS", 0))
-                .connectTimeoutUs(capabilities.micros("connectTimeoutS", 0))
-                .holdsForUs(family.micros("holdsForS", 0))
-                .idleCloseUs(capabilities.micros("idleCloseS", 0))
-                .requestsPerConnection((int) capabilities.whole("streamsPerConn", 1, MAX_COUNT, 1))
+                .askWithinUs(rules.microsFromSeconds("askWithinS", 0))
+                .connectTimeoutUs(capabilities.microsFromSeconds("connectTimeoutS", 0))
+                .holdsForUs(family.microsFromSeconds("holdsForS", 0))
+                .idleCloseUs(capabilities.microsFromSeconds("idleCloseS", 0))
+                .requestsPerConnection((int) capabilities.integer("streamsPerConn", 1, MAX_COUNT, 1))
                 .build();
     }
 
     private static Router.Rules rules(MessageFields rules) throws MalformedMessageException {
         return new Router.Rules(
-                rules.micros("answerSlackS", 0),
-                rules.micros("stopSendingWithinS", 0),
-                rules.flag("onlyDrainingBinds"),
+                rules.microsFromSeconds("answerSlackS", 0),
+                rules.microsFromSeconds("stopSendingWithinS", 0),
+                rules.isTrue("onlyDrainingBinds"),
                 rules.number("coldFrom", 1),
-                rules.micros("warmAfterS", 0),
+                rules.microsFromSeconds("warmAfterS", 0),
                 rules.number("fallMultiple", 1),
-                rules.micros("fallS", 0));
+                rules.microsFromSeconds("fallS", 0));
     }
 
     /** Whether health checks are permitted, and whether their answers hold the position and role of a member. */
     private static Router.HealthChecks healthChecks(MessageFields capabilities, MessageFields options)
             throws MalformedMessageException {
-        if (!capabilities.flag("probes")) {
+        if (!capabilities.isTrue("probes")) {
             return Router.HealthChecks.NONE;
         }
         MessageFields reports = options.objectOrEmpty("stats");
--- a/decisions/src/test/java/frostreel/wire/MessageFieldsTest.java
+++ b/decisions/src/test/java/frostreel/wire/MessageFieldsTest.java
@@ -25,9 +25,9 @@
                 {"text":"word","number":0.5,"whole":7,"time":1.5,"flag":true,"object":{"inner":1},"list":[1,2]}""");
         assertThat(fields.text("text")).isEqualTo("word");
         assertThat(fields.number("number")).isEqualTo(0.5);
-        assertThat(fields.whole("whole", 0, 7)).isEqualTo(7);
-        assertThat(fields.micros("time")).isEqualTo(1_500_000);
-        assertThat(fields.flag("flag")).isTrue();
+        assertThat(fields.integer("whole", 0, 7)).isEqualTo(7);
+        assertThat(fields.microsFromSeconds("time")).isEqualTo(1_500_000);
+        assertThat(fields.isTrue("flag")).isTrue();
         assertThat(fields.object("object").number("inner")).isEqualTo(1);
         assertThat(fields.list("list")).hasSize(2);
     }
@@ -37,15 +37,15 @@
         MessageFields fields = fields("{\"null\":null}");
         assertThat(fields.has("null")).isFalse();
         assertThat(fields.number("null", 2)).isEqualTo(2);
-        assertThat(fields.whole("missing", 0, 1, 9)).isEqualTo(9);
-        assertThat(fields.micros("missing", 3)).isEqualTo(3);
-        assertThat(fields.flag("missing")).isFalse();
+        assertThat(fields.integer("missing", 0, 1, 9)).isEqualTo(9);
+        assertThat(fields.microsFromSeconds("missing", 3)).isEqualTo(3);
+        assertThat(fields.isTrue("missing")).isFalse();
         assertThat(fields.oneOf("missing", CHOICES, 5)).isEqualTo(5);
     }
 
     @Test
     void wholeNumbersBeyondTheRangeOfDoublesAreExact() throws MalformedMessageException {
-        assertThat(fields("{\"seed\":" + Long.MAX_VALUE + "}").whole("seed", 0, Long.MAX_VALUE))
+        assertThat(fields("{\"seed\":" + Long.MAX_VALUE + "}").integer("seed", 0, Long.MAX_VALUE))
                 .isEqualTo(Long.MAX_VALUE);
     }
 
@@ -68,7 +68,7 @@
             quoteCharacter = '`',
             value = {"8 | a whole number from 0 to 7", "0.5 | a whole number from 0 to 7", "\"7\" | a number"})
     void aNumberOutOfRangeIsNamed(String value, String expected) {
-        assertThatThrownBy(() -> fields("{\"field\":" + value + "}").whole("field", 0, 7))
+        assertThatThrownBy(() -> fields("{\"field\":" + value + "}").integer("field", 0, 7))
                 .isInstanceOf(MalformedMessageException.class)
                 .hasMessage("field 'field' is not " + expected);
     }
@@ -77,10 +77,10 @@
     void otherTypesThanExpectedAreNamed() {
         MessageFields fields = fields("{\"field\":[],\"time\":1e13,\"choice\":\"third\"}");
         assertThatThrownBy(() -> fields.text("field")).hasMessage("field 'field' is not text");
-        assertThatThrownBy(() -> fields.flag("field")).hasMessage("field 'field' is not true or false");
+        assertThatThrownBy(() -> fields.isTrue("field")).hasMessage("field 'field' is not true or false");
         assertThatThrownBy(() -> fields.object("field")).hasMessage("field 'field' is not an object");
         assertThatThrownBy(() -> fields.list("choice")).hasMessage("field 'choice' is not a list");
-        assertThatThrownBy(() -> fields.micros("time")).hasMessage("field 'time' is not a time in range");
+        assertThatThrownBy(() -> fields.microsFromSeconds("time")).hasMessage("field 'time' is not a time in range");
         assertThatThrownBy(() -> fields.oneOf("choice", CHOICES))
                 .hasMessage("field 'choice' is not one of first, second");
     }
--- a/pooler/src/main/java/frostreel/config/ConfigReader.java
+++ b/pooler/src/main/java/frostreel/config/ConfigReader.java
@@ -61,11 +61,12 @@
     }
 
     private int descriptors() throws MalformedMessageException {
-        return (int) file.objectOrEmpty("limits").whole(
-                "sockets",
-                DescriptorBudget.MIN_DESCRIPTORS,
-                DescriptorBudget.MAX_DESCRIPTORS,
-                DescriptorBudget.DEFAULT_DESCRIPTORS);
+        return (int) file.objectOrEmpty("limits")
+                .integer(
+                        "sockets",
+                        DescriptorBudget.MIN_DESCRIPTORS,
+                        DescriptorBudget.MAX_DESCRIPTORS,
+                        DescriptorBudget.DEFAULT_DESCRIPTORS);
     }
 
     /** The names of a list that may be left out. A name that is written as a number is read as its digits. */
@@ -74,7 +75,7 @@
     }
 
     private static int maxOpenRequests(MessageFields caps) throws MalformedMessageException {
-        long stated = caps.whole("maxOpen", 1, Integer.MAX_VALUE, MAX_OPEN_REQUESTS);
+        long stated = caps.integer("maxOpen", 1, Integer.MAX_VALUE, MAX_OPEN_REQUESTS);
         return (int) Math.min(stated, MAX_OPEN_REQUESTS);
     }
 
--- a/pooler/src/main/java/frostreel/config/EndpointList.java
+++ b/pooler/src/main/java/frostreel/config/EndpointList.java
@@ -49,7 +49,8 @@
         for (Object host : list.list("hosts")) {
             endpoints.add(endpoint(host, zones, machineTypes));
         }
-        return new EndpointList(list.whole("seq", 0, Long.MAX_VALUE, 0), list.flag("whole"), List.copyOf(endpoints));
+        return new EndpointList(
+                list.integer("seq", 0, Long.MAX_VALUE, 0), list.isTrue("whole"), List.copyOf(endpoints));
     }
 
     @SuppressWarnings("unchecked") // The keys of a decoded JSON object are strings.
@@ -64,11 +65,11 @@
                 host.text("host"),
                 indexOfName(zones, host, "site"),
                 indexOfName(machineTypes, host, "class"),
-                (int) host.whole("block", 0, Integer.MAX_VALUE, 0),
+                (int) host.integer("block", 0, Integer.MAX_VALUE, 0),
                 host.oneOf("role", IS_PRIMARY, false),
                 state,
                 host.number("share", 1),
-                host.whole("born_ms", 0, MAX_STARTED_MS, 0) * MICROS_PER_MILLI);
+                host.integer("born_ms", 0, MAX_STARTED_MS, 0) * MICROS_PER_MILLI);
         return new Endpoint(member, NumericAddress.parse(host.text("dial"), "dial"));
     }
 
