--- a/decisions/src/test/java/frostreel/wire/MessageFieldsTest.java
+++ b/decisions/src/test/java/frostreel/wire/MessageFieldsTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** How fields of a message are read, and how an error names the field. */
+/** Reads fields of a message, and names the field in errors. */
 class MessageFieldsTest {
     private static final List<NamedValue<Integer>> CHOICES = List.of(named("first", 1), named("second", 2));
 
@@ -20,7 +20,7 @@
     }
 
     @Test
-    void presentFieldsAreRead() throws MalformedMessageException {
+    void readsPresentFields() throws MalformedMessageException {
         MessageFields fields = fields("""
                 {"text":"word","number":0.5,"whole":7,"time":1.5,"flag":true,"object":{"inner":1},"list":[1,2]}""");
         assertThat(fields.text("text")).isEqualTo("word");
@@ -33,30 +33,32 @@
     }
 
     @Test
-    void missingAndNullFieldsHaveTheValueThatIsGivenForThem() throws MalformedMessageException {
+    void returnsTheFallbackForMissingAndNullFields() throws MalformedMessageException {
         MessageFields fields = fields("{\"null\":null}");
         assertThat(fields.has("null")).isFalse();
         assertThat(fields.number("null", 2)).isEqualTo(2);
         assertThat(fields.integer("missing", 0, 1, 9)).isEqualTo(9);
         assertThat(fields.microsFromSeconds("missing", 3)).isEqualTo(3);
         assertThat(fields.isTrue("missing")).isFalse();
+        assertThat(fields.objectOrEmpty("missing").map()).isEmpty();
+        assertThat(fields.listOrEmpty("missing")).isEmpty();
         assertThat(fields.oneOf("missing", CHOICES, 5)).isEqualTo(5);
     }
 
     @Test
-    void wholeNumbersBeyondTheRangeOfDoublesAreExact() throws MalformedMessageException {
+    void readsIntegersBeyondTheExactRangeOfDoubles() throws MalformedMessageException {
         assertThat(fields("{\"seed\":" + Long.MAX_VALUE + "}").integer("seed", 0, Long.MAX_VALUE))
                 .isEqualTo(Long.MAX_VALUE);
     }
 
     @Test
-    void aNameStandsForItsValue() throws MalformedMessageException {
+    void returnsTheValueOfAName() throws MalformedMessageException {
         assertThat(fields("{\"choice\":\"second\"}").oneOf("choice", CHOICES)).isEqualTo(2);
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"{}", "{\"field\":null}"})
-    void aMissingFieldIsNamed(String json) {
+    void namesTheMissingField(String json) {
         assertThatThrownBy(() -> fields(json).text("field"))
                 .isInstanceOf(MalformedMessageException.class)
                 .hasMessage("field 'field' is missing");
@@ -67,14 +69,14 @@
             delimiter = '|',
             quoteCharacter = '`',
             value = {"8 | a whole number from 0 to 7", "0.5 | a whole number from 0 to 7", "\"7\" | a number"})
-    void aNumberOutOfRangeIsNamed(String value, String expected) {
+    void namesTheFieldAndRangeOfANumberOutOfRange(String value, String expected) {
         assertThatThrownBy(() -> fields("{\"field\":" + value + "}").integer("field", 0, 7))
                 .isInstanceOf(MalformedMessageException.class)
                 .hasMessage("field 'field' is not " + expected);
     }
 
     @Test
-    void otherTypesThanExpectedAreNamed() {
+    void namesTheFieldAndTypeOfAValueOfAnotherType() {
         MessageFields fields = fields("{\"field\":[],\"time\":1e13,\"choice\":\"third\"}");
         assertThatThrownBy(() -> fields.text("field")).hasMessage("field 'field' is not text");
         assertThatThrownBy(() -> fields.isTrue("field")).hasMessage("field 'field' is not true or false");
--- a/decisions/src/test/java/frostreel/wire/SettingsReaderTest.java
+++ b/decisions/src/test/java/frostreel/wire/SettingsReaderTest.java
@@ -12,11 +12,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What the keys and names of the settings mean to the router. */
+/** Maps the keys and names of the settings object to the router's settings. */
 class SettingsReaderTest {
     private static final long SEED = 5;
 
-    /** Settings with the least that they must hold, and one class. */
+    /** Settings with the required keys only, and one class. */
     private static JSONObject minimalSettings() {
         return new JSONObject("""
                 {"caps":{},"rules":{},"familyInfo":{"freshness":["any"]},
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void absentKeysHaveTheirDefaults() throws MalformedMessageException {
+    void appliesDefaultsForMissingKeys() throws MalformedMessageException {
         assertThat(read(minimalSettings()))
                 .usingRecursiveComparison()
                 .isEqualTo(new Router.Settings(
@@ -74,7 +74,7 @@
 
     @ParameterizedTest
     @CsvSource({"write, WRITE", "fresh, FRESH", "session, SESSION", "bounded, BOUNDED", "any, ANY"})
-    void freshnessTellsWhatDataAClassNeeds(String name, Router.Access access) throws MalformedMessageException {
+    void readsTheAccessOfAClassFromFreshness(String name, Router.Access access) throws MalformedMessageException {
         JSONObject settings = minimalSettings();
         settings.getJSONObject("familyInfo").put("freshness", new JSONArray().put(name));
         assertThat(firstClass(settings).access()).isEqualTo(access);
@@ -82,7 +82,7 @@
 
     @ParameterizedTest
     @CsvSource({"retryable, IDEMPOTENT", "dedup, KEYED", "fragile, NON_IDEMPOTENT"})
-    void repeatTellsWhetherAClassIsIdempotent(String name, Router.Idempotency idempotency)
+    void readsTheIdempotencyOfAClassFromRepeat(String name, Router.Idempotency idempotency)
             throws MalformedMessageException {
         JSONObject settings = minimalSettings();
         settings.getJSONArray("classes").getJSONObject(0).put("repeat", name);
@@ -91,7 +91,8 @@
 
     @ParameterizedTest
     @CsvSource({"all, ALL", "zone, ZONE", "cell, GROUP"})
-    void groupTellsWhoDeduplicates(String name, Router.DeduplicationScope scope) throws MalformedMessageException {
+    void readsTheDeduplicationScopeFromGroup(String name, Router.DeduplicationScope scope)
+            throws MalformedMessageException {
         JSONObject settings = minimalSettings();
         settings.getJSONArray("classes").getJSONObject(0).put("group", name);
         assertThat(firstClass(settings).deduplicationScope()).isEqualTo(scope);
@@ -99,7 +100,7 @@
 
     @ParameterizedTest
     @CsvSource({"silent, SILENT", "refuse, REFUSE", "wait, WAIT"})
-    void serverChecksTellWhatAStaleMemberDoes(String name, Router.StalenessCheck check)
+    void readsTheStalenessCheckFromServerChecks(String name, Router.StalenessCheck check)
             throws MalformedMessageException {
         JSONObject settings = minimalSettings();
         settings.getJSONObject("familyInfo").put("serverChecks", name);
@@ -108,7 +109,7 @@
 
     @ParameterizedTest
     @CsvSource({"late, LATE", "start, START", "silent, SILENT"})
-    void listRoleTellsHowTheListTracksRoles(String name, Router.ListRole role) throws MalformedMessageException {
+    void readsTheListRole(String name, Router.ListRole role) throws MalformedMessageException {
         JSONObject settings = minimalSettings();
         settings.getJSONObject("familyInfo").put("listRole", name);
         assertThat(read(settings).listRole()).isEqualTo(role);
@@ -116,7 +117,7 @@
 
     @ParameterizedTest
     @CsvSource({"carried, CARRIED", "remembered, REMEMBERED"})
-    void writeMarksTellHowSessionsAreTracked(String name, Router.SessionTracking tracking)
+    void readsTheSessionTrackingFromWriteMarks(String name, Router.SessionTracking tracking)
             throws MalformedMessageException {
         JSONObject settings = minimalSettings();
         settings.getJSONObject("familyInfo").put("writeMarks", name);
@@ -131,7 +132,7 @@
         "true, pull, x1 x0, REPORT",
         "true, pull, x0, LIVENESS"
     })
-    void healthChecksReportRolesWhereReportsHoldPositionAndRole(
+    void permitsRoleReportingHealthChecksWhereReportsHoldPositionAndRole(
             boolean permitted, String how, String names, Router.HealthChecks healthChecks)
             throws MalformedMessageException {
         JSONObject settings = minimalSettings();
@@ -142,14 +143,14 @@
 
     @ParameterizedTest
     @CsvSource({"automatic, false", "subscribe, true"})
-    void membershipModeTellsWhetherToSubscribe(String name, boolean subscribes) throws MalformedMessageException {
+    void readsWhetherToSubscribeFromMembershipMode(String name, boolean subscribes) throws MalformedMessageException {
         JSONObject settings = minimalSettings().put("membershipMode", name);
         assertThat(read(settings).limits().subscribe()).isEqualTo(subscribes);
     }
 
     @ParameterizedTest
     @CsvSource({"caps", "rules", "familyInfo", "classes"})
-    void aMissingPartIsNamed(String key) {
+    void namesTheMissingPart(String key) {
         JSONObject settings = minimalSettings();
         settings.remove(key);
         assertThatThrownBy(() -> read(settings))
@@ -158,7 +159,7 @@
     }
 
     @Test
-    void aClassWithoutFreshnessOrDeadlineIsNamed() {
+    void namesTheClassWithoutFreshnessOrDeadline() {
         JSONObject tooManyClasses = minimalSettings();
         tooManyClasses.getJSONArray("classes").put(new JSONObject());
         assertThatThrownBy(() -> read(tooManyClasses)).hasMessage("field 'freshness' has no word for class 1");
@@ -168,7 +169,7 @@
     }
 
     @Test
-    void anUnknownNameIsNamedWithThosePermitted() {
+    void namesTheFieldAndPermittedNamesForAnUnknownName() {
         JSONObject settings = minimalSettings();
         settings.getJSONObject("familyInfo").put("listRole", "early");
         assertThatThrownBy(() -> read(settings)).hasMessage("field 'listRole' is not one of late, start, silent");
