--- a/pooler/src/test/java/frostreel/DiscoveryTest.java
+++ b/pooler/src/test/java/frostreel/DiscoveryTest.java
@@ -55,31 +55,34 @@
     /** A silence may last no more than 6 s in all, which a second long poll after a failure would exceed. */
     @Test
     void afterAnyFailureTheNextPollDoesNotWaitAndItsListIsApplied() throws Exception {
-        List<List<ScriptedPeer.Script>> failures = List.of(
-                List.of(
-                        SILENCE,
-                        RESET,
-                        (text, link) -> link.send("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n".getBytes()),
-                        (text, link) -> link.send(http("{\"seq\":")),
-                        (text, link) -> {
-                            link.send(http("Content-Length: 400\r\n", changes(2, "Ready")));
-                            link.close();
-                        },
-                        (text, link) -> link.send("HTTP/1.1 200 OK\r\nContent-Le".getBytes())),
-                List.of(CLOSE, SILENCE));
         startWatch();
-        int seq = 1;
-        for (List<ScriptedPeer.Script> failuresInARow : failures) {
-            for (ScriptedPeer.Script failure : failuresInARow) {
-                responses.add(failure);
-                assertThat(harness.discovery.next()).contains("index=" + seq + "&wait=1 ");
-            }
-            responses.add(respondWith(changes(++seq, seq % 2 == 0 ? "Terminating" : "Ready")));
-            assertThat(harness.discovery.next()).contains("index=" + seq + "&").doesNotContain("wait=1 ");
-            try (WireConnection client = harness.client()) {
-                assertThat(value(client.execute(readSql("q" + seq, 9000))))
-                        .isEqualTo(seq % 2 == 0 ? "from-primary" : "from-replica");
-            }
+        assertRecoversFrom(
+                1,
+                SILENCE,
+                RESET,
+                (text, link) -> link.send("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n".getBytes()),
+                (text, link) -> link.send(http("{\"seq\":")),
+                (text, link) -> {
+                    link.send(http("Content-Length: 400\r\n", changes(2, "Ready")));
+                    link.close();
+                },
+                (text, link) -> link.send("HTTP/1.1 200 OK\r\nContent-Le".getBytes()));
+        assertRecoversFrom(2, CLOSE, SILENCE);
+    }
+
+    /** Plays failures in a row to a watch that holds a list's version, and then the changes of the next version. */
+    private void assertRecoversFrom(int version, ScriptedPeer.Script... failures) throws Exception {
+        for (ScriptedPeer.Script failure : failures) {
+            responses.add(failure);
+            assertThat(harness.discovery.next()).contains("index=" + version + "&wait=1 ");
+        }
+        int next = version + 1;
+        boolean replicaDrains = next % 2 == 0;
+        responses.add(respondWith(changes(next, replicaDrains ? "Terminating" : "Ready")));
+        assertThat(harness.discovery.next()).contains("index=" + next + "&").doesNotContain("wait=1 ");
+        try (WireConnection client = harness.client()) {
+            assertThat(value(client.execute(readSql("q" + next, 9000))))
+                    .isEqualTo(replicaDrains ? "from-primary" : "from-replica");
         }
     }
 
