--- a/pooler/src/test/java/frostreel/settings/OperatorSettingsTest.java
+++ b/pooler/src/test/java/frostreel/settings/OperatorSettingsTest.java
@@ -35,6 +35,17 @@
                 .faults();
     }
 
+    private static String document(String content) {
+        return HEAD + content + "</frostreel>";
+    }
+
+    /** The faults of a document with this content, as line and key; the content begins in line 2. */
+    private List<String> linesAndKeysOfFaults(String content) throws IOException {
+        return faultsOf(document(content)).stream()
+                .map(fault -> fault.line() + " " + fault.key())
+                .toList();
+    }
+
     @Test
     void shippedFileIsValidAndStatesTheDefaults() throws Exception {
         assertThat(OperatorSettings.read(Path.of("../deploy/frostreel.xml"))).isEqualTo(OperatorSettings.DEFAULT);
@@ -61,57 +72,90 @@
     }
 
     @Test
-    void tiersAreReadByZoneNameAndTheirFaultsReported() throws Exception {
-        OperatorSettings read = OperatorSettings.read(write(HEAD
-                + "<zones poolers='6'><tier zones='b c' spill='0.5'/><tier spill='0.2'/></zones>"
-                + "</frostreel>"));
+    void readsTiersByTheNumbersOfTheirZones() throws Exception {
+        OperatorSettings read = OperatorSettings.read(
+                write(document("<zones poolers='6'><tier zones='b c' spill='0.5'/><tier spill='0.2'/></zones>")));
+
         assertThat(read.zoneSettings(1, List.of("b", "a", "c", "d")))
                 .hasValue(new ZoneSettings(
                         1,
                         List.of(new ZoneSettings.Tier(List.of(0, 2), 0.5), new ZoneSettings.Tier(List.of(), 0.2)),
                         6));
         assertThat(OperatorSettings.DEFAULT.zoneSettings(0, List.of("a"))).isEmpty();
-        assertThat(faultsOf(HEAD + "<zones poolers='6'>\n<tier spill='1'/>\n<tier zones='b b' spill='1'/>\n"
-                        + "</zones></frostreel>"))
-                .extracting(fault -> fault.line() + " " + fault.key())
+    }
+
+    @Test
+    void reportsTiersThatOverlap() throws Exception {
+        assertThat(linesAndKeysOfFaults("""
+                <zones poolers='6'>
+                <tier spill='1'/>
+                <tier zones='b b' spill='1'/>
+                </zones>"""))
                 .containsExactly("3 frostreel/zones/tier@zones", "4 frostreel/zones/tier@zones");
-        assertThat(faultsOf(HEAD + "<zones poolers='0'>\n<tier spill='-1'/></zones></frostreel>"))
-                .extracting(Fault::key)
-                .containsExactly("frostreel/zones@poolers", "frostreel/zones/tier@spill");
     }
 
     @Test
-    void clusterMembersAreReadAndTheirFaultsReported() throws Exception {
-        Path file = write(HEAD + "<cluster silentAfterMs='800'><pooler name='a' at='10.0.0.1:7800'/>"
-                + "<pooler name='b' at='10.0.0.2:7800' bind='127.0.0.2:7801'/></cluster></frostreel>");
-        OperatorSettings.Cluster read = OperatorSettings.read(file, "b").cluster().orElseThrow();
-        assertThat(read.group()).isEqualTo("frostreel");
-        assertThat(read.silentAfterMs()).isEqualTo(800);
+    void reportsNumbersOfZonesOutOfRange() throws Exception {
+        assertThat(linesAndKeysOfFaults("""
+                <zones poolers='0'>
+                <tier spill='-1'/></zones>"""))
+                .containsExactly("2 frostreel/zones@poolers", "3 frostreel/zones/tier@spill");
+    }
+
+    private static final String CLUSTER = """
+            <cluster silentAfterMs='800'><pooler name='a' at='10.0.0.1:7800'/>\
+            <pooler name='b' at='10.0.0.2:7800' bind='127.0.0.2:7801'/></cluster>""";
+
+    @Test
+    void readsClusterMembersWithTheirAddresses() throws Exception {
+        OperatorSettings.Cluster cluster =
+                OperatorSettings.read(write(document(CLUSTER)), "b").cluster().orElseThrow();
+
+        assertThat(cluster.group()).isEqualTo("frostreel");
+        assertThat(cluster.silentAfterMs()).isEqualTo(800);
         InetSocketAddress first = new InetSocketAddress("10.0.0.1", 7800);
-        assertThat(read.members())
+        assertThat(cluster.members())
                 .containsOnlyKeys("a", "b")
                 .containsEntry("a", new OperatorSettings.MemberAddress(first, first))
                 .containsEntry(
                         "b",
                         new OperatorSettings.MemberAddress(
                                 new InetSocketAddress("10.0.0.2", 7800), new InetSocketAddress("127.0.0.2", 7801)));
+    }
+
+    @Test
+    void rejectsAClusterWithoutThisPooler() throws Exception {
+        Path file = write(document(CLUSTER));
+
         assertThatThrownBy(() -> OperatorSettings.read(file, "c"))
                 .hasMessageContaining(":2:")
                 .hasMessageContaining("frostreel/cluster: this pooler, 'c'");
-        assertThat(faultsOf(HEAD + "<cluster>\n<pooler name='a' at='10.0.0.1:7800'/>\n"
-                        + "<pooler name='a' at='10.0.0.2:7800'/>\n<pooler name='b' at='10.0.0.1:7800'/>\n"
-                        + "<pooler name='c' at='0.0.0.0:7800'/>\n<pooler name='d' at='10.0.0.300:1'/>\n"
-                        + "<pooler name='e' at='10.0.0.3:0'/>\n<pooler name='f' at='10.0.0.4:65536'/>\n"
-                        + "</cluster></frostreel>"))
-                .extracting(fault -> fault.line() + " " + fault.key())
+    }
+
+    @Test
+    void reportsClusterMembersWithoutANameAndAddressOfTheirOwn() throws Exception {
+        assertThat(linesAndKeysOfFaults("""
+                <cluster>
+                <pooler name='a' at='10.0.0.1:7800'/>
+                <pooler name='a' at='10.0.0.2:7800'/>
+                <pooler name='b' at='10.0.0.1:7800'/>
+                <pooler name='c' at='0.0.0.0:7800'/>
+                <pooler name='d' at='10.0.0.300:1'/>
+                <pooler name='e' at='10.0.0.3:0'/>
+                <pooler name='f' at='10.0.0.4:65536'/>
+                </cluster>"""))
                 .containsExactly(
                         "4 frostreel/cluster/pooler@name", "5 frostreel/cluster/pooler@at",
                         "6 frostreel/cluster/pooler@at", "7 frostreel/cluster/pooler@at",
                         "8 frostreel/cluster/pooler@at", "9 frostreel/cluster/pooler@at");
-        assertThat(faultsOf(HEAD + "<cluster silentAfterMs='100'>\n<pooler name='a' at='localhost:1'/>"
-                        + "</cluster></frostreel>"))
-                .extracting(Fault::key)
-                .containsExactly("frostreel/cluster@silentAfterMs", "frostreel/cluster/pooler@at");
+    }
+
+    @Test
+    void reportsClusterValuesThatTheSchemaRejects() throws Exception {
+        assertThat(linesAndKeysOfFaults("""
+                <cluster silentAfterMs='100'>
+                <pooler name='a' at='localhost:1'/></cluster>"""))
+                .containsExactly("2 frostreel/cluster@silentAfterMs", "3 frostreel/cluster/pooler@at");
     }
 
     @Test
