--- a/lab/src/main/java/frostreel/lab/processes/ProcessFaultReader.java
+++ b/lab/src/main/java/frostreel/lab/processes/ProcessFaultReader.java
@@ -90,7 +90,7 @@
         boolean needsOperators =
                 element.name().equals("upgrade") || element.name().equals("call");
         if (needsOperators && !experiment.operated()) {
-            errors.add(element.fault(file, null, "the poolers of this fleet are not operated"));
+            errors.add(element.fault(file, "the poolers of this fleet are not operated"));
         }
         switch (element.name()) {
             case "upgrade" -> upgrade(element, pooler, atUs);
@@ -176,7 +176,7 @@
 
     private void peersFault(XmlElement element, long atUs, long untilUs) {
         if (experiment.silentAfterMs() == 0) {
-            errors.add(element.fault(file, null, "the poolers of this fleet do not see each other"));
+            errors.add(element.fault(file, "the poolers of this fleet do not see each other"));
         }
         List<Integer> from = poolers(element, "from");
         List<Integer> to = poolers(element, "to");
--- a/pooler/src/main/java/frostreel/settings/OperatorSettingsReader.java
+++ b/pooler/src/main/java/frostreel/settings/OperatorSettingsReader.java
@@ -88,28 +88,34 @@
 
     private OperatorSettings.Cluster readCluster(XmlElement cluster) {
         Map<String, OperatorSettings.MemberAddress> members = new TreeMap<>();
+        Set<String> names = new HashSet<>();
         Set<InetSocketAddress> taken = new HashSet<>();
         for (XmlElement pooler : cluster.children("pooler").toList()) {
             String name = pooler.text("name");
-            Optional<InetSocketAddress> advertised = readAddress(pooler, "at");
-            Optional<InetSocketAddress> bind = pooler.has("bind") ? readAddress(pooler, "bind") : advertised;
-            if (advertised.isPresent() && !taken.add(advertised.get())) {
-                faults.add(pooler.fault(file, "at", "another pooler is at " + pooler.text("at")));
-            }
-            // Without an address there is a fault, and nobody sees the member.
-            OperatorSettings.MemberAddress address =
-                    new OperatorSettings.MemberAddress(advertised.orElse(null), bind.orElse(null));
-            if (members.put(name, address) != null) {
+            // A member left out here has a fault, with which the settings are dropped.
+            readMemberAddress(pooler, taken).ifPresent(address -> members.put(name, address));
+            if (!names.add(name)) {
                 faults.add(pooler.fault(file, "name", "'" + name + "' is named twice"));
             }
         }
-        if (self.isPresent() && !members.containsKey(self.get())) {
-            faults.add(cluster.fault(file, null, "this pooler, '" + self.get() + "', is not among them"));
+        if (self.isPresent() && !names.contains(self.get())) {
+            faults.add(cluster.fault(file, "this pooler, '" + self.get() + "', is not among them"));
         }
         return new OperatorSettings.Cluster(cluster.text("group"), cluster.integer("silentAfterMs"), members);
     }
 
-    /** The address of one machine; anything else is a fault. */
+    /** The addresses of a member; empty, with a fault added, where one of them is faulty. */
+    private Optional<OperatorSettings.MemberAddress> readMemberAddress(
+            XmlElement pooler, Set<InetSocketAddress> taken) {
+        Optional<InetSocketAddress> advertised = readAddress(pooler, "at");
+        Optional<InetSocketAddress> bind = pooler.has("bind") ? readAddress(pooler, "bind") : advertised;
+        if (advertised.isPresent() && !taken.add(advertised.get())) {
+            faults.add(pooler.fault(file, "at", "another pooler is at " + pooler.text("at")));
+        }
+        return advertised.flatMap(at -> bind.map(listen -> new OperatorSettings.MemberAddress(at, listen)));
+    }
+
+    /** The address of one machine; empty, with a fault added, for anything else. */
     @SuppressWarnings("StringSplitter") // The schema admits one colon only.
     private Optional<InetSocketAddress> readAddress(XmlElement pooler, String attribute) {
         String[] parts = pooler.text(attribute).split(":");
--- a/pooler/src/main/java/frostreel/settings/XmlElement.java
+++ b/pooler/src/main/java/frostreel/settings/XmlElement.java
@@ -115,9 +115,13 @@
         return parent == null ? name : parent.path() + "/" + name;
     }
 
-    /** A fault that a schema cannot express, of an attribute or, where that is null, of the element. */
+    /** A fault of this element that a schema cannot express. */
+    public Fault fault(String file, String text) {
+        return new Fault(file, line, column, path(), text);
+    }
+
+    /** A fault of an attribute that a schema cannot express. */
     public Fault fault(String file, String attribute, String text) {
-        String key = attribute == null ? path() : path() + "@" + attribute;
-        return new Fault(file, line, column, key, text);
+        return new Fault(file, line, column, path() + "@" + attribute, text);
     }
 }
