--- a/pooler/src/main/java/frostreel/config/ReloadCompatibility.java
+++ b/pooler/src/main/java/frostreel/config/ReloadCompatibility.java
@@ -7,9 +7,9 @@
 import org.json.JSONObject;
 
 /**
- * Checks that a configuration file written anew states everything that the file in force states, as a value
- * left out would fall back to a default that nobody chose. Lists may change in length; each object of the new
- * list must have every key that all objects of the old one share.
+ * Checks that a configuration file read by a reload has every key of the file in force: a key left out would
+ * fall back to a default that nobody chose. Lists may change in length; each object of the new list must have
+ * the keys that all objects of the old one have.
  */
 final class ReloadCompatibility {
     private ReloadCompatibility() {}
@@ -56,18 +56,19 @@
         return Optional.empty();
     }
 
-    /** Keys that all objects of a list have; none where an element is no object. */
+    /** The keys that all objects of a list have; none where an element is not an object. */
     private static Set<String> sharedKeys(JSONArray list) {
-        Set<String> shared = null;
-        for (Object element : list) {
-            if (!(element instanceof JSONObject object)) {
+        Set<String> shared = new TreeSet<>();
+        for (int i = 0; i < list.length(); i++) {
+            if (!(list.get(i) instanceof JSONObject object)) {
                 return Set.of();
             }
-            if (shared == null) {
-                shared = new TreeSet<>(object.keySet());
+            if (i == 0) {
+                shared.addAll(object.keySet());
+            } else {
+                shared.retainAll(object.keySet());
             }
-            shared.retainAll(object.keySet());
         }
-        return shared == null ? Set.of() : shared;
+        return shared;
     }
 }
