--- a/pooler/src/main/java/frostreel/config/Config.java
+++ b/pooler/src/main/java/frostreel/config/Config.java
@@ -14,8 +14,8 @@
 import org.json.JSONObject;
 
 /**
- * The platform's configuration of this process, checked as a whole. Limits that the file leaves out get the
- * least that the platform grants.
+ * The platform's configuration of this process, checked as a whole. A limit that the file leaves out has the
+ * lowest value that the platform grants.
  *
  * @param name of this pooler
  * @param listenAddress for clients
@@ -23,10 +23,10 @@
  * @param inheritsListener whether the clients' listening socket is inherited as descriptor 0
  * @param commandFolder where operators' commands outlast the process, empty where they do not
  * @param discoveryAddress of the discovery agent
- * @param maxClients most client connections at once
- * @param expectedClients client connections that the platform says are usual at most
- * @param maxServerConnections most connections to servers at once
- * @param maxOpenRequests most requests at once
+ * @param maxClients limit on client connections
+ * @param expectedClients how many client connections the platform expects at most
+ * @param maxServerConnections limit on connections to servers
+ * @param maxOpenRequests limit on requests being processed
  * @param initialEndpoints the servers known from the start, possibly none
  * @param zones names of the zones, in the order of their numbers
  * @param machineTypes names of the machine types, in the order of their numbers
@@ -69,7 +69,7 @@
         }
     }
 
-    /** As {@link #load}, with the file's text at hand. */
+    /** As {@link #load}, from the text of the file. */
     public static Config parse(String text, Map<String, String> environment) throws ConfigException {
         try {
             return new ConfigReader(new JSONObject(text), environment).read();
@@ -82,7 +82,9 @@
 
     /**
      * Reads the file again, which must have every key of the configuration in force. {@code GW_DISCOVERY} is
-     * left out: it is as old as the process, and would name the agent that is being replaced.
+     * ignored: it is as old as the process, and would name the agent that is being replaced.
+     *
+     * @throws ConfigException naming the key that is missing or wrong
      */
     public static Config reload(Map<String, String> environment, Config inForce) throws ConfigException {
         Map<String, String> current = new HashMap<>(environment);
--- a/pooler/src/main/java/frostreel/config/ConfigReader.java
+++ b/pooler/src/main/java/frostreel/config/ConfigReader.java
@@ -13,9 +13,14 @@
 
 /** Reads a {@link Config} from the decoded file and the environment, which takes precedence. */
 final class ConfigReader {
+    /** The default of the limit on open requests, and the highest that a file can set. */
     private static final int MAX_OPEN_REQUESTS = 4096;
+
+    /** The only value of {@code GW_FD}. */
     private static final String INHERITED_DESCRIPTOR = "0";
+    /** Within {@code TMPDIR}. */
     private static final String COMMAND_FOLDER = "frostreel-orders";
+
     private static final int HEXADECIMAL = 16;
 
     private final JSONObject source;
@@ -28,7 +33,7 @@
         file = new MessageFields(source.toMap());
     }
 
-    /** The first fault ends it; the order of the reads decides which one that is. */
+    /** Stops at the first fault. Where there are several, the order of the reads decides which one is reported. */
     Config read() throws MalformedMessageException {
         int descriptors = descriptors();
         MessageFields options = file.object("settings");
--- a/pooler/src/main/java/frostreel/config/DescriptorBudget.java
+++ b/pooler/src/main/java/frostreel/config/DescriptorBudget.java
@@ -3,30 +3,30 @@
 /**
  * How the process's file descriptors are divided between clients and servers.
  *
- * @param maxClients most client connections at once
- * @param expectedClients client connections that the platform says are usual at most
- * @param maxServerConnections most connections to servers at once
+ * @param maxClients limit on client connections
+ * @param expectedClients how many client connections the platform expects at most
+ * @param maxServerConnections limit on connections to servers
  */
 record DescriptorBudget(int maxClients, int expectedClients, int maxServerConnections) {
-    /** Where the configuration names no limit: the least that the platform grants. */
+    /** Where the configuration names no limit: the lowest that the platform grants. */
     static final int DEFAULT_DESCRIPTORS = 1024;
     /** Descriptors for the program itself: its jar, selectors, the listener, discovery, a margin. */
     private static final int RESERVED = 64;
 
     static final int MIN_DESCRIPTORS = 2 * RESERVED;
     static final int MAX_DESCRIPTORS = 1 << 20;
-    /** By the platform's statement, clients that send requests hold at most this part of all descriptors. */
+    /** The platform states that clients that send requests hold at most a third of all descriptors. */
     private static final int EXPECTED_CLIENTS_DIVISOR = 3;
     /**
-     * Of the unreserved descriptors, this part stays for clients beyond the expected ones. Servers get the
-     * remainder, and no less than the same part: a pooler with many servers needs an idle connection to
-     * nearly each, and with fewer every other request pays for a handshake.
+     * A quarter of the unreserved descriptors stays for clients beyond the expected ones. Servers get the
+     * remainder, and no less than a quarter: a pooler with many servers needs an idle connection to nearly
+     * each, and with fewer every other request pays for a handshake.
      */
     private static final int SPARE_DIVISOR = 4;
 
     /**
-     * Divides {@code descriptors}; a process that inherits its listener shares them with the one that it
-     * replaces.
+     * Divides {@code descriptors}. A process that inherits its listener takes no more than half of those for
+     * servers, as it shares them with the process that it replaces.
      */
     static DescriptorBudget of(int descriptors, boolean inheritsListener) {
         int available = descriptors - RESERVED;
--- a/pooler/src/main/java/frostreel/config/EndpointList.java
+++ b/pooler/src/main/java/frostreel/config/EndpointList.java
@@ -14,15 +14,15 @@
 /**
  * A list of servers in discovery's JSON form.
  *
- * @param version grows with each change, within the count of one agent
- * @param complete whether it replaces all that was known; otherwise it holds only what has changed
- * @param endpoints the servers, of which those that are gone are marked so
+ * @param version grows with each change; comparable only among lists of the same agent
+ * @param complete whether it replaces the list held; otherwise it holds only the servers that have changed
+ * @param endpoints the servers, including those marked as gone
  */
 public record EndpointList(long version, boolean complete, List<Endpoint> endpoints) {
     /** A server as the routing decisions know it, and the address at which this machine reaches it. */
     public record Endpoint(Router.Member member, InetSocketAddress address) {}
 
-    /** Complete and without servers, where none is known from the start. */
+    /** Complete and without servers, for a configuration that has no list. */
     static final EndpointList EMPTY = new EndpointList(0, true, List.of());
 
     private static final long MICROS_PER_MILLI = 1000;
@@ -37,8 +37,8 @@
             named("Gone", Router.State.GONE));
 
     /**
-     * Reads a decoded list. Zones and machine types are named in it; the routing decisions know them by their
-     * index among the configured names, the first one standing for a name that is not configured.
+     * Reads a decoded list. It states zones and machine types by name; the routing decisions know them by the
+     * index among the configured names. A name that is not configured has the index of the first one.
      *
      * @throws MalformedMessageException naming the field that is missing or out of range
      */
--- a/pooler/src/main/java/frostreel/config/NumericAddress.java
+++ b/pooler/src/main/java/frostreel/config/NumericAddress.java
@@ -19,8 +19,8 @@
     /**
      * Parses the value of a field.
      *
-     * @throws MalformedMessageException naming the field, where the host is no number or the port is out of
-     *     range
+     * @throws MalformedMessageException naming the field, where the host is not numeric or the port is
+     *     out of range
      */
     static InetSocketAddress parse(String text, String field) throws MalformedMessageException {
         int colon = text.lastIndexOf(':');
@@ -35,7 +35,7 @@
         throw new MalformedMessageException("field '" + field + "' is not address:port");
     }
 
-    /** Four decimal octets, or an IPv6 literal: the JDK does not look up what stands between brackets. */
+    /** Four decimal octets, or an IPv6 literal, which the JDK parses without a look-up if it is in brackets. */
     private static InetAddress parseHost(String text) throws UnknownHostException {
         if (text.indexOf(':') >= 0) {
             return InetAddress.getByName(text.startsWith("[") ? text : "[" + text + "]");
--- a/pooler/src/main/java/frostreel/settings/Fault.java
+++ b/pooler/src/main/java/frostreel/settings/Fault.java
@@ -1,7 +1,7 @@
 package frostreel.settings;
 
 /**
- * One thing that is wrong in a file.
+ * One error in a file.
  *
  * @param file its path as it was given
  * @param line from 1; 0 where the file as a whole is meant
--- a/pooler/src/main/java/frostreel/settings/OperatorSettings.java
+++ b/pooler/src/main/java/frostreel/settings/OperatorSettings.java
@@ -11,12 +11,12 @@
 import java.util.logging.Level;
 
 /**
- * The operators' file, which is applied with everything that it states or not at all.
+ * The settings in the operators' file, which is applied as a whole or not at all.
  *
  * @param logFormat of the lines on standard error
- * @param logLevel the least level that is logged
+ * @param logLevel the lowest level that is logged
  * @param zones preferences among zones, if any are stated
- * @param cluster the poolers that form a cluster, if any are stated
+ * @param cluster the cluster of poolers, if one is stated
  */
 public record OperatorSettings(
         Logging.Format logFormat, Level logLevel, Optional<Zones> zones, Optional<Cluster> cluster) {
@@ -24,14 +24,14 @@
      * Zones of equal preference.
      *
      * @param zones their names; empty for all that no other tier names
-     * @param spill what may go there, as a share of what the nearest tier usually serves
+     * @param spill the load that may spill over to them, as a share of what the nearest tier usually serves
      */
     public record Tier(List<String> zones, double spill) {}
 
     /**
      * Preferences among zones.
      *
-     * @param tiers behind the pooler's own zone, nearest first
+     * @param tiers the zones other than the pooler's own, nearest first
      * @param poolers how many there are in all zones together
      */
     public record Zones(List<Tier> tiers, int poolers) {}
@@ -45,10 +45,10 @@
     public record MemberAddress(InetSocketAddress advertised, InetSocketAddress bind) {}
 
     /**
-     * The poolers that see each other.
+     * The cluster of poolers.
      *
      * @param group poolers of other groups are ignored
-     * @param silentAfterMs a member that has not been heard for this time is suspected
+     * @param silentAfterMs a member without a heartbeat for this time is suspected
      * @param members addresses by pooler name
      */
     public record Cluster(String group, long silentAfterMs, Map<String, MemberAddress> members) {}
--- a/pooler/src/main/java/frostreel/settings/XmlElementHandler.java
+++ b/pooler/src/main/java/frostreel/settings/XmlElementHandler.java
@@ -14,10 +14,10 @@
 
 /** Builds the tree of elements from parser events, and turns the validator's errors into faults with keys. */
 final class XmlElementHandler extends DefaultHandler {
-    /** Further faults of a file are left out. */
+    /** A file's faults beyond this number are not reported. */
     static final int MAX_FAULTS = 100;
 
-    /** The validator's messages begin with the number of the schema rule, which tells operators nothing. */
+    /** The validator's messages begin with the name of the schema rule, which does not help operators. */
     private static final String SCHEMA_RULE = "^cvc-[\\w.-]+: ";
 
     private static final Pattern ATTRIBUTE = Pattern.compile("ttribute '([\\w:]+)'");
@@ -73,8 +73,8 @@
     }
 
     /**
-     * The validator reports an element before {@link #startElement} is called for it, and names it in the
-     * message.
+     * The key that a message is about. The validator reports an element before {@link #startElement} is called
+     * for it, so that its name is taken from the message.
      */
     private String key(String message) {
         Matcher element = ELEMENT.matcher(message);
@@ -87,8 +87,8 @@
     }
 
     /**
-     * A wrong value is reported twice: first by its type, with the better text, then by its attribute, with
-     * the key.
+     * Adds a fault. The validator reports a wrong value twice: first by its type, with the better text, then by
+     * its attribute, with the key. The two become one.
      */
     private void add(Fault fault) {
         int last = faults.size() - 1;
--- a/pooler/src/main/java/frostreel/settings/XmlFile.java
+++ b/pooler/src/main/java/frostreel/settings/XmlFile.java
@@ -19,7 +19,7 @@
 
 /**
  * Reads an XML file and validates it against a schema, in one pass. Document types and external entities are
- * rejected, and the size is bounded, so that a hostile file costs no more than a good one.
+ * rejected and the size is bounded, so that a hostile file costs no more than a valid one.
  */
 public final class XmlFile {
     /** The largest file that is read, in bytes. */
@@ -56,7 +56,7 @@
         try {
             parser(schema).parse(new InputSource(new ByteArrayInputStream(bytes)), handler);
         } catch (SAXParseException e) {
-            handler.error(e); // Not well-formed: what follows cannot be read.
+            handler.error(e); // Not well-formed, so that the rest cannot be read.
         } catch (SAXException | ParserConfigurationException | IOException e) {
             throw new IllegalStateException("the schema " + schema + " cannot be used", e);
         }
