--- a/pooler/src/main/java/frostreel/Pooler.java
+++ b/pooler/src/main/java/frostreel/Pooler.java
@@ -137,7 +137,7 @@
             listener.addPage("zones", zonePolicy::toString);
         }
         if (clusterMember != null) {
-            listener.addPage("fleet", clusterMember::toString);
+            listener.addPage("fleet", clusterMember::statusPage);
         }
     }
 
--- a/pooler/src/main/java/frostreel/fleet/ClusterMember.java
+++ b/pooler/src/main/java/frostreel/fleet/ClusterMember.java
@@ -9,6 +9,7 @@
 import frostreel.settings.OperatorSettings;
 import java.net.InetSocketAddress;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
@@ -17,22 +18,23 @@
 
 /**
  * This process as a member of the cluster: owns its membership, logs who joins and leaves, and shows it to
- * operators. On the I/O thread. Nothing that is served depends on it.
+ * operators. Confined to the I/O thread, but for {@link #leave}. Nothing that is served depends on it.
  */
 public final class ClusterMember implements Membership.Listener {
+    private static final long MICROS_PER_MILLI = 1000;
     private static final Logger LOG = Logger.getLogger(ClusterMember.class.getName());
 
     private final Set<String> configured;
     private final Set<Peer> suspected = new TreeSet<>();
     private final GroupMembership membership;
-    /** Why joining failed for good; null unless it did. */
-    private String joinFailure;
+    /** Why joining failed for good, if it did. */
+    private Optional<String> joinFailure = Optional.empty();
 
-    /** Joins the cluster as {@code self}, with the start time in Unix milliseconds for its incarnation. */
+    /** Joins the cluster as {@code self}; its incarnation is the present time in Unix milliseconds. */
     public ClusterMember(OperatorSettings.Cluster cluster, String self, EventLoop loop) {
         configured = cluster.members().keySet();
-        membership =
-                new GroupMembership(clusterSettings(cluster, self), loop.clock().now() / 1000, loop.thread(), this);
+        long incarnation = loop.clock().now() / MICROS_PER_MILLI;
+        membership = new GroupMembership(clusterSettings(cluster, self), incarnation, loop.thread(), this);
     }
 
     private static ClusterSettings clusterSettings(OperatorSettings.Cluster cluster, String self) {
@@ -70,18 +72,17 @@
 
     @Override
     public void onJoinFailed(String reason) {
-        joinFailure = reason;
+        joinFailure = Optional.of(reason);
     }
 
-    /** Leaves the cluster, so that the other members know at once; blocks until then or until the timeout. */
+    /** Leaves the cluster, so that the other members know at once. Blocks until it has left or the timeout is over. */
     public void leave(EventLoop loop, long timeoutMs) throws InterruptedException {
         loop.thread().execute(membership::leave);
         membership.awaitTermination(timeoutMs);
     }
 
-    /** The page {@code SHOW fleet}: a line for this member, and one for each pooler that is configured. */
-    @Override
-    public String toString() {
+    /** The page {@code SHOW fleet}: a line on this member's view, and one for each configured pooler. */
+    public String statusPage() {
         MembershipView view = membership.view();
         Map<String, Long> incarnations =
                 view.members().stream().collect(Collectors.toMap(Peer::name, Peer::incarnation, Math::max));
@@ -91,20 +92,16 @@
         page.append(" present=").append(incarnations.size());
         page.append(" configured=").append(configured.size());
         page.append(' ').append(membership.counters());
-        if (joinFailure != null) {
-            page.append(" failed='").append(joinFailure).append('\'');
-        }
+        joinFailure.ifPresent(reason -> page.append(" failed='").append(reason).append('\''));
         for (String name : configured) {
-            page.append('\n').append(describe(name, incarnations.get(name)));
+            page.append('\n').append(name);
+            page.append(incarnations.containsKey(name) ? " present incarnation=" + incarnations.get(name) : " absent");
+            page.append(isSuspected(name) ? " suspected" : "");
         }
         return page.toString();
     }
 
-    /** {@code incarnation}: null for a pooler that is absent. */
-    private String describe(String name, Long incarnation) {
-        boolean isSuspected = suspected.stream().anyMatch(peer -> peer.name().equals(name));
-        return name
-                + (incarnation == null ? " absent" : " present incarnation=" + incarnation)
-                + (isSuspected ? " suspected" : "");
+    private boolean isSuspected(String name) {
+        return suspected.stream().anyMatch(peer -> peer.name().equals(name));
     }
 }
