--- a/pooler/src/main/java/frostreel/discovery/AgentConnection.java
+++ b/pooler/src/main/java/frostreel/discovery/AgentConnection.java
@@ -18,16 +18,17 @@
  * I/O thread, of each kind of event at most once for a request, and of none after {@link #close}.
  */
 final class AgentConnection implements SocketStream.Handler {
-    /** Notified of what becomes of a connection, which it is passed each time. */
+    /** Notified of the events of connections; each call names the connection. */
     interface Listener {
-        /** The connection is established and takes a request. */
+        /** The connection is established and can carry a request. */
         void onConnected(AgentConnection connection);
 
         /** A complete response to the request has arrived. */
         void onResponse(AgentConnection connection, HttpResponseParser response);
 
         /**
-         * The connection or the response did not come within its timeout; it stays open and may still come.
+         * Connecting or the response has exceeded its timeout. The connection stays open, and both may still
+         * succeed.
          */
         void onOverdue(AgentConnection connection, String reason);
 
@@ -35,7 +36,7 @@
         void onFailed(AgentConnection connection, String reason);
     }
 
-    /** A response whose bytes have come within this time is still arriving, and is not overdue. */
+    /** A response of which bytes have arrived within this time is still arriving, and not overdue. */
     private static final long ARRIVAL_GAP_US = 500_000;
     /** After this time a response is overdue even if it is still arriving. */
     private static final long MAX_ARRIVAL_US = 20_000_000;
@@ -54,9 +55,7 @@
     private long requestedUs;
     private boolean closed;
 
-    /**
-     * Begins to connect; {@code timeoutUs}: after this time without a connection the listener is notified.
-     */
+    /** Begins to connect, and notifies the listener if that takes longer than {@code timeoutUs}. */
     AgentConnection(EventLoop loop, InetSocketAddress address, long timeoutUs, Listener listener) {
         this.loop = loop;
         this.listener = listener;
@@ -98,8 +97,11 @@
     }
 
     /**
-     * Sends a request; {@code fromVersion}: the list version whose changes are requested, which {@link
-     * #fromVersion()} returns from then on.
+     * Sends a request.
+     *
+     * @param fromVersion the version of the list since which changes are requested; {@link #fromVersion()}
+     *     returns it from then on
+     * @param timeoutUs after this time the response is overdue
      */
     void request(String pathAndQuery, long fromVersion, long timeoutUs) {
         this.fromVersion = fromVersion;
@@ -113,7 +115,7 @@
         stream.write(request.getBytes(StandardCharsets.US_ASCII));
     }
 
-    /** A long list takes its time to arrive; requesting it again would only take longer. */
+    /** A long list that is still arriving is waited for: requesting it again would take longer. */
     private void reportOverdueUnlessArriving() {
         long nowUs = loop.clock().now();
         boolean arriving = lastReceivedUs > requestedUs && nowUs - lastReceivedUs < ARRIVAL_GAP_US;
@@ -124,17 +126,17 @@
         }
     }
 
-    /** The version from which the current request, or else the last one, asks for changes. */
+    /** The version since which the latest request asks for changes. */
     long fromVersion() {
         return fromVersion;
     }
 
-    /** When the last byte arrived, or the request was sent if none has since. */
+    /** When the last byte arrived; if none has since the request, when that was sent. */
     long lastReceivedUs() {
         return lastReceivedUs;
     }
 
-    /** When the request was sent, or connecting began if none has been. */
+    /** When the latest request was sent; before the first one, when connecting began. */
     long requestedUs() {
         return requestedUs;
     }
@@ -183,7 +185,7 @@
         }
     }
 
-    /** Closes the connection in whatever state it is; the listener is not notified of anything any more. */
+    /** Closes the connection in any state; the listener is not notified of it again. */
     void close() {
         if (closed) {
             return;
--- a/pooler/src/main/java/frostreel/discovery/Backoff.java
+++ b/pooler/src/main/java/frostreel/discovery/Backoff.java
@@ -1,8 +1,6 @@
 package frostreel.discovery;
 
-/**
- * The pause before the next connection attempt: doubled with each failure up to a bound, reset by an answer.
- */
+/** Exponential backoff between connection attempts: doubled with each failure up to a bound, reset by an answer. */
 final class Backoff {
     static final long MIN_US = 50_000;
     static final long MAX_US = 1_000_000;
--- a/pooler/src/main/java/frostreel/discovery/DiscoveryStatus.java
+++ b/pooler/src/main/java/frostreel/discovery/DiscoveryStatus.java
@@ -3,23 +3,24 @@
 import java.util.logging.Logger;
 
 /**
- * Whether the agent answers, for the log and for operators. An outage is logged once at its start and at its
- * end.
+ * Whether the agent answers, for the log and for operators. An outage is logged once at its start and once at
+ * its end.
  */
 final class DiscoveryStatus {
-    /** Under the name of the watch, by which operators know its lines. */
+    /** Operators know the lines by the name of the watch. */
     private static final Logger LOG = Logger.getLogger(DiscoveryWatch.class.getName());
 
+    private static final long MICROS_PER_MILLI = 1000;
     private static final long NEVER = 0;
-    /** Shown in place of an age where there has been no answer. */
+    /** Shown for the time since the last answer where there has been none. */
     private static final long NO_AGE = -1;
 
     private boolean answering;
     private long lastAnsweredUs = NEVER;
-    /** When the present outage was first noticed, or {@link #NEVER}. */
+    /** When the present outage was detected; {@link #NEVER} where there is none. */
     private long silentSinceUs = NEVER;
 
-    /** A request was answered. */
+    /** Records that a request was answered. */
     void answered(long nowUs) {
         answering = true;
         lastAnsweredUs = nowUs;
@@ -29,7 +30,7 @@
         }
     }
 
-    /** A request failed, or is overdue. */
+    /** Records that a request failed or is overdue. */
     void failed(long nowUs, String reason) {
         if (silentSinceUs == NEVER) {
             silentSinceUs = nowUs;
@@ -38,12 +39,12 @@
         answering = false;
     }
 
-    /** Whether the last request that came to an end was answered. */
+    /** Whether the latest request with a result was answered, rather than failed or overdue. */
     boolean isAnswering() {
         return answering;
     }
 
-    /** The fields of {@code SHOW health} on discovery; {@code version}: of the list held. */
+    /** The fields of {@code SHOW health} on discovery, with the version of the list held. */
     String describe(long nowUs, long version) {
         return "discovery=" + state()
                 + " discovery_version=" + version
@@ -59,6 +60,6 @@
     }
 
     private static long toMs(long us) {
-        return us / 1000;
+        return us / MICROS_PER_MILLI;
     }
 }
--- a/pooler/src/main/java/frostreel/discovery/DiscoveryWatch.java
+++ b/pooler/src/main/java/frostreel/discovery/DiscoveryWatch.java
@@ -13,29 +13,29 @@
 /**
  * Long-polls the discovery agent for changes of the endpoint list, each request sent right after the last
  * response. The complete list is requested only where none is held: it costs the agent a line for each
- * server, and when all poolers start at once such requests queue until they time out and are repeated, while
- * nobody learns of any change. While the agent does not answer, the list held stays in use and connecting is
- * retried with backoff.
+ * server, and when all poolers start at once such requests queue at the agent until they time out and are
+ * retried, while no pooler learns of any change. While the agent does not answer, the list held stays in use
+ * and connecting is retried with backoff.
  *
- * <p>Every outage is bounded: a change counts as delivered within 6 s of the moment when the agent could have
- * delivered it. One waiting request with its timeout, the backoff, one more unanswered request and an
- * answered one fit into that, whatever happened before.
+ * <p>The platform counts a change as delivered 6 s after the agent could first deliver it. The constants fit
+ * into that whatever happened before: one long poll with its timeout, the backoff, one more unanswered request
+ * and an answered one.
  *
  * <p>An overdue request is not abandoned: a second one is sent on another connection, and the first response
- * of the two is used. A slow or overloaded agent answers the oldest request first; abandoning that would send
- * this pooler to the end of the queue each time. There are never more than two requests in flight.
+ * of the two is used. A slow or overloaded agent answers the oldest request first, so that abandoning it would
+ * send this pooler to the end of the agent's queue each time. At most two requests are in flight.
  */
 public final class DiscoveryWatch implements AgentConnection.Listener {
     /** How long the agent may hold a request back while there is no change. */
     static final long LONG_POLL_MS = 2_500;
     /**
-     * The wait of the first request, and of the first after a failure: next to none, as its response shows
-     * that the list held is current, and a missing response shows at once.
+     * How long the agent may hold back the first request, and the first after a failure. It is as short as
+     * possible, so that the response confirms the list held, and a missing response is noticed, at once.
      */
     private static final long PROBE_POLL_MS = 1;
     /**
-     * How long a response may take beyond the request's own wait until it is overdue; the agent answers at
-     * once.
+     * A response is overdue after this time beyond that for which the agent may hold the request back. The
+     * agent usually answers at once.
      */
     static final long TIMEOUT_US = 1_500_000;
     /** The version of a watch that holds no list; the complete one is requested. */
--- a/pooler/src/main/java/frostreel/discovery/HttpResponseParser.java
+++ b/pooler/src/main/java/frostreel/discovery/HttpResponseParser.java
@@ -7,8 +7,7 @@
 
 /**
  * Incremental parser of one HTTP/1.1 response, with a bound on every length. A body that has neither a length
- * nor chunks is delimited by the end of its connection, provided that this is an orderly one: after a reset
- * it may be truncated.
+ * nor chunks is delimited by the orderly end of its connection; after a reset it may be truncated.
  */
 final class HttpResponseParser {
     private static final int MAX_BODY_BYTES = 1 << 22;
@@ -16,15 +15,15 @@
     private static final int MAX_STATUS = 999;
     private static final int DECIMAL = 10;
     private static final int HEXADECIMAL = 16;
-    /** No Content-Length header was seen. */
+    /** The response has no Content-Length header. */
     private static final int UNKNOWN_LENGTH = -1;
 
     private enum State {
         STATUS_LINE,
         HEADERS,
-        /** Body bytes of a known number, of the whole body or of one chunk. */
+        /** A known number of body bytes: the whole body, or one chunk. */
         BODY,
-        /** Body bytes up to the end of the connection. */
+        /** All further bytes up to the end of the connection. */
         BODY_UNTIL_CLOSE,
         CHUNK_SIZE,
         TRAILERS,
@@ -38,10 +37,10 @@
     private int contentLength = UNKNOWN_LENGTH;
     private boolean chunked;
     private boolean keepAlive = true;
-    /** Bytes that the body, or its current chunk, still lacks. */
+    /** Missing bytes of the body, or of its current chunk. */
     private int remaining;
 
-    /** Consumes bytes up to the end of the response; what follows it stays in the buffer. */
+    /** Consumes bytes up to the end of the response; those after it stay in the buffer. */
     void accept(ByteBuffer in) throws MalformedResponseException {
         while (in.hasRemaining() && state != State.COMPLETE) {
             switch (state) {
@@ -131,7 +130,7 @@
         }
     }
 
-    /** An empty line ends the chunk before, and is skipped. */
+    /** Skips the empty line that ends the previous chunk. */
     @SuppressWarnings("StringSplitter") // Empty words at the end are meant to drop out.
     private void acceptChunkSize(String text) throws MalformedResponseException {
         if (text.isEmpty()) {
