--- a/cluster/src/main/java/frostreel/cluster/jgroups/GroupMembership.java
+++ b/cluster/src/main/java/frostreel/cluster/jgroups/GroupMembership.java
@@ -8,7 +8,7 @@
 import java.nio.file.Path;
 import java.util.Collection;
 import java.util.List;
-import java.util.Objects;
+import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.Executor;
 import java.util.concurrent.RejectedExecutionException;
@@ -140,7 +140,7 @@
                 return;
             }
             for (Address address : current.getMembers()) {
-                if (to.equals(PeerAddress.peer(address))) {
+                if (PeerAddress.peer(address).filter(to::equals).isPresent()) {
                     write(address, message);
                 }
             }
@@ -192,19 +192,16 @@
 
     private void onSuspicion(Collection<Address> suspects) {
         for (Address address : suspects) {
-            Peer peer = configuredPeer(address);
-            if (peer != null) {
-                notifyOwner(() -> listener.onSuspected(peer));
-            }
+            configuredPeer(address).ifPresent(peer -> notifyOwner(() -> listener.onSuspected(peer)));
         }
     }
 
-    /** The peer of an address; null, and counted, for one that is not configured. */
-    private Peer configuredPeer(Address address) {
-        Peer peer = PeerAddress.peer(address);
-        if (peer == null || !settings.members().containsKey(peer.name())) {
+    /** The peer of an address; empty, and counted, for one that is not configured. */
+    private Optional<Peer> configuredPeer(Address address) {
+        Optional<Peer> peer =
+                PeerAddress.peer(address).filter(named -> settings.members().containsKey(named.name()));
+        if (peer.isEmpty()) {
             counters.unknownSenders.increment();
-            return null;
         }
         return peer;
     }
@@ -227,7 +224,7 @@
         public void viewAccepted(View accepted) {
             List<Peer> peers = accepted.getMembers().stream()
                     .map(GroupMembership.this::configuredPeer)
-                    .filter(Objects::nonNull)
+                    .flatMap(Optional::stream)
                     .toList();
             long number = accepted.getViewId().getId();
             MembershipView next = new MembershipView(number, peers, accepted instanceof MergeView);
@@ -240,10 +237,13 @@
 
         @Override
         public void receive(Message message) {
-            Peer from = configuredPeer(message.src());
-            if (from == null || message.getLength() > MAX_MESSAGE_BYTES) {
-                return;
+            Optional<Peer> from = configuredPeer(message.src());
+            if (from.isPresent() && message.getLength() <= MAX_MESSAGE_BYTES) {
+                receive(from.get(), message);
             }
+        }
+
+        private void receive(Peer from, Message message) {
             if (pendingMessages.incrementAndGet() > MAX_PENDING_MESSAGES) {
                 pendingMessages.decrementAndGet();
                 counters.dropped.increment();
--- a/cluster/src/main/java/frostreel/cluster/jgroups/PeerAddress.java
+++ b/cluster/src/main/java/frostreel/cluster/jgroups/PeerAddress.java
@@ -2,6 +2,7 @@
 
 import frostreel.cluster.Peer;
 import java.nio.charset.StandardCharsets;
+import java.util.Optional;
 import org.jgroups.Address;
 import org.jgroups.util.ExtendedUUID;
 
@@ -22,17 +23,17 @@
                 .put(INCARNATION_KEY, Long.toString(peer.incarnation()).getBytes(StandardCharsets.US_ASCII));
     }
 
-    /** The peer of an address, null for an address of another kind. */
-    static Peer peer(Address address) {
-        if (address instanceof ExtendedUUID id && id.keyExists(NAME_KEY) && id.keyExists(INCARNATION_KEY)) {
-            try {
-                return new Peer(
-                        new String(id.get(NAME_KEY), StandardCharsets.UTF_8),
-                        Long.parseLong(new String(id.get(INCARNATION_KEY), StandardCharsets.US_ASCII)));
-            } catch (NumberFormatException e) {
-                return null; // Made by another program.
-            }
+    /** The peer of an address; empty for an address that another program made. */
+    static Optional<Peer> peer(Address address) {
+        if (!(address instanceof ExtendedUUID id) || !id.keyExists(NAME_KEY) || !id.keyExists(INCARNATION_KEY)) {
+            return Optional.empty();
+        }
+        String name = new String(id.get(NAME_KEY), StandardCharsets.UTF_8);
+        String incarnation = new String(id.get(INCARNATION_KEY), StandardCharsets.US_ASCII);
+        try {
+            return Optional.of(new Peer(name, Long.parseLong(incarnation)));
+        } catch (NumberFormatException e) {
+            return Optional.empty();
         }
-        return null;
     }
 }
