--- a/cluster/src/main/java/frostreel/cluster/ClusterSettings.java
+++ b/cluster/src/main/java/frostreel/cluster/ClusterSettings.java
@@ -7,14 +7,14 @@
 import java.util.TreeMap;
 
 /**
- * The configured members of a group. Messages of anyone else are ignored.
+ * The configured members of a group. Messages from any other sender are ignored.
  *
  * @param group the group's name; poolers of other groups are ignored
  * @param self this pooler's name, one of {@code members}
  * @param bind where this pooler listens for the other members; no wildcard
- * @param members the advertised address of each, at which the others reach it; may differ from what it binds
- *     to
- * @param silentAfterMs a member that has not been heard for this time is suspected; 500 to 60,000
+ * @param members the advertised address of each by name, at which the others reach it; may differ from the
+ *     address that it binds
+ * @param silentAfterMs a member without a heartbeat for this time is suspected; 500 to 60,000
  */
 public record ClusterSettings(
         String group, String self, InetSocketAddress bind, Map<String, InetSocketAddress> members, long silentAfterMs) {
@@ -22,7 +22,7 @@
     private static final long MAX_SILENT_MS = 60_000;
 
     /**
-     * Checks the settings.
+     * Validates the settings.
      *
      * @throws IllegalArgumentException with a message for operators
      */
--- a/cluster/src/main/java/frostreel/cluster/Membership.java
+++ b/cluster/src/main/java/frostreel/cluster/Membership.java
@@ -1,36 +1,36 @@
 package frostreel.cluster;
 
 /**
- * A pooler's membership of the group, and its means to send messages to the other members. Called on its
- * owner's thread; no call blocks. Events come to a {@link Listener} on that same thread.
+ * A pooler's membership of the group, with messages to the other members. Called on its owner's thread; no call
+ * blocks. A {@link Listener} is notified on that same thread.
  *
- * <p>Messages of one sender to one receiver arrive in order, each complete or not at all. A message to a peer
- * that leaves, or across a partition that lasts until the peer is out of the view, is lost without notice.
+ * <p>Messages from one sender to one receiver arrive in order, each as a whole or not at all. A message is lost
+ * without notice if its receiver leaves, or is separated by a partition until it has left the view.
  */
 public interface Membership {
     /** The largest message, in bytes. */
     int MAX_MESSAGE_BYTES = 64 * 1024;
 
-    /** Notified of what happens in the group. */
+    /** Notified of the events of the group. */
     interface Listener {
         /** Members have joined or left; {@code before} is {@link MembershipView#NONE} at first. */
         void onViewChanged(MembershipView view, MembershipView before);
 
         /**
-         * A member of the view is not heard any more; a view without it may follow, or it is heard again. If
-         * another member was faster, the view without it comes with no suspicion before it.
+         * Heartbeats of a member of the view are missing. Either a view without it follows, or they resume. If
+         * another member detects the failure first, the view without the peer comes without this call.
          */
         void onSuspected(Peer peer);
 
-        /** A message has arrived; the array is the listener's. */
+        /** A message has arrived; the listener may keep and change the array. */
         void onMessage(Peer from, byte[] message);
 
-        /** Joining failed for good, for instance as the address cannot be bound; no other event follows. */
+        /** Joining failed for good, for instance because the address cannot be bound; no other event follows. */
         void onJoinFailed(String reason);
     }
 
     /**
-     * Checks a message for an implementation.
+     * Checks the size of a message, for implementations.
      *
      * @throws IllegalArgumentException beyond {@link #MAX_MESSAGE_BYTES}
      */
@@ -60,6 +60,6 @@
      */
     void broadcast(byte[] message);
 
-    /** Leaves, so that the other members know at once; no event follows. */
+    /** Leaves the group, of which the other members are notified at once; no event follows. */
     void leave();
 }
--- a/cluster/src/main/java/frostreel/cluster/Peer.java
+++ b/cluster/src/main/java/frostreel/cluster/Peer.java
@@ -1,8 +1,8 @@
 package frostreel.cluster;
 
 /**
- * One incarnation of a pooler, so that messages of a process that has ended are told from those of its
- * successor.
+ * One incarnation of a pooler. It distinguishes the messages of a process that has ended from those of its
+ * successor under the same name.
  *
  * @param name from the operators' file
  * @param incarnation higher at each start of the process
--- a/cluster/src/main/java/frostreel/cluster/jgroups/ChannelExecutor.java
+++ b/cluster/src/main/java/frostreel/cluster/jgroups/ChannelExecutor.java
@@ -6,8 +6,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The one thread that calls a channel, as joining, sending and leaving may block. Its queue is bounded;
- * {@link #execute} throws {@link java.util.concurrent.RejectedExecutionException} where it is full.
+ * The only thread that calls a channel, as joining, sending and leaving may block. Its queue is bounded:
+ * {@link #execute} throws {@link java.util.concurrent.RejectedExecutionException} while it is full.
  */
 final class ChannelExecutor implements Executor {
     private static final int QUEUE_CAPACITY = 1024;
@@ -26,14 +26,14 @@
         thread.execute(task);
     }
 
-    /** Drops what is queued, runs a last task, and ends the thread. */
+    /** Drops the queued tasks, runs a last one, and ends the thread. */
     void finishWith(Runnable last) {
         thread.getQueue().clear();
         thread.execute(last);
         thread.shutdown();
     }
 
-    /** Blocks until the thread has ended; false after the timeout. */
+    /** Blocks until the thread has ended; returns false after the timeout. */
     boolean awaitTermination(long timeoutMs) throws InterruptedException {
         return thread.awaitTermination(timeoutMs, TimeUnit.MILLISECONDS);
     }
--- a/cluster/src/main/java/frostreel/cluster/jgroups/CommittedEntries.java
+++ b/cluster/src/main/java/frostreel/cluster/jgroups/CommittedEntries.java
@@ -17,17 +17,19 @@
 import org.jgroups.raft.StateMachine;
 
 /**
- * The state machine of the replicated log: the same at each member, as it depends on the committed proposals
- * and their order alone. Deduplicates proposals that were sent again because their first answer was lost, so
- * that none gets a second index. Called on the library's thread.
+ * The state machine of the replicated log, which reaches the same state at each member: it depends on nothing
+ * but the committed proposals and their order. Deduplicates proposals that were retried because an answer was
+ * lost, so that none has two indexes. Called on the library's thread.
  */
 final class CommittedEntries implements StateMachine {
-    /** The answer to a proposal that comes after a later one of the same member; no entry has this index. */
+    /** The answer to a proposal that is committed after a later one of the same member; no entry has this index. */
     static final long SUPERSEDED = 0;
 
     /**
-     * The latest committed proposal of a member; {@code sequence} counts its proposals, from 1 in each
-     * incarnation.
+     * The latest committed proposal of a member.
+     *
+     * @param sequence counts the member's proposals, from 1 in each incarnation
+     * @param index of its entry
      */
     private record LatestProposal(long incarnation, long sequence, long index) {
         boolean isAfter(LatestProposal other) {
@@ -50,8 +52,9 @@
     }
 
     /**
-     * Encodes a proposal as it is stored in the log; {@code sequence}: its number among those of this
-     * incarnation.
+     * Encodes a proposal as the log stores it.
+     *
+     * @param sequence the number of the proposal among those of the proposer's incarnation
      */
     static byte[] encodeProposal(Peer proposer, long sequence, byte[] entry) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
@@ -61,12 +64,12 @@
             out.writeLong(sequence);
             out.write(entry);
         } catch (IOException e) {
-            throw new IllegalStateException(e); // Cannot happen: the stream writes to memory.
+            throw new IllegalStateException(e); // Cannot occur, as the stream writes to memory.
         }
         return bytes.toByteArray();
     }
 
-    /** The index of a proposal that was answered, or {@link #SUPERSEDED}. */
+    /** The index in the answer to a proposal, or {@link #SUPERSEDED}. */
     static long decodeAnswer(byte[] answer) {
         return ByteBuffer.wrap(answer).getLong();
     }
--- a/cluster/src/main/java/frostreel/cluster/jgroups/GroupMembership.java
+++ b/cluster/src/main/java/frostreel/cluster/jgroups/GroupMembership.java
@@ -26,12 +26,12 @@
 import org.jgroups.stack.Protocol;
 
 /**
- * Membership by JGroups over TCP. Owns the channel, which is called on the {@link ChannelExecutor} alone;
- * events of the channel come on the library's threads and are handed to the owner's executor. Both queues are
- * bounded: messages that find one full are dropped and counted, views never are.
+ * Membership by JGroups over TCP. Owns the channel, which is called on the {@link ChannelExecutor} only. The
+ * channel delivers its events on the library's threads; they are handed to the owner's executor. Both queues
+ * are bounded: a message for a full queue is dropped and counted; views are never dropped.
  */
 public final class GroupMembership implements Membership {
-    /** Messages received that wait for the owner's thread. */
+    /** Limit on received messages that wait for the owner's thread. */
     private static final int MAX_PENDING_MESSAGES = 1024;
 
     private static final long REJOIN_DELAY_MS = 300;
@@ -42,23 +42,23 @@
     private final Executor owner;
     private final Listener listener;
     private final ChannelExecutor channelExecutor = new ChannelExecutor();
-    /** Null where none was asked for. */
+    /** Null where none was requested. */
     private final RaftLog log;
 
     private final MessageCounters counters = new MessageCounters();
     private final AtomicInteger pendingMessages = new AtomicInteger();
     /**
-     * Used on the channel executor alone; a new one for each attempt to join, as a rejected one cannot be
-     * used again.
+     * Confined to the channel executor. Each attempt to join has a new one, as a rejected one cannot be used
+     * again.
      */
     private JChannel channel;
-    /** Used on the owner's thread alone. */
+    /** Confined to the owner's thread. */
     private MembershipView view = MembershipView.NONE;
-    /** Used on the owner's thread alone. */
+    /** Confined to the owner's thread. */
     private boolean left;
 
     /**
-     * Joins the group, and keeps trying while no member answers.
+     * Joins the group, and retries while no member answers.
      *
      * @param incarnation of this process, higher at each start
      * @param owner runs one task at a time, in order
@@ -70,7 +70,7 @@
     /**
      * Joins the group as the other constructor does, with a replicated log.
      *
-     * @param folder keeps the log; null keeps it in memory, and a restart forgets it
+     * @param folder stores the log; null for a log in memory, which a restart forgets
      * @param logListener notified of the log's entries; null for no log
      */
     public GroupMembership(
@@ -94,7 +94,7 @@
     private void join() {
         try {
             channel = new JChannel(newStack()).name(self.toString()).setDiscardOwnMessages(true);
-            // The diagnostics handler would open a port for anyone.
+            // The diagnostics handler would open a port without access control.
             channel.getProtocolStack().getTransport().getDiagnosticsHandler().setEnabled(false);
             channel.addAddressGenerator(() -> PeerAddress.of(self));
             channel.setReceiver(new ChannelReceiver());
@@ -104,7 +104,7 @@
             channel.close();
             CompletableFuture.delayedExecutor(REJOIN_DELAY_MS, TimeUnit.MILLISECONDS, this::onChannel)
                     .execute(this::join);
-        } catch (Exception e) { // Of any kind: the library declares no narrower one.
+        } catch (Exception e) { // The library declares no narrower type.
             LOG.log(Level.SEVERE, "GW_CLUSTER: cannot join " + settings.group() + " at " + settings.bind(), e);
             notifyOwner(() -> listener.onJoinFailed(String.valueOf(e.getMessage())));
         }
@@ -116,7 +116,7 @@
                 : ProtocolStack.withLog(settings, log, this::onSuspicion);
     }
 
-    /** The replicated log, null where none was asked for. */
+    /** The replicated log, null where none was requested. */
     public ReplicatedLog log() {
         return log;
     }
@@ -161,7 +161,7 @@
         }
     }
 
-    /** {@code to}: null for all members. */
+    /** Sends a message; {@code to} is null for all members. */
     private void write(Address to, byte[] message) {
         try {
             channel.send(new BytesMessage(to, message).setFlag(Message.TransientFlag.DONT_BLOCK));
@@ -180,7 +180,7 @@
         channelExecutor.finishWith(() -> channel.close());
     }
 
-    /** Blocks until the group has been left; false after the timeout. */
+    /** Blocks until the group has been left; returns false after the timeout. */
     public boolean awaitTermination(long timeoutMs) throws InterruptedException {
         return channelExecutor.awaitTermination(timeoutMs);
     }
--- a/cluster/src/main/java/frostreel/cluster/jgroups/MessageCounters.java
+++ b/cluster/src/main/java/frostreel/cluster/jgroups/MessageCounters.java
@@ -2,13 +2,13 @@
 
 import java.util.concurrent.atomic.LongAdder;
 
-/** Counts messages; incremented on any thread. */
+/** Counts messages. Thread-safe. */
 final class MessageCounters {
     final LongAdder sent = new LongAdder();
     final LongAdder received = new LongAdder();
-    /** Messages that found a queue full, or no channel. */
+    /** Messages for a full queue, or for a channel that has not joined. */
     final LongAdder dropped = new LongAdder();
-    /** Messages and views' members that are not among the configured poolers. */
+    /** Senders of messages and members of views that are no configured poolers. */
     final LongAdder unknownSenders = new LongAdder();
 
     @Override
--- a/cluster/src/main/java/frostreel/cluster/jgroups/PeerAddress.java
+++ b/cluster/src/main/java/frostreel/cluster/jgroups/PeerAddress.java
@@ -7,8 +7,8 @@
 import org.jgroups.util.ExtendedUUID;
 
 /**
- * Carries a peer's name and incarnation in its JGroups address, so that every member knows them from the
- * first message.
+ * Encodes a peer's name and incarnation in its JGroups address, so that every member knows them from the first
+ * message.
  */
 final class PeerAddress {
     private static final String NAME_KEY = "name";
--- a/cluster/src/main/java/frostreel/cluster/jgroups/ProtocolStack.java
+++ b/cluster/src/main/java/frostreel/cluster/jgroups/ProtocolStack.java
@@ -27,7 +27,7 @@
  * socket-based detector would need a second port for each member.
  */
 final class ProtocolStack {
-    /** The largest frame that is accepted, with room for the library's headers and its own messages. */
+    /** The largest frame that is accepted: room for the library's headers and its own messages. */
     private static final int MAX_FRAME_BYTES = 2 * Membership.MAX_MESSAGE_BYTES;
 
     private static final int MAX_FRAGMENT_BYTES = Membership.MAX_MESSAGE_BYTES / 2;
@@ -35,7 +35,7 @@
     private static final int CONNECT_TIMEOUT_MS = 1000;
     private static final long JOIN_TIMEOUT_MS = 1000;
     private static final long LEAVE_TIMEOUT_MS = 500;
-    /** Between two searches for partitions to merge with, a time drawn from this range passes. */
+    /** The time between two searches for partitions to merge with is random, from this to the maximum. */
     private static final long MIN_MERGE_INTERVAL_MS = 500;
 
     private static final long MAX_MERGE_INTERVAL_MS = 2000;
@@ -57,7 +57,7 @@
     static List<Protocol> withLog(ClusterSettings settings, RaftLog log, Consumer<Collection<Address>> onSuspicion)
             throws Exception {
         List<Protocol> stack = reliableTransport(settings);
-        stack.add(new NO_DUPES()); // Two incarnations of one name would have two votes.
+        stack.add(new NO_DUPES()); // Otherwise two incarnations of one name would have two votes.
         stack.addAll(membership());
         stack.addAll(log.newProtocols());
         stack.add(new SuspicionListener(onSuspicion));
@@ -74,7 +74,7 @@
                 new MERGE3().setMinInterval(MIN_MERGE_INTERVAL_MS).setMaxInterval(MAX_MERGE_INTERVAL_MS),
                 new FD_ALL3().setTimeout(silentMs).setInterval(silentMs / HEARTBEATS_PER_TIMEOUT),
                 new VERIFY_SUSPECT2().setTimeout(silentMs / 2),
-                new NAKACK2().useMcastXmit(false).logDiscardMessages(false), // A partition would log one a message.
+                new NAKACK2().useMcastXmit(false).logDiscardMessages(false), // Otherwise a line for each message.
                 new UNICAST3(),
                 new STABLE()));
     }
--- a/cluster/src/main/java/frostreel/cluster/jgroups/RaftLog.java
+++ b/cluster/src/main/java/frostreel/cluster/jgroups/RaftLog.java
@@ -20,14 +20,14 @@
 import org.jgroups.stack.Protocol;
 
 /**
- * The replicated log by jgroups-raft, on the channel of {@link GroupMembership}. Proposals are made one after
- * another, each retried until it was answered or has timed out; {@link CommittedEntries} deduplicates the
- * attempts. Fields are used on the owner's thread alone unless they say otherwise.
+ * The replicated log by jgroups-raft, on the channel of {@link GroupMembership}. One proposal is in flight at a
+ * time, retried until it is answered or has timed out; {@link CommittedEntries} deduplicates the attempts.
+ * Fields are confined to the owner's thread unless they say otherwise.
  */
 final class RaftLog implements ReplicatedLog {
     /**
-     * The leader resends to a follower what it lacks only after receiving nothing new for this long.
-     * Proposals retried more often than that would keep a restarted member behind for ever.
+     * The leader resends missing entries to a follower only after receiving nothing new for this long. Proposals
+     * retried more often than that would keep a restarted member behind for ever.
      */
     private static final long RESEND_INTERVAL_MS = 100;
 
@@ -35,7 +35,7 @@
     private static final long RETRY_DELAY_MS = 500;
     private static final long PROPOSAL_TIMEOUT_MS = 10_000;
     private static final int MAX_QUEUED_PROPOSALS = 64;
-    /** Beyond this size of the log a snapshot is taken. */
+    /** A log larger than this is replaced by a snapshot. */
     private static final int MAX_LOG_BYTES = 1 << 20;
 
     @SuppressWarnings("ArrayRecordComponent") // Never compared.
@@ -46,9 +46,9 @@
     private final Executor owner;
     private final Collection<String> members;
     private final Path folder;
-    /** One for all attempts to join, so that its listener is not notified of an entry twice. */
+    /** Shared by all attempts to join, so that the listener is not notified of an entry twice. */
     private final CommittedEntries entries;
-    /** Of the present channel; read on the channel executor. */
+    /** The protocol of the present channel that forwards proposals to the leader; read on the channel executor. */
     private volatile REDIRECT redirect;
 
     private final Queue<Proposal> queued = new ArrayDeque<>();
@@ -56,7 +56,9 @@
     private boolean proposalInFlight;
 
     /**
-     * {@code folder} keeps the log; null keeps it in memory, and a restart forgets the votes that were cast.
+     * Creates a log without protocols.
+     *
+     * @param folder stores the log; null for a log in memory, with which a restart forgets the votes cast
      */
     RaftLog(
             Peer self,
@@ -73,7 +75,7 @@
         entries = new CommittedEntries((index, entry) -> owner.execute(() -> listener.onCommitted(index, entry)));
     }
 
-    /** Creates the log's protocols for a new channel, whose stack has them above all that carry messages. */
+    /** Creates the log's protocols for a new channel, to be placed above those that carry messages. */
     List<Protocol> newProtocols() {
         RAFT raft = new RAFT()
                 .members(members)
@@ -121,7 +123,7 @@
     }
 
     /** Runs on the channel executor. */
-    @SuppressWarnings("FutureReturnValueIgnored") // Both ends are handled in whenComplete.
+    @SuppressWarnings("FutureReturnValueIgnored") // whenComplete handles both results.
     private void attempt(Proposal proposal, long deadlineMs) {
         CompletableFuture<byte[]> answer;
         try {
--- a/cluster/src/main/java/frostreel/cluster/jgroups/SuspicionListener.java
+++ b/cluster/src/main/java/frostreel/cluster/jgroups/SuspicionListener.java
@@ -7,7 +7,8 @@
 import org.jgroups.stack.Protocol;
 
 /**
- * The top of a protocol stack: passes on whom the protocols below suspect, which a channel keeps to itself.
+ * The top protocol of a stack. Passes on which members the protocols below suspect, as a channel does not report
+ * them.
  */
 final class SuspicionListener extends Protocol {
     private final Consumer<Collection<Address>> listener;
