--- a/cluster/src/test/java/frostreel/cluster/ClusterSettingsTest.java
+++ b/cluster/src/test/java/frostreel/cluster/ClusterSettingsTest.java
@@ -6,7 +6,11 @@
 import java.net.InetSocketAddress;
 import java.util.Map;
 import java.util.function.UnaryOperator;
+import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.Arguments;
+import org.junit.jupiter.params.provider.MethodSource;
 
 class ClusterSettingsTest {
     private static final InetSocketAddress ADDRESS_A = new InetSocketAddress("127.0.0.1", 7800);
@@ -44,24 +48,39 @@
     }
 
     @Test
-    void wrongSettingsAreRejectedWithTheReason() {
+    void acceptsGoodSettings() {
         assertThat(Draft.GOOD.settings().advertised()).isEqualTo(ADDRESS_A);
-        assertRejected(
-                "the members do not name this pooler, c",
-                draft -> draft.members(Map.of("a", ADDRESS_A, "b", ADDRESS_B)).self("c"));
-        assertRejected(
-                "b has another member's address", draft -> draft.members(Map.of("a", ADDRESS_A, "b", ADDRESS_A)));
-        assertRejected("bind to one address, not to all", draft -> draft.bind(WILDCARD));
-        assertRejected("a has no address of its own", draft -> draft.members(Map.of("a", WILDCARD)));
-        assertRejected(
-                "unknown address", draft -> draft.members(Map.of("a", InetSocketAddress.createUnresolved("x", 1))));
-        assertRejected("unknown address", draft -> draft.members(Map.of("a", new InetSocketAddress("127.0.0.1", 0))));
-        assertRejected("the group has no name", draft -> draft.group(" "));
-        assertRejected("silentAfterMs is 499", draft -> draft.silentMs(499));
-        assertRejected("silentAfterMs is 60001", draft -> draft.silentMs(60_001));
     }
 
-    private static void assertRejected(String reason, UnaryOperator<Draft> change) {
-        assertThatThrownBy(() -> change.apply(Draft.GOOD).settings()).hasMessageContaining(reason);
+    static Stream<Arguments> faults() {
+        return Stream.of(
+                fault(
+                        "the members do not name this pooler, c",
+                        draft -> draft.members(Map.of("a", ADDRESS_A, "b", ADDRESS_B))
+                                .self("c")),
+                fault("b has another member's address", draft -> draft.members(Map.of("a", ADDRESS_A, "b", ADDRESS_A))),
+                fault("bind to one address, not to all", draft -> draft.bind(WILDCARD)),
+                fault("a has no address of its own", draft -> draft.members(Map.of("a", WILDCARD))),
+                fault(
+                        "unknown address",
+                        draft -> draft.members(Map.of("a", InetSocketAddress.createUnresolved("x", 1)))),
+                fault("unknown address", draft -> draft.members(Map.of("a", new InetSocketAddress("127.0.0.1", 0)))),
+                fault("the group has no name", draft -> draft.group(" ")),
+                fault("silentAfterMs is 499", draft -> draft.silentMs(499)),
+                fault("silentAfterMs is 60001", draft -> draft.silentMs(60_001)));
+    }
+
+    private static Arguments fault(String reason, UnaryOperator<Draft> change) {
+        return Arguments.of(reason, change);
+    }
+
+    @ParameterizedTest
+    @MethodSource("faults")
+    void rejectsFaultySettingsWithTheReason(String reason, UnaryOperator<Draft> change) {
+        Draft faulty = change.apply(Draft.GOOD);
+
+        assertThatThrownBy(faulty::settings)
+                .isInstanceOf(IllegalArgumentException.class)
+                .hasMessageContaining(reason);
     }
 }
--- a/cluster/src/test/java/frostreel/cluster/MembershipViewTest.java
+++ b/cluster/src/test/java/frostreel/cluster/MembershipViewTest.java
@@ -6,17 +6,22 @@
 import org.junit.jupiter.api.Test;
 
 class MembershipViewTest {
+    private static final Peer FIRST = new Peer("a", 1);
+    private static final Peer SECOND = new Peer("b", 1);
+    private static final Peer SECOND_RESTARTED = new Peer("b", 2);
+    private static final MembershipView BEFORE = new MembershipView(1, List.of(SECOND, FIRST), false);
+
+    @Test
+    void sortsItsMembers() {
+        assertThat(BEFORE.members()).containsExactly(FIRST, SECOND);
+    }
+
     @Test
-    void membersThatJoinedAndLeftFollowFromTwoViews() {
-        Peer first = new Peer("a", 1);
-        Peer second = new Peer("b", 1);
-        Peer restarted = new Peer("b", 2);
-        MembershipView before = new MembershipView(1, List.of(second, first), false);
-        MembershipView after = new MembershipView(2, List.of(first, restarted), false);
+    void derivesMembersThatJoinedAndLeftFromTwoViews() {
+        MembershipView after = new MembershipView(2, List.of(FIRST, SECOND_RESTARTED), false);
 
-        assertThat(before.members()).containsExactly(first, second);
-        assertThat(after.joined(before)).containsExactly(restarted);
-        assertThat(after.left(before)).containsExactly(second);
-        assertThat(before.joined(MembershipView.NONE)).containsExactly(first, second);
+        assertThat(after.joined(BEFORE)).containsExactly(SECOND_RESTARTED);
+        assertThat(after.left(BEFORE)).containsExactly(SECOND);
+        assertThat(BEFORE.joined(MembershipView.NONE)).containsExactly(FIRST, SECOND);
     }
 }
