--- a/cluster/src/main/java/frostreel/cluster/jgroups/GroupMembership.java
+++ b/cluster/src/main/java/frostreel/cluster/jgroups/GroupMembership.java
@@ -93,11 +93,7 @@
 
     private void join() {
         try {
-            channel = new JChannel(newStack()).name(self.toString()).setDiscardOwnMessages(true);
-            // The diagnostics handler would open a port without access control.
-            channel.getProtocolStack().getTransport().getDiagnosticsHandler().setEnabled(false);
-            channel.addAddressGenerator(() -> PeerAddress.of(self));
-            channel.setReceiver(new ChannelReceiver());
+            channel = newChannel();
             channel.connect(settings.group());
         } catch (SecurityException e) { // The previous incarnation is still in the view.
             LOG.fine(e.getMessage());
@@ -110,6 +106,15 @@
         }
     }
 
+    private JChannel newChannel() throws Exception {
+        JChannel created = new JChannel(newStack()).name(self.toString()).setDiscardOwnMessages(true);
+        // The diagnostics handler would open a port without access control.
+        created.getProtocolStack().getTransport().getDiagnosticsHandler().setEnabled(false);
+        created.addAddressGenerator(() -> PeerAddress.of(self));
+        created.setReceiver(new ChannelReceiver());
+        return created;
+    }
+
     private List<Protocol> newStack() throws Exception {
         return log == null
                 ? ProtocolStack.withoutLog(settings, this::onSuspicion)
