--- a/decisions/src/main/java/frostreel/operation/RequestClassRegistry.java
+++ b/decisions/src/main/java/frostreel/operation/RequestClassRegistry.java
@@ -13,16 +13,22 @@
  * Not thread-safe.
  */
 public final class RequestClassRegistry {
+    /** Returned in place of a number for a request that fits no class. */
+    public static final int NO_CLASS = -1;
+
     /** How long clients may still follow the previous settings after a change. */
     public static final long TRANSITION_US = 1_200_000;
 
-    /** The instant of a change that never was; far enough back for any interval, and no overflow. */
-    private static final long LONG_AGO_US = Long.MIN_VALUE / 2;
+    /** The time of the last change before there was one; half the range, so that subtracting it cannot overflow. */
+    private static final long NEVER_CHANGED_US = Long.MIN_VALUE / 2;
 
+    /** Every class that was ever in force, each at the index of its number. */
     private final List<RequestClass> classes = new ArrayList<>();
+    /** Numbers by name, in the settings in force and in those before them. */
     private Map<String, Integer> current;
+
     private Map<String, Integer> previous = Map.of();
-    private long changedAtUs = LONG_AGO_US;
+    private long changedAtUs = NEVER_CHANGED_US;
 
     /** Numbers the classes in force at the start, from 0 on. */
     public RequestClassRegistry(List<RequestClass> initial) {
@@ -63,32 +69,46 @@
      * may fit the class of that name in the previous settings, in the current ones, or in both; in the last
      * case the stricter of the two is chosen.
      *
-     * @return null if no class of that name fits
+     * @param write whether the request writes
+     * @param keyed whether it has an idempotency key
+     * @return {@link #NO_CLASS} if no class of that name fits
      */
-    public Integer number(long nowUs, String name, boolean write, boolean keyed) {
-        Integer now = ifFitting(current.get(name), write, keyed);
+    public int classNumber(long nowUs, String name, boolean write, boolean keyed) {
+        int fromCurrent = fittingNumber(current, name, write, keyed);
         boolean inTransition = nowUs - changedAtUs < TRANSITION_US;
-        Integer before = inTransition ? ifFitting(previous.get(name), write, keyed) : null;
-        if (now == null || before == null) {
-            return now == null ? before : now;
+        if (!inTransition) {
+            return fromCurrent;
         }
-        return isLooser(classes.get(now), classes.get(before)) ? before : now;
+        int fromPrevious = fittingNumber(previous, name, write, keyed);
+        return stricter(fromCurrent, fromPrevious);
     }
 
-    /** Relies on the order of {@link Router.Idempotency}: what may be retried most freely comes first. */
-    private static boolean isLooser(RequestClass one, RequestClass other) {
-        return one.idempotency().compareTo(other.idempotency()) < 0
-                || one.windowUs() > other.windowUs()
-                || one.boundUs() > other.boundUs();
+    private int fittingNumber(Map<String, Integer> numbers, String name, boolean write, boolean keyed) {
+        int number = numbers.getOrDefault(name, NO_CLASS);
+        boolean fits = number != NO_CLASS && fits(classes.get(number), write, keyed);
+        return fits ? number : NO_CLASS;
     }
 
-    private Integer ifFitting(Integer number, boolean write, boolean keyed) {
-        if (number == null) {
-            return null;
-        }
-        RequestClass requestClass = classes.get(number);
+    private static boolean fits(RequestClass requestClass, boolean write, boolean keyed) {
         boolean accessFits = write == (requestClass.access() == Router.Access.WRITE);
         boolean keyFits = keyed || requestClass.idempotency() != Router.Idempotency.KEYED;
-        return accessFits && keyFits ? number : null;
+        return accessFits && keyFits;
+    }
+
+    private int stricter(int fromCurrent, int fromPrevious) {
+        if (fromPrevious == NO_CLASS) {
+            return fromCurrent;
+        }
+        if (fromCurrent == NO_CLASS) {
+            return fromPrevious;
+        }
+        return isLooser(classes.get(fromCurrent), classes.get(fromPrevious)) ? fromPrevious : fromCurrent;
+    }
+
+    /** Relies on the order of {@link Router.Idempotency}: what may be retried most freely comes first. */
+    private static boolean isLooser(RequestClass candidate, RequestClass other) {
+        return candidate.idempotency().compareTo(other.idempotency()) < 0
+                || candidate.windowUs() > other.windowUs()
+                || candidate.boundUs() > other.boundUs();
     }
 }
--- a/decisions/src/test/java/frostreel/operation/RequestClassRegistryTest.java
+++ b/decisions/src/test/java/frostreel/operation/RequestClassRegistryTest.java
@@ -22,39 +22,51 @@
     private final RequestClass post = requestClass("post", Access.WRITE, Idempotency.KEYED);
     private final RequestClassRegistry registry = new RequestClassRegistry(List.of(read, post));
 
+    private int read(long nowUs, String name) {
+        return registry.classNumber(nowUs, name, false, false);
+    }
+
+    private int write(long nowUs, String name) {
+        return registry.classNumber(nowUs, name, true, false);
+    }
+
+    private int keyedWrite(long nowUs, String name) {
+        return registry.classNumber(nowUs, name, true, true);
+    }
+
     @Test
     void anAddedClassIsServedAtOnceAndADroppedOneDuringTheTransition() {
         registry.change(0, List.of(post, requestClass("new", Access.WRITE, Idempotency.NON_IDEMPOTENT)));
-        assertThat(registry.number(0, "new", true, false)).isEqualTo(2);
-        assertThat(registry.number(0, "post", true, true))
+        assertThat(write(0, "new")).isEqualTo(2);
+        assertThat(keyedWrite(0, "post"))
                 .as("unchanged, it keeps its number")
                 .isEqualTo(1);
-        assertThat(registry.number(IN_TRANSITION_US, "read", false, false)).isZero();
-        assertThat(registry.number(AFTER_TRANSITION_US, "read", false, false)).isNull();
+        assertThat(read(IN_TRANSITION_US, "read")).isZero();
+        assertThat(read(AFTER_TRANSITION_US, "read")).isEqualTo(RequestClassRegistry.NO_CLASS);
         assertThat(registry.all()).hasSize(3);
     }
 
     @Test
     void ofTwoClassesOfOneNameTheStricterIsChosenDuringTheTransition() {
         registry.change(0, List.of(read, requestClass("post", Access.WRITE, Idempotency.IDEMPOTENT)));
-        assertThat(registry.number(IN_TRANSITION_US, "post", true, true))
+        assertThat(keyedWrite(IN_TRANSITION_US, "post"))
                 .as("keyed is stricter")
                 .isEqualTo(1);
-        assertThat(registry.number(IN_TRANSITION_US, "post", true, false))
+        assertThat(write(IN_TRANSITION_US, "post"))
                 .as("only the new fits")
                 .isEqualTo(2);
-        assertThat(registry.number(AFTER_TRANSITION_US, "post", true, true)).isEqualTo(2);
+        assertThat(keyedWrite(AFTER_TRANSITION_US, "post")).isEqualTo(2);
         registry.change(
                 AFTER_TRANSITION_US, List.of(read, requestClass("post", Access.WRITE, Idempotency.NON_IDEMPOTENT)));
-        assertThat(registry.number(AFTER_TRANSITION_US, "post", true, false)).isEqualTo(3);
+        assertThat(write(AFTER_TRANSITION_US, "post")).isEqualTo(3);
     }
 
     @Test
     void aReadThatBecomesAWriteIsToldApartByItsStatement() {
         registry.change(0, List.of(requestClass("read", Access.WRITE, Idempotency.NON_IDEMPOTENT), post));
-        assertThat(registry.number(IN_TRANSITION_US, "read", false, false)).isZero();
-        assertThat(registry.number(IN_TRANSITION_US, "read", true, false)).isEqualTo(2);
-        assertThat(registry.number(AFTER_TRANSITION_US, "read", false, false)).isNull();
+        assertThat(read(IN_TRANSITION_US, "read")).isZero();
+        assertThat(write(IN_TRANSITION_US, "read")).isEqualTo(2);
+        assertThat(read(AFTER_TRANSITION_US, "read")).isEqualTo(RequestClassRegistry.NO_CLASS);
     }
 
     @Test
@@ -64,7 +76,7 @@
             registry.change(i, List.of(requestClass("read", Access.ANY, idempotency), post));
         }
         assertThat(registry.all()).hasSize(3);
-        assertThat(registry.number(99 + AFTER_TRANSITION_US, "read", false, false))
+        assertThat(read(99 + AFTER_TRANSITION_US, "read"))
                 .isZero();
     }
 }
--- a/pooler/src/main/java/frostreel/frontend/ClientConnection.java
+++ b/pooler/src/main/java/frostreel/frontend/ClientConnection.java
@@ -3,6 +3,7 @@
 import frostreel.log.EventLog;
 import frostreel.net.EventLoop;
 import frostreel.net.SocketStream;
+import frostreel.operation.RequestClassRegistry;
 import frostreel.pg.MessageReader;
 import frostreel.pg.Messages;
 import frostreel.pg.PgException;
@@ -261,8 +262,8 @@
             onInvalidQuery(e.getMessage());
             return;
         }
-        Integer requestClass = listener.classNumber(statement);
-        if (requestClass == null) {
+        int requestClass = listener.classNumber(statement);
+        if (requestClass == RequestClassRegistry.NO_CLASS) {
             onInvalidQuery("a class that the settings do not name, or a statement that is none of its class");
         } else if (listener.broker().isActive(statement.id())) {
             onInvalidQuery("the id of a request that is open"); // Forwarded, it would be a hedged request.
--- a/pooler/src/main/java/frostreel/frontend/Listener.java
+++ b/pooler/src/main/java/frostreel/frontend/Listener.java
@@ -164,9 +164,9 @@
         return broker;
     }
 
-    /** The number of the class that a statement names; null where there is none, or the statement does not fit it. */
-    Integer classNumber(Statement statement) {
-        return classes.number(loop.clock().now(), statement.requestClass(), statement.write(), statement.keyed());
+    /** The number of a statement's class, {@link RequestClassRegistry#NO_CLASS} if it fits none of that name. */
+    int classNumber(Statement statement) {
+        return classes.classNumber(loop.clock().now(), statement.requestClass(), statement.write(), statement.keyed());
     }
 
     /** A client has no request; where the lifecycle has clients leave, it is closed. */
