--- a/decisions/src/main/java/frostreel/operation/OperatorCommands.java
+++ b/decisions/src/main/java/frostreel/operation/OperatorCommands.java
@@ -16,25 +16,39 @@
     private final Map<CommandTarget, CommandState> commands = new TreeMap<>();
 
     /**
-     * Records a command that this process was given.
+     * Records that this process was given a command on the target.
      *
-     * @return whether it changed anything; a command that is in force already, or revoked already, does not
+     * @return whether it changed anything; a command that is in force already does not
      */
-    public boolean issue(long nowUs, CommandTarget target, boolean inForce) {
-        if (isInForce(target) == inForce) {
+    public boolean issue(long nowUs, CommandTarget target) {
+        if (isInForce(target)) {
             return false;
         }
         CommandState previous = commands.get(target);
-        if (previous == null) {
-            commands.put(target, new CommandState(inForce, nowUs, nowUs));
-            return true;
+        long issuedAtUs = previous == null ? nowUs : timeOfChangeUs(nowUs, previous);
+        commands.put(target, CommandState.issued(issuedAtUs));
+        return true;
+    }
+
+    /**
+     * Records that the command on the target was revoked through this process.
+     *
+     * @return whether it changed anything; revoking a command that is not in force does not
+     */
+    public boolean revoke(long nowUs, CommandTarget target) {
+        if (!isInForce(target)) {
+            return false;
         }
-        long changedAtUs = Math.max(nowUs, previous.changedAtUs() + 1); // The clock may not have advanced since.
-        long inForceSinceUs = inForce ? changedAtUs : previous.inForceSinceUs();
-        commands.put(target, new CommandState(inForce, inForceSinceUs, changedAtUs));
+        CommandState previous = commands.get(target);
+        commands.put(target, CommandState.revoked(previous.inForceSinceUs(), timeOfChangeUs(nowUs, previous)));
         return true;
     }
 
+    /** Later than the previous change, also if the clock has not advanced since. */
+    private static long timeOfChangeUs(long nowUs, CommandState previous) {
+        return Math.max(nowUs, previous.changedAtUs() + 1);
+    }
+
     /**
      * Merges what another process recorded.
      *
--- a/decisions/src/test/java/frostreel/operation/MaintenanceOverlayTest.java
+++ b/decisions/src/test/java/frostreel/operation/MaintenanceOverlayTest.java
@@ -22,7 +22,7 @@
     @Test
     void aSuspendedServerDrainsWhateverDiscoveryListsUntilItIsRestored() {
         overlay.apply(true, List.of(member("a", State.UP, 0), member("b", State.UP, 0)));
-        commands.issue(100, CommandTarget.server("a"), true);
+        commands.issue(100, CommandTarget.server("a"));
         assertThat(effective("a").state()).isEqualTo(State.DRAINING);
         assertThat(overlay.apply(false, List.of(member("a", State.UP, 0))))
                 .extracting(Router.Member::state)
@@ -34,15 +34,15 @@
         assertThat(overlay.apply(false, List.of(member("a", State.UP, 150))))
                 .extracting(Router.Member::state)
                 .containsExactly(State.DRAINING);
-        commands.issue(200, CommandTarget.server("a"), false);
+        commands.revoke(200, CommandTarget.server("a"));
         assertThat(effective("a").state()).isEqualTo(State.UP);
     }
 
     @Test
     void restoringCountsAsAStartUntilDiscoveryReportsOneSinceTheSuspension() {
         overlay.apply(true, List.of(member("a", State.UP, 5)));
-        commands.issue(100, CommandTarget.server("a"), true);
-        commands.issue(200, CommandTarget.server("a"), false);
+        commands.issue(100, CommandTarget.server("a"));
+        commands.revoke(200, CommandTarget.server("a"));
         assertThat(effective("a").startedUs()).isEqualTo(200);
         assertThat(overlay.apply(false, List.of(member("a", State.UP, 5))))
                 .extracting(Router.Member::startedUs)
@@ -55,11 +55,11 @@
     @Test
     void restoringOnceUndoesTwoSuspensionsAndRestoringWithoutOneIsHarmless() {
         overlay.apply(true, List.of(member("a", State.UP, 0)));
-        assertThat(commands.issue(50, CommandTarget.server("a"), false)).isFalse();
+        assertThat(commands.revoke(50, CommandTarget.server("a"))).isFalse();
         assertThat(effective("a").startedUs()).isZero();
-        commands.issue(100, CommandTarget.server("a"), true);
-        assertThat(commands.issue(110, CommandTarget.server("a"), true)).isFalse();
-        commands.issue(200, CommandTarget.server("a"), false);
+        commands.issue(100, CommandTarget.server("a"));
+        assertThat(commands.issue(110, CommandTarget.server("a"))).isFalse();
+        commands.revoke(200, CommandTarget.server("a"));
         assertThat(effective("a").state()).isEqualTo(State.UP);
         assertThat(overlay.outOfService()).isEmpty();
     }
@@ -67,12 +67,12 @@
     @Test
     void aRestoredServerIsAsDiscoveryLastListedIt() {
         overlay.apply(true, List.of(member("a", State.UP, 0), member("b", State.UP, 0)));
-        commands.issue(100, CommandTarget.server("a"), true);
-        commands.issue(100, CommandTarget.server("b"), true);
+        commands.issue(100, CommandTarget.server("a"));
+        commands.issue(100, CommandTarget.server("b"));
         overlay.apply(false, List.of(member("a", State.DRAINING, 0)));
         overlay.apply(true, List.of(member("a", State.DRAINING, 0)));
-        commands.issue(200, CommandTarget.server("a"), false);
-        commands.issue(200, CommandTarget.server("b"), false);
+        commands.revoke(200, CommandTarget.server("a"));
+        commands.revoke(200, CommandTarget.server("b"));
         assertThat(effective("a").state()).isEqualTo(State.DRAINING);
         assertThat(effective("b").state()).isEqualTo(State.GONE);
     }
@@ -93,8 +93,8 @@
     void commandsOnTargetsOfAnotherKindAreKeptWithoutEffect() {
         CommandTarget unknown = new CommandTarget("zone a");
         overlay.apply(true, List.of(member("a", State.UP, 0)));
-        commands.merge(unknown, new CommandState(true, 5, 5));
-        commands.merge(CommandTarget.CLIENTS, new CommandState(true, 5, 5));
+        commands.merge(unknown, CommandState.issued(5));
+        commands.merge(CommandTarget.CLIENTS, CommandState.issued(5));
         assertThat(overlay.outOfService()).isEmpty();
         assertThat(effective("a").state()).isEqualTo(State.UP);
         assertThat(commands.all()).containsKey(unknown);
--- a/decisions/src/test/java/frostreel/operation/OperatorCommandsTest.java
+++ b/decisions/src/test/java/frostreel/operation/OperatorCommandsTest.java
@@ -18,37 +18,37 @@
 
     @Test
     void aCommandThatChangesNothingIsNotRecorded() {
-        assertThat(commands.issue(5, SERVER, false)).as("never in force").isFalse();
+        assertThat(commands.revoke(5, SERVER)).as("never in force").isFalse();
         assertThat(commands.latest(SERVER)).isEmpty();
-        assertThat(commands.issue(10, SERVER, true)).isTrue();
-        assertThat(commands.issue(20, SERVER, true)).isFalse();
-        assertThat(state()).isEqualTo(new CommandState(true, 10, 10));
+        assertThat(commands.issue(10, SERVER)).isTrue();
+        assertThat(commands.issue(20, SERVER)).isFalse();
+        assertThat(state()).isEqualTo(CommandState.issued(10));
     }
 
     @Test
     void aRevokedCommandSaysWhenItCameIntoForceLast() {
-        commands.issue(10, SERVER, true);
-        commands.issue(30, SERVER, false);
-        assertThat(state()).isEqualTo(new CommandState(false, 10, 30));
+        commands.issue(10, SERVER);
+        commands.revoke(30, SERVER);
+        assertThat(state()).isEqualTo(CommandState.revoked(10, 30));
         assertThat(commands.isInForce(SERVER)).isFalse();
-        commands.issue(40, SERVER, true);
-        assertThat(state()).isEqualTo(new CommandState(true, 40, 40));
+        commands.issue(40, SERVER);
+        assertThat(state()).isEqualTo(CommandState.issued(40));
     }
 
     @Test
     void aLaterCommandHasALaterTimeThoughTheClockDidNotAdvance() {
-        commands.issue(10, SERVER, true);
-        commands.issue(10, SERVER, false);
-        assertThat(state()).isEqualTo(new CommandState(false, 10, 11));
-        commands.issue(3, SERVER, true);
-        assertThat(state()).isEqualTo(new CommandState(true, 12, 12));
+        commands.issue(10, SERVER);
+        commands.revoke(10, SERVER);
+        assertThat(state()).isEqualTo(CommandState.revoked(10, 11));
+        commands.issue(3, SERVER);
+        assertThat(state()).isEqualTo(CommandState.issued(12));
     }
 
     @Test
     void ofTwoChangesAtOneInstantTheOneInForceWins() {
-        assertThat(commands.merge(SERVER, new CommandState(false, 5, 10))).isTrue();
-        assertThat(commands.merge(SERVER, new CommandState(true, 10, 10))).isTrue();
-        assertThat(commands.merge(SERVER, new CommandState(false, 5, 10))).isFalse();
+        assertThat(commands.merge(SERVER, CommandState.revoked(5, 10))).isTrue();
+        assertThat(commands.merge(SERVER, CommandState.issued(10))).isTrue();
+        assertThat(commands.merge(SERVER, CommandState.revoked(5, 10))).isFalse();
         assertThat(commands.isInForce(SERVER)).isTrue();
     }
 
--- a/pooler/src/main/java/frostreel/control/CommandExecutor.java
+++ b/pooler/src/main/java/frostreel/control/CommandExecutor.java
@@ -100,10 +100,10 @@
     private Effect apply(AdminRequest request) {
         return switch (request.verb()) {
             case STATUS -> Effect.none(AdminReply.of(lifecycle.status()));
-            case PAUSE -> issue(CommandTarget.CLIENTS, true);
+            case PAUSE -> issue(CommandTarget.CLIENTS);
             case RESUME -> resume();
-            case SUSPEND -> issueOnServer(request.serverId(), true);
-            case RESTORE -> issueOnServer(request.serverId(), false);
+            case SUSPEND -> suspend(request.serverId());
+            case RESTORE -> restore(request.serverId());
             case UNKNOWN -> Effect.none(AdminReply.UNKNOWN_COMMAND);
         };
     }
@@ -112,18 +112,30 @@
         if (lifecycle.status() == ReadinessStatus.STOPPING) {
             return Effect.none(AdminReply.STOPPING);
         }
-        return issue(CommandTarget.CLIENTS, false);
+        return revoke(CommandTarget.CLIENTS);
     }
 
-    private Effect issueOnServer(String serverId, boolean inForce) {
-        if (!overlay.knows(serverId)) {
-            return Effect.none(AdminReply.UNKNOWN_SERVER);
-        }
-        return issue(CommandTarget.server(serverId), inForce);
+    private Effect suspend(String serverId) {
+        return overlay.knows(serverId)
+                ? issue(CommandTarget.server(serverId))
+                : Effect.none(AdminReply.UNKNOWN_SERVER);
+    }
+
+    private Effect restore(String serverId) {
+        return overlay.knows(serverId)
+                ? revoke(CommandTarget.server(serverId))
+                : Effect.none(AdminReply.UNKNOWN_SERVER);
+    }
+
+    private Effect issue(CommandTarget target) {
+        return takeEffectIf(commands.issue(loop.clock().now(), target), target);
+    }
+
+    private Effect revoke(CommandTarget target) {
+        return takeEffectIf(commands.revoke(loop.clock().now(), target), target);
     }
 
-    private Effect issue(CommandTarget target, boolean inForce) {
-        boolean changed = commands.issue(loop.clock().now(), target, inForce);
+    private Effect takeEffectIf(boolean changed, CommandTarget target) {
         if (changed) {
             takeEffect(target);
         }
--- a/pooler/src/test/java/frostreel/control/CommandStoreTest.java
+++ b/pooler/src/test/java/frostreel/control/CommandStoreTest.java
@@ -18,7 +18,7 @@
 
 class CommandStoreTest {
     private static final Map<CommandTarget, CommandState> SUSPENDED =
-            Map.of(CommandTarget.server("a"), new CommandState(true, 5, 5));
+            Map.of(CommandTarget.server("a"), CommandState.issued(5));
 
     @TempDir
     Path dir;
@@ -44,7 +44,7 @@
         CommandStore two = store("two");
         assertThat(two.readOthers().commands()).isEqualTo(SUSPENDED);
         assertThat(two.readOthers().commands()).as("read once").isEmpty();
-        Map<CommandTarget, CommandState> later = Map.of(CommandTarget.server("a"), new CommandState(false, 5, 9));
+        Map<CommandTarget, CommandState> later = Map.of(CommandTarget.server("a"), CommandState.revoked(5, 9));
         two.write(later);
         assertThat(one.readOthers().commands()).isEqualTo(later);
         assertThat(store("three").readOthers().commands())
--- a/pooler/src/test/java/frostreel/control/FileCommandReplicatorTest.java
+++ b/pooler/src/test/java/frostreel/control/FileCommandReplicatorTest.java
@@ -19,9 +19,9 @@
 
 class FileCommandReplicatorTest {
     private static final Map<CommandTarget, CommandState> SUSPENDED =
-            Map.of(CommandTarget.server("a"), new CommandState(true, 5, 5));
+            Map.of(CommandTarget.server("a"), CommandState.issued(5));
     private static final Map<CommandTarget, CommandState> PAUSED =
-            Map.of(CommandTarget.CLIENTS, new CommandState(true, 7, 7));
+            Map.of(CommandTarget.CLIENTS, CommandState.issued(7));
 
     @TempDir
     Path dir;
--- a/pooler/src/test/java/frostreel/control/ProcessWithoutCommitTableTest.java
+++ b/pooler/src/test/java/frostreel/control/ProcessWithoutCommitTableTest.java
@@ -21,9 +21,9 @@
 class ProcessWithoutCommitTableTest {
     private static final long NOW_US = 1_000_000_000;
     private static final Map<CommandTarget, CommandState> SUSPENDED =
-            Map.of(CommandTarget.server("a"), new CommandState(true, 5, 5));
+            Map.of(CommandTarget.server("a"), CommandState.issued(5));
     private static final Map<CommandTarget, CommandState> RESTORED =
-            Map.of(CommandTarget.server("a"), new CommandState(false, 5, 9));
+            Map.of(CommandTarget.server("a"), CommandState.revoked(5, 9));
 
     @TempDir
     Path dir;
