--- a/decisions/src/main/java/frostreel/operation/MaintenanceOverlay.java
+++ b/decisions/src/main/java/frostreel/operation/MaintenanceOverlay.java
@@ -17,12 +17,12 @@
  * <p>Owns the last entry that discovery listed for each server; the commands belong to the caller.
  */
 public final class MaintenanceOverlay {
-    /** How many departed servers are remembered, as they may come back or commands on them may come late. */
+    /** How many departed servers are remembered: they may come back, and commands on them may come late. */
     private static final int MAX_DEPARTED = 256;
 
     private final OperatorCommands commands;
     private final Map<String, Router.Member> listed = new HashMap<>();
-    /** Ids of listed servers that are gone, the one that left first first. */
+    /** Ids of listed servers that are gone, in the order in which they left. */
     private final Set<String> departed = new LinkedHashSet<>();
 
     /** Overlays these commands, as they are at each call. */
@@ -31,14 +31,21 @@
     }
 
     /**
-     * Takes in an endpoint list and returns the members to pass on in place of it, in the same order.
+     * Takes in a complete endpoint list: servers that it lacks are gone.
      *
-     * @param complete whether the list names all servers, so that those it lacks are gone
+     * @return the members to pass on in place of the listed ones, in the same order
      */
-    public List<Router.Member> apply(boolean complete, List<Router.Member> members) {
-        if (complete) {
-            markUnlistedAsGone(members);
-        }
+    public List<Router.Member> applyComplete(List<Router.Member> members) {
+        markUnlistedAsGone(members);
+        return applyChanges(members);
+    }
+
+    /**
+     * Takes in an endpoint list that names changed servers alone.
+     *
+     * @return the members to pass on in place of the listed ones, in the same order
+     */
+    public List<Router.Member> applyChanges(List<Router.Member> members) {
         List<Router.Member> effective = new ArrayList<>(members.size());
         for (Router.Member member : members) {
             remember(member);
@@ -95,22 +102,30 @@
         return serverIds;
     }
 
-    /**
-     * The listed member as the commands on it have it. Operators restart a server that is out of service, and
-     * discovery may report that seconds after the command is revoked: until it reports a start since the
-     * server went out of service, the revocation counts as the start.
-     */
+    /** The listed member with the commands on it applied. */
     private Router.Member effective(Router.Member member) {
-        CommandState state = commands.latest(CommandTarget.server(member.id())).orElse(null);
-        if (state == null) {
+        Optional<CommandState> latest = commands.latest(CommandTarget.server(member.id()));
+        if (latest.isEmpty()) {
             return member;
         }
-        if (state.inForce()) {
-            boolean gone = member.state() == Router.State.GONE;
-            return gone ? member : with(member, Router.State.DRAINING, member.startedUs());
-        }
-        boolean restarted = member.startedUs() >= state.inForceSinceUs();
-        return with(member, member.state(), restarted ? member.startedUs() : state.changedAtUs());
+        CommandState state = latest.get();
+        return state.inForce() ? suspended(member) : restored(member, state);
+    }
+
+    private static Router.Member suspended(Router.Member member) {
+        boolean gone = member.state() == Router.State.GONE;
+        return gone ? member : with(member, Router.State.DRAINING, member.startedUs());
+    }
+
+    /**
+     * Operators restart a server that is out of service, and discovery may report that seconds after the command
+     * is revoked: until it reports a start since the server went out of service, the revocation counts as the
+     * start.
+     */
+    private static Router.Member restored(Router.Member member, CommandState revoked) {
+        boolean restartReported = member.startedUs() >= revoked.inForceSinceUs();
+        long startedUs = restartReported ? member.startedUs() : revoked.changedAtUs();
+        return with(member, member.state(), startedUs);
     }
 
     private static Router.Member with(Router.Member member, Router.State state, long startedUs) {
--- a/decisions/src/test/java/frostreel/operation/MaintenanceOverlayTest.java
+++ b/decisions/src/test/java/frostreel/operation/MaintenanceOverlayTest.java
@@ -21,17 +21,17 @@
 
     @Test
     void aSuspendedServerDrainsWhateverDiscoveryListsUntilItIsRestored() {
-        overlay.apply(true, List.of(member("a", State.UP, 0), member("b", State.UP, 0)));
+        overlay.applyComplete(List.of(member("a", State.UP, 0), member("b", State.UP, 0)));
         commands.issue(100, CommandTarget.server("a"));
         assertThat(effective("a").state()).isEqualTo(State.DRAINING);
-        assertThat(overlay.apply(false, List.of(member("a", State.UP, 0))))
+        assertThat(overlay.applyChanges(List.of(member("a", State.UP, 0))))
                 .extracting(Router.Member::state)
                 .containsExactly(State.DRAINING);
-        assertThat(overlay.apply(true, List.of(member("a", State.UP, 0), member("b", State.UP, 0))))
+        assertThat(overlay.applyComplete(List.of(member("a", State.UP, 0), member("b", State.UP, 0))))
                 .extracting(Router.Member::state)
                 .containsExactly(State.DRAINING, State.UP);
-        overlay.apply(false, List.of(member("a", State.GONE, 0)));
-        assertThat(overlay.apply(false, List.of(member("a", State.UP, 150))))
+        overlay.applyChanges(List.of(member("a", State.GONE, 0)));
+        assertThat(overlay.applyChanges(List.of(member("a", State.UP, 150))))
                 .extracting(Router.Member::state)
                 .containsExactly(State.DRAINING);
         commands.revoke(200, CommandTarget.server("a"));
@@ -40,21 +40,21 @@
 
     @Test
     void restoringCountsAsAStartUntilDiscoveryReportsOneSinceTheSuspension() {
-        overlay.apply(true, List.of(member("a", State.UP, 5)));
+        overlay.applyComplete(List.of(member("a", State.UP, 5)));
         commands.issue(100, CommandTarget.server("a"));
         commands.revoke(200, CommandTarget.server("a"));
         assertThat(effective("a").startedUs()).isEqualTo(200);
-        assertThat(overlay.apply(false, List.of(member("a", State.UP, 5))))
+        assertThat(overlay.applyChanges(List.of(member("a", State.UP, 5))))
                 .extracting(Router.Member::startedUs)
                 .containsExactly(200L);
-        assertThat(overlay.apply(false, List.of(member("a", State.UP, 150))))
+        assertThat(overlay.applyChanges(List.of(member("a", State.UP, 150))))
                 .extracting(Router.Member::startedUs)
                 .containsExactly(150L);
     }
 
     @Test
     void restoringOnceUndoesTwoSuspensionsAndRestoringWithoutOneIsHarmless() {
-        overlay.apply(true, List.of(member("a", State.UP, 0)));
+        overlay.applyComplete(List.of(member("a", State.UP, 0)));
         assertThat(commands.revoke(50, CommandTarget.server("a"))).isFalse();
         assertThat(effective("a").startedUs()).isZero();
         commands.issue(100, CommandTarget.server("a"));
@@ -66,11 +66,11 @@
 
     @Test
     void aRestoredServerIsAsDiscoveryLastListedIt() {
-        overlay.apply(true, List.of(member("a", State.UP, 0), member("b", State.UP, 0)));
+        overlay.applyComplete(List.of(member("a", State.UP, 0), member("b", State.UP, 0)));
         commands.issue(100, CommandTarget.server("a"));
         commands.issue(100, CommandTarget.server("b"));
-        overlay.apply(false, List.of(member("a", State.DRAINING, 0)));
-        overlay.apply(true, List.of(member("a", State.DRAINING, 0)));
+        overlay.applyChanges(List.of(member("a", State.DRAINING, 0)));
+        overlay.applyComplete(List.of(member("a", State.DRAINING, 0)));
         commands.revoke(200, CommandTarget.server("a"));
         commands.revoke(200, CommandTarget.server("b"));
         assertThat(effective("a").state()).isEqualTo(State.DRAINING);
@@ -80,11 +80,11 @@
     @Test
     void unlistedServersAreUnknownAndDepartedOnesAreForgottenInTheEnd() {
         assertThat(overlay.knows("a")).isFalse();
-        overlay.apply(true, List.of(member("a", State.UP, 0)));
-        overlay.apply(true, List.of());
+        overlay.applyComplete(List.of(member("a", State.UP, 0)));
+        overlay.applyComplete(List.of());
         assertThat(overlay.knows("a")).as("it may come back").isTrue();
         for (int i = 0; i < 300; i++) {
-            overlay.apply(false, List.of(member("x" + i, State.GONE, 0)));
+            overlay.applyChanges(List.of(member("x" + i, State.GONE, 0)));
         }
         assertThat(overlay.knows("a")).isFalse();
     }
@@ -92,7 +92,7 @@
     @Test
     void commandsOnTargetsOfAnotherKindAreKeptWithoutEffect() {
         CommandTarget unknown = new CommandTarget("zone a");
-        overlay.apply(true, List.of(member("a", State.UP, 0)));
+        overlay.applyComplete(List.of(member("a", State.UP, 0)));
         commands.merge(unknown, CommandState.issued(5));
         commands.merge(CommandTarget.CLIENTS, CommandState.issued(5));
         assertThat(overlay.outOfService()).isEmpty();
--- a/pooler/src/main/java/frostreel/control/EndpointPublisher.java
+++ b/pooler/src/main/java/frostreel/control/EndpointPublisher.java
@@ -9,8 +9,8 @@
 import java.util.List;
 
 /**
- * Passes discovered servers on to the server pool and the router, as the operators' commands have them. Every
- * endpoint list comes through here. Confined to the event loop.
+ * Publishes discovered servers to the server pool and the router, after the operators' commands were overlaid on
+ * them. Every endpoint list passes through here. Confined to the event loop.
  */
 final class EndpointPublisher {
     private final MaintenanceOverlay overlay;
@@ -28,22 +28,22 @@
         boolean complete = kind != Router.ListKind.CHANGES;
         List<Router.Member> listed =
                 list.endpoints().stream().map(EndpointList.Endpoint::member).toList();
-        List<Router.Member> effective = overlay.apply(complete, listed);
+        List<Router.Member> effective = complete ? overlay.applyComplete(listed) : overlay.applyChanges(listed);
         pool.updateEndpoints(withAddressesOf(list, effective), complete);
         broker.updateMembers(kind, effective);
         pool.closeUnwanted();
     }
 
     private static List<EndpointList.Endpoint> withAddressesOf(EndpointList list, List<Router.Member> members) {
-        List<EndpointList.Endpoint> hosts = new ArrayList<>(members.size());
+        List<EndpointList.Endpoint> endpoints = new ArrayList<>(members.size());
         for (int i = 0; i < members.size(); i++) {
-            hosts.add(new EndpointList.Endpoint(
+            endpoints.add(new EndpointList.Endpoint(
                     members.get(i), list.endpoints().get(i).address()));
         }
-        return hosts;
+        return endpoints;
     }
 
-    /** Publishes one server anew, after a command on it; does nothing if discovery has not listed it. */
+    /** Publishes one server again, after a command on it; does nothing if discovery has not listed it. */
     void republish(String serverId) {
         overlay.effective(serverId).ifPresent(member -> {
             pool.updateState(serverId, member.state());
