--- /dev/null
+++ b/decisions/src/main/java/frostreel/operation/LifecycleState.java
@@ -0,0 +1,111 @@
+package frostreel.operation;
+
+import static frostreel.operation.LifecycleEvent.HAND_OVER;
+import static frostreel.operation.LifecycleEvent.PAUSE;
+import static frostreel.operation.LifecycleEvent.READY;
+import static frostreel.operation.LifecycleEvent.RESUME;
+import static frostreel.operation.LifecycleEvent.STOP;
+
+import java.util.EnumMap;
+import java.util.EnumSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+
+/**
+ * The state machine of this process: starting, serving, draining, handing over, stopping.
+ *
+ * <p>Operators may pause the process in any state: clients are then asked to leave. Only a paused process that
+ * would otherwise be serving is called draining.
+ */
+enum LifecycleState {
+    STARTING(ReadinessStatus.STARTING),
+    STARTING_PAUSED(ReadinessStatus.STARTING),
+    SERVING(ReadinessStatus.READY),
+    DRAINING(ReadinessStatus.DRAINING),
+    /** After SIGTERM, when a successor accepts from the same socket. */
+    HANDING_OVER(ReadinessStatus.STOPPING),
+    HANDING_OVER_PAUSED(ReadinessStatus.STOPPING),
+    /** After SIGTERM without a successor: clients are served as before for the grace period. */
+    STOPPING(ReadinessStatus.READY),
+    STOPPING_PAUSED(ReadinessStatus.DRAINING),
+    STOPPING_UNREADY(ReadinessStatus.STARTING),
+    STOPPING_UNREADY_PAUSED(ReadinessStatus.STARTING);
+
+    /** The states in which clients are asked to leave. */
+    private static final Set<LifecycleState> PAUSED =
+            EnumSet.of(STARTING_PAUSED, DRAINING, HANDING_OVER_PAUSED, STOPPING_PAUSED, STOPPING_UNREADY_PAUSED);
+    /** The states after SIGTERM. */
+    private static final Set<LifecycleState> TERMINATED = EnumSet.range(HANDING_OVER, STOPPING_UNREADY_PAUSED);
+
+    private record Transition(LifecycleState from, LifecycleEvent event, LifecycleState to) {}
+
+    /** All transitions: an event that is not listed for a state leaves it unchanged. */
+    private static final List<Transition> TRANSITIONS = List.of(
+            new Transition(STARTING, READY, SERVING),
+            new Transition(STARTING, PAUSE, STARTING_PAUSED),
+            new Transition(STARTING, STOP, STOPPING_UNREADY),
+            new Transition(STARTING, HAND_OVER, HANDING_OVER),
+            new Transition(STARTING_PAUSED, READY, DRAINING),
+            new Transition(STARTING_PAUSED, RESUME, STARTING),
+            new Transition(STARTING_PAUSED, STOP, STOPPING_UNREADY_PAUSED),
+            new Transition(STARTING_PAUSED, HAND_OVER, HANDING_OVER_PAUSED),
+            new Transition(SERVING, PAUSE, DRAINING),
+            new Transition(SERVING, STOP, STOPPING),
+            new Transition(SERVING, HAND_OVER, HANDING_OVER),
+            new Transition(DRAINING, RESUME, SERVING),
+            new Transition(DRAINING, STOP, STOPPING_PAUSED),
+            new Transition(DRAINING, HAND_OVER, HANDING_OVER_PAUSED),
+            new Transition(HANDING_OVER, PAUSE, HANDING_OVER_PAUSED),
+            new Transition(HANDING_OVER_PAUSED, RESUME, HANDING_OVER),
+            new Transition(STOPPING, PAUSE, STOPPING_PAUSED),
+            new Transition(STOPPING_PAUSED, RESUME, STOPPING),
+            new Transition(STOPPING_UNREADY, READY, STOPPING),
+            new Transition(STOPPING_UNREADY, PAUSE, STOPPING_UNREADY_PAUSED),
+            new Transition(STOPPING_UNREADY_PAUSED, READY, STOPPING_PAUSED),
+            new Transition(STOPPING_UNREADY_PAUSED, RESUME, STOPPING_UNREADY));
+
+    private static final Map<LifecycleState, Map<LifecycleEvent, LifecycleState>> NEXT_STATE = byStateAndEvent();
+
+    private static Map<LifecycleState, Map<LifecycleEvent, LifecycleState>> byStateAndEvent() {
+        Map<LifecycleState, Map<LifecycleEvent, LifecycleState>> nextState = new EnumMap<>(LifecycleState.class);
+        for (LifecycleState state : values()) {
+            nextState.put(state, new EnumMap<>(LifecycleEvent.class));
+        }
+        for (Transition transition : TRANSITIONS) {
+            nextState.get(transition.from()).put(transition.event(), transition.to());
+        }
+        return nextState;
+    }
+
+    private final ReadinessStatus status;
+
+    LifecycleState(ReadinessStatus status) {
+        this.status = status;
+    }
+
+    /** The state that follows when the event happens in this one. */
+    LifecycleState after(LifecycleEvent event) {
+        return NEXT_STATE.get(this).getOrDefault(event, this);
+    }
+
+    /** What load balancers and operators are told in this state. */
+    ReadinessStatus status() {
+        return status;
+    }
+
+    /** Whether clients are asked to leave, as operators paused the process. */
+    boolean isPaused() {
+        return PAUSED.contains(this);
+    }
+
+    /** Whether SIGTERM has arrived. */
+    boolean isTerminated() {
+        return TERMINATED.contains(this);
+    }
+
+    /** Whether SIGTERM has arrived and a successor accepts from the same socket. */
+    boolean isHandingOver() {
+        return this == HANDING_OVER || this == HANDING_OVER_PAUSED;
+    }
+}
--- a/decisions/src/test/java/frostreel/operation/ServingLifecycleTest.java
+++ b/decisions/src/test/java/frostreel/operation/ServingLifecycleTest.java
@@ -2,7 +2,6 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import frostreel.operation.ServingLifecycle.State;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -100,18 +99,18 @@
         assertThat(lifecycle.closesUnused(nowUs)).isEqualTo(terminated && nowUs >= lifecycle.lastResponseUs());
     }
 
-    private static State expectedState(History history, boolean hasSuccessor) {
+    private static LifecycleState expectedState(History history, boolean hasSuccessor) {
         boolean paused = history.isPaused();
         if (!history.isTerminated()) {
-            State running = paused ? State.DRAINING : State.SERVING;
-            State starting = paused ? State.STARTING_PAUSED : State.STARTING;
+            LifecycleState running = paused ? LifecycleState.DRAINING : LifecycleState.SERVING;
+            LifecycleState starting = paused ? LifecycleState.STARTING_PAUSED : LifecycleState.STARTING;
             return history.ready() ? running : starting;
         }
         if (hasSuccessor) {
-            return paused ? State.HANDING_OVER_PAUSED : State.HANDING_OVER;
+            return paused ? LifecycleState.HANDING_OVER_PAUSED : LifecycleState.HANDING_OVER;
         }
-        State stopping = paused ? State.STOPPING_PAUSED : State.STOPPING;
-        State stoppingUnready = paused ? State.STOPPING_UNREADY_PAUSED : State.STOPPING_UNREADY;
+        LifecycleState stopping = paused ? LifecycleState.STOPPING_PAUSED : LifecycleState.STOPPING;
+        LifecycleState stoppingUnready = paused ? LifecycleState.STOPPING_UNREADY_PAUSED : LifecycleState.STOPPING_UNREADY;
         return history.ready() ? stopping : stoppingUnready;
     }
 
