--- a/decisions/src/main/java/frostreel/operation/ReadinessStatus.java
+++ b/decisions/src/main/java/frostreel/operation/ReadinessStatus.java
@@ -1,6 +1,6 @@
 package frostreel.operation;
 
-/** What this process tells a load balancer and its operators about whether it takes clients. */
+/** Whether this process takes clients, as reported to load balancers and operators. */
 public enum ReadinessStatus {
     READY("yes"),
     STARTING("starting"),
--- a/decisions/src/main/java/frostreel/operation/WriteObserver.java
+++ b/decisions/src/main/java/frostreel/operation/WriteObserver.java
@@ -8,7 +8,10 @@
  * Times are microseconds on the pooler's clock.
  */
 public interface WriteObserver {
-    /** For a pooler that never has a second process. */
+    /** The position of a commit that the server did not state. */
+    long UNKNOWN_POSITION_US = 0;
+
+    /** Observes nothing, for a pooler that never has a second process. */
     WriteObserver NONE = new WriteObserver() {
         @Override
         public void onSent(long nowUs, long session, long deadlineUs) {}
@@ -26,7 +29,7 @@
     /**
      * An attempt of a write has ended; called before its client learns of it.
      *
-     * @param positionUs the commit's position, 0 if the server did not state it
+     * @param positionUs the commit's position, or {@link #UNKNOWN_POSITION_US}
      */
     void onEnded(long nowUs, long session, long deadlineUs, Router.Outcome outcome, long positionUs);
 
