--- a/pooler/src/main/java/frostreel/control/AdminConnection.java
+++ b/pooler/src/main/java/frostreel/control/AdminConnection.java
@@ -7,22 +7,27 @@
 import java.nio.charset.StandardCharsets;
 import org.xnio.StreamConnection;
 
-/** One operator's connection: reads one line of bounded length, answers it with one line, and closes. */
+/** One operator's connection: reads one line of bounded length, replies with one line, and closes. */
 final class AdminConnection implements SocketStream.Handler {
     /** The longest line that is accepted, without its line feed. */
     static final int MAX_LINE_BYTES = 512;
-    /** How long after connecting a whole line must have come; some callers need four seconds and more. */
+    /** How long after connecting a whole line must have arrived; some callers need four seconds and more. */
     private static final long REQUEST_TIMEOUT_US = 10_000_000;
-    /** How long the caller may take to close after its reply: closing with bytes unread could lose that. */
+    /** How long the caller may take to close after its reply: closing with unread bytes could lose the reply. */
     private static final long LINGER_US = 500_000;
 
+    private enum State {
+        READING_REQUEST,
+        REQUEST_READ,
+        CLOSED
+    }
+
     private final EventLoop loop;
     private final AdminListener listener;
     private final SocketStream stream;
     private final byte[] line = new byte[MAX_LINE_BYTES];
     private int lineLength;
-    private boolean requestRead;
-    private boolean closed;
+    private State state = State.READING_REQUEST;
     private Deadlines.Deadline timeout;
 
     AdminConnection(EventLoop loop, AdminListener listener, StreamConnection connection) {
@@ -37,9 +42,9 @@
         stream.resumeReads();
     }
 
-    /** Closes a connection that has not sent a whole line in time, or whose place another caller needs. */
+    /** Closes a connection that sent no whole line in time, or whose place another caller needs. */
     void closeSilent() {
-        if (!requestRead) {
+        if (state == State.READING_REQUEST) {
             loop.counters().callersSilent++;
         }
         close();
@@ -47,26 +52,37 @@
 
     @Override
     public void received(ByteBuffer in) {
-        while (in.hasRemaining() && !requestRead) {
-            byte next = in.get();
-            if (next == '\n') {
-                requestRead = true;
-                String request = new String(line, 0, lineLength, StandardCharsets.US_ASCII);
-                listener.commands().execute(request, this::reply);
-            } else if (lineLength == MAX_LINE_BYTES) {
-                requestRead = true;
-                loop.counters().callsRefused++;
-                reply(AdminReply.LINE_TOO_LONG);
-            } else {
-                line[lineLength++] = next;
-            }
+        while (in.hasRemaining() && state == State.READING_REQUEST) {
+            receive(in.get());
+        }
+    }
+
+    private void receive(byte next) {
+        if (next == '\n') {
+            executeRequest();
+        } else if (lineLength == MAX_LINE_BYTES) {
+            rejectRequest();
+        } else {
+            line[lineLength++] = next;
         }
     }
 
+    private void executeRequest() {
+        state = State.REQUEST_READ;
+        String request = new String(line, 0, lineLength, StandardCharsets.US_ASCII);
+        listener.commands().execute(request, this::reply);
+    }
+
+    private void rejectRequest() {
+        state = State.REQUEST_READ;
+        loop.counters().callsRefused++;
+        reply(AdminReply.LINE_TOO_LONG);
+    }
+
     private void reply(AdminReply reply) {
         stream.write((reply.line() + "\n").getBytes(StandardCharsets.US_ASCII));
         stream.end();
-        if (!closed) {
+        if (state != State.CLOSED) {
             loop.deadlines().cancel(timeout);
             timeout = loop.deadlines().after(LINGER_US, this::close);
         }
@@ -78,8 +94,8 @@
     }
 
     private void close() {
-        if (!closed) {
-            closed = true;
+        if (state != State.CLOSED) {
+            state = State.CLOSED;
             loop.deadlines().cancel(timeout);
             stream.close();
             listener.onClosed(this);
