--- a/pooler/src/main/java/frostreel/control/CommandStore.java
+++ b/pooler/src/main/java/frostreel/control/CommandStore.java
@@ -27,26 +27,26 @@
 final class CommandStore {
     private static final String SUFFIX = ".orders";
     private static final String UNFINISHED_SUFFIX = ".new";
-    /** How many incarnations' files are kept; the commands of older ones were merged by later ones long ago. */
+    /** How many incarnations' files are kept; later incarnations have merged the commands of older ones. */
     private static final int MAX_INCARNATIONS = 16;
-    /** No write takes so long: an unfinished file of that age is left over from a process that was killed. */
+    /** Longer than any write takes: an unfinished file of that age was left by a process that was killed. */
     private static final long MAX_WRITE_MS = 60_000;
 
     private static final Logger LOG = Logger.getLogger(CommandStore.class.getName());
 
     /**
-     * What a read found.
+     * The commands that a read found.
      *
-     * @param complete whether everything that is there could be read
+     * @param complete whether every file could be read
      */
     record ReadResult(Map<CommandTarget, CommandState> commands, boolean complete) {
-        static final ReadResult EMPTY = new ReadResult(Map.of(), true);
+        static final ReadResult NO_FILES = new ReadResult(Map.of(), true);
         static final ReadResult UNREADABLE = new ReadResult(Map.of(), false);
     }
 
     private final Path folder;
     private final String incarnation;
-    /** Names of the files that were read, written here or found to be corrupt: they need no reading again. */
+    /** Names of the files that need no further reading: those read, written here or found corrupt. */
     private final Set<String> processed = new HashSet<>();
     /** The number in the name of this incarnation's newest file. */
     private int lastWritten;
@@ -54,24 +54,24 @@
     private int lastDeleted;
 
     /**
-     * @param incarnation the name of this process, which no other one has or had; letters and digits only
+     * @param incarnation the name of this process, unique among all that use the folder; letters and digits only
      */
     CommandStore(Path folder, String incarnation) {
         this.folder = folder;
         this.incarnation = incarnation;
     }
 
-    /** Replaces what this incarnation wrote before. On return the commands outlast this process. */
+    /** Replaces what this incarnation wrote before. On return the commands are on the disk. */
     void write(Map<CommandTarget, CommandState> commands) throws IOException {
         Files.createDirectories(folder);
         Path unfinished = folder.resolve(incarnation + UNFINISHED_SUFFIX);
         try {
             writeAndSync(unfinished, CommandFileFormat.encode(incarnation, commands));
-        } catch (IOException e) {
+        } catch (IOException failure) {
             Files.deleteIfExists(unfinished); // It takes up space that the next attempt may need.
-            throw e;
+            throw failure;
         }
-        // The number is used up even if a later step fails: readers tell files apart by their names alone.
+        // The number is used up even if a later step fails, as readers identify files by their names alone.
         String name = fileName(++lastWritten);
         Files.move(unfinished, folder.resolve(name), StandardCopyOption.ATOMIC_MOVE);
         processed.add(name);
@@ -109,15 +109,15 @@
 
     /**
      * Reads what other incarnations have written since the last call; of several commands on a target the last
-     * one is returned. A corrupt file is logged once and skipped; one that cannot be read now is tried again at
-     * the next call.
+     * one is returned. A corrupt file is logged once and skipped; one that cannot be read now is retried at the
+     * next call.
      */
     ReadResult readOthers() throws IOException {
-        Set<String> present = new TreeSet<>();
-        try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, "*" + SUFFIX)) {
-            files.forEach(file -> present.add(file.getFileName().toString()));
-        } catch (NoSuchFileException e) {
-            return ReadResult.EMPTY; // Nothing has been written yet.
+        Set<String> present;
+        try {
+            present = fileNames();
+        } catch (NoSuchFileException folderMissing) {
+            return ReadResult.NO_FILES; // Nothing has been written yet.
         }
         processed.retainAll(present);
         boolean complete = true;
@@ -130,18 +130,26 @@
         return new ReadResult(merged.all(), complete);
     }
 
-    /** Whether the file was read, or never will be: not if it should be tried again. */
+    private Set<String> fileNames() throws IOException {
+        Set<String> names = new TreeSet<>();
+        try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, "*" + SUFFIX)) {
+            files.forEach(file -> names.add(file.getFileName().toString()));
+        }
+        return names;
+    }
+
+    /** Merges the commands of one file; returns false if reading it has to be retried. */
     private boolean readInto(OperatorCommands merged, String name) {
         try {
             CommandFileFormat.decode(Files.readAllBytes(folder.resolve(name))).forEach(merged::merge);
             return true;
-        } catch (NoSuchFileException e) {
+        } catch (NoSuchFileException replaced) {
             processed.remove(name); // Its writer has replaced it by a newer one, which the next call reads.
             return true;
-        } catch (CorruptCommandFileException e) {
-            LOG.warning("skipping command file " + name + ": " + e.getMessage());
+        } catch (CorruptCommandFileException corruption) {
+            LOG.warning("skipping command file " + name + ": " + corruption.getMessage());
             return true;
-        } catch (IOException e) {
+        } catch (IOException unreadable) {
             processed.remove(name);
             return false;
         }
@@ -150,12 +158,16 @@
     /** Deletes the files of the oldest incarnations, and what killed processes left unfinished. */
     void removeStale() throws IOException {
         removeUnfinished();
+        removeOldestIncarnations();
+    }
+
+    private void removeOldestIncarnations() throws IOException {
         TreeMap<Long, Path> byTimeMs = new TreeMap<>();
         try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, "*" + SUFFIX)) {
             for (Path file : files) {
                 byTimeMs.putIfAbsent(Files.getLastModifiedTime(file).toMillis(), file);
             }
-        } catch (NoSuchFileException e) {
+        } catch (NoSuchFileException folderMissing) {
             return; // Nothing has been written yet.
         }
         while (byTimeMs.size() > MAX_INCARNATIONS) {
@@ -163,7 +175,7 @@
         }
     }
 
-    /** Spares recent ones, as another process may be writing them. */
+    /** Keeps recent unfinished files, as another process may be writing them. */
     private void removeUnfinished() throws IOException {
         try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, "*" + UNFINISHED_SUFFIX)) {
             for (Path file : files) {
@@ -173,7 +185,7 @@
                     Files.deleteIfExists(file);
                 }
             }
-        } catch (NoSuchFileException e) {
+        } catch (NoSuchFileException folderMissing) {
             return; // Nothing has been written yet.
         }
     }
--- a/pooler/src/main/java/frostreel/control/FileCommandReplicator.java
+++ b/pooler/src/main/java/frostreel/control/FileCommandReplicator.java
@@ -12,24 +12,25 @@
 import java.util.logging.Logger;
 
 /**
- * Replicates by way of files: a process writes its commands to a {@link CommandStore} and polls it for those of
- * the others. The store is used on the worker's task thread only, one task after another; results are handed
- * to the event loop.
+ * Replicates through files: a process writes its commands to a {@link CommandStore} and polls it for those of the
+ * others. The store is used on the worker's task thread only, one task after another; results are passed to the
+ * event loop.
  */
 final class FileCommandReplicator implements CommandReplicator {
-    /** A fraction of the second within which a command must be in force everywhere. */
+    /** A fraction of the second within which a command must be in force in all processes. */
     private static final long POLL_INTERVAL_US = 150_000;
 
     private static final long WRITE_RETRY_DELAY_US = 500_000;
-    /** How long to wait for a disk that does not give everything that earlier processes recorded. */
+    /** How long to wait for a disk from which not all commands of earlier processes can be read. */
     private static final long RESTORE_TIMEOUT_US = 3_000_000;
 
     private static final Logger LOG = Logger.getLogger(FileCommandReplicator.class.getName());
+
     private final EventLoop loop;
     private final CommandStore store;
-    /** On the task thread: whether the last read failed, which is logged once. */
+    /** Used on the task thread: whether the last read failed. A failure is logged once. */
     private boolean readFailing;
-    /** On the event loop: the commands that the last write was about, null once one has succeeded. */
+    /** Used on the event loop: the commands published last, null once they are written. */
     private Map<CommandTarget, CommandState> unwritten;
 
     FileCommandReplicator(EventLoop loop, Path folder, String incarnation) {
@@ -53,7 +54,7 @@
             CommandStore.ReadResult result, Receiver receiver, Runnable whenRestored, long giveUpAtUs) {
         receiver.accept(result.commands());
         if (result.complete() || loop.clock().now() >= giveUpAtUs) {
-            whenRestored.run(); // What could not be read yet is found by watch.
+            whenRestored.run(); // What could not be read yet is received while watching.
             return;
         }
         Runnable readAgain =
@@ -63,15 +64,16 @@
 
     @Override
     public void watch(Receiver receiver) {
-        loop.deadlines()
-                .after(
-                        POLL_INTERVAL_US,
-                        () -> runTask(this::read, result -> {
-                            if (!result.commands().isEmpty()) {
-                                receiver.accept(result.commands());
-                            }
-                            watch(receiver);
-                        }));
+        loop.deadlines().after(POLL_INTERVAL_US, () -> poll(receiver));
+    }
+
+    private void poll(Receiver receiver) {
+        runTask(this::read, result -> {
+            if (!result.commands().isEmpty()) {
+                receiver.accept(result.commands());
+            }
+            watch(receiver);
+        });
     }
 
     @Override
@@ -95,7 +97,7 @@
 
     private void publishAgain(Map<CommandTarget, CommandState> commands) {
         if (unwritten != commands) {
-            return; // Newer ones are being written.
+            return; // Newer commands are being written.
         }
         publish(commands, durability -> {
             if (durability == Durability.DURABLE) {
@@ -104,18 +106,18 @@
         });
     }
 
-    /** Runs on the task thread what may block, and hands its result to the event loop. */
+    /** Runs on the task thread what may block, and passes its result to the event loop. */
     private <T> void runTask(Supplier<T> task, Consumer<T> onResult) {
         try {
             loop.worker().execute(() -> {
                 T result = task.get();
                 try {
                     loop.thread().execute(() -> onResult.accept(result));
-                } catch (RejectedExecutionException e) {
+                } catch (RejectedExecutionException loopEnded) {
                     LOG.fine("the event loop has ended and takes no results");
                 }
             });
-        } catch (RejectedExecutionException e) {
+        } catch (RejectedExecutionException workerEnded) {
             LOG.fine("the worker has ended and takes no tasks");
         }
     }
@@ -123,8 +125,8 @@
     private void removeStale() {
         try {
             store.removeStale();
-        } catch (IOException e) {
-            LOG.warning("cannot remove stale command files: " + e);
+        } catch (IOException failure) {
+            LOG.warning("cannot remove stale command files: " + failure);
         }
     }
 
@@ -132,7 +134,7 @@
         CommandStore.ReadResult result;
         try {
             result = store.readOthers();
-        } catch (IOException e) {
+        } catch (IOException unreadable) {
             result = CommandStore.ReadResult.UNREADABLE;
         }
         if (!result.complete() && !readFailing) {
@@ -148,8 +150,8 @@
         try {
             store.write(commands);
             return Durability.DURABLE;
-        } catch (IOException e) {
-            LOG.warning("cannot store commands: " + e + "; retrying");
+        } catch (IOException failure) {
+            LOG.warning("cannot store commands: " + failure + "; retrying");
             return Durability.NOT_DURABLE;
         }
     }
