--- a/pooler/src/main/java/frostreel/control/AdminListener.java
+++ b/pooler/src/main/java/frostreel/control/AdminListener.java
@@ -11,30 +11,32 @@
 import org.xnio.StreamConnection;
 
 /**
- * The admin endpoint: owns the socket at which operators call, and their connections. These have places of
- * their own, taken from the descriptors reserved for the program itself, so that neither clients nor silent
- * callers can keep an operator out.
+ * The admin endpoint: owns the socket to which operators connect, and their connections. These have a limit of
+ * their own and use descriptors reserved for the program itself, so that neither clients nor silent callers can
+ * keep an operator out. Confined to the event loop.
  */
 public final class AdminListener {
-    /** The most callers at once; one more closes the connection that has been silent for longest. */
+    /** The most callers at once; one more closes the oldest connection. */
     private static final int MAX_CALLERS = 24;
 
+    /** How many connections may wait to be accepted. */
     private static final int BACKLOG = 256;
+
     private final EventLoop loop;
     private final CommandExecutor commands;
-    /** The caller that connected first comes first. */
+    /** In the order in which they connected. */
     private final Set<AdminConnection> callers = new LinkedHashSet<>();
 
     private final Acceptor acceptor;
 
-    /** Hands all commands to the executor; call {@link #open} to listen. */
+    /** Passes all commands to the executor; call {@link #open} to listen. */
     public AdminListener(EventLoop loop, CommandExecutor commands) {
         this.loop = loop;
         this.commands = commands;
         acceptor = new Acceptor(loop, "a caller", this::onAccepted);
     }
 
-    /** Listens at the address, and accepts from then on. */
+    /** Listens at the address and accepts connections. */
     public void open(InetSocketAddress address) throws IOException {
         OptionMap options = OptionMap.builder()
                 .set(Options.TCP_NODELAY, true)
@@ -45,7 +47,7 @@
         acceptor.resume();
     }
 
-    /** Where it listens. */
+    /** The address at which it listens. */
     public InetSocketAddress address() {
         return acceptor.address();
     }
--- a/pooler/src/main/java/frostreel/control/AdminReply.java
+++ b/pooler/src/main/java/frostreel/control/AdminReply.java
@@ -5,7 +5,7 @@
 /** The replies of the operators' protocol. */
 enum AdminReply {
     DONE(true, "OK"),
-    /** Applied here, but a successor of this process would not know of it yet. */
+    /** The command is in force here, but is not stored yet, so a successor of this process would not find it. */
     DONE_NOT_DURABLE(true, "OK but cannot be kept for a successor"),
     STARTING(false, "ERR starting"),
     DRAINING(false, "ERR emptied"),
@@ -32,7 +32,7 @@
         return line;
     }
 
-    /** The reply to a question on the status. */
+    /** The reply to {@link AdminRequest.Verb#STATUS}. */
     static AdminReply of(ReadinessStatus status) {
         return switch (status) {
             case READY -> DONE;
--- a/pooler/src/main/java/frostreel/control/AdminRequest.java
+++ b/pooler/src/main/java/frostreel/control/AdminRequest.java
@@ -11,7 +11,7 @@
         STATUS,
         /** Asks clients to leave. */
         PAUSE,
-        /** Takes clients again. */
+        /** Ends a pause. */
         RESUME,
         /** Takes a server out of service. */
         SUSPEND,
--- a/pooler/src/main/java/frostreel/control/AdminRequestParser.java
+++ b/pooler/src/main/java/frostreel/control/AdminRequestParser.java
@@ -18,8 +18,8 @@
         };
     }
 
-    private static Verb verbWithoutArgument(String word) {
-        return switch (word) {
+    private static Verb verbWithoutArgument(String verbName) {
+        return switch (verbName) {
             case "STATUS" -> Verb.STATUS;
             case "PAUSE" -> Verb.PAUSE;
             case "RESUME" -> Verb.RESUME;
@@ -27,8 +27,8 @@
         };
     }
 
-    private static Verb verbWithServerId(String word) {
-        return switch (word) {
+    private static Verb verbWithServerId(String verbName) {
+        return switch (verbName) {
             case "SUSPEND" -> Verb.SUSPEND;
             case "RESTORE" -> Verb.RESTORE;
             default -> Verb.UNKNOWN;
--- a/pooler/src/main/java/frostreel/control/ClockAnchor.java
+++ b/pooler/src/main/java/frostreel/control/ClockAnchor.java
@@ -11,11 +11,11 @@
 import java.util.logging.Logger;
 
 /**
- * The clock that all processes of one pooler share: the machine's monotonic clock plus an offset that makes Unix
- * time of it. If each process took the offset from the wall clock at its start, a wall clock that is stepped
- * between two starts would put their times apart, and what one process tells the other about commits and
- * commands would seem to be of the future or of long ago. So the first process stores its offset in the shared
- * folder, and later ones take that, as long as the machine has not rebooted.
+ * Makes the clock that all processes of one pooler share: the machine's monotonic clock plus an offset that turns
+ * it into Unix time. The first process stores its offset in the shared folder, and later ones use the stored one
+ * until the machine reboots. If each took the offset from the wall clock at its start instead, a step of the wall
+ * clock between two starts would make their times differ, and the times of commits and commands that they
+ * exchange would appear to lie in the future or long ago.
  */
 public final class ClockAnchor {
     private static final String FILE_NAME = "clock";
@@ -27,7 +27,8 @@
     private ClockAnchor() {}
 
     /**
-     * The clock of this process. Blocks for a small file, so call it before the event loop has work to do.
+     * Returns the clock of this process. Reads and may write a small file, so call it before the event loop has
+     * work to do.
      *
      * @param folder the folder that the processes of this pooler share, null if there are no others
      */
@@ -50,7 +51,7 @@
         return System.nanoTime() / NANOS_PER_MICRO;
     }
 
-    /** The offset that the first process of this boot stored, which this process does if it is that one. */
+    /** The offset that the first process since the boot stored; stores this process's own if it is the first. */
     private static long sharedOffsetUs(Path folder, String bootId, long ownOffsetUs) throws IOException {
         Files.createDirectories(folder);
         Path file = folder.resolve(FILE_NAME);
@@ -58,7 +59,7 @@
         return stored.isPresent() ? stored.getAsLong() : store(file, bootId, ownOffsetUs);
     }
 
-    /** Stores an offset, and returns it or the one that another process stored at the same time. */
+    /** Stores an offset and returns it, or returns the one that another process stored at the same time. */
     private static long store(Path file, String bootId, long ownOffsetUs) throws IOException {
         Path unfinished = Files.createTempFile(file.getParent(), FILE_NAME, UNFINISHED_SUFFIX);
         try {
@@ -73,7 +74,7 @@
         }
     }
 
-    /** The offset in the file, empty if there is none of this boot. */
+    /** The offset in the file, empty if it holds none since this boot. */
     @SuppressWarnings("StringSplitter") // Empty words at the end are meant to drop out.
     private static OptionalLong storedOffsetUs(Path file, String bootId) throws IOException {
         try {
--- a/pooler/src/main/java/frostreel/control/CommandExecutor.java
+++ b/pooler/src/main/java/frostreel/control/CommandExecutor.java
@@ -17,50 +17,51 @@
 import java.util.logging.Logger;
 
 /**
- * Applies operators' commands, given to this process or replicated from another one, to the serving lifecycle
- * and to the endpoints. A command has taken effect before it is answered. Confined to the event loop.
+ * Executes operators' commands, given to this process or replicated from another one: applies them to the serving
+ * lifecycle and to the endpoints. A command takes effect before it is answered. Confined to the event loop.
  */
 public final class CommandExecutor {
     private static final Logger LOG = Logger.getLogger(CommandExecutor.class.getName());
     private static final String UNPRINTABLE = "[^ -~]";
+    private static final String PLACEHOLDER = "?";
 
     private final EventLoop loop;
     private final ServingLifecycle lifecycle;
-    private final Runnable sweepClients;
+    private final Runnable closeIdleClients;
     private final OperatorCommands commands = new OperatorCommands();
     private final MaintenanceOverlay overlay = new MaintenanceOverlay(commands);
     private final EndpointPublisher endpoints;
     private final CommandReplicator replicator;
 
     /**
-     * @param sweepClients closes the clients that the lifecycle no longer lets stay
-     * @param folder where commands outlast this process, null if they do not
-     * @param incarnation the name of this process among all that use the folder
+     * @param closeIdleClients closes the idle clients that must leave by the lifecycle
+     * @param folder where commands are stored for other processes, null if there are no others
+     * @param incarnation the name of this process, unique among all that use the folder
      */
     public CommandExecutor(
             EventLoop loop,
             ServingLifecycle lifecycle,
             ServerPool pool,
             Broker broker,
-            Runnable sweepClients,
+            Runnable closeIdleClients,
             Path folder,
             String incarnation) {
         this.loop = loop;
         this.lifecycle = lifecycle;
-        this.sweepClients = sweepClients;
+        this.closeIdleClients = closeIdleClients;
         endpoints = new EndpointPublisher(overlay, pool, broker);
         replicator = folder == null ? CommandReplicator.NONE : new FileCommandReplicator(loop, folder, incarnation);
     }
 
     /**
-     * Restores the commands of earlier processes, and follows those of others from then on.
+     * Restores the commands of earlier processes, then watches for those of other processes.
      *
      * @param whenRestored runs once commands are restored, within seconds even if the disk fails; no client may
-     *     be served before
+     *     be served before that
      */
     public void start(Runnable whenRestored) {
         replicator.restore(this::merge, () -> {
-            if (!commands.all().isEmpty()) { // Files of old incarnations are removed in time: keep a copy.
+            if (!commands.all().isEmpty()) { // Files of old incarnations are removed at some time: keep a copy.
                 replicator.publish(snapshot(), durability -> {});
             }
             replicator.watch(this::merge);
@@ -68,17 +69,17 @@
         });
     }
 
-    /** Takes an endpoint list, of discovery's or the one cached from before the start. */
+    /** Publishes an endpoint list, from discovery or from the configuration. */
     public void onEndpointList(EndpointList list, Router.ListKind kind) {
         endpoints.publish(list, kind);
     }
 
-    /** The commands in force, as shown by {@code SHOW operation}. */
+    /** The page {@code SHOW operation}: the commands in force. */
     public String statusPage() {
         return "clients=" + lifecycle.status().wireName() + " out=" + overlay.outOfService();
     }
 
-    /** Carries out one line of the operators' protocol; it is answered once all that it asks for is done. */
+    /** Executes one line of the operators' protocol; replies once its effect is complete and stored. */
     void execute(String line, Consumer<AdminReply> replyTo) {
         Effect effect = apply(AdminRequestParser.parse(line));
         if (!effect.changedCommands()) {
@@ -91,6 +92,7 @@
         });
     }
 
+    /** What a request did: its reply if storing succeeds, and whether there is anything new to store. */
     private record Effect(AdminReply reply, boolean changedCommands) {
         static Effect none(AdminReply reply) {
             return new Effect(reply, false);
@@ -116,9 +118,7 @@
     }
 
     private Effect suspend(String serverId) {
-        return overlay.knows(serverId)
-                ? issue(CommandTarget.server(serverId))
-                : Effect.none(AdminReply.UNKNOWN_SERVER);
+        return overlay.knows(serverId) ? issue(CommandTarget.server(serverId)) : Effect.none(AdminReply.UNKNOWN_SERVER);
     }
 
     private Effect restore(String serverId) {
@@ -152,13 +152,13 @@
         });
     }
 
-    /** Brings the target into the state that its last command leaves it in. */
+    /** Puts the target into the state that follows from the last command on it. */
     private void takeEffect(CommandTarget target) {
         if (!target.equals(CommandTarget.CLIENTS)) {
             target.serverId().ifPresent(endpoints::republish);
         } else if (commands.isInForce(target)) {
             lifecycle.pause(loop.clock().now());
-            loop.deadlines().at(lifecycle.closeIdleAtUs(), sweepClients);
+            loop.deadlines().at(lifecycle.closeIdleAtUs(), closeIdleClients);
         } else {
             lifecycle.resume();
         }
@@ -174,7 +174,7 @@
         } else {
             loop.counters().callsRefused++;
         }
-        LOG.info("operator command: " + line.replaceAll(UNPRINTABLE, "?") + ": " + reply.line());
+        LOG.info("operator command: " + line.replaceAll(UNPRINTABLE, PLACEHOLDER) + ": " + reply.line());
         replyTo.accept(reply);
     }
 }
--- a/pooler/src/main/java/frostreel/control/CommandFileFormat.java
+++ b/pooler/src/main/java/frostreel/control/CommandFileFormat.java
@@ -12,15 +12,15 @@
 import org.json.JSONObject;
 
 /**
- * The form of a file of operators' commands: a line with the checksum of the rest in hexadecimal, then a JSON
- * object. Processes of older and newer versions read these files, so the form and its keys are fixed.
+ * The format of a file of operators' commands: a line with the checksum of the rest in hexadecimal, then a JSON
+ * object. Processes of older and newer versions read these files, so the format and its keys are fixed.
  */
 final class CommandFileFormat {
     private static final int VERSION = 1;
     private static final int CHECKSUM_CHARS = 8;
     /** The checksum and its line feed. */
     private static final int HEADER_BYTES = CHECKSUM_CHARS + 1;
-    /** Far more than the commands that operators ever have in force: a longer file is not of this form. */
+    /** Far more than all commands that operators have in force take: a longer file is not of this format. */
     private static final int MAX_BYTES = 1 << 18;
 
     private static final String KEY_VERSION = "version";
@@ -32,7 +32,7 @@
 
     private CommandFileFormat() {}
 
-    /** The bytes of a file with these commands. */
+    /** Encodes a file with these commands. */
     static byte[] encode(String incarnation, Map<CommandTarget, CommandState> commands) {
         JSONObject states = new JSONObject();
         commands.forEach((target, state) -> states.put(target.key(), encode(state)));
@@ -56,7 +56,7 @@
                 .put(KEY_CHANGED_AT_US, state.changedAtUs());
     }
 
-    /** The commands that a file holds. */
+    /** Decodes the commands in a file. */
     static Map<CommandTarget, CommandState> decode(byte[] file) throws CorruptCommandFileException {
         byte[] body = verifiedBody(file);
         try {
--- a/pooler/src/main/java/frostreel/control/CommandReplicator.java
+++ b/pooler/src/main/java/frostreel/control/CommandReplicator.java
@@ -6,14 +6,14 @@
 import java.util.function.Consumer;
 
 /**
- * Exchanges operators' commands with the other processes of this pooler: those before it, beside it and after
- * it. Called on the event loop, which it does not block; callbacks run there.
+ * Exchanges operators' commands with the other processes of this pooler: earlier ones, concurrent ones and later
+ * ones. Called on the event loop, which it does not block; callbacks run there.
  */
 interface CommandReplicator {
     /** Receives commands that other processes recorded. */
     interface Receiver extends Consumer<Map<CommandTarget, CommandState>> {}
 
-    /** For a process that shares commands with no other. */
+    /** Replicates nothing, for a process that shares commands with no other. */
     CommandReplicator NONE = new CommandReplicator() {
         @Override
         public void restore(Receiver receiver, Runnable whenRestored) {
@@ -32,19 +32,19 @@
     /**
      * Reads what earlier processes recorded.
      *
-     * @param whenRestored runs once everything was read, or after a few seconds if the disk does not give it
+     * @param whenRestored runs once everything was read, or after a few seconds if reading fails
      */
     void restore(Receiver receiver, Runnable whenRestored);
 
-    /** Passes on from now on what other processes record. */
+    /** Passes on what other processes record from now on. */
     void watch(Receiver receiver);
 
     /**
-     * Makes commands available to the other processes. If that fails, it is retried until it succeeds or newer
-     * commands are published.
+     * Makes commands available to the other processes. A failure is retried until it succeeds or newer commands
+     * are published.
      *
      * @param commands all commands, immutable
-     * @param whenWritten learns the result of the first attempt
+     * @param whenWritten receives the result of the first attempt
      */
     void publish(Map<CommandTarget, CommandState> commands, Consumer<Durability> whenWritten);
 }
--- a/pooler/src/main/java/frostreel/control/CommitTableFile.java
+++ b/pooler/src/main/java/frostreel/control/CommitTableFile.java
@@ -16,13 +16,13 @@
 import java.util.Optional;
 
 /**
- * The memory of a {@link SharedCommitTable}: a small file that all processes of one pooler map, a header with
- * its layout followed by the table. It does not outlast the machine, so it is never synced to the disk.
+ * The memory of a {@link SharedCommitTable}: a small file that all processes of one pooler map. A header that names
+ * the layout is followed by the table. Its content is not needed after a reboot, so it is never synced to the disk.
  */
 final class CommitTableFile implements SharedMemoryLongs {
     static final String NAME = "commits";
     private static final String UNFINISHED_SUFFIX = ".new";
-    /** The header: "frostre" and the version of the layout, which changes whenever the layout does. */
+    /** The header: "frostre" in ASCII and the version of the layout, which changes whenever the layout does. */
     private static final long LAYOUT = 0x66726f7374726501L;
 
     private static final int HEADER_LONGS = 1;
@@ -38,8 +38,8 @@
 
     /**
      * Maps the folder's file, which is created if missing. A file that is damaged or of another layout is
-     * replaced, for the processes to come; one that still has the old file mapped is not seen any more, and
-     * does not see others.
+     * replaced, for later processes; a process that still maps the old file and those that map the new one do
+     * not see each other's commits.
      */
     static CommitTableFile open(Path folder) throws IOException {
         Files.createDirectories(folder);
@@ -54,19 +54,19 @@
         return new CommitTableFile(map(file), usable ? null : file + " is damaged or of another version, and replaced");
     }
 
-    /** Gives the file its name when it is complete, so that no other process finds part of one. */
+    /** Gives the file its name only once it is complete, so that no other process maps part of one. */
     private static void createUnlessPresent(Path folder, Path file) throws IOException {
         Path complete = writeEmpty(folder);
         try {
             Files.createLink(file, complete);
         } catch (FileAlreadyExistsException e) {
-            // Another process was faster, and its file is as good.
+            // Another process has created the file meanwhile: use that.
         } finally {
             Files.delete(complete);
         }
     }
 
-    /** Writes every block, as a full disk would otherwise show only when the mapping is written to. */
+    /** Writes every block, as a full disk would otherwise show only at a write to the mapping. */
     private static Path writeEmpty(Path folder) throws IOException {
         Path file = Files.createTempFile(folder, NAME, UNFINISHED_SUFFIX);
         try (FileChannel out = FileChannel.open(file, StandardOpenOption.WRITE)) {
@@ -82,7 +82,7 @@
         return file;
     }
 
-    /** Whether the file has the layout of today. A shorter one must not be mapped: access past its end is fatal. */
+    /** Whether the file has the present layout. A shorter one must not be mapped: access past its end is fatal. */
     private static boolean isUsable(Path file) throws IOException {
         try (FileChannel in = FileChannel.open(file, StandardOpenOption.READ)) {
             ByteBuffer header = ByteBuffer.allocate(HEADER_LONGS * Long.BYTES).order(ByteOrder.nativeOrder());
@@ -97,7 +97,7 @@
         }
     }
 
-    /** Why this file replaces another, so that what others wrote there is not known; empty if it does not. */
+    /** Why this file replaced another one, whose content is lost to this process; empty if it did not. */
     Optional<String> replacementReason() {
         return Optional.ofNullable(replacementReason);
     }
--- a/pooler/src/main/java/frostreel/control/CorruptCommandFileException.java
+++ b/pooler/src/main/java/frostreel/control/CorruptCommandFileException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** A file of commands that is not as any process wrote it, or is of another version: reading again is useless. */
+/** Thrown for a file of commands that is damaged or of another version, so that reading it again is useless. */
 final class CorruptCommandFileException extends IOException {
     private static final long serialVersionUID = 1;
 
--- a/pooler/src/main/java/frostreel/control/Durability.java
+++ b/pooler/src/main/java/frostreel/control/Durability.java
@@ -1,8 +1,8 @@
 package frostreel.control;
 
-/** Whether commands that took effect here also outlast this process. */
+/** Whether commands that took effect in this process are also stored, so that they outlast it. */
 enum Durability {
     DURABLE,
-    /** The disk did not take them; writing them is retried. */
+    /** Writing them failed, and is retried. */
     NOT_DURABLE
 }
--- a/pooler/src/main/java/frostreel/control/PeerProcessCommits.java
+++ b/pooler/src/main/java/frostreel/control/PeerProcessCommits.java
@@ -11,17 +11,18 @@
 import java.util.logging.Logger;
 
 /**
- * The exchange of sessions' commits with the other processes of the same pooler, by a file that all of them map.
- * There is one only where a second process may serve beside this one and settings have sessions' commits
- * remembered. If the file cannot be used, any commit of the others is assumed as soon as it counts as known.
+ * The exchange of sessions' commits with the other processes of the same pooler, through a file that all of them
+ * map. It takes place only if a second process may serve beside this one and the settings track sessions by
+ * remembering their commits. If the file cannot be used, reads are bound to every commit of the others that may
+ * count as known.
  *
- * @param writeObserver learns of the writes of this process, for the others
- * @param peerCommits knows the commits of the others
+ * @param writeObserver records the writes of this process, for the others
+ * @param peerCommits answers what the others have committed
  */
 public record PeerProcessCommits(WriteObserver writeObserver, PeerCommits peerCommits) {
     private static final Logger LOG = Logger.getLogger(PeerProcessCommits.class.getName());
 
-    /** Opens the file if there is to be one. Blocks, so call it before the event loop has work to do. */
+    /** Opens the file if one is needed. Blocks, so call it before the event loop has work to do. */
     public static PeerProcessCommits open(Config config, long nowUs) {
         if (!config.inheritsListener() || config.settings().sessionTracking() != Router.SessionTracking.REMEMBERED) {
             return new PeerProcessCommits(WriteObserver.NONE, PeerCommits.NONE);
@@ -29,7 +30,7 @@
         return SharedFile.open(config, nowUs);
     }
 
-    /** Apart, so that a process without peers does not load the classes behind it. */
+    /** A class of its own, so that a process without peers does not load what it uses. */
     private static final class SharedFile {
         static PeerProcessCommits open(Config config, long nowUs) {
             try {
@@ -39,13 +40,13 @@
                 file.replacementReason().ifPresent(SharedFile::warn);
                 boolean peersKnown = file.replacementReason().isEmpty();
                 return new PeerProcessCommits(table, peersKnown ? table : SharedCommitTable.UNKNOWN_PEERS);
-            } catch (IOException | UnsupportedOperationException e) { // The latter: a file system without links.
+            } catch (IOException | UnsupportedOperationException e) { // The latter on a file system without links.
                 warn(e.toString());
                 return new PeerProcessCommits(WriteObserver.NONE, SharedCommitTable.UNKNOWN_PEERS);
             }
         }
 
-        /** Any number but 0 will do, if no other process has it. */
+        /** A random number, so that no other process has it, and odd, so that it is not 0. */
         private static long newIncarnation() {
             return new SplittableRandom().nextLong() | 1;
         }
