--- a/pooler/src/main/java/frostreel/EndpointSource.java
+++ b/pooler/src/main/java/frostreel/EndpointSource.java
@@ -11,52 +11,57 @@
 
 /**
  * Passes on endpoint lists: first the one in the configuration, then what the discovery agent reports. When a
- * reload names another agent, the previous one stays in use until the new one has answered. Owned by the I/O
- * thread.
+ * reload names another agent, the previous one stays in use until the new one has responded. Confined to the
+ * event loop.
  */
 final class EndpointSource {
     /**
-     * How long the list in the configuration waits for the first answer of discovery, counted from the sending
-     * of the first request. An agent that has changes to report answers within a tenth of this. A longer
-     * silence means that discovery is overloaded or down, and waiting would only take a pooler out of service.
+     * How long the list in the configuration is held back for the first response of discovery, counted from the
+     * sending of the first request. An agent that has changes to report responds within a tenth of this. A longer
+     * silence means that discovery is overloaded or down, and waiting would only keep a pooler out of service.
      */
     static final long CONFIGURED_LIST_PATIENCE_US = 100_000;
 
-    /** How long a pooler without a list in its configuration waits for one before it serves without servers. */
+    /** How long a pooler with no configured list waits for the first list before it serves without servers. */
     private static final long FIRST_LIST_PATIENCE_US = 2_000_000;
-    /** How many times longer the wait is, counted from the start, while no connection to discovery comes up. */
-    private static final int UNREACHABLE_FACTOR = 3;
-    /** The version that asks discovery for the complete list. */
-    private static final long NO_VERSION = DiscoveryWatch.NO_VERSION;
+    /** How many times longer the wait is, counted from the start, if no connection to discovery is established. */
+    private static final int UNREACHABLE_PATIENCE_FACTOR = 3;
 
     private static final Logger LOG = Logger.getLogger(EndpointSource.class.getName());
 
     private final EventLoop loop;
     private final long configuredListPatienceUs;
     private final BiConsumer<EndpointList, Router.ListKind> receiver;
-    private final Readiness readiness;
+    private final Runnable onServersKnown;
     private DiscoveryWatch watch;
-    /** The watch on the agent that a reload named, until it has answered; null for none. */
+    /** The watch on the agent that a reload named, until it has responded; null for none. */
     private DiscoveryWatch replacement;
-    /** The list in the configuration; null once it was applied. */
+    /** The list in the configuration; null once it has been applied. */
     private EndpointList configured;
 
     /**
-     * {@code configuredListPatienceUs}: in place of {@link #CONFIGURED_LIST_PATIENCE_US}; {@code receiver} is
-     * given each list, on the I/O thread.
+     * Creates a source that reports nothing yet.
+     *
+     * @param configuredListPatienceUs in place of {@link #CONFIGURED_LIST_PATIENCE_US}
+     * @param receiver receives each list, on the I/O thread
+     * @param onServersKnown runs there at each list, and when the wait for the first one is over
      */
     EndpointSource(
             EventLoop loop,
             Config config,
             long configuredListPatienceUs,
             BiConsumer<EndpointList, Router.ListKind> receiver,
-            Readiness readiness) {
+            Runnable onServersKnown) {
         this.loop = loop;
         this.configuredListPatienceUs = configuredListPatienceUs;
         this.receiver = receiver;
-        this.readiness = readiness;
+        this.onServersKnown = onServersKnown;
         configured = config.initialEndpoints();
-        watch = newWatch(config, configured.endpoints().isEmpty() ? NO_VERSION : configured.version());
+        watch = newWatch(config, heldVersion(configured));
+    }
+
+    private static long heldVersion(EndpointList held) {
+        return held.endpoints().isEmpty() ? DiscoveryWatch.NO_VERSION : held.version();
     }
 
     private DiscoveryWatch newWatch(Config config, long version) {
@@ -72,18 +77,22 @@
     /** Bounds the time for which the start waits for the first list. */
     void limitWaitForFirstList() {
         if (configured.endpoints().isEmpty()) {
-            loop.deadlines().after(FIRST_LIST_PATIENCE_US, readiness::serversKnown);
-            return;
+            loop.deadlines().after(FIRST_LIST_PATIENCE_US, onServersKnown);
+        } else {
+            limitWaitOfConfiguredList();
         }
+    }
+
+    private void limitWaitOfConfiguredList() {
         Deadlines.Deadline unreachable =
-                loop.deadlines().after(UNREACHABLE_FACTOR * configuredListPatienceUs, readiness::serversKnown);
+                loop.deadlines().after(UNREACHABLE_PATIENCE_FACTOR * configuredListPatienceUs, onServersKnown);
         watch.onFirstRequest(() -> {
             loop.deadlines().cancel(unreachable);
-            loop.deadlines().after(configuredListPatienceUs, readiness::serversKnown);
+            loop.deadlines().after(configuredListPatienceUs, onServersKnown);
         });
     }
 
-    /** Applies watch events that have arrived, before anything else that has arrived is acted upon. */
+    /** Applies the watch events that have arrived, so that nothing else that has arrived is handled before them. */
     void readNow() {
         watch.readNow();
         if (replacement != null) {
@@ -92,14 +101,14 @@
     }
 
     /**
-     * Moves to the agent that {@code config} names once that has answered. It is asked for the complete list,
+     * Switches to the agent that {@code config} names, once that has responded. It is asked for the complete list,
      * as versions of one agent's lists are not comparable with another's.
      */
     void moveTo(Config config) {
         if (replacement != null) {
             replacement.stop();
         }
-        DiscoveryWatch named = newWatch(config, NO_VERSION);
+        DiscoveryWatch named = newWatch(config, DiscoveryWatch.NO_VERSION);
         named.onFirstList(() -> {
             watch.stop();
             watch = named;
@@ -113,20 +122,21 @@
     private void received(EndpointList list) {
         applyConfigured();
         receiver.accept(list, list.complete() ? Router.ListKind.FULL : Router.ListKind.CHANGES);
-        readiness.serversKnown();
+        onServersKnown.run();
     }
 
     /**
-     * Applies the list in the configuration, once. It counts only together with the changes since, or when
-     * discovery stays silent: a drain that was published while this process started counts as known to it from
-     * its first moment, and a start may take longer than the limit on sends to a draining server.
+     * Applies the list in the configuration, at the first call. It is applied only together with the changes
+     * since, or if discovery stays silent: a drain that was published while this process started counts as known
+     * to it from its first moment, and a start may take longer than the limit on sends to a draining server.
      */
     void applyConfigured() {
-        if (configured != null) {
-            EndpointList list = configured;
-            configured = null;
-            receiver.accept(list, Router.ListKind.CACHED);
+        if (configured == null) {
+            return;
         }
+        EndpointList list = configured;
+        configured = null;
+        receiver.accept(list, Router.ListKind.CACHED);
     }
 
     /** Returns the part of {@code SHOW health} on discovery. */
--- a/pooler/src/main/java/frostreel/Pooler.java
+++ b/pooler/src/main/java/frostreel/Pooler.java
@@ -69,12 +69,13 @@
         ClusterMember clusterMember = operators.cluster().isPresent()
                 ? new ClusterMember(operators.cluster().get(), config.name(), loop)
                 : null;
-        readiness = new Readiness(lifecycle, listener);
-        endpoints = new EndpointSource(loop, config, configuredListPatienceUs, commands::onEndpointList, readiness);
+        readiness = new Readiness(lifecycle, listener::applyLifecycle);
+        endpoints = new EndpointSource(
+                loop, config, configuredListPatienceUs, commands::onEndpointList, readiness::serversKnown);
         readiness.beforeServing(endpoints::applyConfigured);
         sockets = new ServingSockets(loop, config, listener, admin, readiness);
         reloader = new ConfigReloader(loop, pool, broker, lifecycle, classes, endpoints, zonePolicy, config, operators);
-        shutdown = new ShutdownSequence(loop, lifecycle, listener, broker, clusterMember);
+        shutdown = new ShutdownSequence(loop, lifecycle, new OpenWork(), clusterOf(clusterMember));
         addPages(admin, clusterMember);
         loop.onWatchEventPoll(endpoints::readNow);
         loop.setStopSendingUs(config.settings().rules().stopSendingUs());
@@ -127,6 +128,28 @@
                 + Long.toHexString(loop.clock().now());
     }
 
+    private ShutdownSequence.Cluster clusterOf(ClusterMember member) {
+        return member == null ? ShutdownSequence.Cluster.NONE : timeoutMs -> member.leave(loop, timeoutMs);
+    }
+
+    /** What a shutdown drains: this pooler's clients and their requests. */
+    private final class OpenWork implements ShutdownSequence.Workload {
+        @Override
+        public void applyLifecycle() {
+            listener.applyLifecycle();
+        }
+
+        @Override
+        public int openClients() {
+            return listener.openClients();
+        }
+
+        @Override
+        public int openRequests() {
+            return broker.openRequests();
+        }
+    }
+
     private void addPages(AdminListener admin, ClusterMember clusterMember) {
         listener.addPage("stats", () -> loop.counters().toString());
         listener.addPage("health", this::health);
--- a/pooler/src/main/java/frostreel/Readiness.java
+++ b/pooler/src/main/java/frostreel/Readiness.java
@@ -1,27 +1,43 @@
 package frostreel;
 
-import frostreel.frontend.Listener;
 import frostreel.operation.ReadinessStatus;
 import frostreel.operation.ServingLifecycle;
+import java.util.EnumSet;
+import java.util.Set;
 import java.util.logging.Logger;
 
 /**
  * Decides when this process begins to serve: once servers are known, the operators' commands of earlier
- * incarnations are restored, and its sockets listen. Owned by the I/O thread.
+ * incarnations are restored, and its sockets listen. Confined to the event loop.
  */
 final class Readiness {
     private static final Logger LOG = Logger.getLogger(Readiness.class.getName());
+    private static final String NOTHING_MISSING = "nothing";
+
+    /** What serving needs, in the order in which {@link #missing} reports it. */
+    private enum Prerequisite {
+        SERVERS("servers"),
+        COMMANDS("orders"),
+        SOCKETS("sockets");
+
+        private final String pageWord;
+
+        Prerequisite(String pageWord) {
+            this.pageWord = pageWord;
+        }
+    }
 
     private final ServingLifecycle lifecycle;
-    private final Listener listener;
+    private final Runnable admitClients;
+    private final Set<Prerequisite> missing = EnumSet.allOf(Prerequisite.class);
     private Runnable beforeServing = () -> {};
-    private boolean serversKnown;
-    private boolean commandsRestored;
-    private boolean socketsOpen;
 
-    Readiness(ServingLifecycle lifecycle, Listener listener) {
+    /**
+     * @param admitClients runs once the lifecycle is ready, and lets clients in as it permits then
+     */
+    Readiness(ServingLifecycle lifecycle, Runnable admitClients) {
         this.lifecycle = lifecycle;
-        this.listener = listener;
+        this.admitClients = admitClients;
     }
 
     /** Sets what runs right before clients are admitted for the first time. */
@@ -29,42 +45,37 @@
         beforeServing = action;
     }
 
-    /** Endpoints are known, or have been waited for long enough. */
+    /** Reports that servers are known, or have been waited for long enough. */
     void serversKnown() {
-        serversKnown = true;
-        serveOnceComplete();
+        fulfil(Prerequisite.SERVERS);
     }
 
-    /** The operators' commands that earlier incarnations stored are in force. */
+    /** Reports that the operators' commands that earlier incarnations stored are in force. */
     void commandsRestored() {
-        commandsRestored = true;
-        serveOnceComplete();
+        fulfil(Prerequisite.COMMANDS);
     }
 
-    /** All sockets listen. */
+    /** Reports that all sockets listen. */
     void socketsOpen() {
-        socketsOpen = true;
-        serveOnceComplete();
+        fulfil(Prerequisite.SOCKETS);
     }
 
-    private void serveOnceComplete() {
-        boolean complete = serversKnown && commandsRestored && socketsOpen;
-        if (complete && lifecycle.status() == ReadinessStatus.STARTING) {
-            beforeServing.run();
-            lifecycle.markReady();
-            listener.applyLifecycle();
-            LOG.info("ready");
+    private void fulfil(Prerequisite prerequisite) {
+        missing.remove(prerequisite);
+        if (missing.isEmpty() && lifecycle.status() == ReadinessStatus.STARTING) {
+            beginServing();
         }
     }
 
-    /** Returns the first thing that is still waited for, in the words of {@code SHOW health}. */
+    private void beginServing() {
+        beforeServing.run();
+        lifecycle.markReady();
+        admitClients.run();
+        LOG.info("ready");
+    }
+
+    /** Returns the first prerequisite that is missing, in the words of {@code SHOW health}. */
     String missing() {
-        if (!serversKnown) {
-            return "servers";
-        }
-        if (!commandsRestored) {
-            return "orders";
-        }
-        return socketsOpen ? "nothing" : "sockets";
+        return missing.isEmpty() ? NOTHING_MISSING : missing.iterator().next().pageWord;
     }
 }
