--- a/pooler/src/main/java/frostreel/Pooler.java
+++ b/pooler/src/main/java/frostreel/Pooler.java
@@ -14,6 +14,7 @@
 import frostreel.operation.RequestClassRegistry;
 import frostreel.operation.ServingLifecycle;
 import frostreel.routing.ChainRouter;
+import frostreel.routing.LocalityPolicy;
 import frostreel.routing.NearestZonePolicy;
 import frostreel.routing.Router;
 import frostreel.settings.OperatorSettings;
@@ -24,6 +25,8 @@
 
 /** One pooler: creates its parts, connects them, and starts and ends them. */
 public final class Pooler {
+    private static final long MICROS_PER_MILLI = 1_000;
+
     private final EventLoop loop;
     private final Broker broker;
     private final ServingLifecycle lifecycle;
@@ -34,8 +37,8 @@
     private final ServingSockets sockets;
     private final ConfigReloader reloader;
     private final ShutdownSequence shutdown;
-    /** Null where no zone tiers are configured: then none of their classes is loaded. */
-    private ZoneFailoverPolicy zonePolicy;
+    /** Null if no zone tiers are configured: then none of their classes is loaded. */
+    private final ZoneFailoverPolicy zonePolicy;
 
     /** Creates a pooler and starts it: it serves as soon as it is ready, see {@link Readiness}. */
     public Pooler(Config config, OperatorSettings operators) throws IOException {
@@ -43,15 +46,18 @@
     }
 
     /**
-     * {@code configuredListPatienceUs}: how long the list in the configuration waits for discovery;
-     * {@code lingerUs}: how long a client whose connection was ended may take to end it too.
+     * As the other constructor, with times of the caller's.
+     *
+     * @param configuredListPatienceUs how long the list in the configuration waits for discovery
+     * @param lingerUs how long a client whose connection was ended may take to end its side
      */
     Pooler(Config config, OperatorSettings operators, long configuredListPatienceUs, long lingerUs) throws IOException {
         loop = new EventLoop(ClockAnchor.clock(config.commandFolder().orElse(null)));
         PeerProcessCommits peer = PeerProcessCommits.open(config, loop.clock().now());
         loop.onHeartbeat(peer.writeObserver()::onHeartbeat);
         ServerPool pool = new ServerPool(loop, config.settings(), config.maxServerConnections());
-        broker = broker(config, operators, pool, peer);
+        zonePolicy = zonePolicy(config, operators);
+        broker = broker(config, pool, peer);
         RequestClassRegistry classes =
                 new RequestClassRegistry(config.settings().classes());
         lifecycle = new ServingLifecycle(
@@ -82,7 +88,18 @@
         loop.thread().execute(this::start);
     }
 
-    private Broker broker(Config config, OperatorSettings operators, ServerPool pool, PeerProcessCommits peer) {
+    private static ZoneFailoverPolicy zonePolicy(Config config, OperatorSettings operators) {
+        if (operators.zones().isEmpty()) {
+            return null;
+        }
+        Router.Settings settings = config.settings();
+        return new ZoneFailoverPolicy(
+                settings,
+                operators.zoneSettings(settings.zone(), config.zones()).orElseThrow(),
+                new SplittableRandom(settings.seed()).nextDouble());
+    }
+
+    private Broker broker(Config config, ServerPool pool, PeerProcessCommits peer) {
         return new Broker(
                 loop.clock(),
                 loop.deadlines(),
@@ -91,24 +108,13 @@
                 pool,
                 config.settings(),
                 config.maxOpenRequests(),
-                (settings, actions) -> router(config, operators, peer, settings, actions),
+                (settings, actions) -> router(settings, actions, peer),
                 peer.writeObserver());
     }
 
-    private Router router(
-            Config config,
-            OperatorSettings operators,
-            PeerProcessCommits peer,
-            Router.Settings settings,
-            Router.Actions actions) {
-        if (operators.zones().isEmpty()) {
-            return new ChainRouter(settings, actions, new NearestZonePolicy(settings.zone()), peer.peerCommits());
-        }
-        zonePolicy = new ZoneFailoverPolicy(
-                settings,
-                operators.zoneSettings(settings.zone(), config.zones()).orElseThrow(),
-                new SplittableRandom(settings.seed()).nextDouble());
-        return new ChainRouter(settings, actions, zonePolicy, peer.peerCommits());
+    private Router router(Router.Settings settings, Router.Actions actions, PeerProcessCommits peer) {
+        LocalityPolicy policy = zonePolicy == null ? new NearestZonePolicy(settings.zone()) : zonePolicy;
+        return new ChainRouter(settings, actions, policy, peer.peerCommits());
     }
 
     private Listener listener(Config config, RequestClassRegistry classes) {
@@ -122,7 +128,7 @@
                 config.settings().seed());
     }
 
-    /** The name of this process among all that store operators' commands in one folder. */
+    /** The name of this process, unique among all that store operators' commands in one folder. */
     private String incarnation(Config config) {
         return Long.toHexString(config.settings().seed()) + "x"
                 + Long.toHexString(loop.clock().now());
@@ -164,14 +170,14 @@
         }
     }
 
-    /** Returns whether this process serves, what it waits for, and how old its endpoint list is. */
+    /** The page {@code SHOW health}: whether this process serves, what it waits for, how old its endpoint list is. */
     private String health() {
         return "clients=" + lifecycle.status().wireName()
                 + " missing=" + readiness.missing()
                 + " " + endpoints
                 + " open_requests=" + broker.openRequests()
                 + " open_clients=" + listener.openClients()
-                + " loop_late_ms=" + loop.sinceHeartbeatUs() / 1000
+                + " loop_late_ms=" + loop.sinceHeartbeatUs() / MICROS_PER_MILLI
                 + " log_lines_dropped=" + Logging.dropped();
     }
 
@@ -198,7 +204,7 @@
         return sockets.clientAddress();
     }
 
-    /** Waits until this process listens, and returns its admin endpoint, null for none; not for the I/O thread. */
+    /** Waits until this process listens; returns its admin endpoint, null for none; not for the I/O thread. */
     public InetSocketAddress adminAddress() throws InterruptedException {
         return sockets.adminAddress();
     }
@@ -208,7 +214,7 @@
         return shutdown.run();
     }
 
-    /** Ends the loop and with it every socket; with an inherited one, standard output and error too. */
+    /** Ends the loop and closes every socket; with an inherited one, standard output and error too. */
     public void close() throws InterruptedException {
         loop.end();
     }
