--- a/pooler/src/main/java/frostreel/ConfigReloader.java
+++ b/pooler/src/main/java/frostreel/ConfigReloader.java
@@ -8,11 +8,16 @@
 import frostreel.operation.ServingLifecycle;
 import frostreel.routing.Router;
 import frostreel.settings.OperatorSettings;
+import frostreel.time.Deadlines;
 import frostreel.zones.ZoneFailoverPolicy;
+import frostreel.zones.ZoneSettings;
 import java.util.Optional;
 import java.util.logging.Logger;
 
-/** Applies a reloaded configuration to the running process, each in one step on the I/O thread. */
+/**
+ * Applies a reloaded configuration to the running process, each in one turn of the event loop. Its state is
+ * confined to the loop; its methods may be called from any thread.
+ */
 final class ConfigReloader {
     private static final Logger LOG = Logger.getLogger(ConfigReloader.class.getName());
 
@@ -23,14 +28,14 @@
     private final RequestClassRegistry classes;
     private final EndpointSource endpoints;
     private final Optional<OperatorSettings.Cluster> cluster;
-    /** Null where no zone tiers were configured at the start. */
+    /** Null if no zone tiers were configured at the start. */
     private final ZoneFailoverPolicy zonePolicy;
 
     private Config inForce;
-    /** Counts changes of settings, so that a delayed step of an older one can tell that it is outdated. */
-    private int generation;
     /** How many attempts a request that arrives now may have. */
     private int maxAttempts;
+    /** When clients may no longer follow the settings before the last change; null before the first change. */
+    private Deadlines.Deadline endOfTransition;
 
     ConfigReloader(
             EventLoop loop,
@@ -55,8 +60,8 @@
     }
 
     /**
-     * Applies the settings of {@code config} and moves to the discovery agent that it names; from any thread.
-     * Names, addresses, descriptors and the limit on open requests wait for the next start.
+     * Applies the settings of {@code config} and switches to the discovery agent that it names; from any thread.
+     * Names, addresses, descriptors and the limit on open requests are applied at the next start.
      */
     void reload(Config config) {
         loop.thread().execute(() -> {
@@ -71,27 +76,30 @@
     }
 
     /**
-     * Where more attempts are allowed than before, that takes effect once no client can still send requests by
-     * the previous settings.
+     * Applies settings at once, but for a higher limit on attempts: that takes effect once no client can still
+     * send requests by the previous settings.
      */
     private void apply(Router.Settings settings) {
         classes.change(loop.clock().now(), settings.classes());
-        Router.Settings merged = settings.with(classes.all(), settings.limits().maxAttempts());
-        pool.updateSettings(merged);
-        maxAttempts = Math.min(maxAttempts, merged.limits().maxAttempts());
-        broker.updateSettings(settings.with(classes.all(), maxAttempts));
+        int newMaxAttempts = settings.limits().maxAttempts();
+        maxAttempts = Math.min(maxAttempts, newMaxAttempts);
+        Router.Settings duringTransition = settings.with(classes.all(), maxAttempts);
+        Router.Settings afterTransition = settings.with(classes.all(), newMaxAttempts);
+        pool.updateSettings(afterTransition);
+        broker.updateSettings(duringTransition);
         lifecycle.setLongestDeadlineUs(longestDeadlineUs(settings));
         loop.setStopSendingUs(settings.rules().stopSendingUs());
-        int appliedGeneration = ++generation;
-        loop.deadlines().after(RequestClassRegistry.TRANSITION_US, () -> {
-            if (appliedGeneration == generation) {
-                maxAttempts = merged.limits().maxAttempts();
-                broker.updateSettings(merged);
-            }
-        });
+        loop.deadlines().cancel(endOfTransition);
+        endOfTransition =
+                loop.deadlines().after(RequestClassRegistry.TRANSITION_US, () -> endTransition(afterTransition));
+    }
+
+    private void endTransition(Router.Settings settings) {
+        maxAttempts = settings.limits().maxAttempts();
+        broker.updateSettings(settings);
     }
 
-    /** Returns the longest deadline of any request class, 0 for no classes. */
+    /** Returns the longest deadline of any request class, 0 if there are no classes. */
     static long longestDeadlineUs(Router.Settings settings) {
         return settings.classes().stream()
                 .mapToLong(Router.RequestClass::deadlineUs)
@@ -107,15 +115,16 @@
         if (!cluster.equals(operators.cluster())) {
             LOG.warning("other poolers are named now: they hold from the next start");
         }
+        int ownZone = config.settings().zone();
         loop.thread()
-                .execute(() -> operators
-                        .zoneSettings(config.settings().zone(), config.zones())
-                        .ifPresent(zones -> {
-                            if (zonePolicy == null) {
-                                LOG.warning("zones are stated now: they hold from the next start");
-                            } else {
-                                zonePolicy.configure(zones);
-                            }
-                        }));
+                .execute(() -> operators.zoneSettings(ownZone, config.zones()).ifPresent(this::apply));
+    }
+
+    private void apply(ZoneSettings zones) {
+        if (zonePolicy == null) {
+            LOG.warning("zones are stated now: they hold from the next start");
+        } else {
+            zonePolicy.configure(zones);
+        }
     }
 }
--- a/pooler/src/main/java/frostreel/ServingSockets.java
+++ b/pooler/src/main/java/frostreel/ServingSockets.java
@@ -12,22 +12,25 @@
 import java.util.logging.Logger;
 
 /**
- * Opens the listening sockets at the start, for clients first. An address that is in use or not local ends
- * the process; a socket that the system refuses for want of descriptors or buffers is retried for a while.
+ * Opens the listening sockets at the start, that for clients first. An address that is in use or not local ends
+ * the process; opening a socket for which the system lacks descriptors or buffers is retried for a while.
+ * Confined to the event loop, but for the methods that wait for the sockets.
  */
 final class ServingSockets {
     private static final long RETRY_FOR_US = 20_000_000;
     private static final long RETRY_INTERVAL_US = 50_000;
+    private static final int EXIT_CANNOT_LISTEN = 1;
     private static final Logger LOG = Logger.getLogger(ServingSockets.class.getName());
 
     private final EventLoop loop;
     private final Config config;
     private final Listener clients;
-    /** Null where the configuration has no admin endpoint. */
+    /** Null if the configuration has no admin endpoint. */
     private final AdminListener admin;
 
     private final Readiness readiness;
     private final CountDownLatch open = new CountDownLatch(1);
+    /** Whether the socket for clients is open, so that a retry need not open it again. */
     private boolean clientsOpen;
 
     ServingSockets(EventLoop loop, Config config, Listener clients, AdminListener admin, Readiness readiness) {
@@ -38,7 +41,7 @@
         this.readiness = readiness;
     }
 
-    /** Opens all sockets, now or by retries; on the I/O thread. */
+    /** Opens all sockets, at once or by retries; on the I/O thread. */
     void open() {
         open(loop.clock().now() + RETRY_FOR_US);
     }
@@ -47,16 +50,22 @@
         try {
             openClients();
             openAdmin();
-            open.countDown();
-            readiness.socketsOpen();
         } catch (IOException e) {
-            if (e instanceof BindException || loop.clock().now() >= retryUntilUs) {
-                LOG.log(Level.SEVERE, "GW_LISTEN, GW_CONTROL: cannot listen on " + addresses(), e);
-                new Thread(() -> System.exit(1), "exit").start();
-            } else {
-                LOG.warning("cannot listen yet: " + e + "; tried again");
-                loop.deadlines().after(RETRY_INTERVAL_US, () -> open(retryUntilUs));
-            }
+            onFailure(e, retryUntilUs);
+            return;
+        }
+        open.countDown();
+        readiness.socketsOpen();
+    }
+
+    private void onFailure(IOException failure, long retryUntilUs) {
+        if (failure instanceof BindException || loop.clock().now() >= retryUntilUs) {
+            LOG.log(Level.SEVERE, "GW_LISTEN, GW_CONTROL: cannot listen on " + addresses(), failure);
+            // On a thread of its own, as the exit waits for the shutdown hook, and that for the I/O thread.
+            new Thread(() -> System.exit(EXIT_CANNOT_LISTEN), "exit").start();
+        } else {
+            LOG.warning("cannot listen yet: " + failure + "; tried again");
+            loop.deadlines().after(RETRY_INTERVAL_US, () -> open(retryUntilUs));
         }
     }
 
@@ -80,13 +89,13 @@
                 + (admin == null ? "" : " and " + config.adminAddress().orElseThrow());
     }
 
-    /** Waits for the sockets and returns the address for clients; not for the I/O thread. */
+    /** Waits until the sockets are open, and returns the address for clients; not for the I/O thread. */
     InetSocketAddress clientAddress() throws InterruptedException {
         open.await();
         return clients.address();
     }
 
-    /** Waits for the sockets and returns the admin endpoint, null for none; not for the I/O thread. */
+    /** Waits until the sockets are open, and returns the admin endpoint, null for none; not for the I/O thread. */
     InetSocketAddress adminAddress() throws InterruptedException {
         open.await();
         return admin == null ? null : admin.address();
