--- a/pooler/src/main/java/frostreel/cli/ClassArchiveTraining.java
+++ b/pooler/src/main/java/frostreel/cli/ClassArchiveTraining.java
@@ -20,13 +20,13 @@
 import org.json.JSONObject;
 
 /**
- * Serves a few requests once, so that the JVM can archive the loaded classes at its exit: a start that loads
- * them from the jar takes most of a second of a core, of which a pooler gets a part. The pooler is its own
- * server: it receives the statement that it sent, takes it for a duplicate of a request in flight, and rejects
- * it.
+ * Serves a few requests, so that the JVM can archive the loaded classes at its exit: loading them from the jar
+ * takes most of a second of a whole core, and a pooler has only part of one. The pooler is its own server: it
+ * receives the statement that it sent, takes it for a duplicate of a request in flight, and rejects it.
  */
 final class ClassArchiveTraining {
     private static final int READY_FOR_QUERY = 'Z';
+    private static final int ANY_FREE_PORT = 0;
 
     private static final String[] STATEMENTS = {
         "",
@@ -49,28 +49,36 @@
     }
 
     private static String freeLocalAddress() throws IOException {
-        try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+        try (ServerSocket free = new ServerSocket(ANY_FREE_PORT, 1, InetAddress.getLoopbackAddress())) {
             return "127.0.0.1:" + free.getLocalPort();
         }
     }
 
-    /** Writes a configuration in which listener, discovery agent and only server are this process. */
+    /** Writes a configuration in which the listener, the discovery agent and the only server are this process. */
     private static Path writeConfiguration(String address) throws IOException {
+        JSONObject configuration =
+                readTemplate().put("listen", address).put("discovery", address).put("known", endpointList(address));
         Path file = Files.createTempFile("class-archive-training", ".json");
+        return Files.writeString(file, configuration.toString());
+    }
+
+    private static JSONObject readTemplate() throws IOException {
         try (InputStream in = ClassArchiveTraining.class.getResourceAsStream("/class-archive-training.json")) {
-            JSONObject host = new JSONObject(Map.of(
-                    "host", "self", "dial", address, "site", "z", "class", "m", "block", 1, "health", "Ready", "share",
-                    1.0, "role", "primary"));
-            JSONObject list = new JSONObject(Map.of("seq", 1, "whole", true, "hosts", new JSONArray().put(host)));
-            Files.writeString(
-                    file,
-                    new JSONObject(new String(in.readAllBytes(), StandardCharsets.UTF_8))
-                            .put("listen", address)
-                            .put("discovery", address)
-                            .put("known", list)
-                            .toString());
+            return new JSONObject(new String(in.readAllBytes(), StandardCharsets.UTF_8));
         }
-        return file;
+    }
+
+    private static JSONObject endpointList(String address) {
+        JSONObject server = new JSONObject()
+                .put("host", "self")
+                .put("dial", address)
+                .put("site", "z")
+                .put("class", "m")
+                .put("block", 1)
+                .put("health", "Ready")
+                .put("share", 1.0)
+                .put("role", "primary");
+        return new JSONObject().put("seq", 1).put("whole", true).put("hosts", new JSONArray().put(server));
     }
 
     private static void sendStatements(InetSocketAddress address) throws IOException {
@@ -86,7 +94,7 @@
         }
     }
 
-    /** Reads up to ReadyForQuery. */
+    /** Skips all messages up to and including ReadyForQuery. */
     private static void skipResponse(DataInputStream in) throws IOException {
         int type;
         do {
--- a/pooler/src/main/java/frostreel/cli/Serve.java
+++ b/pooler/src/main/java/frostreel/cli/Serve.java
@@ -23,7 +23,7 @@
 final class Serve implements Callable<Integer> {
     /** Returned in place of an exit code: the process keeps running on the pooler's threads. */
     static final int KEEP_RUNNING = -1;
-    /** How long writing a line during shutdown may take. */
+    /** How long printing a line during shutdown may block. */
     private static final long PRINT_TIMEOUT_MS = 200;
 
     private static final Logger LOG = Logger.getLogger(Serve.class.getName());
@@ -33,8 +33,8 @@
             paramLabel = "FILE",
             description = "The operators' settings, as deploy/frostreel.xml; read again at SIGHUP.")
     private Path settings;
-    /** The configuration in force; after the start, read and replaced by {@link #reload} alone. */
-    private volatile Config inForce;
+    /** After the start, read and replaced by {@link #reload} alone. */
+    private volatile Config configInForce;
 
     @Override
     public Integer call() throws IOException {
@@ -43,31 +43,31 @@
             OperatorSettings operators =
                     settings == null ? OperatorSettings.DEFAULT : OperatorSettings.read(settings, config.name());
             Logging.configure(operators.logFormat(), operators.logLevel());
-            inForce = config;
+            configInForce = config;
             Pooler pooler = new Pooler(config, operators);
             Runtime.getRuntime().addShutdownHook(new Thread(() -> shutDown(pooler), "stop"));
             if (!SighupHandler.handle(() -> reload(pooler))) {
                 LOG.warning("SIGHUP was ignored at the start and will not come: settings wait for a restart");
             }
             return KEEP_RUNNING;
-        } catch (ConfigException | FaultyFileException e) {
-            System.err.println("frostreel: " + e.getMessage());
+        } catch (ConfigException | FaultyFileException fault) {
+            System.err.println("frostreel: " + fault.getMessage());
             return Main.EXIT_FAULTY_INPUT;
         }
     }
 
-    /** Runs on the signal's thread, as reading files may block; synchronized, so that the last file wins. */
+    /** Runs on the signal's thread, as reading files may block; synchronized, so that the file read last wins. */
     private synchronized void reload(Pooler pooler) {
         try {
-            Config config = Config.reload(System.getenv(), inForce);
-            inForce = config;
+            Config config = Config.reload(System.getenv(), configInForce);
+            configInForce = config;
             if (settings != null) {
                 reloadSettings(pooler, config);
             }
             pooler.reload(config);
-        } catch (ConfigException e) {
-            LOG.warning(e.getMessage() + "; the configuration in force is kept");
-        } catch (RejectedExecutionException e) {
+        } catch (ConfigException fault) {
+            LOG.warning(fault.getMessage() + "; the configuration in force is kept");
+        } catch (RejectedExecutionException loopEnded) {
             LOG.info("stopping: the new configuration is left");
         }
     }
@@ -78,12 +78,12 @@
             Logging.configure(operators.logFormat(), operators.logLevel());
             pooler.reload(config, operators);
             LOG.info("the settings of " + settings + " hold");
-        } catch (FaultyFileException e) {
-            LOG.warning(e.getMessage() + "; the settings in force are kept");
+        } catch (FaultyFileException fault) {
+            LOG.warning(fault.getMessage() + "; the settings in force are kept");
         }
     }
 
-    /** Prints a line, without waiting long for a reader that does not take it: that must not block the shutdown. */
+    /** Prints a line, and waits a bounded time for that: a reader that stopped reading must not block the shutdown. */
     private static void print(PrintStream stream, String text) throws InterruptedException {
         Thread writer = new Thread(() -> stream.println("frostreel: " + text), "shutdown output");
         writer.setDaemon(true);
@@ -101,7 +101,7 @@
             print(System.out, pooler.counters());
             pooler.close();
             Logging.flush();
-        } catch (InterruptedException e) {
+        } catch (InterruptedException interrupt) {
             Thread.currentThread().interrupt();
         }
     }
--- a/pooler/src/main/java/frostreel/cli/SighupHandler.java
+++ b/pooler/src/main/java/frostreel/cli/SighupHandler.java
@@ -3,15 +3,16 @@
 import java.lang.reflect.Proxy;
 
 /**
- * Runs a task at each SIGHUP, on a thread of the signal's own; without a handler SIGHUP ends the JVM. The JDK's
- * class for signals is used by reflection, as the compiler warns of direct use and warnings fail the build.
+ * Runs a task at each SIGHUP, on a thread that the JVM starts for the signal; without a handler SIGHUP ends the
+ * JVM. The JDK's class for signals is used by reflection, as the compiler warns of direct use and warnings fail
+ * the build.
  */
 final class SighupHandler {
     private SighupHandler() {}
 
     /**
      * Installs the handler and returns whether the signal will arrive: a process that was started with SIGHUP
-     * ignored, as by nohup, never receives it.
+     * ignored, as nohup does, never receives it.
      */
     static boolean handle(Runnable task) {
         try {
--- a/pooler/src/main/java/frostreel/cli/TrainArchive.java
+++ b/pooler/src/main/java/frostreel/cli/TrainArchive.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 
-/** The command {@code train-archive}: loads what serving needs, for the class archive that the build makes. */
+/** The command {@code train-archive}: loads the classes that serving needs, for the build's class archive. */
 @Command(
         name = "train-archive",
         description = "Goes through serving once, against itself, and ends.",
--- a/pooler/src/main/java/frostreel/package-info.java
+++ b/pooler/src/main/java/frostreel/package-info.java
@@ -1,6 +1,10 @@
 /**
- * The pooler as one process: {@link frostreel.Pooler} connects the parts, and the other classes are its start
- * ({@code Readiness}, {@code ServingSockets}, {@code EndpointSource}), its configuration reload and its
- * graceful shutdown.
+ * The pooler as one process: {@link frostreel.Pooler} creates the parts and connects them. The other classes are
+ * its start ({@code Readiness}, {@code ServingSockets}, {@code EndpointSource}), its configuration reload
+ * ({@code ConfigReloader}) and its graceful shutdown ({@code ShutdownSequence}).
+ *
+ * <p>Owns what is missing for readiness, the endpoint source and the configuration in force, all confined to the
+ * event loop; the public methods of {@code Pooler} are called from other threads. May depend on every package of
+ * the pooler but {@code cli}; only {@code cli} depends on it.
  */
 package frostreel;
