--- a/decisions/src/test/java/frostreel/operation/CommandTargetTest.java
+++ b/decisions/src/test/java/frostreel/operation/CommandTargetTest.java
@@ -6,14 +6,14 @@
 
 class CommandTargetTest {
     @Test
-    void keysAreAsTheyAreStored() {
+    void usesTheStoredNamesAsKeys() {
         assertThat(CommandTarget.CLIENTS.key()).isEqualTo("clients");
         assertThat(CommandTarget.server("a b").key()).isEqualTo("server a b");
         assertThat(CommandTarget.server("a")).hasToString("server a");
     }
 
     @Test
-    void onlyAServerHasAnId() {
+    void onlyServerTargetsHaveAServerId() {
         assertThat(CommandTarget.server("a b").serverId()).contains("a b");
         assertThat(new CommandTarget("server a").serverId()).contains("a");
         assertThat(CommandTarget.CLIENTS.serverId()).isEmpty();
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void targetsAreEqualByTheirKeys() {
+    void comparesByKey() {
         assertThat(new CommandTarget("server a"))
                 .isEqualTo(CommandTarget.server("a"))
                 .hasSameHashCodeAs(CommandTarget.server("a"))
--- a/decisions/src/test/java/frostreel/operation/MaintenanceOverlayTest.java
+++ b/decisions/src/test/java/frostreel/operation/MaintenanceOverlayTest.java
@@ -20,7 +20,7 @@
     }
 
     @Test
-    void aSuspendedServerDrainsWhateverDiscoveryListsUntilItIsRestored() {
+    void suspendedServerDrainsWhateverIsListedUntilRestored() {
         overlay.applyComplete(List.of(member("a", State.UP, 0), member("b", State.UP, 0)));
         commands.issue(100, CommandTarget.server("a"));
         assertThat(effective("a").state()).isEqualTo(State.DRAINING);
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void restoringCountsAsAStartUntilDiscoveryReportsOneSinceTheSuspension() {
+    void restoringCountsAsStartUntilDiscoveryReportsOne() {
         overlay.applyComplete(List.of(member("a", State.UP, 5)));
         commands.issue(100, CommandTarget.server("a"));
         commands.revoke(200, CommandTarget.server("a"));
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void aRestoredServerIsAsDiscoveryLastListedIt() {
+    void restoredServerHasTheStateThatDiscoveryListedLast() {
         overlay.applyComplete(List.of(member("a", State.UP, 0), member("b", State.UP, 0)));
         commands.issue(100, CommandTarget.server("a"));
         commands.issue(100, CommandTarget.server("b"));
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void unlistedServersAreUnknownAndDepartedOnesAreForgottenInTheEnd() {
+    void forgetsTheOldestDepartedServers() {
         assertThat(overlay.knows("a")).isFalse();
         overlay.applyComplete(List.of(member("a", State.UP, 0)));
         overlay.applyComplete(List.of());
@@ -90,7 +90,7 @@
     }
 
     @Test
-    void commandsOnTargetsOfAnotherKindAreKeptWithoutEffect() {
+    void keepsCommandsOnUnknownTargetsWithoutEffect() {
         CommandTarget unknown = new CommandTarget("zone a");
         overlay.applyComplete(List.of(member("a", State.UP, 0)));
         commands.merge(unknown, CommandState.issued(5));
--- a/decisions/src/test/java/frostreel/operation/OperatorCommandsTest.java
+++ b/decisions/src/test/java/frostreel/operation/OperatorCommandsTest.java
@@ -17,7 +17,7 @@
     }
 
     @Test
-    void aCommandThatChangesNothingIsNotRecorded() {
+    void doesNotRecordCommandsThatChangeNothing() {
         assertThat(commands.revoke(5, SERVER)).as("never in force").isFalse();
         assertThat(commands.latest(SERVER)).isEmpty();
         assertThat(commands.issue(10, SERVER)).isTrue();
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void aRevokedCommandSaysWhenItCameIntoForceLast() {
+    void revokedCommandKeepsTheTimeItLastCameIntoForce() {
         commands.issue(10, SERVER);
         commands.revoke(30, SERVER);
         assertThat(state()).isEqualTo(CommandState.revoked(10, 30));
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void aLaterCommandHasALaterTimeThoughTheClockDidNotAdvance() {
+    void laterCommandGetsLaterTimeIfTheClockStandsStill() {
         commands.issue(10, SERVER);
         commands.revoke(10, SERVER);
         assertThat(state()).isEqualTo(CommandState.revoked(10, 11));
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void ofTwoChangesAtOneInstantTheOneInForceWins() {
+    void commandInForceWinsOverRevocationAtTheSameTime() {
         assertThat(commands.merge(SERVER, CommandState.revoked(5, 10))).isTrue();
         assertThat(commands.merge(SERVER, CommandState.issued(10))).isTrue();
         assertThat(commands.merge(SERVER, CommandState.revoked(5, 10))).isFalse();
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void commandsMergedInAnyOrderConverge() {
+    void mergingInAnyOrderConverges() {
         record Recorded(CommandTarget target, CommandState state) {}
         Random random = new Random(7);
         for (int round = 0; round < 2000; round++) {
--- a/decisions/src/test/java/frostreel/operation/RequestClassRegistryTest.java
+++ b/decisions/src/test/java/frostreel/operation/RequestClassRegistryTest.java
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void anAddedClassIsServedAtOnceAndADroppedOneDuringTheTransition() {
+    void servesAddedClassesAtOnceAndDroppedOnesDuringTheTransition() {
         registry.change(0, List.of(post, requestClass("new", Access.WRITE, Idempotency.NON_IDEMPOTENT)));
         assertThat(write(0, "new")).isEqualTo(2);
         assertThat(keyedWrite(0, "post"))
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void ofTwoClassesOfOneNameTheStricterIsChosenDuringTheTransition() {
+    void choosesTheStricterOfTwoClassesOfOneNameDuringTheTransition() {
         registry.change(0, List.of(read, requestClass("post", Access.WRITE, Idempotency.IDEMPOTENT)));
         assertThat(keyedWrite(IN_TRANSITION_US, "post"))
                 .as("keyed is stricter")
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void aReadThatBecomesAWriteIsToldApartByItsStatement() {
+    void distinguishesReadsAndWritesOfOneClassName() {
         registry.change(0, List.of(requestClass("read", Access.WRITE, Idempotency.NON_IDEMPOTENT), post));
         assertThat(read(IN_TRANSITION_US, "read")).isZero();
         assertThat(write(IN_TRANSITION_US, "read")).isEqualTo(2);
@@ -70,7 +70,7 @@
     }
 
     @Test
-    void aClassThatReturnsUnchangedGetsItsFormerNumberSoThatTheRegistryDoesNotGrow() {
+    void givesReturningClassesTheirFormerNumber() {
         for (int i = 0; i < 100; i++) {
             Idempotency idempotency = i % 2 == 0 ? Idempotency.NON_IDEMPOTENT : Idempotency.IDEMPOTENT;
             registry.change(i, List.of(requestClass("read", Access.ANY, idempotency), post));
--- a/decisions/src/test/java/frostreel/operation/ServingLifecycleTest.java
+++ b/decisions/src/test/java/frostreel/operation/ServingLifecycleTest.java
@@ -153,14 +153,14 @@
     }
 
     @Test
-    void noSequenceOfEventsReportsReadyWronglyOrLosesAClient() {
+    void matchesThePlainReadingOfEverySequenceOfEvents() {
         checkAllFrom(false, 0, new Event[6]);
         checkAllFrom(true, 0, new Event[6]);
         assertThat(checkedSequences).isEqualTo(2 * (1 + 5 + 25 + 125 + 625 + 3125 + 15625));
     }
 
     @Test
-    void withoutASuccessorItServesAsBeforeUntilShortlyBeforeTheKill() {
+    void servesUntilShortlyBeforeTheKillWithoutSuccessor() {
         ServingLifecycle lifecycle = new ServingLifecycle(false, LONGEST_DEADLINE_US);
         lifecycle.markReady();
         lifecycle.terminate(0);
@@ -172,7 +172,7 @@
 
     /** The process once exited at the very moment at which the last response was due. */
     @Test
-    void theShutdownTimeoutLastsUntilRequestsOfTheGracePeriodAreAnswered() {
+    void shutdownTimeoutLastsUntilRequestsOfTheGracePeriodAreAnswered() {
         ServingLifecycle lifecycle = new ServingLifecycle(false, LONGEST_DEADLINE_US);
         lifecycle.terminate(0);
         assertThat(lifecycle.responseDueUs(ServingLifecycle.SHUTDOWN_GRACE_US - 1))
--- a/decisions/src/test/java/frostreel/operation/SharedCommitTableTest.java
+++ b/decisions/src/test/java/frostreel/operation/SharedCommitTableTest.java
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void aProcessIsNotBoundByItsOwnWrites() {
+    void ownWritesBindNoRead() {
         Arrays.fill(values, 0);
         SharedCommitTable alone = startProcess(NOW_US);
         write(alone, 10, Outcome.OK, NOW_US + 5);
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void anAnsweredCommitBindsTheOtherProcessBothWaysAndNoOtherSession() {
+    void answeredCommitBindsTheOtherProcessAndNoOtherSession() {
         write(before, 10, Outcome.OK, NOW_US - 4_000);
         assertThat(after.requiredPositionUs(NOW_US + 10, SESSION))
                 .as("rounded up to milliseconds")
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void aWriteInFlightBindsOnceItsResponseMayCountAsKnown() {
+    void writeInFlightBindsOnceItsResponseMayCountAsKnown() {
         before.onSent(NOW_US, SESSION, DEADLINE_US);
         before.onSent(NOW_US + 50_000, SESSION, DEADLINE_US);
         assertThat(after.requiredPositionUs(NOW_US + 100_000, SESSION)).isZero();
@@ -90,7 +90,7 @@
     }
 
     @Test
-    void aWriteOfUnknownOutcomeBindsForAsLongAsItMayCommit() {
+    void writeOfUnknownOutcomeBindsWhileItMayCommit() {
         write(before, 10, Outcome.RESET, 0);
         assertThat(after.requiredPositionUs(NOW_US + 10_000, SESSION)).isEqualTo(knownUs(NOW_US + 10_000));
         assertThat(after.requiredPositionUs(NOW_US + 900_000, SESSION)).isEqualTo(NOW_US + 10);
@@ -100,7 +100,7 @@
     }
 
     @Test
-    void writesInFlightOfAKilledProcessBindUntilTheirDeadlineAndEveryLaterProcess() {
+    void writesInFlightOfKilledProcessBindUntilTheirDeadline() {
         before.onSent(NOW_US, SESSION, DEADLINE_US);
         SharedCommitTable laterProcess = startProcess(NOW_US + 500_000);
         for (SharedCommitTable other : new SharedCommitTable[] {after, laterProcess}) {
@@ -110,14 +110,14 @@
     }
 
     @Test
-    void aProcessSuspendedPastItsDeadlinesBindsAgainOnceResumed() {
+    void processSuspendedPastItsDeadlinesBindsAgainOnceResumed() {
         before.onSent(NOW_US, SESSION, DEADLINE_US);
         before.onEnded(DEADLINE_US + 1_000_000, SESSION, DEADLINE_US, Outcome.OK, DEADLINE_US + 40_000);
         assertThat(after.requiredPositionUs(DEADLINE_US + 2_000_000, SESSION)).isEqualTo(DEADLINE_US + 41_000);
     }
 
     @Test
-    void processesThatExitAtOnceDoNotTakeRegionsOfLivingOnes() {
+    void shortLivedProcessesDoNotTakeRegionsOfLivingOnes() {
         write(after, 10, Outcome.OK, NOW_US);
         for (long nowUs = NOW_US; nowUs < NOW_US + 20; nowUs++) {
             before.onHeartbeat(nowUs);
@@ -133,7 +133,7 @@
     }
 
     @Test
-    void aRegionTakenOverKeepsWhatWasInIt() {
+    void regionTakenOverKeepsItsContent() {
         write(before, 10, Outcome.OK, NOW_US - 4_000);
         before.onSent(NOW_US, SESSION, DEADLINE_US);
         SharedCommitTable[] later = new SharedCommitTable[SharedCommitTable.REGIONS];
@@ -147,7 +147,7 @@
     }
 
     @Test
-    void aSuspendedProcessThatLostItsRegionClaimsAnotherAndShowsItsWritesInFlight() {
+    void suspendedProcessThatLostItsRegionClaimsAnother() {
         before.onSent(NOW_US, SESSION, DEADLINE_US);
         SharedCommitTable[] later = new SharedCommitTable[SharedCommitTable.REGIONS];
         for (int i = 0; i < later.length; i++) {
@@ -164,7 +164,7 @@
     }
 
     @Test
-    void valuesOfAClockThatWasAheadOrOfDamagedMemoryBindToNowAtMost() {
+    void futureTimesAndDamagedMemoryBindToNowAtMost() {
         SplittableRandom random = new SplittableRandom(7);
         write(before, 10, Outcome.OK, NOW_US + 9_000_000);
         assertThat(after.requiredPositionUs(NOW_US, SESSION)).isEqualTo(NOW_US);
--- a/pooler/src/test/java/frostreel/cli/MainTest.java
+++ b/pooler/src/test/java/frostreel/cli/MainTest.java
@@ -17,7 +17,7 @@
             Main.commandLine().setOut(new PrintWriter(out)).setErr(new PrintWriter(err));
 
     @Test
-    void invalidUsageExitsWithTwoAndNamesTheFault() {
+    void rejectsInvalidUsageAndNamesTheFault() {
         assertThat(line.execute()).isEqualTo(2);
         assertThat(line.execute("sevre")).isEqualTo(2);
         assertThat(err.toString()).contains("Missing required subcommand").contains("sevre");
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void helpListsEachCommandAndVersionIsPrinted() {
+    void listsCommandsInHelpAndPrintsTheVersion() {
         assertThat(line.execute("--help")).isZero();
         assertThat(out.toString()).contains("serve", "simulator", "train-archive");
         assertThat(line.execute("--version")).isZero();
--- a/pooler/src/test/java/frostreel/control/AdminReplyTest.java
+++ b/pooler/src/test/java/frostreel/control/AdminReplyTest.java
@@ -10,7 +10,7 @@
 /** Operators' tools rely on the replies' text. */
 class AdminReplyTest {
     @Test
-    void linesAreAsOperatorsKnowThem() {
+    void keepsTheTextOnWhichOperatorsToolsRely() {
         List<String> lines = new ArrayList<>();
         for (AdminReply reply : AdminReply.values()) {
             lines.add(reply.line());
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void successIsWhatBeginsWithOk() {
+    void onlyRepliesThatBeginWithOkAreSuccesses() {
         for (AdminReply reply : AdminReply.values()) {
             assertThat(reply.isSuccess())
                     .as(reply.line())
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void aStatusIsAnsweredByItsWord() {
+    void answersStatusWithItsWireName() {
         assertThat(AdminReply.of(ReadinessStatus.READY)).isEqualTo(AdminReply.DONE);
         for (ReadinessStatus status :
                 List.of(ReadinessStatus.STARTING, ReadinessStatus.DRAINING, ReadinessStatus.STOPPING)) {
--- a/pooler/src/test/java/frostreel/control/ClockAnchorTest.java
+++ b/pooler/src/test/java/frostreel/control/ClockAnchorTest.java
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void theFirstOffsetHoldsForProcessesStartedAfterAStepOfTheWallClock() throws Exception {
+    void keepsTheFirstOffsetAfterAStepOfTheWallClock() throws Exception {
         long earlierUs = Clock.system().now();
         ClockAnchor.clock(dir);
         String[] words = Files.readString(dir.resolve("clock")).strip().split(" ");
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void anOffsetOfAnotherBootOrADamagedOneIsReplaced() throws Exception {
+    void replacesDamagedOffsetsAndThoseOfAnotherBoot() throws Exception {
         for (String content : new String[] {"another-boot 12", "", "no number", "a b c"}) {
             Files.writeString(dir.resolve("clock"), content);
             long earlierUs = Clock.system().now();
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void withoutAUsableFolderTheProcessHasAClockOfItsOwn() throws Exception {
+    void usesItsOwnClockWithoutUsableFolder() throws Exception {
         Path file = Files.writeString(dir.resolve("taken"), "a file in its place");
         long earlierUs = Clock.system().now();
         assertThat(aheadUs(ClockAnchor.clock(file), earlierUs)).isBetween(0L, 60_000_000L);
--- a/pooler/src/test/java/frostreel/control/CommandStoreTest.java
+++ b/pooler/src/test/java/frostreel/control/CommandStoreTest.java
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void anIncarnationReadsWhatOthersWroteOnceAndNotItsOwn() throws Exception {
+    void readsOnceWhatOthersWroteAndNotItsOwn() throws Exception {
         CommandStore one = store("one");
         assertThat(one.readOthers().commands()).as("nothing has been written").isEmpty();
         one.write(SUSPENDED);
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void aFileCutOrChangedAnywhereIsSkipped() throws Exception {
+    void skipsFilesCutOrChangedAnywhere() throws Exception {
         store("one").write(SUSPENDED);
         Path file = files().get(0);
         byte[] whole = Files.readAllBytes(file);
@@ -72,7 +72,7 @@
     }
 
     @Test
-    void anUnusableFolderFailsWritesAndReads() throws Exception {
+    void failsWritesAndReadsInUnusableFolder() throws Exception {
         Files.writeString(dir.resolve("orders"), "a file in its place");
         assertThatThrownBy(() -> store("one").write(SUSPENDED)).isInstanceOf(IOException.class);
         assertThatThrownBy(() -> store("one").readOthers()).isInstanceOf(IOException.class);
@@ -80,7 +80,7 @@
 
     /** A link to the device that takes no byte, where the file is written before it has its name. */
     @Test
-    void aFullDiskFailsTheWriteAndKeepsWhatWasThere() throws Exception {
+    void fullDiskFailsTheWriteAndKeepsStoredCommands() throws Exception {
         CommandStore one = store("one");
         one.write(SUSPENDED);
         Path unfinished = Files.createSymbolicLink(dir.resolve("orders/one.new"), Path.of("/dev/full"));
@@ -94,7 +94,7 @@
     }
 
     @Test
-    void filesOfOldIncarnationsAreRemoved() throws Exception {
+    void removesFilesOfOldIncarnations() throws Exception {
         for (int i = 0; i < 40; i++) {
             store("life" + i).write(SUSPENDED);
             Files.setLastModifiedTime(dir.resolve("orders/life" + i + "-00000001.orders"), FileTime.fromMillis(i));
@@ -105,7 +105,7 @@
     }
 
     @Test
-    void anUnreadableFileIsReadOnceItCanBe() throws Exception {
+    void retriesUnreadableFiles() throws Exception {
         store("one").write(SUSPENDED);
         Path file = files().get(0);
         byte[] whole = Files.readAllBytes(file);
@@ -121,7 +121,7 @@
     }
 
     @Test
-    void anUnfinishedFileIsRemovedOnceItIsOld() throws Exception {
+    void removesUnfinishedFilesOnceTheyAreOld() throws Exception {
         store("one").write(SUSPENDED);
         Path stale = Files.writeString(dir.resolve("orders/dead.new"), "half");
         Path recent = Files.writeString(dir.resolve("orders/living.new"), "half");
--- a/pooler/src/test/java/frostreel/control/FileCommandReplicatorTest.java
+++ b/pooler/src/test/java/frostreel/control/FileCommandReplicatorTest.java
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void earlierCommandsAreReceivedBeforeTheyCountAsRestored() throws Exception {
+    void receivesEarlierCommandsBeforeTheyCountAsRestored() throws Exception {
         new CommandStore(folder, "earlier1").write(SUSPENDED);
         new CommandStore(folder, "earlier2").write(PAUSED);
         Map<CommandTarget, CommandState> received = new HashMap<>();
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void withoutEarlierProcessesNothingIsRestored() throws Exception {
+    void restoresNothingWithoutEarlierProcesses() throws Exception {
         List<Map<CommandTarget, CommandState>> received = new ArrayList<>();
         CompletableFuture<Boolean> restoredNothing = new CompletableFuture<>();
         loop.thread()
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void commandsThatOthersRecordLaterAreReceivedWhileWatching() throws Exception {
+    void receivesLaterCommandsOfOthersWhileWatching() throws Exception {
         CompletableFuture<Map<CommandTarget, CommandState>> received = new CompletableFuture<>();
         loop.thread().execute(() -> replicator.watch(received::complete));
         new CommandStore(folder, "other").write(SUSPENDED);
@@ -73,7 +73,7 @@
     }
 
     @Test
-    void publishedCommandsAreDurableAndFoundByASuccessor() throws Exception {
+    void storesPublishedCommandsForSuccessors() throws Exception {
         CompletableFuture<Durability> durability = new CompletableFuture<>();
         loop.thread().execute(() -> replicator.publish(SUSPENDED, durability::complete));
         assertThat(durability.get()).isEqualTo(Durability.DURABLE);
@@ -83,7 +83,7 @@
 
     /** Commands that were answered while the disk failed are not lost to a successor. */
     @Test
-    void aFailedWriteIsRetriedUntilTheDiskTakesIt() throws Exception {
+    void retriesFailedWritesUntilTheDiskTakesThem() throws Exception {
         Path inItsPlace = Files.writeString(folder, "a file in its place");
         CompletableFuture<Durability> durability = new CompletableFuture<>();
         loop.thread().execute(() -> replicator.publish(SUSPENDED, durability::complete));
@@ -99,7 +99,7 @@
     }
 
     @Test
-    void aProcessThatSharesWithNoOtherHasNothingToRestoreAndNothingToWrite() {
+    void restoresAndWritesNothingWithoutOtherProcesses() {
         List<String> events = new ArrayList<>();
         CommandReplicator.NONE.restore(commands -> events.add("received"), () -> events.add("restored"));
         CommandReplicator.NONE.watch(commands -> events.add("received"));
--- a/pooler/src/test/java/frostreel/control/ProcessWithoutCommitTableTest.java
+++ b/pooler/src/test/java/frostreel/control/ProcessWithoutCommitTableTest.java
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void commandsGoBothWaysBesideTheCommitTableAndTheOldProcessDoesNotRemoveIt() throws Exception {
+    void exchangesCommandsBothWaysAndKeepsTheCommitTable() throws Exception {
         CommandStore oldStore = new CommandStore(dir, "old");
         oldStore.write(SUSPENDED);
         SharedCommitTable successor = table(1);
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void fromTheSuccessorOnEachProcessKnowsTheCommitsOfTheOthers() throws Exception {
+    void processesFromTheSuccessorOnKnowEachOthersCommits() throws Exception {
         new CommandStore(dir, "old").write(SUSPENDED);
         SharedCommitTable successor = table(1);
         successor.onSent(NOW_US, 7, NOW_US + 1_000_000);
--- a/pooler/src/test/java/frostreel/control/StoredFilesOf223cd4eTest.java
+++ b/pooler/src/test/java/frostreel/control/StoredFilesOf223cd4eTest.java
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void commandsAreReadAlike() throws Exception {
+    void readsCommandsAlike() throws Exception {
         for (Path file : storedCommandFiles()) {
             copyOfStored(file);
         }
@@ -92,7 +92,7 @@
     }
 
     @Test
-    void commandsAreWrittenToTheSameBytes() throws Exception {
+    void writesCommandsToTheSameBytes() throws Exception {
         for (Path file : storedCommandFiles()) {
             byte[] whole = Files.readAllBytes(file);
             String name = file.getFileName().toString();
@@ -104,7 +104,7 @@
     }
 
     @Test
-    void commandsCutShortAreReadAlike() throws Exception {
+    void readsCommandsCutShortAlike() throws Exception {
         List<String[]> expected = expected("cut-commands");
         assertThat(expected).hasSameSizeAs(storedCommandFiles());
         for (String[] row : expected) {
@@ -125,7 +125,7 @@
     }
 
     @Test
-    void commitsAreReadAndWrittenAlike() throws Exception {
+    void readsAndWritesCommitsAlike() throws Exception {
         copyOfStored(stored().resolve("commits"));
         CommitTableFile file = CommitTableFile.open(folder);
         assertThat(file.replacementReason().isPresent())
@@ -155,7 +155,7 @@
     }
 
     @Test
-    void commitsCutShortAreReplacedAlike() throws Exception {
+    void replacesCommitsCutShortAlike() throws Exception {
         byte[] whole = Files.readAllBytes(stored().resolve("commits"));
         Path file = folder.resolve("commits");
         for (String[] row : expected("cut-commits")) {
@@ -168,7 +168,7 @@
 
     /** The boot id in the file is that of the machine that wrote it; this machine's is put in its place. */
     @Test
-    void theClockWholeAndCutShortIsReadAlike() throws Exception {
+    void readsTheClockWholeAndCutShortAlike() throws Exception {
         String written = Files.readString(stored().resolve("clock"), StandardCharsets.US_ASCII);
         String bootId =
                 Files.readString(Path.of("/proc/sys/kernel/random/boot_id")).strip();
@@ -194,7 +194,7 @@
     }
 
     @Test
-    void theClockOfAnotherBootIsReplaced() throws Exception {
+    void replacesTheClockOfAnotherBoot() throws Exception {
         String written = Files.readString(stored().resolve("clock"), StandardCharsets.US_ASCII);
         String ofAnotherBoot = "0".repeat(written.indexOf(' ')) + written.substring(written.indexOf(' '));
         Files.writeString(folder.resolve("clock"), ofAnotherBoot, StandardCharsets.US_ASCII);
