--- a/pooler/src/main/java/frostreel/EndpointSource.java
+++ b/pooler/src/main/java/frostreel/EndpointSource.java
@@ -23,9 +23,9 @@
     static final long CONFIGURED_LIST_PATIENCE_US = 100_000;
 
     /** How long a pooler with no configured list waits for the first list before it serves without servers. */
-    private static final long FIRST_LIST_PATIENCE_US = 2_000_000;
+    static final long FIRST_LIST_PATIENCE_US = 2_000_000;
     /** How many times longer the wait is, counted from the start, if no connection to discovery is established. */
-    private static final int UNREACHABLE_PATIENCE_FACTOR = 3;
+    static final int UNREACHABLE_PATIENCE_FACTOR = 3;
 
     private static final Logger LOG = Logger.getLogger(EndpointSource.class.getName());
 
--- /dev/null
+++ b/pooler/src/test/java/frostreel/ConfigReloaderTest.java
@@ -0,0 +1,146 @@
+package frostreel;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import frostreel.backend.ServerPool;
+import frostreel.broker.Broker;
+import frostreel.config.Config;
+import frostreel.operation.RequestClassRegistry;
+import frostreel.operation.ServingLifecycle;
+import frostreel.routing.Router;
+import frostreel.settings.OperatorSettings;
+import java.lang.reflect.Proxy;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+
+class ConfigReloaderTest {
+    private static final String CONFIGURATION = PoolerHarness.configuration("127.0.0.1:1");
+    private static final String FOUR_ATTEMPTS = "\"maxAttempts\":4";
+    private static final long HALF_TRANSITION_US = RequestClassRegistry.TRANSITION_US / 2;
+
+    /** The settings that the router was given, in their order. */
+    private final List<Router.Settings> applied = new ArrayList<>();
+
+    private ManualLoop manual;
+    private ServingLifecycle lifecycle;
+    private ConfigReloader reloader;
+
+    @BeforeEach
+    void begin() throws Exception {
+        manual = new ManualLoop();
+        Config config = Config.parse(CONFIGURATION, Map.of());
+        Router.Settings settings = config.settings();
+        ServerPool pool = new ServerPool(manual.loop, settings, config.maxServerConnections());
+        Broker broker = new Broker(
+                manual.loop.clock(),
+                manual.loop.deadlines(),
+                manual.loop.counters(),
+                pool,
+                settings,
+                config.maxOpenRequests(),
+                (initial, actions) -> recordingRouter());
+        lifecycle = new ServingLifecycle(false, ConfigReloader.longestDeadlineUs(settings));
+        EndpointSource endpoints = new EndpointSource(manual.loop, config, 0, (list, kind) -> {}, () -> {});
+        reloader = new ConfigReloader(
+                manual.loop,
+                pool,
+                broker,
+                lifecycle,
+                new RequestClassRegistry(settings.classes()),
+                endpoints,
+                null,
+                config,
+                OperatorSettings.DEFAULT);
+    }
+
+    @AfterEach
+    void end() throws Exception {
+        manual.end();
+    }
+
+    /** A router that records its settings and decides nothing. */
+    private Router recordingRouter() {
+        return (Router) Proxy.newProxyInstance(
+                Router.class.getClassLoader(), new Class<?>[] {Router.class}, (proxy, method, arguments) -> {
+                    assertThat(method.getName()).isEqualTo("onSettings");
+                    applied.add((Router.Settings) arguments[0]);
+                    return null;
+                });
+    }
+
+    private void reload(String configuration) throws Exception {
+        reloader.reload(Config.parse(configuration, Map.of()));
+        manual.run(() -> {}); // The reload is queued on the loop before this.
+    }
+
+    private void reloadWithMaxAttempts(int maxAttempts) throws Exception {
+        reload(CONFIGURATION.replace(FOUR_ATTEMPTS, "\"maxAttempts\":" + maxAttempts));
+    }
+
+    private Router.Settings inForce() {
+        return applied.get(applied.size() - 1);
+    }
+
+    private int maxAttempts() {
+        return inForce().limits().maxAttempts();
+    }
+
+    @Test
+    void appliesLowerLimitOnAttemptsAtOnce() throws Exception {
+        reloadWithMaxAttempts(2);
+
+        assertThat(maxAttempts()).isEqualTo(2);
+    }
+
+    @Test
+    void appliesHigherLimitOnAttemptsAfterTheTransition() throws Exception {
+        reloadWithMaxAttempts(6);
+        manual.advance(RequestClassRegistry.TRANSITION_US - 1);
+        assertThat(maxAttempts()).isEqualTo(4);
+
+        manual.advance(1);
+
+        assertThat(maxAttempts()).isEqualTo(6);
+    }
+
+    @Test
+    void newReloadReplacesTheEndOfAnEarlierTransition() throws Exception {
+        reloadWithMaxAttempts(6);
+        manual.advance(HALF_TRANSITION_US);
+        reloadWithMaxAttempts(5);
+
+        manual.advance(HALF_TRANSITION_US);
+        assertThat(maxAttempts()).as("when the first one's was due").isEqualTo(4);
+
+        manual.advance(HALF_TRANSITION_US);
+        assertThat(maxAttempts()).as("after the second one's").isEqualTo(5);
+    }
+
+    @Test
+    void keepsDroppedClassesForRequestsInFlight() throws Exception {
+        reload(CONFIGURATION.replace("\"name\":\"post\"", "\"name\":\"pay\""));
+
+        assertThat(inForce().classes()).extracting(Router.RequestClass::name).containsExactly("look", "post", "pay");
+    }
+
+    @Test
+    void appliesTheLongestDeadlineOfTheNewClassesToTheShutdown() throws Exception {
+        long beforeUs = lifecycle.shutdownTimeoutUs();
+
+        reload(CONFIGURATION.replace("\"deadlineS\":10", "\"deadlineS\":7"));
+
+        assertThat(beforeUs - lifecycle.shutdownTimeoutUs()).isEqualTo(3_000_000);
+    }
+
+    @Test
+    void longestDeadlineIsZeroWithoutClasses() throws Exception {
+        Router.Settings settings = Config.parse(CONFIGURATION, Map.of()).settings();
+
+        assertThat(ConfigReloader.longestDeadlineUs(settings.with(List.of(), 1)))
+                .isZero();
+    }
+}
--- /dev/null
+++ b/pooler/src/test/java/frostreel/ShutdownSequenceTest.java
@@ -0,0 +1,124 @@
+package frostreel;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import frostreel.operation.ServingLifecycle;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.FutureTask;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+
+@Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
+class ShutdownSequenceTest {
+    /** Longer than the interval at which the sequence looks whether all have left. */
+    private static final long STEP_US = 50_000;
+
+    private static final long LONGEST_DEADLINE_US = 3_000_000;
+
+    private final FakeWorkload workload = new FakeWorkload();
+    private ManualLoop manual;
+    private volatile boolean leftCluster;
+
+    /** Clients and requests that are open for as long as a test says so. */
+    private static final class FakeWorkload implements ShutdownSequence.Workload {
+        private final CountDownLatch begun = new CountDownLatch(1);
+        private volatile int openClients;
+        private volatile int openRequests;
+        private volatile int lifecycleApplied;
+
+        @Override
+        public void applyLifecycle() {
+            lifecycleApplied++; // Written on the loop alone.
+            begun.countDown();
+        }
+
+        @Override
+        public int openClients() {
+            return openClients;
+        }
+
+        @Override
+        public int openRequests() {
+            return openRequests;
+        }
+    }
+
+    @BeforeEach
+    void begin() throws Exception {
+        manual = new ManualLoop();
+    }
+
+    @AfterEach
+    void end() throws Exception {
+        manual.end();
+    }
+
+    private FutureTask<Boolean> shutDown(ServingLifecycle lifecycle) throws InterruptedException {
+        ShutdownSequence sequence =
+                new ShutdownSequence(manual.loop, lifecycle, workload, timeoutMs -> leftCluster = true);
+        FutureTask<Boolean> result = new FutureTask<>(sequence::run);
+        new Thread(result).start();
+        workload.begun.await();
+        return result;
+    }
+
+    @Test
+    void handsOverOnceClientsAndRequestsHaveEnded() throws Exception {
+        workload.openClients = 1;
+        workload.openRequests = 1;
+        FutureTask<Boolean> result = shutDown(new ServingLifecycle(true, LONGEST_DEADLINE_US));
+        workload.openClients = 0;
+        manual.advance(STEP_US);
+        assertThat(result.isDone()).as("a request is open").isFalse();
+        assertThat(leftCluster).isFalse();
+
+        workload.openRequests = 0;
+        manual.advance(STEP_US);
+
+        assertThat(result.get()).isTrue();
+        assertThat(leftCluster).isTrue();
+    }
+
+    @Test
+    void staysForTheGracePeriodWithoutSuccessor() throws Exception {
+        FutureTask<Boolean> result = shutDown(new ServingLifecycle(false, LONGEST_DEADLINE_US));
+        manual.advance(ServingLifecycle.SHUTDOWN_GRACE_US - 1);
+        assertThat(result.isDone()).isFalse();
+
+        manual.advance(STEP_US);
+
+        assertThat(result.get()).isTrue();
+    }
+
+    @Test
+    void appliesTheLifecycleWheneverConnectionsHaveToClose() throws Exception {
+        workload.openClients = 1;
+        ServingLifecycle lifecycle = new ServingLifecycle(true, LONGEST_DEADLINE_US);
+        FutureTask<Boolean> result = shutDown(lifecycle);
+        manual.run(() -> {});
+        assertThat(workload.lifecycleApplied).as("at the begin").isEqualTo(1);
+
+        manual.advanceTo(lifecycle.closeIdleAtUs());
+        assertThat(workload.lifecycleApplied).as("idle ones close").isEqualTo(2);
+
+        manual.advanceTo(lifecycle.lastResponseUs());
+        assertThat(workload.lifecycleApplied).as("all close").isEqualTo(3);
+
+        workload.openClients = 0;
+        manual.advance(STEP_US);
+        assertThat(result.get()).isTrue();
+    }
+
+    @Test
+    void givesUpOnClientsThatNeverLeaveAndLeavesTheCluster() throws Exception {
+        workload.openClients = 1;
+        ServingLifecycle withoutRequests = new ServingLifecycle(true, 0); // The wait is as short as it can be.
+
+        FutureTask<Boolean> result = shutDown(withoutRequests);
+
+        assertThat(result.get()).isFalse();
+        assertThat(leftCluster).isTrue();
+    }
+}
