--- a/pooler/src/main/java/frostreel/ConfigReloader.java
+++ b/pooler/src/main/java/frostreel/ConfigReloader.java
@@ -113,7 +113,7 @@
      */
     void reload(Config config, OperatorSettings operators) {
         if (!cluster.equals(operators.cluster())) {
-            LOG.warning("other poolers are named now: they hold from the next start");
+            LOG.warning("the poolers of the cluster changed: applied at the next start");
         }
         int ownZone = config.settings().zone();
         loop.thread()
@@ -122,7 +122,7 @@
 
     private void apply(ZoneSettings zones) {
         if (zonePolicy == null) {
-            LOG.warning("zones are stated now: they hold from the next start");
+            LOG.warning("zones were added: applied at the next start");
         } else {
             zonePolicy.configure(zones);
         }
--- a/pooler/src/main/java/frostreel/ServingSockets.java
+++ b/pooler/src/main/java/frostreel/ServingSockets.java
@@ -64,7 +64,7 @@
             // On a thread of its own, as the exit waits for the shutdown hook, and that for the I/O thread.
             new Thread(() -> System.exit(EXIT_CANNOT_LISTEN), "exit").start();
         } else {
-            LOG.warning("cannot listen yet: " + failure + "; tried again");
+            LOG.warning("cannot listen yet: " + failure + "; retrying");
             loop.deadlines().after(RETRY_INTERVAL_US, () -> open(retryUntilUs));
         }
     }
--- a/pooler/src/main/java/frostreel/cli/Serve.java
+++ b/pooler/src/main/java/frostreel/cli/Serve.java
@@ -47,7 +47,7 @@
             Pooler pooler = new Pooler(config, operators);
             Runtime.getRuntime().addShutdownHook(new Thread(() -> shutDown(pooler), "stop"));
             if (!SighupHandler.handle(() -> reload(pooler))) {
-                LOG.warning("SIGHUP was ignored at the start and will not come: settings wait for a restart");
+                LOG.warning("SIGHUP was ignored at the start and will not arrive: new settings need a restart");
             }
             return KEEP_RUNNING;
         } catch (ConfigException | FaultyFileException fault) {
@@ -68,7 +68,7 @@
         } catch (ConfigException fault) {
             LOG.warning(fault.getMessage() + "; the configuration in force is kept");
         } catch (RejectedExecutionException loopEnded) {
-            LOG.info("stopping: the new configuration is left");
+            LOG.info("stopping: the new configuration is not applied");
         }
     }
 
@@ -77,7 +77,7 @@
             OperatorSettings operators = OperatorSettings.read(settings, config.name());
             Logging.configure(operators.logFormat(), operators.logLevel());
             pooler.reload(config, operators);
-            LOG.info("the settings of " + settings + " hold");
+            LOG.info("settings reloaded from " + settings);
         } catch (FaultyFileException fault) {
             LOG.warning(fault.getMessage() + "; the settings in force are kept");
         }
