--- a/lab/src/main/java/frostreel/lab/virtual/Simulation.java
+++ b/lab/src/main/java/frostreel/lab/virtual/Simulation.java
@@ -148,14 +148,14 @@
     /** Attempts of all poolers since the start. */
     public long attempts() {
         return poolers.all().stream()
-                .mapToLong(pooler -> pooler.counters.attempts)
+                .mapToLong(pooler -> pooler.counters.attemptsStarted)
                 .sum();
     }
 
     /** Exceptions that the program caught: none may be. */
     public long strayExceptions() {
         return poolers.all().stream()
-                .mapToLong(pooler -> pooler.counters.strayExceptions)
+                .mapToLong(pooler -> pooler.counters.unexpectedExceptions)
                 .sum();
     }
 
--- a/pooler/src/main/java/frostreel/ConfigReloader.java
+++ b/pooler/src/main/java/frostreel/ConfigReloader.java
@@ -65,7 +65,7 @@
      */
     void reload(Config config) {
         loop.thread().execute(() -> {
-            loop.counters().reloads++;
+            loop.counters().configReloads++;
             apply(config.settings());
             if (!config.hasSameDiscovery(inForce)) {
                 endpoints.moveTo(config);
--- a/pooler/src/main/java/frostreel/backend/ServerConnection.java
+++ b/pooler/src/main/java/frostreel/backend/ServerConnection.java
@@ -106,7 +106,7 @@
      */
     boolean tryRun(ServerPool.Attempt newAttempt) {
         if (!stream.isQuiet()) {
-            loop.counters().strayBytes++;
+            loop.counters().serverConnectionsOutOfSync++;
             close();
             return false;
         }
@@ -132,7 +132,7 @@
     @Override
     public void received(ByteBuffer in) {
         if (phase == Phase.IDLE) {
-            loop.counters().strayBytes++;
+            loop.counters().serverConnectionsOutOfSync++;
             close();
             return;
         }
@@ -148,7 +148,7 @@
                 onAnswered(reply);
             }
         } catch (PgException e) {
-            loop.counters().malformed++;
+            loop.counters().malformedMessages++;
             end(BackEnd.Result.of(Outcome.ERROR));
         }
     }
@@ -219,7 +219,7 @@
         }
         boolean clean = answer.ready() && reader.buffered() == 0;
         if (answer.ready() && !clean) {
-            loop.counters().strayBytes++;
+            loop.counters().serverConnectionsOutOfSync++;
         }
         if (phase == Phase.STARTUP && (answer.errorCode() != null || !clean)) {
             failOpening(answer.result(false).outcome() == Outcome.REJECTED ? Outcome.REJECTED : Outcome.CONNECT_FAILED);
@@ -241,7 +241,7 @@
 
     private BackEnd.Result result(Reply answer, boolean broken) {
         BackEnd.Result result = attempt.healthCheck ? answer.healthCheckResult(broken) : answer.result(broken);
-        loop.counters().unreadReports += answer.unreadableReports();
+        loop.counters().malformedLoadReports += answer.unreadableReports();
         return result;
     }
 
--- a/pooler/src/main/java/frostreel/backend/ServerPool.java
+++ b/pooler/src/main/java/frostreel/backend/ServerPool.java
@@ -197,7 +197,7 @@
         ServerConnection opened = new ServerConnection(loop, this, server);
         opened.handle = connections.add(opened);
         server.opening.add(opened);
-        loop.counters().serverConnections++;
+        loop.counters().serverConnectionsOpened++;
         opened.open(connectTimeoutUs);
         return attempt;
     }
@@ -209,7 +209,7 @@
     private void evictIdle() {
         Iterator<ServerConnection> longestIdle = idleConnections.iterator();
         if (longestIdle.hasNext()) {
-            loop.counters().serverConnectionsEvicted++;
+            loop.counters().idleServerConnectionsEvicted++;
             longestIdle.next().close();
         }
     }
@@ -280,7 +280,7 @@
 
     /** A connection did not come up. */
     void onOpenFailed(ServerConnection connection, Outcome outcome) {
-        loop.counters().serverConnectFailures++;
+        loop.counters().serverConnectionsFailed++;
         failUnserved(connection.server, outcome);
     }
 
--- a/pooler/src/main/java/frostreel/broker/AttemptRunner.java
+++ b/pooler/src/main/java/frostreel/broker/AttemptRunner.java
@@ -64,7 +64,7 @@
             events.run(() -> reportNotSent(request, attempt, memberId));
             return;
         }
-        counters.attempts++;
+        counters.attemptsStarted++;
         request.memberId = memberId;
         request.sentUs = now;
         if (request.requestClass.access() == Router.Access.WRITE) {
@@ -90,7 +90,7 @@
         long now = clock.now();
         deadlines.cancel(request.attemptTimeout);
         request.attemptHandle = SlotTable.NONE;
-        counters.outcome(result.outcome());
+        counters.countOutcome(result.outcome());
         request.lastOutcome = result.outcome();
         if (result.outcome() != Outcome.OK) {
             log.record(EventLog.Kind.ATTEMPT_FAILED, () -> request.describe(clock.now()));
@@ -105,7 +105,7 @@
         reportWriteEnded(now, request, result.outcome(), result.positionUs());
         if (result.outcome() == Outcome.OK && !request.answered) {
             request.close(deadlines);
-            counters.served++;
+            counters.requestsServed++;
             request.handler.served(result.answer());
         }
         router.onOutcome(
@@ -126,7 +126,7 @@
         if (result.outcome() == Outcome.OK) {
             request.handler.served(result.answer());
         } else {
-            counters.longBroken++;
+            counters.streamedResponsesBroken++;
             request.handler.responseBroken();
         }
         requests.removeIfDone(request);
@@ -150,8 +150,8 @@
         request.close(deadlines);
         deadlines.cancel(request.attemptTimeout);
         request.streaming = true;
-        counters.served++;
-        counters.longAnswers++;
+        counters.requestsServed++;
+        counters.responsesStreamed++;
         reportWriteEnded(now, request, Outcome.OK, 0);
         BackEnd.ResponseStream stream = request.handler.longResponseBegins(source);
         events.run(() -> router.onOutcome(
--- a/pooler/src/main/java/frostreel/broker/Broker.java
+++ b/pooler/src/main/java/frostreel/broker/Broker.java
@@ -128,7 +128,7 @@
      * @return the handle by which its sender may withdraw it; {@link SlotTable#NONE} where it was rejected at once
      */
     public long submit(RequestAttributes attributes, Payload payload, ResponseHandler handler) {
-        counters.requests++;
+        counters.requestsSubmitted++;
         ActiveRequest request = new ActiveRequest(
                 attributes,
                 payload,
@@ -137,7 +137,7 @@
                 settings.limits().maxAttempts());
         if (!requests.reserveSlot(request) || !knownGroups.contains(attributes.group())) {
             requests.freeSlot(request);
-            counters.refused++;
+            counters.requestsRejected++;
             handler.rejected(0);
             return SlotTable.NONE;
         }
@@ -163,7 +163,7 @@
         events.run(() -> {
             ActiveRequest request = requests.get(handle);
             if (request != null && request.streaming) {
-                counters.longBroken++;
+                counters.streamedResponsesBroken++;
                 backEnd.abandon(request.attemptHandle);
                 request.attemptHandle = SlotTable.NONE;
                 requests.removeIfDone(request);
@@ -175,7 +175,7 @@
 
     private void withdrawForGoneClient(ActiveRequest request) {
         if (!request.answered) {
-            counters.clientsGone++;
+            counters.requestsAbandoned++;
             log.record(EventLog.Kind.REQUEST_WITHDRAWN, () -> describe(request) + ": its client has gone");
             withdraw(request);
         }
@@ -189,7 +189,7 @@
         events.run(() -> {
             ActiveRequest request = requests.get(handle);
             if (request != null && !request.answered) {
-                counters.clientsCancelled++;
+                counters.requestsCancelled++;
                 log.record(EventLog.Kind.REQUEST_WITHDRAWN, () -> describe(request) + ": cancelled by its client");
                 withdraw(request);
                 request.handler.cancelled();
@@ -226,7 +226,7 @@
 
     private void onOverdue(ActiveRequest request) {
         if (!request.answered) {
-            counters.overdue++;
+            counters.requestsOverdue++;
             log.record(EventLog.Kind.REQUEST_OVERDUE, () -> describe(request) + ": left open by the decisions");
             request.close(deadlines);
             request.handler.failed();
@@ -261,7 +261,7 @@
             log.record(
                     EventLog.Kind.REQUEST_REFUSED,
                     () -> describe(request) + ": to come back in " + retryAfterUs / 1000 + " ms");
-            counters.refused++;
+            counters.requestsRejected++;
             request.handler.rejected(retryAfterUs);
             requests.removeIfDone(request);
         }
@@ -273,7 +273,7 @@
         if (request != null && !request.answered) {
             request.close(deadlines);
             log.record(EventLog.Kind.REQUEST_FAILED, () -> describe(request));
-            counters.failed++;
+            counters.requestsFailed++;
             request.handler.failed();
             requests.removeIfDone(request);
         }
@@ -281,7 +281,7 @@
 
     @Override
     public void checkHealth(String memberId) {
-        counters.healthChecks++;
+        counters.healthChecksSent++;
         long sentUs = clock.now();
         backEnd.checkHealth(
                 memberId,
--- a/pooler/src/main/java/frostreel/broker/EventQueue.java
+++ b/pooler/src/main/java/frostreel/broker/EventQueue.java
@@ -40,7 +40,7 @@
         try {
             event.run();
         } catch (RuntimeException | Error e) {
-            counters.strayExceptions++;
+            counters.unexpectedExceptions++;
             LOG.log(Level.SEVERE, "an event failed", e);
         }
     }
--- a/pooler/src/main/java/frostreel/control/AdminConnection.java
+++ b/pooler/src/main/java/frostreel/control/AdminConnection.java
@@ -45,7 +45,7 @@
     /** Closes a connection that sent no whole line in time, or whose place another caller needs. */
     void closeSilent() {
         if (state == State.READING_REQUEST) {
-            loop.counters().callersSilent++;
+            loop.counters().adminClientsTimedOut++;
         }
         close();
     }
@@ -75,7 +75,7 @@
 
     private void rejectRequest() {
         state = State.REQUEST_READ;
-        loop.counters().callsRefused++;
+        loop.counters().adminCommandsRejected++;
         reply(AdminReply.LINE_TOO_LONG);
     }
 
--- a/pooler/src/main/java/frostreel/control/CommandExecutor.java
+++ b/pooler/src/main/java/frostreel/control/CommandExecutor.java
@@ -170,9 +170,9 @@
 
     private void complete(String line, AdminReply reply, Consumer<AdminReply> replyTo) {
         if (reply.isSuccess()) {
-            loop.counters().callsDone++;
+            loop.counters().adminCommandsAccepted++;
         } else {
-            loop.counters().callsRefused++;
+            loop.counters().adminCommandsRejected++;
         }
         LOG.info("operator command: " + line.replaceAll(UNPRINTABLE, PLACEHOLDER) + ": " + reply.line());
         replyTo.accept(reply);
--- a/pooler/src/main/java/frostreel/discovery/DiscoveryWatch.java
+++ b/pooler/src/main/java/frostreel/discovery/DiscoveryWatch.java
@@ -127,7 +127,7 @@
     }
 
     private void poll(AgentConnection connection) {
-        loop.counters().watches++;
+        loop.counters().discoveryPolls++;
         boolean first = !requested;
         requested = true;
         if (held.isNone()) {
@@ -152,7 +152,7 @@
             retry(e.getMessage());
             return;
         }
-        loop.counters().lists++;
+        loop.counters().endpointListsReceived++;
         boolean relevant = held.isRelevant(list, connection.fromVersion());
         if (relevant) {
             held.advanceTo(list);
--- a/pooler/src/main/java/frostreel/frontend/ClientConnection.java
+++ b/pooler/src/main/java/frostreel/frontend/ClientConnection.java
@@ -101,7 +101,7 @@
         takeMessages();
         readJustNow = readBefore;
         if (!backlog.isOverrun() && isOpen() && (request.isActive() || !stream.flushed()) && backlog.overruns()) {
-            loop.counters().malformed++;
+            loop.counters().malformedMessages++;
         }
     }
 
@@ -133,7 +133,7 @@
                 }
             }
         } catch (PgException e) {
-            loop.counters().malformed++;
+            loop.counters().malformedMessages++;
             closeWithError(SqlState.PROTOCOL_VIOLATION, e.getMessage());
         } finally {
             takingMessages = false;
@@ -169,7 +169,7 @@
     }
 
     void onMessageTimeout() {
-        loop.counters().clientsSilent++;
+        loop.counters().clientsTimedOut++;
         closeWithError(SqlState.IDLE_SESSION_TIMEOUT, "nothing whole came in time");
     }
 
@@ -203,7 +203,7 @@
             listener.cancel(message.bodyInt(1), message.bodyInt(2));
             close();
         } else if (version >> 16 != Messages.PROTOCOL_3 >> 16) {
-            loop.counters().malformed++;
+            loop.counters().malformedMessages++;
             closeWithError(SqlState.FEATURE_NOT_SUPPORTED, "only version 3 of the protocol is spoken here");
         } else {
             phase = Phase.RUNNING;
@@ -236,7 +236,7 @@
             }
         } else {
             if (!skippingToSync) {
-                loop.counters().malformed++;
+                loop.counters().malformedMessages++;
                 stream.write(Answers.error(SqlState.FEATURE_NOT_SUPPORTED, "only simple queries"));
             }
             skippingToSync = true;
@@ -274,7 +274,7 @@
 
     /** An invalid query is answered by an error, and the next may be valid; too many in a row end the connection. */
     private void onInvalidQuery(String text) {
-        loop.counters().malformed++;
+        loop.counters().malformedMessages++;
         if (++invalidInARow < MAX_INVALID_IN_A_ROW) {
             answer(Answers.error(SqlState.INVALID_PARAMETER_VALUE, text));
         } else {
@@ -286,7 +286,7 @@
         hasAsked = true;
         invalidInARow = 0;
         if (listener.isFull()) {
-            loop.counters().crowdedOut++;
+            loop.counters().requestsRejectedForOverload++;
             answer(Answers.rejected(listener.broker().retryAfterUs(CROWDED_RETRY_AFTER_US)));
             return;
         }
@@ -365,7 +365,7 @@
                 listener.cancel(message.bodyInt(1), message.bodyInt(2));
             }
         } catch (PgException e) {
-            loop.counters().malformed++;
+            loop.counters().malformedMessages++;
         }
         close();
     }
--- a/pooler/src/main/java/frostreel/frontend/Listener.java
+++ b/pooler/src/main/java/frostreel/frontend/Listener.java
@@ -199,7 +199,7 @@
                         && clients.size() - awaitingMessage.size() - lingering.size() > activeLimit;
                 candidates--) {
             if (idle.iterator().next().closeUnlessAsking()) {
-                loop.counters().clientsSpared++;
+                loop.counters().idleClientsTrimmed++;
             }
         }
         closingIdle = false;
@@ -238,7 +238,7 @@
     private void evictIfCrowded() {
         for (ClientConnection client = evictable(); isCrowded() && client != null; client = evictable()) {
             if (client.closeUnlessAsking()) {
-                loop.counters().clientsEvicted++;
+                loop.counters().idleClientsEvicted++;
             }
         }
         while (clients.size() > maxClients - RESERVED_FROM_LINGERING && !lingering.isEmpty()) {
--- a/pooler/src/main/java/frostreel/net/SocketStream.java
+++ b/pooler/src/main/java/frostreel/net/SocketStream.java
@@ -83,7 +83,7 @@
         try {
             task.run();
         } catch (RuntimeException | Error e) {
-            loop.counters().strayExceptions++;
+            loop.counters().unexpectedExceptions++;
             LOG.log(Level.SEVERE, "a connection's handler failed; the connection is closed", e);
             broken();
         }
--- a/pooler/src/test/java/frostreel/broker/EventQueueTest.java
+++ b/pooler/src/test/java/frostreel/broker/EventQueueTest.java
@@ -37,6 +37,6 @@
         });
         events.run(() -> ran.add("later"));
         assertThat(ran).containsExactly("queued", "later");
-        assertThat(counters.strayExceptions).isEqualTo(1);
+        assertThat(counters.unexpectedExceptions).isEqualTo(1);
     }
 }
