--- a/pooler/src/main/java/frostreel/frontend/ClientConnection.java
+++ b/pooler/src/main/java/frostreel/frontend/ClientConnection.java
@@ -8,6 +8,7 @@
 import frostreel.pg.Messages;
 import frostreel.pg.PgException;
 import frostreel.pg.SqlState;
+import frostreel.pg.StartupCode;
 import frostreel.pg.Statement;
 import java.nio.ByteBuffer;
 import java.util.function.Supplier;
@@ -196,13 +197,13 @@
     // ---- Messages. ----
 
     private void onStartup(MessageReader message) throws PgException {
-        int version = message.bodyInt(0);
-        if (version == Messages.SSL_REQUEST || version == Messages.GSS_REQUEST) {
-            stream.write(new byte[] {'N'});
-        } else if (version == Messages.CANCEL_REQUEST) {
+        int code = message.bodyInt(0);
+        if (StartupCode.requestsEncryption(code)) {
+            stream.write(new byte[] {StartupCode.ENCRYPTION_NOT_SUPPORTED});
+        } else if (code == StartupCode.CANCEL_REQUEST) {
             listener.cancel(message.bodyInt(1), message.bodyInt(2));
             close();
-        } else if (version >> 16 != Messages.PROTOCOL_3 >> 16) {
+        } else if (!StartupCode.isProtocol3(code)) {
             loop.counters().malformedMessages++;
             closeWithError(SqlState.FEATURE_NOT_SUPPORTED, "only version 3 of the protocol is spoken here");
         } else {
@@ -361,7 +362,7 @@
         try {
             if (phase == Phase.STARTUP
                     && message.nextStartup()
-                    && message.bodyInt(0) == Messages.CANCEL_REQUEST) { // Its client does not wait for an answer.
+                    && message.bodyInt(0) == StartupCode.CANCEL_REQUEST) { // Its client does not wait for an answer.
                 listener.cancel(message.bodyInt(1), message.bodyInt(2));
             }
         } catch (PgException e) {
--- a/pooler/src/main/java/frostreel/pg/MessageReader.java
+++ b/pooler/src/main/java/frostreel/pg/MessageReader.java
@@ -11,7 +11,10 @@
 public final class MessageReader {
     /** Limits the length of messages. */
     public interface LengthLimit {
-        /** The longest body accepted of a message of this type; negative where no message of the type is. */
+        /** The limit of a type of which no message is accepted. */
+        int NOT_ACCEPTED = -1;
+
+        /** The longest body accepted of a message of this type, or {@link #NOT_ACCEPTED}. */
         int maxLength(byte type);
     }
 
@@ -81,7 +84,7 @@
         }
         // Checked by the type alone: noise must not be waited on for the rest of a message that it seems to begin.
         int maxLength = limit.maxLength(buffer[from]);
-        if (maxLength < 0) {
+        if (maxLength == LengthLimit.NOT_ACCEPTED) {
             throw new PgException("a message of unknown type");
         }
         return take(1, maxLength);
@@ -93,7 +96,7 @@
      */
     public int longRowLength(int maxBuffered) {
         int headers = HEADER_BYTES + ROW_HEADER_BYTES;
-        int length = buffered() < headers || buffer[from] != 'D' ? 0 : intAt(from + 1) - Integer.BYTES;
+        int length = buffered() < headers || buffer[from] != MessageType.DATA_ROW ? 0 : intAt(from + 1) - Integer.BYTES;
         return length > maxBuffered ? length : 0;
     }
 
--- a/pooler/src/main/java/frostreel/pg/Messages.java
+++ b/pooler/src/main/java/frostreel/pg/Messages.java
@@ -5,17 +5,27 @@
 
 /** Makes the messages that the pooler itself sends, to clients and to servers. */
 public final class Messages {
-    /** Version 3.0 of the protocol, as in a startup message. */
-    public static final int PROTOCOL_3 = 3 << 16;
-    /** Codes that stand in place of the version. */
-    public static final int SSL_REQUEST = 80877103;
+    /** Names and values of the ParameterStatus messages that a client gets. */
+    private static final String[][] PARAMETERS = {
+        {"server_version", "15.0"},
+        {"server_encoding", "UTF8"},
+        {"client_encoding", "UTF8"},
+        {"standard_conforming_strings", "on"}
+    };
+    /** Names and values of the parameters in the startup message to a server. */
+    private static final String[] STARTUP_PARAMETERS = {
+        "user", "svc", "database", "main", "application_name", "frostreel"
+    };
 
-    public static final int GSS_REQUEST = 80877104;
-    public static final int CANCEL_REQUEST = 80877102;
+    private static final byte[] ONE_COLUMN = {0, 1};
+    /** Behind a column's name: no table (6 bytes), type 25 (text), of any length, no modifier, in text format. */
+    private static final byte[] TEXT_COLUMN = {0, 0, 0, 0, 0, 0, 0, 0, 0, 25, -1, -1, -1, -1, -1, -1, 0, 0};
+
+    private static final byte[] EMPTY = {};
 
     private Messages() {}
 
-    private static byte[] message(char type, byte[] body) {
+    private static byte[] message(byte type, byte[] body) {
         ByteArrayOutputStream out = new ByteArrayOutputStream(body.length + MessageReader.HEADER_BYTES);
         out.write(type);
         writeInt(out, body.length + Integer.BYTES);
@@ -36,44 +46,48 @@
     }
 
     /**
-     * The answer to a client's startup message: AuthenticationOk, the usual parameters, the key by which it may cancel
-     * a request, and ReadyForQuery.
+     * The response to a client's startup message: AuthenticationOk, the usual parameters, the key by which it may
+     * cancel a request, and ReadyForQuery.
      */
     public static byte[] welcome(int process, int secret) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        out.writeBytes(message('R', new byte[4]));
-        String[] parameters = {
-            "server_version",
-            "15.0",
-            "server_encoding",
-            "UTF8",
-            "client_encoding",
-            "UTF8",
-            "standard_conforming_strings",
-            "on"
-        };
-        for (int i = 0; i < parameters.length; i += 2) {
-            ByteArrayOutputStream body = new ByteArrayOutputStream();
-            writeText(body, parameters[i]);
-            writeText(body, parameters[i + 1]);
-            out.writeBytes(message('S', body.toByteArray()));
+        out.writeBytes(authenticationOk());
+        for (String[] parameter : PARAMETERS) {
+            out.writeBytes(parameterStatus(parameter[0], parameter[1]));
         }
-        ByteArrayOutputStream key = new ByteArrayOutputStream();
-        writeInt(key, process);
-        writeInt(key, secret);
-        out.writeBytes(message('K', key.toByteArray()));
+        out.writeBytes(backendKeyData(process, secret));
         out.writeBytes(readyForQuery());
         return out.toByteArray();
     }
 
+    private static byte[] authenticationOk() {
+        ByteArrayOutputStream body = new ByteArrayOutputStream();
+        writeInt(body, MessageType.AUTHENTICATION_OK);
+        return message(MessageType.AUTHENTICATION, body.toByteArray());
+    }
+
+    private static byte[] parameterStatus(String name, String value) {
+        ByteArrayOutputStream body = new ByteArrayOutputStream();
+        writeText(body, name);
+        writeText(body, value);
+        return message(MessageType.PARAMETER_STATUS, body.toByteArray());
+    }
+
+    private static byte[] backendKeyData(int process, int secret) {
+        ByteArrayOutputStream body = new ByteArrayOutputStream();
+        writeInt(body, process);
+        writeInt(body, secret);
+        return message(MessageType.BACKEND_KEY_DATA, body.toByteArray());
+    }
+
     /** ReadyForQuery, outside of any transaction. */
     public static byte[] readyForQuery() {
-        return message('Z', new byte[] {'I'});
+        return message(MessageType.READY_FOR_QUERY, new byte[] {MessageType.NOT_IN_TRANSACTION});
     }
 
-    /** The answer to an empty query. */
+    /** The response to an empty query. */
     public static byte[] emptyQueryResponse() {
-        return message('I', new byte[0]);
+        return message(MessageType.EMPTY_QUERY_RESPONSE, EMPTY);
     }
 
     /**
@@ -81,27 +95,32 @@
      *
      * @param fatal whether the connection ends with it
      * @param code one of {@link SqlState}
-     * @param detail the field D, null for none
+     * @param detail the detail field, null for none
      */
     public static byte[] error(boolean fatal, String code, String text, String detail) {
         ByteArrayOutputStream body = new ByteArrayOutputStream();
         String severity = fatal ? "FATAL" : "ERROR";
-        String[] fields = {"S", severity, "V", severity, "C", code, "M", text, "D", detail};
-        for (int i = 0; i < fields.length; i += 2) {
-            if (fields[i + 1] != null) {
-                body.write(fields[i].charAt(0));
-                writeText(body, fields[i + 1]);
-            }
+        writeErrorField(body, ErrorField.SEVERITY, severity);
+        writeErrorField(body, ErrorField.SEVERITY_NONLOCALIZED, severity);
+        writeErrorField(body, ErrorField.SQLSTATE, code);
+        writeErrorField(body, ErrorField.MESSAGE, text);
+        if (detail != null) {
+            writeErrorField(body, ErrorField.DETAIL, detail);
         }
         body.write(0);
-        return message('E', body.toByteArray());
+        return message(MessageType.ERROR_RESPONSE, body.toByteArray());
+    }
+
+    private static void writeErrorField(ByteArrayOutputStream out, byte field, String value) {
+        out.write(field);
+        writeText(out, value);
     }
 
     /** The startup message to a server. */
     public static byte[] startup() {
         ByteArrayOutputStream body = new ByteArrayOutputStream();
-        writeInt(body, PROTOCOL_3);
-        for (String text : new String[] {"user", "svc", "database", "main", "application_name", "frostreel"}) {
+        writeInt(body, StartupCode.PROTOCOL_3_0);
+        for (String text : STARTUP_PARAMETERS) {
             writeText(body, text);
         }
         body.write(0);
@@ -113,27 +132,38 @@
 
     /** A simple query; {@code sql}: the statement and its terminating zero byte. */
     public static byte[] query(byte[] sql) {
-        return message('Q', sql);
+        return message(MessageType.QUERY, sql);
     }
 
-    /** An answer of one row with one column of text. */
+    /** A response of one row with one column of text: RowDescription, DataRow and CommandComplete. */
     public static byte[] row(String column, String value) {
-        byte[] text = value.getBytes(StandardCharsets.UTF_8);
-        ByteArrayOutputStream description = new ByteArrayOutputStream();
-        description.writeBytes(new byte[] {0, 1});
-        writeText(description, column);
-        // No table, type 25 (text) of any length, text format.
-        description.writeBytes(new byte[] {0, 0, 0, 0, 0, 0, 0, 0, 0, 25, -1, -1, -1, -1, -1, -1, 0, 0});
-        ByteArrayOutputStream data = new ByteArrayOutputStream();
-        data.writeBytes(new byte[] {0, 1});
-        writeInt(data, text.length);
-        data.writeBytes(text);
-        ByteArrayOutputStream tag = new ByteArrayOutputStream();
-        writeText(tag, "SHOW");
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        out.writeBytes(message('T', description.toByteArray()));
-        out.writeBytes(message('D', data.toByteArray()));
-        out.writeBytes(message('C', tag.toByteArray()));
+        out.writeBytes(rowDescription(column));
+        out.writeBytes(dataRow(value));
+        out.writeBytes(commandComplete("SHOW"));
         return out.toByteArray();
     }
+
+    private static byte[] rowDescription(String column) {
+        ByteArrayOutputStream body = new ByteArrayOutputStream();
+        body.writeBytes(ONE_COLUMN);
+        writeText(body, column);
+        body.writeBytes(TEXT_COLUMN);
+        return message(MessageType.ROW_DESCRIPTION, body.toByteArray());
+    }
+
+    private static byte[] dataRow(String value) {
+        byte[] text = value.getBytes(StandardCharsets.UTF_8);
+        ByteArrayOutputStream body = new ByteArrayOutputStream();
+        body.writeBytes(ONE_COLUMN);
+        writeInt(body, text.length);
+        body.writeBytes(text);
+        return message(MessageType.DATA_ROW, body.toByteArray());
+    }
+
+    private static byte[] commandComplete(String tag) {
+        ByteArrayOutputStream body = new ByteArrayOutputStream();
+        writeText(body, tag);
+        return message(MessageType.COMMAND_COMPLETE, body.toByteArray());
+    }
 }
--- a/pooler/src/main/java/frostreel/pg/Reply.java
+++ b/pooler/src/main/java/frostreel/pg/Reply.java
@@ -66,10 +66,17 @@
     /** The longest body of a server's message of this type; negative where there is none. */
     public static int maxLength(byte type) {
         return switch (type) {
-            case 'D' -> MAX_ROW;
-            case 'Z' -> 1;
-            case 'T', 'C', 'S', 'E', 'R', 'N', 'K', 'A' -> MAX_OTHER_MESSAGE;
-            default -> -1;
+            case MessageType.DATA_ROW -> MAX_ROW;
+            case MessageType.READY_FOR_QUERY -> 1;
+            case MessageType.AUTHENTICATION,
+                    MessageType.BACKEND_KEY_DATA,
+                    MessageType.PARAMETER_STATUS,
+                    MessageType.ROW_DESCRIPTION,
+                    MessageType.COMMAND_COMPLETE,
+                    MessageType.ERROR_RESPONSE,
+                    MessageType.NOTICE_RESPONSE,
+                    MessageType.NOTIFICATION_RESPONSE -> MAX_OTHER_MESSAGE;
+            default -> MessageReader.LengthLimit.NOT_ACCEPTED;
         };
     }
 
@@ -84,34 +91,37 @@
             throw new PgException("an answer of over " + MAX_ANSWER + " bytes");
         }
         switch (reader.type()) {
-            case 'T' -> {
+            case MessageType.ROW_DESCRIPTION -> {
                 advance(part == Part.QUERY_SENT && describesOneColumn(reader.body()), Part.DESCRIBED);
                 reader.copyTo(answer);
             }
-            case 'D' -> {
+            case MessageType.DATA_ROW -> {
                 row = reader.body();
                 advance(part == Part.DESCRIBED && holdsOneValue(row), Part.ROW);
                 reader.copyTo(answer);
             }
-            case 'C' -> {
+            case MessageType.COMMAND_COMPLETE -> {
                 byte[] tag = reader.body();
                 advance(part == Part.ROW && tag.length > 1 && textEnd(tag, 0) == tag.length - 1, Part.COMPLETE);
                 reader.copyTo(answer);
             }
-            case 'E' -> {
+            case MessageType.ERROR_RESPONSE -> {
                 errorIsWholeAnswer = part == Part.QUERY_SENT || part == Part.STARTUP_SENT || part == Part.AUTHENTICATED;
                 advance(part != Part.COMPLETE && part != Part.ERROR, Part.ERROR);
                 readError(reader.body());
             }
-            case 'Z' ->
+            case MessageType.READY_FOR_QUERY ->
                 advance(
                         (part == Part.AUTHENTICATED || part == Part.COMPLETE || part == Part.ERROR)
                                 && reader.length() == 1
-                                && reader.body()[0] == 'I',
+                                && reader.body()[0] == MessageType.NOT_IN_TRANSACTION,
                         Part.READY);
-            case 'R' -> advance(part == Part.STARTUP_SENT && reader.bodyInt(0) == 0, Part.AUTHENTICATED);
-            case 'K' -> advance(part == Part.AUTHENTICATED, Part.AUTHENTICATED);
-            case 'S' -> readParameter(reader.body());
+            case MessageType.AUTHENTICATION ->
+                advance(
+                        part == Part.STARTUP_SENT && reader.bodyInt(0) == MessageType.AUTHENTICATION_OK,
+                        Part.AUTHENTICATED);
+            case MessageType.BACKEND_KEY_DATA -> advance(part == Part.AUTHENTICATED, Part.AUTHENTICATED);
+            case MessageType.PARAMETER_STATUS -> readParameter(reader.body());
             default -> {} // Notices and notifications.
         }
     }
@@ -185,9 +195,9 @@
         while (at < body.length && body[at] != 0) {
             int end = textEnd(body, at);
             String value = new String(body, at + 1, end - at - 1, StandardCharsets.UTF_8);
-            if (body[at] == 'C') {
+            if (body[at] == ErrorField.SQLSTATE) {
                 errorCode = value;
-            } else if (body[at] == 'S' || body[at] == 'V') {
+            } else if (body[at] == ErrorField.SEVERITY || body[at] == ErrorField.SEVERITY_NONLOCALIZED) {
                 fatal |= value.equals("FATAL") || value.equals("PANIC");
             }
             at = end + 1;
