--- a/pooler/src/main/java/frostreel/backend/ServerConnection.java
+++ b/pooler/src/main/java/frostreel/backend/ServerConnection.java
@@ -241,7 +241,7 @@
 
     private BackEnd.Result result(Reply answer, boolean broken) {
         BackEnd.Result result = attempt.healthCheck ? answer.healthCheckResult(broken) : answer.result(broken);
-        loop.counters().malformedLoadReports += answer.unreadableReports();
+        loop.counters().malformedLoadReports += answer.malformedReports();
         return result;
     }
 
--- a/pooler/src/main/java/frostreel/pg/MessageReader.java
+++ b/pooler/src/main/java/frostreel/pg/MessageReader.java
@@ -153,6 +153,11 @@
         return intAt(bodyFrom + index * Integer.BYTES);
     }
 
+    /** The byte of its body at this index, which must be less than its length. */
+    byte bodyByte(int index) {
+        return buffer[bodyFrom + index];
+    }
+
     private int intAt(int at) {
         return buffer[at] << 24 | (buffer[at + 1] & 255) << 16 | (buffer[at + 2] & 255) << 8 | (buffer[at + 3] & 255);
     }
--- a/pooler/src/main/java/frostreel/pg/Reply.java
+++ b/pooler/src/main/java/frostreel/pg/Reply.java
@@ -1,73 +1,72 @@
 package frostreel.pg;
 
 import frostreel.request.BackEnd;
-import frostreel.routing.Router;
 import frostreel.routing.Router.Outcome;
 import java.io.ByteArrayOutputStream;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
 /**
- * What a server has answered so far to one query, or to the startup message; owns the bytes of the answer until it is
- * complete. Messages are accepted in the protocol's order and in their complete inner form alone: a damaged answer may
- * look much like a good one, and what is passed on has to be what the server made for this request.
+ * A server's reply to one query, or to the startup message, as far as it has come; owns its bytes until it is complete.
+ * Messages are accepted in the protocol's order and in their exact form alone: a corrupt reply may closely resemble a
+ * valid one, and only what the server sent for this request may be forwarded.
  */
 public final class Reply {
-    /** How far the answer has come, by its last message. */
-    private enum Part {
+    /** How far the reply has come, by its last message. */
+    private enum State {
         STARTUP_SENT,
         AUTHENTICATED,
         QUERY_SENT,
-        DESCRIBED,
-        ROW,
-        COMPLETE,
-        ERROR,
+        ROW_DESCRIBED,
+        ROW_RECEIVED,
+        COMMAND_COMPLETE,
+        ERROR_RECEIVED,
         READY
     }
 
     /** The longest row that is buffered until it is complete: a value of 64 KiB with its header. */
     public static final int MAX_BUFFERED_ROW = (1 << 16) + MessageReader.ROW_HEADER_BYTES;
-    /** The longest row that is streamed; one that claims to be longer is noise. */
+    /** The longest row that is streamed; the length of a longer one is taken for corrupt. */
     private static final int MAX_ROW = 1 << 24;
 
     private static final int MAX_OTHER_MESSAGE = 1 << 13;
-    /** All messages of one answer together, as notices without end are no answer either. */
-    private static final int MAX_ANSWER = MAX_BUFFERED_ROW + (1 << 16);
+    private static final int READY_FOR_QUERY_BYTES = 1;
+    /** Bounds all messages of one reply together, as notices could otherwise go on without end. */
+    private static final int MAX_REPLY = MAX_BUFFERED_ROW + (1 << 16);
     /** What follows the name of a described column: table, number, type, length, modifier, format. */
     private static final int COLUMN_DESCRIPTION_BYTES = 18;
 
-    private static final int INITIAL_ANSWER_BYTES = 256;
-    private final ByteArrayOutputStream answer = new ByteArrayOutputStream(INITIAL_ANSWER_BYTES);
-    private Part part;
+    private static final int INITIAL_BUFFER_BYTES = 256;
+    private final ByteArrayOutputStream buffer = new ByteArrayOutputStream(INITIAL_BUFFER_BYTES);
+    private final ServerStatus status = new ServerStatus();
+    private State state;
     private int receivedBytes;
+    /** The body of the row; null until it has come, and for one that is streamed. */
     private byte[] row;
-    private String errorCode;
-    private boolean errorIsWholeAnswer;
-    private boolean fatal;
-    private Router.Role role = Router.Role.UNKNOWN;
-    private long positionUs;
-    private Router.Report report;
-    private int unreadableReports;
-
-    private Reply(Part first) {
-        part = first;
+    /** The error, null while none has come. */
+    private ErrorResponse error;
+    /** Whether the error came in place of a result, not within one. */
+    private boolean errorIsWholeReply;
+
+    private Reply(State first) {
+        state = first;
     }
 
-    /** The answer to the startup message, of which nothing has come. */
+    /** The reply to the startup message, of which nothing has come. */
     public static Reply toStartup() {
-        return new Reply(Part.STARTUP_SENT);
+        return new Reply(State.STARTUP_SENT);
     }
 
-    /** The answer to a query, of which nothing has come. */
+    /** The reply to a query, of which nothing has come. */
     public static Reply toQuery() {
-        return new Reply(Part.QUERY_SENT);
+        return new Reply(State.QUERY_SENT);
     }
 
-    /** The longest body of a server's message of this type; negative where there is none. */
+    /** The longest body of a server's message of this type, as a {@link MessageReader.LengthLimit}. */
     public static int maxLength(byte type) {
         return switch (type) {
             case MessageType.DATA_ROW -> MAX_ROW;
-            case MessageType.READY_FOR_QUERY -> 1;
+            case MessageType.READY_FOR_QUERY -> READY_FOR_QUERY_BYTES;
             case MessageType.AUTHENTICATION,
                     MessageType.BACKEND_KEY_DATA,
                     MessageType.PARAMETER_STATUS,
@@ -80,52 +79,67 @@
         };
     }
 
+    // ---- The messages, in their order. ----
+
     /**
-     * Takes the current message of the reader in.
+     * Accepts the current message of the reader.
      *
-     * @throws PgException where it does not fit behind what came before
+     * @throws PgException where it is malformed, or may not follow what came before
      */
-    public void accept(MessageReader reader) throws PgException {
-        receivedBytes += reader.length();
-        if (receivedBytes > MAX_ANSWER) {
-            throw new PgException("an answer of over " + MAX_ANSWER + " bytes");
+    public void accept(MessageReader message) throws PgException {
+        receivedBytes += message.length();
+        if (receivedBytes > MAX_REPLY) {
+            throw new PgException("a reply of over " + MAX_REPLY + " bytes");
         }
-        switch (reader.type()) {
-            case MessageType.ROW_DESCRIPTION -> {
-                advance(part == Part.QUERY_SENT && describesOneColumn(reader.body()), Part.DESCRIBED);
-                reader.copyTo(answer);
-            }
-            case MessageType.DATA_ROW -> {
-                row = reader.body();
-                advance(part == Part.DESCRIBED && holdsOneValue(row), Part.ROW);
-                reader.copyTo(answer);
-            }
-            case MessageType.COMMAND_COMPLETE -> {
-                byte[] tag = reader.body();
-                advance(part == Part.ROW && tag.length > 1 && textEnd(tag, 0) == tag.length - 1, Part.COMPLETE);
-                reader.copyTo(answer);
-            }
-            case MessageType.ERROR_RESPONSE -> {
-                errorIsWholeAnswer = part == Part.QUERY_SENT || part == Part.STARTUP_SENT || part == Part.AUTHENTICATED;
-                advance(part != Part.COMPLETE && part != Part.ERROR, Part.ERROR);
-                readError(reader.body());
-            }
-            case MessageType.READY_FOR_QUERY ->
-                advance(
-                        (part == Part.AUTHENTICATED || part == Part.COMPLETE || part == Part.ERROR)
-                                && reader.length() == 1
-                                && reader.body()[0] == MessageType.NOT_IN_TRANSACTION,
-                        Part.READY);
-            case MessageType.AUTHENTICATION ->
-                advance(
-                        part == Part.STARTUP_SENT && reader.bodyInt(0) == MessageType.AUTHENTICATION_OK,
-                        Part.AUTHENTICATED);
-            case MessageType.BACKEND_KEY_DATA -> advance(part == Part.AUTHENTICATED, Part.AUTHENTICATED);
-            case MessageType.PARAMETER_STATUS -> readParameter(reader.body());
-            default -> {} // Notices and notifications.
+        switch (message.type()) {
+            case MessageType.AUTHENTICATION -> onAuthentication(message);
+            case MessageType.BACKEND_KEY_DATA -> advance(state == State.AUTHENTICATED, State.AUTHENTICATED);
+            case MessageType.ROW_DESCRIPTION -> onRowDescription(message);
+            case MessageType.DATA_ROW -> onDataRow(message);
+            case MessageType.COMMAND_COMPLETE -> onCommandComplete(message);
+            case MessageType.ERROR_RESPONSE -> onError(message);
+            case MessageType.READY_FOR_QUERY -> onReadyForQuery(message);
+            case MessageType.PARAMETER_STATUS -> status.acceptParameter(message.body());
+            default -> {} // Notices and notifications may come at any time.
         }
     }
 
+    private void onAuthentication(MessageReader message) throws PgException {
+        advance(
+                state == State.STARTUP_SENT && message.bodyInt(0) == MessageType.AUTHENTICATION_OK,
+                State.AUTHENTICATED);
+    }
+
+    private void onRowDescription(MessageReader message) throws PgException {
+        advance(state == State.QUERY_SENT && describesOneColumn(message.body()), State.ROW_DESCRIBED);
+        message.copyTo(buffer);
+    }
+
+    private void onDataRow(MessageReader message) throws PgException {
+        row = message.body();
+        advance(state == State.ROW_DESCRIBED && holdsOneValue(row), State.ROW_RECEIVED);
+        message.copyTo(buffer);
+    }
+
+    private void onCommandComplete(MessageReader message) throws PgException {
+        advance(state == State.ROW_RECEIVED && isOneText(message.body()), State.COMMAND_COMPLETE);
+        message.copyTo(buffer);
+    }
+
+    private void onError(MessageReader message) throws PgException {
+        errorIsWholeReply = state == State.QUERY_SENT || state == State.STARTUP_SENT || state == State.AUTHENTICATED;
+        advance(state != State.COMMAND_COMPLETE && state != State.ERROR_RECEIVED, State.ERROR_RECEIVED);
+        error = ErrorResponse.parse(message.body());
+    }
+
+    private void onReadyForQuery(MessageReader message) throws PgException {
+        boolean expected =
+                state == State.AUTHENTICATED || state == State.COMMAND_COMPLETE || state == State.ERROR_RECEIVED;
+        boolean idle =
+                message.length() == READY_FOR_QUERY_BYTES && message.bodyByte(0) == MessageType.NOT_IN_TRANSACTION;
+        advance(expected && idle, State.READY);
+    }
+
     /**
      * Begins to stream a row that is too long to be buffered.
      *
@@ -133,24 +147,24 @@
      * @return what came before it; only what comes after it will be in the result
      */
     public byte[] beginLongRow(boolean holdsOneValue) throws PgException {
-        advance(part == Part.DESCRIBED && holdsOneValue, Part.ROW);
-        byte[] before = answer.toByteArray();
-        answer.reset();
+        advance(state == State.ROW_DESCRIBED && holdsOneValue, State.ROW_RECEIVED);
+        byte[] before = buffer.toByteArray();
+        buffer.reset();
         return before;
     }
 
-    private void advance(boolean fits, Part next) throws PgException {
-        if (!fits) {
-            throw new PgException("a message that does not fit after " + part);
+    private void advance(boolean valid, State next) throws PgException {
+        if (!valid) {
+            throw new PgException("a message that is malformed or does not fit after " + state);
         }
-        part = next;
+        state = next;
     }
 
     private static boolean describesOneColumn(byte[] body) throws PgException {
         return body.length > 2
                 && body[0] == 0
                 && body[1] == 1
-                && textEnd(body, 2) + 1 + COLUMN_DESCRIPTION_BYTES == body.length;
+                && BodyText.end(body, 2) + 1 + COLUMN_DESCRIPTION_BYTES == body.length;
     }
 
     private static boolean holdsOneValue(byte[] body) {
@@ -160,107 +174,73 @@
                 && row.getInt() == row.remaining();
     }
 
-    /** The offset of the zero byte that ends the text at {@code from}. */
-    private static int textEnd(byte[] body, int from) throws PgException {
-        for (int i = from; i < body.length; i++) {
-            if (body[i] == 0) {
-                return i;
-            }
-        }
-        throw new PgException("a text without its end mark");
-    }
-
-    /** What a server reports of itself beside a value; an unreadable report is skipped, and the value is valid. */
-    private void readParameter(byte[] body) {
-        try {
-            int end = textEnd(body, 0);
-            String name = new String(body, 0, end, StandardCharsets.UTF_8);
-            String value = new String(body, end + 1, textEnd(body, end + 1) - end - 1, StandardCharsets.UTF_8);
-            switch (name) {
-                case "role" ->
-                    role = value.equals("primary")
-                            ? Router.Role.PRIMARY
-                            : value.equals("replica") ? Router.Role.REPLICA : Router.Role.UNKNOWN;
-                case "applied_ms" -> positionUs = (long) (LoadReport.parseNumber(value) * 1000);
-                case "load" -> report = LoadReport.parse(value);
-                default -> {}
-            }
-        } catch (PgException e) {
-            unreadableReports++;
-        }
+    /** Whether the body is one string, and not an empty one. */
+    private static boolean isOneText(byte[] body) throws PgException {
+        return body.length > 1 && BodyText.end(body, 0) == body.length - 1;
     }
 
-    private void readError(byte[] body) throws PgException {
-        int at = 0;
-        while (at < body.length && body[at] != 0) {
-            int end = textEnd(body, at);
-            String value = new String(body, at + 1, end - at - 1, StandardCharsets.UTF_8);
-            if (body[at] == ErrorField.SQLSTATE) {
-                errorCode = value;
-            } else if (body[at] == ErrorField.SEVERITY || body[at] == ErrorField.SEVERITY_NONLOCALIZED) {
-                fatal |= value.equals("FATAL") || value.equals("PANIC");
-            }
-            at = end + 1;
-        }
-        if (errorCode == null || at != body.length - 1) {
-            throw new PgException("an error that is not whole");
-        }
-    }
+    // ---- The result. ----
 
     /** Whether ReadyForQuery has come, so that the connection may be used again. */
     public boolean ready() {
-        return part == Part.READY;
+        return state == State.READY;
     }
 
-    /** Whether nothing more is to come of this answer. */
+    /** Whether nothing more is to come of this reply. */
     public boolean ended() {
-        return ready() || fatal;
+        return ready() || (error != null && error.fatal());
     }
 
     /** The SQLSTATE of an error, null while none has come. */
     public String errorCode() {
-        return errorCode;
+        return error == null ? null : error.sqlState();
     }
 
-    /** How many of the reports in it could not be read. */
-    public int unreadableReports() {
-        return unreadableReports;
+    /** How many of the reports in it could not be parsed. */
+    public int malformedReports() {
+        return status.malformedReports();
     }
 
-    /** How the attempt ended; {@code broken}: whether the connection ended before the answer did. */
+    /** How the attempt ended; {@code broken}: whether the connection ended before the reply did. */
     public BackEnd.Result result(boolean broken) {
-        Outcome outcome;
-        if (errorCode != null) {
-            outcome = !errorIsWholeAnswer
-                    ? Outcome.ERROR
-                    : switch (errorCode) {
-                        case SqlState.TOO_MANY_CONNECTIONS -> Outcome.REJECTED;
-                        case SqlState.READ_ONLY_SQL_TRANSACTION, SqlState.SNAPSHOT_TOO_OLD ->
-                            Outcome.WRONG_ROLE_OR_STALE;
-                        default -> Outcome.ERROR;
-                    };
-        } else {
-            outcome = broken || !ready() ? Outcome.RESET : Outcome.OK;
-        }
-        return new BackEnd.Result(
-                outcome, role, positionUs, report, outcome == Outcome.OK ? answer.toByteArray() : null);
+        Outcome outcome = outcome(broken);
+        return result(outcome, outcome == Outcome.OK ? buffer.toByteArray() : null);
     }
 
     /** The same for a health check, whose row holds the load report. */
     public BackEnd.Result healthCheckResult(boolean broken) {
-        BackEnd.Result result = result(broken);
-        if (result.outcome() != Outcome.OK) {
-            return result;
+        Outcome outcome = outcome(broken);
+        if (outcome == Outcome.OK) {
+            status.acceptLoadReport(rowText());
+        }
+        return result(outcome, null);
+    }
+
+    private BackEnd.Result result(Outcome outcome, byte[] response) {
+        return new BackEnd.Result(outcome, status.role(), status.positionUs(), status.loadReport(), response);
+    }
+
+    private Outcome outcome(boolean broken) {
+        if (error != null) {
+            return errorOutcome();
         }
-        try {
-            report = LoadReport.parse(new String(
-                    row,
-                    MessageReader.ROW_HEADER_BYTES,
-                    row.length - MessageReader.ROW_HEADER_BYTES,
-                    StandardCharsets.UTF_8));
-        } catch (PgException e) {
-            unreadableReports++;
+        return broken || !ready() ? Outcome.RESET : Outcome.OK;
+    }
+
+    /** An error within a result proves nothing of the request, whatever its code says. */
+    private Outcome errorOutcome() {
+        if (!errorIsWholeReply) {
+            return Outcome.ERROR;
         }
-        return new BackEnd.Result(Outcome.OK, role, positionUs, report, null);
+        return switch (error.sqlState()) {
+            case SqlState.TOO_MANY_CONNECTIONS -> Outcome.REJECTED;
+            case SqlState.READ_ONLY_SQL_TRANSACTION, SqlState.SNAPSHOT_TOO_OLD -> Outcome.WRONG_ROLE_OR_STALE;
+            default -> Outcome.ERROR;
+        };
+    }
+
+    private String rowText() {
+        int from = MessageReader.ROW_HEADER_BYTES;
+        return new String(row, from, row.length - from, StandardCharsets.UTF_8);
     }
 }
