--- a/pooler/src/main/java/frostreel/pg/MessageReader.java
+++ b/pooler/src/main/java/frostreel/pg/MessageReader.java
@@ -5,8 +5,8 @@
 import java.util.Arrays;
 
 /**
- * Splits a byte stream into messages, in whichever pieces it comes; owns the bytes that are not yet taken. Used by one
- * connection, on the I/O thread.
+ * Splits a byte stream, which may arrive in pieces of any size, into messages; owns the bytes not yet consumed. Used by
+ * one connection, on the I/O thread.
  */
 public final class MessageReader {
     /** Limits the length of messages. */
@@ -38,7 +38,7 @@
         this.limit = limit;
     }
 
-    /** Takes all bytes of the buffer in. */
+    /** Adds all bytes of the buffer. */
     public void feed(ByteBuffer in) {
         if (from == to) {
             from = 0;
@@ -63,7 +63,7 @@
         to += added;
     }
 
-    /** How many bytes are not yet taken. */
+    /** How many bytes are not yet consumed. */
     public int buffered() {
         return to - from;
     }
@@ -82,7 +82,7 @@
         if (buffered() < HEADER_BYTES) {
             return false;
         }
-        // Checked by the type alone: noise must not be waited on for the rest of a message that it seems to begin.
+        // Checked as soon as the type has arrived: corrupt bytes must not make the reader wait for a message's rest.
         int maxLength = limit.maxLength(buffer[from]);
         if (maxLength == LengthLimit.NOT_ACCEPTED) {
             throw new PgException("a message of unknown type");
@@ -91,8 +91,8 @@
     }
 
     /**
-     * The length of the row that comes next, where that is longer than {@code maxBuffered} and its header is buffered;
-     * its bytes are then to be taken as they come, by {@link #takeBuffered}. Else 0.
+     * The length of the next message's body if that is a row longer than {@code maxBuffered} whose header is buffered,
+     * else 0. The bytes of such a row are to be taken as they come, by {@link #takeBuffered}.
      */
     public int longRowLength(int maxBuffered) {
         int headers = HEADER_BYTES + ROW_HEADER_BYTES;
@@ -100,14 +100,14 @@
         return length > maxBuffered ? length : 0;
     }
 
-    /** Whether the row that comes next has one column, whose length agrees with that of the row. */
+    /** Whether the next message, a row, has one column, whose length agrees with that of the row. */
     public boolean rowHoldsOneValue() {
         return buffer[from + HEADER_BYTES] == 0
                 && buffer[from + HEADER_BYTES + 1] == 1
                 && intAt(from + HEADER_BYTES + 2) == intAt(from + 1) - Integer.BYTES - ROW_HEADER_BYTES;
     }
 
-    /** Takes what is buffered, up to {@code maxBytes}. */
+    /** Consumes and returns what is buffered, up to {@code maxBytes}. */
     public byte[] takeBuffered(int maxBytes) {
         byte[] taken = Arrays.copyOfRange(buffer, from, Math.min(to, from + maxBytes));
         from += taken.length;
--- a/pooler/src/main/java/frostreel/pg/PgException.java
+++ b/pooler/src/main/java/frostreel/pg/PgException.java
@@ -1,6 +1,6 @@
 package frostreel.pg;
 
-/** What came is not version 3 of the protocol, or exceeds a limit; this ends its connection, and nothing else. */
+/** The bytes received violate the protocol, or exceed a limit. Only the connection that they came on is affected. */
 public final class PgException extends Exception {
     PgException(String text) {
         super(text);
--- a/pooler/src/main/java/frostreel/pg/Statement.java
+++ b/pooler/src/main/java/frostreel/pg/Statement.java
@@ -5,10 +5,10 @@
 import java.util.Arrays;
 
 /**
- * A statement in one of the protocol's two forms, with its comment of names and values. Its bytes are forwarded as they
- * came, but for the value of {@code d}, the time for which the answer is waited for, which is written anew for each
- * server. Any other statement is not forwarded: a server that cannot parse one may close its connection, and would be
- * blamed for it.
+ * A statement in one of the two forms that are served, a read and a write, with its comment of names and values. Its
+ * bytes are forwarded unchanged but for the value of {@code d}, the client's timeout, which is replaced for each server
+ * by the time that is left. No other statement is forwarded: a server may close its connection over one that it cannot
+ * parse, and the failure would be attributed to the server.
  */
 public final class Statement implements Payload {
     /** Sessions are numbers that a JSON number holds exactly. */
@@ -19,6 +19,10 @@
     private static final int MAX_KEY_BYTES = 256;
     private static final int MAX_ID_CHARS = 64;
     private static final int UNSET = -1;
+    private static final int HEXADECIMAL = 16;
+    private static final int US_PER_MS = 1000;
+    private static final long MIN_TIMEOUT_MS = 1;
+    private static final String NOT_NAMES_AND_VALUES = "a comment of more than names and values";
     private static final byte[] READ_PREFIX = ascii("SELECT v FROM records WHERE k = '");
     private static final byte[] READ_COMMENT_START = ascii("' /* ");
     private static final byte[] WRITE_PREFIX = ascii("INSERT INTO records (k, v) VALUES ('");
@@ -31,7 +35,9 @@
     private final boolean write;
     private int position;
     private long sessionHash = FNV_OFFSET_BASIS;
+    /** Where the value of the timeout begins and ends in {@link #sql}. */
     private int timeoutFrom = UNSET;
+
     private int timeoutTo;
     private String id;
     private boolean keyed;
@@ -54,7 +60,7 @@
         readComment(position, sql.length - COMMENT_END.length);
         position = sql.length - COMMENT_END.length;
         take(COMMENT_END);
-        if (requestClass == null || timeoutFrom < 0 || id == null) {
+        if (requestClass == null || timeoutFrom == UNSET || id == null) {
             throw new PgException("a comment without id, c or d");
         }
     }
@@ -84,7 +90,7 @@
         position += text.length;
     }
 
-    /** Reads the quoted key, of which the number of the session is made: FNV-1a. */
+    /** Reads the quoted key, and hashes it by FNV-1a into the number of the session. */
     private void readKey() throws PgException {
         int from = position;
         for (; position < sql.length && sql[position] != '\''; position++) {
@@ -95,9 +101,10 @@
         }
     }
 
+    /** Skips the hexadecimal digits of a written value. */
     private void skipValue() throws PgException {
         int from = position;
-        while (position < sql.length && Character.digit(sql[position], 16) >= 0) {
+        while (position < sql.length && Character.digit(sql[position], HEXADECIMAL) >= 0) {
             position++;
         }
         if ((position - from) % 2 != 0) {
@@ -118,20 +125,39 @@
         return true;
     }
 
+    /** Reads the fields of the comment, {@code name=value}, between commas. */
     private void readComment(int from, int to) throws PgException {
-        for (int start = from, end; start < to; start = end + 1) {
-            int equals = UNSET;
-            for (end = start; end < to && sql[end] != ','; end++) {
-                if (sql[end] <= ' ' || sql[end] == '*') {
-                    throw new PgException("a comment of more than names and values");
-                }
-                equals = equals < 0 && sql[end] == '=' ? end : equals;
-            }
+        int start = from;
+        while (start < to) {
+            int end = fieldEnd(start, to);
+            int equals = indexOf('=', start, end);
             if (equals <= start) {
-                throw new PgException("a comment of more than names and values");
+                throw new PgException(NOT_NAMES_AND_VALUES);
             }
             readField(new String(sql, start, equals - start, StandardCharsets.US_ASCII), equals + 1, end);
+            start = end + 1;
+        }
+    }
+
+    private int fieldEnd(int start, int to) throws PgException {
+        int end = start;
+        while (end < to && sql[end] != ',') {
+            if (sql[end] <= ' ' || sql[end] == '*') {
+                throw new PgException(NOT_NAMES_AND_VALUES);
+            }
+            end++;
+        }
+        return end;
+    }
+
+    /** The first offset of the character in this range, {@link #UNSET} where there is none. */
+    private int indexOf(char character, int from, int to) {
+        for (int i = from; i < to; i++) {
+            if (sql[i] == character) {
+                return i;
+            }
         }
+        return UNSET;
     }
 
     private void readField(String name, int from, int to) throws PgException {
@@ -150,7 +176,7 @@
                 timeoutTo = to;
             }
             case "cluster" -> group = (int) parseNumber(name, value, Integer.MAX_VALUE);
-            case "after" -> afterMs = parseNumber(name, value, Long.MAX_VALUE / 1000);
+            case "after" -> afterMs = parseNumber(name, value, Long.MAX_VALUE / US_PER_MS);
             case "k" -> keyed = !value.isEmpty();
             case "r" -> repeated = value.equals("1");
             default -> {}
@@ -169,7 +195,7 @@
         throw new PgException("a comment whose " + name + " is no number in range");
     }
 
-    /** The id of the request, a new one for each. */
+    /** The id of the request, unique to it. */
     public String id() {
         return id;
     }
@@ -189,7 +215,7 @@
         return requestClass;
     }
 
-    /** For how long its client waits for the answer. */
+    /** How long its client waits for the response. */
     public long timeoutMs() {
         return timeoutMs;
     }
@@ -199,24 +225,25 @@
         return group;
     }
 
-    /** The position that a read has to see, in Unix milliseconds; 0 for none. */
+    /** The commit position that a read must reflect at least, in Unix milliseconds; 0 for none. */
     public long afterMs() {
         return afterMs;
     }
 
-    /** Whether its client has sent it before. */
+    /** Whether it is a retry by its client. */
     public boolean repeated() {
         return repeated;
     }
 
-    /** The number of its session, made of the key. */
+    /** The number of its session: a hash of the key. */
     public long session() {
         return (sessionHash ^ sessionHash >>> 32) & SESSION_MASK;
     }
 
     @Override
     public byte[] forServer(long timeoutUs) {
-        byte[] digits = Long.toString(Math.max(1, timeoutUs / 1000)).getBytes(StandardCharsets.US_ASCII);
+        byte[] digits =
+                Long.toString(Math.max(MIN_TIMEOUT_MS, timeoutUs / US_PER_MS)).getBytes(StandardCharsets.US_ASCII);
         byte[] out = new byte[sql.length - (timeoutTo - timeoutFrom) + digits.length];
         System.arraycopy(sql, 0, out, 0, timeoutFrom);
         System.arraycopy(digits, 0, out, timeoutFrom, digits.length);
