--- a/pooler/src/main/java/frostreel/backend/ServerConnection.java
+++ b/pooler/src/main/java/frostreel/backend/ServerConnection.java
@@ -19,7 +19,10 @@
 import org.xnio.Options;
 import org.xnio.StreamConnection;
 
-/** One connection to a server, with at most one attempt on it. Used on the I/O thread. */
+/**
+ * One connection to a server, with at most one attempt on it. It opens, is idle and busy in turn, and is closed at the
+ * first byte that it cannot assign to an attempt. Used on the I/O thread.
+ */
 final class ServerConnection implements SocketStream.Handler, BackEnd.ResponseSource {
     private enum Phase {
         CONNECTING,
@@ -29,44 +32,41 @@
         CLOSED
     }
 
-    /** Slow peers take seconds to read or write; a long row of which nothing comes for this time is given up. */
-    private static final long STALL_TIMEOUT_US = 30_000_000;
-
     private static final OptionMap OPTIONS = OptionMap.create(Options.TCP_NODELAY, true);
-    final ServerPool.Server server;
+    final Server server;
     final InetSocketAddress address;
+    /** Its slot in the pool's table of connections. */
     long handle;
+
     private final EventLoop loop;
     private final ServerPool pool;
     private final MessageReader reader = new MessageReader(Reply::maxLength);
+    private final LongRowForwarder longRow;
     private Phase phase = Phase.CONNECTING;
     private IoFuture<StreamConnection> connecting;
     private SocketStream stream;
     private Reply reply = Reply.toStartup();
-    private ServerPool.Attempt attempt;
+    /** The attempt that it is busy with, null for none. */
+    private Attempt attempt;
+    /** When it has to be open while it opens, and when it is closed while it is idle. */
     private Deadlines.Deadline deadline;
-    /** Takes a long row, of which {@link #streamedBytesLeft} bytes are still to come; null while there is none. */
-    private BackEnd.ResponseStream responseStream;
+    /** Whether the reader of a long response has suspended the reads. */
+    private boolean paused;
 
-    private int streamedBytesLeft;
-    private boolean receivedSinceCheck;
-
-    ServerConnection(EventLoop loop, ServerPool pool, ServerPool.Server server) {
+    ServerConnection(EventLoop loop, ServerPool pool, Server server) {
         this.loop = loop;
         this.pool = pool;
         this.server = server;
-        this.address = server.address;
+        this.address = server.address();
+        longRow = new LongRowForwarder(loop.deadlines(), () -> end(BackEnd.Result.of(Outcome.RESET)));
     }
 
+    // ---- Opening. ----
+
     /** Connects; where that takes too long, or fails, the pool is notified. */
     void open(long timeoutUs) {
-        deadline = loop.deadlines().after(timeoutUs, () -> {
-            loop.events()
-                    .record(
-                            EventLog.Kind.SERVER_CONNECTION_FAILED,
-                            () -> "to " + address + ": not up in " + timeoutUs / 1000 + " ms, in " + phase);
-            failOpening(Outcome.CONNECT_FAILED);
-        });
+        deadline = loop.deadlines()
+                .after(timeoutUs, () -> onConnectFailed("not up in " + timeoutUs / 1000 + " ms, in " + phase));
         try {
             connecting = loop.thread().openStreamConnection(address, null, OPTIONS);
         } catch (RuntimeException e) { // For an address of a family that this process does not speak.
@@ -75,24 +75,27 @@
         connecting.addNotifier(
                 new IoFuture.HandlingNotifier<StreamConnection, Void>() {
                     @Override
-                    public void handleDone(StreamConnection connection, Void none) {
-                        connected(connection);
+                    public void handleDone(StreamConnection connection, Void attachment) {
+                        onConnected(connection);
                     }
 
                     @Override
-                    public void handleFailed(IOException failure, Void none) {
-                        loop.events()
-                                .record(EventLog.Kind.SERVER_CONNECTION_FAILED, () -> "to " + address + ": " + failure);
-                        failOpening(Outcome.CONNECT_FAILED);
+                    public void handleFailed(IOException failure, Void attachment) {
+                        onConnectFailed(failure.toString());
                     }
                 },
                 null);
     }
 
-    private void connected(StreamConnection connection) {
+    private void onConnectFailed(String reason) {
+        loop.events().record(EventLog.Kind.SERVER_CONNECTION_FAILED, () -> "to " + address + ": " + reason);
+        failOpening(Outcome.CONNECT_FAILED);
+    }
+
+    private void onConnected(StreamConnection connection) {
         stream = new SocketStream(loop, connection, this);
-        if (phase == Phase.CLOSED) {
-            stream.close(); // It is up after the time-out.
+        if (phase == Phase.CLOSED) { // By the timeout, while the socket was connecting.
+            stream.close();
             return;
         }
         phase = Phase.STARTUP;
@@ -100,14 +103,33 @@
         stream.resumeReads();
     }
 
+    private void onStartupReply(boolean clean) {
+        if (clean && reply.errorCode() == null) {
+            loop.deadlines().cancel(deadline);
+            phase = Phase.IDLE;
+            pool.onOpened(this);
+        } else {
+            boolean rejected = reply.result(false).outcome() == Outcome.REJECTED;
+            failOpening(rejected ? Outcome.REJECTED : Outcome.CONNECT_FAILED);
+        }
+    }
+
+    private void failOpening(Outcome outcome) {
+        if (phase == Phase.CONNECTING || phase == Phase.STARTUP) {
+            close();
+            pool.onOpenFailed(this, outcome);
+        }
+    }
+
+    // ---- Attempts. ----
+
     /**
-     * Runs an attempt where the connection is clean, and closes it else: a byte that came since the end of the last
-     * answer belongs to no request, and would be read as the beginning of this one's answer.
+     * Runs an attempt if the connection is clean, and closes it otherwise: a byte that came since the end of the last
+     * reply belongs to no request, and would be read as the beginning of this one's reply.
      */
-    boolean tryRun(ServerPool.Attempt newAttempt) {
+    boolean tryRun(Attempt newAttempt) {
         if (!stream.isQuiet()) {
-            loop.counters().serverConnectionsOutOfSync++;
-            close();
+            closeOutOfSync();
             return false;
         }
         loop.deadlines().cancel(deadline);
@@ -129,23 +151,19 @@
         return stream.flushed();
     }
 
+    // ---- Input. ----
+
     @Override
     public void received(ByteBuffer in) {
         if (phase == Phase.IDLE) {
-            loop.counters().serverConnectionsOutOfSync++;
-            close();
+            closeOutOfSync();
             return;
         }
-        streamPiece(in);
+        longRow.forward(in);
         reader.feed(in);
         try {
-            boolean complete = false;
-            while (!complete && !streamsLongRow() && reader.next()) {
-                reply.accept(reader);
-                complete = reply.ended();
-            }
-            if (complete) {
-                onAnswered(reply);
+            if (acceptMessages()) {
+                onReplyEnded();
             }
         } catch (PgException e) {
             loop.counters().malformedMessages++;
@@ -153,129 +171,117 @@
         }
     }
 
-    /** Passes the next piece of a long row on. */
-    private void streamPiece(ByteBuffer in) {
-        if (streamedBytesLeft > 0 && in.hasRemaining()) {
-            byte[] piece = new byte[Math.min(streamedBytesLeft, in.remaining())];
-            in.get(piece);
-            streamedBytesLeft -= piece.length;
-            receivedSinceCheck = true;
-            if (streamedBytesLeft == 0) {
-                loop.deadlines().cancel(deadline);
+    /** Accepts what is buffered of the reply; true where the reply has ended with it. */
+    private boolean acceptMessages() throws PgException {
+        while (!forwardsLongRow() && reader.next()) {
+            reply.accept(reader);
+            if (reply.ended()) {
+                return true;
             }
-            responseStream.write(piece);
         }
+        return false;
     }
 
-    /** Whether a long row is being passed on; where one comes next, begins to do so. */
-    private boolean streamsLongRow() throws PgException {
-        int length = streamedBytesLeft > 0 ? 0 : reader.longRowLength(Reply.MAX_BUFFERED_ROW);
-        if (length > 0) {
-            byte[] before = reply.beginLongRow(attempt != null && !attempt.healthCheck && reader.rowHoldsOneValue());
-            ServerPool.Attempt longAttempt = attempt;
-            responseStream = longAttempt.listener.longResponseBegins(this);
-            if (responseStream == null) {
-                end(BackEnd.Result.of(Outcome.CANCELLED));
+    /** Whether the next bytes belong to a long row; forwarding begins here where such a row is next. */
+    private boolean forwardsLongRow() throws PgException {
+        if (!longRow.isActive()) {
+            int length = reader.longRowLength(Reply.MAX_BUFFERED_ROW);
+            if (length > 0 && !beginLongRow(length + MessageReader.HEADER_BYTES)) {
                 return true;
             }
-            byte[] buffered = reader.takeBuffered(length + MessageReader.HEADER_BYTES);
-            streamedBytesLeft = length + MessageReader.HEADER_BYTES - buffered.length;
-            receivedSinceCheck = true;
-            if (streamedBytesLeft > 0) {
-                deadline = loop.deadlines().after(STALL_TIMEOUT_US, this::onStallTimeout);
-            }
-            responseStream.write(before);
-            responseStream.write(buffered);
         }
-        return streamedBytesLeft > 0;
+        return longRow.isActive();
     }
 
-    /** A long row that has stalled would keep connections on both sides for nothing. */
-    private void onStallTimeout() {
-        if (streamedBytesLeft > 0 && !receivedSinceCheck) {
-            end(BackEnd.Result.of(Outcome.RESET));
-        } else if (streamedBytesLeft > 0) {
-            receivedSinceCheck = false;
-            deadline = loop.deadlines().after(STALL_TIMEOUT_US, this::onStallTimeout);
+    /** False where nobody wants the row any more, and the connection was closed for it. */
+    private boolean beginLongRow(int rowBytes) throws PgException {
+        boolean forRequest = attempt != null && !attempt.isHealthCheck();
+        byte[] head = reply.beginLongRow(forRequest && reader.rowHoldsOneValue());
+        BackEnd.ResponseStream target = attempt.listener.longResponseBegins(this);
+        if (target == null) {
+            end(BackEnd.Result.of(Outcome.CANCELLED));
+            return false;
         }
+        longRow.begin(target, head, reader.takeBuffered(rowBytes), rowBytes);
+        return true;
     }
 
     @Override
     public void pause() {
+        paused = true;
         stream.suspendReads();
     }
 
     @Override
     public void resume() {
+        paused = false;
         stream.resumeReads();
     }
 
-    /** Takes a complete answer; where a byte came behind it, the connection is not used again. */
-    private void onAnswered(Reply answer) {
-        if (responseStream != null) {
-            // Whoever paused a long response with its last piece does not resume it: it is complete.
-            responseStream = null;
-            stream.resumeReads();
-        }
-        boolean clean = answer.ready() && reader.buffered() == 0;
-        if (answer.ready() && !clean) {
+    /** The reply is complete; where more bytes came behind it, the connection is not used again. */
+    private void onReplyEnded() {
+        boolean surplus = reader.buffered() > 0;
+        if (reply.ready() && surplus) {
             loop.counters().serverConnectionsOutOfSync++;
         }
-        if (phase == Phase.STARTUP && (answer.errorCode() != null || !clean)) {
-            failOpening(answer.result(false).outcome() == Outcome.REJECTED ? Outcome.REJECTED : Outcome.CONNECT_FAILED);
-        } else if (!clean) {
-            end(result(answer, !answer.ready()));
-        } else if (phase == Phase.STARTUP) {
-            loop.deadlines().cancel(deadline);
-            phase = Phase.IDLE;
-            pool.onOpened(this);
+        boolean clean = reply.ready() && !surplus;
+        if (phase == Phase.STARTUP) {
+            onStartupReply(clean);
         } else {
-            ServerPool.Attempt done = attempt;
-            BackEnd.Result result = result(answer, false);
-            attempt = null;
-            phase = Phase.IDLE;
-            pool.onFree(this);
-            pool.finish(done, result);
+            onQueryReply(clean);
         }
     }
 
-    private BackEnd.Result result(Reply answer, boolean broken) {
-        BackEnd.Result result = attempt.healthCheck ? answer.healthCheckResult(broken) : answer.result(broken);
-        loop.counters().malformedLoadReports += answer.malformedReports();
-        return result;
+    private void onQueryReply(boolean clean) {
+        Attempt done = attempt;
+        BackEnd.Result result =
+                done.isHealthCheck() ? reply.healthCheckResult(!reply.ready()) : reply.result(!reply.ready());
+        loop.counters().malformedLoadReports += reply.malformedReports();
+        if (!clean) {
+            end(result);
+            return;
+        }
+        if (paused) {
+            resume(); // Whoever paused a long response with its last piece does not resume it: it is complete.
+        }
+        attempt = null;
+        phase = Phase.IDLE;
+        pool.onFree(this);
+        pool.finish(done, result);
     }
 
+    // ---- The end of the connection. ----
+
     @Override
     public void ended() {
         if (phase == Phase.STARTUP) {
             failOpening(Outcome.CONNECT_FAILED);
         } else if (phase == Phase.BUSY) {
-            // It broke before the last byte was written: the request was not executed.
-            BackEnd.Result broken = reply.result(true);
-            end(
-                    broken.outcome() == Outcome.RESET && !hasWrittenAll()
-                            ? BackEnd.Result.of(Outcome.CONNECT_FAILED)
-                            : broken);
+            end(brokenResult());
         } else {
             close();
         }
     }
 
-    /** The connection did not come up. */
-    private void failOpening(Outcome outcome) {
-        if (phase == Phase.CONNECTING || phase == Phase.STARTUP) {
-            close();
-            pool.onOpenFailed(this, outcome);
-        }
+    /** A request of which the last byte was not written was not executed. */
+    private BackEnd.Result brokenResult() {
+        BackEnd.Result result = reply.result(true);
+        boolean notSent = result.outcome() == Outcome.RESET && !hasWrittenAll();
+        return notSent ? BackEnd.Result.of(Outcome.CONNECT_FAILED) : result;
+    }
+
+    private void closeOutOfSync() {
+        loop.counters().serverConnectionsOutOfSync++;
+        close();
     }
 
     /** Ends the connection with its attempt. */
     private void end(BackEnd.Result result) {
-        ServerPool.Attempt done = attempt;
         if (phase == Phase.STARTUP) {
             failOpening(Outcome.CONNECT_FAILED);
             return;
         }
+        Attempt done = attempt;
         close();
         if (done != null) {
             pool.finish(done, result);
@@ -289,7 +295,7 @@
         }
         phase = Phase.CLOSED;
         attempt = null;
-        streamedBytesLeft = 0;
+        longRow.stop();
         loop.deadlines().cancel(deadline);
         if (stream != null) {
             stream.close();
--- a/pooler/src/main/java/frostreel/backend/package-info.java
+++ b/pooler/src/main/java/frostreel/backend/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The side of the servers: the pool of connections to them, and the attempts and health checks that run on these. All
- * of it runs on the I/O thread.
+ * The servers' side of a pooler: its connections to servers, and the attempts on them. {@link
+ * frostreel.backend.ServerPool} is the entry point, as the {@link frostreel.request.BackEnd} of the broker. All of it
+ * is used on the I/O thread alone.
  */
 package frostreel.backend;
