--- a/lab/src/main/java/frostreel/lab/processes/StatementRecorder.java
+++ b/lab/src/main/java/frostreel/lab/processes/StatementRecorder.java
@@ -92,7 +92,7 @@
             while (fromServer.next()) {
                 reply.accept(fromServer);
                 if (reply.ended() && inFlight != null) {
-                    attemptEnded(reply.result(false));
+                    attemptEnded(reply.result());
                 }
             }
         } catch (PgException e) {
--- a/lab/src/test/java/frostreel/lab/standin/StandInsTest.java
+++ b/lab/src/test/java/frostreel/lab/standin/StandInsTest.java
@@ -142,21 +142,18 @@
         try (Socket primary = welcomed(first);
                 Socket replica = welcomed(second)) {
             Reply written = ask(primary, WRITE);
-            assertThat(written.result(false).outcome()).isEqualTo(Outcome.OK);
-            assertThat(written.result(false).role()).isEqualTo(Role.PRIMARY);
-            assertThat(new String(written.result(false).answer(), StandardCharsets.US_ASCII))
+            assertThat(written.result().outcome()).isEqualTo(Outcome.OK);
+            assertThat(written.result().role()).isEqualTo(Role.PRIMARY);
+            assertThat(new String(written.result().answer(), StandardCharsets.US_ASCII))
                     .contains("w");
             assertThat(ask(replica, WRITE).errorCode()).isEqualTo("25006");
             Reply served = ask(replica, read(""));
-            assertThat(served.result(false).role()).isEqualTo(Role.REPLICA);
-            assertThat(served.result(false).positionUs()).isPositive();
+            assertThat(served.result().role()).isEqualTo(Role.REPLICA);
+            assertThat(served.result().positionUs()).isPositive();
             assertThat(ask(replica, read(",after=" + (System.currentTimeMillis() + 60_000)))
                             .errorCode())
                     .isEqualTo("72000");
-            assertThat(ask(replica, "SHOW load")
-                            .healthCheckResult(false)
-                            .report()
-                            .role())
+            assertThat(ask(replica, "SHOW load").healthCheckResult().report().role())
                     .isEqualTo(Role.REPLICA);
             assertThat(ask(replica, "SELECT 1").errorCode()).isEqualTo("08P01");
         }
--- a/pooler/src/main/java/frostreel/backend/ServerConnection.java
+++ b/pooler/src/main/java/frostreel/backend/ServerConnection.java
@@ -109,7 +109,7 @@
             phase = Phase.IDLE;
             pool.onOpened(this);
         } else {
-            boolean rejected = reply.result(false).outcome() == Outcome.REJECTED;
+            boolean rejected = reply.result().outcome() == Outcome.REJECTED;
             failOpening(rejected ? Outcome.REJECTED : Outcome.CONNECT_FAILED);
         }
     }
@@ -234,8 +234,7 @@
 
     private void onQueryReply(boolean clean) {
         Attempt done = attempt;
-        BackEnd.Result result =
-                done.isHealthCheck() ? reply.healthCheckResult(!reply.ready()) : reply.result(!reply.ready());
+        BackEnd.Result result = done.isHealthCheck() ? reply.healthCheckResult() : reply.result();
         loop.counters().malformedLoadReports += reply.malformedReports();
         if (!clean) {
             end(result);
@@ -265,7 +264,7 @@
 
     /** A request of which the last byte was not written was not executed. */
     private BackEnd.Result brokenResult() {
-        BackEnd.Result result = reply.result(true);
+        BackEnd.Result result = reply.result();
         boolean notSent = result.outcome() == Outcome.RESET && !hasWrittenAll();
         return notSent ? BackEnd.Result.of(Outcome.CONNECT_FAILED) : result;
     }
--- a/pooler/src/main/java/frostreel/pg/Reply.java
+++ b/pooler/src/main/java/frostreel/pg/Reply.java
@@ -201,15 +201,15 @@
         return status.malformedReports();
     }
 
-    /** How the attempt ended; {@code broken}: whether the connection ended before the reply did. */
-    public BackEnd.Result result(boolean broken) {
-        Outcome outcome = outcome(broken);
+    /** How the attempt ended, where nothing more is to come: with this reply, or with its connection within it. */
+    public BackEnd.Result result() {
+        Outcome outcome = outcome();
         return result(outcome, outcome == Outcome.OK ? buffer.toByteArray() : null);
     }
 
     /** The same for a health check, whose row holds the load report. */
-    public BackEnd.Result healthCheckResult(boolean broken) {
-        Outcome outcome = outcome(broken);
+    public BackEnd.Result healthCheckResult() {
+        Outcome outcome = outcome();
         if (outcome == Outcome.OK) {
             status.acceptLoadReport(rowText());
         }
@@ -220,11 +220,11 @@
         return new BackEnd.Result(outcome, status.role(), status.positionUs(), status.loadReport(), response);
     }
 
-    private Outcome outcome(boolean broken) {
+    private Outcome outcome() {
         if (error != null) {
             return errorOutcome();
         }
-        return broken || !ready() ? Outcome.RESET : Outcome.OK;
+        return ready() ? Outcome.OK : Outcome.RESET;
     }
 
     /** An error within a result proves nothing of the request, whatever its code says. */
