--- a/pooler/src/main/java/frostreel/broker/ActiveRequest.java
+++ b/pooler/src/main/java/frostreel/broker/ActiveRequest.java
@@ -13,36 +13,41 @@
  * {@link Broker}, on the I/O thread.
  */
 final class ActiveRequest {
-    /** {@link #firstMaybeRunUs} while no attempt can have reached a server. */
-    static final long NEVER_RAN = Long.MAX_VALUE;
+    /** {@link #firstMaybeExecutedUs} while no attempt can have been executed. */
+    static final long NOT_EXECUTED = Long.MAX_VALUE;
+
+    private static final int US_PER_MS = 1000;
 
     final RequestAttributes attributes;
     final Payload payload;
     final ResponseHandler handler;
-    /** The rules of its class, as the settings had them when it came. */
+    /** The rules of its class, from the settings at its submission. */
     final Router.RequestClass requestClass;
 
     final int maxAttempts;
 
-    /** Its slot in the table of requests, and the same as the name by which the decisions know it. */
+    /** Its slot in the {@link RequestTable}. */
     long handle;
+    /** The name by which the router knows it, made of the handle. */
+    String routerId;
 
-    String id;
-
+    /** It has its response, or needs none any more. */
     boolean answered;
-    /** A long response has begun, and its bytes are passed on as they come. */
+    /** A long response has begun, and its bytes are forwarded as they arrive. */
     boolean streaming;
 
-    int attempts;
+    /** How many attempts the router has asked for, including those that were not sent. */
+    int attemptCount;
     /** The back end's handle of the attempt in flight, {@link SlotTable#NONE} for none. */
     long attemptHandle = SlotTable.NONE;
+    /** Where the last attempt was sent, null while none was. */
+    String lastMemberId;
 
-    String memberId;
-    long sentUs;
+    long lastSentUs;
     /** How the last attempt ended, null while none has. */
     Outcome lastOutcome;
     /** When the first attempt was sent that may have been executed. */
-    long firstMaybeRunUs = NEVER_RAN;
+    long firstMaybeExecutedUs = NOT_EXECUTED;
 
     Deadlines.Deadline attemptTimeout;
     Deadlines.Deadline overdueTimeout;
@@ -60,8 +65,8 @@
         this.maxAttempts = maxAttempts;
     }
 
-    /** It has its answer, or needs none any more. */
-    void close(Deadlines deadlines) {
+    /** Marks it as answered, also where it needs no response any more. */
+    void markAnswered(Deadlines deadlines) {
         answered = true;
         deadlines.cancel(overdueTimeout);
     }
@@ -71,25 +76,37 @@
     }
 
     boolean isLatestAttempt(int attempt) {
-        return attempt == attempts - 1;
+        return attempt == attemptCount - 1;
+    }
+
+    boolean isWrite() {
+        return requestClass.access() == Router.Access.WRITE;
     }
 
     /** From when on no attempt may begin: the deadline, or the end of the time in which a retry is safe. */
     long beginByUs() {
-        if (firstMaybeRunUs == NEVER_RAN || requestClass.idempotency() == Router.Idempotency.IDEMPOTENT) {
-            return attributes.deadlineUs();
+        long deadlineUs = attributes.deadlineUs();
+        if (firstMaybeExecutedUs == NOT_EXECUTED) {
+            return deadlineUs;
         }
-        return requestClass.idempotency() == Router.Idempotency.NON_IDEMPOTENT
-                ? firstMaybeRunUs
-                : Math.min(attributes.deadlineUs(), firstMaybeRunUs + requestClass.windowUs());
+        return switch (requestClass.idempotency()) {
+            case IDEMPOTENT -> deadlineUs;
+            case KEYED -> Math.min(deadlineUs, firstMaybeExecutedUs + requestClass.windowUs());
+            case NON_IDEMPOTENT -> firstMaybeExecutedUs;
+        };
     }
 
-    /** What is known of it, for the log: its sender's id, its attempts and the time left. */
+    /** Describes it for the log: its sender's id, its attempts and the time left. */
     String describe(long nowUs) {
-        return "request " + attributes.id() + " of class " + requestClass.name() + ", attempts " + attempts
-                + (attempts == 0
-                        ? ""
-                        : ", last to " + memberId + (hasAttemptInFlight() ? " and out" : " ended " + lastOutcome))
-                + ", left " + (attributes.deadlineUs() - nowUs) / 1000 + " ms";
+        return "request " + attributes.id() + " of class " + requestClass.name()
+                + ", attempts " + attemptCount + describeLastAttempt()
+                + ", left " + (attributes.deadlineUs() - nowUs) / US_PER_MS + " ms";
+    }
+
+    private String describeLastAttempt() {
+        if (attemptCount == 0) {
+            return "";
+        }
+        return ", last to " + lastMemberId + (hasAttemptInFlight() ? " and out" : " ended " + lastOutcome);
     }
 }
--- a/pooler/src/main/java/frostreel/broker/AttemptRunner.java
+++ b/pooler/src/main/java/frostreel/broker/AttemptRunner.java
@@ -16,6 +16,9 @@
  * Used on the I/O thread alone.
  */
 final class AttemptRunner {
+    /** The position of an attempt that told none. */
+    private static final long NO_POSITION = 0;
+
     private final Clock clock;
     private final Deadlines deadlines;
     private final Counters counters;
@@ -51,31 +54,60 @@
         this.onClientGone = onClientGone;
     }
 
+    /** Passes the events of one attempt on. */
+    private final class RunningAttempt implements BackEnd.AttemptListener {
+        private final ActiveRequest request;
+        private final int attempt;
+
+        RunningAttempt(ActiveRequest request, int attempt) {
+            this.request = request;
+            this.attempt = attempt;
+        }
+
+        @Override
+        public void ended(BackEnd.Result result) {
+            events.run(() -> onEnded(request, attempt, result));
+        }
+
+        @Override
+        public BackEnd.ResponseStream longResponseBegins(BackEnd.ResponseSource source) {
+            return onLongResponse(request, attempt, source);
+        }
+
+        @Override
+        public boolean mayBegin() {
+            return router.mayStillBegin(clock.now(), request.routerId) && requestAllowsAttempt(request);
+        }
+    }
+
+    // ---- The begin of an attempt. ----
+
     /**
      * Starts the next attempt of an unanswered request. Whatever the router asks for, there are never two attempts in
      * flight, none past the limit, the deadline or the time in which a retry is safe, and none for a client that has
      * disconnected: such an attempt is reported as not sent.
      */
     void start(ActiveRequest request, String memberId, long timeoutUs) {
-        int attempt = request.attempts++;
+        int attempt = request.attemptCount++;
         long now = clock.now();
         long leftUs = Math.min(timeoutUs, request.attributes.deadlineUs() - now);
-        if (request.hasAttemptInFlight() || attempt >= request.maxAttempts || leftUs <= 0 || !mayBegin(request)) {
+        boolean admissible = !request.hasAttemptInFlight() && attempt < request.maxAttempts && leftUs > 0;
+        if (!admissible || !requestAllowsAttempt(request)) {
             events.run(() -> reportNotSent(request, attempt, memberId));
             return;
         }
         counters.attemptsStarted++;
-        request.memberId = memberId;
-        request.sentUs = now;
-        if (request.requestClass.access() == Router.Access.WRITE) {
+        request.lastMemberId = memberId;
+        request.lastSentUs = now;
+        if (request.isWrite()) {
             writeObserver.onSent(now, request.attributes.session(), request.attributes.deadlineUs());
         }
-        request.attemptHandle = backEnd.start(memberId, request.payload, leftUs, listener(request, attempt));
+        request.attemptHandle = backEnd.start(memberId, request.payload, leftUs, new RunningAttempt(request, attempt));
         startTimeout(request, attempt, now, leftUs);
     }
 
-    /** Asked right before an attempt's first byte: what its client did may not have been read until then. */
-    private boolean mayBegin(ActiveRequest request) {
+    /** Asked right before an attempt's first byte: the client may have disconnected without this being read yet. */
+    private boolean requestAllowsAttempt(ActiveRequest request) {
         if (request.answered || clock.now() >= request.beginByUs()) {
             return false;
         }
@@ -86,142 +118,138 @@
         return connected && !request.answered;
     }
 
+    /** An attempt that has not begun when it no longer may ends then; one that has begun, after all its time. */
+    private void startTimeout(ActiveRequest request, int attempt, long nowUs, long leftUs) {
+        long beginWithinUs = Math.min(leftUs, request.beginByUs() - nowUs);
+        request.attemptTimeout = deadlines.after(
+                beginWithinUs,
+                () -> events.run(() -> {
+                    if (beginWithinUs < leftUs && backEnd.hasBegun(request.attemptHandle)) {
+                        request.attemptTimeout = deadlines.after(
+                                leftUs - beginWithinUs,
+                                () -> events.run(() -> stop(request, attempt, Outcome.TIMEOUT)));
+                    } else {
+                        stop(request, attempt, Outcome.TIMEOUT);
+                    }
+                }));
+    }
+
+    // ---- The end of an attempt. ----
+
+    /** Stops the latest attempt, if it is in flight and no long response has begun. */
+    void stopLatest(ActiveRequest request, Outcome outcome) {
+        stop(request, request.attemptCount - 1, outcome);
+    }
+
+    /**
+     * Stops this attempt, if it is in flight and no long response has begun. One that never reached its server counts
+     * as not sent, which proves that it was not executed.
+     */
+    void stop(ActiveRequest request, int attempt, Outcome outcome) {
+        if (request.hasAttemptInFlight() && request.isLatestAttempt(attempt) && !request.streaming) {
+            boolean reached = backEnd.abandon(request.attemptHandle);
+            onEnded(request, attempt, BackEnd.Result.of(reached ? outcome : Outcome.NOT_SENT));
+        }
+    }
+
     private void onEnded(ActiveRequest request, int attempt, BackEnd.Result result) {
         long now = clock.now();
-        deadlines.cancel(request.attemptTimeout);
-        request.attemptHandle = SlotTable.NONE;
-        counters.countOutcome(result.outcome());
-        request.lastOutcome = result.outcome();
-        if (result.outcome() != Outcome.OK) {
-            log.record(EventLog.Kind.ATTEMPT_FAILED, () -> request.describe(clock.now()));
-        }
-        if (!result.outcome().provesNotRun) {
-            request.firstMaybeRunUs = Math.min(request.firstMaybeRunUs, request.sentUs);
-        }
+        recordOutcome(request, result.outcome());
         if (request.streaming) {
             endStream(request, result);
             return;
         }
         reportWriteEnded(now, request, result.outcome(), result.positionUs());
         if (result.outcome() == Outcome.OK && !request.answered) {
-            request.close(deadlines);
+            request.markAnswered(deadlines);
             counters.requestsServed++;
             request.handler.served(result.answer());
         }
         router.onOutcome(
                 now,
-                request.id,
+                request.routerId,
                 attempt,
-                request.memberId,
+                request.lastMemberId,
                 result.outcome(),
                 request.answered,
-                now - request.sentUs,
+                now - request.lastSentUs,
                 result.role(),
                 result.positionUs(),
                 result.report());
         requests.removeIfDone(request);
     }
 
-    private void endStream(ActiveRequest request, BackEnd.Result result) {
-        if (result.outcome() == Outcome.OK) {
-            request.handler.served(result.answer());
-        } else {
-            counters.streamedResponsesBroken++;
-            request.handler.responseBroken();
+    private void recordOutcome(ActiveRequest request, Outcome outcome) {
+        deadlines.cancel(request.attemptTimeout);
+        request.attemptHandle = SlotTable.NONE;
+        request.lastOutcome = outcome;
+        counters.countOutcome(outcome);
+        if (outcome != Outcome.OK) {
+            log.record(EventLog.Kind.ATTEMPT_FAILED, () -> request.describe(clock.now()));
+        }
+        if (!outcome.provesNotRun) {
+            request.firstMaybeExecutedUs = Math.min(request.firstMaybeExecutedUs, request.lastSentUs);
         }
-        requests.removeIfDone(request);
     }
 
-    /** Called before the answer: once its client has that, it may read through another process. */
-    private void reportWriteEnded(long now, ActiveRequest request, Outcome outcome, long positionUs) {
-        if (request.requestClass.access() == Router.Access.WRITE) {
+    /** Called before the response: once its client has that, it may read through another process. */
+    private void reportWriteEnded(long nowUs, ActiveRequest request, Outcome outcome, long positionUs) {
+        if (request.isWrite()) {
             writeObserver.onEnded(
-                    now, request.attributes.session(), request.attributes.deadlineUs(), outcome, positionUs);
+                    nowUs, request.attributes.session(), request.attributes.deadlineUs(), outcome, positionUs);
         }
     }
 
+    private void reportNotSent(ActiveRequest request, int attempt, String memberId) {
+        router.onOutcome(
+                clock.now(),
+                request.routerId,
+                attempt,
+                memberId,
+                Outcome.NOT_SENT,
+                request.answered,
+                0,
+                Router.Role.UNKNOWN,
+                NO_POSITION,
+                null);
+    }
+
+    // ---- Long responses. ----
+
     /** A long response that has begun is final; the router is notified of the time to its first bytes. */
-    private BackEnd.ResponseStream longResponseBegins(
-            ActiveRequest request, int attempt, BackEnd.ResponseSource source) {
+    private BackEnd.ResponseStream onLongResponse(ActiveRequest request, int attempt, BackEnd.ResponseSource source) {
         if (request.answered || !request.isLatestAttempt(attempt)) {
             return null;
         }
         long now = clock.now();
-        request.close(deadlines);
+        request.markAnswered(deadlines);
         deadlines.cancel(request.attemptTimeout);
         request.streaming = true;
         counters.requestsServed++;
         counters.responsesStreamed++;
-        reportWriteEnded(now, request, Outcome.OK, 0);
+        reportWriteEnded(now, request, Outcome.OK, NO_POSITION);
         BackEnd.ResponseStream stream = request.handler.longResponseBegins(source);
         events.run(() -> router.onOutcome(
                 now,
-                request.id,
+                request.routerId,
                 attempt,
-                request.memberId,
+                request.lastMemberId,
                 Outcome.OK,
                 true,
-                now - request.sentUs,
+                now - request.lastSentUs,
                 Router.Role.UNKNOWN,
-                0,
+                NO_POSITION,
                 null));
         return stream;
     }
 
-    /** An attempt that never reached its server counts as not sent, which proves that it was not executed. */
-    void stop(ActiveRequest request, int attempt, Outcome outcome) {
-        if (request.hasAttemptInFlight() && request.isLatestAttempt(attempt) && !request.streaming) {
-            boolean reached = backEnd.abandon(request.attemptHandle);
-            onEnded(request, attempt, BackEnd.Result.of(reached ? outcome : Outcome.NOT_SENT));
+    private void endStream(ActiveRequest request, BackEnd.Result result) {
+        if (result.outcome() == Outcome.OK) {
+            request.handler.served(result.answer());
+        } else {
+            counters.streamedResponsesBroken++;
+            request.handler.responseBroken();
         }
-    }
-
-    private void reportNotSent(ActiveRequest request, int attempt, String memberId) {
-        router.onOutcome(
-                clock.now(),
-                request.id,
-                attempt,
-                memberId,
-                Outcome.NOT_SENT,
-                request.answered,
-                0,
-                Router.Role.UNKNOWN,
-                0,
-                null);
-    }
-
-    private BackEnd.AttemptListener listener(ActiveRequest request, int attempt) {
-        return new BackEnd.AttemptListener() {
-            @Override
-            public void ended(BackEnd.Result result) {
-                events.run(() -> AttemptRunner.this.onEnded(request, attempt, result));
-            }
-
-            @Override
-            public BackEnd.ResponseStream longResponseBegins(BackEnd.ResponseSource source) {
-                return AttemptRunner.this.longResponseBegins(request, attempt, source);
-            }
-
-            @Override
-            public boolean mayBegin() {
-                return router.mayStillBegin(clock.now(), request.id) && AttemptRunner.this.mayBegin(request);
-            }
-        };
-    }
-
-    /** An attempt that has not begun when it no longer may ends then; one that has begun, after all its time. */
-    private void startTimeout(ActiveRequest request, int attempt, long nowUs, long leftUs) {
-        long beginWithinUs = Math.min(leftUs, request.beginByUs() - nowUs);
-        request.attemptTimeout = deadlines.after(
-                beginWithinUs,
-                () -> events.run(() -> {
-                    if (beginWithinUs < leftUs && backEnd.hasBegun(request.attemptHandle)) {
-                        request.attemptTimeout = deadlines.after(
-                                leftUs - beginWithinUs,
-                                () -> events.run(() -> stop(request, attempt, Outcome.TIMEOUT)));
-                    } else {
-                        stop(request, attempt, Outcome.TIMEOUT);
-                    }
-                }));
+        requests.removeIfDone(request);
     }
 }
--- a/pooler/src/main/java/frostreel/broker/Broker.java
+++ b/pooler/src/main/java/frostreel/broker/Broker.java
@@ -26,8 +26,8 @@
  */
 public final class Broker implements Router.Actions {
     /**
-     * After its deadline by this share of the slack that the rules leave an answer, a request that the router
-     * left unanswered is answered here; the rest of the slack is for the answer's way to the client.
+     * The share of the settings' slack after a deadline at which a request that the router left unanswered is failed
+     * here; the rest of the slack is for the response's way to the client.
      */
     private static final double OVERDUE_SHARE = 0.75;
 
@@ -44,7 +44,7 @@
     private final Set<Integer> knownGroups = new HashSet<>();
     private Router.Settings settings;
 
-    /** A broker that logs nothing on single requests, and whose writes no other process has to know of. */
+    /** A broker that logs no single requests, and notifies no other process of its writes. */
     public Broker(
             Clock clock,
             Deadlines deadlines,
@@ -66,9 +66,9 @@
     }
 
     /**
-     * Makes a broker and, by the factory, the router that it asks.
+     * Makes a broker and, by the factory, its router.
      *
-     * @param maxRequests how many requests may be active at once; what comes beyond is rejected
+     * @param maxRequests how many requests may be active at once; further ones are rejected
      * @param writeObserver is notified of the attempts of writes, for the processes that serve beside this one
      */
     public Broker(
@@ -103,9 +103,9 @@
                 this::withdrawForGoneClient);
     }
 
-    // ---- From the front end and from discovery. ----
+    // ---- Events from the front end and from discovery. ----
 
-    /** New settings apply to requests from now on; active ones keep those with which they came. */
+    /** Applies new settings to requests submitted from now on; active ones keep theirs. */
     public void updateSettings(Router.Settings settings) {
         this.settings = settings;
         events.run(() -> router.onSettings(settings));
@@ -117,7 +117,7 @@
         return limits.retryAfterAllowed() ? Math.min(wantedUs, limits.maxRetryAfterUs()) : 0;
     }
 
-    /** Whether a request with this id of its sender's is active; the same id again would be a hedged request. */
+    /** Whether a request to which its sender gave this id is active; one with the same id would be a hedged request. */
     public boolean isActive(String senderId) {
         return requests.containsSenderId(senderId);
     }
@@ -142,13 +142,12 @@
             return SlotTable.NONE;
         }
         requests.open(request);
-        request.overdueTimeout = deadlines.at(
-                attributes.deadlineUs() + (long) (settings.rules().answerSlackUs() * OVERDUE_SHARE),
-                () -> events.run(() -> onOverdue(request)));
+        request.overdueTimeout =
+                deadlines.at(overdueAtUs(attributes.deadlineUs()), () -> events.run(() -> onOverdue(request)));
         events.run(() -> router.onRequest(
                 clock.now(),
                 new Router.Request(
-                        request.id,
+                        request.routerId,
                         attributes.classIndex(),
                         attributes.session(),
                         attributes.group(),
@@ -158,21 +157,32 @@
         return request.handle;
     }
 
+    private long overdueAtUs(long deadlineUs) {
+        return deadlineUs + (long) (settings.rules().answerSlackUs() * OVERDUE_SHARE);
+    }
+
     /** The client has disconnected; its handler is not called any more. A stale handle does nothing. */
     public void onClientDisconnected(long handle) {
         events.run(() -> {
             ActiveRequest request = requests.get(handle);
-            if (request != null && request.streaming) {
-                counters.streamedResponsesBroken++;
-                backEnd.abandon(request.attemptHandle);
-                request.attemptHandle = SlotTable.NONE;
-                requests.removeIfDone(request);
-            } else if (request != null) {
+            if (request == null) {
+                return;
+            }
+            if (request.streaming) {
+                abortStream(request);
+            } else {
                 withdrawForGoneClient(request);
             }
         });
     }
 
+    private void abortStream(ActiveRequest request) {
+        counters.streamedResponsesBroken++;
+        backEnd.abandon(request.attemptHandle);
+        request.attemptHandle = SlotTable.NONE;
+        requests.removeIfDone(request);
+    }
+
     private void withdrawForGoneClient(ActiveRequest request) {
         if (!request.answered) {
             counters.requestsAbandoned++;
@@ -197,23 +207,23 @@
         });
     }
 
-    /** An attempt that has not begun is stopped, whether or not the settings let attempts be cancelled. */
+    /** Stops an attempt that has not begun, whether or not the settings let attempts be cancelled. */
     private void withdraw(ActiveRequest request) {
-        request.close(deadlines);
-        router.onClientDisconnected(clock.now(), request.id);
+        request.markAnswered(deadlines);
+        router.onClientDisconnected(clock.now(), request.routerId);
         if (request.hasAttemptInFlight() && !backEnd.hasBegun(request.attemptHandle)) {
-            attempts.stop(request, request.attempts - 1, Outcome.CANCELLED);
+            attempts.stopLatest(request, Outcome.CANCELLED);
         }
         requests.removeIfDone(request);
     }
 
-    /** The endpoint list has come, or changes to it. */
+    /** Takes a complete endpoint list, or changes to it. */
     public void updateMembers(Router.ListKind kind, List<Router.Member> members) {
         members.forEach(member -> knownGroups.add(member.group()));
         events.run(() -> router.onMembers(clock.now(), kind, members));
     }
 
-    /** How many requests were taken and are not yet answered. */
+    /** How many requests are active and not yet answered. */
     public int openRequests() {
         return requests.countUnanswered();
     }
@@ -222,24 +232,24 @@
         return request.describe(clock.now());
     }
 
-    // ---- What ends a request without the router. ----
+    // ---- Requests that the router left unanswered. ----
 
     private void onOverdue(ActiveRequest request) {
         if (!request.answered) {
             counters.requestsOverdue++;
             log.record(EventLog.Kind.REQUEST_OVERDUE, () -> describe(request) + ": left open by the decisions");
-            request.close(deadlines);
+            request.markAnswered(deadlines);
             request.handler.failed();
-            router.onClientDisconnected(clock.now(), request.id);
+            router.onClientDisconnected(clock.now(), request.routerId);
             requests.removeIfDone(request);
         }
     }
 
-    // ---- The router's actions; for a request whose slot was freed or used again nothing is done. ----
+    // ---- The router's actions; those on requests that are no longer active do nothing. ----
 
     @Override
     public void send(String requestId, String memberId, long timeoutUs) {
-        ActiveRequest request = requests.byId(requestId);
+        ActiveRequest request = requests.byRouterId(requestId);
         if (request != null && !request.answered) {
             attempts.start(request, memberId, timeoutUs);
         }
@@ -247,7 +257,7 @@
 
     @Override
     public void cancel(String requestId, int attempt) {
-        ActiveRequest request = requests.byId(requestId);
+        ActiveRequest request = requests.byRouterId(requestId);
         if (request != null) {
             events.run(() -> attempts.stop(request, attempt, Outcome.CANCELLED));
         }
@@ -255,9 +265,9 @@
 
     @Override
     public void reject(String requestId, long retryAfterUs) {
-        ActiveRequest request = requests.byId(requestId);
+        ActiveRequest request = requests.byRouterId(requestId);
         if (request != null && !request.answered) {
-            request.close(deadlines);
+            request.markAnswered(deadlines);
             log.record(
                     EventLog.Kind.REQUEST_REFUSED,
                     () -> describe(request) + ": to come back in " + retryAfterUs / 1000 + " ms");
@@ -269,9 +279,9 @@
 
     @Override
     public void fail(String requestId) {
-        ActiveRequest request = requests.byId(requestId);
+        ActiveRequest request = requests.byRouterId(requestId);
         if (request != null && !request.answered) {
-            request.close(deadlines);
+            request.markAnswered(deadlines);
             log.record(EventLog.Kind.REQUEST_FAILED, () -> describe(request));
             counters.requestsFailed++;
             request.handler.failed();
--- a/pooler/src/main/java/frostreel/broker/RequestTable.java
+++ b/pooler/src/main/java/frostreel/broker/RequestTable.java
@@ -13,21 +13,21 @@
         slots = new SlotTable<>(capacity);
     }
 
-    /** Gives the request its handle; false where the table is full. */
+    /** Gives the request a slot, and its handle; false where the table is full. */
     boolean reserveSlot(ActiveRequest request) {
         request.handle = slots.add(request);
         return request.handle != SlotTable.NONE;
     }
 
-    /** Gives back a slot whose request was not opened. */
+    /** Frees the slot of a request that was not opened. */
     void freeSlot(ActiveRequest request) {
         slots.remove(request.handle);
     }
 
-    /** From now on the request is found by both of its ids. */
+    /** Makes the request known by its sender's id and by the router's. */
     void open(ActiveRequest request) {
         senderIds.add(request.attributes.id());
-        request.id = Long.toString(request.handle);
+        request.routerId = Long.toString(request.handle);
     }
 
     /** The request, or null where the handle is stale. */
@@ -35,16 +35,16 @@
         return slots.get(handle);
     }
 
-    /** The request that the decisions know by this id, or null where its slot was freed or used again. */
-    ActiveRequest byId(String requestId) {
-        return slots.get(Long.parseLong(requestId));
+    /** The request that the router knows by this id, or null where its slot was freed or used again. */
+    ActiveRequest byRouterId(String routerId) {
+        return slots.get(Long.parseLong(routerId));
     }
 
     boolean containsSenderId(String senderId) {
         return senderIds.contains(senderId);
     }
 
-    /** An answered request keeps its slot until its attempt has ended; then it is removed. */
+    /** Removes an answered request; it keeps its slot while it has an attempt in flight. */
     void removeIfDone(ActiveRequest request) {
         if (request.answered && !request.hasAttemptInFlight()) {
             slots.remove(request.handle);
--- a/pooler/src/test/java/frostreel/broker/RequestTableTest.java
+++ b/pooler/src/test/java/frostreel/broker/RequestTableTest.java
@@ -27,7 +27,7 @@
     void anOpenRequestIsFoundByItsHandleItsIdAndItsSendersId() {
         ActiveRequest request = opened("a");
         assertThat(requests.get(request.handle)).isSameAs(request);
-        assertThat(requests.byId(request.id)).isSameAs(request);
+        assertThat(requests.byRouterId(request.routerId)).isSameAs(request);
         assertThat(requests.containsSenderId("a")).isTrue();
         assertThat(requests.countUnanswered()).isEqualTo(1);
     }
@@ -61,7 +61,7 @@
         first.answered = true;
         requests.removeIfDone(first);
         ActiveRequest second = opened("b");
-        assertThat(requests.byId(first.id)).isNull();
-        assertThat(requests.byId(second.id)).isSameAs(second);
+        assertThat(requests.byRouterId(first.routerId)).isNull();
+        assertThat(requests.byRouterId(second.routerId)).isSameAs(second);
     }
 }
