--- a/pooler/src/main/java/frostreel/backend/ServerConnection.java
+++ b/pooler/src/main/java/frostreel/backend/ServerConnection.java
@@ -66,7 +66,9 @@
     /** Connects; where that takes too long, or fails, the pool is notified. */
     void open(long timeoutUs) {
         deadline = loop.deadlines()
-                .after(timeoutUs, () -> onConnectFailed("not up in " + timeoutUs / 1000 + " ms, in " + phase));
+                .after(
+                        timeoutUs,
+                        () -> onConnectFailed("not open within " + timeoutUs / 1000 + " ms, in phase " + phase));
         try {
             connecting = loop.thread().openStreamConnection(address, null, OPTIONS);
         } catch (RuntimeException e) { // For an address of a family that this process does not speak.
--- a/pooler/src/main/java/frostreel/broker/ActiveRequest.java
+++ b/pooler/src/main/java/frostreel/broker/ActiveRequest.java
@@ -100,13 +100,13 @@
     String describe(long nowUs) {
         return "request " + attributes.id() + " of class " + requestClass.name()
                 + ", attempts " + attemptCount + describeLastAttempt()
-                + ", left " + (attributes.deadlineUs() - nowUs) / US_PER_MS + " ms";
+                + ", " + (attributes.deadlineUs() - nowUs) / US_PER_MS + " ms left";
     }
 
     private String describeLastAttempt() {
         if (attemptCount == 0) {
             return "";
         }
-        return ", last to " + lastMemberId + (hasAttemptInFlight() ? " and out" : " ended " + lastOutcome);
+        return ", last to " + lastMemberId + (hasAttemptInFlight() ? " in flight" : " ended " + lastOutcome);
     }
 }
--- a/pooler/src/main/java/frostreel/broker/Broker.java
+++ b/pooler/src/main/java/frostreel/broker/Broker.java
@@ -186,7 +186,7 @@
     private void withdrawForGoneClient(ActiveRequest request) {
         if (!request.answered) {
             counters.requestsAbandoned++;
-            log.record(EventLog.Kind.REQUEST_WITHDRAWN, () -> describe(request) + ": its client has gone");
+            log.record(EventLog.Kind.REQUEST_CANCELLED, () -> describe(request) + ": client disconnected");
             withdraw(request);
         }
     }
@@ -200,7 +200,7 @@
             ActiveRequest request = requests.get(handle);
             if (request != null && !request.answered) {
                 counters.requestsCancelled++;
-                log.record(EventLog.Kind.REQUEST_WITHDRAWN, () -> describe(request) + ": cancelled by its client");
+                log.record(EventLog.Kind.REQUEST_CANCELLED, () -> describe(request) + ": cancelled by client");
                 withdraw(request);
                 request.handler.cancelled();
             }
@@ -237,7 +237,7 @@
     private void onOverdue(ActiveRequest request) {
         if (!request.answered) {
             counters.requestsOverdue++;
-            log.record(EventLog.Kind.REQUEST_OVERDUE, () -> describe(request) + ": left open by the decisions");
+            log.record(EventLog.Kind.REQUEST_OVERDUE, () -> describe(request) + ": not answered by the router");
             request.markAnswered(deadlines);
             request.handler.failed();
             router.onClientDisconnected(clock.now(), request.routerId);
@@ -269,8 +269,8 @@
         if (request != null && !request.answered) {
             request.markAnswered(deadlines);
             log.record(
-                    EventLog.Kind.REQUEST_REFUSED,
-                    () -> describe(request) + ": to come back in " + retryAfterUs / 1000 + " ms");
+                    EventLog.Kind.REQUEST_REJECTED,
+                    () -> describe(request) + ": retry after " + retryAfterUs / 1000 + " ms");
             counters.requestsRejected++;
             request.handler.rejected(retryAfterUs);
             requests.removeIfDone(request);
--- a/pooler/src/main/java/frostreel/log/EventLog.java
+++ b/pooler/src/main/java/frostreel/log/EventLog.java
@@ -15,13 +15,13 @@
     /** What happened; the name is the first word of the line. */
     public enum Kind {
         /** A request was rejected without a server's answer. */
-        REQUEST_REFUSED,
+        REQUEST_REJECTED,
         /** A request failed at a server. */
         REQUEST_FAILED,
-        /** The decisions left a request unanswered until its deadline. */
+        /** The router left a request unanswered until its deadline. */
         REQUEST_OVERDUE,
         /** The client cancelled its request or disconnected. */
-        REQUEST_WITHDRAWN,
+        REQUEST_CANCELLED,
         /** One attempt failed; the request may be retried. */
         ATTEMPT_FAILED,
         /** This process closed a client connection. */
