--- a/pooler/src/main/java/frostreel/broker/package-info.java
+++ b/pooler/src/main/java/frostreel/broker/package-info.java
@@ -1,6 +1,7 @@
 /**
- * The requests of all clients, from their submission to their answer. The broker passes events to the routing
- * decisions, carries their actions out, and keeps all deadlines; it knows no protocol and no sockets. All of it is used
- * on the I/O thread alone.
+ * The requests of all clients, from submission to response. {@link frostreel.broker.Broker} passes events to the
+ * router, carries its actions out, and answers what the router leaves unanswered; {@link
+ * frostreel.broker.AttemptRunner} runs the attempts. The package knows no protocol and no sockets, and is used on the
+ * I/O thread alone.
  */
 package frostreel.broker;
--- a/pooler/src/main/java/frostreel/request/BackEnd.java
+++ b/pooler/src/main/java/frostreel/request/BackEnd.java
@@ -8,52 +8,52 @@
  */
 public interface BackEnd {
     /**
-     * How an attempt ended, with what the answer told of its server.
+     * How an attempt ended, with what the response reported of its server.
      *
-     * @param positionUs the commit position that the server told, 0 for none
+     * @param positionUs the commit position that the server reported, 0 for none
      * @param report the server's load report, null for none
-     * @param answer the bytes of the answer, set for {@link Router.Outcome#OK} alone
+     * @param answer the bytes of the response, set for {@link Router.Outcome#OK} alone
      */
-    @SuppressWarnings("ArrayRecordComponent") // Never compared; the bytes are handed on.
+    @SuppressWarnings("ArrayRecordComponent") // Never compared; the bytes are passed on.
     record Result(Router.Outcome outcome, Router.Role role, long positionUs, Router.Report report, byte[] answer) {
-        /** A result without an answer, which tells nothing of the server. */
+        /** A result without a response, from which nothing is known of the server. */
         public static Result of(Router.Outcome outcome) {
             return new Result(outcome, Router.Role.UNKNOWN, 0, null, null);
         }
     }
 
-    /** The source of a long response, which can be made to wait for a slow reader. */
+    /** The source of a long response, which can be paused for a slow reader. */
     interface ResponseSource {
-        /** Delivers nothing more for now, but for what has been read already. */
+        /** Delivers nothing more until {@link #resume}, except what was read already. */
         void pause();
 
         /** Delivers again. */
         void resume();
     }
 
-    /** Takes a long response piece by piece. */
+    /** Receives a long response piece by piece. */
     interface ResponseStream {
         /** Takes the next bytes, which are not changed afterwards. */
         void write(byte[] bytes);
     }
 
-    /** Is notified of the course of one attempt or health check. */
+    /** Is notified of the progress of one attempt or health check. */
     interface AttemptListener {
-        /** It has ended; for a long response, {@code result} holds what is left of it behind the pieces. */
+        /** It has ended; for a long response, {@code result} holds the part of it that follows the pieces. */
         void ended(Result result);
 
         /**
-         * A response too long to be buffered begins; it is delivered as it comes, and has no time-out from now on.
+         * A response too long to be buffered begins; it is delivered as it arrives, and has no timeout from now on.
          *
-         * @return what takes the response, null where nobody wants it any more
+         * @return the receiver of the response, null where it is no longer wanted
          */
         default ResponseStream longResponseBegins(ResponseSource source) {
             return null;
         }
 
         /**
-         * Asked right before the first byte is written of an attempt that had to wait for its connection. Where it
-         * must not begin any more, it has ended as {@link Router.Outcome#NOT_SENT}.
+         * Asked right before the first byte is written of an attempt that had to wait for its connection. If it
+         * may not begin any more, it ends as {@link Router.Outcome#NOT_SENT}.
          */
         default boolean mayBegin() {
             return true;
@@ -63,15 +63,15 @@
     /**
      * Starts an attempt.
      *
-     * @param timeoutUs for how long its sender will wait for the answer
+     * @param timeoutUs how long its sender will wait for the response
      * @return the handle of the attempt
      */
     long start(String memberId, Payload payload, long timeoutUs, AttemptListener listener);
 
-    /** Whether a byte of the attempt may have been written; an attempt that has ended has begun. */
+    /** Whether a byte of the attempt may have been written; true for an attempt that has ended. */
     boolean hasBegun(long attemptHandle);
 
-    /** Gives an attempt up; its listener is not called any more. True where the request may have reached the server. */
+    /** Abandons an attempt; its listener is not called any more. True where the request may have reached the server. */
     boolean abandon(long attemptHandle);
 
     /** Asks a server for its load report. */
--- a/pooler/src/main/java/frostreel/request/Payload.java
+++ b/pooler/src/main/java/frostreel/request/Payload.java
@@ -2,6 +2,6 @@
 
 /** The bytes of a request, opaque to the broker. */
 public interface Payload {
-    /** The bytes to send to a server; {@code timeoutUs}: for how long its answer will be waited for. */
+    /** The bytes to send to a server; {@code timeoutUs}: how long the sender will wait for the response. */
     byte[] forServer(long timeoutUs);
 }
--- a/pooler/src/main/java/frostreel/request/ResponseHandler.java
+++ b/pooler/src/main/java/frostreel/request/ResponseHandler.java
@@ -1,16 +1,17 @@
 package frostreel.request;
 
 /**
- * The sender's side of one request. Exactly one of its answers is called, once, unless the client disconnects before.
- * Called on the I/O thread.
+ * The sender's side of one request. Exactly one of {@link #served}, {@link #rejected}, {@link #failed} and {@link
+ * #cancelled} is called, once, unless the client disconnects before; a long response that has begun ends by {@link
+ * #served} or {@link #responseBroken}. Called on the I/O thread.
  */
 public interface ResponseHandler {
-    /** The request was served; {@code answer}: the bytes as the back end gave them for this request. */
+    /** The request was served; {@code answer}: the bytes that the back end received for it. */
     void served(byte[] answer);
 
     /**
-     * The request was rejected before it had any effect, so that a retry is harmless; {@code retryAfterUs}: for how
-     * long to wait before, 0 for no advice.
+     * The request was rejected before it had any effect, so that a retry is harmless; {@code retryAfterUs}: how long
+     * the client should wait before it, 0 for no advice.
      */
     void rejected(long retryAfterUs);
 
@@ -20,17 +21,17 @@
     /** The client itself has cancelled the request. */
     void cancelled();
 
-    /** Whether the client is still connected, as far as can be seen by looking now. */
+    /** Whether the client is still connected; reads from its connection to find out. */
     boolean isClientConnected();
 
     /**
-     * A long response begins. It comes in pieces; then {@link #served} has the rest, or {@link #responseBroken}
+     * A long response begins. It comes in pieces; then {@link #served} passes the rest, or {@link #responseBroken}
      * ends it.
      */
     default BackEnd.ResponseStream longResponseBegins(BackEnd.ResponseSource source) {
-        throw new IllegalStateException("no long responses are taken here");
+        throw new IllegalStateException("this handler accepts no long responses");
     }
 
-    /** The response that has begun ends here, incomplete; the client must be able to tell. */
+    /** The long response ends here, incomplete; the client must be able to recognize that. */
     default void responseBroken() {}
 }
--- a/pooler/src/main/java/frostreel/request/package-info.java
+++ b/pooler/src/main/java/frostreel/request/package-info.java
@@ -1,5 +1,6 @@
 /**
- * What the sides of a pooler tell each other of a request: a front end submits one with its attributes and its payload,
- * and handles its response; a back end carries its attempts to servers. No side depends on another one for it.
+ * The interfaces between the sides of a pooler: a front end submits a request with its attributes and its payload, and
+ * handles the response; a {@link frostreel.request.BackEnd} carries its attempts to servers. Neither side depends on
+ * the other, nor on the broker between them.
  */
 package frostreel.request;
--- a/pooler/src/main/java/frostreel/stats/package-info.java
+++ b/pooler/src/main/java/frostreel/stats/package-info.java
@@ -1,2 +1,2 @@
-/** The counters of {@code SHOW stats}. */
+/** The counters of {@code SHOW stats}, incremented by all packages on the I/O thread. */
 package frostreel.stats;
--- a/pooler/src/main/java/frostreel/time/Deadlines.java
+++ b/pooler/src/main/java/frostreel/time/Deadlines.java
@@ -4,11 +4,11 @@
 import java.util.logging.Level;
 import java.util.logging.Logger;
 
-/** Owns every deadline and timer of the program, in one ordered structure. Used on the I/O thread alone. */
+/** Owns every deadline and timer of the program, ordered by time. Used on the I/O thread alone. */
 public final class Deadlines {
     /** Wakes the I/O thread, which then calls {@link #runDue}. */
     public interface Alarm {
-        /** Wakes it after this delay, in place of any wake-up asked for before. */
+        /** Wakes it after this delay; replaces any wake-up scheduled before. */
         void wakeAfter(long delayUs);
     }
 
@@ -30,7 +30,7 @@
         }
     }
 
-    /** {@link #wakeAtUs} while no wake-up was asked for. */
+    /** {@link #wakeAtUs} while no wake-up is scheduled. */
     private static final long NO_WAKE_UP = Long.MAX_VALUE;
 
     private static final Logger LOG = Logger.getLogger(Deadlines.class.getName());
@@ -40,7 +40,7 @@
     private long nextSequence;
     private long wakeAtUs = NO_WAKE_UP;
 
-    /** Deadlines on that clock, run in time as long as the alarm leads to {@link #runDue}. */
+    /** Deadlines on this clock; the alarm has to lead to {@link #runDue}. */
     public Deadlines(Clock clock, Alarm alarm) {
         this.clock = clock;
         this.alarm = alarm;
@@ -51,7 +51,7 @@
         return at(clock.now() + delayUs, task);
     }
 
-    /** Runs the task at that time, or soon where it is past, but never within this call. */
+    /** Runs the task at this time, or soon if it is past, but never within this call. */
     public Deadline at(long atUs, Runnable task) {
         Deadline deadline = new Deadline(atUs, nextSequence++, task);
         pending.add(deadline);
@@ -59,14 +59,14 @@
         return deadline;
     }
 
-    /** Does nothing for null, or for a deadline that was cancelled or has run. */
+    /** Cancels a deadline; does nothing for null, or for a deadline that was cancelled or has run. */
     public void cancel(Deadline deadline) {
         if (deadline != null) {
             pending.remove(deadline);
         }
     }
 
-    /** Runs what is due; what a task adds for this very moment waits for the next call. */
+    /** Runs the tasks that are due; what they add runs at the next call at the earliest. */
     public void runDue() {
         wakeAtUs = NO_WAKE_UP;
         long now = clock.now();
@@ -76,7 +76,7 @@
             try {
                 due.task.run();
             } catch (RuntimeException | Error e) {
-                // The fault of one task must not take the other deadlines with it.
+                // The failure of one task must not prevent the others.
                 LOG.log(Level.SEVERE, "a timer failed", e);
             }
         }
--- a/pooler/src/main/java/frostreel/time/package-info.java
+++ b/pooler/src/main/java/frostreel/time/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The program's one clock and the deadlines kept on it. It knows no other package, and is used on the I/O thread alone
- * but for the clock, which any thread may read.
+ * The program's one clock and the deadlines kept on it. The package depends on no other; deadlines are used on the I/O
+ * thread alone, while any thread may read the clock.
  */
 package frostreel.time;
--- a/pooler/src/main/java/frostreel/util/SlotTable.java
+++ b/pooler/src/main/java/frostreel/util/SlotTable.java
@@ -4,11 +4,11 @@
 import java.util.function.Consumer;
 
 /**
- * A table of numbered slots. A handle holds the number of a slot and its generation, so that a handle kept after its
- * slot was freed, or used again, finds nothing.
+ * A table of numbered slots. A handle consists of a slot's number and generation, so that a stale handle, kept after
+ * its slot was freed or reused, finds nothing.
  */
 public final class SlotTable<T> {
-    /** The handle of nothing. */
+    /** A handle that refers to no slot. */
     public static final long NONE = -1;
 
     private static final int INITIAL_SLOTS = 16;
--- a/pooler/src/main/java/frostreel/util/package-info.java
+++ b/pooler/src/main/java/frostreel/util/package-info.java
@@ -1,2 +1,2 @@
-/** Data structures that several packages of the program use; it knows none of them. */
+/** Data structures shared by several packages, none of which it depends on. */
 package frostreel.util;
