--- a/pooler/src/test/java/frostreel/FailoverTest.java
+++ b/pooler/src/test/java/frostreel/FailoverTest.java
@@ -7,13 +7,14 @@
 import static frostreel.TestMessages.writeSql;
 import static org.assertj.core.api.Assertions.assertThat;
 
+import java.util.Arrays;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
 /** Retries on other members after errors, wrong roles, timeouts and broken connections. */
 class FailoverTest extends AbstractPoolerTest {
     @Test
-    void writeIsRetriedOnNextMemberAfterWrongRoleAndPrimaryIsRemembered() throws Exception {
+    void retriesWriteOnTheNextMemberAfterWrongRoleAndRemembersThePrimary() throws Exception {
         primary.script = errors("25006", "replica");
         replica.script = rows("from-new-primary", "primary");
         start();
@@ -25,29 +26,32 @@
         }
     }
 
+    /** Checks that a read which the replica fails is served by the primary. */
+    private void assertReadServedByPrimary() throws Exception {
+        try (WireConnection client = harness.client()) {
+            assertThat(value(client.execute(readSql("1", 9000)))).isEqualTo("from-primary");
+        }
+    }
+
     @Test
-    void readIsRetriedWhenItsConnectionBreaksWithinTheRow() throws Exception {
+    void retriesReadWhenItsConnectionBreaksWithinTheRow() throws Exception {
         replica.script = (text, link) -> {
-            link.send(java.util.Arrays.copyOf(row("half", "replica"), 30));
+            link.send(Arrays.copyOf(row("half", "replica"), 30));
             link.close();
         };
         start();
-        try (WireConnection client = harness.client()) {
-            assertThat(value(client.execute(readSql("1", 9000)))).isEqualTo("from-primary");
-        }
+        assertReadServedByPrimary();
     }
 
     @Test
-    void serverThatRefusesConnectionsIsSkipped() throws Exception {
+    void skipsServerThatRefusesConnections() throws Exception {
         start();
         replica.close();
-        try (WireConnection client = harness.client()) {
-            assertThat(value(client.execute(readSql("1", 9000)))).isEqualTo("from-primary");
-        }
+        assertReadServedByPrimary();
     }
 
     @Test
-    void idempotentReadIsRetriedAfterErrorAndConnectionIsReused() throws Exception {
+    void retriesReadAfterErrorAndReusesTheConnection() throws Exception {
         replica.script = errors("XX000", "replica");
         start();
         try (WireConnection client = harness.client()) {
@@ -59,7 +63,7 @@
     }
 
     @Test
-    void rejectionStatesRetryAfter() throws Exception {
+    void statesRetryAfterInRejection() throws Exception {
         replica.script = errors("53300", "replica");
         primary.script = errors("53300", "primary");
         start();
@@ -70,7 +74,7 @@
     }
 
     @Test
-    void timeoutClosesServerConnectionAndAnswersTheClientOnce() throws Exception {
+    void closesServerConnectionAtTimeoutAndAnswersTheClientOnce() throws Exception {
         ScriptedPeer.Script silence = (text, link) -> {};
         replica.script = silence;
         primary.script = silence;
@@ -92,12 +96,10 @@
     }
 
     @Test
-    void readTooStaleAtItsReplicaIsRetriedOnThePrimary() throws Exception {
+    void retriesReadOnThePrimaryWhenItsReplicaIsTooStale() throws Exception {
         replica.script = errors("72000", "replica");
         start();
-        try (WireConnection client = harness.client()) {
-            assertThat(value(client.execute(readSql("1", 9000)))).isEqualTo("from-primary");
-            assertThat(harness.pooler.counters()).contains("WRONG_ROLE_OR_STALE=1");
-        }
+        assertReadServedByPrimary();
+        assertThat(harness.pooler.counters()).contains("WRONG_ROLE_OR_STALE=1");
     }
 }
--- a/pooler/src/test/java/frostreel/LateConnectionsTest.java
+++ b/pooler/src/test/java/frostreel/LateConnectionsTest.java
@@ -13,13 +13,13 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import org.junit.jupiter.api.Test;
 
-/** Connections to servers that are established once the request that waited for them may not be sent. */
+/** Connections to servers that open when the request that waited for them may no longer be sent. */
 class LateConnectionsTest extends AbstractPoolerTest {
     private final BlockingQueue<WireConnection> handshakes = new LinkedBlockingQueue<>();
 
-    /** The retry was decided upon in time, but its connection took longer than the idempotency window. */
+    /** The router decides on the retry in time, but its connection opens after the idempotency window. */
     @Test
-    void retryWhoseConnectionOpensAfterItsIdempotencyWindowIsNotSent() throws Exception {
+    void sendsNoRetryWhoseConnectionOpensAfterTheIdempotencyWindow() throws Exception {
         long windowMs = 2_000;
         BlockingQueue<WireConnection> served = new LinkedBlockingQueue<>();
         harness.settings = PoolerHarness.SETTINGS
@@ -44,14 +44,14 @@
             assertThat(client.readResponse()).singleElement().asString().contains("|C08007|");
             assertThat(value(client.execute(writeSql("2", 9000)))).isEqualTo("second");
             assertThat(primary.next()).contains("id=2,");
-            // The late connection serves the next request. Whether that is read before the handshake, and so
-            // opens one more connection, is up to the loop; that one gets no handshake and can serve nothing.
+            // The late connection serves the next request. The loop may read that request before the handshake, and
+            // open one more connection for it; that one gets no handshake and can serve nothing.
             assertThat(served).containsExactly(late);
         }
     }
 
     @Test
-    void connectionOpenedAfterItsRequestEndedServesTheNextOne() throws Exception {
+    void reusesConnectionThatOpensAfterItsRequestEnded() throws Exception {
         replica.handshake = (text, link) -> handshakes.add(link);
         start();
         try (WireConnection client = harness.client()) {
@@ -61,11 +61,11 @@
                     .startsWith("E");
             WireConnection late = handshakes.take();
             client.send(query(readSql("2", 9000)));
-            WireConnection itsOwn = handshakes.take();
+            WireConnection pending = handshakes.take();
             late.completeHandshake();
             assertThat(value(client.readResponse())).isEqualTo("from-replica");
             assertThat(replica.next()).contains("id=2,");
-            itsOwn.completeHandshake();
+            pending.completeHandshake();
             for (int i = 3; i < 9; i++) {
                 assertThat(value(client.execute(readSql("" + i, 9000)))).isEqualTo("from-replica");
             }
@@ -74,9 +74,9 @@
         }
     }
 
-    /** The old connection becomes idle while a request waits for one to the new address. */
+    /** The connection to the old address becomes idle while a request waits for one to the new address. */
     @Test
-    void requestWaitingForMovedServerIsNotSentToItsOldAddress() throws Exception {
+    void sendsNoRequestToTheOldAddressOfServerThatMoved() throws Exception {
         ScriptedPeer moved = harness.server(rows("from-moved", "replica"));
         moved.handshake = (text, link) -> handshakes.add(link);
         BlockingQueue<WireConnection> held = new LinkedBlockingQueue<>();
@@ -101,9 +101,9 @@
         }
     }
 
-    /** The time until the client's deadline has become shorter by the end of the handshake. */
+    /** The handshake takes part of the time until the client's deadline. */
     @Test
-    void timeLeftIsComputedWhenTheAttemptIsSent() throws Exception {
+    void statesTheTimeLeftWhenTheAttemptIsSent() throws Exception {
         replica.handshake = (text, link) -> handshakes.add(link);
         start();
         try (WireConnection client = harness.client()) {
--- a/pooler/src/test/java/frostreel/PipelineTest.java
+++ b/pooler/src/test/java/frostreel/PipelineTest.java
@@ -16,10 +16,12 @@
 
 /** Pipelined requests: each has its deadline from its own arrival, and responses keep their order. */
 class PipelineTest extends AbstractPoolerTest {
-    private static final int PATIENCE_MS = 300;
+    private static final int SHORT_DEADLINE_MS = 300;
+    private static final int LONG_DEADLINE_MS = 9000;
+    private static final int PIPELINED = 200;
     private final BlockingQueue<WireConnection> held = new LinkedBlockingQueue<>();
 
-    /** Leaves the response to the first request to the test. */
+    /** Starts the pooler; the test itself sends the response to the first request. */
     private void holdFirst() throws Exception {
         ScriptedPeer.Script usual = rows("from-primary", "primary");
         primary.script = (text, link) -> {
@@ -33,17 +35,17 @@
     }
 
     private static byte[] first() {
-        return query(writeSql("first", 9000));
+        return query(writeSql("first", LONG_DEADLINE_MS));
     }
 
-    /** Waits until all requests were read and the short deadline is over, and returns the server's connection. */
-    private WireConnection awaitFirstSentAndPatienceOver() throws Exception {
+    /** Waits until all requests were read and the short deadline has passed, and returns the server's connection. */
+    private WireConnection awaitFirstSentAndShortDeadlineOver() throws Exception {
         WireConnection link = held.take();
         try (WireConnection other = harness.client()) { // Read no earlier than in the same turn.
             other.execute("");
             other.execute("");
         }
-        PoolerHarness.awaitElapsed(System.nanoTime(), PATIENCE_MS);
+        PoolerHarness.awaitElapsed(System.nanoTime(), SHORT_DEADLINE_MS);
         return link;
     }
 
@@ -65,27 +67,29 @@
     }
 
     @Test
-    void timeSpentInPipelineCountsAgainstTheDeadline() throws Exception {
+    void countsTimeInThePipelineAgainstTheDeadline() throws Exception {
         holdFirst();
         try (WireConnection client = harness.client()) {
-            client.send(first(), query(readSql("dead", PATIENCE_MS)), query(readSql("live", 9000)));
-            answerFirst(awaitFirstSentAndPatienceOver());
+            client.send(
+                    first(), query(readSql("expired", SHORT_DEADLINE_MS)), query(readSql("open", LONG_DEADLINE_MS)));
+            answerFirst(awaitFirstSentAndShortDeadlineOver());
             assertThat(value(client.readResponse())).isEqualTo("of-first");
             assertRejected(client.readResponse());
             assertThat(value(client.readResponse())).isEqualTo("from-replica");
             String sent = replica.next();
-            assertThat(TestMessages.requestId(sent)).isEqualTo("live");
-            assertThat(TestMessages.remainingMs(sent)).isLessThanOrEqualTo(9000 - PATIENCE_MS);
+            assertThat(TestMessages.requestId(sent)).isEqualTo("open");
+            assertThat(TestMessages.remainingMs(sent)).isLessThanOrEqualTo(LONG_DEADLINE_MS - SHORT_DEADLINE_MS);
             assertTwoAttemptsAndOneRejection();
         }
     }
 
     @Test
-    void requestsBehindCancelledOneKeepTheirOwnDeadlines() throws Exception {
+    void keepsDeadlinesOfRequestsBehindCancelledOne() throws Exception {
         holdFirst();
         try (CancellableClient client = new CancellableClient()) {
-            client.link.send(first(), query(readSql("dead", PATIENCE_MS)), query(readSql("live", 9000)));
-            awaitFirstSentAndPatienceOver();
+            client.link.send(
+                    first(), query(readSql("expired", SHORT_DEADLINE_MS)), query(readSql("open", LONG_DEADLINE_MS)));
+            awaitFirstSentAndShortDeadlineOver();
             client.cancelAndAwaitError();
             assertRejected(client.link.readResponse());
             assertThat(value(client.link.readResponse())).isEqualTo("from-replica");
@@ -94,11 +98,12 @@
     }
 
     @Test
-    void pipelinedRequestsAreAnsweredInOrderAtShutdown() throws Exception {
+    void answersPipelinedRequestsInOrderAtShutdown() throws Exception {
         holdFirst();
         try (WireConnection client = harness.client()) {
-            client.send(first(), query(readSql("dead", PATIENCE_MS)), query(readSql("live", 9000)));
-            WireConnection link = awaitFirstSentAndPatienceOver();
+            client.send(
+                    first(), query(readSql("expired", SHORT_DEADLINE_MS)), query(readSql("open", LONG_DEADLINE_MS)));
+            WireConnection link = awaitFirstSentAndShortDeadlineOver();
             stopPooler();
             answerFirst(link);
             assertThat(value(client.readResponse())).isEqualTo("of-first");
@@ -110,28 +115,28 @@
     }
 
     @Test
-    void everyPipelinedMessageHasOneResponseInOrder() throws Exception {
+    void answersEachPipelinedMessageOnceAndInOrder() throws Exception {
         replica.script = (text, link) -> link.send(row(TestMessages.requestId(text), "replica"), TestMessages.READY);
         holdFirst();
         ByteArrayOutputStream all = new ByteArrayOutputStream();
         all.writeBytes(first());
-        for (int i = 1; i < 200; i++) {
+        for (int i = 1; i < PIPELINED; i++) {
             all.writeBytes(query(
                     switch (i % 4) {
-                        case 0 -> readSql("live" + i, 9000);
-                        case 1 -> readSql("dead" + i, PATIENCE_MS);
+                        case 0 -> readSql("open" + i, LONG_DEADLINE_MS);
+                        case 1 -> readSql("expired" + i, SHORT_DEADLINE_MS);
                         case 2 -> "no statement";
                         default -> "";
                     }));
         }
         try (WireConnection client = harness.client()) {
             client.send(all.toByteArray());
-            answerFirst(awaitFirstSentAndPatienceOver());
+            answerFirst(awaitFirstSentAndShortDeadlineOver());
             assertThat(value(client.readResponse())).isEqualTo("of-first");
-            for (int i = 1; i < 200; i++) {
+            for (int i = 1; i < PIPELINED; i++) {
                 List<String> response = client.readResponse();
                 switch (i % 4) {
-                    case 0 -> assertThat(value(response)).isEqualTo("live" + i);
+                    case 0 -> assertThat(value(response)).isEqualTo("open" + i);
                     case 1 -> assertRejected(response);
                     case 2 -> assertThat(response).singleElement().asString().contains("|C22023|");
                     default -> assertThat(response).containsExactly("I");
@@ -149,7 +154,7 @@
     }
 
     @Test
-    void eachMessageHasTheArrivalTimeOfItsLastByte() {
+    void givesEachMessageTheArrivalTimeOfItsLastByte() {
         ArrivalTimes times = new ArrivalTimes();
         times.add(10, 100_000);
         times.add(10, 200_000);
@@ -164,7 +169,7 @@
     }
 
     @Test
-    void singleByteArrivalsUseBoundedMemoryAndKeepTheirTimes() {
+    void boundsTheMemoryOfSingleByteArrivalsAndKeepsTheirTimes() {
         ArrivalTimes times = new ArrivalTimes();
         int idle = times.memoryBytes();
         int count = 100_000;
--- a/pooler/src/test/java/frostreel/RetryAfterTest.java
+++ b/pooler/src/test/java/frostreel/RetryAfterTest.java
@@ -12,7 +12,7 @@
 class RetryAfterTest extends AbstractPoolerTest {
     private final List<WireConnection> clients = new ArrayList<>();
 
-    /** Returns the error of a request that arrives when the others hold all connections but the last. */
+    /** Starts the pooler, occupies clients up to the busy limit, and returns the error that the next request gets. */
     private String rejection() throws Exception {
         harness.unlimitedConcurrency = true;
         replica.script = (text, link) -> {};
@@ -35,18 +35,18 @@
     }
 
     @Test
-    void defaultRetryAfterIsUsedWhereAllowed() throws Exception {
+    void statesTheDefaultRetryAfterWhereAllowed() throws Exception {
         assertThat(rejection()).contains("|D200|");
     }
 
     @Test
-    void retryAfterIsCappedByTheSettings() throws Exception {
+    void capsRetryAfterByTheSettings() throws Exception {
         harness.settings = PoolerHarness.SETTINGS.replace("\"maxRetryAfterS\":2", "\"maxRetryAfterS\":0.12");
         assertThat(rejection()).contains("|D120|");
     }
 
     @Test
-    void noRetryAfterWhereDisabledAndReloadAppliesAtOnce() throws Exception {
+    void statesNoRetryAfterWhereDisabledUntilReload() throws Exception {
         harness.settings = PoolerHarness.SETTINGS.replace("\"retryAfter\":true", "\"retryAfter\":false");
         assertThat(rejection()).doesNotContain("|D");
         harness.settings = PoolerHarness.SETTINGS;
--- a/pooler/src/test/java/frostreel/ServerConnectionsTest.java
+++ b/pooler/src/test/java/frostreel/ServerConnectionsTest.java
@@ -17,7 +17,7 @@
 /** Connections to servers: their limit, their eviction, and their end. */
 class ServerConnectionsTest extends AbstractPoolerTest {
     @Test
-    void clientDisconnectClosesItsServerConnection() throws Exception {
+    void closesServerConnectionWhenItsClientDisconnects() throws Exception {
         replica.script = (text, link) -> {};
         start();
         try (WireConnection client = harness.client()) {
@@ -29,16 +29,16 @@
 
     /** Evicting always the same server's connections would cost that server a handshake for each request. */
     @Test
-    void longestIdleServerConnectionIsEvictedAtTheLimit() throws Exception {
+    void evictsTheLongestIdleConnectionAtTheLimit() throws Exception {
         List<String> order = List.of("d", "c", "b", "a", "e"); // Neither alphabetical nor by hash.
         Map<String, ScriptedPeer> servers = new HashMap<>();
         List<String> hosts = new ArrayList<>();
-        int atOnce = PoolerHarness.MAX_SERVERS / 4;
+        int requestsPerServer = PoolerHarness.MAX_SERVERS / 4;
         for (String id : order) {
-            CountDownLatch together = new CountDownLatch(id.equals("e") ? 1 : atOnce);
+            CountDownLatch allReceived = new CountDownLatch(id.equals("e") ? 1 : requestsPerServer);
             servers.put(id, harness.server((text, link) -> {
-                together.countDown();
-                PoolerHarness.await(together);
+                allReceived.countDown();
+                PoolerHarness.await(allReceived);
                 link.send(row(id, "primary"), TestMessages.READY);
             }));
             hosts.add(host(id, servers.get(id), "primary", "Ready")
@@ -47,7 +47,7 @@
         harness.start(hosts.toArray(String[]::new));
         for (String id : order) {
             List<WireConnection> clients = new ArrayList<>();
-            for (int i = 0; i < (id.equals("e") ? 1 : atOnce); i++) {
+            for (int i = 0; i < (id.equals("e") ? 1 : requestsPerServer); i++) {
                 clients.add(harness.client());
                 clients.get(i)
                         .send(query(writeSql(id + i, 9000).replace("cluster=2", "cluster=" + (int) id.charAt(0))));
@@ -67,7 +67,7 @@
     }
 
     @Test
-    void serverClosingConnectionsAfterHandshakeDelaysNoRequest() throws Exception {
+    void delaysNoRequestWhenServerClosesConnectionsAfterTheHandshake() throws Exception {
         replica.handshake = (text, link) -> {
             link.send(TestMessages.bytes('R', new byte[4]), TestMessages.READY);
             link.close();
--- a/pooler/src/test/java/frostreel/ServerProtocolTest.java
+++ b/pooler/src/test/java/frostreel/ServerProtocolTest.java
@@ -4,13 +4,15 @@
 import static frostreel.TestMessages.row;
 import static org.assertj.core.api.Assertions.assertThat;
 
+import java.nio.charset.StandardCharsets;
 import java.util.List;
+import java.util.Map;
 import org.junit.jupiter.api.Test;
 
 /** Malformed, surplus and unreadable bytes from servers. */
 class ServerProtocolTest extends AbstractPoolerTest {
     @Test
-    void malformedServerResponseClosesItsConnectionAndIsRetried() throws Exception {
+    void retriesAfterMalformedResponse() throws Exception {
         replica.script = (text, link) -> link.send(new byte[] {'T', -1, 0, 0, 0});
         start();
         try (WireConnection client = harness.client()) {
@@ -19,7 +21,7 @@
     }
 
     @Test
-    void surplusBytesAreNeverTakenForTheNextResponse() throws Exception {
+    void neverTakesSurplusBytesForTheNextResponse() throws Exception {
         replica.script = (text, link) -> {
             byte[] row = row(TestMessages.requestId(text), "replica");
             link.send(row, TestMessages.READY, row, TestMessages.READY);
@@ -35,36 +37,36 @@
     }
 
     @Test
-    void corruptResponseFailsItsAttemptAndIsRetriedAtOnce() throws Exception {
-        byte[] good = row("spoilt", "replica");
-        byte[] twoColumns = good.clone();
+    void retriesAtOnceAfterCorruptResponse() throws Exception {
+        byte[] valid = row("corrupt", "replica");
+        byte[] twoColumns = valid.clone();
         twoColumns[6] = 2;
-        byte[] tooLong = new String(good, java.nio.charset.StandardCharsets.ISO_8859_1)
-                .replace("\6spoilt", "\7spoilt")
-                .getBytes(java.nio.charset.StandardCharsets.ISO_8859_1);
-        assertThat(tooLong).isNotEqualTo(good);
-        List<byte[]> spoilt = List.of(
-                twoColumns,
-                tooLong,
-                new byte[] {'D', 127, -1, -1, -1},
-                new byte[] {'%', 0, 0, 1, 0},
-                TestMessages.bytes('C', "SELECT 1|"),
-                TestMessages.bytes('E', "Cunended"),
-                TestMessages.bytes('Z', "II"));
+        byte[] valueBeyondItsRow = new String(valid, StandardCharsets.ISO_8859_1)
+                .replace("\7corrupt", "\10corrupt")
+                .getBytes(StandardCharsets.ISO_8859_1);
+        assertThat(valueBeyondItsRow).isNotEqualTo(valid);
+        List<Map.Entry<String, byte[]>> corruptResponses = List.of(
+                Map.entry("two columns", twoColumns),
+                Map.entry("value beyond its row", valueBeyondItsRow),
+                Map.entry("row of 2 GiB", new byte[] {'D', 127, -1, -1, -1}),
+                Map.entry("unknown type", new byte[] {'%', 0, 0, 1, 0}),
+                Map.entry("completion without row", TestMessages.bytes('C', "SELECT 1|")),
+                Map.entry("truncated error", TestMessages.bytes('E', "Cunended")),
+                Map.entry("long ReadyForQuery", TestMessages.bytes('Z', "II")));
         start();
         try (WireConnection client = harness.client()) {
-            for (byte[] response : spoilt) {
-                replica.script = (text, link) -> link.send(response, TestMessages.READY);
-                List<String> result = client.execute(readSql("1", 9000));
-                assertThat(result).as("%s", new String(response)).hasSize(3);
-                assertThat(value(result)).isEqualTo("from-primary");
+            for (Map.Entry<String, byte[]> corrupt : corruptResponses) {
+                replica.script = (text, link) -> link.send(corrupt.getValue(), TestMessages.READY);
+                List<String> response = client.execute(readSql("1", 9000));
+                assertThat(response).as(corrupt.getKey()).hasSize(3);
+                assertThat(value(response)).as(corrupt.getKey()).isEqualTo("from-primary");
                 assertThat(replica.closedConnections.take()).isEqualTo("closed");
             }
         }
     }
 
     @Test
-    void unreadableLoadReportIsDroppedAndTheValueServed() throws Exception {
+    void servesTheValueWhoseLoadReportIsMalformed() throws Exception {
         replica.script = (text, link) -> link.send(
                 row("good", "replica"),
                 TestMessages.bytes('S', "load|x0=,util=?|"),
--- a/pooler/src/test/java/frostreel/broker/BrokerTest.java
+++ b/pooler/src/test/java/frostreel/broker/BrokerTest.java
@@ -11,8 +11,10 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
 
-/** What the broker ensures by itself where the router does nothing, on a clock that tests move. */
+/** What the broker ensures by itself where the router does nothing, on a clock that tests advance. */
 class BrokerTest {
     private static final long DEADLINE_US = 1_000_000;
     private long nowUs;
@@ -70,22 +72,19 @@
         deadlines.runDue();
     }
 
-    @Test
-    void aRequestLeftUnansweredFailsWithinTheSlackThatItsSettingsAllow() {
-        for (long slackUs : new long[] {0, 4_000, 20_000, 100_000}) {
-            failed.clear();
-            nowUs = 0;
-            submit(broker(settings(slackUs)), "1");
-            long dueUs = DEADLINE_US + slackUs * 3 / 4;
-            advanceTo(dueUs - 1);
-            assertThat(failed).as("slack %d", slackUs).isEmpty();
-            advanceTo(dueUs);
-            assertThat(failed).as("slack %d", slackUs).containsExactly("1");
-        }
+    @ParameterizedTest
+    @ValueSource(longs = {0, 4_000, 20_000, 100_000})
+    void failsUnansweredRequestWithinTheSlackOfTheSettings(long slackUs) {
+        submit(broker(settings(slackUs)), "1");
+        long dueUs = DEADLINE_US + slackUs * 3 / 4;
+        advanceTo(dueUs - 1);
+        assertThat(failed).isEmpty();
+        advanceTo(dueUs);
+        assertThat(failed).containsExactly("1");
     }
 
     @Test
-    void newSettingsBindTheSlackOfRequestsThatComeAfterThem() {
+    void appliesNewSlackToLaterRequestsAlone() {
         Broker broker = broker(settings(20_000));
         submit(broker, "before");
         broker.updateSettings(settings(4_000));
--- a/pooler/src/test/java/frostreel/broker/EventQueueTest.java
+++ b/pooler/src/test/java/frostreel/broker/EventQueueTest.java
@@ -7,20 +7,20 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The order of events, and what a fault in one of them leaves of the others. */
+/** The order of events, and that an exception in one of them does not affect the others. */
 class EventQueueTest {
     private final Counters counters = new Counters();
     private final EventQueue events = new EventQueue(counters);
     private final List<String> ran = new ArrayList<>();
 
     @Test
-    void anEventRunsAtOnceWhereNoneIsRunning() {
+    void runsEventAtOnceWhileNoneIsRunning() {
         events.run(() -> ran.add("first"));
         assertThat(ran).containsExactly("first");
     }
 
     @Test
-    void anEventThatAnotherCausesRunsAfterItAndInTurn() {
+    void runsCausedEventsAfterTheirCauseInOrder() {
         events.run(() -> {
             events.run(() -> ran.add("caused first"));
             events.run(() -> ran.add("caused second"));
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void aFaultInOneEventIsCountedAndSparesTheOthers() {
+    void countsFailedEventAndRunsTheOthers() {
         events.run(() -> {
             events.run(() -> ran.add("queued"));
             throw new IllegalStateException("on purpose");
--- a/pooler/src/test/java/frostreel/broker/RequestTableTest.java
+++ b/pooler/src/test/java/frostreel/broker/RequestTableTest.java
@@ -6,7 +6,7 @@
 import frostreel.util.SlotTable;
 import org.junit.jupiter.api.Test;
 
-/** When a request is found, and by which of its ids. */
+/** By which of its ids a request is found, and until when. */
 class RequestTableTest {
     private static final long ATTEMPT = 7;
     private final RequestTable requests = new RequestTable(1);
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void anOpenRequestIsFoundByItsHandleItsIdAndItsSendersId() {
+    void findsOpenRequestByItsHandleAndBothIds() {
         ActiveRequest request = opened("a");
         assertThat(requests.get(request.handle)).isSameAs(request);
         assertThat(requests.byRouterId(request.routerId)).isSameAs(request);
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void aFullTableTakesNoMoreUntilASlotIsFreed() {
+    void acceptsNoRequestWhileFullUntilSlotIsFreed() {
         ActiveRequest request = request("a");
         assertThat(requests.reserveSlot(request)).isTrue();
         assertThat(requests.reserveSlot(request("b"))).isFalse();
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void anAnsweredRequestStaysUntilItsAttemptHasEnded() {
+    void keepsAnsweredRequestUntilItsAttemptEnds() {
         ActiveRequest request = opened("a");
         request.answered = true;
         request.attemptHandle = ATTEMPT;
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void theIdOfARequestThatIsDoneDoesNotFindTheNextInItsSlot() {
+    void doesNotFindTheNextRequestInSlotByTheIdOfTheFormer() {
         ActiveRequest first = opened("a");
         first.answered = true;
         requests.removeIfDone(first);
--- a/pooler/src/test/java/frostreel/time/DeadlinesTest.java
+++ b/pooler/src/test/java/frostreel/time/DeadlinesTest.java
@@ -6,9 +6,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** The order in which deadlines run, and the wake-ups asked for. */
 class DeadlinesTest {
     @Test
-    void deadlinesRunInOrderAndOneFailureSparesTheOthers() {
+    void runsDeadlinesInOrderAlsoAfterOneFails() {
         List<Long> wakes = new ArrayList<>();
         List<String> ran = new ArrayList<>();
         Deadlines deadlines = new Deadlines(Clock.system(), wakes::add);
--- a/pooler/src/test/java/frostreel/util/SlotTableTest.java
+++ b/pooler/src/test/java/frostreel/util/SlotTableTest.java
@@ -4,9 +4,10 @@
 
 import org.junit.jupiter.api.Test;
 
+/** Handles of slots that were freed and reused. */
 class SlotTableTest {
     @Test
-    void staleHandleFindsNothing() {
+    void findsNothingByStaleHandle() {
         SlotTable<String> table = new SlotTable<>(2);
         long stale = table.add("a");
         table.add("b");
