--- a/pooler/src/test/java/frostreel/HandoverTest.java
+++ b/pooler/src/test/java/frostreel/HandoverTest.java
@@ -60,7 +60,8 @@
     void commitsOfEachProcessBindTheOther() throws Exception {
         PeerProcessCommits before = open();
         PeerProcessCommits after = open();
-        assertThat(List.of(requiredPositionUs(before), requiredPositionUs(after))).containsOnly(0L);
+        assertThat(List.of(requiredPositionUs(before), requiredPositionUs(after)))
+                .containsOnly(0L);
         write(before, NOW_US + 2_000);
         assertThat(requiredPositionUs(after)).isEqualTo(NOW_US + 3_000);
         assertThat(requiredPositionUs(before)).isZero();
--- a/pooler/src/test/java/frostreel/PausedResponseTest.java
+++ b/pooler/src/test/java/frostreel/PausedResponseTest.java
@@ -43,7 +43,7 @@
         harness.close();
     }
 
-    /** Its reader pauses the source with the last piece, and has no reason to resume it once the response is complete. */
+    /** Its reader pauses the source with the last piece, and does not resume it: the response is complete. */
     @Test
     void connectionPausedAtTheEndOfALongResponseServesTheNextAttempt() throws Exception {
         CountDownLatch allButLastPieceRead = new CountDownLatch(1);
