--- a/cluster/src/main/java/frostreel/cluster/jgroups/GroupMembership.java
+++ b/cluster/src/main/java/frostreel/cluster/jgroups/GroupMembership.java
@@ -98,7 +98,7 @@
         } catch (SecurityException e) { // The previous incarnation is still in the view.
             LOG.fine(e.getMessage());
             channel.close();
-            CompletableFuture.delayedExecutor(REJOIN_DELAY_MS, TimeUnit.MILLISECONDS, this::onChannel)
+            CompletableFuture.delayedExecutor(REJOIN_DELAY_MS, TimeUnit.MILLISECONDS, this::runOnChannel)
                     .execute(this::join);
         } catch (Exception e) { // The library declares no narrower type.
             LOG.log(Level.SEVERE, "GW_CLUSTER: cannot join " + settings.group() + " at " + settings.bind(), e);
@@ -139,7 +139,7 @@
     @Override
     public void send(Peer to, byte[] message) {
         Membership.checkSize(message);
-        onChannel(() -> {
+        runOnChannel(() -> {
             View current = channel.getView();
             if (current == null) {
                 return;
@@ -155,10 +155,10 @@
     @Override
     public void broadcast(byte[] message) {
         Membership.checkSize(message);
-        onChannel(() -> write(null, message));
+        runOnChannel(() -> write(null, message));
     }
 
-    private void onChannel(Runnable task) {
+    private void runOnChannel(Runnable task) {
         try {
             channelExecutor.execute(task);
         } catch (RejectedExecutionException full) {
--- a/cluster/src/main/java/frostreel/cluster/jgroups/RaftLog.java
+++ b/cluster/src/main/java/frostreel/cluster/jgroups/RaftLog.java
@@ -134,16 +134,23 @@
         answer.orTimeout(ANSWER_TIMEOUT_MS, TimeUnit.MILLISECONDS).whenComplete((bytes, failure) -> {
             if (failure == null) {
                 owner.execute(() -> finish(proposal, CommittedEntries.decodeAnswer(bytes)));
-            } else if (nowMs() < deadlineMs) {
-                CompletableFuture.delayedExecutor(RETRY_DELAY_MS, TimeUnit.MILLISECONDS, owner)
-                        .execute(() -> submit(proposal, deadlineMs));
             } else {
-                Throwable cause = failure instanceof CompletionException ? failure.getCause() : failure;
-                owner.execute(() -> finishUnknown(proposal, String.valueOf(cause)));
+                onAttemptFailed(proposal, deadlineMs, failure);
             }
         });
     }
 
+    /** Runs on any thread. */
+    private void onAttemptFailed(Proposal proposal, long deadlineMs, Throwable failure) {
+        if (nowMs() < deadlineMs) {
+            CompletableFuture.delayedExecutor(RETRY_DELAY_MS, TimeUnit.MILLISECONDS, owner)
+                    .execute(() -> submit(proposal, deadlineMs));
+        } else {
+            Throwable cause = failure instanceof CompletionException ? failure.getCause() : failure;
+            owner.execute(() -> finishUnknown(proposal, String.valueOf(cause)));
+        }
+    }
+
     private void finish(Proposal proposal, long index) {
         if (index == CommittedEntries.SUPERSEDED) {
             finishUnknown(proposal, "a later one was chosen before it");
