--- a/pooler/src/main/java/frostreel/settings/OperatorSettingsReader.java
+++ b/pooler/src/main/java/frostreel/settings/OperatorSettingsReader.java
@@ -46,9 +46,10 @@
         XmlElement root = XmlFile.read(path, OperatorSettings.SCHEMA);
         Optional<XmlElement> log = root.optionalChild("log");
         OperatorSettings settings = new OperatorSettings(
-                log.map(element -> Logging.Format.valueOf(constant(element, "format")))
+                log.map(element -> Logging.Format.valueOf(upperCase(element, "format")))
                         .orElse(OperatorSettings.DEFAULT.logFormat()),
-                log.map(element -> Level.parse(constant(element, "level"))).orElse(OperatorSettings.DEFAULT.logLevel()),
+                log.map(element -> Level.parse(upperCase(element, "level")))
+                        .orElse(OperatorSettings.DEFAULT.logLevel()),
                 root.optionalChild("zones").map(this::readZones),
                 root.optionalChild("cluster").map(this::readCluster));
         if (!faults.isEmpty()) {
@@ -57,7 +58,7 @@
         return settings;
     }
 
-    private static String constant(XmlElement element, String attribute) {
+    private static String upperCase(XmlElement element, String attribute) {
         return element.text(attribute).toUpperCase(Locale.ROOT);
     }
 
@@ -68,20 +69,26 @@
         for (XmlElement element : elements) {
             int number = tiers.size() + 1;
             List<String> names = zoneNames(element);
-            if (names.isEmpty() && number < elements.size()) {
+            boolean isLast = number == elements.size();
+            if (names.isEmpty() && !isLast) {
                 faults.add(element.fault(file, "zones", "only the last tier may stand for all other zones"));
             }
-            for (String name : names) {
-                Integer other = tierByZone.putIfAbsent(name, number);
-                if (other != null) {
-                    faults.add(element.fault(file, "zones", "zone '" + name + "' stands in tier " + other + " too"));
-                }
-            }
+            reportOverlaps(element, names, number, tierByZone);
             tiers.add(new OperatorSettings.Tier(names, element.decimal("spill")));
         }
         return new OperatorSettings.Zones(tiers, (int) zones.integer("poolers"));
     }
 
+    /** Adds a fault for each zone that an earlier tier, or this one, has named already. */
+    private void reportOverlaps(XmlElement tier, List<String> names, int number, Map<String, Integer> tierByZone) {
+        for (String name : names) {
+            Integer other = tierByZone.putIfAbsent(name, number);
+            if (other != null) {
+                faults.add(tier.fault(file, "zones", "zone '" + name + "' stands in tier " + other + " too"));
+            }
+        }
+    }
+
     private static List<String> zoneNames(XmlElement tier) {
         return tier.has("zones") ? Arrays.asList(tier.text("zones").split(BLANKS)) : List.of();
     }
@@ -118,11 +125,11 @@
     /** The address of one machine; empty, with a fault added, for anything else. */
     @SuppressWarnings("StringSplitter") // The schema admits one colon only.
     private Optional<InetSocketAddress> readAddress(XmlElement pooler, String attribute) {
-        String[] parts = pooler.text(attribute).split(":");
+        String[] hostAndPort = pooler.text(attribute).split(":");
         try {
             // The schema admits no names; only an octet over 255 is looked up, and not found.
-            InetAddress host = InetAddress.getByName(parts[0]);
-            int port = Integer.parseInt(parts[1]);
+            InetAddress host = InetAddress.getByName(hostAndPort[0]);
+            int port = Integer.parseInt(hostAndPort[1]);
             if (port > 0 && port <= MAX_PORT && !host.isAnyLocalAddress()) {
                 return Optional.of(new InetSocketAddress(host, port));
             }
