--- a/lab/src/main/java/frostreel/lab/model/Server.java
+++ b/lab/src/main/java/frostreel/lab/model/Server.java
@@ -23,6 +23,7 @@
     private final double speed;
     private final ReplicaLog log;
     private final WarmUpLoad warmUpLoad;
+    private final ServerFaults faults;
     private final ArrayDeque<Job> waiting = new ArrayDeque<>();
     private final ArrayDeque<Job> inWork = new ArrayDeque<>();
     private int busyCores;
@@ -33,12 +34,6 @@
     private boolean draining;
     private boolean overloaded;
     private long startedUs;
-    private long stalledUntilUs;
-    private double slowdown = 1;
-    private double failingShare;
-    private double owedFailures;
-    private double losingShare;
-    private double owedLosses;
 
     /**
      * A running, warm replica that is up to date.
@@ -57,6 +52,7 @@
         this.speed = speed;
         log = new ReplicaLog(scheduler, parameters);
         warmUpLoad = new WarmUpLoad(parameters);
+        faults = new ServerFaults(scheduler);
     }
 
     /** Whether its process runs, draining or not. */
@@ -92,27 +88,9 @@
         return log.primarySinceUs();
     }
 
-    /** Stalls the server: for so many microseconds it neither accepts nor completes requests. */
-    public void stall(long us) {
-        stalledUntilUs = scheduler.now() + us;
-    }
-
-    /** Sets the share of its answers, 0 to 1, that is lost on the network from now on. */
-    public void loseAnswers(double share) {
-        losingShare = share;
-    }
-
-    /** Whether the answer that it gives now is lost; to be called once for each answer. */
-    public boolean nextAnswerIsLost() {
-        owedLosses += losingShare;
-        boolean lost = owedLosses >= 1;
-        owedLosses -= lost ? 1 : 0;
-        return lost;
-    }
-
-    /** Sets the share of requests, 0 to 1, that fail with an error on arrival from now on. */
-    public void failRequests(double share) {
-        failingShare = share;
+    /** The faults that are injected into it. */
+    public ServerFaults faults() {
+        return faults;
     }
 
     /** When it last started, in Unix microseconds; 0 for long ago. */
@@ -127,7 +105,7 @@
 
     /** Its present capacity, in cores of speed 1. */
     public double capacity() {
-        return cores * speed * warmth() / slowdown;
+        return cores * speed * warmth() / faults.slowdown();
     }
 
     /** The share of its full capacity, 0 to 1, that it has at its age. */
@@ -139,10 +117,6 @@
         return Math.min(1, parameters.coldFrom() + (1 - parameters.coldFrom()) * share);
     }
 
-    /** Makes all requests that begin from now on take so many times as long; 1 for the usual time. */
-    public void slowDown(double times) {
-        slowdown = times;
-    }
 
     /** Sets how many seconds of the log it applies per second from now on. */
     public void replayRate(double rate) {
@@ -242,8 +216,8 @@
             }
         } else if (draining) {
             end(job, Outcome.REJECTED);
-        } else if (stalledUntilUs > scheduler.now()) {
-            scheduler.after(stalledUntilUs - scheduler.now(), () -> {
+        } else if (faults.stalledForUs() > 0) {
+            scheduler.after(faults.stalledForUs(), () -> {
                 if (!job.over) {
                     arrive(job);
                 }
@@ -258,9 +232,7 @@
     }
 
     private void take(Job job) {
-        owedFailures += failingShare;
-        if (owedFailures >= 1) {
-            owedFailures--;
+        if (faults.nextRequestFails()) {
             end(job, Outcome.ERROR);
         } else if ((job.write && !log.primary()) || job.requiredPositionUs > log.appliedUs()) {
             end(job, Outcome.WRONG_ROLE_OR_STALE);
@@ -281,13 +253,13 @@
         occupy(1);
         job.running = true;
         inWork.add(job);
-        long durationUs = (long) (job.workUs / (speed * warmth() / slowdown));
+        long durationUs = (long) (job.workUs / (speed * warmth() / faults.slowdown()));
         scheduler.after(durationUs, () -> finish(job));
     }
 
     private void finish(Job job) {
-        if (stalledUntilUs > scheduler.now()) {
-            scheduler.after(stalledUntilUs - scheduler.now(), () -> finish(job));
+        if (faults.stalledForUs() > 0) {
+            scheduler.after(faults.stalledForUs(), () -> finish(job));
         } else if (!job.over) {
             inWork.remove(job);
             occupy(-1);
--- a/lab/src/main/java/frostreel/lab/virtual/Simulation.java
+++ b/lab/src/main/java/frostreel/lab/virtual/Simulation.java
@@ -110,7 +110,7 @@
 
     /** Makes requests take so many times as long at every server of a zone; 1 for the usual time. */
     public void slowZone(int zone, double times) {
-        cluster.zone(zone).forEach(server -> server.slowDown(times));
+        cluster.zone(zone).forEach(server -> server.faults().slowDown(times));
     }
 
     /** Sets how many seconds of the log the replicas of a zone apply per second. */
--- a/lab/src/main/java/frostreel/lab/virtual/VirtualPooler.java
+++ b/lab/src/main/java/frostreel/lab/virtual/VirtualPooler.java
@@ -237,7 +237,7 @@
         if (outcome == Outcome.OK && attempt.payload.write()) {
             scheduler.after(Router.KNOWN_AFTER_US, () -> committed(attempt.payload, positionUs));
         }
-        if (!server.nextAnswerIsLost()) {
+        if (!server.faults().nextAnswerIsLost()) {
             scheduler.after(
                     links.delayUs(server.zone, zone),
                     () -> receiveAnswer(attempt, requiredUs, outcome, role, positionUs, utilization));
--- a/lab/src/test/java/frostreel/lab/virtual/RandomScenario.java
+++ b/lab/src/test/java/frostreel/lab/virtual/RandomScenario.java
@@ -177,14 +177,14 @@
             case "lag" ->
                 during(simulation, atUs, lengthUs, servers, s -> s.replayRate(size), s -> s.replayRate(usualReplay));
             case "errors" ->
-                during(simulation, atUs, lengthUs, servers, s -> s.failRequests(size), s -> s.failRequests(0));
+                during(simulation, atUs, lengthUs, servers, s -> s.faults().failRequests(size), s -> s.faults().failRequests(0));
             case "losses" ->
-                during(simulation, atUs, lengthUs, servers, s -> s.loseAnswers(size), s -> s.loseAnswers(0));
-            case "slow" -> during(simulation, atUs, lengthUs, servers, s -> s.slowDown(1 + size), s -> s.slowDown(1));
+                during(simulation, atUs, lengthUs, servers, s -> s.faults().loseAnswers(size), s -> s.faults().loseAnswers(0));
+            case "slow" -> during(simulation, atUs, lengthUs, servers, s -> s.faults().slowDown(1 + size), s -> s.faults().slowDown(1));
             case "stalls" -> {
                 long stallUs = (long) (100_000 + 300_000 * size);
                 for (long t = atUs; t < atUs + lengthUs; t += STALL_INTERVAL_US) {
-                    simulation.at(t, () -> servers.forEach(server -> server.stall(stallUs)));
+                    simulation.at(t, () -> servers.forEach(server -> server.faults().stall(stallUs)));
                 }
             }
             default -> throw new IllegalArgumentException("no such event: " + event);
