--- a/lab/src/main/java/frostreel/lab/model/Server.java
+++ b/lab/src/main/java/frostreel/lab/model/Server.java
@@ -11,24 +11,20 @@
  * knows no network. Owned by a {@link Cluster}; used by the scheduler's one thread.
  */
 public final class Server {
-    /** Time constant of the moving average of the utilization. */
-    private static final double UTILIZATION_SPAN_US = 100_000;
-
+    /** Unique in the deployment. */
     public final String id;
+
     public final int zone;
     public final int group;
     private final Scheduler scheduler;
     private final ServerParameters parameters;
-    private final int cores;
+    private final Cores cores;
     private final double speed;
     private final ReplicaLog log;
     private final WarmUpLoad warmUpLoad;
     private final ServerFaults faults;
     private final ArrayDeque<Job> waiting = new ArrayDeque<>();
     private final ArrayDeque<Job> inWork = new ArrayDeque<>();
-    private int busyCores;
-    private double utilization;
-    private long utilizationAtUs;
     private boolean up = true;
     private boolean vanished;
     private boolean draining;
@@ -48,7 +44,7 @@
         this.id = id;
         this.zone = zone;
         this.group = group;
-        this.cores = cores;
+        this.cores = new Cores(scheduler, cores);
         this.speed = speed;
         log = new ReplicaLog(scheduler, parameters);
         warmUpLoad = new WarmUpLoad(parameters);
@@ -105,7 +101,7 @@
 
     /** Its present capacity, in cores of speed 1. */
     public double capacity() {
-        return cores * speed * warmth() / faults.slowdown();
+        return cores.count() * speed * warmth() / faults.slowdown();
     }
 
     /** The share of its full capacity, 0 to 1, that it has at its age. */
@@ -117,7 +113,6 @@
         return Math.min(1, parameters.coldFrom() + (1 - parameters.coldFrom()) * share);
     }
 
-
     /** Sets how many seconds of the log it applies per second from now on. */
     public void replayRate(double rate) {
         log.replayRate(rate);
@@ -177,7 +172,7 @@
         waiting.forEach(job -> job.over = true);
         inWork.clear();
         waiting.clear();
-        occupy(-busyCores);
+        cores.releaseAll();
     }
 
     /** Rejects new requests from now on, and completes those that it has. */
@@ -236,7 +231,7 @@
             end(job, Outcome.ERROR);
         } else if ((job.write && !log.primary()) || job.requiredPositionUs > log.appliedUs()) {
             end(job, Outcome.WRONG_ROLE_OR_STALE);
-        } else if (busyCores < cores) {
+        } else if (cores.isAnyFree()) {
             begin(job);
         } else if (waiting.size() >= parameters.queue()) {
             end(job, Outcome.REJECTED);
@@ -250,7 +245,7 @@
     }
 
     private void begin(Job job) {
-        occupy(1);
+        cores.occupy();
         job.running = true;
         inWork.add(job);
         long durationUs = (long) (job.workUs / (speed * warmth() / faults.slowdown()));
@@ -262,14 +257,14 @@
             scheduler.after(faults.stalledForUs(), () -> finish(job));
         } else if (!job.over) {
             inWork.remove(job);
-            occupy(-1);
+            cores.release();
             end(job, job.write && !log.primary() ? Outcome.ERROR : Outcome.OK);
             beginWaiting();
         }
     }
 
     private void beginWaiting() {
-        while (busyCores < cores && !waiting.isEmpty()) {
+        while (cores.isAnyFree() && !waiting.isEmpty()) {
             Job job = waiting.poll();
             if (!job.over) {
                 begin(job);
@@ -283,7 +278,7 @@
             job.over = true;
             if (job.running) {
                 inWork.remove(job);
-                occupy(-1);
+                cores.release();
                 beginWaiting();
             } else {
                 waiting.remove(job);
@@ -299,16 +294,8 @@
         job.listener.ended(outcome, role(), reportedPositionUs(), utilization());
     }
 
-    private void occupy(int moreCores) {
-        utilization();
-        busyCores += moreCores;
-    }
-
     /** The share of its cores in use, 0 to 1: a moving average over about a tenth of a second. */
     public double utilization() {
-        double fade = Math.exp((utilizationAtUs - scheduler.now()) / UTILIZATION_SPAN_US);
-        utilization = utilization * fade + (1 - fade) * busyCores / cores;
-        utilizationAtUs = scheduler.now();
-        return utilization;
+        return cores.utilization();
     }
 }
