--- a/lab/src/main/java/frostreel/lab/virtual/VirtualGroup.java
+++ b/lab/src/main/java/frostreel/lab/virtual/VirtualGroup.java
@@ -5,13 +5,10 @@
 import frostreel.cluster.Peer;
 import frostreel.cluster.ReplicatedLog;
 import frostreel.lab.model.Scheduler;
-import java.util.ArrayDeque;
 import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
-import java.util.Queue;
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
@@ -26,22 +23,17 @@
     /** The random part, at most, of the time until a view changes; it adds to the silence timeout. */
     private static final long MAX_VIEW_SPREAD_US = 500_000;
 
-    private static final long PROPOSAL_TIMEOUT_US = 10_000_000;
-    private static final long RETRY_INTERVAL_US = 100_000;
     private final Scheduler scheduler;
     private final SplittableRandom random;
     private final Set<String> configuredNames;
     private final long silenceTimeoutUs;
-    private final List<byte[]> committedEntries = new ArrayList<>();
-    private final Map<String, Member> present = new TreeMap<>();
+    private final long usualDelayUs;
+    private final GroupLinks links;
+    private final VirtualLog log;
+    /** The members that have neither left nor ended, by name. */
+    private final Map<String, GroupMember> present = new TreeMap<>();
     /** Peers that left gracefully, of which suspicion is not reported. */
     private final Set<Peer> gracefulLeavers = new HashSet<>();
-    /** By direction, as sender and receiver: since when it is cut. */
-    private final Map<List<String>, Long> cutsSinceUs = new HashMap<>();
-
-    private final Map<List<String>, Long> delays = new HashMap<>();
-    private final Map<List<String>, Long> lastArrivals = new HashMap<>();
-    private final long usualDelayUs;
 
     /**
      * A group without members.
@@ -61,103 +53,23 @@
         this.configuredNames = Set.copyOf(configuredNames);
         this.silenceTimeoutUs = silenceTimeoutUs;
         usualDelayUs = delayUs;
-    }
-
-    /** One incarnation of a pooler in the group. */
-    private final class Member implements Membership {
-        private final Peer self;
-        private final Listener listener;
-        /** Events that came while it was paused. */
-        private final Queue<Runnable> missedEvents = new ArrayDeque<>();
-
-        private MembershipView view = MembershipView.NONE;
-        /** The newest view that contains it, which it adopts once it is not paused. */
-        private MembershipView latestView = MembershipView.NONE;
-        /** Null where it does not use the replicated log. */
-        private ReplicatedLog.Listener logListener;
-
-        private long lastDeliveredNumber;
-        private boolean catchUpPending;
-        private boolean paused;
-        private long pausedAtUs;
-        private boolean gone;
-
-        Member(Peer self, Listener listener) {
-            this.self = self;
-            this.listener = listener;
-        }
-
-        @Override
-        public Peer self() {
-            return self;
-        }
-
-        @Override
-        public MembershipView view() {
-            return view;
-        }
-
-        @Override
-        public void send(Peer to, byte[] message) {
-            Membership.checkSize(message);
-            if (!to.equals(self) && view.members().contains(to)) {
-                carry(this, to, message);
-            }
-        }
-
-        @Override
-        public void broadcast(byte[] message) {
-            Membership.checkSize(message);
-            for (Peer to : view.members()) {
-                if (!to.equals(self)) {
-                    carry(this, to, message);
-                }
-            }
-        }
-
-        @Override
-        public void leave() {
-            if (!gone) {
-                gracefulLeavers.add(self);
-                end(this);
-                regroupIn(usualDelayUs);
-            }
-        }
-
-        private void deliver(Runnable event) {
-            if (gone) {
-                return;
-            }
-            if (paused) {
-                missedEvents.add(event);
-            } else {
-                event.run();
-            }
-        }
-
-        private void adopt(MembershipView next) {
-            MembershipView before = view;
-            view = next;
-            next.left(before).stream()
-                    .filter(peer -> !gracefulLeavers.contains(peer))
-                    .forEach(listener::onSuspected);
-            listener.onViewChanged(next, before);
-        }
+        links = new GroupLinks(scheduler, delayUs);
+        log = new VirtualLog(scheduler, links, delayUs, this.configuredNames.size(), present.values());
     }
 
     /** Starts a pooler under a name, and ends an earlier incarnation of that name. */
     public Membership join(String name, long incarnation, Membership.Listener listener) {
-        Member before = present.get(name);
+        GroupMember before = present.get(name);
         if (before != null) {
             end(before);
         }
-        Member member = new Member(new Peer(name, incarnation), listener);
+        GroupMember member = new GroupMember(this, new Peer(name, incarnation), listener);
         if (!configuredNames.contains(name)) {
-            scheduler.after(0, () -> member.deliver(() -> listener.onJoinFailed(name + " is not named")));
+            scheduler.after(0, () -> member.deliverJoinFailure(name + " is not named"));
             return member;
         }
         present.put(name, member);
-        regroupIn(usualDelayUs);
+        changeViewsIn(usualDelayUs);
         return member;
     }
 
@@ -168,197 +80,128 @@
      * @param listener notified of all committed entries, those so far included
      */
     public ReplicatedLog log(Membership membership, ReplicatedLog.Listener listener) {
-        Member member = (Member) membership;
-        member.logListener = listener;
-        catchUp(member);
-        return (entry, outcome) -> propose(member, entry, outcome);
-    }
-
-    private void propose(Member member, byte[] entry, ReplicatedLog.ProposalListener outcome) {
-        ReplicatedLog.checkSize(entry);
-        byte[] copy = entry.clone();
-        long deadlineUs = scheduler.now() + PROPOSAL_TIMEOUT_US;
-        scheduler.after(2 * usualDelayUs, () -> attempt(member, copy, outcome, deadlineUs));
-    }
-
-    /** Retries until a majority can commit the entry; the outcome may be lost on the way back. */
-    private void attempt(Member member, byte[] entry, ReplicatedLog.ProposalListener outcome, long deadlineUs) {
-        if (member.gone) {
-            return;
-        }
-        if (scheduler.now() >= deadlineUs) {
-            member.deliver(() -> outcome.onUnknown("no majority"));
-        } else if (member.paused || !reachesMajority(member)) {
-            scheduler.after(RETRY_INTERVAL_US, () -> attempt(member, entry, outcome, deadlineUs));
-        } else {
-            committedEntries.add(entry);
-            long number = committedEntries.size();
-            present.values().forEach(this::catchUp);
-            scheduler.after(2 * usualDelayUs, () -> {
-                if (reachesMajority(member)) {
-                    member.deliver(() -> outcome.onCommitted(number));
-                } else {
-                    scheduler.after(
-                            PROPOSAL_TIMEOUT_US, () -> member.deliver(() -> outcome.onUnknown("the answer was lost")));
-                }
-            });
-        }
+        return log.open((GroupMember) membership, listener);
     }
 
-    /** Whether a member reaches a majority of the configured ones, itself included; a paused one reaches no other. */
-    private boolean reachesMajority(Member member) {
-        long reached = present.values().stream()
-                .filter(other ->
-                        other == member || (!other.paused && !member.paused && bothDirectionsOpen(other, member)))
-                .count();
-        return reached > configuredNames.size() / 2;
-    }
-
-    private boolean bothDirectionsOpen(Member one, Member other) {
-        return !cutsSinceUs.containsKey(List.of(one.self.name(), other.self.name()))
-                && !cutsSinceUs.containsKey(List.of(other.self.name(), one.self.name()));
+    /** Kills a member's process, which does not leave first. */
+    public void kill(String name) {
+        end(present.get(name));
+        changeViewsAfterSilence();
     }
 
-    /** Delivers the committed entries to a member once it reaches a majority, for which it polls. */
-    private void catchUp(Member member) {
-        if (member.logListener == null || member.catchUpPending) {
-            return;
-        }
-        member.catchUpPending = true;
-        scheduler.after(usualDelayUs, () -> {
-            member.catchUpPending = false;
-            if (member.gone) {
-                return;
-            }
-            if (member.paused || !reachesMajority(member)) {
-                member.catchUpPending = true;
-                scheduler.after(RETRY_INTERVAL_US, () -> {
-                    member.catchUpPending = false;
-                    catchUp(member);
-                });
-                return;
-            }
-            member.lastDeliveredNumber =
-                    Math.max(member.lastDeliveredNumber, committedEntries.size() - ReplicatedLog.RETAINED_ENTRIES);
-            while (member.lastDeliveredNumber < committedEntries.size()) {
-                long number = ++member.lastDeliveredNumber;
-                member.deliver(() -> member.logListener.onCommitted(number, committedEntries.get((int) number - 1)));
-            }
-        });
+    private void end(GroupMember member) {
+        member.end();
+        present.remove(member.name(), member);
     }
 
-    /** Kills a member's process, which does not leave first. */
-    public void kill(String name) {
-        end(present.get(name));
-        regroup();
+    /** A member leaves gracefully. */
+    void leave(GroupMember member) {
+        gracefulLeavers.add(member.self());
+        end(member);
+        changeViewsIn(usualDelayUs);
     }
 
-    private void end(Member member) {
-        member.gone = true;
-        present.remove(member.self.name(), member);
+    boolean hasLeftGracefully(Peer peer) {
+        return gracefulLeavers.contains(peer);
     }
 
     /** Cuts or restores the link from one member to another, in this direction alone. */
     public void cut(String from, String to, boolean isCut) {
-        List<String> direction = List.of(from, to);
-        if (isCut
-                ? cutsSinceUs.putIfAbsent(direction, scheduler.now()) == null
-                : cutsSinceUs.remove(direction) != null) {
-            regroup();
+        if (links.cut(from, to, isCut)) {
+            changeViewsAfterSilence();
         }
     }
 
     /** Adds a delay, in microseconds, to each message from one member to another; 0 for none. */
     public void delay(String from, String to, long us) {
-        delays.put(List.of(from, to), us);
+        links.delay(from, to, us);
     }
 
     /** Pauses or resumes a member's process; once resumed, it gets the events that came meanwhile. */
     public void pause(String name, boolean isPaused) {
-        Member member = present.get(name);
-        member.paused = isPaused;
-        member.pausedAtUs = scheduler.now();
-        while (!isPaused && !member.paused && !member.missedEvents.isEmpty()) {
-            member.missedEvents.poll().run();
+        GroupMember member = present.get(name);
+        if (isPaused) {
+            member.pause(scheduler.now());
+        } else {
+            member.resume();
         }
-        regroup();
+        changeViewsAfterSilence();
     }
 
-    private void carry(Member from, Peer to, byte[] message) {
-        Member member = present.get(to.name());
-        List<String> direction = List.of(from.self.name(), to.name());
-        if (member == null || !member.self.equals(to) || cutsSinceUs.containsKey(direction)) {
+    /** Sends a message from one member to another; it is lost where the link is cut, now or at its arrival. */
+    void transmit(GroupMember from, Peer to, byte[] message) {
+        GroupMember receiver = present.get(to.name());
+        if (receiver == null || !receiver.self().equals(to) || !links.isOpen(from.name(), to.name())) {
             return;
         }
-        long extraUs = delays.getOrDefault(direction, 0L);
-        long atUs = Math.max(scheduler.now() + usualDelayUs + extraUs, lastArrivals.getOrDefault(direction, 0L));
-        lastArrivals.put(direction, atUs);
         byte[] copy = message.clone();
-        scheduler.after(atUs - scheduler.now(), () -> {
-            if (!cutsSinceUs.containsKey(direction)) {
-                member.deliver(() -> member.listener.onMessage(from.self, copy));
+        scheduler.after(links.transmissionUs(from.name(), to.name()), () -> {
+            if (links.isOpen(from.name(), to.name())) {
+                receiver.deliverMessage(from.self(), copy);
             }
         });
     }
 
     /** Changes the views once the silence timeout and a random time have passed. */
-    private void regroup() {
-        regroupIn(silenceTimeoutUs + random.nextLong(MAX_VIEW_SPREAD_US));
-    }
-
-    private void regroupIn(long us) {
-        scheduler.after(us, this::regroupNow);
-    }
-
-    private boolean inTouch(Member one, Member other) {
-        return !silent(cutsSinceUs.get(List.of(one.self.name(), other.self.name())))
-                && !silent(cutsSinceUs.get(List.of(other.self.name(), one.self.name())));
+    private void changeViewsAfterSilence() {
+        changeViewsIn(silenceTimeoutUs + random.nextLong(MAX_VIEW_SPREAD_US));
     }
 
-    private boolean silent(Long sinceUs) {
-        return sinceUs != null && scheduler.now() - sinceUs >= silenceTimeoutUs;
+    private void changeViewsIn(long us) {
+        scheduler.after(us, () -> partitions().forEach(this::install));
     }
 
-    private void regroupNow() {
-        List<List<Member>> partitions = new ArrayList<>();
-        for (Member member : present.values()) {
-            if (member.paused && silent(member.pausedAtUs)) {
+    /** Divides the members into partitions within which each reaches each other in both directions. */
+    private List<List<GroupMember>> partitions() {
+        List<List<GroupMember>> partitions = new ArrayList<>();
+        for (GroupMember member : present.values()) {
+            if (member.paused() && scheduler.now() - member.pausedAtUs() >= silenceTimeoutUs) {
                 continue; // It keeps its view until it resumes; the others remove it from theirs.
             }
-            List<Member> own = partitions.stream()
-                    .filter(partition -> partition.stream().allMatch(other -> inTouch(other, member)))
+            List<GroupMember> own = partitions.stream()
+                    .filter(partition -> reachesAll(member, partition))
                     .findFirst()
                     .orElseGet(() -> {
-                        List<Member> partition = new ArrayList<>();
+                        List<GroupMember> partition = new ArrayList<>();
                         partitions.add(partition);
                         return partition;
                     });
             own.add(member);
         }
-        partitions.forEach(this::install);
+        return partitions;
     }
 
-    @SuppressWarnings("ReferenceEquality") // NONE is a null object: there is one of it.
-    private void install(List<Member> partition) {
-        List<Peer> peers = partition.stream().map(member -> member.self).toList();
+    private boolean reachesAll(GroupMember member, List<GroupMember> partition) {
+        return partition.stream()
+                .allMatch(other -> links.areCutsShorterThan(silenceTimeoutUs, other.name(), member.name()));
+    }
+
+    /** Gives all members of a partition a view of it, unless they have it already. */
+    private void install(List<GroupMember> partition) {
+        List<Peer> peers = partition.stream().map(GroupMember::self).toList();
         if (partition.stream().allMatch(member -> member.latestView.members().equals(peers))) {
             return;
         }
-        long number = 1
+        MembershipView next = new MembershipView(nextViewNumber(partition), peers, isMerged(partition));
+        partition.forEach(member -> member.deliverView(next));
+    }
+
+    private static long nextViewNumber(List<GroupMember> partition) {
+        return 1
                 + partition.stream()
                         .mapToLong(member -> member.latestView.number())
                         .max()
                         .orElse(0);
-        boolean merged = partition.stream()
+    }
+
+    /** Whether members of a partition come from different views. */
+    @SuppressWarnings("ReferenceEquality") // NONE is a null object: there is one of it.
+    private static boolean isMerged(List<GroupMember> partition) {
+        return partition.stream()
                         .filter(member -> member.latestView != MembershipView.NONE)
                         .map(member -> member.latestView.members())
                         .distinct()
                         .count()
                 > 1;
-        MembershipView next = new MembershipView(number, peers, merged);
-        for (Member member : partition) {
-            member.latestView = next;
-            member.deliver(() -> member.adopt(next));
-        }
     }
 }
