--- a/lab/src/main/java/frostreel/lab/virtual/PoolerFleet.java
+++ b/lab/src/main/java/frostreel/lab/virtual/PoolerFleet.java
@@ -27,7 +27,7 @@
     private final SimulationPlan plan;
     private final Scheduler scheduler;
     private final Cluster cluster;
-    private final RunListener listener;
+    private final Environment environment;
     private final SplittableRandom listDelays;
     private final SplittableRandom seeds;
     private final BiFunction<Router.Settings, Router.Actions, Router> routers;
@@ -57,7 +57,7 @@
         this.plan = plan;
         this.scheduler = scheduler;
         this.cluster = cluster;
-        this.listener = listener;
+        environment = new Environment(scheduler, cluster.links(), cluster.servers(), listener);
         this.listDelays = listDelays;
         this.seeds = seeds;
         this.routers = routers;
@@ -86,10 +86,7 @@
                 number,
                 zone,
                 plan.zones(),
-                scheduler,
-                cluster.links(),
-                cluster.servers(),
-                listener,
+                environment,
                 plan.site().reports(),
                 plan.settings(zone, seeds.nextLong()),
                 routers);
--- a/lab/src/main/java/frostreel/lab/virtual/Simulation.java
+++ b/lab/src/main/java/frostreel/lab/virtual/Simulation.java
@@ -153,7 +153,7 @@
     public long attempts(int from, int to) {
         return poolers.all().stream()
                 .filter(pooler -> pooler.zone == from)
-                .mapToLong(pooler -> pooler.sentTo[to])
+                .mapToLong(pooler -> pooler.attemptsTo(to))
                 .sum();
     }
 
