--- a/lab/src/main/java/frostreel/lab/virtual/SimulatedClients.java
+++ b/lab/src/main/java/frostreel/lab/virtual/SimulatedClients.java
@@ -8,7 +8,6 @@
 import frostreel.request.ResponseHandler;
 import frostreel.routing.Router;
 import java.util.ArrayList;
-import java.util.Arrays;
 import java.util.List;
 import java.util.SplittableRandom;
 
@@ -19,11 +18,6 @@
 final class SimulatedClients {
     private static final long US_PER_SECOND = 1_000_000;
     private static final long MIN_RETRY_AFTER_US = 50_000;
-    /** The least part of a class's deadline for which a client waits. */
-    private static final double MIN_PATIENCE = 0.4;
-
-    /** The random part added to it, at most. */
-    private static final double PATIENCE_SPREAD = 0.6;
 
     private final SimulationPlan plan;
     private final Scheduler scheduler;
@@ -34,9 +28,9 @@
     private final RunStatistics statistics;
     /** By session: when its last write was answered to the client, 0 for never. */
     private final long[] lastWriteUs;
-    /** By pooler: its rate of requests as a multiple of the mean. */
-    private final double[] demand;
 
+    private final PoolerDemand demand;
+    private final RequestDraw draw;
     private final List<LostRead> lostReads = new ArrayList<>();
     private long lastId;
 
@@ -56,8 +50,8 @@
         this.statistics = statistics;
         startUs = scheduler.now();
         lastWriteUs = new long[plan.site().sessions()];
-        demand = new double[poolers.size()];
-        Arrays.fill(demand, 1);
+        demand = new PoolerDemand(poolers.size());
+        draw = new RequestDraw(plan);
     }
 
     /**
@@ -65,19 +59,12 @@
      * times as many as the last one, and the others fall geometrically between.
      */
     void skewDemand(double times) {
-        double sum = 0;
-        for (int i = 0; i < demand.length; i++) {
-            demand[i] = Math.pow(times, -(double) i / Math.max(1, demand.length - 1));
-            sum += demand[i];
-        }
-        for (int i = 0; i < demand.length; i++) {
-            demand[i] *= demand.length / sum;
-        }
+        demand.skew(times);
     }
 
     /** Schedules the next request at a pooler, which in turn schedules its successor until the end of the run. */
     void scheduleArrival(int pooler, SplittableRandom random) {
-        double gapUs = -Math.log(1 - random.nextDouble()) * 1e6 / plan.requestsPerPooler() / demand[pooler];
+        double gapUs = -Math.log(1 - random.nextDouble()) * 1e6 / plan.requestsPerPooler() / demand.multiple(pooler);
         scheduler.after((long) gapUs, () -> {
             if (scheduler.now() - startUs < plan.durationUs()) {
                 VirtualPooler serving = poolers.servingFor(pooler);
@@ -94,68 +81,65 @@
     }
 
     private void ask(VirtualPooler pooler, SplittableRandom random) {
-        int classIndex = drawClass(random);
-        SimulationPlan.RequestKind kind = plan.site().kinds().get(classIndex);
-        double workUs = kind.minWorkUs() + random.nextDouble() * (kind.maxWorkUs() - kind.minWorkUs());
-        int session = random.nextInt(lastWriteUs.length);
-        double patience = MIN_PATIENCE + PATIENCE_SPREAD * random.nextDouble();
-        boolean mayRetry = random.nextBoolean() && plan.clientRetries();
+        ClientRequest request = draw.draw(pooler, random, scheduler.now(), second());
         statistics.requests++;
         statistics.recordAsked(
-                second(), pooler.zone, classIndex, kind.requestClass().priorityWeight());
-        ClientRequest request = new ClientRequest(
-                pooler,
-                classIndex,
-                session % plan.groups(),
-                session,
-                workUs,
-                patience,
-                scheduler.now(),
-                second(),
-                mayRetry);
+                request.second(),
+                pooler.zone,
+                request.classIndex(),
+                requestClass(request).priorityWeight());
         submit(request, false);
     }
 
-    private int drawClass(SplittableRandom random) {
-        List<SimulationPlan.RequestKind> kinds = plan.site().kinds();
-        double draw = random.nextDouble();
-        int index = 0;
-        while (index < kinds.size() - 1 && draw >= kinds.get(index).share()) {
-            draw -= kinds.get(index++).share();
-        }
-        return index;
+    private Router.RequestClass requestClass(ClientRequest request) {
+        return plan.site().kinds().get(request.classIndex()).requestClass();
     }
 
     private void submit(ClientRequest request, boolean isRetry) {
-        Router.RequestClass requestClass =
-                plan.site().kinds().get(request.classIndex()).requestClass();
+        Router.RequestClass requestClass = requestClass(request);
         String id = Long.toString(++lastId, Character.MAX_RADIX);
         long nowUs = scheduler.now();
         long deadlineUs = nowUs + (long) (requestClass.deadlineUs() * request.patience());
-        boolean carried = plan.site().settings().sessionTracking() == Router.SessionTracking.CARRIED;
-        boolean sessionRead = requestClass.access() == Router.Access.SESSION;
-        long wroteUs =
-                carried ? lastWriteUs[request.session()] : request.pooler().lastCommitUs(request.session());
+        long wroteUs = lastWriteUs(request);
         invariants.requestTaken(nowUs, request.pooler().number, id, requestClass, deadlineUs);
-        boolean lostCommit = sessionRead && !carried && cluster.isLost(request.group(), wroteUs);
+        boolean sessionRead = requestClass.access() == Router.Access.SESSION;
+        boolean lostCommit = sessionRead && !isTokenCarried() && cluster.isLost(request.group(), wroteUs);
         long primaryAgeUs = lostCommit ? primaryAgeUs(request.group()) : 0;
+        boolean hasToken = sessionRead && isTokenCarried() && wroteUs > 0;
         RequestAttributes attributes = new RequestAttributes(
                 id,
                 request.classIndex(),
                 request.session(),
                 request.group(),
                 deadlineUs,
-                sessionRead && carried && wroteUs > 0 ? nowUs - wroteUs : 0,
+                hasToken ? nowUs - wroteUs : 0,
                 isRetry);
-        SimulatedPayload payload = new SimulatedPayload(
+        SimulatedPayload payload = payload(request, requestClass, id, wroteUs);
+        ClientHandler handler = new ClientHandler(request, requestClass, id, isRetry, lostCommit, primaryAgeUs);
+        request.pooler().submit(attributes, payload, handler);
+    }
+
+    /** Whether clients send the age of their session's last write with each session read. */
+    private boolean isTokenCarried() {
+        return plan.site().settings().sessionTracking() == Router.SessionTracking.CARRIED;
+    }
+
+    /** When the session of a request last wrote, as its client or else its pooler knows; 0 for never. */
+    private long lastWriteUs(ClientRequest request) {
+        return isTokenCarried()
+                ? lastWriteUs[request.session()]
+                : request.pooler().lastCommitUs(request.session());
+    }
+
+    private SimulatedPayload payload(ClientRequest request, Router.RequestClass requestClass, String id, long wroteUs) {
+        Router.Access access = requestClass.access();
+        return new SimulatedPayload(
                 id,
                 request.workUs(),
-                requestClass.access() == Router.Access.WRITE,
+                access == Router.Access.WRITE,
                 request.session(),
-                requestClass.access() == Router.Access.BOUNDED ? requestClass.boundUs() : 0,
-                requiredPositionUs(requestClass.access(), wroteUs, nowUs));
-        request.pooler()
-                .submit(attributes, payload, new ClientHandler(request, requestClass, id, isRetry, lostCommit, primaryAgeUs));
+                access == Router.Access.BOUNDED ? requestClass.boundUs() : 0,
+                requiredPositionUs(access, wroteUs, scheduler.now()));
     }
 
     private static long requiredPositionUs(Router.Access access, long wroteUs, long nowUs) {
