--- a/lab/src/test/java/frostreel/lab/rules/InvariantCheckerTest.java
+++ b/lab/src/test/java/frostreel/lab/rules/InvariantCheckerTest.java
@@ -137,6 +137,28 @@
         assertThat(checker.broken()).isEqualTo(1);
     }
 
+    @Test
+    void reportsSendsToSuspendedServersUntilTheyAreRestored() {
+        checker.serverSuspended(0, 1, "s", true);
+        checker.attemptSent(1_000_001, 1, "a", "s");
+        assertThat(broken()).containsExactly("drains and ends kept");
+        checker.serverSuspended(1_000_002, 1, "s", false);
+        checker.attemptSent(9_000_000, 1, "b", "s");
+        assertThat(checker.broken()).isEqualTo(1);
+    }
+
+    @Test
+    void requestsOfAPausedPoolerNeedNoAnswer() {
+        checker.requestTaken(0, 1, "a", READ, 1000);
+        checker.poolerPaused(500, 1, true);
+        checker.requestTaken(600, 1, "b", READ, 2000);
+        checker.poolerPaused(700, 1, false);
+        checker.requestTaken(800, 1, "c", READ, 2000);
+        checker.requestExcused(900, "c");
+        checker.end(30_000);
+        assertThat(broken()).isEmpty();
+    }
+
     @Test
     void aColdServerFallsOver() {
         checker.serverOverloaded(1, "s");
