--- a/lab/src/test/java/frostreel/lab/rules/InvariantCheckerTest.java
+++ b/lab/src/test/java/frostreel/lab/rules/InvariantCheckerTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Each checker convicts what breaks its rule, and nothing that keeps it. */
+/** Each rule reports the runs that break it, and no others; every event reaches the rules that depend on it. */
 class InvariantCheckerTest {
     private static final Limits LIMITS = Limits.builder()
             .maxAttempts(3)
@@ -26,32 +26,32 @@
     private static final Router.Rules FIGURES =
             new Router.Rules(20_000, 1_000_000, false, 0.22, 15_000_000, 3, 2_000_000);
     private static final Router.RequestClass READ = requestClass(Router.Access.ANY, Router.Idempotency.IDEMPOTENT);
-    private static final Router.RequestClass KEYED = requestClass(Router.Access.WRITE, Router.Idempotency.KEYED);
-    private static final Router.RequestClass UNSAFE =
+    private static final Router.RequestClass KEYED_WRITE = requestClass(Router.Access.WRITE, Router.Idempotency.KEYED);
+    private static final Router.RequestClass NON_IDEMPOTENT_WRITE =
             requestClass(Router.Access.WRITE, Router.Idempotency.NON_IDEMPOTENT);
     private InvariantChecker checker;
 
-    private static Router.RequestClass requestClass(Router.Access access, Router.Idempotency repeat) {
+    private static Router.RequestClass requestClass(Router.Access access, Router.Idempotency idempotency) {
         return new Router.RequestClass(
-                "c", access, repeat, Router.DeduplicationScope.GROUP, 3_000_000, 0, 100, 1000, 1, 0);
+                "c", access, idempotency, Router.DeduplicationScope.GROUP, 3_000_000, 0, 100, 1000, 1, 0);
     }
 
     @BeforeEach
-    void open() {
+    void createChecker() {
         checker = new InvariantChecker(LIMITS, FIGURES);
     }
 
     private List<String> broken() {
         return checker.rules().stream()
-                .filter(r -> r.broken() > 0)
+                .filter(rule -> rule.broken() > 0)
                 .map(Rule::name)
                 .toList();
     }
 
     @Test
-    void aRunThatKeepsAllIsNotConvicted() {
+    void reportsNoViolationOfARunThatKeepsAllRules() {
         checker.endpointUpdated(0, 1, "s", State.UP);
-        checker.requestTaken(10, 1, "a", KEYED, 5_000_000);
+        checker.requestTaken(10, 1, "a", KEYED_WRITE, 5_000_000);
         checker.attemptSent(20, 1, "a", "s");
         checker.attemptEnded(30, 1, "a", Outcome.TIMEOUT, true);
         checker.attemptSent(2_000_000, 1, "a", "s");
@@ -69,7 +69,7 @@
     }
 
     @Test
-    void aSecondALateAndAMissingAnswer() {
+    void reportsDuplicateLateAndMissingAnswers() {
         checker.requestTaken(0, 1, "a", READ, 1000);
         checker.requestAnswered(10, 1, "a", Answer.REJECTED);
         checker.requestAnswered(20, 1, "a", Answer.SERVED);
@@ -82,11 +82,11 @@
     }
 
     @Test
-    void aDeadPoolerOwesNothingButItsNextLifeDoes() {
+    void requestsOfAKilledPoolerNeedNoAnswerButThoseOfItsNextIncarnationDo() {
         checker.requestTaken(0, 1, "a", READ, 1000);
         checker.requestTaken(0, 1, "b", READ, 1000);
         checker.poolerKilled(500, 1);
-        checker.requestAnswered(600, 1, "a", Answer.SERVED); // It had been written before.
+        checker.requestAnswered(600, 1, "a", Answer.SERVED); // Written before the process was killed.
         assertThat(checker.broken()).isZero();
         checker.requestTaken(700, 1, "b", READ, 2000);
         checker.requestAnswered(800, 1, "b", Answer.SERVED);
@@ -98,7 +98,7 @@
     }
 
     @Test
-    void twoAttemptsInFlightAndTooMany() {
+    void reportsConcurrentAndTooManyAttempts() {
         checker.requestTaken(0, 1, "a", READ, 1000);
         checker.attemptSent(1, 1, "a", "s");
         checker.attemptSent(2, 1, "a", "t");
@@ -112,12 +112,12 @@
     }
 
     @Test
-    void whatMayHaveRunIsSentAgain() {
-        checker.requestTaken(0, 1, "a", UNSAFE, 9_000_000);
+    void reportsForbiddenRetriesOfRequestsThatMayHaveRun() {
+        checker.requestTaken(0, 1, "a", NON_IDEMPOTENT_WRITE, 9_000_000);
         checker.attemptSent(1, 1, "a", "s");
         checker.attemptEnded(2, 1, "a", Outcome.TIMEOUT, true);
         checker.attemptSent(3, 1, "a", "s");
-        checker.requestTaken(0, 1, "b", KEYED, 9_000_000);
+        checker.requestTaken(0, 1, "b", KEYED_WRITE, 9_000_000);
         checker.attemptSent(1, 1, "b", "s");
         checker.attemptEnded(2, 1, "b", Outcome.RESET, true);
         checker.attemptSent(3_000_002, 1, "b", "s");
@@ -126,7 +126,7 @@
     }
 
     @Test
-    void aSendAfterADrainWasToldBindsThePoolerThatWasTold() {
+    void reportsSendsToDrainingServersOnlyByPoolersThatWereNotified() {
         checker.endpointUpdated(0, 1, "s", State.DRAINING);
         checker.attemptSent(1_000_001, 1, "a", "s");
         checker.attemptSent(1_000_001, 2, "b", "s");
@@ -160,13 +160,13 @@
     }
 
     @Test
-    void aColdServerFallsOver() {
+    void reportsOverloadedColdServers() {
         checker.serverOverloaded(1, "s");
         assertThat(broken()).containsExactly("no cold server pushed over");
     }
 
     @Test
-    void aStaleRead() {
+    void reportsStaleReads() {
         checker.readServed(1, "a", 99, 100);
         assertThat(broken()).containsExactly("no stale read");
         assertThat(checker.rules().get(5).firstViolations())
