--- a/lab/src/test/java/frostreel/lab/virtual/GeneratedBackEnd.java
+++ b/lab/src/test/java/frostreel/lab/virtual/GeneratedBackEnd.java
@@ -41,7 +41,7 @@
         if (!server.up) {
             long refusedUs = server.silent ? micros(deployment.caps().getDouble("connectTimeoutS")) : 400;
             timeline.after(refusedUs, () -> end(attempt, CONNECT_FAILED, 0));
-        } else if (server.full()) {
+        } else if (server.isFull()) {
             timeline.after(500, () -> end(attempt, REJECTED, 0));
         } else {
             serve(attempt);
@@ -57,18 +57,20 @@
         }
         double objectiveUs =
                 deployment.classes().getJSONObject(attempt.request.category).getDouble("onTimeS") * 1e6;
-        long workUs = server.begins(objectiveUs / 8, deployment.random);
-        int life = server.life;
-        timeline.after(workUs, () -> complete(attempt, life, write));
+        long workUs = server.begin(objectiveUs / 8, deployment.random);
+        int incarnation = server.incarnation;
+        timeline.after(workUs, () -> complete(attempt, incarnation, write));
     }
 
-    private void complete(GeneratedRequest.Attempt attempt, int life, boolean write) {
+    private void complete(GeneratedRequest.Attempt attempt, int incarnation, boolean write) {
         GeneratedServer server = attempt.server;
-        boolean same = server.life == life && server.up;
-        server.ends(same);
+        boolean stillRuns = server.incarnation == incarnation && server.up;
+        if (stillRuns) {
+            server.end();
+        }
         boolean answerLost = server.losesAnswers && deployment.random.nextInt(3) == 0;
         boolean fails = deployment.random.nextDouble() < server.errorRate || (write && !server.primary);
-        if (!same) {
+        if (!stillRuns) {
             end(attempt, RESET, 0);
         } else if (!answerLost) { // Where it is lost, the attempt's timeout ends it.
             end(attempt, fails ? ERROR : OK, mark(server, write && !fails));
@@ -155,7 +157,7 @@
                 case "x0" ->
                     report.put("x0", seconds(server.positionUs(timeline.nowUs()) - GeneratedDeployment.BASE_US));
                 case "x1" -> report.put("x1", server.primary ? 1 : 0);
-                case "load_share" -> report.put("load_share", server.utilisation());
+                case "load_share" -> report.put("load_share", server.utilization());
                 case "depth" -> report.put("depth", server.queued());
                 default -> report.put((String) name, server.inFlight);
             }
--- a/lab/src/test/java/frostreel/lab/virtual/GeneratedFaults.java
+++ b/lab/src/test/java/frostreel/lab/virtual/GeneratedFaults.java
@@ -12,12 +12,15 @@
     private final GeneratedTimeline timeline;
     private final GeneratedPoolers poolers;
 
-    /** Schedules the first fault. */
     GeneratedFaults(GeneratedDeployment deployment, GeneratedPoolers poolers) {
         this.deployment = deployment;
         this.poolers = poolers;
         random = deployment.random;
         timeline = deployment.timeline;
+    }
+
+    /** Schedules the first fault, which in turn schedules its successor until clients stop. */
+    void begin() {
         timeline.at(START_US, this::inject);
     }
 
@@ -34,10 +37,7 @@
             case 2 -> drain(server, lastsUs);
             case 3 -> stopFirstPrimary(lastsUs);
             case 4 ->
-                during(
-                        lastsUs,
-                        () -> server.applies(0.1, timeline.nowUs()),
-                        () -> server.catchesUp(timeline.nowUs()));
+                during(lastsUs, () -> server.replayRate(0.1, timeline.nowUs()), () -> server.catchUp(timeline.nowUs()));
             case 5 -> during(lastsUs, () -> server.slowdown = 6, () -> server.slowdown = 1);
             case 6 -> during(lastsUs, () -> server.errorRate = 0.4, () -> server.errorRate = 0);
             case 7 -> during(lastsUs, () -> server.losesAnswers = true, () -> server.losesAnswers = false);
@@ -92,8 +92,7 @@
             if (server.group == group && server.primary && server.up) {
                 return;
             }
-            boolean newer =
-                    best == null || server.positionUs(timeline.nowUs()) > best.positionUs(timeline.nowUs());
+            boolean newer = best == null || server.positionUs(timeline.nowUs()) > best.positionUs(timeline.nowUs());
             best = server.group == group && server.up && newer ? server : best;
         }
         if (best == null) {
--- a/lab/src/test/java/frostreel/lab/virtual/GeneratedRequest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/GeneratedRequest.java
@@ -5,7 +5,7 @@
 import java.util.function.Consumer;
 import org.json.JSONObject;
 
-/** A client's request that {@link WireEventGenerator} made, and what has become of it. */
+/** A client's request of {@link GeneratedClients}, with its attempts and whether it has ended. */
 final class GeneratedRequest {
     /** A request sent to a server; it ends once. */
     static final class Attempt {
@@ -23,7 +23,7 @@
         }
     }
 
-    /** Takes messages for the pooler that was asked, and drops them once that is down. */
+    /** Takes messages to the pooler that got the request, and drops them once it is down. */
     final Consumer<JSONObject> pooler;
 
     final String id;
--- a/lab/src/test/java/frostreel/lab/virtual/GeneratedServer.java
+++ b/lab/src/test/java/frostreel/lab/virtual/GeneratedServer.java
@@ -3,10 +3,10 @@
 import java.util.SplittableRandom;
 import org.json.JSONObject;
 
-/** A server of {@link WireEventGenerator}: its role, how far it has applied the log, and how it fares. */
+/** A server of a {@link GeneratedDeployment}: its role, its position in the log, its load and its faults. */
 final class GeneratedServer {
     private static final int CORES = 2;
-    private static final int PLACES = 40;
+    private static final int MAX_IN_FLIGHT = 40;
     private static final long LOG_DELAY_US = 8_000;
     private static final double CATCH_UP_RATE = 3;
 
@@ -16,7 +16,7 @@
     private final boolean firstPrimary;
     boolean primary;
     boolean up = true;
-    /** While it is down: says nothing at all, in place of refusing connections. */
+    /** While it is down: whether connections time out instead of being refused. */
     boolean silent;
 
     boolean draining;
@@ -24,15 +24,15 @@
     double slowdown = 1;
     double errorRate;
     int inFlight;
-    /** Goes up with every stop, so that what it held then can be told from what came later. */
-    int life;
+    /** Increases with each stop, so that requests from before it can be recognized. */
+    int incarnation;
 
     private long startedUs;
-    /** The position at {@code markUs}; from there on it applies {@code applyRate} seconds of the log a second. */
-    private long markedPositionUs;
+    /** The position at {@code updatedAtUs}; {@code replayRate} seconds of the log are applied per second since then. */
+    private long updatedPositionUs;
 
-    private long markUs;
-    private double applyRate = CATCH_UP_RATE;
+    private long updatedAtUs;
+    private double replayRate = CATCH_UP_RATE;
 
     GeneratedServer(String id, int group, int zone, int member) {
         this.id = id;
@@ -42,6 +42,7 @@
         primary = firstPrimary;
     }
 
+    /** Its entry in the endpoint list; {@code listRole}: when the list reports roles, as the settings state. */
     JSONObject entry(String listRole) {
         boolean listed = listRole.equals("late") ? primary : listRole.equals("start") && firstPrimary;
         JSONObject entry = new JSONObject()
@@ -55,45 +56,44 @@
         return startedUs == 0 ? entry : entry.put("cameUpS", startedUs / 1e6);
     }
 
-    /** Up to which time it has applied all commits; a primary stands at the present. */
+    /** The time up to which it has applied all commits; the present on a primary. */
     long positionUs(long nowUs) {
         if (primary) {
             return nowUs;
         }
-        long appliedUs = markedPositionUs + (long) (applyRate * (nowUs - markUs));
-        return Math.max(markedPositionUs, Math.min(nowUs - LOG_DELAY_US, appliedUs));
+        long appliedUs = updatedPositionUs + (long) (replayRate * (nowUs - updatedAtUs));
+        return Math.max(updatedPositionUs, Math.min(nowUs - LOG_DELAY_US, appliedUs));
     }
 
-    /** From now on it applies so many seconds of the log in a second. */
-    void applies(double rate, long nowUs) {
-        markedPositionUs = positionUs(nowUs);
-        markUs = nowUs;
-        applyRate = rate;
+    /** Sets how many seconds of the log it applies per second from now on. */
+    void replayRate(double rate, long nowUs) {
+        updatedPositionUs = positionUs(nowUs);
+        updatedAtUs = nowUs;
+        replayRate = rate;
     }
 
-    void catchesUp(long nowUs) {
-        applies(CATCH_UP_RATE, nowUs);
+    /** Applies the log at its usual rate from now on. */
+    void catchUp(long nowUs) {
+        replayRate(CATCH_UP_RATE, nowUs);
     }
 
-    boolean full() {
-        return draining || inFlight >= PLACES;
+    boolean isFull() {
+        return draining || inFlight >= MAX_IN_FLIGHT;
     }
 
-    /** Takes a request; returns for how long it is at work on it. */
-    long begins(double meanWorkUs, SplittableRandom random) {
+    /** Begins a request; returns for how long it runs, in microseconds. */
+    long begin(double meanWorkUs, SplittableRandom random) {
         inFlight++;
         double work = -StrictMath.log(1 - random.nextDouble()) * meanWorkUs * slowdown;
         return 300 + (long) (work * Math.max(1, (double) inFlight / CORES));
     }
 
-    /** One that it held has ended; {@code same}: it has not stopped since it began. */
-    void ends(boolean same) {
-        if (same) {
-            inFlight--;
-        }
+    /** A request that began in this incarnation has ended. */
+    void end() {
+        inFlight--;
     }
 
-    double utilisation() {
+    double utilization() {
         return Math.min(1, (double) inFlight / CORES);
     }
 
@@ -102,18 +102,18 @@
     }
 
     void stop(boolean silently, long nowUs) {
-        applies(0, nowUs);
+        replayRate(0, nowUs);
         up = false;
         silent = silently;
         primary = false;
         inFlight = 0;
-        life++;
+        incarnation++;
     }
 
     void start(long nowUs) {
         up = true;
         silent = false;
         startedUs = nowUs;
-        catchesUp(nowUs);
+        catchUp(nowUs);
     }
 }
--- a/lab/src/test/java/frostreel/lab/virtual/WireEventGenerator.java
+++ b/lab/src/test/java/frostreel/lab/virtual/WireEventGenerator.java
@@ -48,7 +48,7 @@
         // Each schedules its first events: their order is part of what a seed determines.
         poolers = new GeneratedPoolers(deployment, batch);
         clients = new GeneratedClients(deployment, poolers, requestsPerSecond);
-        new GeneratedFaults(deployment, poolers);
+        new GeneratedFaults(deployment, poolers).begin();
         backEnd = new GeneratedBackEnd(deployment, clients);
     }
 
