--- a/lab/src/test/java/frostreel/lab/DeployedRunTest.java
+++ b/lab/src/test/java/frostreel/lab/DeployedRunTest.java
@@ -67,7 +67,7 @@
     }
 
     @Test
-    void runNamesNoOperatorsFileAndNoOptionBeyondTodays() throws Exception {
+    void runCommandHasExactlyTheKnownOptions() throws Exception {
         List<String> expected = new ArrayList<>(List.of("java"));
         expected.addAll(OPTIONS);
         expected.addAll(List.of("-jar", JAR, "serve"));
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void theProgramAsRunLoadsNothingOptionalAndHasOneListenerAndItsFourThreads() throws Exception {
+    void deployedProgramLoadsNothingOptionalAndHasOneListenerAndKnownThreads() throws Exception {
         Path classes = dir.resolve("classes");
         List<String> command = new ArrayList<>(run());
         command.add(1, "-Xlog:class+load:file=" + classes);
--- a/lab/src/test/java/frostreel/lab/LayersTest.java
+++ b/lab/src/test/java/frostreel/lab/LayersTest.java
@@ -175,7 +175,7 @@
     }
 
     @Test
-    void everyPackageIsKnownToServeOrToBeOptional() {
+    void everyPackageIsListedAsServingOrOptional() {
         Set<String> packages = ALL.stream()
                 .map(JavaClass::getPackageName)
                 .filter(p -> !p.startsWith("frostreel.lab"))
--- a/lab/src/test/java/frostreel/lab/PagesTest.java
+++ b/lab/src/test/java/frostreel/lab/PagesTest.java
@@ -49,7 +49,7 @@
 
     @ParameterizedTest
     @MethodSource("pages")
-    void everyClassThatAPageNamesExists(Path page) throws IOException {
+    void everyClassNamedInAPageExists(Path page) throws IOException {
         Set<String> unknown = new TreeSet<>();
         Matcher code = CODE.matcher(Files.readString(page));
         while (code.find()) {
--- a/lab/src/test/java/frostreel/lab/model/ServerTest.java
+++ b/lab/src/test/java/frostreel/lab/model/ServerTest.java
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void coresWorkSideBySideTheRestWaitsAndBeyondTheQueueItIsTurnedAway() {
+    void runsOneRequestPerCoreAndRejectsThoseBeyondTheQueue() {
         for (int i = 0; i < 2 + ServerParameters.USUAL.queue() + 1; i++) {
             send("j" + i, 1000);
         }
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void aCancelledRequestFreesItsCoreAndIsNotAnswered() {
+    void cancelledRequestFreesItsCoreAndIsNotAnswered() {
         Job first = send("a", 10_000);
         send("b", 10_000);
         Job waiting = send("c", 10_000);
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void aWriteMissesAReplicaAndAReadMissesWhatIsTooFarBehind() {
+    void replicaRejectsWritesAndReadsBeyondItsPosition() {
         server.arrive(job("w", 1000, true, 0));
         server.arrive(job("r", 1000, false, scheduler.now()));
         server.replayRate(0.5);
@@ -70,7 +70,7 @@
     }
 
     @Test
-    void whoSucceedsTellsTheEndOfItsLogAndWhoIsSucceededLosesWhatCameLater() {
+    void newPrimaryReportsTheEndOfItsLogAndLaterCommitsAreLost() {
         ServerParameters usual = ServerParameters.USUAL;
         ServerParameters lossy = new ServerParameters(
                 usual.coldFrom(),
@@ -106,7 +106,7 @@
     }
 
     @Test
-    void aColdServerIsSlowThenWarmAndFallsWhenPushed() {
+    void coldServerIsSlowAndCrashesForGoodWhenOverloaded() {
         server.crash();
         server.start();
         assertThat(server.capacity()).isEqualTo(2 * ServerParameters.USUAL.coldFrom());
@@ -125,7 +125,7 @@
     }
 
     @Test
-    void aServerThatVanishesSaysNothing() {
+    void vanishedServerSendsNoAnswers() {
         send("a", 1000);
         server.vanish();
         send("b", 1000);
--- a/lab/src/test/java/frostreel/lab/standin/StandInsTest.java
+++ b/lab/src/test/java/frostreel/lab/standin/StandInsTest.java
@@ -138,7 +138,7 @@
             "INSERT INTO records (k, v) VALUES ('s', '\\x00') RETURNING v" + " /* id=w,c=post,d=900,k=1,cluster=0 */";
 
     @Test
-    void theProgramsOwnReaderTakesWhatServersAnswer() throws Exception {
+    void answersAreReadableByTheProgramsOwnParser() throws Exception {
         try (Socket primary = welcomed(first);
                 Socket replica = welcomed(second)) {
             Reply written = ask(primary, WRITE);
@@ -160,7 +160,7 @@
     }
 
     @Test
-    void aColdServerThatIsPushedOverFallsAndItsConnectionEnds() throws Exception {
+    void overloadOfAColdServerClosesItsConnections() throws Exception {
         onLoop(() -> {
             cluster.crash(replica);
             cluster.start(replica);
@@ -180,7 +180,7 @@
     }
 
     @Test
-    void aWatchIsToldOfADrainAndOneThatIsNotBehindWaits() throws Exception {
+    void watchReportsADrainAndWaitsWhileNothingChanges() throws Exception {
         try (Socket socket = connect(onLoop(agent::address))) {
             JSONObject whole = call(socket, "");
             assertThat(whole.getBoolean("whole")).isTrue();
--- a/lab/src/test/java/frostreel/lab/virtual/ColdFleetTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/ColdFleetTest.java
@@ -52,7 +52,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = {20, 30, 100})
-    void theSumOfAllPoolersPushesNoColdServerOver(int poolers) {
+    void allPoolersTogetherOverloadNoColdServer(int poolers) {
         int pushedByTheCareless = 0;
         for (long seed = 1; seed <= SEEDS; seed++) {
             Simulation simulation = comesBack(poolers, seed, ChainRouter::new);
--- a/lab/src/test/java/frostreel/lab/virtual/EqualDecisionsTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/EqualDecisionsTest.java
@@ -79,7 +79,7 @@
 
     @ParameterizedTest
     @MethodSource("deployments")
-    void theAdapterOfTheSimulatorRepliesByteForByteAsBefore(String deployment) throws IOException {
+    void adapterRepliesAreUnchangedByteForByte(String deployment) throws IOException {
         WireEventGenerator generator = new WireEventGenerator(
                 settings(deployment), GROUPS, MEMBERS, WIRE_REQUESTS_PER_SECOND, WIRE_DURATION_US, seed(deployment));
         int exitCode =
@@ -91,7 +91,7 @@
 
     @ParameterizedTest
     @MethodSource("deployments")
-    void theRoutersOfASimulatedFleetActAsBefore(String deployment) throws IOException, MalformedMessageException {
+    void fleetActionsAreUnchanged(String deployment) throws IOException, MalformedMessageException {
         RandomScenario scenario = new RandomDeployment(seed(deployment)).scenario(settings(deployment));
         ActionDigest digest = new ActionDigest();
         scenario.play(digest.listenTo(Policy.plain()));
@@ -100,7 +100,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void theRoutersOfZonesWithTiersActAsBeforeWhenAZoneIsLostAndReturns(long seed) throws IOException {
+    void zoneFailoverActionsAreUnchanged(long seed) throws IOException {
         SimulationPlan plan = new SimulationPlan(seed, 3, 2, 4, 2, 0.5, SECOND_US, 14 * SECOND_US, true);
         ActionDigest digest = new ActionDigest();
         Simulation simulation = new Simulation(plan, digest.listenTo(Policy.tiers(plan, 0.3, 1)));
@@ -113,7 +113,7 @@
     }
 
     @Test
-    void everyDigestIsOfARunThatIsPlayed() {
+    void everyDigestBelongsToARun() {
         int played = 2 * (int) deployments().count() + 3;
         assertThat(EXPECTED).hasSize(played);
         assertThat(List.of("PassOn", "OverloadReply", "Surrender", "StopAttempt", "HealthCheck", "StreamChanges"))
--- a/lab/src/test/java/frostreel/lab/virtual/KnownSitesTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/KnownSitesTest.java
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void theirSettingsAreReadAsThePageNamesThem() throws IOException, MalformedMessageException {
+    void readsTheSettingsAsThePageStatesThem() throws IOException, MalformedMessageException {
         Router.Settings kamloops = draw(settings("billing-kamloops"), 1, 0.3, 1).settings();
         assertThat(kamloops.classes())
                 .extracting(Router.RequestClass::access)
@@ -103,7 +103,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"billing-kamloops", "bsas-main"})
-    void theirRulesHoldThroughTheirTroubles(String site) throws IOException, MalformedMessageException {
+    void rulesHoldThroughTheFaultsOfEverySite(String site) throws IOException, MalformedMessageException {
         for (long seed = 1; seed <= SEEDS; seed++) {
             Simulation simulation = draw(
                             settings(site),
@@ -125,7 +125,7 @@
     /** Poolers that have forgotten all, one after another, over servers that are cold: thin and uneven. */
     @ParameterizedTest
     @ValueSource(ints = {2, 14, 100})
-    void poolersRestartedInARowPushNoColdServerOver(int poolers) throws IOException, MalformedMessageException {
+    void poolersRestartedInTurnOverloadNoColdServer(int poolers) throws IOException, MalformedMessageException {
         for (long seed = 1; seed <= SEEDS; seed++) {
             double lenS = 10 + 17.0 * seed / SEEDS;
             Simulation simulation = draw(
--- a/lab/src/test/java/frostreel/lab/virtual/LostCommitsTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/LostCommitsTest.java
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void theRulesHoldAndReadsOfSessionsWhoseCommitIsLostAreServedAgain() throws Exception {
+    void rulesHoldAndReadsOfSessionsWithLostCommitsAreServedAgain() throws Exception {
         for (long seed = 1; seed <= SEEDS; seed++) {
             Simulation simulation = play("bsas-main", seed);
             assertRulesKept("seed " + seed, simulation);
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void whereCommitsWaitNoneIsLost() throws Exception {
+    void noCommitIsLostWhereCommitsAreSynchronous() throws Exception {
         assertThat(play("billing-kamloops", 1).cluster().lostCommits()).isZero();
     }
 }
--- a/lab/src/test/java/frostreel/lab/virtual/RandomSettingsTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/RandomSettingsTest.java
@@ -62,7 +62,8 @@
                 .put("cores", cores)
                 .put("kinds", drawn.kinds)
                 .put("load", Math.min(MAX_LOAD, drawn.workS(rate) / capacity));
-        JSONObject all = ObjectArbitrary.copy(settings).put("classes", drawn.classes).put("instances", poolers);
+        JSONObject all =
+                ObjectArbitrary.copy(settings).put("classes", drawn.classes).put("instances", poolers);
         all.put(
                 "familyInfo",
                 ObjectArbitrary.copy(all.getJSONObject("familyInfo"))
@@ -76,7 +77,8 @@
     }
 
     @Property(tries = TRIES, seed = "1", shrinking = ShrinkingMode.BOUNDED, afterFailure = AfterFailureMode.RANDOM_SEED)
-    void theRulesHoldOnEveryDraw(@ForAll("deployments") RandomScenario scenario) throws MalformedMessageException {
+    void rulesHoldInEveryAllowedDeployment(@ForAll("deployments") RandomScenario scenario)
+            throws MalformedMessageException {
         Simulation simulation = scenario.play();
         assertRulesKept("scenario", simulation);
     }
--- a/lab/src/test/java/frostreel/lab/virtual/RegressionSeedsTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/RegressionSeedsTest.java
@@ -16,7 +16,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"cold-one-server", "cold-thin-fleet", "cold-busy-by-half"})
-    void theRulesHold(String name) throws IOException, MalformedMessageException {
+    void rulesHoldInScenariosThatOnceBrokeThem(String name) throws IOException, MalformedMessageException {
         try (InputStream in = RegressionSeedsTest.class.getResourceAsStream("/draws/" + name + ".json")) {
             JSONObject kept = new JSONObject(new String(in.readAllBytes(), StandardCharsets.UTF_8));
             for (int seed = 1; seed <= SEEDS; seed++) {
--- a/lab/src/test/java/frostreel/lab/virtual/SimulationTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/SimulationTest.java
@@ -23,14 +23,14 @@
     }
 
     @Test
-    void theSameSeedGivesTheSameRecordAndAnotherSeedAnother() {
+    void equalSeedsGiveEqualRunsAndDifferentSeedsDifferentOnes() {
         String record = lossAndReturn(1).digest();
         assertThat(lossAndReturn(1).digest()).isEqualTo(record);
         assertThat(lossAndReturn(2).digest()).isNotEqualTo(record);
     }
 
     @Test
-    void aCalmRunIsServedNearlyWholeAndEveryRequestHasOneAnswer() {
+    void runWithoutFaultsServesNearlyAllAndAnswersEveryRequestOnce() {
         Simulation simulation = new Simulation(plan(3), ChainRouter::new).run();
         assertRulesKept("run", simulation);
         assertNoServerOverloaded(simulation);
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void theRulesHoldThroughTheLossAndReturnOfAZone() {
+    void rulesHoldWhenAZoneIsLostAndReturns() {
         Simulation simulation = lossAndReturn(4);
         assertRulesKept("run", simulation);
         assertNoServerOverloaded(simulation);
@@ -114,7 +114,7 @@
     }
 
     @Test
-    void decisionsThatIgnoreTheListAndTheColdAreConvicted() {
+    void reportsRoutersThatIgnoreDrainsAndColdServers() {
         Simulation simulation = new Simulation(plan(5), Stubborn::new);
         simulation.at(8_000_000, () -> simulation.loseZone(0));
         simulation.at(12_000_000, () -> simulation.returnZone(0));
--- a/lab/src/test/java/frostreel/lab/virtual/ZoneLossTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/ZoneLossTest.java
@@ -28,7 +28,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void aHundredPoolersSeeAColdZoneReturnWhileTheListSaysSoLate(long seed) {
+    void tiersLimitTheLoadOnAReturningZoneWhileTheListIsLate(long seed) {
         SimulationPlan plan = new SimulationPlan(seed, 3, 34, 6, 4, 0.6, 5 * SECOND, 32 * SECOND, true);
         Simulation tiers = play(plan, true, ZoneLossTest::lossAndReturn);
         Simulation plain = play(plan, false, ZoneLossTest::lossAndReturn);
@@ -41,7 +41,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void theSurvivorsAtFourFifthsKeepTheirOwnClients(long seed) {
+    void remainingZonesKeepServingTheirOwnClientsAtFourFifthsLoad(long seed) {
         SimulationPlan plan = new SimulationPlan(seed, 4, 3, 12, 4, 0.8, 2 * SECOND, 30 * SECOND, true);
         Simulation tiers = play(plan, true, ZoneLossTest::lossAndReturn);
         Simulation plain = play(plan, false, ZoneLossTest::lossAndReturn);
@@ -58,7 +58,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void aZoneThatFlapsTwiceWithinAMinuteIsNotTakenInWithTheSameHaste(long seed) {
+    void flappingZoneGetsLessLoadAfterItsSecondReturn(long seed) {
         SimulationPlan plan = new SimulationPlan(seed, 3, 10, 6, 4, 0.6, 5 * SECOND, 45 * SECOND, true);
         long tiers = sentAfterTheSecondReturn(plan, true);
         long plain = sentAfterTheSecondReturn(plan, false);
@@ -86,7 +86,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void aSlowZoneSpillsSomeAndNotAll(long seed) {
+    void slowZoneSpillsPartOfItsLoad(long seed) {
         SimulationPlan plan = new SimulationPlan(seed, 3, 3, 6, 4, 0.6, 2 * SECOND, 25 * SECOND, true);
         long[] before = new long[2];
         Simulation simulation = play(plan, true, w -> {
@@ -104,7 +104,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void aCutOfOneDirectionRepeatsNoWriteBeyondItsKeyAndEndsWithItsCause(long seed) {
+    void oneWayCutBreaksNoRuleAndServiceRecoversAfterIt(long seed) {
         SimulationPlan plan = new SimulationPlan(seed, 3, 3, 6, 4, 0.5, 2 * SECOND, 40 * SECOND, true);
         Simulation simulation = play(plan, true, w -> {
             for (int other : new int[] {0, 2}) { // Requests arrive there, and their answers are lost.
@@ -120,7 +120,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void readsThatMustBeFreshAreServedWhereOnlyAFarReplicaIs(long seed) {
+    void freshReadsAreServedByOtherZonesWhenOwnReplicasLag(long seed) {
         SimulationPlan plan = new SimulationPlan(seed, 3, 2, 6, 4, 0.4, 2 * SECOND, 25 * SECOND, true);
         Simulation simulation = play(plan, true, w -> w.at(8 * SECOND, () -> w.replayZone(0, 0.2)));
         assertThat(simulation.statistics().weightShare(12, 25, 0)).isGreaterThan(0.8);
