--- a/lab/src/test/java/frostreel/lab/DeployedRunTest.java
+++ b/lab/src/test/java/frostreel/lab/DeployedRunTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Guards the program as the platform runs it against what is for other installations. */
+/** The program as the platform runs it: its options, and no package, port or thread beyond those it needs. */
 class DeployedRunTest {
     private static final Path ROOT = Path.of("..").toAbsolutePath().normalize();
     private static final String JAR = "pooler/target/frostreel.jar";
@@ -90,14 +90,14 @@
             builder.environment().put("GW_DISCOVERY", "127.0.0.1:" + discovery.getLocalPort());
             Process program = builder.start();
             try {
-                look(program, classes);
+                assertServesWithoutOptionalParts(program, classes);
             } finally {
                 program.destroyForcibly().waitFor();
             }
         }
     }
 
-    private static void look(Process program, Path classes) throws IOException {
+    private static void assertServesWithoutOptionalParts(Process program, Path classes) throws IOException {
         BufferedReader log = program.errorReader();
         Matcher listening =
                 Pattern.compile("listening on /127.0.0.1:(\\d+) as guard").matcher("");
@@ -164,7 +164,7 @@
             for (Path task : tasks.toList()) {
                 names.add(Files.readString(task.resolve("comm")).trim());
             }
-            return names.stream().filter(n -> !JVM_THREADS.contains(n)).collect(Collectors.toList());
+            return names.stream().filter(name -> !JVM_THREADS.contains(name)).collect(Collectors.toList());
         }
     }
 }
--- a/lab/src/test/java/frostreel/lab/LayersTest.java
+++ b/lab/src/test/java/frostreel/lab/LayersTest.java
@@ -23,9 +23,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.TestFactory;
 
-/** Which package may depend on which, within the lines that the build's modules hold. */
+/** The allowed dependencies between packages, beyond those that the build's modules enforce. */
 class LayersTest {
-    /** The simulator's adapter reads and writes streams for the decisions; it decides nothing. */
+    /** All packages of decisions, except for the simulator's adapter, which reads and writes streams for them. */
     private static final DescribedPredicate<JavaClass> DECISIONS = resideInAnyPackage(
                     "frostreel.routing..",
                     "frostreel.simulator..",
@@ -99,7 +99,7 @@
                         .because("a parser has no sockets, and knows no broker"));
     }
 
-    /** What serving does not load. */
+    /** Optional parts, of which serving loads nothing. */
     private static Stream<ArchRule> optionalRules() {
         return Stream.of(
                 noClasses()
@@ -125,7 +125,7 @@
                         .because("the lab is not on the serving class path"));
     }
 
-    /** What all packages of the program use knows none of them. */
+    /** Packages that all others use depend on none of them. */
     private static Stream<ArchRule> foundationRules() {
         return Stream.of("frostreel.time..", "frostreel.util..")
                 .map(foundation -> noClasses()
@@ -178,7 +178,7 @@
     void everyPackageIsListedAsServingOrOptional() {
         Set<String> packages = ALL.stream()
                 .map(JavaClass::getPackageName)
-                .filter(p -> !p.startsWith("frostreel.lab"))
+                .filter(name -> !name.startsWith("frostreel.lab"))
                 .collect(Collectors.toCollection(TreeSet::new));
         assertThat(packages)
                 .as("a new package is listed in Packages, so that the guard knows of it")
--- a/lab/src/test/java/frostreel/lab/Packages.java
+++ b/lab/src/test/java/frostreel/lab/Packages.java
@@ -2,9 +2,9 @@
 
 import java.util.List;
 
-/** All packages of the product: those that serve everywhere, and those absent where not configured. */
+/** The packages of the product, divided into those of every installation and the optional ones. */
 final class Packages {
-    /** Of these, `run` in the deploy file loads nothing, and the guard fails where it does. */
+    /** The packages of which the program loads no class where the configuration does not ask for them. */
     static final List<String> OPTIONAL =
             List.of("frostreel.cluster", "frostreel.cluster.jgroups", "frostreel.fleet", "frostreel.zones");
 
--- a/lab/src/test/java/frostreel/lab/PagesTest.java
+++ b/lab/src/test/java/frostreel/lab/PagesTest.java
@@ -15,17 +15,17 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** The pages name no class that is not there: a rename takes them along. */
+/** Every class named in the documentation exists, so that a rename includes the pages. */
 class PagesTest {
     private static final Path ROOT = Path.of("..");
     private static final Pattern CODE = Pattern.compile("`([^`\n]+)`");
-    /** Two capitals at least; names in paths, commands and after a dot of a file name are none of ours. */
+    /** At least two capitals; not in a path or command, nor after the dot of a file name. */
     private static final Pattern TYPE_NAME =
             Pattern.compile("(?<![\\w/<-])([A-Z][a-z0-9]+(?:[A-Z][a-z0-9]*)+)(?![\\w(-])");
 
     private static final Pattern DECLARATION = Pattern.compile("\\b(?:class|interface|enum|record)\\s+([A-Z]\\w*)");
-    /** Classes of the JDK and of libraries, and words of protocols, that pages name. */
-    private static final Set<String> OF_OTHERS = Set.of(
+    /** Classes of the JDK and of libraries, and protocol messages, that pages name. */
+    private static final Set<String> EXTERNAL_NAMES = Set.of(
             "BackendKeyData",
             "CancelRequest",
             "EmptyQueryResponse",
@@ -55,7 +55,7 @@
         while (code.find()) {
             Matcher name = TYPE_NAME.matcher(code.group(1));
             while (name.find()) {
-                if (!DECLARED.contains(name.group(1)) && !OF_OTHERS.contains(name.group(1))) {
+                if (!DECLARED.contains(name.group(1)) && !EXTERNAL_NAMES.contains(name.group(1))) {
                     unknown.add(name.group(1));
                 }
             }
--- a/lab/src/test/java/frostreel/lab/model/ServerTest.java
+++ b/lab/src/test/java/frostreel/lab/model/ServerTest.java
@@ -7,17 +7,19 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
+/** The simulated server: queue, cores, log, warm-up, overload and loss. */
 class ServerTest {
     private static final long START_US = 1_000_000_000;
     private final VirtualTime scheduler = new VirtualTime(START_US);
     private final Server server = new Server(scheduler, ServerParameters.USUAL, "s", 0, 0, 2, 1);
+    /** Each request that has ended, with its outcome and time since the start in microseconds. */
     private final List<String> ended = new ArrayList<>();
 
-    private Job job(String name, double workUs, boolean write, long needUs) {
+    private Job job(String name, double workUs, boolean write, long requiredPositionUs) {
         return new Job(
                 workUs,
                 write,
-                needUs,
+                requiredPositionUs,
                 (outcome, role, positionUs, utilization) ->
                         ended.add(name + " " + outcome + " " + (scheduler.now() - START_US)));
     }
@@ -62,9 +64,9 @@
                 .containsExactly(
                         "w WRONG_ROLE_OR_STALE 0", "r WRONG_ROLE_OR_STALE 0", "behind WRONG_ROLE_OR_STALE 1000000");
         server.connectToLog(false);
-        long stood = server.appliedUs();
+        long disconnectedAtUs = server.appliedUs();
         scheduler.runUntil(START_US + 2_000_000);
-        assertThat(server.appliedUs()).isEqualTo(stood);
+        assertThat(server.appliedUs()).isEqualTo(disconnectedAtUs);
         server.promote(true);
         assertThat(server.appliedUs()).isEqualTo(scheduler.now());
     }
@@ -72,7 +74,7 @@
     @Test
     void newPrimaryReportsTheEndOfItsLogAndLaterCommitsAreLost() {
         ServerParameters usual = ServerParameters.USUAL;
-        ServerParameters lossy = new ServerParameters(
+        ServerParameters asynchronous = new ServerParameters(
                 usual.coldFrom(),
                 usual.warmAfterUs(),
                 usual.fallMultiple(),
@@ -84,9 +86,12 @@
                 usual.slackUs(),
                 usual.cancels(),
                 false);
-        Cluster cluster = new Cluster(scheduler, new SplittableRandom(1), lossy, 1, 2, 1, 2, s -> {});
+        Cluster cluster = new Cluster(scheduler, new SplittableRandom(1), asynchronous, 1, 2, 1, 2, server -> {});
         Server old = cluster.all().stream().filter(Server::primary).findFirst().orElseThrow();
-        Server next = cluster.all().stream().filter(s -> s != old).findFirst().orElseThrow();
+        Server next = cluster.all().stream()
+                .filter(server -> server != old)
+                .findFirst()
+                .orElseThrow();
         next.replayRate(0);
         long appliedUs = next.appliedUs();
         old.arrive(job("w", 1000, true, 0));
@@ -101,7 +106,9 @@
         next.arrive(job("w2", 1000, true, 0));
         scheduler.runUntil(START_US + 20_000_000);
         assertThat(next.reportedPositionUs()).isEqualTo(scheduler.now());
-        assertThat(old.reportedPositionUs()).as("it follows").isEqualTo(scheduler.now() - lossy.logDelayUs());
+        assertThat(old.reportedPositionUs())
+                .as("it follows the new primary")
+                .isEqualTo(scheduler.now() - asynchronous.logDelayUs());
         assertThat(cluster.lostCommits()).isEqualTo(1);
     }
 
@@ -113,13 +120,13 @@
         send("slow", 22_000);
         scheduler.runUntil(START_US + 100_000);
         assertThat(ended).containsExactly("slow OK 100000");
-        double most = ServerParameters.USUAL.fallMultiple() * server.capacity() * ServerParameters.USUAL.fallUs();
-        send("most", most - 23_000);
+        double limitUs = ServerParameters.USUAL.fallMultiple() * server.capacity() * ServerParameters.USUAL.fallUs();
+        send("large", limitUs - 23_000);
         assertThat(server.overloaded()).isFalse();
         assertThat(server.largestMultiple()).isBetween(2.9, 3.0);
-        send("straw", 2000);
+        send("small", 2000);
         assertThat(server.overloaded()).isTrue();
-        assertThat(ended).contains("straw RESET 100000", "most RESET 100000");
+        assertThat(ended).contains("small RESET 100000", "large RESET 100000");
         server.start();
         assertThat(server.up()).isFalse();
     }
--- a/lab/src/test/java/frostreel/lab/standin/StandInsTest.java
+++ b/lab/src/test/java/frostreel/lab/standin/StandInsTest.java
@@ -27,10 +27,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The model as a pooler meets it, on sockets; one group of two servers, the first its primary. */
+/** The stand-ins on sockets, as a pooler uses them: one group of two servers, of which the first is primary. */
 class StandInsTest {
     private static final InetSocketAddress ANY = new InetSocketAddress("127.0.0.1", 0);
-    private final CountDownLatch fell = new CountDownLatch(1);
+    private final CountDownLatch overloaded = new CountDownLatch(1);
     private EventLoop loop;
     private Scheduler scheduler;
     private Cluster cluster;
@@ -41,11 +41,11 @@
     private DiscoveryAgent agent;
 
     @BeforeEach
-    void raise() throws Exception {
+    void startStandIns() throws Exception {
         loop = new EventLoop();
         scheduler = new RealTime(loop);
         onLoop(() -> {
-            cluster = new Cluster(scheduler, new SplittableRandom(1), 2, 1, 1, s -> agent.publish(Cluster.entry(s)));
+            cluster = new Cluster(scheduler, new SplittableRandom(1), 2, 1, 1, this::publish);
             primary = cluster.zone(0).get(0);
             replica = cluster.zone(1).get(0);
             first = database(primary);
@@ -56,7 +56,7 @@
     }
 
     @AfterEach
-    void strike() throws Exception {
+    void closeStandIns() throws Exception {
         onLoop(() -> {
             first.close();
             second.close();
@@ -66,6 +66,10 @@
         loop.end();
     }
 
+    private void publish(Server changed) {
+        agent.publish(Cluster.entry(changed));
+    }
+
     private StandInDatabase database(Server server) throws IOException {
         return new StandInDatabase(
                 loop,
@@ -82,7 +86,7 @@
                         return statement.afterMs() * 1000;
                     }
                 },
-                fell::countDown,
+                overloaded::countDown,
                 ANY);
     }
 
@@ -105,13 +109,13 @@
     private static Reply answer(Socket socket, byte[] query, Reply reply) throws Exception {
         socket.getOutputStream().write(query);
         MessageReader reader = new MessageReader(Reply::maxLength);
-        byte[] some = new byte[4096];
+        byte[] buffer = new byte[4096];
         while (!reply.ended()) {
-            int length = socket.getInputStream().read(some);
+            int length = socket.getInputStream().read(buffer);
             if (length < 0) {
                 return reply;
             }
-            reader.feed(ByteBuffer.wrap(some, 0, length));
+            reader.feed(ByteBuffer.wrap(buffer, 0, length));
             while (reader.next()) {
                 reply.accept(reader);
             }
@@ -119,6 +123,7 @@
         return reply;
     }
 
+    /** A connection on which the startup has completed. */
     private static Socket welcomed(StandInDatabase at) throws Exception {
         Socket socket = connect(at.address());
         assertThat(answer(socket, Messages.startup(), Reply.toStartup()).ready())
@@ -130,8 +135,8 @@
         return answer(socket, Messages.query((sql + "\0").getBytes(StandardCharsets.US_ASCII)), Reply.toQuery());
     }
 
-    private static String read(String more) {
-        return "SELECT v FROM records WHERE k = 's' /* id=r,c=look,d=900,cluster=0" + more + " */";
+    private static String read(String attributes) {
+        return "SELECT v FROM records WHERE k = 's' /* id=r,c=look,d=900,cluster=0" + attributes + " */";
     }
 
     private static final String WRITE =
@@ -166,7 +171,7 @@
             cluster.start(replica);
             return null;
         });
-        // A core at 0.22 of its speed over two seconds is 0.44 s of work; three times as much is a push.
+        // A core at 0.22 of its speed over two seconds does 0.44 s of work; three times as much is an overload.
         try (Socket one = welcomed(second);
                 Socket other = welcomed(second)) {
             byte[] query =
@@ -175,16 +180,16 @@
             assertThat(answer(other, query, Reply.toQuery()).ready()).isFalse();
             assertThat(one.getInputStream().read()).isNegative();
         }
-        fell.await();
+        overloaded.await();
         assertThat(onLoop(replica::overloaded)).isTrue();
     }
 
     @Test
     void watchReportsADrainAndWaitsWhileNothingChanges() throws Exception {
         try (Socket socket = connect(onLoop(agent::address))) {
-            JSONObject whole = call(socket, "");
-            assertThat(whole.getBoolean("whole")).isTrue();
-            assertThat(whole.getJSONArray("hosts")).hasSize(2);
+            JSONObject fullList = call(socket, "");
+            assertThat(fullList.getBoolean("whole")).isTrue();
+            assertThat(fullList.getJSONArray("hosts")).hasSize(2);
             assertThat(call(socket, "?index=0&wait=1").getJSONArray("hosts")).isEmpty();
             onLoop(() -> {
                 cluster.drain(replica);
--- a/lab/src/test/java/frostreel/lab/virtual/ActionDigest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/ActionDigest.java
@@ -9,7 +9,7 @@
 import java.util.TreeMap;
 import java.util.function.BiFunction;
 
-/** A digest of all actions that the routers of a run take, in their order, and how many there were of each. */
+/** The digest of all actions of a run's routers, in their order, with the number of actions of each kind. */
 final class ActionDigest {
     private final MessageDigest digest = sha256();
     private final Map<String, Integer> counts = new TreeMap<>();
@@ -23,15 +23,15 @@
         }
     }
 
-    /** The digest and the counts, as a line. */
+    /** The digest and the counts, as one line. */
     static String line(byte[] digest, Map<String, Integer> counts) {
         return HexFormat.of().formatHex(digest) + " " + counts;
     }
 
-    /** Makes routers as before, and listens to what they ask for. */
-    BiFunction<Router.Settings, Router.Actions, Router> listenTo(
-            BiFunction<Router.Settings, Router.Actions, Router> maker) {
-        return (settings, actions) -> maker.apply(settings, new Listener(routers++, actions));
+    /** Routers of which every action is recorded before it is taken. */
+    BiFunction<Router.Settings, Router.Actions, Router> recording(
+            BiFunction<Router.Settings, Router.Actions, Router> original) {
+        return (settings, actions) -> original.apply(settings, new RecordingActions(routers++, actions));
     }
 
     @Override
@@ -39,16 +39,16 @@
         return line(digest.digest(), counts);
     }
 
-    private final class Listener implements Router.Actions {
+    private final class RecordingActions implements Router.Actions {
         private final int router;
-        private final Router.Actions to;
+        private final Router.Actions target;
 
-        Listener(int router, Router.Actions to) {
+        RecordingActions(int router, Router.Actions target) {
             this.router = router;
-            this.to = to;
+            this.target = target;
         }
 
-        private void took(String action, Object... details) {
+        private void recordAction(String action, Object... details) {
             counts.merge(action, 1, Integer::sum);
             StringBuilder line = new StringBuilder().append(router).append(' ').append(action);
             for (Object detail : details) {
@@ -59,50 +59,50 @@
 
         @Override
         public void send(String requestId, String memberId, long timeoutUs) {
-            took("send", requestId, memberId, timeoutUs);
-            to.send(requestId, memberId, timeoutUs);
+            recordAction("send", requestId, memberId, timeoutUs);
+            target.send(requestId, memberId, timeoutUs);
         }
 
         @Override
         public void reject(String requestId, long retryAfterUs) {
-            took("reject", requestId, retryAfterUs);
-            to.reject(requestId, retryAfterUs);
+            recordAction("reject", requestId, retryAfterUs);
+            target.reject(requestId, retryAfterUs);
         }
 
         @Override
         public void fail(String requestId) {
-            took("fail", requestId);
-            to.fail(requestId);
+            recordAction("fail", requestId);
+            target.fail(requestId);
         }
 
         @Override
         public void cancel(String requestId, int attempt) {
-            took("cancel", requestId, attempt);
-            to.cancel(requestId, attempt);
+            recordAction("cancel", requestId, attempt);
+            target.cancel(requestId, attempt);
         }
 
         @Override
         public void checkHealth(String memberId) {
-            took("probe", memberId);
-            to.checkHealth(memberId);
+            recordAction("probe", memberId);
+            target.checkHealth(memberId);
         }
 
         @Override
         public void setTimer(long inUs, String name) {
-            took("timer", inUs, name);
-            to.setTimer(inUs, name);
+            recordAction("timer", inUs, name);
+            target.setTimer(inUs, name);
         }
 
         @Override
         public void log(String text) {
-            took("log", text);
-            to.log(text);
+            recordAction("log", text);
+            target.log(text);
         }
 
         @Override
         public void subscribe() {
-            took("subscribe");
-            to.subscribe();
+            recordAction("subscribe");
+            target.subscribe();
         }
     }
 }
--- a/lab/src/test/java/frostreel/lab/virtual/ColdFleetTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/ColdFleetTest.java
@@ -8,24 +8,24 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What all poolers together send to servers that come back cold: each sees a thin and uneven part of all. */
+/** The load of all poolers together on servers that return cold, where each pooler sees only a small, uneven part. */
 class ColdFleetTest {
     private static final int SEEDS = 20;
     private static final int ZONES = 2;
 
-    /** A zone of small servers comes back at once while the other one's carry all that there is. */
-    private static Simulation comesBack(
-            int poolers, long seed, BiFunction<Router.Settings, Router.Actions, Router> maker) {
+    /** All servers of one zone return at once, while those of the other one carry all load. */
+    private static Simulation runReturnOfZone(
+            int poolers, long seed, BiFunction<Router.Settings, Router.Actions, Router> routers) {
         Simulation simulation = new Simulation(
-                new SimulationPlan(seed, ZONES, poolers / ZONES, 4, 2, 0.6, 1_000_000, 16_000_000, true), maker);
+                new SimulationPlan(seed, ZONES, poolers / ZONES, 4, 2, 0.6, 1_000_000, 16_000_000, true), routers);
         simulation.skewDemand(8);
         simulation.at(4_000_000, () -> simulation.loseZone(1));
         simulation.at(9_000_000, () -> simulation.returnZone(1));
         return simulation.run();
     }
 
-    /** Decisions that take a started server for a warm one. */
-    private static Router careless(Router.Settings settings, Router.Actions actions) {
+    /** A router that treats a started server as a warm one. */
+    private static Router withoutSlowStart(Router.Settings settings, Router.Actions actions) {
         Router.Rules rules = settings.rules();
         return new ChainRouter(
                 new Router.Settings(
@@ -53,18 +53,18 @@
     @ParameterizedTest
     @ValueSource(ints = {20, 30, 100})
     void allPoolersTogetherOverloadNoColdServer(int poolers) {
-        int pushedByTheCareless = 0;
+        int overloadedWithoutSlowStart = 0;
         for (long seed = 1; seed <= SEEDS; seed++) {
-            Simulation simulation = comesBack(poolers, seed, ChainRouter::new);
+            Simulation simulation = runReturnOfZone(poolers, seed, ChainRouter::new);
             assertThat(simulation.overloadedServers())
                     .as("seed %d, largest multiple %.2f", seed, simulation.largestMultiple())
                     .isZero();
             assertThat(simulation.invariants().broken())
                     .as("seed %d: %s", seed, simulation.invariants().rules())
                     .isZero();
-            pushedByTheCareless +=
-                    comesBack(poolers, seed, ColdFleetTest::careless).overloadedServers() > 0 ? 1 : 0;
+            Simulation careless = runReturnOfZone(poolers, seed, ColdFleetTest::withoutSlowStart);
+            overloadedWithoutSlowStart += careless.overloadedServers() > 0 ? 1 : 0;
         }
-        assertThat(pushedByTheCareless).isPositive();
+        assertThat(overloadedWithoutSlowStart).isPositive();
     }
 }
--- a/lab/src/test/java/frostreel/lab/virtual/EqualDecisionsTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/EqualDecisionsTest.java
@@ -24,8 +24,8 @@
 
 /**
  * Equal events lead to the same actions as at commit 223cd4e, whose code gave the digests in
- * {@code decisions.digests}: on the simulator's wire, in virtual time, and with a zone lost and returned. Code that is
- * moved, renamed or split keeps them all. Where other decisions are meant, the new digests are those that a run of
+ * {@code decisions.digests}: on the simulator's wire, in virtual time, and with a zone lost and returned.
+ * Refactoring keeps all digests. A change that is meant to decide otherwise replaces them by those that a run of
  * this test with {@code -Dfrostreel.digests=FILE} appends to that file.
  */
 class EqualDecisionsTest {
@@ -49,7 +49,7 @@
         }
     }
 
-    /** Each known site with a few seeds, and {@code random}, whose seed draws the settings, too. */
+    /** Each known site with a few seeds; and {@code random}, whose settings are drawn from the seed, too. */
     private static Stream<String> deployments() {
         Stream<String> sites = Stream.of("billing-kamloops", "bsas-main", "clinic-halls", "parcels-short")
                 .flatMap(site -> IntStream.rangeClosed(1, SEEDS_OF_A_SITE).mapToObj(seed -> site + " " + seed));
@@ -68,13 +68,13 @@
                 : KnownSitesTest.settings(site);
     }
 
-    private static void assertSameAsBefore(String run, String seen) throws IOException {
+    private static void assertUnchanged(String run, String digest) throws IOException {
         String file = System.getProperty("frostreel.digests");
         if (file != null) {
             Files.writeString(
-                    Path.of(file), run + ": " + seen + "\n", StandardOpenOption.CREATE, StandardOpenOption.APPEND);
+                    Path.of(file), run + ": " + digest + "\n", StandardOpenOption.CREATE, StandardOpenOption.APPEND);
         }
-        assertThat(seen).as(run).isEqualTo(EXPECTED.get(run));
+        assertThat(digest).as(run).isEqualTo(EXPECTED.get(run));
     }
 
     @ParameterizedTest
@@ -86,7 +86,7 @@
                 WireAdapter.run(generator, new PrintStream(generator.replies(), true), new PrintStream(System.err));
         assertThat(exitCode).isZero();
         byte[] digest = ActionDigest.sha256().digest(generator.allReplies());
-        assertSameAsBefore("wire " + deployment, ActionDigest.line(digest, generator.actions()));
+        assertUnchanged("wire " + deployment, ActionDigest.line(digest, generator.actions()));
     }
 
     @ParameterizedTest
@@ -94,8 +94,8 @@
     void fleetActionsAreUnchanged(String deployment) throws IOException, MalformedMessageException {
         RandomScenario scenario = new RandomDeployment(seed(deployment)).scenario(settings(deployment));
         ActionDigest digest = new ActionDigest();
-        scenario.play(digest.listenTo(Policy.plain()));
-        assertSameAsBefore("fleet " + deployment, digest.toString());
+        scenario.play(digest.recording(Policy.plain()));
+        assertUnchanged("fleet " + deployment, digest.toString());
     }
 
     @ParameterizedTest
@@ -103,13 +103,13 @@
     void zoneFailoverActionsAreUnchanged(long seed) throws IOException {
         SimulationPlan plan = new SimulationPlan(seed, 3, 2, 4, 2, 0.5, SECOND_US, 14 * SECOND_US, true);
         ActionDigest digest = new ActionDigest();
-        Simulation simulation = new Simulation(plan, digest.listenTo(Policy.tiers(plan, 0.3, 1)));
+        Simulation simulation = new Simulation(plan, digest.recording(Policy.tiers(plan, 0.3, 1)));
         simulation.at(4 * SECOND_US, () -> simulation.loseZone(1));
         simulation.at(7 * SECOND_US, () -> simulation.returnZone(1));
         simulation.at(9 * SECOND_US, () -> simulation.cut(0, 2, true));
         simulation.at(11 * SECOND_US, () -> simulation.cut(0, 2, false));
         simulation.run();
-        assertSameAsBefore("zones " + seed, digest.toString());
+        assertUnchanged("zones " + seed, digest.toString());
     }
 
     @Test
--- a/lab/src/test/java/frostreel/lab/virtual/KnownSitesTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/KnownSitesTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The deployments in service, by their settings as the simulator hands them over. */
+/** The deployments in service, with their settings as the simulator hands them over. */
 class KnownSitesTest {
     private static final int SEEDS = 20;
 
@@ -26,7 +26,8 @@
         }
     }
 
-    static RandomScenario draw(JSONObject settings, int poolers, double load, long seed, JSONObject... events) {
+    /** A scenario with a site's settings, and a fleet and faults of the test's choice. */
+    static RandomScenario scenario(JSONObject settings, int poolers, double load, long seed, JSONObject... events) {
         JSONArray kinds = new JSONArray("""
                 [{"share":42,"workMs":57},{"share":34,"workMs":57},{"share":2,"workMs":570},
                 {"share":22,"workMs":57}]""");
@@ -55,7 +56,8 @@
 
     @Test
     void readsTheSettingsAsThePageStatesThem() throws IOException, MalformedMessageException {
-        Router.Settings kamloops = draw(settings("billing-kamloops"), 1, 0.3, 1).settings();
+        Router.Settings kamloops =
+                scenario(settings("billing-kamloops"), 1, 0.3, 1).settings();
         assertThat(kamloops.classes())
                 .extracting(Router.RequestClass::access)
                 .containsExactly(Router.Access.BOUNDED, Router.Access.ANY, Router.Access.ANY, Router.Access.WRITE);
@@ -63,7 +65,7 @@
         assertThat(kamloops.sessionTracking()).isEqualTo(Router.SessionTracking.CARRIED);
         assertThat(kamloops.rules())
                 .isEqualTo(new Router.Rules(20_000, 1_000_000, false, 0.22, 15_000_000, 3, 2_000_000));
-        Router.Settings bsas = draw(settings("bsas-main"), 2, 0.3, 1).settings();
+        Router.Settings bsas = scenario(settings("bsas-main"), 2, 0.3, 1).settings();
         assertThat(bsas.classes())
                 .extracting(Router.RequestClass::access)
                 .containsExactly(Router.Access.SESSION, Router.Access.ANY, Router.Access.ANY, Router.Access.WRITE);
@@ -105,7 +107,7 @@
     @ValueSource(strings = {"billing-kamloops", "bsas-main"})
     void rulesHoldThroughTheFaultsOfEverySite(String site) throws IOException, MalformedMessageException {
         for (long seed = 1; seed <= SEEDS; seed++) {
-            Simulation simulation = draw(
+            Simulation simulation = scenario(
                             settings(site),
                             2,
                             0.6,
@@ -122,13 +124,13 @@
         }
     }
 
-    /** Poolers that have forgotten all, one after another, over servers that are cold: thin and uneven. */
+    /** Poolers restart in turn without any state over cold servers, while each sees few and uneven requests. */
     @ParameterizedTest
     @ValueSource(ints = {2, 14, 100})
     void poolersRestartedInTurnOverloadNoColdServer(int poolers) throws IOException, MalformedMessageException {
         for (long seed = 1; seed <= SEEDS; seed++) {
             double lenS = 10 + 17.0 * seed / SEEDS;
-            Simulation simulation = draw(
+            Simulation simulation = scenario(
                             settings("bsas-main"),
                             poolers,
                             0.15,
--- a/lab/src/test/java/frostreel/lab/virtual/LostCommitsTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/LostCommitsTest.java
@@ -9,19 +9,19 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Primaries die under writes where commits do not wait for a replica, and stay away until another leads: what
- * they answered last, no member has any more. What reads of such sessions are owed says {@link
- * VirtualPooler#lastCommitUs}.
+ * Primaries are lost under writes and stay away until another is elected. Where commits are asynchronous, no
+ * member has their last acknowledged commits any more; {@link VirtualPooler#lastCommitUs} states which data reads
+ * of such sessions require.
  */
 class LostCommitsTest {
     private static final int SEEDS = 20;
-    /** Sessions write seldom enough that some read after a loss before they write again. */
+    /** So many that each writes seldom, and some read after a loss before they write again. */
     private static final int SESSIONS = 3_000;
-    /** A new primary is found by then, and what had waited for it is done. */
-    private static final long SETTLED_US = 2_000_000;
+    /** After the election of a primary, requests that waited for it have ended by then. */
+    private static final long SETTLE_US = 2_000_000;
 
     private static Simulation play(String site, long seed) throws Exception {
-        RandomScenario draw = KnownSitesTest.draw(
+        RandomScenario scenario = KnownSitesTest.scenario(
                 KnownSitesTest.settings(site),
                 2,
                 0.4,
@@ -30,8 +30,8 @@
                 event("losePrimary", 6, 8, 1, 0.5),
                 event("losePrimary", 9, 8, 1, 0.5).put("from", 1),
                 event("losePrimary", 20, 8, 1, 0.5));
-        draw.json().getJSONObject("fleet").put("sessions", SESSIONS);
-        return draw.play();
+        scenario.json().getJSONObject("fleet").put("sessions", SESSIONS);
+        return scenario.play();
     }
 
     @Test
@@ -44,12 +44,12 @@
                     .isEqualTo(statistics.requests() + statistics.retries());
             assertThat(simulation.cluster().lostCommits()).as("seed %d", seed).isPositive();
             List<LostRead> settled = simulation.lostReads().stream()
-                    .filter(r -> r.primaryAgeUs() > SETTLED_US)
+                    .filter(read -> read.primaryAgeUs() > SETTLE_US)
                     .toList();
             assertThat(settled)
                     .as("seed %d", seed)
                     .isNotEmpty()
-                    .allSatisfy(r -> assertThat(r.answer()).isEqualTo(Answer.SERVED));
+                    .allSatisfy(read -> assertThat(read.answer()).isEqualTo(Answer.SERVED));
         }
     }
 
--- a/lab/src/test/java/frostreel/lab/virtual/RandomDeployment.java
+++ b/lab/src/test/java/frostreel/lab/virtual/RandomDeployment.java
@@ -5,9 +5,9 @@
 import org.json.JSONArray;
 import org.json.JSONObject;
 
-/** Settings, a fleet and faults drawn from a seed; the same on every machine and with every library. */
+/** Settings, a fleet and faults drawn from a seed; the same draws on every machine and with every library. */
 final class RandomDeployment {
-    private static final int MOST_REQUESTS = 3_000;
+    private static final int MAX_REQUESTS = 3_000;
     private static final List<String> FAULTS =
             List.of("lag", "roll", "restart", "drain", "lose", "losePrimary", "errors", "losses", "slow", "stalls");
     private final SplittableRandom random;
@@ -18,32 +18,32 @@
         random = new SplittableRandom(seed);
     }
 
-    private double between(double least, double most) {
-        return Math.round((least + random.nextDouble() * (most - least)) * 1e3) / 1e3;
+    private double between(double min, double max) {
+        return Math.round((min + random.nextDouble() * (max - min)) * 1e3) / 1e3;
     }
 
-    private int between(int least, int most) {
-        return random.nextInt(least, most + 1);
+    private int between(int min, int max) {
+        return random.nextInt(min, max + 1);
     }
 
     private boolean flag() {
         return random.nextBoolean();
     }
 
-    private String oneOf(String... words) {
-        return words[random.nextInt(words.length)];
+    private String oneOf(String... options) {
+        return options[random.nextInt(options.length)];
     }
 
-    /** As the simulator hands them over. */
+    /** Settings as the simulator hands them over. */
     JSONObject settings() {
         JSONArray classes = new JSONArray();
         JSONArray freshness = new JSONArray();
         JSONArray lagAllowed = new JSONArray();
         for (int i = between(2, 6); i > 0; i--) {
             classes.put(requestClass(classes.length()));
-            String read = oneOf("any", "write", "session", "bounded", "fresh");
-            freshness.put(read);
-            lagAllowed.put(read.equals("bounded") ? between(0.05, 3) : 0);
+            String access = oneOf("any", "write", "session", "bounded", "fresh");
+            freshness.put(access);
+            lagAllowed.put(access.equals("bounded") ? between(0.05, 3) : 0);
         }
         JSONObject familyInfo = new JSONObject()
                 .put("freshness", freshness)
@@ -110,7 +110,7 @@
                 .put("onlyDrainingBinds", flag());
     }
 
-    /** A fleet that fits the settings, and faults. */
+    /** A scenario with the given settings, and a fleet and faults that fit them. */
     RandomScenario scenario(JSONObject settings) {
         int zones = settings.getJSONArray("zones").length();
         JSONArray kinds = new JSONArray();
@@ -127,14 +127,14 @@
         int groups = between(1, 4);
         int cores = between(2, 8);
         double durationS = between(6.0, 14);
-        double most = MOST_REQUESTS / durationS * work / shares / (zones * members * groups * cores);
+        double maxLoad = MAX_REQUESTS / durationS * work / shares / (zones * members * groups * cores);
         JSONObject fleet = new JSONObject()
                 .put("zones", zones)
                 .put("members", members)
                 .put("poolersPerZone", between(1, 4))
                 .put("groups", groups)
                 .put("cores", cores)
-                .put("load", Math.min(between(0.3, 1.4), most))
+                .put("load", Math.min(between(0.3, 1.4), maxLoad))
                 .put("uneven", between(1.0, 8))
                 .put("listLagS", between(0.05, 3))
                 .put("durationS", durationS)
--- a/lab/src/test/java/frostreel/lab/virtual/RegressionSeedsTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/RegressionSeedsTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Draws that once broke a rule, made small; each with ten seeds. */
+/** Scenarios that once broke a rule, reduced to the cause; each with ten seeds. */
 class RegressionSeedsTest {
     private static final int SEEDS = 10;
 
@@ -18,9 +18,10 @@
     @ValueSource(strings = {"cold-one-server", "cold-thin-fleet", "cold-busy-by-half"})
     void rulesHoldInScenariosThatOnceBrokeThem(String name) throws IOException, MalformedMessageException {
         try (InputStream in = RegressionSeedsTest.class.getResourceAsStream("/draws/" + name + ".json")) {
-            JSONObject kept = new JSONObject(new String(in.readAllBytes(), StandardCharsets.UTF_8));
+            JSONObject scenario = new JSONObject(new String(in.readAllBytes(), StandardCharsets.UTF_8));
             for (int seed = 1; seed <= SEEDS; seed++) {
-                Simulation simulation = new RandomScenario(new JSONObject(kept.toString()).put("seed", seed)).play();
+                Simulation simulation =
+                        new RandomScenario(new JSONObject(scenario.toString()).put("seed", seed)).play();
                 assertRulesKept("seed " + seed, simulation);
             }
         }
--- a/lab/src/test/java/frostreel/lab/virtual/SimulationAssertions.java
+++ b/lab/src/test/java/frostreel/lab/virtual/SimulationAssertions.java
@@ -2,11 +2,11 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-/** What every simulation that ran has to show. */
+/** Assertions that hold for every simulation once it has run. */
 final class SimulationAssertions {
     private SimulationAssertions() {}
 
-    /** Every rule was kept, and the program threw nothing; {@code run} names the run in a failure's message. */
+    /** Every rule was kept, and no exception escaped; {@code run} names the run in a failure's message. */
     static void assertRulesKept(String run, Simulation simulation) {
         assertThat(simulation.invariants().rules())
                 .as(run)
@@ -16,7 +16,7 @@
         assertThat(simulation.strayExceptions()).as("%s: stray exceptions", run).isZero();
     }
 
-    /** Beside the rules: no server was overloaded while it was warming up. */
+    /** No server was overloaded while it was warming up, whether that breaks a rule or not. */
     static void assertNoServerOverloaded(Simulation simulation) {
         assertThat(simulation.overloadedServers()).as("overloaded servers").isZero();
     }
--- a/lab/src/test/java/frostreel/lab/virtual/SimulationTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/SimulationTest.java
@@ -10,12 +10,13 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** Runs of the simulation are reproducible, keep the rules, and its checks report routers that break them. */
 class SimulationTest {
     private static SimulationPlan plan(long seed) {
         return new SimulationPlan(seed, 3, 2, 6, 4, 0.5, 2_000_000, 25_000_000, true);
     }
 
-    private static Simulation lossAndReturn(long seed) {
+    private static Simulation loseAndReturnZone(long seed) {
         Simulation simulation = new Simulation(plan(seed), ChainRouter::new);
         simulation.at(8_000_000, () -> simulation.loseZone(1));
         simulation.at(15_000_000, () -> simulation.returnZone(1));
@@ -24,9 +25,9 @@
 
     @Test
     void equalSeedsGiveEqualRunsAndDifferentSeedsDifferentOnes() {
-        String record = lossAndReturn(1).digest();
-        assertThat(lossAndReturn(1).digest()).isEqualTo(record);
-        assertThat(lossAndReturn(2).digest()).isNotEqualTo(record);
+        String digest = loseAndReturnZone(1).digest();
+        assertThat(loseAndReturnZone(1).digest()).isEqualTo(digest);
+        assertThat(loseAndReturnZone(2).digest()).isNotEqualTo(digest);
     }
 
     @Test
@@ -43,7 +44,7 @@
 
     @Test
     void rulesHoldWhenAZoneIsLostAndReturns() {
-        Simulation simulation = lossAndReturn(4);
+        Simulation simulation = loseAndReturnZone(4);
         assertRulesKept("run", simulation);
         assertNoServerOverloaded(simulation);
         assertThat(simulation.statistics().worstTenSeconds(1))
@@ -51,13 +52,13 @@
         assertThat(simulation.largestMultiple()).isPositive();
     }
 
-    /** Decisions that send on and on to the first member: the checkers must not be blind. */
-    private static final class Stubborn implements Router {
-        private final Actions act;
+    /** A router that sends every request to the first member of its group, whatever its state. */
+    private static final class FixedTargetRouter implements Router {
+        private final Actions actions;
         private List<Member> members;
 
-        Stubborn(Settings settings, Actions act) {
-            this.act = act;
+        FixedTargetRouter(Settings settings, Actions actions) {
+            this.actions = actions;
         }
 
         @Override
@@ -65,12 +66,12 @@
 
         @Override
         public void onRequest(long nowUs, Request request) {
-            act.send(request.id(), first(request), request.deadlineUs() - nowUs);
+            actions.send(request.id(), first(request), request.deadlineUs() - nowUs);
         }
 
         private String first(Request request) {
             return members.stream()
-                    .filter(m -> m.group() == request.group())
+                    .filter(member -> member.group() == request.group())
                     .findFirst()
                     .orElseThrow()
                     .id();
@@ -94,7 +95,7 @@
                 long positionUs,
                 Report report) {
             if (!closed) {
-                act.fail(requestId);
+                actions.fail(requestId);
             }
         }
 
@@ -115,12 +116,12 @@
 
     @Test
     void reportsRoutersThatIgnoreDrainsAndColdServers() {
-        Simulation simulation = new Simulation(plan(5), Stubborn::new);
+        Simulation simulation = new Simulation(plan(5), FixedTargetRouter::new);
         simulation.at(8_000_000, () -> simulation.loseZone(0));
         simulation.at(12_000_000, () -> simulation.returnZone(0));
         simulation.run();
         assertThat(simulation.invariants().rules())
-                .filteredOn(r -> r.broken() > 0)
+                .filteredOn(rule -> rule.broken() > 0)
                 .extracting(Rule::name)
                 .contains("drains and ends kept", "no cold server pushed over");
         assertThat(simulation.overloadedServers()).isPositive();
