--- a/lab/src/main/java/frostreel/lab/model/WarmUpLoad.java
+++ b/lab/src/main/java/frostreel/lab/model/WarmUpLoad.java
@@ -40,23 +40,36 @@
      * @param capacity of the server at present, in cores of speed 1
      */
     boolean overloadedBy(Job job, long nowUs, double capacity) {
+        add(job, nowUs);
+        if (recent.size() == 1) {
+            return false; // A single request is never an overload, however cold the server.
+        }
+        largestMultiple = Math.max(largestMultiple, recentWorkUs / (capacity * parameters.fallUs()));
+        mostSendersKnew = informedWorkUs() >= parameters.informedShare() * recentWorkUs;
+        return recentWorkUs > limitUs(capacity);
+    }
+
+    /** Adds a request, and drops those that are older than the rule's window. */
+    private void add(Job job, long nowUs) {
         recent.add(new Sent(nowUs, job.workUs, job.senderKnewStart));
         recentWorkUs += job.workUs;
         while (recent.peek().atUs < nowUs - parameters.fallUs()) {
             recentWorkUs -= recent.poll().workUs;
         }
-        if (recent.size() == 1) {
-            return false; // A single request is never an overload, however cold the server.
-        }
-        double multiple = recentWorkUs / (capacity * parameters.fallUs());
-        largestMultiple = Math.max(largestMultiple, multiple);
-        double knownWorkUs = recent.stream()
+    }
+
+    /** The recent work whose senders knew of the server's start. */
+    private double informedWorkUs() {
+        return recent.stream()
                 .filter(Sent::senderKnewStart)
                 .mapToDouble(Sent::workUs)
                 .sum();
-        mostSendersKnew = knownWorkUs >= parameters.informedShare() * recentWorkUs;
+    }
+
+    /** The work that the server can take within the rule's window, with the allowance for random arrivals. */
+    private double limitUs(double capacity) {
         double allowedUs = parameters.fallMultiple() * capacity * parameters.fallUs();
         double slackUs = parameters.slackUs();
-        return recentWorkUs > allowedUs + 2 * Math.sqrt(allowedUs * slackUs) + 2 * slackUs;
+        return allowedUs + 2 * Math.sqrt(allowedUs * slackUs) + 2 * slackUs;
     }
 }
