--- a/lab/src/main/java/frostreel/lab/processes/FaultElement.java
+++ b/lab/src/main/java/frostreel/lab/processes/FaultElement.java
@@ -28,7 +28,7 @@
         if (xml.decimal("atS") >= experiment.durationS()) {
             reject("atS", "the run is over then");
         }
-        untilUs = xml.has("untilS") ? xml.microsFromSeconds("untilS") : 0;
+        untilUs = xml.has("untilS") ? xml.microsFromSeconds("untilS") : TimedFault.NEVER;
         if (xml.has("untilS") && untilUs <= atUs) {
             reject("untilS", "is not after atS");
         }
@@ -48,7 +48,7 @@
         return atUs;
     }
 
-    /** When the fault ends, from the start of the run; 0 for one that has no end of its own. */
+    /** When the fault ends, from the start of the run, or {@link TimedFault#NEVER}. */
     long untilUs() {
         return untilUs;
     }
--- a/lab/src/main/java/frostreel/lab/processes/Fleet.java
+++ b/lab/src/main/java/frostreel/lab/processes/Fleet.java
@@ -19,7 +19,6 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.atomic.AtomicBoolean;
-import java.util.function.Consumer;
 
 /**
  * Real processes of the program between stand-ins of all that they speak to, with a relay on every way. Owns
@@ -171,10 +170,10 @@
     }
 
     /** Clients ask from now on, and offsets of {@link #at} count from now; not on the loop's thread. */
-    void begin(List<Consumer<Fleet>> faults) throws Exception {
+    void begin(List<ProcessFault> faults) throws Exception {
         onLoop(() -> {
             run.schedule().restart();
-            faults.forEach(fault -> fault.accept(this));
+            faults.forEach(fault -> fault.schedule(this));
             load.begin();
             if (run.operated()) {
                 load.watchReadiness();
--- a/lab/src/main/java/frostreel/lab/processes/NetworkFaults.java
+++ b/lab/src/main/java/frostreel/lab/processes/NetworkFaults.java
@@ -4,7 +4,10 @@
 
 /** Faults of the network around and between the poolers of a fleet. Used on the event loop's thread alone. */
 final class NetworkFaults {
-    private static final long UNBOUNDED = 0;
+    /** In place of a delay: bytes arrive as they are sent. */
+    static final long NO_DELAY = 0;
+    /** In place of a limit on the bytes a second: there is none. */
+    static final long UNBOUNDED = 0;
 
     private final RunLog log;
     private final List<PoolerNode> poolers;
--- a/lab/src/main/java/frostreel/lab/processes/ProcessExperiment.java
+++ b/lab/src/main/java/frostreel/lab/processes/ProcessExperiment.java
@@ -9,7 +9,6 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.function.Consumer;
 
 /** An experiment with processes, read against its schema and checked for sense. */
 public final class ProcessExperiment {
@@ -27,7 +26,7 @@
     private final int durationS;
     private final XmlElement fleetSettings;
     private final XmlElement clientSettings;
-    private final ProcessFaultReader faults;
+    private final List<ProcessFault> faults;
     private final List<Check> checks = new ArrayList<>();
     private long slackUs;
 
@@ -42,8 +41,8 @@
             errors.add(
                     fleetSettings.fault(file, "silentAfterMs", "is 0, or " + MIN_SILENT_MS + " to " + MAX_SILENT_MS));
         }
-        faults = new ProcessFaultReader(file, this, errors);
-        root.child("faults").children().forEach(faults::read);
+        faults = new ProcessFaultReader(file, this, errors)
+                .read(root.child("faults").children());
         root.child("checks").children().forEach(check -> readCheck(check, errors));
     }
 
@@ -105,7 +104,7 @@
 
     /** Whether system calls are to fail, so that the poolers need the library for that. */
     boolean failsSystemCalls() {
-        return faults.failsSystemCalls();
+        return faults.stream().anyMatch(ProcessFault::failsSystemCalls);
     }
 
     int durationS() {
@@ -116,9 +115,9 @@
         return slackUs;
     }
 
-    /** What sets each fault in a fleet that begins to run. */
-    List<Consumer<Fleet>> faults() {
-        return faults.faults();
+    /** The faults, in the file's order. */
+    List<ProcessFault> faults() {
+        return faults;
     }
 
     List<Check> checks() {
--- a/lab/src/main/java/frostreel/lab/processes/RandomFaults.java
+++ b/lab/src/main/java/frostreel/lab/processes/RandomFaults.java
@@ -1,95 +1,70 @@
 package frostreel.lab.processes;
 
+import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** Faults drawn from the run's seed: which, to whom and when; the same seed draws the same. */
-final class RandomFaults {
+/**
+ * Faults of single poolers and servers drawn from the run's seed; the same seed draws the same.
+ *
+ * @param count how many are drawn
+ * @param fromUs the earliest begin of a fault
+ * @param untilUs the end of the span in which faults begin
+ * @param lengthUs the longest duration of a fault; the shortest is a tenth of it
+ */
+record RandomFaults(int poolers, int servers, int count, long fromUs, long untilUs, long lengthUs)
+        implements ProcessFault {
     private static final int POOLER_KINDS = 3;
     private static final int NETWORK_KINDS = 4;
     private static final int SERVER_KINDS = 2;
     private static final long DELAY_US = 20_000;
     private static final long BYTES_PER_SECOND = 20_000;
 
-    private final Fleet fleet;
-    private final SplittableRandom random;
-    private final int poolers;
-    private final int servers;
-    private final long lengthUs;
-
-    RandomFaults(Fleet fleet, long seed, int poolers, int servers, long lengthUs) {
-        this.fleet = fleet;
-        this.poolers = poolers;
-        this.servers = servers;
-        this.lengthUs = lengthUs;
-        random = new SplittableRandom(seed);
+    static RandomFaults read(FaultElement element) {
+        return new RandomFaults(
+                element.experiment().poolers(),
+                element.experiment().servers(),
+                (int) element.xml().integer("count"),
+                element.atUs(),
+                element.untilUs(),
+                element.xml().microsFromSeconds("lengthS"));
     }
 
-    /** Sets so many, each to begin within the span and to last a tenth of the length at the least. */
-    void set(int count, long fromUs, long untilUs) {
-        for (int i = 0; i < count; i++) {
-            long atUs = random.nextLong(fromUs, untilUs);
-            long endUs = atUs + random.nextLong(lengthUs / 10, lengthUs + 1);
-            int pooler = random.nextInt(poolers);
-            int server = random.nextInt(servers);
-            NetworkSide side = List.of(NetworkSide.values()).get(random.nextInt(NetworkSide.values().length));
-            int kind = random.nextInt(POOLER_KINDS + NETWORK_KINDS + SERVER_KINDS);
-            if (kind < POOLER_KINDS) {
-                setPoolerFault(kind, pooler, atUs, endUs);
-            } else if (kind < POOLER_KINDS + NETWORK_KINDS) {
-                setNetworkFault(kind - POOLER_KINDS, pooler, side, atUs, endUs);
-            } else {
-                setServerFault(kind - POOLER_KINDS - NETWORK_KINDS, server, atUs, endUs);
-            }
-        }
+    @Override
+    public void schedule(Fleet fleet) {
+        draw(fleet.seed()).forEach(fault -> fault.schedule(fleet));
     }
 
-    private void setPoolerFault(int kind, int pooler, long atUs, long endUs) {
-        PoolerLifecycle lifecycle = fleet.lifecycle();
-        switch (kind) {
-            case 0 -> fleet.at(atUs, () -> lifecycle.kill(pooler, endUs - atUs, () -> {}));
-            case 1 -> fleet.at(atUs, () -> lifecycle.stop(pooler, endUs - atUs, () -> {}));
-            default -> between(atUs, endUs, () -> lifecycle.pause(pooler, true), () -> lifecycle.pause(pooler, false));
+    /** The faults that a seed gives. */
+    List<ProcessFault> draw(long seed) {
+        SplittableRandom random = new SplittableRandom(seed);
+        List<ProcessFault> faults = new ArrayList<>();
+        for (int i = 0; i < count; i++) {
+            faults.add(drawOne(random));
         }
+        return faults;
     }
 
-    private void setNetworkFault(int kind, int pooler, NetworkSide side, long atUs, long endUs) {
-        NetworkFaults network = fleet.network();
-        switch (kind) {
-            case 0 -> {
+    private ProcessFault drawOne(SplittableRandom random) {
+        long atUs = random.nextLong(fromUs, untilUs);
+        long endUs = atUs + random.nextLong(lengthUs / 10, lengthUs + 1);
+        int pooler = random.nextInt(poolers);
+        int server = random.nextInt(servers);
+        NetworkSide side = List.of(NetworkSide.values()).get(random.nextInt(NetworkSide.values().length));
+        int kind = random.nextInt(POOLER_KINDS + NETWORK_KINDS + SERVER_KINDS);
+        return switch (kind) {
+            case 0 -> new PoolerFault.Kill(pooler, atUs, endUs - atUs);
+            case 1 -> new PoolerFault.Stop(pooler, atUs, endUs - atUs);
+            case 2 -> new PoolerFault.Pause(pooler, atUs, endUs);
+            case 3 -> {
                 int direction = random.nextInt(3);
-                between(
-                        atUs,
-                        endUs,
-                        () -> network.cut(pooler, side, direction != 1, direction != 2),
-                        () -> network.cut(pooler, side, false, false));
+                yield new NetworkFault.Cut(pooler, side, atUs, endUs, direction != 1, direction != 2);
             }
-            case 1 ->
-                between(atUs, endUs, () -> network.delay(pooler, side, DELAY_US), () -> network.delay(pooler, side, 0));
-            case 2 ->
-                between(
-                        atUs,
-                        endUs,
-                        () -> network.slow(pooler, side, BYTES_PER_SECOND),
-                        () -> network.slow(pooler, side, 0));
-            default -> fleet.at(atUs, () -> network.reset(pooler, side));
-        }
-    }
-
-    private void setServerFault(int kind, int server, long atUs, long endUs) {
-        if (kind == 0) {
-            between(
-                    atUs,
-                    endUs,
-                    () -> fleet.cluster().crash(fleet.server(server)),
-                    () -> fleet.cluster().start(fleet.server(server)));
-        } else {
-            fleet.at(atUs, () -> fleet.cluster().drain(fleet.server(server)));
-        }
-    }
-
-    private void between(long atUs, long endUs, Runnable begin, Runnable end) {
-        fleet.at(atUs, begin);
-        fleet.at(endUs, end);
+            case 4 -> new NetworkFault.Delay(pooler, side, atUs, endUs, DELAY_US);
+            case 5 -> new NetworkFault.Slow(pooler, side, atUs, endUs, BYTES_PER_SECOND);
+            case 6 -> new NetworkFault.Reset(pooler, side, atUs);
+            case 7 -> new ServerFault.Crash(server, atUs, endUs);
+            default -> new ServerFault.Drain(server, atUs, TimedFault.NEVER);
+        };
     }
 }
