--- a/lab/src/main/java/frostreel/lab/processes/ProcessExperiment.java
+++ b/lab/src/main/java/frostreel/lab/processes/ProcessExperiment.java
@@ -12,26 +12,21 @@
 
 /** An experiment with processes, read against its schema and checked for sense. */
 public final class ProcessExperiment {
-    /** A bound on what a run showed; seconds are read for worth alone. */
-    record Check(String kind, int fromS, int toS, double bound) {}
-
     /** The range that the operators' file allows. */
     private static final long MIN_SILENT_MS = 500;
 
     private static final long MAX_SILENT_MS = 60_000;
     private static final URL SCHEMA = ProcessExperiment.class.getResource("processes.xsd");
-    private final String file;
     private final String name;
     private final long seed;
     private final int durationS;
     private final XmlElement fleetSettings;
     private final XmlElement clientSettings;
     private final List<ProcessFault> faults;
-    private final List<Check> checks = new ArrayList<>();
-    private long slackUs;
+    private final List<ProcessCheck> checks;
+    private final long slackUs;
 
     private ProcessExperiment(String file, XmlElement root, List<Fault> errors) {
-        this.file = file;
         name = root.text("name");
         seed = root.integer("seed");
         durationS = (int) root.integer("durationS");
@@ -43,7 +38,14 @@
         }
         faults = new ProcessFaultReader(file, this, errors)
                 .read(root.child("faults").children());
-        root.child("checks").children().forEach(check -> readCheck(check, errors));
+        XmlElement checkList = root.child("checks");
+        checks = checkList.children().stream()
+                .map(check -> ProcessCheck.read(check, file, durationS, errors))
+                .toList();
+        slackUs = checkList
+                .children("rules")
+                .mapToLong(check -> check.microsFromMillis("slackMs"))
+                .reduce(0, (first, last) -> last);
     }
 
     /** Reads a file that anyone may have written. */
@@ -56,25 +58,7 @@
         return read;
     }
 
-    private void readCheck(XmlElement element, List<Fault> errors) {
-        switch (element.name()) {
-            case "rules" -> {
-                slackUs = element.microsFromMillis("slackMs");
-                checks.add(new Check("rules", 0, 0, 0));
-            }
-            case "worth" -> {
-                int from = (int) element.integer("fromS");
-                int to = (int) element.integer("toS");
-                if (to <= from || to > durationS) {
-                    errors.add(element.fault(file, "toS", "is not after fromS and within the run"));
-                }
-                checks.add(new Check("worth", from, to, element.decimal("atLeast")));
-            }
-            case "upgrades" -> checks.add(new Check("upgrades", 0, 0, element.decimal("atLeast")));
-            default -> checks.add(new Check(element.name(), 0, 0, element.decimal("atMost")));
-        }
-    }
-
+    /** The experiment's name, as results state it. */
     public String name() {
         return name;
     }
@@ -111,6 +95,7 @@
         return durationS;
     }
 
+    /** By how much the time limits of the rules are eased for what the machine adds. */
     long slackUs() {
         return slackUs;
     }
@@ -120,7 +105,7 @@
         return faults;
     }
 
-    List<Check> checks() {
+    List<ProcessCheck> checks() {
         return checks;
     }
 
--- a/lab/src/main/java/frostreel/lab/processes/ProcessExperimentRunner.java
+++ b/lab/src/main/java/frostreel/lab/processes/ProcessExperimentRunner.java
@@ -1,6 +1,7 @@
 package frostreel.lab.processes;
 
 import frostreel.lab.report.Tables;
+import frostreel.lab.report.Verdict;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.nio.file.Files;
@@ -81,7 +82,7 @@
         await(allAnswered, experiment, fleet);
         views.close();
         ProcessRunFindings findings = ProcessRunFindings.collect(experiment, fleet, work);
-        ProcessRunVerdict verdict = ProcessRunVerdict.of(experiment, fleet, findings);
+        Verdict verdict = ProcessRunJudge.judge(experiment, fleet, findings);
         printSummary(fleet);
         if (keep) {
             ProcessRunFiles.write(work, experiment, seed, fleet, verdict);
@@ -89,9 +90,7 @@
                 Files.writeString(work.resolve("views.csv"), Tables.csv(MembershipWatch.COLUMNS, views.rows()));
             }
         }
-        verdict.lines().forEach(out::println);
-        out.println("verdict: " + verdict.word());
-        out.flush();
+        verdict.print(out);
         return verdict.passed();
     }
 
--- a/lab/src/main/java/frostreel/lab/processes/ProcessRunFiles.java
+++ b/lab/src/main/java/frostreel/lab/processes/ProcessRunFiles.java
@@ -2,6 +2,7 @@
 
 import frostreel.lab.report.Charts;
 import frostreel.lab.report.Tables;
+import frostreel.lab.report.Verdict;
 import frostreel.lab.rules.Rule;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -19,7 +20,7 @@
 
     private ProcessRunFiles() {}
 
-    static void write(Path folder, ProcessExperiment experiment, long seed, Fleet fleet, ProcessRunVerdict verdict)
+    static void write(Path folder, ProcessExperiment experiment, long seed, Fleet fleet, Verdict verdict)
             throws IOException {
         JSONObject result = result(experiment, seed, fleet, verdict);
         Files.writeString(folder.resolve("result.json"), result.toString(2) + "\n");
@@ -27,7 +28,7 @@
         writeSeconds(folder, experiment, fleet.load().statistics());
     }
 
-    private static JSONObject result(ProcessExperiment experiment, long seed, Fleet fleet, ProcessRunVerdict verdict) {
+    private static JSONObject result(ProcessExperiment experiment, long seed, Fleet fleet, Verdict verdict) {
         LoadStatistics load = fleet.load().statistics();
         return new JSONObject()
                 .put("experiment", experiment.name())
--- a/lab/src/main/java/frostreel/lab/processes/ProcessRunFindings.java
+++ b/lab/src/main/java/frostreel/lab/processes/ProcessRunFindings.java
@@ -13,7 +13,7 @@
  * @param partitioned poolers that do not see all others; 0 where poolers see nobody by design
  * @param withoutDiscovery poolers that do not hear discovery; 0 where no check asks for it
  * @param crashed names of the poolers whose process ended by itself
- * @param faultLines lines of the poolers' logs that tell of a fault of the program
+ * @param faultLines lines of the poolers' logs that report a fault of the program
  */
 record ProcessRunFindings(long partitioned, long withoutDiscovery, List<String> crashed, long faultLines) {
     /** Looks at the running poolers, has the invariants judged, ends the fleet, and reads the logs. */
@@ -40,7 +40,7 @@
 
     private static long withoutDiscovery(ProcessExperiment experiment, Fleet fleet) {
         boolean asked =
-                experiment.checks().stream().anyMatch(check -> check.kind().equals("blind"));
+                experiment.checks().stream().anyMatch(check -> check.metric() == Metric.WITHOUT_DISCOVERY);
         return asked
                 ? IntStream.range(0, experiment.poolers())
                         .filter(pooler -> !hearsDiscovery(fleet, pooler))
@@ -63,14 +63,14 @@
             for (Path log :
                     files.filter(file -> file.toString().endsWith(".log")).toList()) {
                 count += Files.readAllLines(log).stream()
-                        .filter(ProcessRunFindings::tellsOfFault)
+                        .filter(ProcessRunFindings::reportsFault)
                         .count();
             }
         }
         return count;
     }
 
-    private static boolean tellsOfFault(String line) {
+    private static boolean reportsFault(String line) {
         return line.startsWith("SEVERE") || line.startsWith("ERROR") || line.contains("Exception in thread");
     }
 }
--- a/lab/src/main/java/frostreel/lab/report/package-info.java
+++ b/lab/src/main/java/frostreel/lab/report/package-info.java
@@ -1,2 +1,2 @@
-/** Tables and charts of results. */
+/** How results are shown: tables, charts and the verdict on the checks of a run. */
 package frostreel.lab.report;
