--- a/lab/src/main/java/frostreel/lab/experiment/Experiment.java
+++ b/lab/src/main/java/frostreel/lab/experiment/Experiment.java
@@ -1,5 +1,6 @@
 package frostreel.lab.experiment;
 
+import frostreel.lab.report.Threshold;
 import frostreel.lab.virtual.Policy;
 import frostreel.lab.virtual.RunStatistics;
 import frostreel.lab.virtual.Simulation;
@@ -20,11 +21,16 @@
 
 /** An experiment file, read against its schema and checked for sense. */
 public final class Experiment {
-    /** In place of the second of a loss: no zone is lost. */
+    /** In place of the second in which a zone is lost: none is. */
     static final int NO_LOSS = -1;
 
-    /** A bound on what a policy showed; {@code zone} may be all of them, {@code policy} null for every one. */
-    record Check(String kind, String policy, int zone, double bound) {}
+    /**
+     * A bound on what a policy shows.
+     *
+     * @param policy the policy's name; null for all policies
+     * @param zone the zone's number, or {@link RunStatistics#ALL_ZONES}
+     */
+    record Check(Metric metric, String policy, int zone, Threshold threshold) {}
 
     private static final URL SCHEMA = Experiment.class.getResource("experiment.xsd");
     private final String name;
@@ -112,18 +118,19 @@
     }
 
     private void check(String file, XmlElement element, List<Fault> wrong) {
-        if (element.name().equals("rules")) {
-            checks.add(new Check("rules", null, RunStatistics.ALL_ZONES, 0));
+        Metric metric = Metric.of(element.name());
+        if (metric == Metric.VIOLATIONS) {
+            checks.add(new Check(metric, null, RunStatistics.ALL_ZONES, Threshold.atMost(0)));
             return;
         }
         if (!policies.containsKey(element.text("policy"))) {
             wrong.add(element.fault(file, "policy", "there is no policy '" + element.text("policy") + "'"));
         }
         checks.add(new Check(
-                element.name(),
+                metric,
                 element.text("policy"),
                 element.has("zone") ? zone(file, element, "zone", wrong) : RunStatistics.ALL_ZONES,
-                element.decimal(element.has("atLeast") ? "atLeast" : "atMost")));
+                Threshold.read(element)));
     }
 
     String name() {
--- a/lab/src/main/java/frostreel/lab/experiment/PolicyOutcome.java
+++ b/lab/src/main/java/frostreel/lab/experiment/PolicyOutcome.java
@@ -154,15 +154,15 @@
         }
     }
 
-    /** What a check looks at. */
+    /** The value that a check bounds. */
     double value(Experiment.Check check) {
-        return switch (check.kind()) {
-            case "worth" -> weightShare(check.zone());
-            case "worstTenSeconds" -> worstTenSeconds(check.zone());
-            case "ofTheBound" -> worstTenSeconds(check.zone()) / bound;
-            case "fallen" -> overloadedServers;
-            case "coldMultiple" -> largestMultiple;
-            default -> violations;
+        return switch (check.metric()) {
+            case VIOLATIONS -> violations;
+            case WEIGHT_SHARE -> weightShare(check.zone());
+            case WORST_TEN_SECONDS -> worstTenSeconds(check.zone());
+            case SHARE_OF_OPTIMUM -> worstTenSeconds(check.zone()) / bound;
+            case OVERLOADED_SERVERS -> overloadedServers;
+            case LARGEST_COLD_MULTIPLE -> largestMultiple;
         };
     }
 
--- a/lab/src/main/java/frostreel/lab/experiment/ResultFiles.java
+++ b/lab/src/main/java/frostreel/lab/experiment/ResultFiles.java
@@ -2,6 +2,7 @@
 
 import frostreel.lab.report.Charts;
 import frostreel.lab.report.Tables;
+import frostreel.lab.report.Verdict;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/lab/src/main/java/frostreel/lab/experiment/Runner.java
+++ b/lab/src/main/java/frostreel/lab/experiment/Runner.java
@@ -1,5 +1,6 @@
 package frostreel.lab.experiment;
 
+import frostreel.lab.report.Verdict;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.nio.file.Path;
@@ -11,6 +12,7 @@
 public final class Runner {
     private final PrintWriter out;
 
+    /** {@code out}: takes a line for each policy played, the table and the verdict. */
     public Runner(PrintWriter out) {
         this.out = out;
     }
@@ -26,14 +28,12 @@
         for (String policy : experiment.policies()) {
             outcomes.add(play(experiment, policy, firstSeed, seeds));
         }
-        Verdict verdict = Verdict.of(experiment, outcomes);
+        Verdict verdict = PolicyJudge.judge(experiment, outcomes);
         if (folder != null) {
             ResultFiles.write(folder, experiment, firstSeed, seeds, outcomes, verdict);
         }
         out.print(ResultFiles.table(outcomes));
-        verdict.lines().forEach(out::println);
-        out.println("verdict: " + verdict.word());
-        out.flush();
+        verdict.print(out);
         return verdict.passed();
     }
 
