--- a/lab/src/main/java/frostreel/lab/experiment/Experiment.java
+++ b/lab/src/main/java/frostreel/lab/experiment/Experiment.java
@@ -43,7 +43,7 @@
     private final List<Consumer<Simulation>> faults = new ArrayList<>();
     private final List<Check> checks = new ArrayList<>();
 
-    private Experiment(String file, XmlElement root, List<Fault> wrong) {
+    private Experiment(String file, XmlElement root, List<Fault> errors) {
         name = root.text("name");
         seed = root.integer("seed");
         durationS = (int) root.integer("durationS");
@@ -51,85 +51,97 @@
         clients = root.child("clients");
         for (XmlElement policy : root.child("policies").children()) {
             if (policies.putIfAbsent(policy.text("name"), policy) != null) {
-                wrong.add(policy.fault(file, "name", "policy '" + policy.text("name") + "' stands there twice"));
+                errors.add(policy.fault(file, "name", "policy '" + policy.text("name") + "' stands there twice"));
             }
         }
         for (XmlElement fault : root.child("faults").children()) {
-            fault(file, fault, wrong);
+            readFault(file, fault, errors);
         }
         for (XmlElement check : root.child("checks").children()) {
-            check(file, check, wrong);
+            readCheck(file, check, errors);
         }
     }
 
     /** Reads a file that anyone may have written. */
     public static Experiment read(Path file) throws FaultyFileException {
-        List<Fault> wrong = new ArrayList<>();
-        Experiment read = new Experiment(file.toString(), XmlFile.read(file, SCHEMA), wrong);
-        if (!wrong.isEmpty()) {
-            throw new FaultyFileException(wrong);
+        List<Fault> errors = new ArrayList<>();
+        Experiment read = new Experiment(file.toString(), XmlFile.read(file, SCHEMA), errors);
+        if (!errors.isEmpty()) {
+            throw new FaultyFileException(errors);
         }
         return read;
     }
 
-    private int zone(String file, XmlElement element, String attribute, List<Fault> wrong) {
+    private int zone(String file, XmlElement element, String attribute, List<Fault> errors) {
         long zone = element.integer(attribute);
         if (zone >= fleet.integer("zones")) {
-            wrong.add(element.fault(file, attribute, "there is no zone " + zone + "; the first is 0"));
+            errors.add(element.fault(file, attribute, "there is no zone " + zone + "; the first is 0"));
         }
         return (int) zone;
     }
 
-    private void fault(String file, XmlElement element, List<Fault> wrong) {
+    private void readFault(String file, XmlElement element, List<Fault> errors) {
         long atUs = element.microsFromSeconds("atS");
         if (element.decimal("atS") >= durationS) {
-            wrong.add(element.fault(file, "atS", "the run is over then"));
+            errors.add(element.fault(file, "atS", "the run is over then"));
         }
         if (element.name().equals("cut")) {
-            int from = zone(file, element, "from", wrong);
-            int to = zone(file, element, "to", wrong);
-            long untilUs = element.microsFromSeconds("untilS");
-            if (untilUs <= atUs) {
-                wrong.add(element.fault(file, "untilS", "is not after atS"));
-            }
-            faults.add(simulation -> {
-                simulation.at(atUs, () -> simulation.cut(from, to, true));
-                simulation.at(untilUs, () -> simulation.cut(from, to, false));
-            });
-            return;
+            readCut(file, element, atUs, errors);
+        } else {
+            readZoneFault(file, element, atUs, errors);
+        }
+    }
+
+    private void readCut(String file, XmlElement element, long atUs, List<Fault> errors) {
+        int from = zone(file, element, "from", errors);
+        int to = zone(file, element, "to", errors);
+        long untilUs = element.microsFromSeconds("untilS");
+        if (untilUs <= atUs) {
+            errors.add(element.fault(file, "untilS", "is not after atS"));
         }
-        int zone = zone(file, element, "zone", wrong);
+        faults.add(simulation -> {
+            simulation.at(atUs, () -> simulation.cut(from, to, true));
+            simulation.at(untilUs, () -> simulation.cut(from, to, false));
+        });
+    }
+
+    private void readZoneFault(String file, XmlElement element, long atUs, List<Fault> errors) {
+        int zone = zone(file, element, "zone", errors);
         if (element.name().equals("loseZone") && (firstLossS == NO_LOSS || element.decimal("atS") < firstLossS)) {
             firstLossS = (int) element.decimal("atS");
         }
-        faults.add(
-                switch (element.name()) {
-                    case "loseZone" -> simulation -> simulation.at(atUs, () -> simulation.loseZone(zone));
-                    case "returnZone" -> simulation -> simulation.at(atUs, () -> simulation.returnZone(zone));
-                    case "slowZone" -> {
-                        double times = element.decimal("times");
-                        yield simulation -> simulation.at(atUs, () -> simulation.slowZone(zone, times));
-                    }
-                    default -> {
-                        double rate = element.decimal("rate");
-                        yield simulation -> simulation.at(atUs, () -> simulation.replayZone(zone, rate));
-                    }
-                });
+        Consumer<Simulation> begin = zoneFault(element, zone);
+        faults.add(simulation -> simulation.at(atUs, () -> begin.accept(simulation)));
+    }
+
+    private static Consumer<Simulation> zoneFault(XmlElement element, int zone) {
+        return switch (element.name()) {
+            case "loseZone" -> simulation -> simulation.loseZone(zone);
+            case "returnZone" -> simulation -> simulation.returnZone(zone);
+            case "slowZone" -> {
+                double times = element.decimal("times");
+                yield simulation -> simulation.slowZone(zone, times);
+            }
+            default -> {
+                double rate = element.decimal("rate");
+                yield simulation -> simulation.replayZone(zone, rate);
+            }
+        };
     }
 
-    private void check(String file, XmlElement element, List<Fault> wrong) {
+    private void readCheck(String file, XmlElement element, List<Fault> errors) {
         Metric metric = Metric.of(element.name());
         if (metric == Metric.VIOLATIONS) {
             checks.add(new Check(metric, null, RunStatistics.ALL_ZONES, Threshold.atMost(0)));
             return;
         }
         if (!policies.containsKey(element.text("policy"))) {
-            wrong.add(element.fault(file, "policy", "there is no policy '" + element.text("policy") + "'"));
+            errors.add(element.fault(file, "policy", "there is no policy '" + element.text("policy") + "'"));
         }
         checks.add(new Check(
                 metric,
                 element.text("policy"),
-                element.has("zone") ? zone(file, element, "zone", wrong) : RunStatistics.ALL_ZONES,
+                element.has("zone") ? zone(file, element, "zone", errors) : RunStatistics.ALL_ZONES,
                 Threshold.read(element)));
     }
 
@@ -137,7 +149,7 @@
         return name;
     }
 
-    /** The first seed, where the call names none. */
+    /** The first seed, where the command line states none. */
     public long seed() {
         return seed;
     }
@@ -168,7 +180,7 @@
                 clients.isTrue("retry"));
     }
 
-    /** A simulation of one policy with the faults set, not yet run. */
+    /** A simulation of one policy with its faults scheduled, not yet run. */
     Simulation simulation(SimulationPlan plan, String policy) {
         XmlElement settings = policies.get(policy);
         BiFunction<Router.Settings, Router.Actions, Router> routers = switch (settings.name()) {
@@ -177,7 +189,7 @@
             default -> Policy.tiers(plan, settings.decimal("next"), settings.decimal("rest"));
         };
         Simulation simulation = new Simulation(plan, routers);
-        faults.forEach(f -> f.accept(simulation));
+        faults.forEach(fault -> fault.accept(simulation));
         return simulation;
     }
 }
