--- a/lab/src/main/java/frostreel/lab/experiment/Experiment.java
+++ b/lab/src/main/java/frostreel/lab/experiment/Experiment.java
@@ -30,7 +30,7 @@
      * @param policy the policy's name; null for all policies
      * @param zone the zone's number, or {@link RunStatistics#ALL_ZONES}
      */
-    record Check(Metric metric, String policy, int zone, Threshold threshold) {}
+    record Check(PolicyMetric metric, String policy, int zone, Threshold threshold) {}
 
     private static final URL SCHEMA = Experiment.class.getResource("experiment.xsd");
     private final String name;
@@ -130,8 +130,8 @@
     }
 
     private void readCheck(String file, XmlElement element, List<Fault> errors) {
-        Metric metric = Metric.of(element.name());
-        if (metric == Metric.VIOLATIONS) {
+        PolicyMetric metric = PolicyMetric.of(element.name());
+        if (metric == PolicyMetric.VIOLATIONS) {
             checks.add(new Check(metric, null, RunStatistics.ALL_ZONES, Threshold.atMost(0)));
             return;
         }
--- a/lab/src/main/java/frostreel/lab/experiment/Metric.java
+++ b/lab/src/main/java/frostreel/lab/experiment/PolicyMetric.java
@@ -1,9 +1,9 @@
 package frostreel.lab.experiment;
 
-import java.util.Arrays;
+import frostreel.lab.report.Metric;
 
 /** What a check of an experiment in virtual time measures. */
-enum Metric {
+enum PolicyMetric implements Metric {
     /** How often the rules of the protocol page were broken, and exceptions that the program caught. */
     VIOLATIONS("rules"),
     /** The share of the requests' weight that was served in time. */
@@ -19,20 +19,17 @@
 
     private final String xmlName;
 
-    Metric(String xmlName) {
+    PolicyMetric(String xmlName) {
         this.xmlName = xmlName;
     }
 
     /** The metric that an element of the experiment's file names; the schema allows no other names. */
-    static Metric of(String xmlName) {
-        return Arrays.stream(values())
-                .filter(metric -> metric.xmlName.equals(xmlName))
-                .findFirst()
-                .orElseThrow();
+    static PolicyMetric of(String xmlName) {
+        return Metric.of(values(), xmlName);
     }
 
-    /** Its name in files, and in the lines of a verdict. */
-    String xmlName() {
+    @Override
+    public String xmlName() {
         return xmlName;
     }
 }
--- a/lab/src/main/java/frostreel/lab/processes/ProcessCheck.java
+++ b/lab/src/main/java/frostreel/lab/processes/ProcessCheck.java
@@ -11,10 +11,10 @@
  * @param fromS the first second that a weight share counts; 0 for other metrics
  * @param toS the second before which a weight share ends; 0 for other metrics
  */
-record ProcessCheck(Metric metric, int fromS, int toS, Threshold threshold) {
+record ProcessCheck(ProcessMetric metric, int fromS, int toS, Threshold threshold) {
     /** Reads a check; {@code errors} takes what makes no sense in a run of {@code durationS}. */
     static ProcessCheck read(XmlElement element, String file, int durationS, List<Fault> errors) {
-        Metric metric = Metric.of(element.name());
+        ProcessMetric metric = ProcessMetric.of(element.name());
         return switch (metric) {
             case VIOLATIONS -> new ProcessCheck(metric, 0, 0, Threshold.atMost(0));
             case WEIGHT_SHARE -> {
--- a/lab/src/main/java/frostreel/lab/processes/Metric.java
+++ b/lab/src/main/java/frostreel/lab/processes/ProcessMetric.java
@@ -1,9 +1,9 @@
 package frostreel.lab.processes;
 
-import java.util.Arrays;
+import frostreel.lab.report.Metric;
 
 /** What a check of an experiment with processes measures. */
-enum Metric {
+enum ProcessMetric implements Metric {
     /** How often the rules of the protocol page were broken. */
     VIOLATIONS("rules"),
     /** The share of the requests' weight that was served in time, over some seconds of the run. */
@@ -30,20 +30,17 @@
     private static final double US_PER_SECOND = 1e6;
     private final String xmlName;
 
-    Metric(String xmlName) {
+    ProcessMetric(String xmlName) {
         this.xmlName = xmlName;
     }
 
     /** The metric that an element of the experiment's file names; the schema allows no other names. */
-    static Metric of(String xmlName) {
-        return Arrays.stream(values())
-                .filter(metric -> metric.xmlName.equals(xmlName))
-                .findFirst()
-                .orElseThrow();
+    static ProcessMetric of(String xmlName) {
+        return Metric.of(values(), xmlName);
     }
 
-    /** Its name in files, and in the lines of a verdict. */
-    String xmlName() {
+    @Override
+    public String xmlName() {
         return xmlName;
     }
 
--- a/lab/src/main/java/frostreel/lab/processes/ProcessRunFindings.java
+++ b/lab/src/main/java/frostreel/lab/processes/ProcessRunFindings.java
@@ -40,7 +40,7 @@
 
     private static long withoutDiscovery(ProcessExperiment experiment, Fleet fleet) {
         boolean asked =
-                experiment.checks().stream().anyMatch(check -> check.metric() == Metric.WITHOUT_DISCOVERY);
+                experiment.checks().stream().anyMatch(check -> check.metric() == ProcessMetric.WITHOUT_DISCOVERY);
         return asked
                 ? IntStream.range(0, experiment.poolers())
                         .filter(pooler -> !hearsDiscovery(fleet, pooler))
