--- a/lab/src/main/java/frostreel/lab/cli/Compare.java
+++ b/lab/src/main/java/frostreel/lab/cli/Compare.java
@@ -15,7 +15,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Lays kept runs side by side. */
+/** Shows the kept results of several runs as one table. */
 @Command(
         name = "compare",
         mixinStandardHelpOptions = true,
@@ -38,10 +38,10 @@
         for (Path folder : folders) {
             try {
                 JSONObject result = new JSONObject(Files.readString(folder.resolve("result.json")));
-                for (Object each : result.getJSONArray("policies")) {
-                    JSONObject policy = (JSONObject) each;
+                for (Object entry : result.getJSONArray("policies")) {
+                    JSONObject policy = (JSONObject) entry;
                     List<String> row = new ArrayList<>(List.of(folder.toString(), policy.getString("policy")));
-                    FIGURES.forEach(f -> row.add(String.format(Locale.ROOT, "%.3f", policy.getDouble(f))));
+                    FIGURES.forEach(figure -> row.add(String.format(Locale.ROOT, "%.3f", policy.getDouble(figure))));
                     rows.add(row);
                 }
             } catch (IOException | JSONException e) {
--- a/lab/src/main/java/frostreel/lab/cli/ExitCodes.java
+++ b/lab/src/main/java/frostreel/lab/cli/ExitCodes.java
@@ -12,11 +12,7 @@
 
     private ExitCodes() {}
 
-    static int of(boolean passed) {
-        return passed ? PASSED : FAILED;
-    }
-
-    /** Prints what is wrong with a faulty file; anything else is a fault of the lab and thrown on. */
+    /** Prints what is wrong with a faulty file; any other exception is a fault of the lab and rethrown. */
     static int handle(Exception thrown, CommandLine command, ParseResult parsed) throws Exception {
         if (thrown instanceof FaultyFileException) {
             command.getErr().println(thrown.getMessage());
--- a/lab/src/main/java/frostreel/lab/cli/Faults.java
+++ b/lab/src/main/java/frostreel/lab/cli/Faults.java
@@ -3,21 +3,18 @@
 import frostreel.lab.processes.FaultCampaign;
 import java.nio.file.Path;
 import java.util.List;
-import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
-import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
-import picocli.CommandLine.Spec;
 
-/** Plays every fault of the system at every point of a pooler's life. */
+/** Plays every fault of the system at each phase of a pooler process: start, load and end. */
 @Command(
         name = "faults",
         mixinStandardHelpOptions = true,
         description = "Makes system calls of a pooler"
                 + " fail, its wall clock jump, its disk fill and its discovery slow, at its start, under load and at"
                 + " its end; exit code 0 where service came back each time, 1 where it did not.")
-final class Faults implements Callable<Integer> {
+final class Faults extends LabCommand {
     @Option(
             names = "--poolers",
             paramLabel = "N",
@@ -57,14 +54,10 @@
             description = "Keeps what each case showed" + " and campaign.csv there.")
     private Path folder;
 
-    @Spec
-    private CommandSpec spec;
-
     @Override
-    public Integer call() throws Exception {
+    boolean play() throws Exception {
         Path jar = program.existing();
-        FaultCampaign campaign = new FaultCampaign(
-                new FaultCampaign.Size(poolers, groups), spec.commandLine().getOut());
-        return ExitCodes.of(campaign.run(seconds, only, jar, folder));
+        FaultCampaign campaign = new FaultCampaign(new FaultCampaign.Size(poolers, groups), out());
+        return campaign.run(seconds, only, jar, folder);
     }
 }
--- a/lab/src/main/java/frostreel/lab/cli/Main.java
+++ b/lab/src/main/java/frostreel/lab/cli/Main.java
@@ -15,6 +15,7 @@
 public final class Main {
     private Main() {}
 
+    /** Runs one command, and exits with its exit code. */
     public static void main(String[] args) {
         Logging.install(); // Before any library asks for a logger.
         Logging.configure(Logging.Format.TEXT, Level.WARNING);
--- a/lab/src/main/java/frostreel/lab/cli/Processes.java
+++ b/lab/src/main/java/frostreel/lab/cli/Processes.java
@@ -3,13 +3,10 @@
 import frostreel.lab.processes.ProcessExperiment;
 import frostreel.lab.processes.ProcessExperimentRunner;
 import java.nio.file.Path;
-import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
-import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import picocli.CommandLine.Spec;
 
 /** Plays one experiment with processes of the program. */
 @Command(
@@ -18,7 +15,7 @@
         description = "Starts processes of the program"
                 + " on loopback and puts faults between them; exit code 0 where all checks hold, 1 where one does"
                 + " not, 2 where the file is faulty.")
-final class Processes implements Callable<Integer> {
+final class Processes extends LabCommand {
     @Parameters(paramLabel = "FILE", description = "An experiment, as experiments/processes-restarts.xml.")
     private Path file;
 
@@ -34,17 +31,13 @@
             description = "Keeps result.json, the story, tables, the" + " chart and the poolers' logs there.")
     private Path folder;
 
-    @Spec
-    private CommandSpec spec;
-
     @Override
     @SuppressWarnings("SystemConsoleNull") // Built and run with Java 17, where null means no terminal.
-    public Integer call() throws Exception {
+    boolean play() throws Exception {
         Path jar = program.existing();
         ProcessExperiment experiment = ProcessExperiment.read(file);
         boolean live = System.console() != null;
-        ProcessExperimentRunner runner =
-                new ProcessExperimentRunner(spec.commandLine().getOut(), live);
-        return ExitCodes.of(runner.run(experiment, seed == null ? experiment.seed() : seed, jar, folder));
+        ProcessExperimentRunner runner = new ProcessExperimentRunner(out(), live);
+        return runner.run(experiment, seed == null ? experiment.seed() : seed, jar, folder);
     }
 }
--- a/lab/src/main/java/frostreel/lab/cli/ProgramOption.java
+++ b/lab/src/main/java/frostreel/lab/cli/ProgramOption.java
@@ -19,7 +19,7 @@
     @Spec(Spec.Target.MIXEE)
     private CommandSpec command;
 
-    /** The program's absolute path; a fault of the call where no such file exists. */
+    /** The program's absolute path; a usage error where no such file exists. */
     Path existing() {
         if (!Files.isRegularFile(program)) {
             throw new ParameterException(command.commandLine(), "--program: there is no " + program);
--- a/lab/src/main/java/frostreel/lab/cli/Run.java
+++ b/lab/src/main/java/frostreel/lab/cli/Run.java
@@ -3,21 +3,17 @@
 import frostreel.lab.experiment.Experiment;
 import frostreel.lab.experiment.Runner;
 import java.nio.file.Path;
-import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
-import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
-import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Parameters;
-import picocli.CommandLine.Spec;
 
-/** Plays one experiment file. */
+/** Plays one experiment in virtual time. */
 @Command(
         name = "run",
         mixinStandardHelpOptions = true,
         description = "Plays an experiment in virtual time;"
                 + " exit code 0 where all checks hold, 1 where one does not, 2 where the file is faulty.")
-final class Run implements Callable<Integer> {
+final class Run extends LabCommand {
     @Parameters(paramLabel = "FILE", description = "An experiment, as experiments/zone-loss.xml.")
     private Path file;
 
@@ -34,17 +30,13 @@
     @Option(names = "--out", paramLabel = "DIR", description = "Keeps result.json, tables and charts there.")
     private Path folder;
 
-    @Spec
-    private CommandSpec spec;
-
     @Override
-    public Integer call() throws Exception {
+    boolean play() throws Exception {
         if (seeds < 1) {
-            throw new ParameterException(spec.commandLine(), "--seeds must be 1 or more");
+            throw usageError("--seeds must be 1 or more");
         }
         Experiment experiment = Experiment.read(file);
         long firstSeed = seed == null ? experiment.seed() : seed;
-        Runner runner = new Runner(spec.commandLine().getOut());
-        return ExitCodes.of(runner.run(experiment, firstSeed, seeds, folder));
+        return new Runner(out()).run(experiment, firstSeed, seeds, folder);
     }
 }
--- a/lab/src/main/java/frostreel/lab/cli/package-info.java
+++ b/lab/src/main/java/frostreel/lab/cli/package-info.java
@@ -1,2 +1,2 @@
-/** The lab's command line: one class for each command, and what they share. */
+/** The lab's command line: a class for each command, and what the commands share. */
 package frostreel.lab.cli;
