--- a/lab/src/main/java/frostreel/lab/processes/ClientRecorder.java
+++ b/lab/src/main/java/frostreel/lab/processes/ClientRecorder.java
@@ -13,7 +13,7 @@
 import java.util.Map;
 
 /** Reports the requests on one connection of a client as the pooler sees them: taken, and answered. */
-final class ClientRecorder implements FaultyRelay.TrafficRecorder {
+final class ClientRecorder implements TrafficRecorder {
     private static final int MAX_MESSAGE_BYTES = 1 << 18;
     /** In place of the id of a query that is no request: an empty one, or one for a page. */
     private static final String NO_REQUEST = "";
--- a/lab/src/main/java/frostreel/lab/processes/EndpointListRecorder.java
+++ b/lab/src/main/java/frostreel/lab/processes/EndpointListRecorder.java
@@ -10,7 +10,7 @@
 import org.json.JSONObject;
 
 /** Reports what the endpoint list comes to say to a pooler, from the agent's responses as they reach it. */
-final class EndpointListRecorder implements FaultyRelay.TrafficRecorder {
+final class EndpointListRecorder implements TrafficRecorder {
     private static final Pattern HEAD = Pattern.compile("(?s)^HTTP/1\\.1 200 OK.*?Content-Length: (\\d+)" + "\r\n\r\n");
     private final Clock clock;
     private final int pooler;
--- a/lab/src/main/java/frostreel/lab/processes/PeerRelays.java
+++ b/lab/src/main/java/frostreel/lab/processes/PeerRelays.java
@@ -27,8 +27,7 @@
         for (int to = 0; to < count; to++) {
             InetSocketAddress far = binds.get(to);
             for (int from = 0; from < count; from++) {
-                relays[from][to] =
-                        new FaultyRelay(loop, null, () -> far, true, () -> new FaultyRelay.TrafficRecorder() {});
+                relays[from][to] = new FaultyRelay(loop, null, () -> far, true, () -> new TrafficRecorder() {});
             }
             int receiver = to;
             ports.add(new Port(loop, new InetSocketAddress(far.getAddress(), 0), connection -> {
--- a/lab/src/main/java/frostreel/lab/processes/StatementRecorder.java
+++ b/lab/src/main/java/frostreel/lab/processes/StatementRecorder.java
@@ -13,7 +13,7 @@
 import java.util.Map;
 
 /** Reports the attempts on one connection from a pooler to a server, as that pooler sees them. */
-final class StatementRecorder implements FaultyRelay.TrafficRecorder {
+final class StatementRecorder implements TrafficRecorder {
     private static final int MAX_MESSAGE_BYTES = 1 << 18;
 
     private final Clock clock;
