--- a/lab/src/main/java/frostreel/lab/processes/PoolerProcess.java
+++ b/lab/src/main/java/frostreel/lab/processes/PoolerProcess.java
@@ -1,13 +1,9 @@
 package frostreel.lab.processes;
 
-import frostreel.pg.Messages;
-import java.io.DataInputStream;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
-import java.net.Socket;
-import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -18,21 +14,20 @@
 
 /** A process of the built program, under one name and address over all its incarnations. */
 final class PoolerProcess {
-    private static final List<String> JAVA = List.of(
+    private static final List<String> JVM_OPTIONS = List.of(
             "-Djava.net.preferIPv4Stack=true",
             "-Xmx64m",
             "-XX:+UseSerialGC",
             "-XX:TieredStopAtLevel=1",
             "-XX:-UsePerfData");
-    private static final int PAGE_MS = 20_000;
     private static final String HOST_NAME = "HOSTNAME";
     final int number;
     final InetSocketAddress listen;
     private final Path jar;
     private final Path folder;
-    /** Null where each incarnation listens by itself, and operators do not call. */
+    /** Null where each incarnation listens by itself and has no admin endpoint. */
     private final SharedSocket sharedSocket;
-    /** Null where none of its system calls is to fail. */
+    /** Null where none of its system calls are made to fail. */
     private SystemFaults faults;
 
     private ProcessHandle process;
@@ -40,14 +35,14 @@
     private ProcessHandle old;
 
     private int incarnations;
-    /** Where operators call the newest incarnation. */
+    /** The admin endpoint of the newest incarnation. */
     private InetSocketAddress adminAddress;
 
     PoolerProcess(int number, InetSocketAddress listen, Path jar, Path folder) {
         this(number, listen, null, jar, folder);
     }
 
-    /** With a socket that all incarnations share: operators call, and a successor may be started beside it. */
+    /** With a socket that all incarnations share: each has an admin endpoint, and may get a successor beside it. */
     PoolerProcess(int number, SharedSocket sharedSocket, Path jar, Path folder) {
         this(number, sharedSocket.address(), sharedSocket, jar, folder);
     }
@@ -74,12 +69,12 @@
         return folder.resolve(name() + ".tmp");
     }
 
-    /** Where operators call the newest incarnation. */
+    /** The admin endpoint of the newest incarnation. */
     InetSocketAddress adminAddress() {
         return adminAddress;
     }
 
-    /** Starts a successor beside the running process, which goes on until {@link #terminateOld}. */
+    /** Starts a successor beside the running process, which serves on until {@link #terminateOld}. */
     void startSuccessor(JSONObject config, String discovery, Path settings) throws IOException {
         ProcessHandle running = process;
         start(config, discovery, settings);
@@ -87,18 +82,20 @@
     }
 
     /** SIGTERM to the process that has a successor; {@code then} runs once it has ended. */
-    @SuppressWarnings("FutureReturnValueIgnored") // The runnable is all that is wanted of it.
+    @SuppressWarnings("FutureReturnValueIgnored") // The runnable is the only use of it.
     void terminateOld(Runnable then) {
         old.onExit().thenRun(then);
         old.destroy();
     }
 
-    /** SIGKILL to the process that has a successor, where it has not ended; whether it was there. */
-    boolean killOld() {
-        return old != null && old.destroyForcibly();
+    /** SIGKILL to the process that has a successor, where it still runs. */
+    void killOld() {
+        if (old != null) {
+            old.destroyForcibly();
+        }
     }
 
-    /** SIGKILL to the successor; the old process is the one that runs again. */
+    /** SIGKILL to the successor; the old process is the current one again. */
     void killSuccessor() {
         process.destroyForcibly();
         process = old;
@@ -110,53 +107,64 @@
     }
 
     /**
-     * Starts it, with the platform's configuration as it is now and the operators' file, null for none; its
-     * log goes to a file of its own.
+     * Starts a new incarnation, whose log is a file of its own.
+     *
+     * @param config the platform's configuration as it is now
+     * @param discovery the address of the discovery agent
+     * @param settings the operators' file; null for none
      */
     void start(JSONObject config, String discovery, Path settings) throws IOException {
-        Path file = folder.resolve(name() + ".json");
-        Files.writeString(file, config.toString());
+        Path configFile = Files.writeString(folder.resolve(name() + ".json"), config.toString());
+        Path log = folder.resolve(name() + "-" + ++incarnations + ".log");
+        Map<String, String> environment = environment(configFile, discovery);
+        process = sharedSocket == null
+                ? startChild(command(settings), environment, log)
+                : startOnSharedSocket(command(settings), environment, log);
+    }
+
+    private List<String> command(Path settings) {
         List<String> command = new ArrayList<>();
         command.add(ProcessHandle.current().info().command().orElse("java"));
-        command.addAll(JAVA);
+        command.addAll(JVM_OPTIONS);
         command.addAll(List.of("-jar", jar.toString(), "serve"));
         if (settings != null) {
             command.addAll(List.of("--settings", settings.toString()));
         }
-        Path log = folder.resolve(name() + "-" + ++incarnations + ".log");
-        Map<String, String> environment = new TreeMap<>(Map.of(
-                "GW_CONFIG",
-                file.toString(),
-                "GW_NAME",
-                name(),
-                "GW_LISTEN",
-                hostAndPort(listen),
-                "GW_DISCOVERY",
-                discovery));
+        return command;
+    }
+
+    private Map<String, String> environment(Path configFile, String discovery) {
+        Map<String, String> environment = new TreeMap<>();
+        environment.put("GW_CONFIG", configFile.toString());
+        environment.put("GW_NAME", name());
+        environment.put("GW_LISTEN", hostAndPort(listen));
+        environment.put("GW_DISCOVERY", discovery);
         if (faults != null) {
             environment.putAll(faults.environment());
         }
-        if (sharedSocket != null) {
-            adminAddress = freePort(listen.getAddress());
-            Files.createDirectories(temporary());
-            environment.putAll(Map.of(
-                    "GW_CONTROL",
-                    hostAndPort(adminAddress),
-                    "GW_FD",
-                    "0",
-                    "TMPDIR",
-                    temporary().toString()));
-            process = sharedSocket.start(command, environment, log);
-            return;
-        }
+        return environment;
+    }
+
+    private ProcessHandle startChild(List<String> command, Map<String, String> environment, Path log)
+            throws IOException {
         ProcessBuilder builder =
                 new ProcessBuilder(command).redirectErrorStream(true).redirectOutput(log.toFile());
         builder.environment().remove(HOST_NAME); // A platform's environment has none, as a rule.
         builder.environment().putAll(environment);
-        process = builder.start().toHandle();
+        return builder.start().toHandle();
     }
 
-    /** A port that nobody has now. */
+    private ProcessHandle startOnSharedSocket(List<String> command, Map<String, String> environment, Path log)
+            throws IOException {
+        adminAddress = freePort(listen.getAddress());
+        Files.createDirectories(temporary());
+        environment.put("GW_CONTROL", hostAndPort(adminAddress));
+        environment.put("GW_FD", "0");
+        environment.put("TMPDIR", temporary().toString());
+        return sharedSocket.start(command, environment, log);
+    }
+
+    /** A port that is free now. */
     static InetSocketAddress freePort(InetAddress host) throws IOException {
         try (ServerSocket socket = new ServerSocket(0, 1, host)) {
             return new InetSocketAddress(host, socket.getLocalPort());
@@ -171,30 +179,9 @@
         return process != null && process.isAlive();
     }
 
-    /** A page that it shows on a connection of its own, as on-call staff ask; waits for it. */
+    /** A {@code SHOW} page of the newest process that accepts; blocks until it has come. */
     String page(String page) throws IOException {
-        try (Socket staff = new Socket(listen.getAddress(), listen.getPort())) {
-            staff.setSoTimeout(PAGE_MS);
-            DataInputStream in = new DataInputStream(staff.getInputStream());
-            staff.getOutputStream().write(Messages.startup());
-            answer(in);
-            staff.getOutputStream().write(Messages.query(("SHOW " + page + "\0").getBytes(StandardCharsets.US_ASCII)));
-            return answer(in);
-        }
-    }
-
-    /** The text of an answer's only row, empty where it has none. */
-    private static String answer(DataInputStream in) throws IOException {
-        String text = "";
-        for (int type = in.readUnsignedByte(); ; type = in.readUnsignedByte()) {
-            byte[] body = in.readNBytes(in.readInt() - Integer.BYTES);
-            if (type == 'D') {
-                int head = Short.BYTES + Integer.BYTES;
-                text = new String(body, head, body.length - head, StandardCharsets.UTF_8);
-            } else if (type == 'Z') {
-                return text;
-            }
-        }
+        return ShowPage.read(listen, page);
     }
 
     /** SIGKILL. */
@@ -202,8 +189,8 @@
         process.destroyForcibly();
     }
 
-    /** SIGTERM; {@code then} runs once it has ended, on a thread of its own. */
-    @SuppressWarnings("FutureReturnValueIgnored") // The runnable is all that is wanted of it.
+    /** SIGTERM; {@code then} runs once the process has ended, on another thread. */
+    @SuppressWarnings("FutureReturnValueIgnored") // The runnable is the only use of it.
     void terminate(Runnable then) {
         process.onExit().thenRun(then);
         process.destroy();
