--- a/lab/src/main/java/frostreel/lab/processes/PoolerFault.java
+++ b/lab/src/main/java/frostreel/lab/processes/PoolerFault.java
@@ -91,7 +91,7 @@
         }
     }
 
-    /** System calls of the pooler's processes fail or take long; see {@link SystemFaults#strike}. */
+    /** System calls of the pooler's processes fail or take long; see {@link SystemFaults#inject}. */
     record FailingSystemCalls(
             int pooler,
             long atUs,
@@ -109,13 +109,13 @@
                     element.untilUs() - element.atUs(),
                     SystemFaults.Call.valueOf(element.xml().text("call")),
                     SystemFaults.Errno.valueOf(element.xml().text("error")),
-                    element.xml().has("times") ? element.xml().integer("times") : SystemFaults.ALWAYS,
+                    element.xml().has("times") ? element.xml().integer("times") : SystemFaults.EVERY_TIME,
                     sign * element.xml().microsFromMillis("spanMs"));
         }
 
         @Override
         public void begin(Fleet fleet) {
-            fleet.systemFaults().strike(pooler, call, error, durationUs, times, spanUs);
+            fleet.systemFaults().inject(pooler, call, error, durationUs, times, spanUs);
         }
 
         @Override
--- a/lab/src/main/java/frostreel/lab/processes/SharedSocket.java
+++ b/lab/src/main/java/frostreel/lab/processes/SharedSocket.java
@@ -11,12 +11,12 @@
 import java.util.Map;
 
 /**
- * A listening socket that outlives the processes that accept from it, as the platform of an upgrade holds it:
- * each of them has it as descriptor 0. Java hands no descriptor to a child but files and pipes, so a few
- * lines of Perl, which every Debian system has, hold the socket and start the processes.
+ * A listening socket that outlives the processes that accept from it. The platform holds such a socket during an
+ * upgrade, and each process inherits it as descriptor 0. Java cannot pass a socket to a child process, so a
+ * few lines of Perl, which every Debian system has, hold the socket and start the processes.
  */
 final class SharedSocket {
-    /** Says its port, then for each line that it reads starts the command there, and says its process id. */
+    /** Prints the port; then starts the command of each line that it reads, and prints the process id. */
     private static final String HOLDER = """
             use Socket; use POSIX (); $| = 1; $SIG{CHLD} = 'IGNORE';
             socket(my $s, PF_INET, SOCK_STREAM, 0) or die $!;
@@ -41,10 +41,11 @@
                 .start();
         commands = new PrintStream(holder.getOutputStream(), true, StandardCharsets.UTF_8);
         answers = new BufferedReader(new InputStreamReader(holder.getInputStream(), StandardCharsets.UTF_8));
-        address = new InetSocketAddress(host, number());
+        address = new InetSocketAddress(host, readNumber());
     }
 
-    private int number() throws IOException {
+    /** The next number that the holder prints: its port at first, then process ids. */
+    private int readNumber() throws IOException {
         String line = answers.readLine();
         if (line == null) {
             throw new IOException("what holds the shared socket has ended");
@@ -56,17 +57,23 @@
         return address;
     }
 
-    /** Starts a process that has the socket as descriptor 0; no word may hold a quote or a line's end. */
+    /**
+     * Starts a process that has the socket as descriptor 0.
+     *
+     * @param command the arguments; neither they nor the environment may contain quotes or line breaks
+     * @param log the file that takes the output
+     */
     ProcessHandle start(List<String> command, Map<String, String> environment, Path log) throws IOException {
         StringBuilder line = new StringBuilder("exec env -u HOSTNAME");
         environment.forEach((name, value) ->
                 line.append(" '").append(name).append('=').append(value).append('\''));
-        command.forEach(word -> line.append(" '").append(word).append('\''));
+        command.forEach(argument -> line.append(" '").append(argument).append('\''));
         commands.println(line + " >'" + log + "' 2>&1");
-        long pid = number();
+        long pid = readNumber();
         return ProcessHandle.of(pid).orElseThrow(() -> new IOException("process " + pid + " ended at once"));
     }
 
+    /** Closes the socket; the processes that have inherited it keep it. */
     void close() throws InterruptedException {
         holder.destroyForcibly().waitFor();
     }
--- a/lab/src/main/java/frostreel/lab/processes/SystemFaultInjector.java
+++ b/lab/src/main/java/frostreel/lab/processes/SystemFaultInjector.java
@@ -4,7 +4,7 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** Makes system calls of the poolers' processes fail. */
+/** Makes system calls of the poolers' processes fail. Used on the event loop's thread alone. */
 final class SystemFaultInjector {
     private final RunContext run;
     private final List<PoolerNode> poolers;
@@ -14,7 +14,7 @@
         this.poolers = poolers;
     }
 
-    /** Has the processes load the library from their next start on; on the event loop's thread. */
+    /** Makes the processes preload the library from their next start on. */
     void preload(Path library) throws IOException {
         for (PoolerNode pooler : poolers) {
             Path table = run.folder().resolve(pooler.name() + ".faults");
@@ -22,11 +22,12 @@
         }
     }
 
-    /** Has a pooler's system calls fail; see {@link SystemFaults#strike}. */
-    void strike(int pooler, SystemFaults.Call call, SystemFaults.Errno error, long forUs, long times, long spanUs) {
+    /** Makes system calls of a pooler fail; see {@link SystemFaults#inject}. */
+    void inject(
+            int pooler, SystemFaults.Call call, SystemFaults.Errno error, long durationUs, long times, long spanUs) {
         run.log()
-                .add("p" + pooler + ": " + call + " meets " + error + " for " + forUs / 1000 + " ms"
-                        + (times == SystemFaults.ALWAYS ? "" : ", " + times + " times"));
-        poolers.get(pooler).process.faults().strike(call, error, forUs, times, spanUs);
+                .add("p" + pooler + ": " + call + " meets " + error + " for " + durationUs / 1000 + " ms"
+                        + (times == SystemFaults.EVERY_TIME ? "" : ", " + times + " times"));
+        poolers.get(pooler).process.faults().inject(call, error, durationUs, times, spanUs);
     }
 }
