--- a/lab/src/main/java/frostreel/lab/processes/Fleet.java
+++ b/lab/src/main/java/frostreel/lab/processes/Fleet.java
@@ -21,13 +21,16 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 
 /**
- * Real processes of the program between stand-ins of all that they speak to, with a relay on every way. Owns
- * the processes, ports and relays, and ends them all. Everything but the processes runs on one event loop;
- * methods not marked otherwise are called on its thread.
+ * Real processes of the program between stand-ins for all their remote parties, with a relay on each connection.
+ * Owns the processes, ports and relays, and ends them all. Everything but the processes runs on one event loop;
+ * methods are called on its thread, except where their comment says otherwise.
  */
 final class Fleet {
-    private static final int FIRST_HOST = 10;
+    private static final int SERVERS_HOST = 1;
+    private static final int FIRST_POOLER_HOST = 10;
+    /** By how much the agents differ in when they learn of a change, at most. */
     private static final long MAX_LIST_SPREAD_US = 50_000;
+
     private static final long US_PER_SECOND = 1_000_000;
 
     private final EventLoop loop = new EventLoop();
@@ -95,31 +98,15 @@
                 rules.fallUs());
     }
 
-    /** A task for the event loop's thread. */
-    interface Task<T> {
-        T run() throws IOException;
-    }
-
     /** Runs a task on the event loop and waits for its result; from any other thread. */
-    <T> T onLoop(Task<T> task) throws Exception {
-        CompletableFuture<T> done = new CompletableFuture<>();
-        loop.thread().execute(() -> {
-            try {
-                done.complete(task.run());
-            } catch (IOException | RuntimeException e) {
-                done.completeExceptionally(e);
-            }
-        });
-        return done.get();
+    <T> T onLoop(LoopTasks.Task<T> task) throws Exception {
+        return LoopTasks.call(loop, task);
     }
 
     private void build(int count, Path jar, long silentAfterMs) throws IOException {
-        // Of this process alone, so that runs side by side never meet.
-        long pid = ProcessHandle.current().pid();
-        String net = "127." + (1 + pid % 250) + "." + pid / 250 % 250 + ".";
-        servers = new StandInServers(run, new InetSocketAddress(net + 1, 0), this::publish);
+        servers = new StandInServers(run, new InetSocketAddress(LoopbackHosts.host(SERVERS_HOST), 0), this::publish);
         for (int i = 0; i < count; i++) {
-            poolers.add(new PoolerNode(run, i, net + (FIRST_HOST + i), jar, servers));
+            poolers.add(new PoolerNode(run, i, LoopbackHosts.host(FIRST_POOLER_HOST + i), jar, servers));
         }
         SimulationPlan plan = run.plan();
         load = new LoadGenerator(
@@ -140,7 +127,7 @@
         systemFaults = new SystemFaultInjector(run, poolers);
     }
 
-    /** Puts a relay before each pooler's cluster address, and has all read a file that names the relays. */
+    /** Puts a relay in front of each pooler's cluster address, and writes the operators' file that names the relays. */
     private void connectPeers(long silentAfterMs) throws IOException {
         List<InetSocketAddress> binds = new ArrayList<>();
         for (PoolerNode pooler : poolers) {
@@ -152,15 +139,15 @@
         poolers.forEach(pooler -> pooler.useSettings(file));
     }
 
-    /** Each agent hears of a change late, and a little apart from the others. */
-    private void publish(Router.Member entry) {
+    /** Publishes a change to each agent after the list's lag, at slightly different times. */
+    private void publish(Router.Member member) {
         for (PoolerNode pooler : poolers) {
             long delayUs = run.plan().listLagUs() + run.random().nextLong(MAX_LIST_SPREAD_US);
-            run.scheduler().after(delayUs, () -> pooler.agent.publish(entry));
+            run.scheduler().after(delayUs, () -> pooler.agent.publish(member));
         }
     }
 
-    /** Starts every pooler, and returns once all serve clients; not on the loop's thread. */
+    /** Starts all poolers, and returns once they serve clients; not on the loop's thread. */
     void start() throws Exception {
         CompletableFuture<Void> ready = onLoop(() -> {
             run.schedule().restart();
@@ -169,7 +156,7 @@
         ready.get();
     }
 
-    /** Clients ask from now on, and offsets of {@link #at} count from now; not on the loop's thread. */
+    /** Starts the load and the faults, whose times count from now; not on the loop's thread. */
     void begin(List<ProcessFault> faults) throws Exception {
         onLoop(() -> {
             run.schedule().restart();
@@ -182,7 +169,7 @@
         });
     }
 
-    /** Judges what is still open: no more answers will come. Not on the loop's thread. */
+    /** Checks the invariants on what is still open, as no more answers will come; not on the loop's thread. */
     void judge() throws Exception {
         onLoop(() -> {
             run.invariants().end(run.scheduler().now());
@@ -190,7 +177,7 @@
         });
     }
 
-    /** Lets the poolers' system calls be made to fail; before {@link #start}, not on the loop's thread. */
+    /** Prepares the poolers for failing system calls; before {@link #start}, not on the loop's thread. */
     void preloadSystemFaults() throws Exception {
         Path library = SystemFaults.compile(run.folder());
         onLoop(() -> {
@@ -228,7 +215,7 @@
         return servers.cluster();
     }
 
-    /** A server by its place among all. */
+    /** A server by its number, group by group and in each by zone. */
     Server server(int number) {
         return servers.server(number);
     }
@@ -250,12 +237,12 @@
         return run.log().lines();
     }
 
-    /** What a pooler shows to on-call staff under a name; waits for it, from any thread. */
+    /** A {@code SHOW} page of a pooler; blocks until it has come, from any thread. */
     String page(int pooler, String page) throws IOException {
         return poolers.get(pooler).process.page(page);
     }
 
-    /** Ends every process, port and connection; from any thread but the loop's, and any number of times. */
+    /** Ends all processes, ports and connections; idempotent, from any thread but the loop's. */
     void end() throws Exception {
         if (ended.getAndSet(true)) {
             return;
--- a/lab/src/main/java/frostreel/lab/processes/LoadConnection.java
+++ b/lab/src/main/java/frostreel/lab/processes/LoadConnection.java
@@ -19,31 +19,31 @@
  * health check. Used on the event loop's thread alone.
  */
 final class LoadConnection implements SocketStream.Handler {
-    /** Hears what becomes of what the connection sends. */
+    /** Is notified of the outcome of each request and health check. */
     interface Listener {
-        /** A request was answered; the connection is idle again, or ended behind a fatal error. */
+        /** A request was answered; the connection is idle again, or has ended after a fatal error. */
         void answered(LoadConnection connection, LoadRequest request, Answer answer);
 
-        /** The connection ended with a request on it that has no answer. */
+        /** The connection ended before the request on it was answered. */
         void lost(LoadRequest request, Loss loss);
 
-        /** The client waited as long as it does for an answer, and has closed the connection. */
+        /** No answer came in time, and the client has closed the connection. */
         void gaveUp(LoadRequest request);
 
-        /** A health check ended: answered as it should be, refused, or cut short by the connection's end. */
+        /** A health check ended. */
         void checked(LoadConnection connection, HealthCheckResult result);
 
-        /** The connection ended with nothing on it. */
+        /** The connection ended without a request on it. */
         void endedIdle(LoadConnection connection);
     }
 
     /** How a connection ended with a request on it. */
     enum Loss {
-        /** The pooler had not welcomed the client yet. */
-        NOT_WELCOMED,
-        /** It had served requests before, and ended while this one was on its way: safe to send again. */
+        /** The pooler had not completed the start-up of the connection. */
+        NOT_STARTED,
+        /** The pooler closed an idle connection while the request was on its way, so it may be sent again. */
         CROSSED_IDLE_CLOSE,
-        /** On its first request, or within an answer. */
+        /** Any other end: on the first request, or within an answer. */
         ANSWER_MISSING
     }
 
@@ -54,8 +54,8 @@
         CONNECTION_ENDED
     }
 
-    /** What a pooler answered: the value of its row, or an error's fields; either may be null. */
-    @SuppressWarnings("ArrayRecordComponent") // Never compared.
+    /** A pooler's answer: the value of its row, or the fields of an error; either may be null. */
+    @SuppressWarnings("ArrayRecordComponent") // Answers are never compared.
     record Answer(byte[] value, byte[] error) {}
 
     private static final int MAX_MESSAGE_BYTES = 1 << 18;
@@ -67,11 +67,11 @@
     private final MessageReader reader = new MessageReader(type -> MAX_MESSAGE_BYTES);
     /** Null until the connection is up. */
     private SocketStream stream;
-    /** The request that is out; null where none is. */
+    /** The request in flight; null where there is none. */
     private LoadRequest request;
 
     private boolean checking;
-    private boolean welcomed;
+    private boolean started;
     private boolean reused;
     private boolean closed;
     private byte[] value;
@@ -84,12 +84,13 @@
         this.listener = listener;
     }
 
+    /** Sends an empty query as a health check. */
     void sendHealthCheck() {
         checking = true;
         write(EMPTY_QUERY);
     }
 
-    /** Sends a request, and gives it up where no answer has come by {@code giveUpAfterUs}. */
+    /** Sends a request, and gives it up if no answer has come after {@code giveUpAfterUs}. */
     void send(LoadRequest next, byte[] sql, long giveUpAfterUs) {
         request = next;
         loop.deadlines().after(giveUpAfterUs, () -> {
@@ -148,8 +149,8 @@
     }
 
     private void readyForQuery() {
-        if (!welcomed) {
-            welcomed = true;
+        if (!started) {
+            started = true;
         } else if (checking) {
             checking = false;
             error = null;
@@ -184,8 +185,8 @@
     }
 
     private Loss loss() {
-        if (!welcomed) {
-            return Loss.NOT_WELCOMED;
+        if (!started) {
+            return Loss.NOT_STARTED;
         }
         return reused && value == null ? Loss.CROSSED_IDLE_CLOSE : Loss.ANSWER_MISSING;
     }
@@ -197,7 +198,7 @@
         listener.gaveUp(open);
     }
 
-    /** Whether nothing more can be sent on it. */
+    /** Whether the connection has ended or was closed. */
     boolean closed() {
         return closed;
     }
--- a/lab/src/main/java/frostreel/lab/processes/LoadGenerator.java
+++ b/lab/src/main/java/frostreel/lab/processes/LoadGenerator.java
@@ -12,19 +12,19 @@
 import java.util.regex.Pattern;
 
 /**
- * Clients of the poolers: sessions whose requests arrive at random at a mean rate, have a class and a deadline,
- * and are retried once where they are rejected. A balancer in front of them sends a session to one pooler as
- * long as that is ready. Used on the event loop's thread alone.
+ * Clients of the poolers: sessions whose requests arrive at random at a mean rate. Each request has a class and a
+ * deadline, and is retried once where it is rejected. A load balancer sends all requests of a session to one
+ * pooler while that is ready. Used on the event loop's thread alone.
  */
 final class LoadGenerator implements PoolerTarget.RequestListener {
     private static final int SESSIONS = 500;
     private static final long US_PER_SECOND = 1_000_000;
     private static final long READINESS_INTERVAL_US = 100_000;
     private static final long MIN_RETRY_AFTER_US = 50_000;
-    /** Beyond its deadline a client waits so long for an answer that earns nothing. */
-    private static final long GIVE_UP_US = 500_000;
+    /** How long a client still waits for an answer after its deadline. */
+    private static final long GRACE_US = 500_000;
 
-    /** The DETAIL field of an error, in which a pooler tells after how many milliseconds to retry. */
+    /** The DETAIL field of an error, in which a pooler states after how many milliseconds to retry. */
     private static final Pattern RETRY_AFTER_MS = Pattern.compile("\0D(\\d+)\0");
 
     private final EventLoop loop;
@@ -35,12 +35,19 @@
     private final boolean retries;
     private final LoadStatistics statistics;
     private long startUs;
-    /** Requests asked and not ended, those that wait for their retry among them. */
+    /** Requests that have not ended, including those that wait for their retry. */
     private int open;
 
     private Runnable onAllEnded;
 
-    /** {@code poolers}: where each is reached; {@code retries}: whether clients retry what was rejected. */
+    /**
+     * A load that does not run yet.
+     *
+     * @param poolers where each pooler is reached
+     * @param groups how many replica groups the sessions are spread over
+     * @param retries whether clients retry rejected requests
+     * @param durationS how long new requests arrive
+     */
     LoadGenerator(
             EventLoop loop,
             SplittableRandom random,
@@ -64,24 +71,24 @@
         return statistics;
     }
 
-    /** A pooler's process starts; {@code then} runs once it is ready. */
+    /** Notes that a pooler's process starts; {@code then} runs each time the pooler becomes ready. */
     void awaitReady(int pooler, Runnable then) {
         targets.get(pooler).awaitReady(then);
     }
 
-    /** Asks from now on, for the run's duration. */
+    /** Sends requests from now on, for the run's duration. */
     void begin() {
         startUs = loop.clock().now();
         scheduleNextArrival();
     }
 
-    /** Checks each ready pooler ten times a second from now on; one that rejects it is soon not ready. */
+    /** Checks the ready poolers ten times a second from now on, as the load balancer does. */
     void watchReadiness() {
         targets.stream().filter(PoolerTarget::ready).forEach(PoolerTarget::checkReadiness);
         loop.deadlines().after(READINESS_INTERVAL_US, this::watchReadiness);
     }
 
-    /** Runs once every request has ended; to be called when no more are asked. */
+    /** Runs a task once all requests have ended; to be called when no new ones arrive any more. */
     void whenAllEnded(Runnable then) {
         onAllEnded = then;
         requestsEnded(0);
@@ -99,7 +106,7 @@
             if (second(nowUs) < statistics.durationS()) {
                 LoadRequest request = new LoadRequest(drawClass(), random.nextInt(SESSIONS), nowUs, false);
                 statistics.recordAsked(second(nowUs), request.requestClass().priorityWeight());
-                ask(request);
+                begin(request);
                 scheduleNextArrival();
             }
         });
@@ -115,7 +122,7 @@
         return index;
     }
 
-    private void ask(LoadRequest request) {
+    private void begin(LoadRequest request) {
         open++;
         place(request);
     }
@@ -128,12 +135,12 @@
         }
     }
 
-    /** A session stays with its pooler while that is ready, and goes to the next ready one meanwhile. */
+    /** Sends a request to its session's pooler, or to the next one that is ready. */
     private void place(LoadRequest request) {
         for (int i = 0; i < targets.size(); i++) {
             PoolerTarget target = targets.get((request.session + i) % targets.size());
             if (target.ready()) {
-                long giveUpAfterUs = request.requestClass().deadlineUs() + GIVE_UP_US;
+                long giveUpAfterUs = request.requestClass().deadlineUs() + GRACE_US;
                 target.send(request, statements.next(request), giveUpAfterUs);
                 return;
             }
@@ -171,14 +178,14 @@
         requestsEnded(1);
     }
 
-    /** Retries after as long as the error says; the request stays open until then. */
+    /** Retries after the time that the error states; the request counts as open until then. */
     private void retryLater(LoadRequest request, byte[] error) {
         Matcher retryAfter = RETRY_AFTER_MS.matcher(new String(error, StandardCharsets.UTF_8));
         long retryAfterUs = retryAfter.find() ? Long.parseLong(retryAfter.group(1)) * 1000 : 0;
         statistics.retries++;
         loop.deadlines().after(Math.max(MIN_RETRY_AFTER_US, retryAfterUs), () -> {
             open--;
-            ask(request.asRetry());
+            begin(request.asRetry());
         });
     }
 
--- a/lab/src/main/java/frostreel/lab/processes/PoolerTarget.java
+++ b/lab/src/main/java/frostreel/lab/processes/PoolerTarget.java
@@ -5,23 +5,24 @@
 import java.util.ArrayDeque;
 
 /**
- * A pooler as clients reach it: its idle connections, and whether it is ready, which an empty query tells. Used
+ * A pooler as clients reach it: its idle connections, and its readiness by health checks with an empty query. Used
  * on the event loop's thread alone.
  */
 final class PoolerTarget implements LoadConnection.Listener {
-    /** Hears what becomes of requests. */
+    /** Is notified of the outcome of each request. */
     interface RequestListener {
+        /** The request was answered, be it with an error. */
         void answered(LoadRequest request, LoadConnection.Answer answer);
 
         /** No answer will come. */
         void unanswered(LoadRequest request);
 
-        /** It met the end of an idle connection, and is to be sent once more. */
+        /** The pooler closed the idle connection that the request was sent on; it has to be sent again. */
         void resend(LoadRequest request);
     }
 
     private static final long RECHECK_US = 50_000;
-    /** Until a pooler that rejects health checks has left the balancer in front, it still gets clients. */
+    /** How long the load balancer still sends clients to a pooler that rejects health checks. */
     private static final long REMOVAL_DELAY_US = 200_000;
 
     private final EventLoop loop;
@@ -38,12 +39,12 @@
         this.requests = requests;
     }
 
-    /** Whether it has answered an empty query since it last was not ready. */
+    /** Whether it has answered a health check since it was last not ready. */
     boolean ready() {
         return ready;
     }
 
-    /** Its process starts: {@code then} runs each time it becomes ready from now on. */
+    /** Notes that the process starts: {@code then} runs each time the pooler becomes ready. */
     void awaitReady(Runnable then) {
         onReady = then;
         markNotReady();
@@ -55,7 +56,7 @@
         checkReadiness();
     }
 
-    /** Sends an empty query on a new connection, unless one is out. */
+    /** Sends a health check on a new connection, unless one is in flight. */
     void checkReadiness() {
         if (!checking) {
             checking = true;
@@ -63,7 +64,7 @@
         }
     }
 
-    /** Sends a request on an idle connection, or on a new one where there is none or it is resent. */
+    /** Sends a request on an idle connection; on a new one if there is none, or if the request is resent. */
     void send(LoadRequest request, byte[] sql, long giveUpAfterUs) {
         LoadConnection reused = request.resent ? null : idle.pollLast();
         LoadConnection connection = reused == null ? new LoadConnection(loop, address, this) : reused;
@@ -80,7 +81,7 @@
 
     @Override
     public void lost(LoadRequest request, LoadConnection.Loss loss) {
-        if (loss == LoadConnection.Loss.NOT_WELCOMED) {
+        if (loss == LoadConnection.Loss.NOT_STARTED) {
             markNotReady();
         }
         if (loss == LoadConnection.Loss.CROSSED_IDLE_CLOSE && !request.resent) {
--- a/lab/src/main/java/frostreel/lab/processes/StandInServers.java
+++ b/lab/src/main/java/frostreel/lab/processes/StandInServers.java
@@ -13,18 +13,18 @@
 import java.util.function.Consumer;
 
 /**
- * The model's servers behind PostgreSQL's protocol: a stand-in database for each, whose connections end when
- * the server's process does. Used on the event loop's thread alone.
+ * The model's servers behind PostgreSQL's protocol: a stand-in database for each, whose connections end together
+ * with the server's process. Used on the event loop's thread alone.
  */
 final class StandInServers {
     private final RunContext run;
     private final Cluster cluster;
     private final Consumer<Router.Member> changed;
     private final Map<String, StandInDatabase> databases = new LinkedHashMap<>();
-    /** When each server's present process started, to tell a restart from other changes. */
+    /** When each server's present process started, to distinguish a restart from other changes. */
     private final Map<String, Long> startTimesUs = new HashMap<>();
 
-    /** {@code changed} hears of each change to a server, as the endpoint list would word it. */
+    /** {@code changed} takes each change to a server, as the endpoint list states it. */
     StandInServers(RunContext run, InetSocketAddress bind, Consumer<Router.Member> changed) throws IOException {
         this.run = run;
         this.changed = changed;
@@ -54,7 +54,7 @@
         return databases;
     }
 
-    /** A server by its place among all. */
+    /** A server by its number, group by group and in each by zone. */
     Server server(int number) {
         return List.copyOf(cluster.all()).get(number);
     }
