--- a/lab/src/test/java/frostreel/lab/processes/GroupMembershipTest.java
+++ b/lab/src/test/java/frostreel/lab/processes/GroupMembershipTest.java
@@ -13,139 +13,143 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** The group over real sockets, with a relay on every way. */
+/** A group's membership over real sockets, with a relay between any two members. */
 class GroupMembershipTest extends GroupRig {
+    private static final int MESSAGES = 50;
+
+    /** Starts two members, the second once the first sees itself; returns when each sees both. */
+    private void startTwoInTurn() throws Exception {
+        openNetwork(2);
+        start(0).awaitView("p0");
+        start(1);
+        awaitViewOfAll();
+    }
+
     @Test
-    void aPartThatIsCutOffHasItsOwnViewAndIsOneWithTheOthersOnceHealed() throws Exception {
-        five();
-        cut(true, new int[] {0, 1}, new int[] {2, 3, 4});
-        cut(true, new int[] {2, 3, 4}, new int[] {0, 1});
-        for (Member m : members) {
-            m.sees(members.indexOf(m) < 2 ? new String[] {"p0", "p1"} : new String[] {"p2", "p3", "p4"});
+    void eachPartitionHasItsOwnViewAndBothMergeOnceHealed() throws Exception {
+        startGroup(5);
+        List<Integer> minority = List.of(0, 1);
+        List<Integer> majority = List.of(2, 3, 4);
+        partition(true, minority, majority);
+        for (int number : minority) {
+            members.get(number).awaitView("p0", "p1");
         }
-        // Who is told by another's view first need not have come to suspect anyone itself.
+        for (int number : majority) {
+            members.get(number).awaitView("p2", "p3", "p4");
+        }
+        // A member that learns of the partition by another's view need not suspect anyone itself.
         assertThat(suspects).isNotEmpty();
-        cut(false, new int[] {0, 1}, new int[] {2, 3, 4});
-        cut(false, new int[] {2, 3, 4}, new int[] {0, 1});
-        for (Member m : members) {
-            assertThat(m.sees("p0", "p1", "p2", "p3", "p4").merged()).isTrue();
+        partition(false, minority, majority);
+        for (Member member : members) {
+            assertThat(member.awaitView("p0", "p1", "p2", "p3", "p4").merged()).isTrue();
         }
     }
 
     @Test
-    void oneThatHearsButIsNotHeardIsOut() throws Exception {
-        five();
-        cut(true, new int[] {4}, new int[] {0, 1, 2, 3});
-        for (int i = 0; i < 4; i++) {
-            members.get(i).sees("p0", "p1", "p2", "p3");
-        }
-        cut(false, new int[] {4}, new int[] {0, 1, 2, 3});
-        for (Member m : members) {
-            m.sees("p0", "p1", "p2", "p3", "p4");
+    void excludesAMemberThatReceivesButCannotSend() throws Exception {
+        startGroup(5);
+        cut(true, List.of(4), List.of(0, 1, 2, 3));
+        for (Member member : members.subList(0, 4)) {
+            member.awaitView("p0", "p1", "p2", "p3");
         }
+        cut(false, List.of(4), List.of(0, 1, 2, 3));
+        awaitViewOfAll();
     }
 
     @Test
-    void messagesArriveInOrderAndALeaverIsGoneAtOnce() throws Exception {
-        network(3);
-        Member a = start("p0", 0);
-        a.sees("p0");
-        Member b = start("p1", 1);
-        Member c = start("p2", 2);
-        for (Member m : members) {
-            m.sees("p0", "p1", "p2");
-        }
-        Peer second = b.group.self();
-        for (int i = 0; i < 50; i++) {
-            a.group.broadcast(("all " + i).getBytes());
-            a.group.send(second, ("one " + i).getBytes());
+    void deliversMessagesInOrderAndRemovesALeavingMemberWithoutSuspicion() throws Exception {
+        openNetwork(3);
+        Member first = start(0);
+        first.awaitView("p0");
+        Member second = start(1);
+        Member third = start(2);
+        awaitViewOfAll();
+        Peer secondPeer = second.group.self();
+        for (int i = 0; i < MESSAGES; i++) {
+            first.group.broadcast(("all " + i).getBytes());
+            first.group.send(secondPeer, ("one " + i).getBytes());
         }
-        List<String> heard = new ArrayList<>();
-        for (int i = 0; i < 100; i++) {
-            heard.add(b.hears());
+        List<String> received = new ArrayList<>();
+        for (int i = 0; i < 2 * MESSAGES; i++) {
+            received.add(second.nextMessage());
         }
         for (String kind : List.of("all", "one")) {
-            assertThat(heard.stream().filter(h -> h.startsWith("p0:" + kind)).toList())
-                    .hasSize(50)
-                    .startsWith("p0:" + kind + " 0", "p0:" + kind + " 1")
-                    .endsWith("p0:" + kind + " 49");
+            String prefix = "p0:" + kind;
+            assertThat(received.stream()
+                            .filter(message -> message.startsWith(prefix))
+                            .toList())
+                    .hasSize(MESSAGES)
+                    .startsWith(prefix + " 0", prefix + " 1")
+                    .endsWith(prefix + " 49");
         }
-        for (int i = 0; i < 50; i++) {
-            assertThat(c.hears()).isEqualTo("p0:all " + i);
+        for (int i = 0; i < MESSAGES; i++) {
+            assertThat(third.nextMessage()).isEqualTo("p0:all " + i);
         }
-        c.group.broadcast(new byte[Membership.MAX_MESSAGE_BYTES]);
-        assertThat(a.hears()).isEqualTo("p2:" + Membership.MAX_MESSAGE_BYTES);
-        assertThatThrownBy(() -> c.group.broadcast(new byte[Membership.MAX_MESSAGE_BYTES + 1]))
+        third.group.broadcast(new byte[Membership.MAX_MESSAGE_BYTES]);
+        assertThat(first.nextMessage()).isEqualTo("p2:" + Membership.MAX_MESSAGE_BYTES);
+        assertThatThrownBy(() -> third.group.broadcast(new byte[Membership.MAX_MESSAGE_BYTES + 1]))
                 .hasMessageContaining("at most");
-        b.leave();
-        a.sees("p0", "p2");
-        c.sees("p0", "p2");
+        second.leave();
+        first.awaitView("p0", "p2");
+        third.awaitView("p0", "p2");
         assertThat(suspects).isEmpty();
-        assertThat(a.heard).isEmpty();
+        assertThat(first.messages).isEmpty();
     }
 
     @Test
-    void whoeverTheSettingsDoNotNameIsNotListenedTo() throws Exception {
-        network(3);
-        InetSocketAddress taken = addresses.remove("p2");
-        Member a = start("p0", 0);
-        Member b = start("p1", 1);
-        a.sees("p0", "p1");
-        b.sees("p0", "p1");
-        addresses.put("p2", taken); // It thinks that it is one of them.
-        Member stranger = start("p2", 2);
-        stranger.sees("p0", "p1", "p2");
-        stranger.group.broadcast("let me in".getBytes());
-        stranger.group.send(a.group.self(), "now".getBytes());
-        b.group.broadcast("from a friend".getBytes());
-        assertThat(a.hears()).isEqualTo("p1:from a friend");
-        assertThat(a.last.members()).extracting(Peer::name).containsExactly("p0", "p1");
-        assertThat(a.group.counters()).doesNotContain("unknown_senders=0");
+    void ignoresSendersThatTheSettingsDoNotName() throws Exception {
+        openNetwork(3);
+        InetSocketAddress unnamed = addresses.remove("p2");
+        Member first = start(0);
+        Member second = start(1);
+        awaitViewOfAll();
+        addresses.put("p2", unnamed); // By its own settings, it is a member.
+        Member unknownSender = start(2);
+        unknownSender.awaitView("p0", "p1", "p2");
+        unknownSender.group.broadcast("to all".getBytes());
+        unknownSender.group.send(first.group.self(), "to one".getBytes());
+        second.group.broadcast("from a member".getBytes());
+        assertThat(first.nextMessage()).isEqualTo("p1:from a member");
+        assertThat(first.lastView.members()).extracting(Peer::name).containsExactly("p0", "p1");
+        assertThat(first.group.counters()).doesNotContain("unknown_senders=0");
     }
 
     @Test
-    void aFloodIsBoundedAndCountedWhileTheOwnerIsBusy() throws Exception {
-        network(2);
-        Member a = start("p0", 0);
-        a.sees("p0");
-        Member b = start("p1", 1);
-        a.sees("p0", "p1");
-        b.sees("p0", "p1");
+    void dropsAndCountsMessagesBeyondItsQueueWhileTheOwnerIsBusy() throws Exception {
+        startTwoInTurn();
+        Member receiver = members.get(1);
         CountDownLatch busy = new CountDownLatch(1);
-        b.owner.execute(() -> {
+        receiver.owner.execute(() -> {
             try {
                 busy.await();
             } catch (InterruptedException e) {
                 throw new IllegalStateException(e);
             }
         });
-        while (b.group.counters().contains(" dropped=0 ")) {
-            a.group.broadcast(new byte[10]);
+        while (receiver.group.counters().contains(" dropped=0 ")) {
+            members.get(0).group.broadcast(new byte[10]);
         }
         busy.countDown();
-        assertThat(b.hears()).isEqualTo("p0:" + new String(new byte[10]));
+        assertThat(receiver.nextMessage()).isEqualTo("p0:" + new String(new byte[10]));
     }
 
     @Test
-    void anAddressThatIsTakenEndsItsPartWithAWord() throws Exception {
-        network(1);
-        try (ServerSocket taken =
+    void reportsThatItCannotJoinWhereItsAddressIsInUse() throws Exception {
+        openNetwork(1);
+        try (ServerSocket inUse =
                 new ServerSocket(binds.get(0).getPort(), 1, binds.get(0).getAddress())) {
-            assertThat(taken.isBound()).isTrue();
-            assertThat(start("p0", 0).failures.poll(HANG_S, TimeUnit.SECONDS)).isNotBlank();
+            assertThat(inUse.isBound()).isTrue();
+            assertThat(start(0).failures.poll(TIMEOUT_S, TimeUnit.SECONDS)).isNotBlank();
         }
     }
 
     @Test
-    void aNewLifeIsAnotherPeerOfTheSameName() throws Exception {
-        network(2);
-        Member a = start("p0", 0);
-        a.sees("p0");
-        Member b = start("p1", 1);
-        a.sees("p0", "p1");
-        b.leave();
-        a.sees("p0");
+    void restartedMemberIsAnotherPeerOfTheSameName() throws Exception {
+        startTwoInTurn();
+        Member first = members.get(0);
+        members.get(1).leave();
+        first.awaitView("p0");
         members.add(new Member("p1", 1, 2, null));
-        assertThat(a.sees("p0", "p1").members()).containsExactly(new Peer("p0", 1), new Peer("p1", 2));
+        assertThat(first.awaitView("p0", "p1").members()).containsExactly(new Peer("p0", 1), new Peer("p1", 2));
     }
 }
--- a/lab/src/test/java/frostreel/lab/processes/GroupRig.java
+++ b/lab/src/test/java/frostreel/lab/processes/GroupRig.java
@@ -12,14 +12,12 @@
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
-import java.net.ServerSocket;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.concurrent.BlockingQueue;
-import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.LinkedBlockingQueue;
@@ -27,32 +25,35 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 
-/** Members of a group over real sockets, with a relay on every way; every wait is for an event. */
+/** Members of a group over real sockets, with a relay between any two; every wait is for an event. */
 abstract class GroupRig {
-    static final int HANG_S = 60;
+    /** How long a wait for an event may take before the test fails. */
+    static final int TIMEOUT_S = 60;
+
     private static final long SILENT_MS = 800;
+    private static final int FIRST_HOST = 100;
     private EventLoop loop;
     final List<Member> members = new ArrayList<>();
     final List<InetSocketAddress> binds = new ArrayList<>();
     final Map<String, InetSocketAddress> addresses = new TreeMap<>();
     final BlockingQueue<Peer> suspects = new LinkedBlockingQueue<>();
-    private PeerRelays links;
+    private PeerRelays relays;
 
-    /** One pooler's part, with what it learnt. */
+    /** One pooler's membership, with a queue for each kind of event that it is notified of. */
     final class Member implements Membership.Listener, ReplicatedLog.Listener {
-        final BlockingQueue<String> chosen = new LinkedBlockingQueue<>();
+        final BlockingQueue<String> committedEntries = new LinkedBlockingQueue<>();
         final BlockingQueue<MembershipView> views = new LinkedBlockingQueue<>();
-        final BlockingQueue<String> heard = new LinkedBlockingQueue<>();
+        final BlockingQueue<String> messages = new LinkedBlockingQueue<>();
         final BlockingQueue<String> failures = new LinkedBlockingQueue<>();
         final ExecutorService owner = Executors.newSingleThreadExecutor();
         final GroupMembership group;
-        volatile MembershipView last = MembershipView.NONE;
+        volatile MembershipView lastView = MembershipView.NONE;
 
-        /** {@code folder}: of its log, null for none. */
-        Member(String name, int place, long life, Path folder) {
+        /** {@code folder} holds its replicated log; null for none. */
+        Member(String name, int number, long incarnation, Path folder) {
             group = new GroupMembership(
-                    new ClusterSettings("test", name, binds.get(place), addresses, SILENT_MS),
-                    life,
+                    new ClusterSettings("test", name, binds.get(number), addresses, SILENT_MS),
+                    incarnation,
                     owner,
                     this,
                     folder,
@@ -61,14 +62,14 @@
 
         @Override
         public void onCommitted(long number, byte[] entry) {
-            chosen.add(number + ":" + new String(entry));
+            committedEntries.add(number + ":" + new String(entry));
         }
 
         @Override
         public void onViewChanged(MembershipView view, MembershipView before) {
-            assertThat(before).isEqualTo(last);
+            assertThat(before).isEqualTo(lastView);
             assertThat(view.number()).isGreaterThan(before.number());
-            last = view;
+            lastView = view;
             views.add(view);
         }
 
@@ -79,7 +80,7 @@
 
         @Override
         public void onMessage(Peer from, byte[] message) {
-            heard.add(from.name() + ":" + (message.length < 100 ? new String(message) : message.length));
+            messages.add(from.name() + ":" + (message.length < 100 ? new String(message) : message.length));
         }
 
         @Override
@@ -87,10 +88,10 @@
             failures.add(why);
         }
 
-        /** Waits for a view of these and nobody else, and returns it. */
-        MembershipView sees(String... names) throws InterruptedException {
+        /** Waits for a view of exactly these members, and returns it. */
+        MembershipView awaitView(String... names) throws InterruptedException {
             while (true) {
-                MembershipView view = views.poll(HANG_S, TimeUnit.SECONDS);
+                MembershipView view = views.poll(TIMEOUT_S, TimeUnit.SECONDS);
                 assertThat(view)
                         .as("a view of %s at %s", List.of(names), group.self())
                         .isNotNull();
@@ -102,85 +103,77 @@
 
         void leave() throws Exception {
             owner.submit(group::leave).get();
-            assertThat(group.awaitTermination(HANG_S * 1000)).isTrue();
+            assertThat(group.awaitTermination(TIMEOUT_S * 1000)).isTrue();
         }
 
-        String hears() throws InterruptedException {
-            return heard.poll(HANG_S, TimeUnit.SECONDS);
+        /** The next message, as sender and text. */
+        String nextMessage() throws InterruptedException {
+            return messages.poll(TIMEOUT_S, TimeUnit.SECONDS);
         }
     }
 
     @BeforeEach
-    void begin() throws IOException {
+    void startLoop() throws IOException {
         loop = new EventLoop();
     }
 
-    void network(int count) throws Exception {
-        long pid = ProcessHandle.current().pid();
+    /** Reserves an address for each member, and opens the relays between them. */
+    void openNetwork(int count) throws Exception {
         for (int i = 0; i < count; i++) {
-            String host = "127." + (1 + pid % 250) + "." + pid / 250 % 250 + "." + (100 + i);
-            try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName(host))) {
-                binds.add(new InetSocketAddress(host, socket.getLocalPort()));
-            }
+            binds.add(PoolerProcess.freePort(InetAddress.getByName(LoopbackHosts.host(FIRST_HOST + i))));
         }
-        links = onLoop(() -> new PeerRelays(loop, binds));
+        relays = LoopTasks.call(loop, () -> new PeerRelays(loop, binds));
         for (int i = 0; i < count; i++) {
-            addresses.put("p" + i, links.address(i));
+            addresses.put("p" + i, relays.address(i));
         }
     }
 
-    private interface Task<T> {
-        T run() throws IOException;
-    }
-
-    private <T> T onLoop(Task<T> task) throws Exception {
-        CompletableFuture<T> done = new CompletableFuture<>();
-        loop.thread().execute(() -> {
-            try {
-                done.complete(task.run());
-            } catch (IOException e) {
-                done.completeExceptionally(e);
-            }
+    /** Cuts or heals what some members send to others. */
+    void cut(boolean isCut, List<Integer> from, List<Integer> to) throws Exception {
+        LoopTasks.call(loop, () -> {
+            from.forEach(sender -> to.forEach(receiver -> relays.cut(sender, receiver, isCut)));
+            return null;
         });
-        return done.get();
     }
 
-    void cut(boolean isCut, int[] from, int[] to) throws Exception {
-        onLoop(() -> {
-            for (int f : from) {
-                for (int t : to) {
-                    links.cut(f, t, isCut);
-                }
-            }
-            return null;
-        });
+    /** Cuts or heals both directions between two groups of members. */
+    void partition(boolean isCut, List<Integer> one, List<Integer> other) throws Exception {
+        cut(isCut, one, other);
+        cut(isCut, other, one);
     }
 
-    Member start(String name, int place) {
-        Member member = new Member(name, place, 1, null);
+    Member start(int number) {
+        Member member = new Member("p" + number, number, 1, null);
         members.add(member);
         return member;
     }
 
-    void five() throws Exception {
-        network(5);
-        for (int i = 0; i < 5; i++) {
-            start("p" + i, i);
+    /** Starts members and waits until each sees all. */
+    void startGroup(int count) throws Exception {
+        openNetwork(count);
+        for (int i = 0; i < count; i++) {
+            start(i);
         }
-        for (Member m : members) {
-            m.sees("p0", "p1", "p2", "p3", "p4");
+        awaitViewOfAll();
+    }
+
+    /** Waits until every member sees all members. */
+    void awaitViewOfAll() throws InterruptedException {
+        String[] names = addresses.keySet().toArray(String[]::new);
+        for (Member member : members) {
+            member.awaitView(names);
         }
     }
 
     @AfterEach
     void end() throws Exception {
-        for (Member m : members) {
-            m.leave();
-            m.owner.shutdown();
+        for (Member member : members) {
+            member.leave();
+            member.owner.shutdown();
         }
-        if (links != null) {
-            onLoop(() -> {
-                links.close();
+        if (relays != null) {
+            LoopTasks.call(loop, () -> {
+                relays.close();
                 return null;
             });
         }
--- a/lab/src/test/java/frostreel/lab/processes/ReplicatedLogTest.java
+++ b/lab/src/test/java/frostreel/lab/processes/ReplicatedLogTest.java
@@ -12,56 +12,56 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
+import java.util.function.Predicate;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What a majority chose has one number for ever, whatever is cut, ends or starts again. */
+/** Each entry that a majority committed keeps its number, whatever is cut, ends or restarts. */
 class ReplicatedLogTest extends GroupRig {
-    private static final int MOST_TRIES = 6;
+    private static final int MAX_TRIES = 6;
 
     @TempDir
     Path folder;
 
-    private long life;
+    private long incarnation;
 
-    private void all(int count) throws Exception {
-        life++;
-        String[] names = new String[count];
+    /** Starts a new incarnation of each member, with its log, and waits until each sees all. */
+    private void startAll(int count) throws Exception {
+        incarnation++;
         for (int i = 0; i < count; i++) {
-            names[i] = "p" + i;
-            members.add(new Member(names[i], i, life, folder));
-        }
-        for (Member m : members) {
-            m.sees(names);
+            members.add(new Member("p" + i, i, incarnation, folder));
         }
+        awaitViewOfAll();
     }
 
-    private static CompletableFuture<Long> propose(Member m, String entry) {
-        CompletableFuture<Long> number = new CompletableFuture<>();
-        m.owner.execute(() -> m.group.log().propose(entry.getBytes(), new ReplicatedLog.ProposalListener() {
+    private static CompletableFuture<Long> propose(Member member, String entry) {
+        CompletableFuture<Long> committed = new CompletableFuture<>();
+        ReplicatedLog.ProposalListener listener = new ReplicatedLog.ProposalListener() {
             @Override
-            public void onCommitted(long n) {
-                number.complete(n);
+            public void onCommitted(long number) {
+                committed.complete(number);
             }
 
             @Override
             public void onUnknown(String why) {
-                number.completeExceptionally(new IllegalStateException(why));
+                committed.completeExceptionally(new IllegalStateException(why));
             }
-        }));
-        return number;
+        };
+        member.owner.execute(() -> member.group.log().propose(entry.getBytes(), listener));
+        return committed;
     }
 
     /**
-     * Proposes until it is known what was chosen, each time under another name: how long a majority needs to
-     * find a new leader is the machine's matter, and a proposal is not told of for ever.
+     * Proposes until an entry is known to be committed, each time under another name: how long a majority needs
+     * to elect a new leader depends on the machine, and a proposal's outcome may stay unknown.
      */
-    private static void surely(Member m, String entry, Map<Long, String> told) throws Exception {
+    private static void proposeUntilCommitted(Member member, String entry, Map<Long, String> committed)
+            throws Exception {
         ExecutionException last = null;
-        for (int i = 0; i < MOST_TRIES; i++) {
+        for (int i = 0; i < MAX_TRIES; i++) {
             try {
                 String name = i == 0 ? entry : entry + ", try " + i;
-                told.put(propose(m, name).get(), name);
+                committed.put(propose(member, name).get(), name);
                 return;
             } catch (ExecutionException unknown) {
                 last = unknown;
@@ -70,126 +70,144 @@
         throw last;
     }
 
-    private static List<String> hears(Member m, int count) throws InterruptedException {
-        List<String> heard = new ArrayList<>();
+    private static List<String> nextEntries(Member member, int count) throws InterruptedException {
+        List<String> entries = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            heard.add(m.chosen.poll(HANG_S, TimeUnit.SECONDS));
+            entries.add(member.committedEntries.poll(TIMEOUT_S, TimeUnit.SECONDS));
         }
-        return heard;
+        return entries;
+    }
+
+    /** Adds the next entries to those that were read before, up to the first that matches. */
+    private static void readUntil(Member member, Predicate<String> last, List<String> entries)
+            throws InterruptedException {
+        do {
+            entries.addAll(nextEntries(member, 1));
+        } while (!last.test(entries.get(entries.size() - 1)));
+    }
+
+    private static void end(Member member) throws Exception {
+        member.leave();
+        member.owner.shutdown();
     }
 
     @Test
-    void whatAllProposeAtOnceGetsOneOrderEverywhere() throws Exception {
-        network(3);
-        all(3);
-        List<CompletableFuture<Long>> numbers = new ArrayList<>();
+    void givesConcurrentProposalsOneOrderAtAllMembers() throws Exception {
+        openNetwork(3);
+        startAll(3);
+        List<CompletableFuture<Long>> proposals = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
-            for (Member m : members) {
-                numbers.add(propose(m, m.group.self().name() + "-" + i));
+            for (Member member : members) {
+                proposals.add(propose(member, member.group.self().name() + "-" + i));
             }
         }
-        List<Long> got = new ArrayList<>();
-        for (CompletableFuture<Long> n : numbers) {
-            got.add(n.get());
+        List<Long> numbers = new ArrayList<>();
+        for (CompletableFuture<Long> proposal : proposals) {
+            numbers.add(proposal.get());
         }
-        assertThat(got).doesNotHaveDuplicates().hasSize(30);
-        assertThat(got).allMatch(n -> n >= 1 && n <= 30);
-        List<String> order = hears(members.get(0), 30);
+        assertThat(numbers).doesNotHaveDuplicates().hasSize(30);
+        assertThat(numbers).allMatch(number -> number >= 1 && number <= 30);
+        List<String> order = nextEntries(members.get(0), 30);
         assertThat(order.get(0)).startsWith("1:");
         assertThat(order.get(29)).startsWith("30:");
-        assertThat(hears(members.get(1), 30)).isEqualTo(order);
-        assertThat(hears(members.get(2), 30)).isEqualTo(order);
+        assertThat(nextEntries(members.get(1), 30)).isEqualTo(order);
+        assertThat(nextEntries(members.get(2), 30)).isEqualTo(order);
         assertThatThrownBy(() -> members.get(0).group.log().propose(new byte[ReplicatedLog.MAX_ENTRY_BYTES + 1], null))
                 .hasMessageContaining("at most");
     }
 
     @Test
-    void theSmallerPartChoosesNothingAndHearsAllOnceHealed() throws Exception {
-        network(5);
-        all(5);
+    void minorityCommitsNothingAndCatchesUpOnceHealed() throws Exception {
+        openNetwork(5);
+        startAll(5);
+        List<Integer> minority = List.of(0, 1);
+        List<Integer> majority = List.of(2, 3, 4);
         assertThat(propose(members.get(0), "before").get()).isEqualTo(1);
-        cut(true, new int[] {0, 1}, new int[] {2, 3, 4});
-        cut(true, new int[] {2, 3, 4}, new int[] {0, 1});
-        CompletableFuture<Long> small = propose(members.get(1), "small");
-        assertThat(propose(members.get(3), "large").get()).isEqualTo(2);
-        assertThatThrownBy(small::get).isInstanceOf(ExecutionException.class);
-        cut(false, new int[] {0, 1}, new int[] {2, 3, 4});
-        cut(false, new int[] {2, 3, 4}, new int[] {0, 1});
+        partition(true, minority, majority);
+        CompletableFuture<Long> byMinority = propose(members.get(1), "minority");
+        assertThat(propose(members.get(3), "majority").get()).isEqualTo(2);
+        assertThatThrownBy(byMinority::get).isInstanceOf(ExecutionException.class);
+        partition(false, minority, majority);
         assertThat(propose(members.get(1), "after").get()).isGreaterThan(2);
         List<String> order = new ArrayList<>();
-        do {
-            order.addAll(hears(members.get(0), 1));
-        } while (!order.get(order.size() - 1).endsWith(":after"));
-        assertThat(order).startsWith("1:before", "2:large").doesNotHaveDuplicates();
-        for (Member m : members.subList(1, 5)) {
-            assertThat(hears(m, order.size())).isEqualTo(order);
+        readUntil(members.get(0), entry -> entry.endsWith(":after"), order);
+        assertThat(order).startsWith("1:before", "2:majority").doesNotHaveDuplicates();
+        for (Member member : members.subList(1, 5)) {
+            assertThat(nextEntries(member, order.size())).isEqualTo(order);
         }
     }
 
     @Test
-    void numbersGoOnAfterAllHaveStartedAgainFromTheirFolders() throws Exception {
-        network(3);
-        all(3);
+    void continuesItsNumbersAfterAllMembersRestartFromTheirFolders() throws Exception {
+        openNetwork(3);
+        startAll(3);
         assertThat(propose(members.get(2), "one").get()).isEqualTo(1);
         assertThat(propose(members.get(0), "two").get()).isEqualTo(2);
-        for (Member m : members) {
-            assertThat(hears(m, 2)).containsExactly("1:one", "2:two");
+        for (Member member : members) {
+            assertThat(nextEntries(member, 2)).containsExactly("1:one", "2:two");
         }
-        for (Member m : members) {
-            m.leave();
-            m.owner.shutdown();
+        for (Member member : members) {
+            end(member);
         }
         members.clear();
-        all(3);
+        startAll(3);
         assertThat(propose(members.get(1), "three").get()).isEqualTo(3);
-        for (Member m : members) {
-            assertThat(hears(m, 3)).containsExactly("1:one", "2:two", "3:three");
+        for (Member member : members) {
+            assertThat(nextEntries(member, 3)).containsExactly("1:one", "2:two", "3:three");
         }
     }
 
-    /** Whoever leads is among them: each is cut off in the middle of proposals, ends, and starts again. */
+    /** One of them is the leader: each is cut off in the middle of proposals, ends, and restarts. */
     @Test
-    void noNumberIsLostOrGivenTwiceThoughEachIsCutOffWhileItProposes() throws Exception {
+    void losesNoNumberAndGivesNoneTwiceWhereEachMemberIsCutOffWhileItProposes() throws Exception {
         int count = 3;
-        network(count);
-        all(count);
-        TreeMap<Long, String> told = new TreeMap<>();
-        told.put(propose(members.get(0), "first").get(), "first");
-        for (Member m : members) {
-            assertThat(hears(m, 1)).containsExactly("1:first");
+        openNetwork(count);
+        startAll(count);
+        TreeMap<Long, String> committed = new TreeMap<>();
+        committed.put(propose(members.get(0), "first").get(), "first");
+        for (Member member : members) {
+            assertThat(nextEntries(member, 1)).containsExactly("1:first");
         }
         for (int gone = 0; gone < count; gone++) {
-            int[] one = {gone};
-            int[] others = {(gone + 1) % count, (gone + 2) % count};
-            CompletableFuture<Long> doubtful = propose(members.get(gone), "doubtful " + gone);
-            cut(true, one, others);
-            cut(true, others, one);
-            surely(members.get(others[0]), "sure " + gone, told);
-            members.get(gone).leave();
-            members.get(gone).owner.shutdown();
-            if (doubtful.isDone() && !doubtful.isCompletedExceptionally()) {
-                told.put(doubtful.get(), "doubtful " + gone);
-            }
-            cut(false, one, others);
-            cut(false, others, one);
-            members.set(gone, new Member("p" + gone, gone, 2, folder));
-            members.get(gone).sees("p0", "p1", "p2");
+            cutOffAndRestart(gone, committed);
         }
-        surely(members.get(0), "last", told);
-        long last = told.lastKey();
-        assertThat(told).hasSizeGreaterThanOrEqualTo(count + 1);
-        for (Member m : members) {
-            List<String> order = new ArrayList<>();
-            if (m.group.self().incarnation() == 1) {
-                order.add("1:first");
-            }
-            do {
-                order.addAll(hears(m, 1));
-            } while (!order.get(order.size() - 1).equals(last + ":" + told.get(last)));
-            assertThat(order).doesNotHaveDuplicates();
-            told.forEach((number, entry) -> assertThat(order).contains(number + ":" + entry));
-            assertThat(order).extracting(o -> o.substring(o.indexOf(':') + 1)).doesNotHaveDuplicates();
-            assertThat(order).hasSize((int) last);
+        proposeUntilCommitted(members.get(0), "last", committed);
+        assertThat(committed).hasSizeGreaterThanOrEqualTo(count + 1);
+        for (Member member : members) {
+            assertHasAll(member, committed);
+        }
+    }
+
+    /** Cuts a member off while it proposes, has another propose meanwhile, and restarts the first. */
+    private void cutOffAndRestart(int gone, Map<Long, String> committed) throws Exception {
+        int count = members.size();
+        List<Integer> others = List.of((gone + 1) % count, (gone + 2) % count);
+        CompletableFuture<Long> doubtful = propose(members.get(gone), "doubtful " + gone);
+        partition(true, List.of(gone), others);
+        proposeUntilCommitted(members.get(others.get(0)), "sure " + gone, committed);
+        end(members.get(gone));
+        if (doubtful.isDone() && !doubtful.isCompletedExceptionally()) {
+            committed.put(doubtful.get(), "doubtful " + gone);
+        }
+        partition(false, List.of(gone), others);
+        members.set(gone, new Member("p" + gone, gone, 2, folder));
+        members.get(gone).awaitView("p0", "p1", "p2");
+    }
+
+    /** Reads a member's entries up to the last committed one: each has one number, and none is missing. */
+    private static void assertHasAll(Member member, TreeMap<Long, String> committed) throws Exception {
+        long last = committed.lastKey();
+        String lastEntry = last + ":" + committed.get(last);
+        List<String> order = new ArrayList<>();
+        if (member.group.self().incarnation() == 1) {
+            order.add("1:first"); // It was read before.
         }
+        readUntil(member, entry -> entry.equals(lastEntry), order);
+        assertThat(order).doesNotHaveDuplicates();
+        committed.forEach((number, entry) -> assertThat(order).contains(number + ":" + entry));
+        assertThat(order)
+                .extracting(entry -> entry.substring(entry.indexOf(':') + 1))
+                .doesNotHaveDuplicates();
+        assertThat(order).hasSize((int) last);
     }
 }
