--- a/lab/src/test/java/frostreel/lab/cli/MainTest.java
+++ b/lab/src/test/java/frostreel/lab/cli/MainTest.java
@@ -28,7 +28,7 @@
             """;
     private final StringWriter out = new StringWriter();
     private final StringWriter err = new StringWriter();
-    private final CommandLine line =
+    private final CommandLine commandLine =
             Main.commandLine().setOut(new PrintWriter(out)).setErr(new PrintWriter(err));
 
     @TempDir
@@ -39,41 +39,43 @@
     }
 
     @Test
-    void aRunIsKeptAndTheSameSeedGivesTheSameToTheByte() throws Exception {
+    void keepsResultsThatAreByteForByteEqualForEqualSeeds() throws Exception {
         Path first = folder.resolve("a");
         Path second = folder.resolve("b");
-        assertThat(line.execute("run", file(SMALL), "--seeds", "2", "--out", first.toString()))
+        assertThat(commandLine.execute("run", file(SMALL), "--seeds", "2", "--out", first.toString()))
                 .isZero();
         assertThat(out.toString()).contains("pass: worth of tiers is").endsWith("verdict: pass\n");
-        assertThat(line.execute("run", file(SMALL), "--seeds", "2", "--out", second.toString()))
+        assertThat(commandLine.execute("run", file(SMALL), "--seeds", "2", "--out", second.toString()))
                 .isZero();
         for (String kept : List.of("result.json", "table.md", "table.csv", "seconds.csv")) {
             assertThat(first.resolve(kept)).hasSameBinaryContentAs(second.resolve(kept));
         }
         assertThat(first.resolve("worth.png")).isNotEmptyFile();
         assertThat(first.resolve("spilt.png")).isNotEmptyFile();
-        assertThat(line.execute("compare", first.toString(), second.toString())).isZero();
+        assertThat(commandLine.execute("compare", first.toString(), second.toString()))
+                .isZero();
         assertThat(out.toString()).contains("| " + second + " | tiers |");
-        assertThat(line.execute("compare", folder.resolve("none").toString())).isEqualTo(2);
+        assertThat(commandLine.execute("compare", folder.resolve("none").toString()))
+                .isEqualTo(2);
     }
 
     @Test
-    void aCheckThatDoesNotHoldFailsTheRun() throws Exception {
-        assertThat(line.execute("run", file(SMALL.replace("atLeast=\"0.5\"", "atLeast=\"1\""))))
+    void failsTheRunWhereACheckDoesNotHold() throws Exception {
+        assertThat(commandLine.execute("run", file(SMALL.replace("atLeast=\"0.5\"", "atLeast=\"1\""))))
                 .isEqualTo(1);
         assertThat(out.toString()).contains("fail: worth of tiers is").endsWith("verdict: fail\n");
     }
 
     @Test
-    void aFaultyFileIsToldByLineAndKeyAndNothingIsPlayed() throws Exception {
+    void reportsFaultsByLineAndKeyAndPlaysNothing() throws Exception {
         String faulty = SMALL.replace("load=\"0.4\"", "load=\"0\"").replace("poolersPerZone=\"1\"", "");
-        assertThat(line.execute("run", file(faulty))).isEqualTo(2);
+        assertThat(commandLine.execute("run", file(faulty))).isEqualTo(2);
         assertThat(err.toString())
                 .contains("e.xml:2:", "experiment/fleet@poolersPerZone", "e.xml:3:", "experiment/clients@load");
         String senseless = SMALL.replace("zone=\"1\" atS=\"8\"", "zone=\"2\" atS=\"20\"")
                 .replace("policy=\"plain\"", "policy=\"none\"")
                 .replace("name=\"tiers\"", "name=\"plain\"");
-        assertThat(line.execute("run", file(senseless))).isEqualTo(2);
+        assertThat(commandLine.execute("run", file(senseless))).isEqualTo(2);
         assertThat(err.toString())
                 .contains(
                         "there is no zone 2",
@@ -81,11 +83,11 @@
                         "there is no policy 'none'",
                         "stands there twice");
         assertThat(out.toString()).isEmpty();
-        assertThat(line.execute("run", file(SMALL), "--seeds", "0")).isEqualTo(2);
+        assertThat(commandLine.execute("run", file(SMALL), "--seeds", "0")).isEqualTo(2);
     }
 
     @Test
-    void aFaultyFileOfProcessesEndsWithTwoAndEveryFaultIsTold() throws Exception {
+    void reportsAllFaultsOfAProcessExperimentAndExitsWithTwo() throws Exception {
         String faulty = """
                 <processes xmlns="urn:frostreel:processes:1" name="p" durationS="5">
                 <fleet poolers="2" groups="1"/><clients perSecond="9"/>
@@ -93,7 +95,7 @@
                 <crashServer server="3" atS="1" untilS="2"/></faults>
                 <checks><worth fromS="3" toS="6" atLeast="1"/></checks></processes>""";
         String program = Files.createFile(folder.resolve("a.jar")).toString();
-        assertThat(line.execute("processes", "--program", program, file(faulty)))
+        assertThat(commandLine.execute("processes", "--program", program, file(faulty)))
                 .isEqualTo(2);
         assertThat(err.toString())
                 .contains(
@@ -102,16 +104,16 @@
                         "is not after atS",
                         "there is no server 3",
                         "is not after fromS");
-        assertThat(line.execute("processes", "--program", program, file(faulty.replace("kill", "cut"))))
+        assertThat(commandLine.execute("processes", "--program", program, file(faulty.replace("kill", "cut"))))
                 .isEqualTo(2);
         assertThat(err.toString()).contains("processes/faults/cut");
-        assertThat(line.execute("processes", "--program", "none.jar", file(faulty)))
+        assertThat(commandLine.execute("processes", "--program", "none.jar", file(faulty)))
                 .isEqualTo(2);
         assertThat(err.toString()).contains("there is no none.jar");
     }
 
     @Test
-    void theShippedExperimentsCanBeRead() throws Exception {
+    void readsTheShippedExperiments() throws Exception {
         try (Stream<Path> files = Files.list(Path.of("../experiments"))) {
             List<Path> all = files.toList();
             assertThat(all).hasSizeGreaterThan(3);
--- a/lab/src/test/java/frostreel/lab/processes/ClusterMemberTest.java
+++ b/lab/src/test/java/frostreel/lab/processes/ClusterMemberTest.java
@@ -15,11 +15,10 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Processes of the program that see each other, and faults between them; waits are for what they show. */
+/** Processes of the program that are members of one cluster, and faults between them; waits are for their pages. */
 @Timeout(300)
 class ClusterMemberTest {
-    private static final Path PROGRAM =
-            Path.of("../pooler/target/frostreel.jar").toAbsolutePath();
+    private static final int POOLERS = 3;
     private static final long SILENT_MS = 800;
 
     @TempDir
@@ -31,17 +30,15 @@
     void start() throws Exception {
         fleet = new Fleet(
                 new SimulationPlan(3, 3, 1, 2, 2, 30, 0, 600_000_000, true),
-                3,
+                POOLERS,
                 SILENT_MS,
                 false,
-                PROGRAM,
+                ExperimentPlay.PROGRAM,
                 dir,
                 20_000_000);
         fleet.start();
         fleet.begin(List.of());
-        await(0, "p0 present", "p1 present", "p2 present");
-        await(1, "p0 present", "p1 present", "p2 present");
-        await(2, "p0 present", "p1 present", "p2 present");
+        awaitAllPresent();
     }
 
     @AfterEach
@@ -50,17 +47,24 @@
         assertThat(ProcessHandle.current().children()).isEmpty();
     }
 
-    /** Asks a pooler until it shows all of this. */
-    private String await(int pooler, String... lines) throws IOException {
+    /** Reads a pooler's page until it has a line that begins with each text, and returns it. */
+    private String await(int pooler, String... beginnings) throws IOException {
         while (true) {
             String page = fleet.page(pooler, "fleet");
-            if (List.of(lines).stream().allMatch(l -> page.lines().anyMatch(p -> p.startsWith(l)))) {
+            if (List.of(beginnings).stream()
+                    .allMatch(beginning -> page.lines().anyMatch(line -> line.startsWith(beginning)))) {
                 return page;
             }
             Thread.onSpinWait();
         }
     }
 
+    private void awaitAllPresent() throws IOException {
+        for (int pooler = 0; pooler < POOLERS; pooler++) {
+            await(pooler, "p0 present", "p1 present", "p2 present");
+        }
+    }
+
     private void cut(boolean isCut, List<Integer> from, List<Integer> to) throws Exception {
         fleet.onLoop(() -> {
             fleet.network().cutPeers(from, to, isCut);
@@ -75,13 +79,13 @@
         return Long.parseLong(incarnation.group(1));
     }
 
-    private void rulesWereKept() throws Exception {
-        CountDownLatch over = new CountDownLatch(1);
+    private void assertRulesKept() throws Exception {
+        CountDownLatch allEnded = new CountDownLatch(1);
         fleet.onLoop(() -> {
-            fleet.load().whenAllEnded(over::countDown);
+            fleet.load().whenAllEnded(allEnded::countDown);
             return null;
         });
-        over.await();
+        allEnded.await();
         fleet.judge();
         assertThat(fleet.invariants().broken())
                 .as(() -> String.join("\n", fleet.log()))
@@ -91,27 +95,25 @@
     }
 
     @Test
-    void oneThatIsCutOffIsAbsentForTheOthersServesOnAndIsHereAgain() throws Exception {
+    void poolerThatIsNotHeardIsAbsentButServesAndRejoinsOnceHealed() throws Exception {
         cut(true, List.of(2), List.of(0, 1));
         await(0, "p0 present", "p1 present", "p2 absent");
         await(1, "p0 present", "p1 present", "p2 absent");
         assertThat(fleet.page(2, "stats")).isNotEmpty();
         cut(false, List.of(2), List.of(0, 1));
-        for (int i = 0; i < 3; i++) {
-            await(i, "p0 present", "p1 present", "p2 present");
-        }
-        rulesWereKept();
+        awaitAllPresent();
+        assertRulesKept();
     }
 
     @Test
-    void oneThatIsKilledComesBackInANewLifeAndOneThatPausesInItsOldOne() throws Exception {
+    void killedPoolerRejoinsInANewIncarnationAndAPausedOneInItsOwn() throws Exception {
         long first = incarnation(await(0, "p1 present"), "p1");
-        CountDownLatch back = new CountDownLatch(1);
+        CountDownLatch restarted = new CountDownLatch(1);
         fleet.onLoop(() -> {
-            fleet.lifecycle().kill(1, 0, back::countDown);
+            fleet.lifecycle().kill(1, 0, restarted::countDown);
             return null;
         });
-        back.await();
+        restarted.await();
         String page = await(0, "p1 present incarnation=");
         while (incarnation(page, "p1") == first) {
             page = await(0, "p1 present incarnation=");
@@ -122,11 +124,11 @@
         await(0, "p2 absent");
         await(1, "p2 absent");
         pause(false);
-        for (int i = 0; i < 3; i++) {
+        for (int i = 0; i < POOLERS; i++) {
             assertThat(incarnation(await(i, "p0 present", "p1 present", "p2 present"), "p2"))
                     .isEqualTo(paused);
         }
-        rulesWereKept();
+        assertRulesKept();
     }
 
     private void pause(boolean isPaused) throws Exception {
--- a/lab/src/test/java/frostreel/lab/processes/HandoverTest.java
+++ b/lab/src/test/java/frostreel/lab/processes/HandoverTest.java
@@ -27,13 +27,11 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Two processes of the built program as an upgrade has them, but that each has a socket of its own, so that
- * the test says which of them a request goes through. The replica lags, and says so; nothing checks it.
+ * Two processes of the built program that run side by side as in an upgrade. Each has a socket of its own, so that
+ * the test chooses which of them serves a request. The replica reports that it lags; no server checks freshness.
  */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class HandoverTest {
-    private static final Path PROGRAM =
-            Path.of("../pooler/target/frostreel.jar").toAbsolutePath();
     private static final String CONFIG = """
             {"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f",
             "settings":{"zones":["dc"],"machineTypes":["m"],"zone":0,"roundS":0.005,
@@ -42,10 +40,13 @@
             {"name":"post","deadlineS":60,"onTimeS":50,"repeat":"dedup","group":"cell","repeatWindowS":3}],
             "familyInfo":{"freshness":["session","write"],"listRole":"start","positions":true,
             "serverChecks":"silent","writeMarks":"remembered"},"rules":{}}}""";
+    /** How long to wait after a kill; longer does no harm. */
+    private static final long PAUSE_NS = 150_000_000;
+
     private final List<AutoCloseable> open = new ArrayList<>();
     private final long beganMs = System.currentTimeMillis();
-    /** Where it is set, writes have come there and get no answer. */
-    private volatile CountDownLatch held;
+    /** While set, the servers leave writes unanswered, and count them here. */
+    private volatile CountDownLatch unanswered;
 
     private JSONArray hosts;
 
@@ -53,26 +54,26 @@
     Path dir;
 
     @BeforeEach
-    void raise() throws Exception {
+    void startServers() throws Exception {
         hosts = new JSONArray().put(server("primary")).put(server("replica"));
     }
 
     @AfterEach
-    void strike() throws Exception {
-        for (AutoCloseable o : open) {
-            o.close();
+    void endAll() throws Exception {
+        for (AutoCloseable each : open) {
+            each.close();
         }
         assertThat(ProcessHandle.current().children()).isEmpty();
     }
 
-    /** A server that answers with its role, and with how far it is: now, or not since the test began. */
+    /** A server that answers with its role and its position: now for the primary, before the test for the replica. */
     private JSONObject server(String role) throws IOException {
         ServerSocket listener = new ServerSocket(0, 9, InetAddress.getByName("127.0.0.1"));
         open.add(listener);
         daemon(() -> {
             while (true) {
-                Socket link = listener.accept();
-                daemon(() -> serve(link, role));
+                Socket connection = listener.accept();
+                daemon(() -> serve(connection, role));
             }
         });
         return new JSONObject(Map.of(
@@ -94,16 +95,16 @@
                 role));
     }
 
-    private void serve(Socket link, String role) throws IOException {
-        DataInputStream in = new DataInputStream(link.getInputStream());
-        OutputStream out = link.getOutputStream();
+    private void serve(Socket connection, String role) throws IOException {
+        DataInputStream in = new DataInputStream(connection.getInputStream());
+        OutputStream out = connection.getOutputStream();
         in.skipNBytes(in.readInt() - Integer.BYTES);
         out.write(Messages.welcome(1, 1));
         while (true) {
             in.readUnsignedByte();
             byte[] sql = in.readNBytes(in.readInt() - Integer.BYTES);
-            if (held != null && sql[0] == 'I') {
-                held.countDown();
+            if (unanswered != null && sql[0] == 'I') {
+                unanswered.countDown();
                 continue;
             }
             long positionMs = role.equals("primary") ? System.currentTimeMillis() : beganMs - 1_000;
@@ -129,28 +130,28 @@
             try {
                 task.run();
             } catch (IOException e) {
-                return; // The other side has gone, or the test is over.
+                return; // The pooler closed the connection, or the test is over.
             }
         });
         thread.setDaemon(true);
         thread.start();
     }
 
-    /** A process, and one client of it. */
-    private final class Life {
+    /** A pooler process, and a client that is connected to it. */
+    private final class PoolerAndClient {
         final SharedSocket socket = new SharedSocket("127.0.0.1");
         final ProcessHandle process;
         final Socket client;
         final DataInputStream in;
         final Path log = dir.resolve(open.size() + ".log");
-        private int asked;
+        private int requests;
 
-        Life() throws IOException {
+        PoolerAndClient() throws IOException {
             this("exec \"$@\"");
         }
 
-        /** The shell's line has the program's command as its words. */
-        Life(String line) throws IOException {
+        /** The shell command has the program's command line as its arguments. */
+        PoolerAndClient(String shellCommand) throws IOException {
             open.add(0, this::end);
             Path config = Files.writeString(
                     dir.resolve("pooler.json"),
@@ -162,11 +163,11 @@
                     List.of(
                             "/bin/sh",
                             "-c",
-                            line,
+                            shellCommand,
                             "sh",
                             ProcessHandle.current().info().command().orElseThrow(),
                             "-jar",
-                            PROGRAM.toString(),
+                            ExperimentPlay.PROGRAM.toString(),
                             "serve"),
                     Map.of(
                             "GW_CONFIG",
@@ -181,36 +182,40 @@
             client = new Socket(socket.address().getAddress(), socket.address().getPort());
             in = new DataInputStream(client.getInputStream());
             client.getOutputStream().write(Messages.startup());
-            answer();
+            nextAnswer();
         }
 
-        /** The value of the answer, or its error. */
-        private String answer() throws IOException {
+        /** The value of the next answer, or its error. */
+        private String nextAnswer() throws IOException {
             String value = "";
-            for (int type = 0; type != 'Z'; ) {
-                type = in.readUnsignedByte();
+            while (true) {
+                int type = in.readUnsignedByte();
                 byte[] body = in.readNBytes(in.readInt() - Integer.BYTES);
-                value = type == 'D'
-                        ? new String(body, 6, body.length - 6, StandardCharsets.US_ASCII)
-                        : type == 'E' ? new String(body, StandardCharsets.US_ASCII) : value;
+                switch (type) {
+                    case 'D' -> value = new String(body, 6, body.length - 6, StandardCharsets.US_ASCII);
+                    case 'E' -> value = new String(body, StandardCharsets.US_ASCII);
+                    case 'Z' -> {
+                        return value;
+                    }
+                    default -> {}
+                }
             }
-            return value;
         }
 
         void send(String sql, String comment) throws IOException {
-            String id = Integer.toHexString(hashCode()) + "x" + ++asked;
+            String id = Integer.toHexString(hashCode()) + "x" + ++requests;
             client.getOutputStream()
                     .write(Messages.query((sql + " /* id=" + id + ",d=50000,cluster=2," + comment + " */\0")
                             .getBytes(StandardCharsets.US_ASCII)));
         }
 
-        void post(String session) throws IOException {
+        void sendWrite(String session) throws IOException {
             send("INSERT INTO records (k, v) VALUES ('" + session + "', '\\x9f') RETURNING v", "c=post,k=5c0f");
         }
 
-        String look(String session) throws IOException {
+        String read(String session) throws IOException {
             send("SELECT v FROM records WHERE k = '" + session + "'", "c=look");
-            return answer();
+            return nextAnswer();
         }
 
         void end() throws Exception {
@@ -221,44 +226,48 @@
     }
 
     @Test
-    void whatWentThroughOneProcessIsSeenThroughTheOtherAlsoAfterItsEnd() throws Exception {
-        Life before = new Life();
-        before.post("7f3a");
-        assertThat(before.answer()).isEqualTo("primary");
-        Life after = new Life();
-        assertThat(after.look("aaaa")).as("a session that wrote nothing").isEqualTo("replica");
-        assertThat(after.look("7f3a")).as("written through the old one").isEqualTo("primary");
-        after.post("7f3b");
-        assertThat(after.answer()).isEqualTo("primary");
-        assertThat(before.look("7f3b")).as("written through the new one").isEqualTo("primary");
-        held = new CountDownLatch(1);
-        before.post("7f3c");
-        held.await();
+    void sessionsSeeTheirWritesThroughTheOtherProcessEvenAfterAKill() throws Exception {
+        PoolerAndClient before = new PoolerAndClient();
+        before.sendWrite("7f3a");
+        assertThat(before.nextAnswer()).isEqualTo("primary");
+        PoolerAndClient after = new PoolerAndClient();
+        assertThat(after.read("aaaa")).as("a session without writes").isEqualTo("replica");
+        assertThat(after.read("7f3a")).as("written through the old one").isEqualTo("primary");
+        after.sendWrite("7f3b");
+        assertThat(after.nextAnswer()).isEqualTo("primary");
+        assertThat(before.read("7f3b")).as("written through the new one").isEqualTo("primary");
+        unanswered = new CountDownLatch(1);
+        before.sendWrite("7f3c");
+        unanswered.await();
         before.process.destroyForcibly();
         before.process.onExit().join();
-        assertThat(after.look("7f3a")).as("answered by one that was killed").isEqualTo("primary");
-        long since = System.nanoTime();
-        while (System.nanoTime() - since < 150_000_000) { // Longer is as good.
+        assertThat(after.read("7f3a")).as("answered by the killed process").isEqualTo("primary");
+        long killedNs = System.nanoTime();
+        while (System.nanoTime() - killedNs < PAUSE_NS) {
             Thread.onSpinWait();
         }
-        assertThat(after.look("7f3c")).as("in hand at its end").isEqualTo("primary");
+        assertThat(after.read("7f3c")).as("in flight at the kill").isEqualTo("primary");
     }
 
-    /** The system ends each writing to a file beyond that size as it does on a disk that is full. */
+    /** The limit on the size of files makes a write fail as on a full disk. */
     @Test
-    void whereTheFileCannotBeMadeAsLargeAsNeededItServesAsWithNoFolder() throws Exception {
-        Life full = new Life("ulimit -f 40; exec \"$@\"");
-        assertThat(full.look("aaaa")).as("anyone's commits may be the other's").isEqualTo("primary");
-        full.post("7f3a");
-        assertThat(full.answer()).isEqualTo("primary");
-        assertThat(full.look("7f3a")).isEqualTo("primary");
+    void servesWithoutTheCommitTableWhereItsFileCannotGrow() throws Exception {
+        PoolerAndClient full = new PoolerAndClient("ulimit -f 40; exec \"$@\"");
+        assertThat(full.read("aaaa"))
+                .as("any session may have commits through the other process")
+                .isEqualTo("primary");
+        full.sendWrite("7f3a");
+        assertThat(full.nextAnswer()).isEqualTo("primary");
+        assertThat(full.read("7f3a")).isEqualTo("primary");
         assertThat(Files.readString(full.log))
                 .containsOnlyOnce("commits of peer processes unknown: java.io.IOException: File too large");
         try (Stream<Path> left = Files.list(dir.resolve("frostreel-orders"))) {
-            assertThat(left.map(f -> f.getFileName().toString()))
-                    .as("nothing half made is left")
+            assertThat(left.map(file -> file.getFileName().toString()))
+                    .as("no incomplete file is left")
                     .containsExactly("clock");
         }
-        assertThat(new Life().look("aaaa")).as("the next one has room").isEqualTo("replica");
+        assertThat(new PoolerAndClient().read("aaaa"))
+                .as("the next process can create the file")
+                .isEqualTo("replica");
     }
 }
--- a/lab/src/test/java/frostreel/lab/processes/RecordersTest.java
+++ b/lab/src/test/java/frostreel/lab/processes/RecordersTest.java
@@ -15,13 +15,13 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 
-/** What is seen of sockets convicts as what is seen in virtual time does; one case for each rule. */
+/** Violations of the rules are found in what sockets carry, as they are in virtual time; a case for each rule. */
 class RecordersTest {
     private static final Router.Settings SETTINGS =
             new SimulationPlan(1, 1, 1, 1, 1, 1, 0, 1_000_000, false).settings(0, 0);
-    private static final Map<String, Router.RequestClass> CLASSES =
-            SETTINGS.classes().stream().collect(Collectors.toMap(Router.RequestClass::name, c -> c));
-    private static final byte[] REFUSED = with(Messages.error(false, "53300", "no", null));
+    private static final Map<String, Router.RequestClass> CLASSES = SETTINGS.classes().stream()
+            .collect(Collectors.toMap(Router.RequestClass::name, requestClass -> requestClass));
+    private static final byte[] REJECTION = with(Messages.error(false, "53300", "no", null));
     private long nowUs = 1_700_000_000_000_000L;
     private final InvariantChecker checker = new InvariantChecker(SETTINGS.limits(), SETTINGS.rules());
     private final ClientRecorder client = new ClientRecorder(() -> nowUs, 0, CLASSES, checker, false);
@@ -47,9 +47,9 @@
         return all.toByteArray();
     }
 
-    private static byte[] read(String id, String className, String more) {
-        return query("SELECT v FROM records WHERE k = 's1' /* id=" + id + ",c=" + className + ",d=1000,cluster=0" + more
-                + " */");
+    private static byte[] read(String id, String className, String attributes) {
+        return query("SELECT v FROM records WHERE k = 's1' /* id=" + id + ",c=" + className + ",d=1000,cluster=0"
+                + attributes + " */");
     }
 
     private static byte[] write(String id) {
@@ -61,7 +61,7 @@
         return Messages.query((sql + "\0").getBytes(StandardCharsets.US_ASCII));
     }
 
-    /** A replica's answer from data of that age. */
+    /** A replica's answer from data of an age. */
     private byte[] row(long ageUs) {
         byte[] text = ("applied_ms\0" + (nowUs - ageUs) / 1000 + "\0").getBytes(StandardCharsets.US_ASCII);
         return with(
@@ -73,51 +73,51 @@
                         .array());
     }
 
-    private List<String> broken() {
+    private List<String> brokenRules() {
         checker.end(nowUs);
         return checker.rules().stream()
-                .filter(r -> r.broken() > 0)
+                .filter(rule -> rule.broken() > 0)
                 .map(Rule::name)
                 .toList();
     }
 
-    private void asks(byte[] query) {
+    private void takeRequest(byte[] query) {
         client.poolerReceived(Messages.startup());
         client.poolerSent(Messages.welcome(1, 1));
         client.poolerReceived(query);
     }
 
     @Test
-    void aRequestServedInTimeBreaksNothing() {
-        asks(read("1", "account-view", ""));
+    void acceptsARequestServedInTime() {
+        takeRequest(read("1", "account-view", ""));
         StatementRecorder recorder = server("a");
         byte[] query = read("1", "account-view", "");
-        for (byte b : query) { // However the bytes are split.
-            recorder.poolerSent(new byte[] {b});
+        for (byte single : query) { // The bytes may be split anywhere.
+            recorder.poolerSent(new byte[] {single});
         }
         nowUs += 40_000;
         recorder.poolerReceived(row(500_000));
         client.poolerSent(with(Messages.row("v", "x")));
         nowUs += 10_000_000;
-        assertThat(broken()).isEmpty();
+        assertThat(brokenRules()).isEmpty();
     }
 
     @Test
-    void anAnswerThatIsLateOrNeverComesConvicts() {
-        asks(read("1", "account-view", ""));
+    void reportsLateAndMissingAnswers() {
+        takeRequest(read("1", "account-view", ""));
         nowUs += 1_100_000;
-        client.poolerSent(REFUSED);
-        assertThat(broken()).containsExactly("one final answer in time");
+        client.poolerSent(REJECTION);
+        assertThat(brokenRules()).containsExactly("one final answer in time");
         client.poolerReceived(read("2", "account-view", ""));
         nowUs += 5_000_000;
         client.connectionEnded(true);
-        assertThat(broken()).containsExactly("one final answer in time");
+        assertThat(brokenRules()).containsExactly("one final answer in time");
         assertThat(checker.broken()).isEqualTo(2);
     }
 
     @Test
-    void whatAClientThatLeftOrAKilledPoolerOwesConvictsNobody() {
-        asks(read("1", "account-view", ""));
+    void excusesAnswersOwedToDisconnectedClientsAndByKilledOrPausedPoolers() {
+        takeRequest(read("1", "account-view", ""));
         client.connectionEnded(false);
         ClientRecorder second = new ClientRecorder(() -> nowUs, 1, CLASSES, checker, false);
         second.poolerReceived(Messages.startup());
@@ -131,22 +131,22 @@
         checker.poolerPaused(nowUs, 2, true);
         nowUs += 9_000_000;
         checker.poolerPaused(nowUs, 2, false);
-        third.poolerSent(REFUSED);
-        assertThat(broken()).isEmpty();
+        third.poolerSent(REJECTION);
+        assertThat(brokenRules()).isEmpty();
     }
 
     @Test
-    void whatCrossesTheEndOfAUsedConnectionIsExcusedWhereItMayAndElsewhereConvicts() {
-        for (boolean mayCross : new boolean[] {true, false}) {
-            ClientRecorder recorder = new ClientRecorder(() -> nowUs, 0, CLASSES, checker, mayCross);
+    void excusesARequestThatCrossesTheEndOfAUsedConnectionOnlyWhereAllowed() {
+        for (boolean mayCrossEnd : new boolean[] {true, false}) {
+            ClientRecorder recorder = new ClientRecorder(() -> nowUs, 0, CLASSES, checker, mayCrossEnd);
             recorder.poolerReceived(Messages.startup());
             recorder.poolerSent(Messages.welcome(1, 1));
-            recorder.poolerReceived(read("used" + mayCross, "account-view", ""));
-            recorder.poolerSent(REFUSED);
-            recorder.poolerReceived(read("crossing" + mayCross, "account-view", ""));
+            recorder.poolerReceived(read("used" + mayCrossEnd, "account-view", ""));
+            recorder.poolerSent(REJECTION);
+            recorder.poolerReceived(read("crossing" + mayCrossEnd, "account-view", ""));
             recorder.connectionEnded(true);
             nowUs += 9_000_000;
-            assertThat(broken().isEmpty()).isEqualTo(mayCross);
+            assertThat(brokenRules().isEmpty()).isEqualTo(mayCrossEnd);
         }
         ClientRecorder fresh = new ClientRecorder(() -> nowUs, 0, CLASSES, checker, true);
         fresh.poolerReceived(Messages.startup());
@@ -160,42 +160,42 @@
     }
 
     @Test
-    void aSecondAttemptInFlightConvicts() {
+    void reportsASecondAttemptInFlight() {
         server("a").poolerSent(read("1", "account-view", ""));
         server("b").poolerSent(read("1", "account-view", ""));
-        assertThat(broken()).containsExactly("one attempt at a time, 10 at most");
+        assertThat(brokenRules()).containsExactly("one attempt at a time, 10 at most");
     }
 
-    /** Two sockets that are ready at once are taken in any order. */
+    /** Two sockets that are ready at once are read in any order. */
     @Test
-    void anAttemptWhoseEndIsFoundBehindTheNextOnesBytesConvictsNobody() {
+    void readsTheEndOfAnAttemptBeforeItReportsTheNextOne() {
         AttemptOrder order = new AttemptOrder();
         StatementRecorder first = server("a", order);
         StatementRecorder second = server("b", order);
         first.poolerSent(read("1", "account-view", ""));
         order.readBy(() -> first.connectionEnded(true));
         second.poolerSent(read("1", "account-view", ""));
-        assertThat(broken()).isEmpty();
+        assertThat(brokenRules()).isEmpty();
     }
 
     @Test
-    void aWriteSentAgainPastItsWindowConvictsAndWithinItDoesNot() {
+    void reportsAWriteThatIsRetriedAfterItsWindow() {
         StatementRecorder first = server("a");
-        asks(write("1"));
+        takeRequest(write("1"));
         first.poolerSent(write("1"));
         first.connectionEnded(true);
         nowUs += 2_900_000;
         StatementRecorder second = server("b");
         second.poolerSent(write("1"));
         second.connectionEnded(false);
-        assertThat(broken()).isEmpty();
+        assertThat(brokenRules()).isEmpty();
         nowUs += 200_000;
         server("c").poolerSent(write("1"));
-        assertThat(broken()).contains("sent again only as the class permits");
+        assertThat(brokenRules()).contains("sent again only as the class permits");
     }
 
     @Test
-    void aSendLongAfterTheListSaidThatItsServerDrainsConvicts() {
+    void reportsAnAttemptLongAfterTheListSaidThatItsServerDrains() {
         byte[] body = "{\"seq\":1,\"hosts\":[{\"host\":\"a\",\"health\":\"Terminating\"}]}"
                 .getBytes(StandardCharsets.US_ASCII);
         byte[] response =
@@ -205,26 +205,26 @@
         nowUs += 900_000;
         StatementRecorder first = server("a");
         first.poolerSent(read("1", "account-view", ""));
-        first.poolerReceived(REFUSED);
-        assertThat(broken()).isEmpty();
+        first.poolerReceived(REJECTION);
+        assertThat(brokenRules()).isEmpty();
         nowUs += 200_000;
         first.poolerSent(read("1", "account-view", ""));
-        assertThat(broken()).containsExactly("drains and ends kept");
+        assertThat(brokenRules()).containsExactly("drains and ends kept");
     }
 
     @Test
-    void aReadOlderThanItsClassOrItsSessionAllowsConvicts() {
+    void reportsReadsOlderThanTheirClassOrSessionAllows() {
         StatementRecorder recorder = server("a");
         recorder.poolerSent(read("1", "account-view", ""));
         recorder.poolerReceived(row(790_000));
         recorder.poolerSent(read("2", "receipt-view", ",after=" + (nowUs / 1000 - 100)));
         recorder.poolerReceived(row(50_000));
-        assertThat(broken()).isEmpty();
+        assertThat(brokenRules()).isEmpty();
         recorder.poolerSent(read("3", "account-view", ""));
         recorder.poolerReceived(row(900_000));
         recorder.poolerSent(read("4", "receipt-view", ",after=" + (nowUs / 1000 - 100)));
         recorder.poolerReceived(row(150_000));
-        assertThat(broken()).containsExactly("no stale read");
+        assertThat(brokenRules()).containsExactly("no stale read");
         assertThat(checker.broken()).isEqualTo(2);
     }
 }
