--- a/lab/src/main/java/frostreel/lab/processes/AdminCall.java
+++ b/lab/src/main/java/frostreel/lab/processes/AdminCall.java
@@ -11,7 +11,7 @@
 import org.xnio.OptionMap;
 import org.xnio.StreamConnection;
 
-/** One call at an admin endpoint: a line, and the line that answers it; an empty answer where none comes. */
+/** One command at an admin endpoint: sends a line, and reads the line that answers it, empty if there is none. */
 final class AdminCall implements SocketStream.Handler {
     private final Consumer<String> answer;
     private final StringBuilder received = new StringBuilder();
@@ -47,7 +47,7 @@
         received.append(StandardCharsets.US_ASCII.decode(in));
     }
 
-    /** The pooler ends the connection behind its answer. */
+    /** The pooler ends the connection after its answer. */
     @Override
     public void ended() {
         if (!answered) {
--- a/lab/src/main/java/frostreel/lab/processes/ClientRecorder.java
+++ b/lab/src/main/java/frostreel/lab/processes/ClientRecorder.java
@@ -12,10 +12,10 @@
 import java.util.ArrayDeque;
 import java.util.Map;
 
-/** Reports the requests on one connection of a client as the pooler sees them: taken, and answered. */
+/** Reports when the pooler takes and answers the requests on one connection of a client. */
 final class ClientRecorder implements TrafficRecorder {
     private static final int MAX_MESSAGE_BYTES = 1 << 18;
-    /** In place of the id of a query that is no request: an empty one, or one for a page. */
+    /** In place of the id of a query that is no request, such as an empty query or SHOW. */
     private static final String NO_REQUEST = "";
 
     private final Clock clock;
@@ -25,20 +25,20 @@
     private final boolean mayCrossEnd;
     private final MessageReader fromClient = new MessageReader(type -> MAX_MESSAGE_BYTES);
     private final MessageReader toClient = new MessageReader(type -> MAX_MESSAGE_BYTES);
-    /** The ids of the queries that are not answered yet, in their order. */
+    /** The ids of the unanswered queries, in their order. */
     private final ArrayDeque<String> open = new ArrayDeque<>();
 
     private boolean started;
     private boolean welcomed;
     private boolean used;
-    /** Of the query that is being answered; null until it is known. */
+    /** The answer of the query that is being answered; null until it is known. */
     private Answer answer;
 
     /**
      * A recorder for one connection.
      *
-     * @param mayCrossEnd whether poolers leave while clients ask, so that a request may cross the end of a
-     *     connection that was used before; its client sends it again on a new one, and the load counts it
+     * @param mayCrossEnd whether poolers shut down under load, so that a request may cross the end of a connection
+     *     that was used before; its client sends it again on a new one, and the load counts it
      */
     ClientRecorder(
             Clock clock,
@@ -119,7 +119,7 @@
         answer = null;
     }
 
-    /** After a fatal error no ReadyForQuery comes; a request that the pooler leaves otherwise is lost. */
+    /** After a fatal error there is no ReadyForQuery; any other request that is open at the end is lost. */
     @Override
     public void connectionEnded(boolean byPooler) {
         if (answer != null) {
--- a/lab/src/main/java/frostreel/lab/processes/ClusterFile.java
+++ b/lab/src/main/java/frostreel/lab/processes/ClusterFile.java
@@ -12,7 +12,7 @@
 
     private ClusterFile() {}
 
-    /** Writes the file into a folder and returns it; {@code binds} has each pooler's own listening address. */
+    /** Writes the file into a folder and returns its path; {@code binds} has where each pooler listens. */
     static Path write(
             Path folder, long silentAfterMs, List<PoolerNode> poolers, List<InetSocketAddress> binds, PeerRelays peers)
             throws IOException {
--- a/lab/src/main/java/frostreel/lab/processes/EndpointListRecorder.java
+++ b/lab/src/main/java/frostreel/lab/processes/EndpointListRecorder.java
@@ -9,13 +9,13 @@
 import org.json.JSONArray;
 import org.json.JSONObject;
 
-/** Reports what the endpoint list comes to say to a pooler, from the agent's responses as they reach it. */
+/** Reports the endpoint list's updates from the agent's responses, as they reach the pooler. */
 final class EndpointListRecorder implements TrafficRecorder {
     private static final Pattern HEAD = Pattern.compile("(?s)^HTTP/1\\.1 200 OK.*?Content-Length: (\\d+)" + "\r\n\r\n");
     private final Clock clock;
     private final int pooler;
     private final RunListener listener;
-    /** What is not parsed yet, one byte a character: the agent writes ASCII. */
+    /** The text that is not parsed yet, a character for each byte, as the agent writes ASCII. */
     private final StringBuilder text = new StringBuilder();
 
     EndpointListRecorder(Clock clock, int pooler, RunListener listener) {
@@ -38,8 +38,8 @@
     }
 
     private void report(JSONArray hosts) {
-        for (Object each : hosts) {
-            JSONObject host = (JSONObject) each;
+        for (Object entry : hosts) {
+            JSONObject host = (JSONObject) entry;
             State state = state(host.getString("health"));
             listener.endpointUpdated(clock.now(), pooler, host.getString("host"), state);
         }
--- a/lab/src/main/java/frostreel/lab/processes/FaultCampaign.java
+++ b/lab/src/main/java/frostreel/lab/processes/FaultCampaign.java
@@ -1,8 +1,6 @@
 package frostreel.lab.processes;
 
 import frostreel.lab.report.Tables;
-import frostreel.settings.FaultyFileException;
-import java.io.IOException;
 import java.io.PrintWriter;
 import java.io.StringWriter;
 import java.nio.file.Files;
@@ -13,8 +11,8 @@
 import java.util.stream.Collectors;
 
 /**
- * Plays each fault of the system at each phase of a pooler process, one after another, and says of each whether
- * the pooler came back, and whether the fleet served as before within seconds of the fault's end.
+ * Plays each fault of the system at each phase of a pooler process, one after another. A case passes if the pooler
+ * restarts in time and the fleet serves as before within seconds of the fault's end.
  */
 public final class FaultCampaign {
     /** When a fault begins: right before a restart, under load, or right before SIGTERM. */
@@ -27,16 +25,17 @@
     /** One fault of the system or of a remote party; its {@code xml} lacks the pooler and the times. */
     record Kind(String name, String xml) {}
 
-    /** A fleet to play on. */
+    /** The size of the fleet: poolers, and replica groups of three servers. */
     public record Size(int poolers, int groups) {}
 
     private static final List<String> COLUMNS = List.of("fault", "phase", "seconds", "verdict", "details");
     private static final double BEGINS_S = 2;
-    /** After a fault's end, service has to be back within so long. */
-    private static final int BACK_S = 3;
+    /** How soon after the end of a fault the fleet has to serve as before. */
+    private static final int RECOVERY_S = 3;
 
-    private static final int SERVED_S = 3;
-    /** A restart may take so long beside the fault itself. */
+    /** For how long the service after the recovery is measured. */
+    private static final int MEASURED_S = 3;
+    /** How long a restart may take beyond the fault itself. */
     private static final int START_S = 8;
 
     private static final List<Kind> KINDS = List.of(
@@ -65,7 +64,7 @@
     private final Size size;
     private final PrintWriter out;
 
-    /** {@code out}: takes a line a case. */
+    /** {@code out}: takes a line for each case. */
     public FaultCampaign(Size size, PrintWriter out) {
         this.size = size;
         this.out = out;
@@ -80,8 +79,11 @@
     }
 
     /**
-     * Plays all cases whose name begins with {@code only}; true where all hold. {@code seconds}: how long
-     * faults last, 0 for one call that fails once. {@code folder} keeps what each case showed, and a table.
+     * Plays all cases whose name begins with {@code only}, and returns whether all pass.
+     *
+     * @param seconds how long faults last, 0 for a single call that fails
+     * @param jar the built program
+     * @param folder takes the results of each case and a table of all
      */
     public boolean run(List<Integer> seconds, String only, Path jar, Path folder) throws Exception {
         Files.createDirectories(folder);
@@ -104,7 +106,7 @@
 
     private boolean play(
             Kind kind, Phase phase, int faultS, String name, Path jar, Path folder, List<List<String>> rows)
-            throws IOException, FaultyFileException, Exception {
+            throws Exception {
         Path file = Files.writeString(folder.resolve(name + ".xml"), experiment(kind, phase, faultS));
         StringWriter output = new StringWriter();
         boolean good = new ProcessExperimentRunner(new PrintWriter(output), false)
@@ -119,12 +121,12 @@
         return good;
     }
 
-    /** The fault strikes pooler 0; one other fault puts that into the phase. */
+    /** The fault hits pooler 0; a second fault brings the pooler into the phase. */
     private String experiment(Kind kind, Phase phase, int faultS) {
         boolean once = faultS == 0;
-        double until = BEGINS_S + Math.max(faultS, 1);
-        int back = (int) Math.ceil(until) + BACK_S + (phase == Phase.LOAD ? 0 : START_S / 2);
-        String fault = kind.xml() + " pooler=\"0\" atS=\"" + BEGINS_S + "\" untilS=\"" + until + "\""
+        double untilS = BEGINS_S + Math.max(faultS, 1);
+        int recoveredS = (int) Math.ceil(untilS) + RECOVERY_S + (phase == Phase.LOAD ? 0 : START_S / 2);
+        String fault = kind.xml() + " pooler=\"0\" atS=\"" + BEGINS_S + "\" untilS=\"" + untilS + "\""
                 + (once ? " times=\"1\"" : "") + "/>";
         String phaseFault = switch (phase) {
             case START -> "<kill pooler=\"0\" atS=\"" + (BEGINS_S - 0.2) + "\" awayS=\"0.3\"/>";
@@ -137,14 +139,14 @@
                 <faults>%s%s</faults>
                 <checks><rules slackMs="20000"/><slowestStartS atMost="%d"/><blind atMost="0"/>
                 <faultsInLogs atMost="0"/><worth fromS="%d" toS="%d" atLeast="0.9"/></checks></processes>""".formatted(
-                        back + SERVED_S,
+                        recoveredS + MEASURED_S,
                         size.poolers(),
                         size.groups(),
                         40 * Math.min(size.poolers(), 12),
                         fault,
                         phaseFault,
                         faultS + START_S,
-                        back,
-                        back + SERVED_S);
+                        recoveredS,
+                        recoveredS + MEASURED_S);
     }
 }
--- a/lab/src/main/java/frostreel/lab/processes/FaultElement.java
+++ b/lab/src/main/java/frostreel/lab/processes/FaultElement.java
@@ -7,8 +7,8 @@
 import java.util.Locale;
 
 /**
- * The XML element of one fault of an experiment. Beside the attributes' values it has those that have to agree
- * with the rest of the experiment, such as a pooler's number, and reports each one that does not.
+ * The XML element of one fault of an experiment. Checks the attributes that have to agree with the rest of the
+ * experiment, such as a pooler's number, and reports each one that does not.
  */
 final class FaultElement {
     private final XmlElement xml;
--- a/lab/src/main/java/frostreel/lab/processes/Fleet.java
+++ b/lab/src/main/java/frostreel/lab/processes/Fleet.java
@@ -51,8 +51,8 @@
     /**
      * Builds the fleet; no process runs yet.
      *
-     * @param silentAfterMs after how long poolers count a silent peer as absent; 0 where they have no peers
-     * @param operated whether operators call, and each pooler has a listening socket that outlives its process
+     * @param silentAfterMs after how long poolers consider a silent peer absent; 0 where they have no peers
+     * @param operated whether poolers have admin endpoints and listening sockets that outlive their processes
      * @param folder takes configurations and logs
      * @param slackUs eases the time limits of the invariants
      */
--- a/lab/src/main/java/frostreel/lab/processes/LoadRequest.java
+++ b/lab/src/main/java/frostreel/lab/processes/LoadRequest.java
@@ -3,17 +3,17 @@
 import frostreel.lab.virtual.SimulationPlan;
 import frostreel.routing.Router.RequestClass;
 
-/** A request of a simulated client, with what a retry of it needs. */
+/** A request of a simulated client, with the state that its retry needs. */
 final class LoadRequest {
     final int classIndex;
     final int session;
-    /** When its client asked first; a retry keeps it. */
+    /** When the client first sent it; a retry keeps this time. */
     final long askedUs;
 
     final boolean retry;
-    /** What its present statement is called; each sending has a new one. */
+    /** The id of its present statement; each attempt has a new one. */
     String id;
-    /** Whether it was sent a second time because its connection ended under it. */
+    /** Whether it was sent again because its connection was closed as it was sent. */
     boolean resent;
 
     LoadRequest(int classIndex, int session, long askedUs, boolean retry) {
--- a/lab/src/main/java/frostreel/lab/processes/LoadStatements.java
+++ b/lab/src/main/java/frostreel/lab/processes/LoadStatements.java
@@ -4,7 +4,7 @@
 import frostreel.routing.Router.RequestClass;
 import java.nio.charset.StandardCharsets;
 
-/** Words the statements of the load, and remembers when each session's last write was answered. */
+/** Builds the statements of the load, and keeps the time at which each session's last write was answered. */
 final class LoadStatements {
     private final int groups;
     private final long[] lastWriteMs;
@@ -15,7 +15,7 @@
         lastWriteMs = new long[sessions];
     }
 
-    /** A query's text, zero-terminated, under a new id, which the request takes. */
+    /** The zero-terminated text of the request's next query; gives the request a new id. */
     byte[] next(LoadRequest request) {
         RequestClass requestClass = request.requestClass();
         request.id = Long.toString(++lastId, Character.MAX_RADIX);
@@ -26,7 +26,7 @@
         return (sql + attributes(request, requestClass) + "\0").getBytes(StandardCharsets.US_ASCII);
     }
 
-    /** The comment by which a pooler learns of the request's class, deadline and session. */
+    /** The comment that states the request's class, deadline and session to the pooler. */
     private String attributes(LoadRequest request, RequestClass requestClass) {
         StringBuilder comment = new StringBuilder(" /* id=")
                 .append(request.id)
--- a/lab/src/main/java/frostreel/lab/processes/LoadStatistics.java
+++ b/lab/src/main/java/frostreel/lab/processes/LoadStatistics.java
@@ -2,12 +2,12 @@
 
 import org.HdrHistogram.Histogram;
 
-/** What became of all requests of a run. Counted on the event loop's thread. */
+/** The outcomes of all requests of a run. Used on the event loop's thread alone. */
 final class LoadStatistics {
     private static final long MAX_LATENCY_US = 60_000_000L;
     private static final int LATENCY_DIGITS = 3;
 
-    /** What became of the requests asked in one second. */
+    /** The outcomes of the requests that were first sent in one second. */
     static final class Second {
         long asked;
         long served;
@@ -26,7 +26,7 @@
     long unanswered;
     /** Requests for which no pooler was ready. */
     long unplaced;
-    /** Answers with a value that no server gave for their request. */
+    /** Answers whose value no server gave for the request. */
     long foreign;
     /** Requests that crossed the end of an idle connection, and were resent on a new one. */
     long resent;
@@ -58,14 +58,14 @@
         seconds[second].weightAsked += weight;
     }
 
-    /** {@code second}: in which the request was asked. */
+    /** {@code second}: the one in which the request was first sent. */
     void recordServed(int second, long latencyUs, double weight) {
         latencies.recordValue(Math.min(latencyUs, latencies.getHighestTrackableValue()));
         seconds[second].served++;
         seconds[second].weightServed += weight;
     }
 
-    /** Share of the weight asked for in some seconds that was served; 1 where nothing was asked. */
+    /** The served share of the weight of the requests of some seconds; 1 if there were none. */
     double weightShare(int fromSecond, int toSecond) {
         double served = 0;
         double all = 0;
--- a/lab/src/main/java/frostreel/lab/processes/MembershipWatch.java
+++ b/lab/src/main/java/frostreel/lab/processes/MembershipWatch.java
@@ -9,8 +9,8 @@
 import java.util.regex.Pattern;
 
 /**
- * Polls each pooler of a fleet for the members that it sees, and notes each change with its time: how soon a
- * view follows what happened. One thread a pooler, since a paused one keeps whoever asks it waiting.
+ * Polls each pooler of a fleet for the members that it sees, and records each change with its time, which shows how
+ * soon views follow faults. Each pooler has a thread of its own, since a paused pooler blocks its thread.
  */
 final class MembershipWatch implements AutoCloseable {
     static final List<String> COLUMNS = List.of("second", "pooler", "sees");
@@ -41,7 +41,7 @@
             String now = membersSeen(fleet, number);
             if (!now.equals(last)) {
                 last = now;
-                note(number, now);
+                recordChange(number, now);
             }
             try {
                 TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MS);
@@ -64,12 +64,12 @@
         }
     }
 
-    private synchronized void note(int number, String names) {
+    private synchronized void recordChange(int number, String names) {
         String second = String.format(Locale.ROOT, "%.3f", (System.nanoTime() - startNs) / NS_PER_SECOND);
         rows.add(List.of(second, "p" + number, names));
     }
 
-    /** What each saw from when on, in the order of time; "-" while it does not answer. */
+    /** A row for each change of a pooler's view, in the order of time; "-" stands for no answer. */
     synchronized List<List<String>> rows() {
         return List.copyOf(rows);
     }
--- a/lab/src/main/java/frostreel/lab/processes/NetworkFaults.java
+++ b/lab/src/main/java/frostreel/lab/processes/NetworkFaults.java
@@ -29,7 +29,7 @@
                 .forEach(relay -> relay.cut(poolerIsNear ? outbound : inbound, poolerIsNear ? inbound : outbound));
     }
 
-    /** Delays every byte by so much, each way. */
+    /** Delays every byte, each way. */
     void delay(int pooler, NetworkSide side, long us) {
         log.add("p" + pooler + " to " + side + ": " + us / 1000 + " ms later");
         relays(pooler, side).forEach(relay -> relay.delay(us));
@@ -55,19 +55,19 @@
         return bytesPerSecond == UNBOUNDED ? "as fast as it goes" : bytesPerSecond + " bytes a second";
     }
 
-    /** Cuts or heals what {@code from} send to {@code to}; the other direction is left as it is. */
+    /** Cuts or heals the direction from one group of poolers to another; the other one is left as it is. */
     void cutPeers(List<Integer> from, List<Integer> to, boolean isCut) {
         log.add("what " + from + " say to " + to + " is " + (isCut ? "cut" : "heard again"));
         from.forEach(sender -> to.forEach(receiver -> peers.cut(sender, receiver, isCut)));
     }
 
-    /** Delays every byte between the two groups of poolers by so much, each way. */
+    /** Delays every byte between two groups of poolers, each way. */
     void delayPeers(List<Integer> from, List<Integer> to, long us) {
         log.add("between " + from + " and " + to + ": " + us / 1000 + " ms later");
         from.forEach(one -> to.forEach(other -> peers.delay(one, other, us)));
     }
 
-    /** Limits the bytes a second on each connection between the two groups; 0 for no limit. */
+    /** Limits the bytes a second on each connection between two groups; 0 for no limit. */
     void slowPeers(List<Integer> from, List<Integer> to, long bytesPerSecond) {
         log.add("between " + from + " and " + to + ": " + rateText(bytesPerSecond));
         from.forEach(one -> to.forEach(other -> peers.slow(one, other, bytesPerSecond)));
--- a/lab/src/main/java/frostreel/lab/processes/OperatorCalls.java
+++ b/lab/src/main/java/frostreel/lab/processes/OperatorCalls.java
@@ -2,9 +2,9 @@
 
 import java.util.List;
 
-/** Operators' calls at the admin endpoints of a fleet. Used on the event loop's thread alone. */
+/** Sends operators' commands to the admin endpoints of a fleet. Used on the event loop's thread alone. */
 final class OperatorCalls {
-    /** The command names no server. */
+    /** In place of a server's number, for commands that name none. */
     static final int NO_SERVER = -1;
 
     private static final String SUSPEND = "SUSPEND";
@@ -28,7 +28,7 @@
         String serverId = server == NO_SERVER ? null : servers.server(server).id;
         String line = serverId == null ? command : command + " " + serverId;
         if (command.equals(RESTORE)) {
-            // The pooler may use the server before its answer has come.
+            // The pooler may use the server before its answer arrives.
             run.invariants().serverSuspended(run.scheduler().now(), number, serverId, false);
         }
         AdminCall.make(run.loop(), pooler.process.adminAddress(), line, answer -> {
@@ -41,7 +41,7 @@
         });
     }
 
-    /** Calls that were not answered OK. */
+    /** How many commands were not answered OK. */
     long rejected() {
         return rejected;
     }
--- a/lab/src/main/java/frostreel/lab/processes/PeerRelays.java
+++ b/lab/src/main/java/frostreel/lab/processes/PeerRelays.java
@@ -10,16 +10,16 @@
 
 /**
  * The relays between poolers that are members of one cluster, one for each ordered pair. A pooler has one address
- * for all its peers, so one port listens there for all of them and tells who connects by the address connected
- * from: each pooler has a host address of its own. Connections are used in both directions, whoever opened them;
- * a cut of what one sends to another holds on those of either.
+ * for all its peers, so one port accepts for all of them and identifies a peer by its host address, which each
+ * pooler has for itself. Peers use a connection in both directions, whichever of them opened it, so a cut from one
+ * to another applies to the connections of both.
  */
 final class PeerRelays {
     private final FaultyRelay[][] relays;
     private final boolean[][] cut;
     private final List<Port> ports = new ArrayList<>();
 
-    /** {@code binds}: where each pooler listens, on a host address of its own. On the loop's thread. */
+    /** {@code binds}: where each pooler listens, on a host address of its own; on the loop's thread. */
     PeerRelays(EventLoop loop, List<InetSocketAddress> binds) throws IOException {
         int count = binds.size();
         relays = new FaultyRelay[count][count];
@@ -47,31 +47,31 @@
         throw new IllegalStateException("no pooler calls from " + caller);
     }
 
-    /** Where the others reach a pooler. */
+    /** Where its peers reach a pooler. */
     InetSocketAddress address(int pooler) {
         return ports.get(pooler).address();
     }
 
-    /** Cuts or heals what one sends to another; the other direction is left as it is. */
+    /** Cuts or heals one direction; the other is left as it is. */
     void cut(int from, int to, boolean isCut) {
         cut[from][to] = isCut;
         relays[from][to].cut(cut[from][to], cut[to][from]);
         relays[to][from].cut(cut[to][from], cut[from][to]);
     }
 
-    /** Delays every byte between the two by so much, each way. */
+    /** Delays every byte between two poolers, each way. */
     void delay(int one, int other, long us) {
         relays[one][other].delay(us);
         relays[other][one].delay(us);
     }
 
-    /** Limits the bytes a second on each connection between the two, 0 for no limit. */
+    /** Limits the bytes a second on each connection between two poolers, 0 for no limit. */
     void slow(int one, int other, long bytesPerSecond) {
         relays[one][other].slow(bytesPerSecond);
         relays[other][one].slow(bytesPerSecond);
     }
 
-    /** Resets every connection between the two. */
+    /** Resets every connection between two poolers. */
     void reset(int one, int other) {
         relays[one][other].reset();
         relays[other][one].reset();
--- a/lab/src/main/java/frostreel/lab/processes/PlatformConfig.java
+++ b/lab/src/main/java/frostreel/lab/processes/PlatformConfig.java
@@ -6,7 +6,7 @@
 import org.json.JSONArray;
 import org.json.JSONObject;
 
-/** Writes a pooler's configuration as the platform does: the inverse of the program's reading of settings. */
+/** Writes a pooler's configuration in the platform's format, the inverse of the program's reading of settings. */
 final class PlatformConfig {
     private static final double US_PER_SECOND = 1e6;
     private static final String MACHINE_TYPE = "m";
@@ -98,7 +98,7 @@
                 .put("fallS", seconds(rules.fallUs()));
     }
 
-    /** What holds for databases alone: freshness by class, positions, roles. */
+    /** The settings that apply to databases alone: freshness by class, positions and roles. */
     private static JSONObject databaseFacts(Router.Settings settings) {
         JSONArray freshness = new JSONArray();
         JSONArray bounds = new JSONArray();
--- a/lab/src/main/java/frostreel/lab/processes/PoolerLifecycle.java
+++ b/lab/src/main/java/frostreel/lab/processes/PoolerLifecycle.java
@@ -22,26 +22,26 @@
         this.load = load;
     }
 
-    /** Starts every pooler; the result is complete once all serve clients. */
+    /** Starts all poolers; the result completes once they serve clients. */
     CompletableFuture<Void> startAll() {
         List<CompletableFuture<Void>> ready = new ArrayList<>();
         for (PoolerNode pooler : poolers) {
-            CompletableFuture<Void> one = new CompletableFuture<>();
-            ready.add(one);
+            CompletableFuture<Void> serving = new CompletableFuture<>();
+            ready.add(serving);
             pooler.start();
             load.awaitReady(pooler.number(), () -> {
                 pooler.ready();
-                one.complete(null);
+                serving.complete(null);
             });
         }
         return CompletableFuture.allOf(ready.toArray(CompletableFuture[]::new));
     }
 
-    /** SIGKILL, and a restart later; {@code onReady} runs once the new process serves clients. */
+    /** SIGKILL, and a restart after {@code downUs}; {@code onReady} runs once the new process serves clients. */
     void kill(int number, long downUs, Runnable onReady) {
         PoolerNode pooler = poolers.get(number);
         if (!pooler.expectedAlive()) {
-            return; // It is down already.
+            return; // It is already down.
         }
         run.log().add(pooler.name() + " is killed");
         noteGone(pooler);
@@ -51,7 +51,7 @@
         run.scheduler().after(downUs, () -> restart(pooler, onReady));
     }
 
-    /** SIGTERM, and a restart some time after the process has ended. */
+    /** SIGTERM, and a restart {@code downUs} after the process has ended. */
     void stop(int number, long downUs, Runnable onReady) {
         PoolerNode pooler = poolers.get(number);
         if (!pooler.expectedAlive()) {
@@ -67,7 +67,7 @@
         }));
     }
 
-    /** Nobody is owed an answer to what still reaches its machine. */
+    /** Tells the invariants that requests which reach its machine from now on need no answer. */
     private void noteGone(PoolerNode pooler) {
         run.invariants().poolerKilled(run.scheduler().now(), pooler.number());
         run.invariants().poolerPaused(run.scheduler().now(), pooler.number(), true);
@@ -92,7 +92,7 @@
         return poolers.stream().mapToLong(PoolerNode::startingForUs).reduce(slowestRestartUs, Math::max);
     }
 
-    /** SIGSTOP or SIGCONT; nobody is owed what a paused pooler could not answer. */
+    /** SIGSTOP or SIGCONT; a paused pooler does not owe the answers that come due meanwhile. */
     void pause(int number, boolean paused) {
         PoolerNode pooler = poolers.get(number);
         if (!pooler.process.alive()) {
@@ -107,7 +107,7 @@
         run.invariants().poolerPaused(run.scheduler().now(), number, paused);
     }
 
-    /** Names of the processes that ended though nobody ended them. */
+    /** Names of the processes that ended without being ended on purpose. */
     List<String> crashed() {
         return poolers.stream()
                 .filter(pooler -> pooler.expectedAlive() && !pooler.process.alive())
--- a/lab/src/main/java/frostreel/lab/processes/PoolerNode.java
+++ b/lab/src/main/java/frostreel/lab/processes/PoolerNode.java
@@ -17,7 +17,7 @@
 
 /**
  * One pooler of a fleet: its process over all incarnations, the discovery agent of its machine, and a relay
- * on every way between it and what it speaks to. Used on the event loop's thread alone.
+ * for each of its remote parties. Used on the event loop's thread alone.
  */
 final class PoolerNode {
     private static final int SOCKET_LIMIT = 512;
@@ -30,14 +30,14 @@
     private final Map<NetworkSide, List<FaultyRelay>> relays = new EnumMap<>(NetworkSide.class);
     /** The operators' file; null where there is none. */
     private Path settingsFile;
-    /** The endpoint list as the last incarnation held it, which the next one starts with; null before. */
+    /** The endpoint list of the last incarnation, with which the next one starts; null before the first end. */
     private JSONObject cachedEndpoints;
 
     private boolean expectedAlive;
     private boolean upgrading;
     private long startingSinceUs = NOT_STARTING;
 
-    /** Opens its relays and its agent; the process is not started yet. */
+    /** Opens the relays and the agent; the process does not run yet. */
     PoolerNode(RunContext run, int number, String host, Path jar, StandInServers servers) throws IOException {
         this.run = run;
         seed = run.random().nextLong();
@@ -96,7 +96,7 @@
         return process.name();
     }
 
-    /** Where clients reach it: the near end of its relay. */
+    /** Where clients reach it, through a relay. */
     InetSocketAddress clientAddress() {
         return relays.get(NetworkSide.CLIENTS).get(0).address();
     }
@@ -105,14 +105,14 @@
         return relays.get(side);
     }
 
-    /** From the next start on, the process reads this operators' file. */
+    /** Sets the operators' file that the process reads from its next start on. */
     void useSettings(Path file) {
         settingsFile = file;
     }
 
     /**
-     * Starts the process. What its agent holds counts as told from its first moment, since it would have been
-     * had the process asked for it.
+     * Starts the process. The invariants assume that it knows the agent's present list from the first moment, since
+     * it may ask for it at any time.
      */
     void start() {
         expectedAlive = true;
@@ -152,27 +152,27 @@
                 relays.get(NetworkSide.DISCOVERY).get(0).address());
     }
 
-    /** Keeps the endpoint list as it is now for the next incarnation. */
+    /** Keeps the present endpoint list for the next incarnation. */
     void cacheEndpoints() {
         cachedEndpoints = agent.fullList();
     }
 
-    /** Its process is about to be ended on purpose. */
+    /** Notes that the process is about to be ended on purpose. */
     void expectEnd() {
         expectedAlive = false;
     }
 
-    /** Whether its process has been started and not been ended on purpose. */
+    /** Whether the process was started and has not been ended on purpose. */
     boolean expectedAlive() {
         return expectedAlive;
     }
 
-    /** It serves clients: its start is over. */
+    /** Notes that the process serves clients, which ends its start. */
     void ready() {
         startingSinceUs = NOT_STARTING;
     }
 
-    /** How long the present start has taken by now; 0 where it is not starting. */
+    /** How long the present start has taken; 0 where the process is not starting. */
     long startingForUs() {
         return startingSinceUs == NOT_STARTING ? 0 : run.scheduler().now() - startingSinceUs;
     }
@@ -185,7 +185,7 @@
         upgrading = isUpgrading;
     }
 
-    /** Closes its relays and its agent; the process is ended by itself. */
+    /** Closes the relays and the agent; the process is ended separately. */
     void close() {
         relays.values().forEach(side -> side.forEach(FaultyRelay::close));
         agent.close();
--- a/lab/src/main/java/frostreel/lab/processes/ProcessExperiment.java
+++ b/lab/src/main/java/frostreel/lab/processes/ProcessExperiment.java
@@ -10,9 +10,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** An experiment with processes, read against its schema and checked for sense. */
+/** An experiment with processes, read from a file that conforms to its schema and makes sense. */
 public final class ProcessExperiment {
-    /** The range that the operators' file allows. */
+    /** The least time that the operators' file allows, beside 0. */
     private static final long MIN_SILENT_MS = 500;
 
     private static final long MAX_SILENT_MS = 60_000;
@@ -48,7 +48,7 @@
                 .reduce(0, (first, last) -> last);
     }
 
-    /** Reads a file that anyone may have written. */
+    /** Reads a file; all that is wrong with it is in the exception. */
     public static ProcessExperiment read(Path file) throws FaultyFileException {
         List<Fault> errors = new ArrayList<>();
         ProcessExperiment read = new ProcessExperiment(file.toString(), XmlFile.read(file, SCHEMA), errors);
@@ -63,7 +63,7 @@
         return name;
     }
 
-    /** The seed, where the call names none. */
+    /** The seed to use where the command line states none. */
     public long seed() {
         return seed;
     }
@@ -76,17 +76,17 @@
         return (int) (fleetSettings.integer("zones") * fleetSettings.integer("groups"));
     }
 
-    /** After how long poolers count a silent peer as absent; 0 where they have no peers. */
+    /** After how long poolers consider a silent peer absent; 0 where they have no peers. */
     long silentAfterMs() {
         return fleetSettings.integer("silentAfterMs");
     }
 
-    /** Whether operators call, and each pooler has a listening socket that outlives it. */
+    /** Whether poolers have admin endpoints and listening sockets that outlive their processes. */
     boolean operated() {
         return fleetSettings.isTrue("operated");
     }
 
-    /** Whether system calls are to fail, so that the poolers need the library for that. */
+    /** Whether any fault makes system calls fail, for which the poolers have to preload a library. */
     boolean failsSystemCalls() {
         return faults.stream().anyMatch(ProcessFault::failsSystemCalls);
     }
@@ -109,7 +109,7 @@
         return checks;
     }
 
-    /** Its load is in requests a second; poolers are spread evenly over the zones. */
+    /** The plan for a seed: load in requests a second, and poolers spread evenly over the zones. */
     SimulationPlan plan(long withSeed) {
         int zones = (int) fleetSettings.integer("zones");
         return new SimulationPlan(
--- a/lab/src/main/java/frostreel/lab/processes/ProcessExperimentRunner.java
+++ b/lab/src/main/java/frostreel/lab/processes/ProcessExperimentRunner.java
@@ -13,14 +13,14 @@
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
 
-/** Plays an experiment with processes, keeps what it showed, and says whether its checks hold. */
+/** Plays an experiment with processes, keeps its results, and prints whether its checks hold. */
 public final class ProcessExperimentRunner {
     private static final double US_PER_MS = 1e3;
     private static final long US_PER_SECOND = 1_000_000;
     private final PrintWriter out;
     private final boolean live;
 
-    /** {@code live}: prints a line a second, for whoever watches. */
+    /** {@code live}: prints a line each second, for a user at a terminal. */
     public ProcessExperimentRunner(PrintWriter out, boolean live) {
         this.out = out;
         this.live = live;
@@ -42,7 +42,7 @@
                 jar,
                 work,
                 experiment.slackUs());
-        // An interrupted run, too, ends all it started.
+        // An interrupted run ends all its processes, too.
         Thread onInterrupt = new Thread(() -> end(fleet), "end");
         Runtime.getRuntime().addShutdownHook(onInterrupt);
         try {
@@ -94,7 +94,7 @@
         return verdict.passed();
     }
 
-    /** Waits until every request has ended, and prints each second meanwhile where someone watches. */
+    /** Waits until all requests have ended; a live run prints each second meanwhile. */
     private void await(CountDownLatch allAnswered, ProcessExperiment experiment, Fleet fleet) throws Exception {
         for (int s = 0; !allAnswered.await(1, TimeUnit.SECONDS); s++) {
             if (live && s < experiment.durationS()) {
--- a/lab/src/main/java/frostreel/lab/processes/ProcessRunFiles.java
+++ b/lab/src/main/java/frostreel/lab/processes/ProcessRunFiles.java
@@ -14,7 +14,7 @@
 import org.json.JSONArray;
 import org.json.JSONObject;
 
-/** Writes what a run showed: its result, its log, the figures of each second and a chart. */
+/** Writes the results of a run: the totals, the log of its events, the figures of each second and a chart. */
 final class ProcessRunFiles {
     private static final List<String> COLUMNS = List.of("second", "asked", "served", "worth");
 
--- a/lab/src/main/java/frostreel/lab/processes/ProcessRunFindings.java
+++ b/lab/src/main/java/frostreel/lab/processes/ProcessRunFindings.java
@@ -8,7 +8,7 @@
 import java.util.stream.Stream;
 
 /**
- * What is looked up at the end of a run, beyond what was counted during it.
+ * The state of a fleet at the end of its run, beyond what was counted during it.
  *
  * @param partitioned poolers that do not see all others; 0 where poolers see nobody by design
  * @param withoutDiscovery poolers that do not hear discovery; 0 where no check asks for it
@@ -16,7 +16,7 @@
  * @param faultLines lines of the poolers' logs that report a fault of the program
  */
 record ProcessRunFindings(long partitioned, long withoutDiscovery, List<String> crashed, long faultLines) {
-    /** Looks at the running poolers, has the invariants judged, ends the fleet, and reads the logs. */
+    /** Examines the running poolers, checks the invariants, ends the fleet, and reads the logs. */
     static ProcessRunFindings collect(ProcessExperiment experiment, Fleet fleet, Path logs) throws Exception {
         long partitioned = partitioned(experiment, fleet);
         long withoutDiscovery = withoutDiscovery(experiment, fleet);
@@ -48,7 +48,7 @@
                 : 0;
     }
 
-    /** A pooler that shows no page hears nobody. */
+    /** A pooler that shows no page does not hear discovery either. */
     private static boolean hearsDiscovery(Fleet fleet, int pooler) {
         try {
             return fleet.page(pooler, "health").contains("discovery=answering");
--- a/lab/src/main/java/frostreel/lab/processes/ProcessUpgrades.java
+++ b/lab/src/main/java/frostreel/lab/processes/ProcessUpgrades.java
@@ -4,12 +4,12 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 
 /**
- * Upgrades poolers one by one: a successor starts beside the old process, which is told to stop as soon as the
+ * Upgrades poolers one by one: a successor starts beside the old process, which gets SIGTERM as soon as the
  * successor serves clients. Used on the event loop's thread alone.
  */
 final class ProcessUpgrades {
     private static final long STATUS_INTERVAL_US = 50_000;
-    /** SIGKILL after SIGTERM: the longest deadline, counted as 3 s where it is longer, and 0.7 s. */
+    /** When SIGKILL follows SIGTERM: after the longest deadline, taken as 3 s at most, and 0.7 s. */
     private static final long KILL_AFTER_US = 3_700_000;
 
     private static final String READY = "OK";
@@ -24,7 +24,7 @@
         this.poolers = poolers;
     }
 
-    /** Starts a successor; does nothing where the pooler is down or has one already. */
+    /** Starts a successor; does nothing if the pooler is down or has one already. */
     void upgrade(int number) {
         PoolerNode pooler = poolers.get(number);
         if (startSuccessor(pooler)) {
@@ -32,7 +32,7 @@
         }
     }
 
-    /** Starts a successor that is killed so long after its start; the old process serves on. */
+    /** Starts a successor and kills it {@code killAfterUs} later; the old process serves on. */
     void upgradeAborted(int number, long killAfterUs) {
         PoolerNode pooler = poolers.get(number);
         if (startSuccessor(pooler)) {
--- a/lab/src/main/java/frostreel/lab/processes/RunContext.java
+++ b/lab/src/main/java/frostreel/lab/processes/RunContext.java
@@ -10,9 +10,9 @@
 import java.util.SplittableRandom;
 
 /**
- * What all parts of one run with processes share. Used on the event loop's thread alone.
+ * The objects that all parts of one run with processes share. Used on the event loop's thread alone.
  *
- * @param operated whether operators call, and each pooler has a listening socket that outlives its process
+ * @param operated whether poolers have admin endpoints and listening sockets that outlive their processes
  * @param folder takes configurations and logs
  * @param classes the request classes by name
  */
--- a/lab/src/main/java/frostreel/lab/processes/RunLog.java
+++ b/lab/src/main/java/frostreel/lab/processes/RunLog.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Locale;
 
-/** What was done to a run and what followed, one line an event, with its time since the run's start. */
+/** The log of a run: faults and what followed from them, a line for each event, with its time since the start. */
 final class RunLog {
     private final RunSchedule schedule;
     private final List<String> lines = new ArrayList<>();
--- a/lab/src/main/java/frostreel/lab/processes/RunSchedule.java
+++ b/lab/src/main/java/frostreel/lab/processes/RunSchedule.java
@@ -2,7 +2,7 @@
 
 import frostreel.lab.model.Scheduler;
 
-/** The time line of one run: offsets count from its start, and nothing scheduled runs once it is ending. */
+/** The schedule of one run: offsets count from its start, and tasks are dropped once the run is ending. */
 final class RunSchedule {
     private final Scheduler scheduler;
     private long startUs;
@@ -22,7 +22,7 @@
         return scheduler.now() - startUs;
     }
 
-    /** Runs a task at an offset from the start; at once where that has passed. */
+    /** Runs a task at an offset from the start, at once if that has passed. */
     void at(long offsetUs, Runnable task) {
         scheduler.after(startUs + offsetUs - scheduler.now(), () -> {
             if (!ending) {
@@ -31,7 +31,7 @@
         });
     }
 
-    /** The run is over; its processes are being ended on purpose. */
+    /** Notes that the run is over, and its processes are ended on purpose. */
     void end() {
         ending = true;
     }
--- a/lab/src/main/java/frostreel/lab/processes/StatementCosts.java
+++ b/lab/src/main/java/frostreel/lab/processes/StatementCosts.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 
-/** What a statement costs and how fresh its data must be, by its class; the work is drawn at random. */
+/** The work that a statement costs, drawn at random by its class, and how fresh its data must be. */
 final class StatementCosts implements StandInDatabase.CostModel {
     private final SplittableRandom random;
     private final Map<String, RequestClass> classes;
@@ -27,7 +27,7 @@
         throw new IllegalArgumentException("no class " + statement.requestClass());
     }
 
-    /** A server does not check freshness by itself; the pooler asks for it by class and position. */
+    /** The position by the request's class and session, as a server does not know of freshness by itself. */
     @Override
     public long requiredPositionUs(Statement statement, long nowUs) {
         if (statement.write()) {
--- a/lab/src/main/java/frostreel/lab/processes/StatementRecorder.java
+++ b/lab/src/main/java/frostreel/lab/processes/StatementRecorder.java
@@ -12,7 +12,7 @@
 import java.nio.ByteBuffer;
 import java.util.Map;
 
-/** Reports the attempts on one connection from a pooler to a server, as that pooler sees them. */
+/** Reports the attempts on one connection of a pooler to a server, as the pooler sees them. */
 final class StatementRecorder implements TrafficRecorder {
     private static final int MAX_MESSAGE_BYTES = 1 << 18;
 
--- a/lab/src/main/java/frostreel/lab/processes/package-info.java
+++ b/lab/src/main/java/frostreel/lab/processes/package-info.java
@@ -1,5 +1,7 @@
 /**
- * Experiments with real processes of the program: a fleet between stand-ins, relays that inject network
- * faults, a load generator, upgrades, and recorders that check what goes over the wire.
+ * Experiments with real processes of the program. A {@code Fleet} runs poolers between stand-ins for their
+ * servers, discovery agents and clients; relays on all connections inject network faults, and recorders check the
+ * rules of the protocol on what the relays carry. A {@code ProcessExperiment} states the fleet, its faults and its
+ * checks.
  */
 package frostreel.lab.processes;
