--- a/lab/src/main/java/frostreel/lab/processes/FaultElement.java
+++ b/lab/src/main/java/frostreel/lab/processes/FaultElement.java
@@ -88,7 +88,12 @@
         return NetworkSide.valueOf(xml.text("to").toUpperCase(Locale.ROOT));
     }
 
-    /** Reports that the experiment makes no sense; {@code attribute} is null where the whole element is at fault. */
+    /** Reports that the element does not fit the experiment. */
+    void reject(String reason) {
+        errors.add(xml.fault(file, reason));
+    }
+
+    /** Reports that an attribute does not fit the experiment. */
     void reject(String attribute, String reason) {
         errors.add(xml.fault(file, attribute, reason));
     }
--- a/lab/src/main/java/frostreel/lab/processes/PeerFault.java
+++ b/lab/src/main/java/frostreel/lab/processes/PeerFault.java
@@ -8,7 +8,7 @@
     record Groups(List<Integer> from, List<Integer> to) {
         static Groups read(FaultElement element) {
             if (element.experiment().silentAfterMs() == 0) {
-                element.reject(null, "the poolers of this fleet do not see each other");
+                element.reject("the poolers of this fleet do not see each other");
             }
             Groups groups = new Groups(element.poolers("from"), element.poolers("to"));
             if (groups.from.stream().anyMatch(groups.to::contains)) {
--- a/lab/src/main/java/frostreel/lab/processes/PoolerFault.java
+++ b/lab/src/main/java/frostreel/lab/processes/PoolerFault.java
@@ -78,7 +78,7 @@
             int pooler = operatedPooler(element);
             String command = element.xml().text("line");
             boolean namesServer = element.xml().has("on");
-            int server = namesServer ? element.decimal("on", element.experiment().servers()) : OperatorCalls.NO_SERVER;
+            int server = namesServer ? element.number("on", element.experiment().servers()) : OperatorCalls.NO_SERVER;
             if (namesServer != COMMANDS_ON_SERVERS.contains(command)) {
                 element.reject("on", "is for SUSPEND and RESTORE, and for these alone");
             }
@@ -127,7 +127,7 @@
     private static int operatedPooler(FaultElement element) {
         int pooler = element.pooler();
         if (!element.experiment().operated()) {
-            element.reject(null, "the poolers of this fleet are not operated");
+            element.reject("the poolers of this fleet are not operated");
         }
         return pooler;
     }
--- a/lab/src/main/java/frostreel/lab/report/Threshold.java
+++ b/lab/src/main/java/frostreel/lab/report/Threshold.java
@@ -21,8 +21,8 @@
     /** The threshold of an experiment's check, which states either {@code atLeast} or {@code atMost}. */
     public static Threshold read(XmlElement check) {
         return check.has("atLeast")
-                ? new Threshold(Kind.AT_LEAST, check.number("atLeast"))
-                : atMost(check.number("atMost"));
+                ? new Threshold(Kind.AT_LEAST, check.decimal("atLeast"))
+                : atMost(check.decimal("atMost"));
     }
 
     /** Whether a measured value is on the good side, or at the threshold itself. */
