--- a/pooler/src/main/java/frostreel/Pooler.java
+++ b/pooler/src/main/java/frostreel/Pooler.java
@@ -60,21 +60,11 @@
         broker = broker(config, pool, peer);
         RequestClassRegistry classes =
                 new RequestClassRegistry(config.settings().classes());
-        lifecycle = new ServingLifecycle(
-                config.inheritsListener(), ConfigReloader.longestDeadlineUs(config.settings()), lingerUs);
+        lifecycle = lifecycle(config, lingerUs);
         listener = listener(config, classes);
-        commands = new CommandExecutor(
-                loop,
-                lifecycle,
-                pool,
-                broker,
-                listener::applyLifecycle,
-                config.commandFolder().orElse(null),
-                incarnation(config));
+        commands = commands(config, pool);
         AdminListener admin = config.adminAddress().isPresent() ? new AdminListener(loop, commands) : null;
-        ClusterMember clusterMember = operators.cluster().isPresent()
-                ? new ClusterMember(operators.cluster().get(), config.name(), loop)
-                : null;
+        ClusterMember clusterMember = clusterMember(config, operators);
         readiness = new Readiness(lifecycle, listener::applyLifecycle);
         endpoints = new EndpointSource(
                 loop, config, configuredListPatienceUs, commands::onEndpointList, readiness::serversKnown);
@@ -128,6 +118,29 @@
                 config.settings().seed());
     }
 
+    private static ServingLifecycle lifecycle(Config config, long lingerUs) {
+        long longestDeadlineUs = ConfigReloader.longestDeadlineUs(config.settings());
+        return new ServingLifecycle(config.inheritsListener(), longestDeadlineUs, lingerUs);
+    }
+
+    private CommandExecutor commands(Config config, ServerPool pool) {
+        return new CommandExecutor(
+                loop,
+                lifecycle,
+                pool,
+                broker,
+                listener::applyLifecycle,
+                config.commandFolder().orElse(null),
+                incarnation(config));
+    }
+
+    /** Returns null if the poolers form no cluster. */
+    private ClusterMember clusterMember(Config config, OperatorSettings operators) {
+        return operators.cluster().isPresent()
+                ? new ClusterMember(operators.cluster().get(), config.name(), loop)
+                : null;
+    }
+
     /** The name of this process, unique among all that store operators' commands in one folder. */
     private String incarnation(Config config) {
         return Long.toHexString(config.settings().seed()) + "x"
