--- a/pooler/src/main/java/frostreel/frontend/ClientConnection.java
+++ b/pooler/src/main/java/frostreel/frontend/ClientConnection.java
@@ -29,7 +29,7 @@
     /** The connection ends at this number of invalid queries in a row, as answering them is work, too. */
     private static final int MAX_INVALID_IN_A_ROW = 16;
     /** The wait advised where too many clients are connected, as far as the settings allow so much. */
-    private static final long CROWDED_RETRY_AFTER_US = 200_000;
+    private static final long OVERLOADED_RETRY_AFTER_US = 200_000;
 
     private final EventLoop loop;
     private final Listener listener;
@@ -46,7 +46,7 @@
     private boolean takingMessages;
     private boolean skippingToSync;
     /** It has sent a valid query before. */
-    private boolean hasAsked;
+    private boolean hasSentQuery;
 
     private int invalidInARow;
     /** The socket was read until empty within this very call, so that it need not be read again. */
@@ -155,7 +155,7 @@
     private void awaitNext() {
         if (!stream.flushed()) {
             awaitReader();
-        } else if (!isIdle() || (!hasAsked && !listener.closesAll())) {
+        } else if (!isIdle() || (!hasSentQuery && !listener.closesUnused())) {
             awaitMessage();
         } else {
             idleTimer.onIdle();
@@ -246,13 +246,13 @@
 
     private void onQuery(byte[] body) throws PgException {
         if (Statement.isEmpty(body)) {
-            hasAsked = true;
+            hasSentQuery = true;
             answer(Answers.readiness(listener.readiness()));
             return;
         }
         Supplier<String> page = listener.page(body);
         if (page != null) {
-            hasAsked = true;
+            hasSentQuery = true;
             answer(Messages.row("page", page.get()));
             return;
         }
@@ -284,11 +284,11 @@
     }
 
     private void onRequest(Statement statement, int requestClass) {
-        hasAsked = true;
+        hasSentQuery = true;
         invalidInARow = 0;
         if (listener.isFull()) {
             loop.counters().requestsRejectedForOverload++;
-            answer(Answers.rejected(listener.broker().retryAfterUs(CROWDED_RETRY_AFTER_US)));
+            answer(Answers.rejected(listener.broker().retryAfterUs(OVERLOADED_RETRY_AFTER_US)));
             return;
         }
         idleTimer.cancel();
@@ -344,7 +344,7 @@
      * Ends the connection unless a request has come meanwhile: while the thread is busy many wait unread, and to end
      * the connection over one would cost its client another attempt or, the second time, the answer.
      */
-    boolean closeUnlessAsking() {
+    boolean closeUnlessRequestPending() {
         boolean received = stream.readNow();
         if (!isOpen() || (received && request.isActive())) {
             return false;
--- a/pooler/src/main/java/frostreel/frontend/Listener.java
+++ b/pooler/src/main/java/frostreel/frontend/Listener.java
@@ -36,7 +36,7 @@
     /** How often evictions are tried while too many clients are connected. */
     private static final long EVICTION_INTERVAL_US = 50_000;
     /** How long a client owes a message before it is evicted in preference to any idle one. */
-    private static final long MIN_SILENT_US = 300_000;
+    private static final long MIN_AWAITING_US = 300_000;
 
     private final EventLoop loop;
     private final Broker broker;
@@ -126,7 +126,7 @@
             client.close();
             return;
         }
-        evictIfCrowded();
+        evictIfOverloaded();
         client.begin();
     }
 
@@ -146,7 +146,7 @@
     }
 
     /** Whether even clients are closed that have not had a request yet. */
-    boolean closesAll() {
+    boolean closesUnused() {
         return lifecycle.closesUnused(loop.clock().now());
     }
 
@@ -175,7 +175,7 @@
             awaitingMessage.remove(client);
             idle.remove(client); // It has had a request, and is no longer the longest idle.
             if (lifecycle.closesAfterResponse(loop.clock().now())) {
-                client.closeUnlessAsking();
+                client.closeUnlessRequestPending();
             } else {
                 idle.add(client);
                 closeExcessIdle();
@@ -198,7 +198,7 @@
                         && idle.size() > idleLimit
                         && clients.size() - awaitingMessage.size() - lingering.size() > activeLimit;
                 candidates--) {
-            if (idle.iterator().next().closeUnlessAsking()) {
+            if (idle.iterator().next().closeUnlessRequestPending()) {
                 loop.counters().idleClientsTrimmed++;
             }
         }
@@ -235,36 +235,38 @@
      * idle for longest. A request on a connection that waits to be accepted counts as taken, so accepting must not have
      * to pause while such clients hold descriptors.
      */
-    private void evictIfCrowded() {
-        for (ClientConnection client = evictable(); isCrowded() && client != null; client = evictable()) {
-            if (client.closeUnlessAsking()) {
+    private void evictIfOverloaded() {
+        for (ClientConnection client = evictionCandidate();
+                isOverloaded() && client != null;
+                client = evictionCandidate()) {
+            if (client.closeUnlessRequestPending()) {
                 loop.counters().idleClientsEvicted++;
             }
         }
         while (clients.size() > maxClients - RESERVED_FROM_LINGERING && !lingering.isEmpty()) {
             lingering.iterator().next().close(); // The next client needs the descriptor itself.
         }
-        if (isCrowded() && !evictionScheduled) {
+        if (isOverloaded() && !evictionScheduled) {
             evictionScheduled = true;
             loop.deadlines().after(EVICTION_INTERVAL_US, () -> {
                 evictionScheduled = false;
-                evictIfCrowded();
+                evictIfOverloaded();
             });
         }
     }
 
-    private ClientConnection evictable() {
+    private ClientConnection evictionCandidate() {
         long now = loop.clock().now();
-        ClientConnection longestSilent =
+        ClientConnection longestAwaiting =
                 awaitingMessage.isEmpty() ? null : awaitingMessage.iterator().next();
         ClientConnection longestIdle = idle.isEmpty() ? null : idle.iterator().next();
         boolean idleLongEnough = longestIdle != null && now - longestIdle.sinceUs() > MIN_IDLE_US;
-        return idleLongEnough && (longestSilent == null || now - longestSilent.sinceUs() < MIN_SILENT_US)
+        return idleLongEnough && (longestAwaiting == null || now - longestAwaiting.sinceUs() < MIN_AWAITING_US)
                 ? longestIdle
-                : longestSilent;
+                : longestAwaiting;
     }
 
-    private boolean isCrowded() {
+    private boolean isOverloaded() {
         return clients.size() - lingering.size() > maxClients - RESERVED_CONNECTIONS;
     }
 
