--- a/pooler/src/main/java/frostreel/frontend/ClientConnection.java
+++ b/pooler/src/main/java/frostreel/frontend/ClientConnection.java
@@ -31,8 +31,9 @@
     /** The wait advised where too many clients are connected, as far as the settings allow so much. */
     private static final long OVERLOADED_RETRY_AFTER_US = 200_000;
 
+    private final FrontEnd frontEnd;
     private final EventLoop loop;
-    private final Listener listener;
+    private final ClientTable clients;
     private final SocketStream stream;
     private final ClientBacklog backlog;
     private final IdleTimer idleTimer;
@@ -41,7 +42,7 @@
     /** Of the key by which this client may cancel; the other half is the number of its slot. */
     private final int secret;
 
-    long slot;
+    private long slot;
     private Phase phase = Phase.STARTUP;
     private boolean takingMessages;
     private boolean skippingToSync;
@@ -52,15 +53,25 @@
     /** The socket was read until empty within this very call, so that it need not be read again. */
     private boolean readJustNow;
 
-    ClientConnection(EventLoop loop, Listener listener, StreamConnection connection, int secret) {
-        this.loop = loop;
-        this.listener = listener;
+    ClientConnection(FrontEnd frontEnd, StreamConnection connection, int secret) {
+        this.frontEnd = frontEnd;
+        loop = frontEnd.loop();
+        clients = frontEnd.clients();
         this.secret = secret;
         stream = new SocketStream(loop, connection, this);
         backlog = new ClientBacklog(loop);
         idleTimer = new IdleTimer(loop, stream, this);
         lingering = new Lingering(loop, this::close);
-        request = new ClientRequest(loop, listener, stream, this);
+        request = new ClientRequest(frontEnd, stream, this);
+    }
+
+    /** The handle of this connection in the table of clients. */
+    long slot() {
+        return slot;
+    }
+
+    void setSlot(long slot) {
+        this.slot = slot;
     }
 
     /** Reads from now on; the client owes its startup message. */
@@ -155,17 +166,17 @@
     private void awaitNext() {
         if (!stream.flushed()) {
             awaitReader();
-        } else if (!isIdle() || (!hasSentQuery && !listener.closesUnused())) {
+        } else if (!isIdle() || (!hasSentQuery && !frontEnd.drainer().closesUnused())) {
             awaitMessage();
         } else {
             idleTimer.onIdle();
-            listener.onIdle(this);
+            frontEnd.drainer().onIdle(this);
         }
     }
 
     private void awaitMessage() {
         if (idleTimer.awaitMessage()) {
-            listener.onMessageAwaited(this);
+            clients.markAwaitingMessage(this);
         }
     }
 
@@ -177,7 +188,7 @@
     /** The client owes nothing, but has to read its answer. */
     void awaitReader() {
         idleTimer.cancel();
-        listener.onBusy(this);
+        clients.markBusy(this);
         idleTimer.awaitReader();
     }
 
@@ -197,11 +208,11 @@
     // ---- Messages. ----
 
     private void onStartup(MessageReader message) throws PgException {
-        int code = message.bodyInt(0);
+        int version = message.bodyInt(0);
         if (StartupCode.requestsEncryption(code)) {
-            stream.write(new byte[] {StartupCode.ENCRYPTION_NOT_SUPPORTED});
-        } else if (code == StartupCode.CANCEL_REQUEST) {
-            listener.cancel(message.bodyInt(1), message.bodyInt(2));
+            stream.write(new byte[] {'N'});
+        } else if (version == StartupCode.CANCEL_REQUEST) {
+            cancelRequestOf(message.bodyInt(1), message.bodyInt(2));
             close();
         } else if (!StartupCode.isProtocol3(code)) {
             loop.counters().malformedMessages++;
@@ -217,6 +228,11 @@
         return (int) slot & Integer.MAX_VALUE;
     }
 
+    /** Cancels the active request of the client that has this key; another key does nothing. */
+    private void cancelRequestOf(int process, int cancelSecret) {
+        clients.forEach(client -> client.cancel(process, cancelSecret));
+    }
+
     /** Cancels the active request, if the key is that of this client. */
     void cancel(int process, int cancelSecret) {
         if (process == processKey() && cancelSecret == secret && phase == Phase.RUNNING) {
@@ -247,10 +263,10 @@
     private void onQuery(byte[] body) throws PgException {
         if (Statement.isEmpty(body)) {
             hasSentQuery = true;
-            answer(Answers.readiness(listener.readiness()));
+            answer(Answers.readiness(frontEnd.lifecycle().status()));
             return;
         }
-        Supplier<String> page = listener.page(body);
+        Supplier<String> page = frontEnd.pages().find(body);
         if (page != null) {
             hasSentQuery = true;
             answer(Messages.row("page", page.get()));
@@ -263,16 +279,22 @@
             onInvalidQuery(e.getMessage());
             return;
         }
-        int requestClass = listener.classNumber(statement);
+        int requestClass = classNumber(statement);
         if (requestClass == RequestClassRegistry.NO_CLASS) {
             onInvalidQuery("a class that the settings do not name, or a statement that is none of its class");
-        } else if (listener.broker().isActive(statement.id())) {
+        } else if (frontEnd.broker().isActive(statement.id())) {
             onInvalidQuery("the id of a request that is open"); // Forwarded, it would be a hedged request.
         } else {
             onRequest(statement, requestClass);
         }
     }
 
+    /** The number of a statement's class, {@link RequestClassRegistry#NO_CLASS} if it fits none of that name. */
+    private int classNumber(Statement statement) {
+        return frontEnd.classes()
+                .classNumber(loop.clock().now(), statement.requestClass(), statement.write(), statement.keyed());
+    }
+
     /** An invalid query is answered by an error, and the next may be valid; too many in a row end the connection. */
     private void onInvalidQuery(String text) {
         loop.counters().malformedMessages++;
@@ -286,13 +308,13 @@
     private void onRequest(Statement statement, int requestClass) {
         hasSentQuery = true;
         invalidInARow = 0;
-        if (listener.isFull()) {
+        if (frontEnd.limits().rejectsRequests()) {
             loop.counters().requestsRejectedForOverload++;
-            answer(Answers.rejected(listener.broker().retryAfterUs(OVERLOADED_RETRY_AFTER_US)));
+            answer(Answers.rejected(frontEnd.broker().retryAfterUs(OVERLOADED_RETRY_AFTER_US)));
             return;
         }
         idleTimer.cancel();
-        listener.onBusy(this);
+        clients.markBusy(this);
         request.submit(statement, requestClass, backlog.arrivedUs());
     }
 
@@ -333,8 +355,8 @@
         if (isOpen()) {
             phase = Phase.LINGERING;
             idleTimer.cancel();
-            lingering.begin(listener.lingerUs());
-            listener.onLingering(this);
+            lingering.begin(frontEnd.lifecycle().lingerUs());
+            clients.markLingering(this);
             stream.end();
             stream.resumeReads();
         }
@@ -363,7 +385,7 @@
             if (phase == Phase.STARTUP
                     && message.nextStartup()
                     && message.bodyInt(0) == StartupCode.CANCEL_REQUEST) { // Its client does not wait for an answer.
-                listener.cancel(message.bodyInt(1), message.bodyInt(2));
+                cancelRequestOf(message.bodyInt(1), message.bodyInt(2));
             }
         } catch (PgException e) {
             loop.counters().malformedMessages++;
@@ -382,7 +404,7 @@
         backlog.release();
         loop.counters().clientsClosed++;
         stream.close();
-        listener.onClosed(this);
+        clients.remove(this);
         request.onClientDisconnected();
     }
 }
--- a/pooler/src/main/java/frostreel/frontend/ClientRequest.java
+++ b/pooler/src/main/java/frostreel/frontend/ClientRequest.java
@@ -3,6 +3,7 @@
 import frostreel.broker.Broker;
 import frostreel.net.EventLoop;
 import frostreel.net.SocketStream;
+import frostreel.operation.ServingLifecycle;
 import frostreel.pg.Statement;
 import frostreel.request.BackEnd;
 import frostreel.request.RequestAttributes;
@@ -22,7 +23,7 @@
     private static final long US_PER_MS = 1000;
 
     private final EventLoop loop;
-    private final Listener listener;
+    private final ServingLifecycle lifecycle;
     private final Broker broker;
     private final SocketStream stream;
     private final ClientConnection connection;
@@ -31,10 +32,10 @@
     /** The source of the long response that is being passed on, null for none. */
     private BackEnd.ResponseSource responseSource;
 
-    ClientRequest(EventLoop loop, Listener listener, SocketStream stream, ClientConnection connection) {
-        this.loop = loop;
-        this.listener = listener;
-        broker = listener.broker();
+    ClientRequest(FrontEnd frontEnd, SocketStream stream, ClientConnection connection) {
+        loop = frontEnd.loop();
+        lifecycle = frontEnd.lifecycle();
+        broker = frontEnd.broker();
         this.stream = stream;
         this.connection = connection;
     }
@@ -55,7 +56,7 @@
                 requestClass,
                 statement.session(),
                 statement.group(),
-                Math.min(timeoutAtUs, listener.answerDeadlineUs()),
+                Math.min(timeoutAtUs, lifecycle.responseDueUs(now)),
                 sinceWriteUs,
                 statement.repeated());
         active = true;
