--- /dev/null
+++ b/pooler/src/main/java/frostreel/frontend/QueryHandler.java
@@ -0,0 +1,130 @@
+package frostreel.frontend;
+
+import frostreel.net.EventLoop;
+import frostreel.net.SocketStream;
+import frostreel.operation.RequestClassRegistry;
+import frostreel.pg.MessageReader;
+import frostreel.pg.Messages;
+import frostreel.pg.PgException;
+import frostreel.pg.SqlState;
+import frostreel.pg.Statement;
+import java.util.function.Supplier;
+
+/**
+ * The messages of one client after its startup: responds itself to readiness checks, status pages and invalid queries,
+ * and has the connection submit requests. Used on the I/O thread.
+ */
+final class QueryHandler {
+    private static final byte QUERY = 'Q';
+    private static final byte SYNC = 'S';
+    private static final byte FLUSH = 'H';
+    private static final byte TERMINATE = 'X';
+
+    /** The connection ends at this number of invalid queries in a row, as responding to them is work, too. */
+    private static final int MAX_INVALID_IN_A_ROW = 16;
+    /** The Retry-After where too many clients are connected, as far as the settings allow so much. */
+    private static final long OVERLOADED_RETRY_AFTER_US = 200_000;
+
+    private final FrontEnd frontEnd;
+    private final EventLoop loop;
+    private final SocketStream stream;
+    private final ClientConnection connection;
+    private boolean skippingToSync;
+    private boolean hasSentQuery;
+    private int invalidInARow;
+
+    QueryHandler(FrontEnd frontEnd, SocketStream stream, ClientConnection connection) {
+        this.frontEnd = frontEnd;
+        loop = frontEnd.loop();
+        this.stream = stream;
+        this.connection = connection;
+    }
+
+    /** Whether the client has sent a valid query before. */
+    boolean hasSentQuery() {
+        return hasSentQuery;
+    }
+
+    /** Handles one message. */
+    void onMessage(MessageReader message) throws PgException {
+        switch (message.type()) {
+            case TERMINATE -> connection.close();
+            case QUERY -> onQuery(message.body());
+            case SYNC -> {
+                skippingToSync = false;
+                stream.write(Messages.readyForQuery());
+            }
+            case FLUSH -> {} // All output is written at once anyway.
+            default -> onExtendedQuery();
+        }
+    }
+
+    /** The extended query protocol is declined by one error, and its messages are skipped up to the next Sync. */
+    private void onExtendedQuery() {
+        if (!skippingToSync) {
+            loop.counters().malformedMessages++;
+            stream.write(Answers.error(SqlState.FEATURE_NOT_SUPPORTED, "only simple queries"));
+        }
+        skippingToSync = true;
+    }
+
+    private void onQuery(byte[] body) throws PgException {
+        if (Statement.isEmpty(body)) {
+            hasSentQuery = true;
+            connection.answer(Answers.readiness(frontEnd.lifecycle().status()));
+            return;
+        }
+        Supplier<String> page = frontEnd.pages().find(body);
+        if (page != null) {
+            hasSentQuery = true;
+            connection.answer(Messages.row("page", page.get()));
+            return;
+        }
+        onStatement(body);
+    }
+
+    private void onStatement(byte[] body) {
+        Statement statement;
+        try {
+            statement = Statement.parse(body);
+        } catch (PgException e) {
+            onInvalidQuery(e.getMessage());
+            return;
+        }
+        int requestClass = requestClass(statement);
+        if (requestClass == RequestClassRegistry.NO_CLASS) {
+            onInvalidQuery("a class that the settings do not name, or a statement that is none of its class");
+        } else if (frontEnd.broker().isActive(statement.id())) {
+            onInvalidQuery("the id of a request that is open"); // Forwarded, it would be a hedged request.
+        } else {
+            onRequest(statement, requestClass);
+        }
+    }
+
+    /** The number of a statement's class, {@link RequestClassRegistry#NO_CLASS} if it fits none of that name. */
+    private int requestClass(Statement statement) {
+        return frontEnd.classes()
+                .classNumber(loop.clock().now(), statement.requestClass(), statement.write(), statement.keyed());
+    }
+
+    /** An invalid query is answered by an error, and the next may be valid; too many in a row end the connection. */
+    private void onInvalidQuery(String text) {
+        loop.counters().malformedMessages++;
+        if (++invalidInARow < MAX_INVALID_IN_A_ROW) {
+            connection.answer(Answers.error(SqlState.INVALID_PARAMETER_VALUE, text));
+        } else {
+            connection.closeWithError(SqlState.INVALID_PARAMETER_VALUE, text);
+        }
+    }
+
+    private void onRequest(Statement statement, int requestClass) {
+        hasSentQuery = true;
+        invalidInARow = 0;
+        if (frontEnd.limits().rejectsRequests()) {
+            loop.counters().requestsRejectedForOverload++;
+            connection.answer(Answers.rejected(frontEnd.broker().retryAfterUs(OVERLOADED_RETRY_AFTER_US)));
+        } else {
+            connection.submit(statement, requestClass);
+        }
+    }
+}
--- /dev/null
+++ b/pooler/src/main/java/frostreel/frontend/StartupHandler.java
@@ -0,0 +1,51 @@
+package frostreel.frontend;
+
+import frostreel.net.SocketStream;
+import frostreel.pg.MessageReader;
+import frostreel.pg.PgException;
+import frostreel.pg.SqlState;
+import frostreel.pg.StartupCode;
+
+/**
+ * The startup phase of one client's connection: requests for encryption, which are declined, cancel requests, and the
+ * startup message. Used on the I/O thread.
+ */
+final class StartupHandler {
+    private final FrontEnd frontEnd;
+    private final SocketStream stream;
+    private final ClientConnection connection;
+
+    StartupHandler(FrontEnd frontEnd, SocketStream stream, ClientConnection connection) {
+        this.frontEnd = frontEnd;
+        this.stream = stream;
+        this.connection = connection;
+    }
+
+    /** Handles one message of the startup phase; each begins with a code in place of a type. */
+    void onMessage(MessageReader message) throws PgException {
+        int code = message.bodyInt(0);
+        if (StartupCode.requestsEncryption(code)) {
+            stream.write(new byte[] {StartupCode.ENCRYPTION_NOT_SUPPORTED});
+        } else if (code == StartupCode.CANCEL_REQUEST) {
+            cancel(CancelKey.in(message));
+            connection.close();
+        } else if (!StartupCode.isProtocol3(code)) {
+            frontEnd.loop().counters().malformedMessages++;
+            connection.closeWithError(SqlState.FEATURE_NOT_SUPPORTED, "only version 3 of the protocol is spoken here");
+        } else {
+            connection.onStarted();
+        }
+    }
+
+    /** The client closed its side: a client that sends a cancel request need not wait for an answer. */
+    void onEnded(MessageReader message) throws PgException {
+        if (message.nextStartup() && message.bodyInt(0) == StartupCode.CANCEL_REQUEST) {
+            cancel(CancelKey.in(message));
+        }
+    }
+
+    /** Cancels the active request of the client that has this key; another key does nothing. */
+    private void cancel(CancelKey key) {
+        frontEnd.clients().forEach(client -> client.cancel(key));
+    }
+}
