--- a/pooler/src/main/java/frostreel/net/EventLoop.java
+++ b/pooler/src/main/java/frostreel/net/EventLoop.java
@@ -23,43 +23,25 @@
     private static final int READ_BUFFER_BYTES = 1 << 16;
     /** A fourth of the heap: the rest is for statements, short answers, tables, and the collector. */
     private static final long MAX_BUFFERED_BYTES = Runtime.getRuntime().maxMemory() / 4;
-    /**
-     * Watch events are polled for once in such a part of the time in which sends to a draining server have to stop:
-     * the rest is for a pause between the poll and a send. More often, polling costs too much.
-     */
-    private static final int POLLS_PER_STOP_TIME = 5;
-
-    private static final long MIN_POLL_INTERVAL_US = 10_000;
-    /**
-     * The interval of the heartbeat. The loop is late where it has missed one: a little less than the half second by
-     * which an answer may be late. A process that has part of a core is often kept waiting for less, and its clients'
-     * times must not be cut for each of these.
-     */
-    private static final long HEARTBEAT_US = 200_000;
-
-    private static final long LATE_AFTER_US = 2 * HEARTBEAT_US;
-    /** {@link #lateSinceUs} while the loop is not late. */
-    private static final long NOT_LATE = Long.MAX_VALUE;
 
     private static final long SHUTDOWN_WAIT_S = 1;
-    private final EventLoopWatchdog watchdog;
-    private final EventLog events;
+    private static final long US_PER_MS = 1_000;
+
     private final XnioWorker worker;
     private final XnioIoThread thread;
     private final Clock clock;
     private final Deadlines deadlines;
+    private final EventLoopWatchdog watchdog;
+    private final LoopHeartbeat heartbeat;
+    private final WatchEventPoll watchEventPoll;
+    private final EventLog events;
     private final Counters counters = new Counters();
     private final ByteBuffer readBuffer = ByteBuffer.allocateDirect(READ_BUFFER_BYTES);
+    /** XNIO's timer for the first deadline, null where none is set. */
     private XnioExecutor.Key alarm;
+
     private boolean ending;
-    private Runnable watchEventPoll = () -> {};
-    private LongConsumer heartbeatListener = nowUs -> {};
-    private long pollIntervalUs;
-    private long lastPollUs;
     private long bufferedBytes;
-    private long lastHeartbeatUs;
-    /** While the loop catches up: since when what it reads may have waited. */
-    private long lateSinceUs = NOT_LATE;
 
     /** A loop on the system's clock. */
     public EventLoop() throws IOException {
@@ -70,8 +52,8 @@
     public EventLoop(Clock clock) throws IOException {
         this.clock = clock;
         deadlines = new Deadlines(clock, this::wakeAfter);
-        lastPollUs = clock.now();
-        lastHeartbeatUs = lastPollUs;
+        heartbeat = new LoopHeartbeat(clock, deadlines);
+        watchEventPoll = new WatchEventPoll(clock);
         worker = Xnio.getInstance()
                 .createWorker(OptionMap.builder()
                         .set(Options.WORKER_IO_THREADS, 1)
@@ -80,8 +62,8 @@
                         .set(Options.WORKER_NAME, "frostreel")
                         .getMap());
         thread = worker.getIoThread();
-        events = new EventLog(clock::now);
         watchdog = new EventLoopWatchdog(thread);
+        events = new EventLog(clock::now);
     }
 
     private void wakeAfter(long delayUs) {
@@ -102,66 +84,46 @@
     }
 
     /**
-     * Never less than what is asked for: XNIO cuts delays to whole milliseconds, and runs a timer that is less than
-     * one away at once. It would find nothing due and be set again, over and over until it is due; meanwhile the
-     * thread is busy, and looks at no socket.
+     * Rounded up, so that a timer never runs before its deadline: XNIO cuts delays to whole milliseconds, and runs a
+     * timer that is due in less than one at once. It would find nothing due and be set again, over and over, and keep
+     * the thread from its sockets meanwhile.
      */
     private static long roundedUpToMs(long us) {
-        return (us + 999) / 1000;
+        return (us + US_PER_MS - 1) / US_PER_MS;
     }
 
     /** Sets what reads the watch events that discovery has sent and that are still unread. */
-    public void onWatchEventPoll(Runnable watchEventPoll) {
-        this.watchEventPoll = watchEventPoll;
+    public void onWatchEventPoll(Runnable poll) {
+        watchEventPoll.setPoll(poll);
     }
 
-    /** Sets how soon sends to a server have to stop once discovery has told that it is draining. */
+    /** Sets how soon sends to a server have to stop once discovery has reported that it is draining. */
     public void setStopSendingUs(long stopSendingUs) {
-        pollIntervalUs = Math.max(MIN_POLL_INTERVAL_US, stopSendingUs / POLLS_PER_STOP_TIME);
+        watchEventPoll.setStopSendingUs(stopSendingUs);
     }
 
-    /**
-     * Called before whatever comes from outside is handled. A process that was paused, had no part of a core, or is
-     * in a long turn, finds much at once: the watch events among it have to be known before the rest is acted upon,
-     * in whichever order it stands on the sockets.
-     */
+    /** Polls for watch events where that is due; called before whatever comes from outside is handled. */
     void pollWatchEventsIfDue() {
-        long now = clock.now();
-        if (now - lastPollUs > pollIntervalUs) {
-            lastPollUs = now;
-            watchEventPoll.run();
-        }
+        watchEventPoll.runIfDue();
     }
 
     /** Starts the heartbeat and the watchdog; called before anything comes from outside. */
     public void begin() {
         watchdog.start();
-        beat();
-    }
-
-    private void beat() {
-        watchdog.onHeartbeat();
-        lateSinceUs = clock.now() - lastHeartbeatUs > LATE_AFTER_US ? lastHeartbeatUs : NOT_LATE;
-        lastHeartbeatUs = clock.now();
-        deadlines.after(HEARTBEAT_US, this::beat);
-        heartbeatListener.accept(lastHeartbeatUs);
+        heartbeat.start(watchdog);
     }
 
     /** Sets what is called with the time at each heartbeat, five times a second. */
-    public void onHeartbeat(LongConsumer heartbeatListener) {
-        this.heartbeatListener = heartbeatListener;
+    public void onHeartbeat(LongConsumer listener) {
+        heartbeat.setListener(listener);
     }
 
     /**
-     * The earliest time at which what is read now may have arrived. That is now, unless the loop is late: what waited
-     * while this process was paused, had no core, or was in a long turn, must not have that time once more.
+     * The earliest time at which what is read now may have arrived. That is now, unless the loop is late: data that
+     * waited while this process was paused, had no core, or was busy with one long task, must not have that time again.
      */
     public long earliestArrivalUs() {
-        long now = clock.now();
-        if (now - lastHeartbeatUs > LATE_AFTER_US) {
-            lateSinceUs = lastHeartbeatUs;
-        }
-        return Math.min(now, lateSinceUs);
+        return heartbeat.earliestArrivalUs();
     }
 
     /** Ends the thread, and waits until it has ended, for a second at most. From any other thread. */
@@ -204,9 +166,9 @@
         return events;
     }
 
-    /** For how long the loop has had no heartbeat. */
+    /** How long ago the last heartbeat was. */
     public long sinceHeartbeatUs() {
-        return clock.now() - lastHeartbeatUs;
+        return heartbeat.sinceLastUs();
     }
 
     /** Adds to the count of bytes that are buffered for slow clients and servers; {@code change} may be negative. */
