--- a/pooler/src/main/java/frostreel/net/SocketStream.java
+++ b/pooler/src/main/java/frostreel/net/SocketStream.java
@@ -11,30 +11,30 @@
 import org.xnio.conduits.ConduitStreamSourceChannel;
 
 /**
- * The bytes of one connection, both ways: owns the output that the socket has not taken yet. An exception of its
- * handler ends this connection alone. Used on the I/O thread.
+ * The bytes of one connection in both directions. Owns the output that the socket has not accepted yet. An exception of
+ * its handler ends this connection alone. Used on the I/O thread.
  */
 public final class SocketStream {
-    /** What is done with the bytes of a connection. */
+    /** Handles the input of a connection, and its end. */
     public interface Handler {
-        /** Bytes have come, all of which have to be taken. */
+        /** Bytes have arrived; the handler has to consume all of them. */
         void received(ByteBuffer in);
 
         /**
-         * All that had come, or as much as is read in one go, was passed to {@link #received}, and the peer had not
-         * ended its output behind it, as far as that went.
+         * Called after {@link #received} once the socket has no more input, or as much was read as is read in one turn.
+         * The peer had not ended its output behind that, as far as it was read.
          */
         default void caughtUp() {}
 
-        /** The socket has taken all output. */
+        /** The socket has accepted all output. */
         default void drained() {}
 
         /** The peer has ended its output, or the connection broke; called once, and not after {@link #close}. */
         void ended();
     }
 
-    /** Reads in one go, so that one busy connection does not keep the others waiting. */
-    private static final int MAX_READS_AT_ONCE = 4;
+    /** Reads of one connection in one turn, so that a busy connection does not keep the others waiting. */
+    private static final int MAX_READS_PER_TURN = 4;
 
     private static final int END_OF_STREAM = -1;
     private static final Logger LOG = Logger.getLogger(SocketStream.class.getName());
@@ -45,8 +45,11 @@
     private final Handler handler;
     private final ArrayDeque<ByteBuffer> output = new ArrayDeque<>();
     private int pendingBytes;
-    private long reads;
+    /** How many reads have returned bytes so far. */
+    private long successfulReads;
+    /** Our output ends behind what is pending. */
     private boolean outputEnding;
+
     private boolean reset;
     private boolean closed;
 
@@ -57,10 +60,27 @@
         this.handler = handler;
         source = connection.getSourceChannel();
         sink = connection.getSinkChannel();
-        source.setReadListener(channel -> guarded(() -> readable(false)));
-        sink.setWriteListener(channel -> guarded(this::writable));
+        source.setReadListener(channel -> runGuarded(this::onReadable));
+        sink.setWriteListener(channel -> runGuarded(this::onWritable));
     }
 
+    /** Runs a task of this connection; an exception ends the connection, and is logged. */
+    private void runGuarded(Runnable task) {
+        loop.pollWatchEventsIfDue(); // Which may close this very connection.
+        if (closed) {
+            return;
+        }
+        try {
+            task.run();
+        } catch (RuntimeException | Error e) {
+            loop.counters().unexpectedExceptions++;
+            LOG.log(Level.SEVERE, "a connection's handler failed; the connection is closed", e);
+            closeAndNotify();
+        }
+    }
+
+    // ---- Input. ----
+
     /** Reads from now on; a separate step, so that the handler may first store the stream. */
     public void resumeReads() {
         if (!closed) {
@@ -75,102 +95,120 @@
         }
     }
 
-    private void guarded(Runnable task) {
-        loop.pollWatchEventsIfDue(); // Which may close this very connection.
-        if (closed) {
-            return;
-        }
-        try {
-            task.run();
-        } catch (RuntimeException | Error e) {
-            loop.counters().unexpectedExceptions++;
-            LOG.log(Level.SEVERE, "a connection's handler failed; the connection is closed", e);
-            broken();
-        }
+    /**
+     * Reads once what has arrived and is still unread, also while reading is suspended.
+     *
+     * @return whether there was anything to read, or the connection has ended
+     */
+    public boolean readNow() {
+        long readsBefore = successfulReads;
+        runGuarded(this::readEvenIfSuspended);
+        return closed || successfulReads != readsBefore;
+    }
+
+    private void onReadable() {
+        read(false);
+    }
+
+    private void readEvenIfSuspended() {
+        read(true);
     }
 
-    /** {@code evenIfSuspended}: reads, as far as one go takes it, also where reading is suspended. */
-    private void readable(boolean evenIfSuspended) {
-        long readsBefore = reads;
+    /** Reads for one turn, and passes on what was read; stops where the handler suspends reading, or closes. */
+    private void read(boolean evenIfSuspended) {
+        long readsBefore = successfulReads;
         boolean more = true;
-        for (int i = 0; i < MAX_READS_AT_ONCE && more && !closed && (evenIfSuspended || source.isReadResumed()); i++) {
-            ByteBuffer in = loop.readBuffer();
-            int count;
-            try {
-                count = source.read(in);
-            } catch (IOException e) {
-                reset = true;
-                count = END_OF_STREAM;
+        for (int i = 0; i < MAX_READS_PER_TURN && more; i++) {
+            if (closed || !(evenIfSuspended || source.isReadResumed())) {
+                break;
             }
+            ByteBuffer in = loop.readBuffer();
+            int count = readInto(in);
             if (count < 0) {
-                broken();
+                closeAndNotify();
                 return;
             }
             more = count > 0;
             if (more) {
-                reads++;
+                successfulReads++;
                 handler.received(in.flip());
             }
         }
-        if (!closed && reads != readsBefore) {
+        if (!closed && successfulReads != readsBefore) {
             handler.caughtUp();
         }
     }
 
-    /** Passes on what has come and is still unread. True where there was any, or the connection has ended. */
-    public boolean readNow() {
-        long readsBefore = reads;
-        guarded(() -> readable(true));
-        return closed || reads != readsBefore;
+    /** Returns how many bytes were read, {@link #END_OF_STREAM} where the connection has ended or broken. */
+    private int readInto(ByteBuffer in) {
+        try {
+            return source.read(in);
+        } catch (IOException e) {
+            reset = true;
+            return END_OF_STREAM;
+        }
     }
 
-    private void addPendingBytes(int change) {
-        pendingBytes += change;
-        loop.addBufferedBytes(change);
+    /** Whether there is nothing to read, and the peer has not ended its output; what is read here is lost. */
+    public boolean isQuiet() {
+        try {
+            return !closed && source.read(loop.readBuffer()) == 0;
+        } catch (IOException e) {
+            return false;
+        }
     }
 
-    /** Writes what the socket takes now; the rest waits until the socket is writable. */
+    // ---- Output. ----
+
+    /** Writes what the socket accepts now; the rest is written once the socket is writable. */
     public void write(byte[] bytes) {
         if (closed) {
             return;
         }
         output.add(ByteBuffer.wrap(bytes));
         addPendingBytes(bytes.length);
-        if (output.size() == 1 && !flush() && !closed) {
+        boolean isFirst = output.size() == 1;
+        if (isFirst && !flush() && !closed) {
             sink.resumeWrites();
         }
     }
 
-    /** How many bytes the socket has not taken yet. */
+    /** How many bytes of the output the socket has not accepted yet. */
     public int pendingBytes() {
         return pendingBytes;
     }
 
-    /** Ends our output once the socket has all of it; the peer may still send. */
+    /** Whether the socket has accepted all output, or had when the connection was closed. */
+    public boolean flushed() {
+        return output.isEmpty();
+    }
+
+    /** Ends our output once the socket has accepted all of it; the peer may still send. */
     public void end() {
         outputEnding = true;
-        shutDownWhenFlushed();
+        shutDownIfFlushed();
+    }
+
+    private void onWritable() {
+        if (flush() && !closed) {
+            sink.suspendWrites();
+            shutDownIfFlushed();
+            handler.drained();
+        }
     }
 
-    private void shutDownWhenFlushed() {
+    private void shutDownIfFlushed() {
         if (outputEnding && !closed && flushed()) {
             try {
                 sink.shutdownWrites();
                 sink.flush();
             } catch (IOException e) {
-                loop.thread().execute(() -> guarded(this::broken));
+                closeAndNotifyLater();
             }
         }
     }
 
-    private void writable() {
-        if (flush() && !closed) {
-            sink.suspendWrites();
-            shutDownWhenFlushed();
-            handler.drained();
-        }
-    }
-
+    /** Writes what the socket accepts; returns whether that was all. */
     private boolean flush() {
         try {
             while (!output.isEmpty()) {
@@ -184,38 +222,35 @@
             return true;
         } catch (IOException e) {
             reset = true;
-            // Not within the writer's call, which may be in the middle of a change of its own.
-            loop.thread().execute(() -> guarded(this::broken));
+            closeAndNotifyLater();
             return false;
         }
     }
 
-    /** Whether there is nothing to read, and the peer has not ended its output; what is read here is lost. */
-    public boolean isQuiet() {
-        try {
-            return !closed && source.read(loop.readBuffer()) == 0;
-        } catch (IOException e) {
-            return false;
-        }
+    private void addPendingBytes(int change) {
+        pendingBytes += change;
+        loop.addBufferedBytes(change);
     }
 
+    // ---- The end of the connection. ----
+
     /** Whether the connection broke, so that its last bytes may be missing; known once {@link Handler#ended} runs. */
     public boolean wasReset() {
         return reset;
     }
 
-    /** Whether the socket has taken all that was written, or had when the connection was closed. */
-    public boolean flushed() {
-        return output.isEmpty();
-    }
-
-    private void broken() {
+    private void closeAndNotify() {
         if (!closed) {
             close();
             handler.ended();
         }
     }
 
+    /** Not within the call of whoever writes, as that may be in the middle of a change of its own. */
+    private void closeAndNotifyLater() {
+        loop.thread().execute(() -> runGuarded(this::closeAndNotify));
+    }
+
     /** Closes the connection; the handler is not called any more. */
     public void close() {
         if (!closed) {
