--- a/pooler/src/main/java/frostreel/frontend/ClientConnection.java
+++ b/pooler/src/main/java/frostreel/frontend/ClientConnection.java
@@ -173,7 +173,7 @@
         loop.events()
                 .record(
                         EventLog.Kind.CLIENT_CLOSED,
-                        () -> "it takes nothing of its answer, " + pendingBytes + " bytes wait");
+                        () -> "client stopped reading its response, " + pendingBytes + " bytes pending");
         close();
     }
 
--- a/pooler/src/main/java/frostreel/net/Acceptor.java
+++ b/pooler/src/main/java/frostreel/net/Acceptor.java
@@ -127,7 +127,7 @@
         } catch (ClosedChannelException e) {
             LOG.fine("the listening socket is closed");
         } catch (IOException e) {
-            LOG.warning("accepting " + peerName + " failed: " + e.getMessage());
+            LOG.warning("accept failed: " + e.getMessage() + " (" + peerName + ")");
         }
     }
 
@@ -143,7 +143,7 @@
         failures++;
         if (failingSinceUs == NOT_FAILING) {
             failingSinceUs = loop.clock().now();
-            LOG.warning("accepting " + peerName + " fails; tried again every " + RETRY_MS + " ms");
+            LOG.warning("accept failed; retrying every " + RETRY_MS + " ms (" + peerName + ")");
         }
         loop.thread().execute(() -> loop.counters().acceptFailures++);
         if (!retryScheduled) {
--- a/pooler/src/main/java/frostreel/net/EventLoopWatchdog.java
+++ b/pooler/src/main/java/frostreel/net/EventLoopWatchdog.java
@@ -4,33 +4,34 @@
 import java.util.logging.Logger;
 
 /**
- * Watches from a thread of its own whether the I/O thread still has its heartbeat. Where that has stalled, it logs
- * once at which place, and again when it goes on. Where that has ended, it ends the process, which would otherwise
- * accept clients and never serve them.
+ * Watches the heartbeat of the I/O thread from a thread of its own. A stall is logged once with the stack of the I/O
+ * thread, and again when the heartbeat recovers. If the I/O thread has terminated, the watchdog exits the process,
+ * which would otherwise accept clients and never serve them.
  */
 final class EventLoopWatchdog implements Runnable {
-    /** An I/O thread without a heartbeat for this time has stalled; it has five a second. */
-    static final long STALLED_NS = TimeUnit.MILLISECONDS.toNanos(1_500);
+    /** The I/O thread has stalled if it had no heartbeat for this time; it has five a second. */
+    static final long STALLED_AFTER_NS = TimeUnit.MILLISECONDS.toNanos(1_500);
 
     private static final long CHECK_INTERVAL_MS = 500;
-    /** Where the watchdog's own sleep took longer by this, the whole process was paused, and not just that thread. */
+    private static final long CHECK_INTERVAL_NS = TimeUnit.MILLISECONDS.toNanos(CHECK_INTERVAL_MS);
+    /** If the watchdog's own sleep takes longer by this, the whole process was paused, not only the I/O thread. */
     private static final long PROCESS_PAUSED_NS = TimeUnit.MILLISECONDS.toNanos(500);
 
     private static final int MAX_LOGGED_FRAMES = 12;
     private static final int EXIT_CODE = 1;
     private static final Logger LOG = Logger.getLogger(EventLoopWatchdog.class.getName());
-    private final Thread watched;
+
+    private final Thread ioThread;
     private volatile long lastHeartbeatNs = System.nanoTime();
     private volatile boolean ended;
     private boolean stalled;
     private long stalledSinceNs;
 
-    /** {@code watched}: the I/O thread. */
-    EventLoopWatchdog(Thread watched) {
-        this.watched = watched;
+    EventLoopWatchdog(Thread ioThread) {
+        this.ioThread = ioThread;
     }
 
-    /** Begins to watch. */
+    /** Starts the watchdog's thread. */
     void start() {
         Thread thread = new Thread(this, "watchdog");
         thread.setDaemon(true);
@@ -42,7 +43,7 @@
         lastHeartbeatNs = System.nanoTime();
     }
 
-    /** The I/O thread is about to end, as it should; from any thread. */
+    /** Ends the watchdog, as the I/O thread is about to be terminated on purpose; from any thread. */
     void end() {
         ended = true;
     }
@@ -54,34 +55,39 @@
                 long before = System.nanoTime();
                 Thread.sleep(CHECK_INTERVAL_MS);
                 long now = System.nanoTime();
-                if (!ended && now - before < TimeUnit.MILLISECONDS.toNanos(CHECK_INTERVAL_MS) + PROCESS_PAUSED_NS) {
+                boolean processWasPaused = now - before >= CHECK_INTERVAL_NS + PROCESS_PAUSED_NS;
+                if (!ended && !processWasPaused) {
                     check(now);
                 }
             }
         } catch (InterruptedException e) {
-            Thread.currentThread().interrupt(); // Nothing interrupts it but an end of the program.
+            Thread.currentThread().interrupt(); // Only the end of the process interrupts this thread.
         }
     }
 
     private void check(long nowNs) {
-        if (!watched.isAlive()) {
-            System.err.println("frostreel: the I/O thread has ended; the process ends");
+        if (!ioThread.isAlive()) {
+            System.err.println("frostreel: I/O thread terminated; exiting");
             Runtime.getRuntime().halt(EXIT_CODE);
         }
         long sinceHeartbeatNs = nowNs - lastHeartbeatNs;
-        if (!stalled && sinceHeartbeatNs > STALLED_NS) {
+        if (!stalled && sinceHeartbeatNs > STALLED_AFTER_NS) {
             stalled = true;
             stalledSinceNs = lastHeartbeatNs;
-            LOG.severe("the I/O thread has stood still for " + sinceHeartbeatNs / 1_000_000 + " ms, at" + stackTrace());
-        } else if (stalled && sinceHeartbeatNs < STALLED_NS) {
+            LOG.severe("I/O thread stalled for " + millis(sinceHeartbeatNs) + " ms, at" + stackTrace());
+        } else if (stalled && sinceHeartbeatNs < STALLED_AFTER_NS) {
             stalled = false;
-            LOG.warning("the I/O thread goes on, after " + (lastHeartbeatNs - stalledSinceNs) / 1_000_000 + " ms");
+            LOG.warning("I/O thread recovered after " + millis(lastHeartbeatNs - stalledSinceNs) + " ms");
         }
     }
 
+    private static long millis(long nanos) {
+        return TimeUnit.NANOSECONDS.toMillis(nanos);
+    }
+
     private String stackTrace() {
         StringBuilder text = new StringBuilder();
-        StackTraceElement[] frames = watched.getStackTrace();
+        StackTraceElement[] frames = ioThread.getStackTrace();
         for (int i = 0; i < Math.min(frames.length, MAX_LOGGED_FRAMES); i++) {
             text.append(" <- ").append(frames[i]);
         }
