--- a/pooler/src/main/java/frostreel/frontend/package-info.java
+++ b/pooler/src/main/java/frostreel/frontend/package-info.java
@@ -1,5 +1,16 @@
 /**
- * The side of the clients: the listener, and their connections with what bounds and times them out. It submits requests
- * to the broker, and writes the answers. All of it runs on the I/O thread.
+ * The side of the clients: accepts their connections, submits their requests to the broker, and writes the responses.
+ * All of it runs on the I/O thread.
+ *
+ * <p>{@link frostreel.frontend.Listener} accepts. {@link frostreel.frontend.ClientTable} holds the connections,
+ * {@link frostreel.frontend.ClientLimits} evicts and rejects near the limits, and
+ * {@link frostreel.frontend.ClientDrainer} closes idle connections when the process drains; a
+ * {@link frostreel.frontend.FrontEnd} is what all connections share.
+ *
+ * <p>Each {@link frostreel.frontend.ClientConnection} has a {@link frostreel.frontend.ClientInput}, which takes
+ * messages from a {@link frostreel.frontend.ClientBacklog} and hands them to a
+ * {@link frostreel.frontend.StartupHandler}, later to a {@link frostreel.frontend.QueryHandler}; a
+ * {@link frostreel.frontend.ClientRequest} for the active request; an {@link frostreel.frontend.IdleTimer}; and a
+ * {@link frostreel.frontend.Lingering} for an orderly close.
  */
 package frostreel.frontend;
--- a/pooler/src/main/java/frostreel/log/package-info.java
+++ b/pooler/src/main/java/frostreel/log/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The log on standard error: set-up and format, a queue so that logging never blocks, and rate-limited lines
- * on single requests and connections.
+ * The log on standard error: {@link frostreel.log.Logging} configures it, {@link frostreel.log.LogQueue} keeps logging
+ * from ever blocking, and {@link frostreel.log.EventLog} writes rate-limited lines on single requests and connections.
  */
 package frostreel.log;
--- a/pooler/src/main/java/frostreel/net/Acceptor.java
+++ b/pooler/src/main/java/frostreel/net/Acceptor.java
@@ -15,25 +15,30 @@
 import org.xnio.nio.TcpServers;
 
 /**
- * Owns one listening socket. It accepts on XNIO's accept thread, as the JDK retries an aborted accept again and again
- * before it returns, and hands each connection to the I/O thread. Where the system fails an accept, as it does for
- * want of descriptors or buffers, it retries every {@link #RETRY_MS}, for as long as that lasts: what waits in the
- * backlog has been accepted by the system already, and is owed an answer. Its public methods are called on the I/O
- * thread.
+ * Owns one listening socket. It accepts on XNIO's accept thread and hands each connection to the I/O thread: the JDK
+ * retries an aborted accept again and again before it returns, which must not block the I/O thread.
+ *
+ * <p>If an accept fails, because the system has no descriptor or buffer left, it is retried every {@link #RETRY_MS}
+ * until it succeeds: the kernel has accepted the connections in the backlog already, so their clients wait for an
+ * answer. Public methods are called on the I/O thread.
  */
 public final class Acceptor {
-    /** From a failed accept to the next; it does not grow. */
+    /** The time from a failed accept to the next one; constant, without backoff. */
     static final long RETRY_MS = 20;
 
+    /** {@link #failingSinceUs} while accepts succeed. */
     private static final long NOT_FAILING = 0;
+
+    private static final long US_PER_MS = 1_000;
     private static final Logger LOG = Logger.getLogger(Acceptor.class.getName());
+
     private final EventLoop loop;
     private final String peerName;
     private final Consumer<StreamConnection> connectionHandler;
     private AcceptingChannel<StreamConnection> channel;
-    /** Whether accepting was asked for; written on the I/O thread. */
+    /** Whether accepting is resumed; written on the I/O thread, and read on the accept thread. */
     private volatile boolean accepting;
-    // ---- Of the accept thread alone. ----
+    // ---- State of the accept thread, used on that thread alone. ----
     private long failingSinceUs = NOT_FAILING;
     private long failures;
     private boolean retryScheduled;
@@ -79,15 +84,15 @@
         }
     }
 
-    /** Accepts nothing more for now, but for what is being accepted; the rest stays in the backlog. */
+    /** Stops accepting for now; an accept in progress may still complete, the rest stays in the backlog. */
     public void suspend() {
         accepting = false;
         channel.suspendAccepts();
     }
 
     /**
-     * Accepts all that waits in the backlog, which a close would reset, then closes the listening socket; while
-     * accepts fail, the close waits.
+     * Accepts all connections in the backlog, as a close would reset them, then closes the listening socket. While
+     * accepts fail, the close is delayed.
      */
     public void close() {
         accepting = false;
@@ -100,7 +105,7 @@
         try {
             AcceptBackOff.thread(channel).execute(task);
         } catch (RejectedExecutionException e) {
-            LOG.fine("the program ends, and accepts nothing more");
+            LOG.fine("the process is shutting down; nothing more is accepted");
         }
     }
 
@@ -135,7 +140,7 @@
         try {
             loop.thread().execute(() -> connectionHandler.accept(connection));
         } catch (RejectedExecutionException e) {
-            IoUtils.safeClose(connection); // The program ends.
+            IoUtils.safeClose(connection); // The process is shutting down.
         }
     }
 
@@ -148,7 +153,7 @@
         loop.thread().execute(() -> loop.counters().acceptFailures++);
         if (!retryScheduled) {
             retryScheduled = true;
-            channel.suspendAccepts(); // Or XNIO's own timers, one from each failure, would retry in between.
+            channel.suspendAccepts(); // Otherwise XNIO's own timers, one for each failure, would retry in between.
             AcceptBackOff.thread(channel).executeAfter(this::retry, RETRY_MS, TimeUnit.MILLISECONDS);
         }
     }
@@ -165,7 +170,7 @@
 
     private void onAccepted() {
         if (failingSinceUs != NOT_FAILING) {
-            long failedForMs = (loop.clock().now() - failingSinceUs) / 1000;
+            long failedForMs = (loop.clock().now() - failingSinceUs) / US_PER_MS;
             LOG.info("accept recovered after " + failedForMs + " ms, " + failures + " failures (" + peerName + ")");
             failingSinceUs = NOT_FAILING;
             failures = 0;
--- a/pooler/src/main/java/org/xnio/nio/AcceptBackOff.java
+++ b/pooler/src/main/java/org/xnio/nio/AcceptBackOff.java
@@ -5,8 +5,8 @@
 import org.xnio.channels.AcceptingChannel;
 
 /**
- * XNIO's back-off from accepting: where the system fails an accept, XNIO accepts nothing for 250 ms, and for four times
- * as long at each further failure, up to 30 s. XNIO has no public way to see or to end that; the methods used here are
+ * XNIO's backoff after a failed accept. XNIO then accepts nothing for 250 ms, and for four times as long after each
+ * further failure, up to 30 s. It has no public way to observe or end that backoff; the methods used here are
  * package-private in XNIO, and have to be checked at each update of XNIO. Called on the accept thread.
  */
 public final class AcceptBackOff {
@@ -17,19 +17,19 @@
         return handle(channel).getWorkerThread();
     }
 
-    /** Whether the last accept failed, so that nothing is accepted until {@link #end}, or for long. */
+    /** Whether the last accept failed, so that nothing is accepted until {@link #end} or until the backoff is over. */
     public static boolean isOn(AcceptingChannel<StreamConnection> channel) {
         return handle(channel).getBackOffTime() > 0;
     }
 
-    /** Accepts again, as far as accepting is not suspended, and forgets the failures so far. */
+    /** Ends the backoff: accepts again unless accepting is suspended, and resets the count of failures. */
     public static void end(AcceptingChannel<StreamConnection> channel) {
         NioTcpServerHandle handle = handle(channel);
         handle.resetBackOff();
         handle.endBackOff();
     }
 
-    /** All connections are accepted on the one accept thread. */
+    /** There is one accept thread, so the handle with index 0 is the only one. */
     private static NioTcpServerHandle handle(AcceptingChannel<StreamConnection> channel) {
         return ((NioTcpServer) channel).getHandle(0);
     }
--- a/pooler/src/main/java/org/xnio/nio/TcpServers.java
+++ b/pooler/src/main/java/org/xnio/nio/TcpServers.java
@@ -12,9 +12,11 @@
 import org.xnio.channels.AcceptingChannel;
 
 /**
- * Makes XNIO's accept thread accept from a listening socket that is open already, and call the listener on that thread.
- * XNIO has no public way to take one, and its own server hides behind a queue what {@link AcceptBackOff} has to see;
- * the constructor used here is package-private in XNIO, and has to be checked at each update of XNIO.
+ * Opens XNIO servers on listening sockets of our own, whose listener runs on XNIO's accept thread.
+ *
+ * <p>XNIO has no public way to use a socket that is already open, and its own server passes connections through a queue
+ * that hides what {@link AcceptBackOff} has to observe. The constructor used here is package-private in XNIO, and has
+ * to be checked at each update of XNIO.
  */
 public final class TcpServers {
     private static final int DEFAULT_BACKLOG = 1024;
@@ -44,10 +46,10 @@
     }
 
     /**
-     * Takes descriptor 0 for the socket. The channel must only be suspended, never closed: on its close the JDK
-     * redirects descriptors 0 to 2 to {@code /dev/null}, and the last log lines are lost.
+     * Listens on the socket that this process inherited as descriptor 0. The channel must only be suspended, never
+     * closed: on its close the JDK redirects descriptors 0 to 2 to {@code /dev/null}, and the last log lines are lost.
      *
-     * @throws IOException where descriptor 0 is no listening socket
+     * @throws IOException if descriptor 0 is no listening socket
      */
     public static AcceptingChannel<StreamConnection> inherit(
             XnioWorker worker, ChannelListener<? super AcceptingChannel<StreamConnection>> listener, OptionMap options)
--- a/pooler/src/main/java/org/xnio/nio/package-info.java
+++ b/pooler/src/main/java/org/xnio/nio/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Our additions to XNIO's own package, as they need members of XNIO that are package-private: accepting from any open
- * listening socket, and retrying at once after a failed accept. To be checked at each update of XNIO.
+ * Additions to XNIO that need its package-private members, and therefore live in its package: accepting from a
+ * listening socket that is already open, and ending the backoff after a failed accept. To be checked at each update of
+ * XNIO.
  */
 package org.xnio.nio;
