--- a/pooler/src/main/java/frostreel/frontend/ClientConnection.java
+++ b/pooler/src/main/java/frostreel/frontend/ClientConnection.java
@@ -13,7 +13,7 @@
  * One client's connection: takes its messages one after another, and writes the answers in their order. A client that
  * owes a message for too long is notified and closed, as it uses a connection that others need. Used on the I/O thread.
  */
-final class ClientConnection implements SocketStream.Handler {
+final class ClientConnection implements SocketStream.Handler, IdleTimer.Handler {
     private enum Phase {
         STARTUP,
         RUNNING,
@@ -42,8 +42,8 @@
         clients = frontEnd.clients();
         this.secret = secret;
         stream = new SocketStream(loop, connection, this);
-        idleTimer = new IdleTimer(loop, stream, this);
-        lingering = new Lingering(loop, this::close);
+        idleTimer = new IdleTimer(loop.clock(), loop.deadlines(), stream::pendingBytes, this);
+        lingering = new Lingering(loop.deadlines(), this::close);
         input = new ClientInput(frontEnd, stream, this);
         request = new ClientRequest(frontEnd, stream, this);
     }
@@ -157,19 +157,20 @@
         }
     }
 
-    void onMessageTimeout() {
+    @Override
+    public void onMessageTimeout() {
         loop.counters().clientsTimedOut++;
         closeWithError(SqlState.IDLE_SESSION_TIMEOUT, "nothing whole came in time");
     }
 
     /** The client owes nothing, but has to read its answer. */
-    void awaitReader() {
-        idleTimer.cancel();
+    private void awaitReader() {
         clients.markBusy(this);
         idleTimer.awaitReader();
     }
 
-    void onReaderStalled(int pendingBytes) {
+    @Override
+    public void onReaderStalled(int pendingBytes) {
         loop.events()
                 .record(
                         EventLog.Kind.CLIENT_CLOSED,
