--- a/pooler/src/main/java/frostreel/log/LogQueue.java
+++ b/pooler/src/main/java/frostreel/log/LogQueue.java
@@ -4,6 +4,7 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
+import java.util.function.LongSupplier;
 import java.util.logging.ErrorManager;
 import java.util.logging.Formatter;
 import java.util.logging.Handler;
@@ -25,6 +26,7 @@
     private static final long FLUSH_TIMEOUT_NS = TimeUnit.MILLISECONDS.toNanos(200);
 
     private final Handler target;
+    private final LongSupplier nanoTime;
     private final BlockingQueue<LogRecord> queue = new ArrayBlockingQueue<>(CAPACITY);
     private final AtomicLong dropped = new AtomicLong();
     /** Records accepted and not yet written. */
@@ -32,13 +34,20 @@
     /** How many dropped records were reported; used by the writer thread alone. */
     private long reportedDropped;
     /** When the current second of the rate limit began; guarded by this. */
-    private long windowStartNs = System.nanoTime();
-    /** How many records it has had; guarded by this. */
+    private long windowStartNs;
+    /** How many records that second has had; guarded by this. */
     private int recordsInWindow;
 
     /** Writes to {@code target} on a daemon thread that runs as long as the process. */
     LogQueue(Handler target) {
+        this(target, System::nanoTime);
+    }
+
+    /** The same, with the rate limit on a clock of the caller's. */
+    LogQueue(Handler target, LongSupplier nanoTime) {
         this.target = target;
+        this.nanoTime = nanoTime;
+        windowStartNs = nanoTime.getAsLong();
         Thread writer = new Thread(this::write, "log");
         writer.setDaemon(true);
         writer.start();
@@ -50,7 +59,7 @@
             return;
         }
         unwritten.incrementAndGet();
-        if (!admits(System.nanoTime()) || !queue.offer(entry)) {
+        if (!admits(nanoTime.getAsLong()) || !queue.offer(entry)) {
             unwritten.decrementAndGet();
             dropped.incrementAndGet();
         }
