--- a/pooler/src/test/java/frostreel/AbstractPoolerTest.java
+++ b/pooler/src/test/java/frostreel/AbstractPoolerTest.java
@@ -77,7 +77,7 @@
         int secret;
 
         CancellableClient() throws Exception {
-            link = new WireConnection(harness.connect());
+            link = harness.connectWithoutStartup();
             link.send(TestMessages.startup());
             DataInputStream in = link.in;
             for (int type = in.read(); type != 'Z'; type = in.read()) {
@@ -93,7 +93,7 @@
 
         /** Sends a CancelRequest and waits until the pooler has handled it, which ends its connection. */
         void cancel(int withSecret) throws Exception {
-            try (WireConnection other = new WireConnection(harness.connect())) {
+            try (WireConnection other = harness.connectWithoutStartup()) {
                 other.send(ByteBuffer.allocate(16)
                         .putInt(16)
                         .putInt(CANCEL_REQUEST)
--- a/pooler/src/test/java/frostreel/ClientCapacityTest.java
+++ b/pooler/src/test/java/frostreel/ClientCapacityTest.java
@@ -109,7 +109,7 @@
         start();
         List<WireConnection> silent = new ArrayList<>();
         for (int i = 0; i < 2 * PoolerHarness.MAX_CLIENTS; i++) {
-            silent.add(new WireConnection(harness.connect()));
+            silent.add(harness.connectWithoutStartup());
         }
         try (WireConnection client = harness.client()) {
             assertThat(value(client.execute(readSql("1", 9000)))).isEqualTo("from-replica");
--- a/pooler/src/test/java/frostreel/ClientProtocolTest.java
+++ b/pooler/src/test/java/frostreel/ClientProtocolTest.java
@@ -14,7 +14,7 @@
     @Test
     void acceptsStartupAndQueriesOneByteAtATime() throws Exception {
         start();
-        try (WireConnection client = new WireConnection(harness.connect())) {
+        try (WireConnection client = harness.connectWithoutStartup()) {
             for (byte[] part : List.of(TestMessages.startup(), query(readSql("1", 9000)), query(writeSql("2", 9000)))) {
                 for (byte nextByte : part) {
                     client.out.write(nextByte);
@@ -43,7 +43,7 @@
         start();
         try (WireConnection good = harness.client();
                 WireConnection bad = harness.client();
-                WireConnection early = new WireConnection(harness.connect())) {
+                WireConnection early = harness.connectWithoutStartup()) {
             bad.send(new byte[] {'Q', 127, -1, -1, -1});
             assertThat(bad.take()).startsWith("E").contains("|C08P01|");
             assertThat(bad.closedByPeer()).isTrue();
--- a/pooler/src/test/java/frostreel/ConnectionCloseTest.java
+++ b/pooler/src/test/java/frostreel/ConnectionCloseTest.java
@@ -81,7 +81,7 @@
                 },
                 () -> {
                     for (int i = 0; i < 3; i++) { // Even after accepting had ended, the first would be accepted.
-                        backlogged.add(new WireConnection(harness.connect()));
+                        backlogged.add(harness.connectWithoutStartup());
                         backlogged.get(i).send(TestMessages.startup(), query(readSql("" + i, 300)));
                     }
                 });
@@ -105,7 +105,7 @@
                 client.send(query(readSql("q" + i, 9000)));
             }
             for (int i = 0; i < 2; i++) {
-                try (WireConnection silent = new WireConnection(harness.connect())) {
+                try (WireConnection silent = harness.connectWithoutStartup()) {
                     assertThat(silent.take()).startsWith("E").contains("|C57P05|");
                     assertThat(silent.closedByPeer()).isTrue();
                 }
--- a/pooler/src/test/java/frostreel/DisconnectedClientsTest.java
+++ b/pooler/src/test/java/frostreel/DisconnectedClientsTest.java
@@ -77,7 +77,7 @@
         primary.script = replica.script;
         start();
         Map<String, WireConnection> clients = new HashMap<>();
-        int all = PoolerHarness.MOST_WAITING;
+        int all = PoolerHarness.MAX_WAITING_REQUESTS;
         for (int i = 0; i < all; i++) {
             WireConnection client = harness.client();
             clients.put("q" + i, client);
--- a/pooler/src/test/java/frostreel/DiscoveryTest.java
+++ b/pooler/src/test/java/frostreel/DiscoveryTest.java
@@ -174,7 +174,7 @@
     private void assertWatchEventsAreAppliedFirstAfterAShortPause() throws Exception {
         CountDownLatch written = new CountDownLatch(1);
         List<WireConnection> clients = new ArrayList<>();
-        for (int i = 0; i < PoolerHarness.MOST_WAITING; i++) {
+        for (int i = 0; i < PoolerHarness.MAX_WAITING_REQUESTS; i++) {
             clients.add(harness.client());
         }
         // An idle connection to the replica stays open, on which the next request could be sent at once.
--- a/pooler/src/test/java/frostreel/PausedResponseTest.java
+++ b/pooler/src/test/java/frostreel/PausedResponseTest.java
@@ -25,7 +25,7 @@
 class PausedResponseTest {
     private static final byte[] VALUE = new byte[1 << 17];
     private static final int LAST_PIECE_BYTES = 100;
-    private static final long ATTEMPT_TIMEOUT_US = TimeUnit.SECONDS.toMicros(PoolerHarness.PATIENCE_S);
+    private static final long ATTEMPT_TIMEOUT_US = TimeUnit.SECONDS.toMicros(PoolerHarness.TIMEOUT_S);
 
     private final BlockingQueue<Result> results = new LinkedBlockingQueue<>();
     private PoolerHarness harness;
@@ -56,12 +56,12 @@
         ServerPool pool = pool(server);
 
         start(pool, new Listener(allButLastPieceRead));
-        assertThat(results.poll(PoolerHarness.PATIENCE_S, TimeUnit.SECONDS).outcome())
+        assertThat(results.poll(PoolerHarness.TIMEOUT_S, TimeUnit.SECONDS).outcome())
                 .isEqualTo(Outcome.OK);
         server.script = PoolerHarness.rows("next", "replica");
         start(pool, results::add);
 
-        assertThat(results.poll(PoolerHarness.PATIENCE_S, TimeUnit.SECONDS))
+        assertThat(results.poll(PoolerHarness.TIMEOUT_S, TimeUnit.SECONDS))
                 .as("the answer to the next attempt")
                 .isNotNull()
                 .extracting(Result::outcome)
--- a/pooler/src/test/java/frostreel/PoolerHarness.java
+++ b/pooler/src/test/java/frostreel/PoolerHarness.java
@@ -22,18 +22,21 @@
 import java.util.logging.Logger;
 import java.util.logging.StreamHandler;
 
-/** Runs a pooler between scripted servers and discovery agents on loopback. Tests wait for events, never for time. */
+/**
+ * A pooler between scripted clients, servers and discovery agents, all on loopback. Tests wait for events, never for a
+ * time to pass.
+ */
 final class PoolerHarness {
-    /** Bounds every wait, so that a hang fails its test. */
-    static final int PATIENCE_S = 20;
+    /** The timeout of every wait, so that a hang fails its test. */
+    static final int TIMEOUT_S = 20;
     /** The pooler's limit on clients: of 128 descriptors 64 are reserved, and servers have a quarter of the rest. */
     static final int MAX_CLIENTS = 48;
     /** While this many clients have requests in flight, further requests are rejected. */
     static final int BUSY_LIMIT = MAX_CLIENTS - 16;
     /** The number of clients that the pooler expects: a third of all descriptors. */
     static final int USUAL_CLIENTS = 42;
-    /** More requests than this waiting unsent are evicted: three eighths of the usual clients. */
-    static final int MOST_WAITING = USUAL_CLIENTS * 3 / 8;
+    /** If more requests than this wait unsent, some are rejected: three eighths of the usual clients. */
+    static final int MAX_WAITING_REQUESTS = USUAL_CLIENTS * 3 / 8;
     /** The pooler's limit on connections to servers, see {@link #MAX_CLIENTS}. */
     static final int MAX_SERVERS = 16;
 
@@ -69,13 +72,13 @@
     Pooler pooler;
 
     OperatorSettings operators = OperatorSettings.DEFAULT;
-    /** How long the configured list waits for discovery; a test of that wait makes it endless. */
+    /** For how long discovery is awaited before the configured list is used; endless in a test of that wait. */
     long configuredListPatienceUs = EndpointSource.CONFIGURED_LIST_PATIENCE_US;
-    /** How long a closed client may take to close its end; a test of that wait makes it endless. */
+    /** How long a closed client may take to close its side; endless in a test of that wait. */
     long lingerUs = ServingLifecycle.LINGER_US;
     /** The settings of the pooler that is started. */
     String settings = SETTINGS;
-    /** Lifts the limit on concurrent requests at servers, so that clients can occupy all connections. */
+    /** Lifts the limit on concurrent requests to servers, so that clients can occupy all connections. */
     boolean unlimitedConcurrency;
 
     PoolerHarness() throws IOException {
@@ -84,7 +87,7 @@
 
     /** Adds a discovery agent that responds to each request with the next of {@code lists}, and waits for one. */
     ScriptedPeer discovery(BlockingQueue<String> lists) throws IOException {
-        ScriptedPeer peer = new ScriptedPeer(false, (text, link) -> {
+        ScriptedPeer peer = new ScriptedPeer(ScriptedPeer.Protocol.HTTP, (text, link) -> {
             try {
                 link.send(TestMessages.http(lists.take()));
                 sentLists.add("sent");
@@ -110,7 +113,7 @@
         return thread;
     }
 
-    /** Waits for a latch within a peer's script. */
+    /** Waits for a latch within the script of a peer. */
     static void await(CountDownLatch latch) throws IOException {
         try {
             latch.await();
@@ -121,14 +124,14 @@
 
     /** Adds a database server. */
     ScriptedPeer server(ScriptedPeer.Script script) throws IOException {
-        ScriptedPeer peer = new ScriptedPeer(true, script);
+        ScriptedPeer peer = new ScriptedPeer(ScriptedPeer.Protocol.POSTGRESQL, script);
         peers.add(peer);
         return peer;
     }
 
-    /** Adds a peer that speaks HTTP. */
+    /** Adds an HTTP agent. */
     ScriptedPeer agent(ScriptedPeer.Script script) throws IOException {
-        ScriptedPeer peer = new ScriptedPeer(false, script);
+        ScriptedPeer peer = new ScriptedPeer(ScriptedPeer.Protocol.HTTP, script);
         peers.add(peer);
         return peer;
     }
@@ -195,11 +198,11 @@
      * meanwhile is found by it in one turn afterwards.
      */
     void whileLoopIsBlocked(Task task) throws Exception {
-        whileLoopIsBlocked(CommandExecutor.class, () -> spawn(() -> command("STATUS")), task); // The call is logged.
+        whileLoopIsBlocked(CommandExecutor.class, () -> spawn(() -> command("STATUS")), task); // Commands are logged.
     }
 
-    /** Blocks the I/O thread at the next line that {@code logger} writes, which {@code cause} brings about. */
-    void whileLoopIsBlocked(Class<?> logger, Task cause, Task task) throws Exception {
+    /** As above, but blocks at the next line that {@code logger} writes; {@code trigger} makes it write one. */
+    void whileLoopIsBlocked(Class<?> logger, Task trigger, Task task) throws Exception {
         CountDownLatch blocked = new CountDownLatch(1);
         CountDownLatch release = new CountDownLatch(1);
         Handler stop = new StreamHandler() {
@@ -216,7 +219,7 @@
         Logger log = Logger.getLogger(logger.getName());
         log.addHandler(stop);
         try {
-            cause.run();
+            trigger.run();
             blocked.await();
             task.run();
         } finally {
@@ -250,14 +253,14 @@
 
     /** Connects a client to the pooler and completes its startup; it is closed with the harness at the latest. */
     WireConnection client() throws Exception {
-        WireConnection client = new WireConnection(connect());
+        WireConnection client = connectWithoutStartup();
         clients.add(client);
         client.send(TestMessages.startup());
         client.readResponse();
         return client;
     }
 
-    /** Connects to a process that listens at this port. */
+    /** Connects to a process that listens at this port, without a startup message. */
     static WireConnection connect(int port) throws IOException {
         return new WireConnection(new Socket("127.0.0.1", port));
     }
@@ -270,17 +273,17 @@
         return client;
     }
 
-    /** Connects to the pooler. */
-    Socket connect() throws Exception {
+    /** Connects to the pooler, without a startup message. */
+    WireConnection connectWithoutStartup() throws Exception {
         InetSocketAddress address = pooler.address();
-        return new Socket(address.getAddress(), address.getPort());
+        return new WireConnection(new Socket(address.getAddress(), address.getPort()));
     }
 
     /** Sends a command to the admin endpoint and returns its response. */
     String command(String command) throws Exception {
         InetSocketAddress address = pooler.adminAddress();
         try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
-            socket.setSoTimeout(PATIENCE_S * 1000);
+            socket.setSoTimeout(TIMEOUT_S * 1000);
             socket.getOutputStream().write((command + "\n").getBytes(StandardCharsets.US_ASCII));
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
         }
@@ -297,7 +300,7 @@
                 link.send(TestMessages.error(code), TestMessages.bytes('S', "role|" + role + "|"), TestMessages.READY);
     }
 
-    /** Ends the clients, the peers and the pooler. */
+    /** Closes the clients, the peers and the pooler. */
     void close() throws Exception {
         for (WireConnection client : clients) {
             client.close();
--- a/pooler/src/test/java/frostreel/ScriptedPeer.java
+++ b/pooler/src/test/java/frostreel/ScriptedPeer.java
@@ -10,13 +10,23 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** A server or a discovery agent that responds by a script. */
+/** A database server or an HTTP agent that responds by a script. */
 final class ScriptedPeer {
+    /** What the peer speaks. */
+    enum Protocol {
+        POSTGRESQL,
+        HTTP
+    }
+
     /** How the peer responds to one message, on the connection that it arrived by. */
     interface Script {
         void respond(String text, WireConnection link) throws IOException;
     }
 
+    private static final int ANY_PORT = 0;
+    private static final int BACKLOG = 50;
+    private static final String HEALTH_CHECK = "QSHOW load|";
+
     final ServerSocket listener;
     /** The messages that arrived, without health checks. */
     final BlockingQueue<String> received = new LinkedBlockingQueue<>();
@@ -31,21 +41,17 @@
 
     private final Thread acceptor;
 
-    ScriptedPeer(boolean database, Script script) throws IOException {
-        this(database, script, 0);
-    }
-
-    /** Listens at {@code port}, 0 for any free one. */
-    ScriptedPeer(boolean database, Script script, int port) throws IOException {
+    /** Listens on a free port of loopback. */
+    ScriptedPeer(Protocol protocol, Script script) throws IOException {
         this.script = script;
-        listener = new ServerSocket(port, 50, InetAddress.getLoopbackAddress());
+        listener = new ServerSocket(ANY_PORT, BACKLOG, InetAddress.getLoopbackAddress());
         acceptor = PoolerHarness.spawn(() -> {
             while (true) {
                 WireConnection link = new WireConnection(listener.accept());
                 connections.incrementAndGet();
                 PoolerHarness.spawn(() -> {
                     try (link) {
-                        serve(link, database);
+                        serve(link, protocol);
                     } finally {
                         closedConnections.add("closed");
                     }
@@ -54,15 +60,15 @@
         });
     }
 
-    private void serve(WireConnection link, boolean database) throws IOException {
+    private void serve(WireConnection link, Protocol protocol) throws IOException {
         link.socket.setSoTimeout(0);
-        if (database) {
+        if (protocol == Protocol.POSTGRESQL) {
             link.in.readNBytes(link.in.readInt() - 4);
             handshake.respond("", link);
         }
         while (true) {
-            String text = database ? link.take() : requestLine(link.in);
-            if (!text.equals("QSHOW load|")) { // Health checks arrive at any time.
+            String text = protocol == Protocol.POSTGRESQL ? link.take() : requestLine(link.in);
+            if (!text.equals(HEALTH_CHECK)) { // Health checks arrive at any time.
                 received.add(text);
             }
             script.respond(text, link);
@@ -84,7 +90,7 @@
 
     /** Waits for the next message that arrives, and returns it. */
     String next() throws InterruptedException {
-        return received.poll(PoolerHarness.PATIENCE_S, TimeUnit.SECONDS);
+        return received.poll(PoolerHarness.TIMEOUT_S, TimeUnit.SECONDS);
     }
 
     String address() {
--- a/pooler/src/test/java/frostreel/WireConnection.java
+++ b/pooler/src/test/java/frostreel/WireConnection.java
@@ -5,11 +5,12 @@
 import java.io.DataOutputStream;
 import java.io.IOException;
 import java.net.Socket;
+import java.net.SocketException;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 
-/** One end of a connection: a client's, or a scripted peer's. */
+/** A connection by PostgreSQL's protocol, as a client or a scripted server uses it. */
 final class WireConnection implements AutoCloseable {
     final Socket socket;
     final DataInputStream in;
@@ -18,7 +19,7 @@
     WireConnection(Socket socket) throws IOException {
         this.socket = socket;
         socket.setTcpNoDelay(true);
-        socket.setSoTimeout(PoolerHarness.PATIENCE_S * 1000);
+        socket.setSoTimeout(PoolerHarness.TIMEOUT_S * 1000);
         in = new DataInputStream(socket.getInputStream());
         out = new DataOutputStream(socket.getOutputStream());
     }
@@ -43,7 +44,7 @@
         return type + new String(body, StandardCharsets.ISO_8859_1).replace('\0', '|');
     }
 
-    /** Reads a response and returns its messages without ReadyForQuery. */
+    /** Reads a response up to ReadyForQuery, and returns its messages without that. */
     List<String> readResponse() throws IOException {
         List<String> messages = new ArrayList<>();
         for (String message = take(); !message.startsWith("Z"); message = take()) {
@@ -52,6 +53,7 @@
         return messages;
     }
 
+    /** Sends a query and reads its response. */
     List<String> execute(String sql) throws IOException {
         send(TestMessages.query(sql));
         return readResponse();
@@ -61,7 +63,7 @@
     boolean closedByPeer() throws IOException {
         try {
             return in.read() < 0;
-        } catch (java.net.SocketException reset) {
+        } catch (SocketException e) { // It was reset.
             return true;
         }
     }
