--- a/pooler/src/test/java/frostreel/AbstractPoolerTest.java
+++ b/pooler/src/test/java/frostreel/AbstractPoolerTest.java
@@ -2,24 +2,33 @@
 
 import static frostreel.PoolerHarness.host;
 import static frostreel.PoolerHarness.rows;
+import static frostreel.TestMessages.query;
+import static frostreel.TestMessages.readSql;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.io.DataInputStream;
 import java.io.IOException;
 import java.nio.ByteBuffer;
+import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Timeout;
 
-/** Base of tests on a replica group of a primary and a replica, with a harness of its own for each test. */
-/* A socket read ignores interrupts, so a test must not run on the thread that enforces its timeout. */
+/**
+ * Base of tests on a replica group of a primary and a replica, with a harness of its own for each test.
+ *
+ * <p>A socket read ignores interrupts, so a test must not run on the thread that enforces its timeout.
+ */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 abstract class AbstractPoolerTest {
     private static final int CANCEL_REQUEST = 80877102;
+    private static final int CANCEL_REQUEST_BYTES = 16;
+
     PoolerHarness harness;
     ScriptedPeer primary;
     ScriptedPeer replica;
+    private int requestCount;
 
     @BeforeEach
     void setUp() throws Exception {
@@ -37,6 +46,65 @@
         harness.start(host("a", primary, "primary", "Ready"), host("b", replica, "replica", "Ready"));
     }
 
+    /** Returns a read whose id no other request of this test has. */
+    String nextReadSql() {
+        requestCount++;
+        return readSql("read" + requestCount, 9000);
+    }
+
+    /** Makes both members leave the requests that arrive from now on without a response. */
+    void leaveRequestsUnanswered() {
+        replica.script = (text, link) -> {};
+        primary.script = replica.script;
+    }
+
+    /** Connects clients that are idle after a read each; the first has been idle for longest. */
+    List<WireConnection> idleClients(int count) throws Exception {
+        List<WireConnection> clients = new ArrayList<>();
+        for (int i = 0; i < count; i++) {
+            WireConnection client = harness.client();
+            assertThat(value(client.execute(nextReadSql()))).isEqualTo("from-replica");
+            clients.add(client);
+        }
+        return clients;
+    }
+
+    /** Connects clients that have a read in flight each. */
+    List<WireConnection> busyClients(int count) throws Exception {
+        List<WireConnection> clients = new ArrayList<>();
+        for (int i = 0; i < count; i++) {
+            WireConnection client = harness.client();
+            client.send(query(nextReadSql()));
+            clients.add(client);
+        }
+        return clients;
+    }
+
+    /** Sends reads without waiting for their responses. */
+    void sendReads(WireConnection client, int count) throws IOException {
+        for (int i = 0; i < count; i++) {
+            client.send(query(nextReadSql()));
+        }
+    }
+
+    /** Checks that the next responses are one row each, with this value. */
+    static void assertNextValues(WireConnection client, int count, String value) throws IOException {
+        for (int i = 0; i < count; i++) {
+            assertThat(value(client.readResponse())).isEqualTo(value);
+        }
+    }
+
+    /** Checks that a response is one error, with this SQLSTATE. */
+    static void assertError(List<String> response, String sqlState) {
+        assertThat(response).singleElement().asString().startsWith("E").contains("|C" + sqlState + "|");
+    }
+
+    /** Checks that the next message is an error with this SQLSTATE, and the connection is closed behind it. */
+    static void assertClosedWithError(WireConnection client, String sqlState) throws IOException {
+        assertThat(client.take()).startsWith("E").contains("|C" + sqlState + "|");
+        assertThat(client.closedByPeer()).isTrue();
+    }
+
     /** The configuration of a pooler that knows both members from the start. */
     String configuration() {
         return PoolerHarness.configuration(
@@ -45,7 +113,7 @@
                 host("b", replica, "replica", "Ready"));
     }
 
-    /** Stops the pooler on a thread of its own; the I/O thread takes that up before any task given to it later. */
+    /** Stops the pooler on a thread of its own; the I/O thread begins with that before any task submitted later. */
     Thread stopPooler() {
         Thread stop = new Thread(() -> {
             try {
@@ -94,8 +162,8 @@
         /** Sends a CancelRequest and waits until the pooler has handled it, which ends its connection. */
         void cancel(int withSecret) throws Exception {
             try (WireConnection other = harness.connectWithoutStartup()) {
-                other.send(ByteBuffer.allocate(16)
-                        .putInt(16)
+                other.send(ByteBuffer.allocate(CANCEL_REQUEST_BYTES)
+                        .putInt(CANCEL_REQUEST_BYTES)
                         .putInt(CANCEL_REQUEST)
                         .putInt(process)
                         .putInt(withSecret)
@@ -107,7 +175,7 @@
 
         void cancelAndAwaitError() throws Exception {
             cancel(secret);
-            assertThat(link.readResponse()).singleElement().asString().contains("|C57014|");
+            assertError(link.readResponse(), "57014");
         }
 
         @Override
--- a/pooler/src/test/java/frostreel/ClientProtocolTest.java
+++ b/pooler/src/test/java/frostreel/ClientProtocolTest.java
@@ -39,39 +39,31 @@
     }
 
     @Test
-    void malformedInputClosesOnlyItsOwnConnection() throws Exception {
+    void closesOnlyTheConnectionOfMalformedInput() throws Exception {
         start();
         try (WireConnection good = harness.client();
                 WireConnection bad = harness.client();
                 WireConnection early = harness.connectWithoutStartup()) {
             bad.send(new byte[] {'Q', 127, -1, -1, -1});
-            assertThat(bad.take()).startsWith("E").contains("|C08P01|");
-            assertThat(bad.closedByPeer()).isTrue();
+            assertClosedWithError(bad, "08P01");
             early.send(new byte[] {-1, -1, -1, -1});
             assertThat(early.take()).startsWith("E");
-            assertThat(good.execute("SELECT 1")).singleElement().asString().contains("|C22023|");
-            assertThat(good.execute(readSql("1", 9000).replace("d=9000", "d=x")))
-                    .singleElement()
-                    .asString()
-                    .contains("|C22023|");
+            assertError(good.execute("SELECT 1"), "22023");
+            assertError(good.execute(readSql("1", 9000).replace("d=9000", "d=x")), "22023");
             assertThat(value(good.execute(readSql("2", 9000)))).isEqualTo("from-replica");
             assertThat(harness.pooler.counters()).contains("malformed=4 ").contains("stray_exceptions=0 ");
         }
     }
 
     @Test
-    void slowReaderReceivesEveryValueCompleteAndInOrder() throws Exception {
+    void sendsEveryValueCompleteAndInOrderToASlowReader() throws Exception {
         String large = "x".repeat(60_000);
         replica.script = rows(large, "replica");
         start();
         int count = 60;
         try (WireConnection client = harness.client()) {
-            for (int i = 0; i < count; i++) {
-                client.send(query(readSql("q" + i, 9000)));
-            }
-            for (int i = 0; i < count; i++) {
-                assertThat(value(client.readResponse())).isEqualTo(large);
-            }
+            sendReads(client, count);
+            assertNextValues(client, count, large);
         }
     }
 
@@ -80,13 +72,10 @@
         replica.script = (text, link) -> {};
         start();
         try (WireConnection client = harness.client();
-                WireConnection thief = harness.client()) {
+                WireConnection other = harness.client()) {
             client.send(query(readSql("1", 9000)));
             assertThat(replica.next()).contains("id=1,");
-            assertThat(thief.execute(readSql("1", 9000)))
-                    .singleElement()
-                    .asString()
-                    .contains("|C22023|");
+            assertError(other.execute(readSql("1", 9000)), "22023");
             assertThat(harness.pooler.counters()).contains(" attempts=1 ");
         }
     }
@@ -95,7 +84,7 @@
     void rejectsStatementsOfUnknownForm() throws Exception {
         start();
         try (WireConnection client = harness.client()) {
-            for (String bad : List.of(
+            for (String statement : List.of(
                     readSql("1", 9000) + ";",
                     readSql("1", 9000).replace("records", "accounts"),
                     readSql("1", 9000).replace("id=1", "id="),
@@ -106,8 +95,8 @@
                     writeSql("1", 9000).replace(",k=5c0f", ""),
                     readSql("1", 9000).replace("d=9000", "d=-5"),
                     readSql("1", 9000).replace("look", "none"))) {
-                assertThat(client.execute(bad))
-                        .as(bad)
+                assertThat(client.execute(statement))
+                        .as(statement)
                         .singleElement()
                         .asString()
                         .contains("|C22023|");
@@ -117,12 +106,11 @@
     }
 
     @Test
-    void errorReachesClientWhoseInputIsStillUnread() throws Exception {
+    void sendsErrorToClientWhoseInputIsStillUnread() throws Exception {
         start();
         try (WireConnection client = harness.client()) {
             client.send(new byte[] {'Q', 3, -1, -1, -1}, new byte[900_000]);
-            assertThat(client.take()).startsWith("E").contains("|C08P01|");
-            assertThat(client.closedByPeer()).isTrue();
+            assertClosedWithError(client, "08P01");
         }
     }
 }
--- a/pooler/src/test/java/frostreel/ConnectionCloseTest.java
+++ b/pooler/src/test/java/frostreel/ConnectionCloseTest.java
@@ -9,24 +9,26 @@
 
 import frostreel.discovery.DiscoveryWatch;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
 
 /** The close of client connections: accepted requests are answered, and bytes in transit reset nothing. */
 class ConnectionCloseTest extends AbstractPoolerTest {
-    /** Makes the pooler wait without limit for a closed client to close its end. */
-    private void lingerWithoutEnd() {
+    /** The first replica group whose replica truncates its responses; one group a byte. */
+    private static final int FIRST_GROUP = 100;
+
+    /** Makes the pooler wait without limit for a closed client to close its side. */
+    private void lingerWithoutLimit() {
         harness.lingerUs = Long.MAX_VALUE / 2;
     }
 
-    /** The client sends after it saw the end: a socket that was closed in both directions would be reset by that. */
+    /** The client sends after it saw the close: a socket that was closed in both directions would be reset by that. */
     private void assertBytesAfterCloseAreDroppedWithoutReset(WireConnection client) throws Exception {
         assertThat(client.closedByPeer()).isTrue();
         long before = harness.counter("requests");
-        for (int i = 0; i < 3; i++) {
-            client.send(query(readSql("crossed" + i, 9000)));
-        }
+        sendReads(client, 3);
         assertThat(client.closedByPeer()).isTrue();
         client.close();
         assertThat(harness.counter("requests")).isEqualTo(before);
@@ -34,30 +36,27 @@
 
     @Test
     void bytesSentWhileIdleClientIsClosedDoNotResetIt() throws Exception {
-        lingerWithoutEnd();
+        lingerWithoutLimit();
         start();
-        List<WireConnection> clients = new ArrayList<>();
-        for (int i = 0; i < PoolerHarness.USUAL_CLIENTS; i++) {
-            clients.add(harness.client());
-            assertThat(value(clients.get(i).execute(readSql("c" + i, 9000)))).isEqualTo("from-replica");
-        }
-        assertBytesAfterCloseAreDroppedWithoutReset(clients.get(0));
+        WireConnection longestIdle = idleClients(PoolerHarness.USUAL_CLIENTS).get(0);
+        assertBytesAfterCloseAreDroppedWithoutReset(longestIdle);
     }
 
     @Test
-    void bytesSentDuringShutdownSweepDoNotResetTheConnection() throws Exception {
-        lingerWithoutEnd();
+    void bytesSentWhileShutdownClosesIdleClientsDoNotResetThem() throws Exception {
+        lingerWithoutLimit();
+        // SIGKILL is due after 1 s, and idle clients are closed after 0.6 s.
         harness.settings = PoolerHarness.SETTINGS
                 .replace("\"deadlineS\":10", "\"deadlineS\":0.3")
-                .replace("\"onTimeS\":5", "\"onTimeS\":0.2"); // SIGKILL is due after 1 s, the sweep after 0.6 s.
+                .replace("\"onTimeS\":5", "\"onTimeS\":0.2");
         start();
-        try (WireConnection asked = harness.client();
-                WireConnection silent = harness.client()) {
-            assertThat(value(asked.execute(readSql("1", 300)))).isEqualTo("from-replica");
-            Thread stopThreads = stopPooler();
-            assertBytesAfterCloseAreDroppedWithoutReset(asked);
-            assertBytesAfterCloseAreDroppedWithoutReset(silent);
-            stopThreads.join();
+        try (WireConnection idle = harness.client();
+                WireConnection unused = harness.client()) {
+            assertThat(value(idle.execute(readSql("1", 300)))).isEqualTo("from-replica");
+            Thread stop = stopPooler();
+            assertBytesAfterCloseAreDroppedWithoutReset(idle);
+            assertBytesAfterCloseAreDroppedWithoutReset(unused);
+            stop.join();
         }
     }
 
@@ -81,19 +80,27 @@
                 },
                 () -> {
                     for (int i = 0; i < 3; i++) { // Even after accepting had ended, the first would be accepted.
-                        backlogged.add(harness.connectWithoutStartup());
-                        backlogged.get(i).send(TestMessages.startup(), query(readSql("" + i, 300)));
+                        WireConnection client = harness.connectWithoutStartup();
+                        client.send(TestMessages.startup(), query(readSql("late" + i, 300)));
+                        backlogged.add(client);
                     }
                 });
         for (WireConnection client : backlogged) {
             client.readResponse();
-            assertThat(client.readResponse()).singleElement().asString().contains("|C53300|");
+            assertError(client.readResponse(), "53300");
             client.close();
         }
         stopThreads.get(0).join();
     }
 
-    /** Two silent clients, one after the other, show that the limit on incomplete messages has passed. */
+    /** Connects a client that sends nothing, and waits until it is closed: as long as a message may be incomplete. */
+    private void awaitMessageTimeout() throws Exception {
+        try (WireConnection silent = harness.connectWithoutStartup()) {
+            assertClosedWithError(silent, "57P05");
+        }
+    }
+
+    /** The slow reader is still served after two message timeouts, one after the other. */
     @Test
     void slowReaderIsNotTakenForASilentClient() throws Exception {
         String large = "x".repeat(60_000);
@@ -101,22 +108,14 @@
         start();
         int count = 300;
         try (WireConnection client = harness.client()) {
-            for (int i = 0; i < count; i++) {
-                client.send(query(readSql("q" + i, 9000)));
-            }
-            for (int i = 0; i < 2; i++) {
-                try (WireConnection silent = harness.connectWithoutStartup()) {
-                    assertThat(silent.take()).startsWith("E").contains("|C57P05|");
-                    assertThat(silent.closedByPeer()).isTrue();
-                }
-            }
-            for (int i = 0; i < count; i++) {
-                assertThat(value(client.readResponse())).isEqualTo(large);
-            }
+            sendReads(client, count);
+            awaitMessageTimeout();
+            awaitMessageTimeout();
+            assertNextValues(client, count, large);
         }
     }
 
-    /** Bytes behind a request in flight are bounded, also while its response waits for its reader. */
+    /** Bytes behind a request in flight are limited, also while its response waits for its reader. */
     @Test
     void excessivePipeliningClosesClientAfterItsLastResponse() throws Exception {
         CountDownLatch mayRespond = new CountDownLatch(1);
@@ -145,37 +144,40 @@
         }
     }
 
+    /** Adds a server that sends the first bytes of its response, and then closes or resets the connection. */
+    private ScriptedPeer truncatingServer(byte[] response, int length, boolean reset) throws Exception {
+        return harness.server((text, link) -> {
+            link.send(Arrays.copyOf(response, length));
+            if (reset) {
+                link.socket.setSoLinger(true, 0);
+            }
+            link.close();
+        });
+    }
+
     /** A response is complete or not served, wherever its connection is closed or reset. */
     @Test
     void responseTruncatedAtAnyByteIsNeverServed() throws Exception {
         byte[] complete = TestMessages.row("cut", "replica");
-        int resetEvery = 2; // Close and reset alternate from byte to byte.
         int successes = 5; // Each success earns a fifth of a retry.
         List<String> hosts = new ArrayList<>(
                 List.of(host("a", primary, "primary", "Ready"), host("b", replica, "replica", "Ready")));
-        for (int i = 0; i < complete.length; i++) {
-            int cut = i;
-            boolean reset = i % resetEvery == 0;
-            ScriptedPeer cutter = harness.server((text, link) -> {
-                link.send(java.util.Arrays.copyOf(complete, cut));
-                if (reset) {
-                    link.socket.setSoLinger(true, 0);
-                }
-                link.close();
-            });
-            String block = "\"block\":" + (100 + i);
-            hosts.add(host("a" + i, primary, "primary", "Ready").replace("\"block\":2", block));
-            hosts.add(host("b" + i, cutter, "replica", "Ready").replace("\"block\":2", block));
+        for (int cut = 0; cut < complete.length; cut++) {
+            boolean reset = cut % 2 == 0; // Close and reset alternate from byte to byte.
+            ScriptedPeer truncating = truncatingServer(complete, cut, reset);
+            String block = "\"block\":" + (FIRST_GROUP + cut);
+            hosts.add(host("a" + cut, primary, "primary", "Ready").replace("\"block\":2", block));
+            hosts.add(host("b" + cut, truncating, "replica", "Ready").replace("\"block\":2", block));
         }
         harness.start(hosts.toArray(String[]::new));
         try (WireConnection client = harness.client()) {
-            for (int i = 0; i < complete.length; i++) {
-                assertThat(value(client.execute(readSql("q" + i, 9000).replace("cluster=2", "cluster=" + (100 + i)))))
-                        .as("cut at byte %d", i)
+            for (int cut = 0; cut < complete.length; cut++) {
+                String readOfGroup = nextReadSql().replace("cluster=2", "cluster=" + (FIRST_GROUP + cut));
+                assertThat(value(client.execute(readOfGroup)))
+                        .as("cut at byte %d", cut)
                         .isEqualTo("from-primary");
-                for (int j = 0; j < successes; j++) {
-                    assertThat(value(client.execute(readSql("q" + i + "x" + j, 9000))))
-                            .isEqualTo("from-replica");
+                for (int success = 0; success < successes; success++) {
+                    assertThat(value(client.execute(nextReadSql()))).isEqualTo("from-replica");
                 }
             }
         }
--- a/pooler/src/test/java/frostreel/DisconnectedClientsTest.java
+++ b/pooler/src/test/java/frostreel/DisconnectedClientsTest.java
@@ -21,16 +21,16 @@
 class DisconnectedClientsTest extends AbstractPoolerTest {
     private final BlockingQueue<WireConnection> handshakes = new LinkedBlockingQueue<>();
 
-    /** Leaves the handshakes of new connections to the replica to the test. */
+    /** Lets the test complete the handshakes of new connections to the replica. */
     private void holdHandshakes() {
         replica.handshake = (text, link) -> handshakes.add(link);
     }
 
-    private void mayNotCancel() {
+    private void disableCancellation() {
         harness.settings = PoolerHarness.SETTINGS.replace("\"cancel\":true", "\"cancel\":false");
     }
 
-    /** The next request is the first that the replica receives, on the connection that was already pending. */
+    /** Checks that the next request is the first that the replica receives, on the connection that was pending. */
     private void assertNothingIsSentBeforeTheNextRequest(WireConnection pending) throws Exception {
         pending.completeHandshake();
         try (WireConnection client = harness.client()) {
@@ -43,7 +43,7 @@
 
     /** A client disconnects while its request waits for a connection, with {@code pipelined} bytes behind that. */
     private void disconnectBehind(byte[] pipelined) throws Exception {
-        mayNotCancel();
+        disableCancellation();
         holdHandshakes();
         start();
         WireConnection client = harness.client();
@@ -86,19 +86,19 @@
         harness.awaitCounter("requests=" + all);
         int sent = (int) harness.counter("attempts");
         assertThat(sent).isBetween(1, all / 2); // The others wait for capacity.
-        List<String> inHand = new ArrayList<>();
+        List<String> inFlight = new ArrayList<>();
         List<WireConnection> servers = new ArrayList<>();
         for (int i = 0; i < sent; i++) {
             servers.add(held.take());
         }
         for (ScriptedPeer peer : List.of(primary, replica)) {
             for (String text : peer.received) {
-                inHand.add(TestMessages.requestId(text));
+                inFlight.add(TestMessages.requestId(text));
             }
         }
         harness.whileLoopIsBlocked(() -> {
             for (Map.Entry<String, WireConnection> client : clients.entrySet()) {
-                if (!inHand.contains(client.getKey())) {
+                if (!inFlight.contains(client.getKey())) {
                     client.getValue().close();
                 }
             }
@@ -112,7 +112,7 @@
 
     @Test
     void cancelledRequestWaitingForConnectionIsNeverSent() throws Exception {
-        mayNotCancel();
+        disableCancellation();
         holdHandshakes();
         start();
         try (CancellableClient client = new CancellableClient()) {
@@ -137,14 +137,14 @@
                 Thread.onSpinWait(); // Both members were tried, and the write is queued.
             }
             client.cancelAndAwaitError();
-            long before = heardOf("gone");
+            long before = timesReceived("gone");
             primary.script = rows("from-primary", "primary");
             assertThat(value(client.link.execute(writeSql("next", 9000)))).isEqualTo("from-primary");
-            assertThat(heardOf("gone")).isEqualTo(before);
+            assertThat(timesReceived("gone")).isEqualTo(before);
         }
     }
 
-    private long heardOf(String id) {
+    private long timesReceived(String id) {
         return Stream.of(primary, replica)
                 .flatMap(peer -> peer.received.stream())
                 .filter(text -> text.contains("id=" + id + ","))
--- a/pooler/src/test/java/frostreel/RetryAfterTest.java
+++ b/pooler/src/test/java/frostreel/RetryAfterTest.java
@@ -1,36 +1,28 @@
 package frostreel;
 
-import static frostreel.TestMessages.query;
-import static frostreel.TestMessages.readSql;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
 /** The Retry-After of requests that are rejected near the limit on connections. */
 class RetryAfterTest extends AbstractPoolerTest {
-    private final List<WireConnection> clients = new ArrayList<>();
+    private WireConnection lastClient;
 
     /** Starts the pooler, occupies clients up to the busy limit, and returns the error that the next request gets. */
     private String rejection() throws Exception {
         harness.unlimitedConcurrency = true;
-        replica.script = (text, link) -> {};
-        primary.script = replica.script;
+        leaveRequestsUnanswered();
         start();
-        int busy = PoolerHarness.BUSY_LIMIT;
-        for (int i = 0; i < busy; i++) {
-            clients.add(harness.client());
-            clients.get(i).send(query(readSql("c" + i, 9000)));
-        }
-        harness.awaitCounter("requests=" + busy);
-        clients.add(harness.client());
-        return nextRejection("last");
+        busyClients(PoolerHarness.BUSY_LIMIT);
+        harness.awaitCounter("requests=" + PoolerHarness.BUSY_LIMIT);
+        lastClient = harness.client();
+        return nextRejection();
     }
 
-    private String nextRejection(String id) throws Exception {
-        List<String> response = clients.get(clients.size() - 1).execute(readSql(id, 9000));
-        assertThat(response).singleElement().asString().contains("|C53300|");
+    private String nextRejection() throws Exception {
+        List<String> response = lastClient.execute(nextReadSql());
+        assertError(response, "53300");
         return response.get(0);
     }
 
@@ -52,6 +44,6 @@
         harness.settings = PoolerHarness.SETTINGS;
         harness.reload(harness.discovery);
         harness.awaitCounter("reloads=1");
-        assertThat(nextRejection("next")).contains("|D200|");
+        assertThat(nextRejection()).contains("|D200|");
     }
 }
