--- a/pooler/src/main/java/frostreel/frontend/Answers.java
+++ b/pooler/src/main/java/frostreel/frontend/Answers.java
@@ -4,13 +4,14 @@
 import frostreel.pg.Messages;
 import frostreel.pg.SqlState;
 
-/** The answers to clients that the front end itself makes. */
+/** The responses to clients that the front end makes itself. */
 final class Answers {
     private static final String NO_DETAIL = null;
+    private static final long US_PER_MS = 1_000;
 
     private Answers() {}
 
-    /** The message, and behind it that the next query may come. */
+    /** The message followed by ReadyForQuery. */
     static byte[] withReadyForQuery(byte[] message) {
         byte[] ready = Messages.readyForQuery();
         byte[] answer = new byte[message.length + ready.length];
@@ -19,7 +20,7 @@
         return answer;
     }
 
-    /** What the empty query is answered: whether this process takes clients. */
+    /** The response to the empty query: whether this process accepts clients. */
     static byte[] readiness(ReadinessStatus status) {
         if (status == ReadinessStatus.READY) {
             return Messages.emptyQueryResponse();
@@ -27,7 +28,7 @@
         return error(SqlState.CANNOT_CONNECT_NOW, "takes no clients: " + status.wireName());
     }
 
-    /** The request was rejected; {@code retryAfterUs}: for how long to wait before a retry, 0 for no advice. */
+    /** The request was rejected; {@code retryAfterUs} is its Retry-After, 0 for none. */
     static byte[] rejected(long retryAfterUs) {
         return Messages.error(
                 false,
@@ -37,7 +38,7 @@
     }
 
     private static long roundedUpToMs(long us) {
-        return (us + 999) / 1000;
+        return (us + US_PER_MS - 1) / US_PER_MS;
     }
 
     static byte[] cancelled() {
@@ -48,7 +49,7 @@
         return error(SqlState.TRANSACTION_RESOLUTION_UNKNOWN, "failed: whether it took effect is not known");
     }
 
-    /** An error behind which the connection goes on. */
+    /** An error after which the connection stays open. */
     static byte[] error(String code, String text) {
         return Messages.error(false, code, text, NO_DETAIL);
     }
--- a/pooler/src/main/java/frostreel/frontend/ArrivalTimes.java
+++ b/pooler/src/main/java/frostreel/frontend/ArrivalTimes.java
@@ -3,14 +3,14 @@
 import java.util.Arrays;
 
 /**
- * When each byte of a stream arrived that is still waiting to be taken. The time of a request counts from its own last
- * byte, also where it waits behind another; so the times are stored by offset, one for each arrival.
+ * The arrival times of the bytes of a stream that are still waiting to be taken. The timeout of a request starts with
+ * the arrival of its last byte, also while it waits behind another request; so each arrival is stored with its offset.
  *
- * <p>At most {@link #MAX_ARRIVALS} are stored, 4 KiB, and nothing but two short arrays where no byte waits. Arrivals
- * closer to each other than a grain are merged, with the earlier time, so that no request seems to have more time than
- * it has. The grain is a millisecond and doubles where more arrivals would have to be stored: a time is too early by a
- * millisecond at most, or by a sixtieth of the longest that any byte waited since last none did. Times are
- * microseconds. Owned by the connection, on the I/O thread.
+ * <p>At most {@link #MAX_ARRIVALS} are stored, in 4 KiB, and only two short arrays are kept while no byte waits.
+ * Arrivals within one grain of each other are merged, with the earlier time, so that no request seems to have more time
+ * left than it has. The grain is a millisecond, and doubles when more arrivals would have to be stored: a time is too
+ * early by a millisecond at most, or by a sixtieth of the longest time that any byte has waited since the stream was
+ * last empty. Times are microseconds. Owned by the connection, on the I/O thread.
  */
 public final class ArrivalTimes {
     /** The most arrivals that are stored. */
@@ -18,7 +18,8 @@
 
     private static final int INITIAL_ARRIVALS = 4;
     private static final long INITIAL_GRAIN_US = 1000;
-    /** The offset behind an arrival's last byte, and its time; those from {@code first} to {@code next}. */
+
+    /** The offset behind the last byte of each arrival; in use from {@code first} to {@code next}, as its time is. */
     private long[] ends = new long[INITIAL_ARRIVALS];
 
     private long[] timesUs = new long[INITIAL_ARRIVALS];
@@ -27,7 +28,7 @@
     private long arrivedBytes;
     private long grainUs = INITIAL_GRAIN_US;
 
-    /** Notes that more bytes have arrived, and when. */
+    /** Adds bytes that arrived at this time. */
     public void add(int bytes, long atUs) {
         arrivedBytes += bytes;
         if (first == next) {
@@ -45,9 +46,9 @@
     }
 
     /**
-     * When the last byte arrived of the piece that was just taken; called once for each piece, in their order.
+     * Returns the arrival time of the last byte of the message that was just taken; called once a message, in order.
      *
-     * @param waitingBytes how many bytes behind the piece are still waiting
+     * @param waitingBytes how many bytes behind that message are still waiting
      */
     public long take(int waitingBytes) {
         long end = arrivedBytes - waitingBytes;
@@ -57,7 +58,7 @@
         return ends[first] == end ? timesUs[first++] : timesUs[first];
     }
 
-    /** How many bytes of memory the times take up. */
+    /** How many bytes of memory the times occupy. */
     public int memoryBytes() {
         return 2 * Long.BYTES * ends.length;
     }
--- a/pooler/src/main/java/frostreel/frontend/ClientBacklog.java
+++ b/pooler/src/main/java/frostreel/frontend/ClientBacklog.java
@@ -6,15 +6,15 @@
 import java.nio.ByteBuffer;
 
 /**
- * What a client has sent and that is still to be taken, as it waits behind an active request or an unread answer. Owns
- * the limit on it, counts its memory, and knows when each of its messages arrived. Used on the I/O thread.
+ * The input of a client that waits behind an active request or an unread response. Owns the limit on its size, counts
+ * its memory, and knows when each of its messages arrived. Used on the I/O thread.
  */
 final class ClientBacklog {
     /** The longest query: a value of 64 KiB as hexadecimal text, which is twice as long, and the text around it. */
     private static final int MAX_MESSAGE_BYTES = (1 << 17) + (1 << 12);
 
     private static final int MAX_BYTES = 1 << 20;
-    /** The limit while all that is buffered for clients takes more than its part of the memory. */
+    /** The limit while the buffers of all connections together take more than their part of the memory. */
     private static final int MAX_BYTES_WHEN_BUFFERS_ARE_FULL = 1 << 16;
 
     private static final String CLIENT_MESSAGE_TYPES = "QPBEDCFSHX";
@@ -23,7 +23,7 @@
     private final EventLoop loop;
     private final MessageReader reader = new MessageReader(ClientBacklog::maxLength);
     private final ArrivalTimes arrivals = new ArrivalTimes();
-    /** How much of its memory is counted with all that the loop buffers. */
+    /** How much of its memory is counted with the buffers of the loop. */
     private int countedBytes;
     /** When the socket was last read until it was empty. */
     private long caughtUpUs;
@@ -45,7 +45,7 @@
         reader.feed(in);
     }
 
-    /** All that had come was read. */
+    /** The socket was read until it was empty. */
     void onCaughtUp() {
         caughtUpUs = loop.clock().now();
     }
@@ -74,24 +74,25 @@
     }
 
     /**
-     * Notes whether more is waiting than may. What comes from then on is dropped, and the client's connection ends
-     * behind its last answer: to leave it unread instead would hide that the client has disconnected.
+     * Checks the size against its limit, and remembers an overrun. Further input is then dropped, and the connection
+     * ends behind its last response: leaving the input unread instead would hide that the client has disconnected.
      */
-    boolean overruns() {
+    boolean checkOverrun() {
         overrun = reader.buffered() > (loop.buffersAreFull() ? MAX_BYTES_WHEN_BUFFERS_ARE_FULL : MAX_BYTES);
         return overrun;
     }
 
+    /** Whether the last check found an overrun. */
     boolean isOverrun() {
         return overrun;
     }
 
-    /** Counts its memory with all that the loop buffers. */
+    /** Counts its memory with the buffers of the loop. */
     void countMemory() {
         count(reader.memoryBytes() + arrivals.memoryBytes());
     }
 
-    /** It is not needed any more. */
+    /** The backlog is no longer needed, and its memory no longer counted. */
     void release() {
         count(0);
     }
--- a/pooler/src/main/java/frostreel/frontend/ClientInput.java
+++ b/pooler/src/main/java/frostreel/frontend/ClientInput.java
@@ -40,7 +40,7 @@
         readJustNow = true;
         takeMessages();
         readJustNow = readBefore;
-        if (!backlog.isOverrun() && connection.mustWait() && backlog.overruns()) {
+        if (!backlog.isOverrun() && connection.mustWait() && backlog.checkOverrun()) {
             loop.counters().malformedMessages++;
         }
     }
@@ -119,7 +119,7 @@
         return backlog.isOverrun();
     }
 
-    /** It is not needed any more. */
+    /** The input is no longer needed. */
     void release() {
         backlog.release();
     }
--- a/pooler/src/main/java/frostreel/frontend/ClientRequest.java
+++ b/pooler/src/main/java/frostreel/frontend/ClientRequest.java
@@ -11,13 +11,13 @@
 import frostreel.util.SlotTable;
 
 /**
- * The active request of one client's connection, of which there is at most one: submits it to the broker, and takes its
- * answer. Used for one request after another, on the I/O thread.
+ * The active request of one client's connection, of which there is at most one: submits it to the broker, and handles
+ * its response. Used for one request after another, on the I/O thread.
  */
 final class ClientRequest implements ResponseHandler {
     /** While more bytes of a long response wait for their reader, the server is not read from. */
     private static final int MAX_PENDING_BYTES = 1 << 17;
-    /** From the client's sending, at which its timeout starts, to our reading, and back again. */
+    /** The time from the client, whose timeout starts when it sends, to us and back again. */
     private static final long TRANSIT_US = 4_000;
 
     private static final long US_PER_MS = 1000;
@@ -48,7 +48,7 @@
     /** Submits a request; it may be answered before this returns. */
     void submit(Statement statement, int requestClass, long arrivedUs) {
         long now = loop.clock().now();
-        // As of now: the router takes it as of when it receives the request, however long that waited here.
+        // Relative to now, when the router receives the request, however long that has waited here.
         long sinceWriteUs = statement.afterMs() == 0 ? 0 : Math.max(1, now - statement.afterMs() * US_PER_MS);
         long timeoutAtUs = arrivedUs + statement.timeoutMs() * US_PER_MS - TRANSIT_US;
         RequestAttributes attributes = new RequestAttributes(
--- a/pooler/src/test/java/frostreel/frontend/ClientBacklogTest.java
+++ b/pooler/src/test/java/frostreel/frontend/ClientBacklogTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What may wait behind a request, and since when it does, on a clock that tests move. */
+/** How much may wait behind a request, and the arrival time of each message, on a clock that tests move. */
 class ClientBacklogTest {
     private static final int MIB = 1 << 20;
     private static final int KIB = 1 << 10;
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void eachMessageHasTheTimeOfItsOwnArrival() throws Exception {
+    void keepsTheArrivalTimeOfEachMessage() throws Exception {
         read(query("first"));
         nowUs += 50_000;
         read(query("second"));
@@ -55,27 +55,27 @@
     }
 
     @Test
-    void upToAMebibyteMayWait() {
+    void overrunsBeyondOneMebibyte() {
         read(new byte[MIB]);
-        assertThat(backlog.overruns()).isFalse();
+        assertThat(backlog.checkOverrun()).isFalse();
         read(new byte[1]);
-        assertThat(backlog.overruns()).isTrue();
+        assertThat(backlog.checkOverrun()).isTrue();
         assertThat(backlog.isOverrun()).isTrue();
     }
 
     @Test
-    void lessMayWaitWhileTheBuffersOfAllClientsAreFull() {
+    void overrunsSoonerWhileTheBuffersOfAllClientsAreFull() {
         while (!loop.buffersAreFull()) {
             loop.addBufferedBytes(Integer.MAX_VALUE);
         }
         read(new byte[64 * KIB]);
-        assertThat(backlog.overruns()).isFalse();
+        assertThat(backlog.checkOverrun()).isFalse();
         read(new byte[1]);
-        assertThat(backlog.overruns()).isTrue();
+        assertThat(backlog.checkOverrun()).isTrue();
     }
 
     @Test
-    void aMessageThatNoClientSendsIsNotAccepted() {
+    void rejectsMessageOfATypeThatClientsDoNotSend() {
         read(new byte[] {'Z', 0, 0, 0, 5, 'I'});
         assertThatThrownBy(() -> backlog.next(false)).isInstanceOf(PgException.class);
     }
