--- a/pooler/src/test/java/frostreel/StatusPagesTest.java
+++ b/pooler/src/test/java/frostreel/StatusPagesTest.java
@@ -3,6 +3,7 @@
 import static frostreel.TestMessages.readSql;
 import static org.assertj.core.api.Assertions.assertThat;
 
+import frostreel.config.Config;
 import frostreel.log.Logging;
 import frostreel.settings.OperatorSettings;
 import java.util.List;
@@ -38,8 +39,7 @@
                     .contains("sent_by_tier=[1, 0]")
                     .contains("replicas={0={UP=1}}");
             harness.pooler.reload(
-                    frostreel.config.Config.load(
-                            PoolerHarness.environment(PoolerHarness.configuration(harness.discovery.address()))),
+                    Config.load(PoolerHarness.environment(PoolerHarness.configuration(harness.discovery.address()))),
                     harness.operators);
             while (!value(client.execute("SHOW zones")).contains("sent_by_tier=[0, 0]")) {
                 Thread.onSpinWait(); // The reload is queued on the I/O thread.
--- a/pooler/src/test/java/frostreel/log/EventLogTest.java
+++ b/pooler/src/test/java/frostreel/log/EventLogTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The rate limit of lines on single requests and connections, on a clock that the tests move. */
+/** The rate limit of lines on single requests and connections, on a clock that tests move. */
 class EventLogTest {
     private static final long SECOND_US = 1_000_000;
 
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void theNextLineOfAKindSaysHowManyWereLeftOut() {
+    void nextLineOfAKindReportsHowManyWereSuppressed() {
         record(EventLog.Kind.REQUEST_FAILED, 5);
         nowUs = SECOND_US - 1;
         record(EventLog.Kind.REQUEST_FAILED, 1);
@@ -69,7 +69,7 @@
     }
 
     @Test
-    void textOfALineThatIsLeftOutIsNotBuilt() {
+    void doesNotBuildTheTextOfASuppressedLine() {
         record(EventLog.Kind.REQUEST_FAILED, EventLog.MAX_LINES_PER_SECOND);
         log.record(EventLog.Kind.REQUEST_FAILED, () -> {
             throw new AssertionError("built");
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void theSilentLogWritesNothing() {
+    void silentLogWritesNothing() {
         EventLog silent = EventLog.silent();
         silent.record(EventLog.Kind.REQUEST_FAILED, () -> "text");
         assertThat(lines).isEmpty();
--- a/pooler/src/test/java/frostreel/net/EventLoopTest.java
+++ b/pooler/src/test/java/frostreel/net/EventLoopTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** When the loop polls for watch events, on a clock that tests move. */
+/** How often the loop polls for watch events, on a clock that tests move. */
 class EventLoopTest {
     private static final long SECOND_US = 1_000_000;
     private static final long STEP_US = 1_000;
@@ -36,8 +36,8 @@
         return polls > before;
     }
 
-    /** How often it polls, and how long it pauses, in a second in which it is never idle. */
-    private void busySecond(int maxPolls, long maxPauseUs) {
+    /** Checks how often the loop polls, and how long it pauses, in a second in which it is never idle. */
+    private void assertPollsInABusySecond(int maxPolls, long maxPauseUs) {
         polls = 0;
         lastPollUs = nowUs;
         for (int i = 0; i < SECOND_US / STEP_US; i++) {
@@ -48,17 +48,17 @@
     }
 
     @Test
-    void whileBusyItPollsOnceInAFifthOfTheTimeInWhichSendsHaveToStop() {
+    void pollsFiveTimesInTheStopTimeWhileBusy() {
         loop.setStopSendingUs(SECOND_US);
-        busySecond(5, 200_000);
+        assertPollsInABusySecond(5, 200_000);
         loop.setStopSendingUs(250_000);
-        busySecond(20, 50_000);
+        assertPollsInABusySecond(20, 50_000);
         loop.setStopSendingUs(0);
-        busySecond(100, 10_000);
+        assertPollsInABusySecond(100, 10_000);
     }
 
     @Test
-    void afterAPauseItPollsFirstWhereThatWasLongForTheRule() {
+    void pollsFirstAfterAPauseOfMoreThanAnInterval() {
         loop.setStopSendingUs(250_000);
         assertThat(pollsAfter(50_000)).isFalse();
         assertThat(pollsAfter(1)).isTrue();
@@ -69,7 +69,7 @@
     }
 
     @Test
-    void whatAPollBringsMayCallForTheNextPollWithoutRecursion() {
+    void pollDoesNotRecurse() {
         loop.setStopSendingUs(0);
         loop.onWatchEventPoll(() -> {
             polls++;
--- a/pooler/src/test/java/frostreel/net/EventLoopTimersTest.java
+++ b/pooler/src/test/java/frostreel/net/EventLoopTimersTest.java
@@ -14,11 +14,13 @@
 import org.xnio.StreamConnection;
 import org.xnio.channels.AcceptingChannel;
 
-/** Timers beside sockets, on the one thread. */
+/** Timers and sockets share one thread. */
 class EventLoopTimersTest {
-    /** How many times a timer is set that is due in less than a millisecond. */
+    /** How many timers are set one after another, each due in less than a millisecond. */
     private static final int TIMER_COUNT = 2_000;
 
+    private static final long TIMER_US = 500;
+
     private final CompletableFuture<Boolean> readInTime = new CompletableFuture<>();
     private EventLoop loop;
     private boolean read;
@@ -27,7 +29,7 @@
         if (read || left == 0) {
             readInTime.complete(read);
         } else {
-            loop.deadlines().after(500, () -> setTimers(left - 1));
+            loop.deadlines().after(TIMER_US, () -> setTimers(left - 1));
         }
     }
 
@@ -42,10 +44,10 @@
 
                 @Override
                 public void ended() {
-                    readInTime.completeExceptionally(new IOException("it ended"));
+                    readInTime.completeExceptionally(new IOException("the connection ended"));
                 }
             });
-            stream.resumeReads(); // What is there to read was sent before.
+            stream.resumeReads(); // The byte was sent before.
             setTimers(TIMER_COUNT);
         } catch (IOException e) {
             readInTime.completeExceptionally(e);
@@ -54,7 +56,7 @@
 
     @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
     @Test
-    void timersThatAreDueSoonOneAfterAnotherKeepNoSocketWaiting() throws Exception {
+    void shortTimersOneAfterAnotherDoNotDelaySockets() throws Exception {
         loop = new EventLoop();
         AcceptingChannel<StreamConnection> server = loop.worker()
                 .createStreamConnectionServer(
