--- a/pooler/src/main/java/frostreel/frontend/ClientConnection.java
+++ b/pooler/src/main/java/frostreel/frontend/ClientConnection.java
@@ -77,7 +77,7 @@
         return phase == Phase.STARTUP || phase == Phase.RUNNING;
     }
 
-    /** Whether it has no request, answered or not, and owes nothing; not once its connection is closed. */
+    /** Whether the client has no request and no unread answer, and owes no message; false once the connection ends. */
     boolean isIdle() {
         return phase == Phase.RUNNING && !request.isActive() && stream.flushed() && input.isEmpty();
     }
@@ -117,7 +117,7 @@
         return isOpen() && !mustWait();
     }
 
-    /** All messages are taken that could be: reads on, unless the request among them has to be waited for. */
+    /** All complete messages are taken: reads on, unless a request among them is active. */
     void onMessagesTaken() {
         if (isOpen() && !request.isActive()) {
             stream.resumeReads();
@@ -198,7 +198,7 @@
         input.takeMessages();
     }
 
-    /** Whether the client is still connected, as far as can be seen by looking now. */
+    /** Whether the client is still connected, as far as a read of its socket shows now. */
     boolean isClientConnected() {
         if (!input.wasReadJustNow()) {
             stream.readNow();
@@ -216,9 +216,9 @@
     }
 
     /**
-     * Closes our side behind all that was written, and reads and drops what arrives after that, until the client has
-     * closed its own side. Every close that we begin goes this way: to close over unread bytes would reset the
-     * connection, and the last answer might be lost with it.
+     * Begins an orderly close: closes our side behind all that was written, and reads and drops what arrives after
+     * that, until the client has closed its own side. Closing with unread bytes would reset the connection, and the
+     * last answer might be lost with it.
      */
     private void linger() {
         if (isOpen()) {
@@ -232,8 +232,11 @@
     }
 
     /**
-     * Ends the connection unless a request has come meanwhile: while the thread is busy many wait unread, and to end
-     * the connection over one would cost its client another attempt or, the second time, the answer.
+     * Begins an orderly close unless a request has arrived meanwhile. Many requests are still unread while the I/O
+     * thread is busy; closing before such a request is read would cost its client a retry or, the second time, the
+     * answer.
+     *
+     * @return whether the connection was closed
      */
     boolean closeUnlessRequestPending() {
         boolean received = stream.readNow();
@@ -255,7 +258,7 @@
         close();
     }
 
-    /** Closes the connection at once, and withdraws its active request. */
+    /** Closes the connection at once, and cancels its active request. */
     void close() {
         if (phase == Phase.CLOSED) {
             return;
--- a/pooler/src/main/java/frostreel/frontend/ClientDrainer.java
+++ b/pooler/src/main/java/frostreel/frontend/ClientDrainer.java
@@ -20,13 +20,13 @@
         this.limits = limits;
     }
 
-    /** A client may have become idle: if it is, its connection is closed where clients are to leave, or else kept. */
+    /** If the client is idle, closes its connection where clients are to leave, or else keeps it, within the limits. */
     void onIdle(ClientConnection client) {
         if (!client.isIdle()) {
             return;
         }
         if (lifecycle.closesAfterResponse(clock.now())) {
-            clients.markBusy(client); // As it is being closed, it is no candidate for an eviction.
+            clients.markBusy(client); // No candidate for an eviction, as it is being closed.
             client.closeUnlessRequestPending();
         } else {
             clients.markIdle(client);
--- a/pooler/src/main/java/frostreel/frontend/ClientLimits.java
+++ b/pooler/src/main/java/frostreel/frontend/ClientLimits.java
@@ -21,11 +21,13 @@
     private final EventLoop loop;
     private final ClientTable clients;
     private final int maxClients;
-    /** Beyond this number of clients that may have requests, the longest idle is closed, if enough are idle. */
+    /** While at most this many clients are connected and may have requests, no idle one is closed. */
     private final int activeLimit;
-
+    /** While at most this many clients are idle, none of them is closed by {@link #closeExcessIdle}. */
     private final int idleLimit;
+    /** A further attempt at evictions is scheduled. */
     private boolean evictionScheduled;
+    /** {@link #closeExcessIdle} is running, and is not entered again. */
     private boolean closingIdle;
 
     /**
@@ -52,7 +54,7 @@
      */
     void closeExcessIdle() {
         if (closingIdle) {
-            return; // Called by a request that was found while looking for a client to close.
+            return; // Called for a client whose unread request was found by the check before its close.
         }
         closingIdle = true;
         for (int candidates = clients.idleCount(); candidates > 0 && hasExcessIdle(); candidates--) {
--- a/pooler/src/main/java/frostreel/frontend/Lingering.java
+++ b/pooler/src/main/java/frostreel/frontend/Lingering.java
@@ -27,7 +27,7 @@
         deadline = deadlines.after(lingerUs, close);
     }
 
-    /** Counts dropped bytes, and returns whether they have become too many to read on. */
+    /** Counts dropped bytes; returns whether there were too many to continue reading. */
     boolean dropsTooMuch(int bytes) {
         droppedBytes += bytes;
         return droppedBytes > MAX_DROPPED_BYTES;
--- a/pooler/src/main/java/frostreel/net/SocketStream.java
+++ b/pooler/src/main/java/frostreel/net/SocketStream.java
@@ -246,7 +246,7 @@
         }
     }
 
-    /** Not within the call of whoever writes, as that may be in the middle of a change of its own. */
+    /** Closes once the current call is over, as a caller that writes may be in the middle of a change of its state. */
     private void closeAndNotifyLater() {
         loop.thread().execute(() -> runGuarded(this::closeAndNotify));
     }
