--- a/decisions/src/main/java/frostreel/routing/LoadShedder.java
+++ b/decisions/src/main/java/frostreel/routing/LoadShedder.java
@@ -25,7 +25,7 @@
     LoadShedder(ActiveSettings settings, SplittableRandom random) {
         this.settings = settings;
         this.random = random;
-        spanUs = () -> 2 * settings.rules().fallUs();
+        spanUs = () -> 2 * settings.rules().overloadWindowUs();
         goodput = newGoodput();
     }
 
--- a/decisions/src/main/java/frostreel/routing/Router.java
+++ b/decisions/src/main/java/frostreel/routing/Router.java
@@ -144,7 +144,7 @@
      * @param onlyDrainingBinds whether members that are gone, but were never listed as draining, may be sent to
      * @param coldFrom the least share from 0 to 1 of its capacity that a member starts with
      * @param warmAfterUs how long after its start a member has all its capacity
-     * @param fallMultiple a starting member collapses if it is sent this multiple of its capacity over {@code fallUs}
+     * @param overloadMultiple a starting member collapses if it is sent this multiple of its capacity over {@code overloadWindowUs}
      */
     record Rules(
             long answerSlackUs,
@@ -152,8 +152,8 @@
             boolean onlyDrainingBinds,
             double coldFrom,
             long warmAfterUs,
-            double fallMultiple,
-            long fallUs) {
+            double overloadMultiple,
+            long overloadWindowUs) {
         /** The least share of its capacity, to 1, that a member has now that started then. */
         double warmth(long nowUs, long startedUs) {
             double ageUs = startedUs == Member.LONG_AGO ? warmAfterUs : Math.max(0, nowUs - startedUs);
--- a/decisions/src/main/java/frostreel/routing/SlowStart.java
+++ b/decisions/src/main/java/frostreel/routing/SlowStart.java
@@ -159,7 +159,7 @@
 
     /** A full budget and what is added while it is spent stay below what overloads the member. */
     private void refillBudget(long nowUs, Member member, double workPerUs, double requestUs) {
-        double capacityUs = Math.max(workPerUs * settings.rules().fallUs() * BUDGET_SPAN_SHARE, requestUs);
+        double capacityUs = Math.max(workPerUs * settings.rules().overloadWindowUs() * BUDGET_SPAN_SHARE, requestUs);
         member.budgetUs = Math.min(capacityUs, member.budgetUs + workPerUs * (nowUs - member.budgetUpdatedUs));
         member.budgetUpdatedUs = nowUs;
     }
@@ -177,7 +177,7 @@
      * or where there are no reports, since what the others served is then the least that they can do.
      */
     private double spareCapacityFactor(Member member) {
-        double maxFactor = Math.max(1, MAX_OVERLOAD_SHARE * settings.rules().fallMultiple());
+        double maxFactor = Math.max(1, MAX_OVERLOAD_SHARE * settings.rules().overloadMultiple());
         if (!member.hasReported()) {
             return maxFactor;
         }
@@ -222,6 +222,6 @@
 
     /** Twice the time span of the rule on overloading members. */
     private long timeConstantUs() {
-        return 2 * settings.rules().fallUs();
+        return 2 * settings.rules().overloadWindowUs();
     }
 }
--- a/decisions/src/main/java/frostreel/zones/ZoneFailoverPolicy.java
+++ b/decisions/src/main/java/frostreel/zones/ZoneFailoverPolicy.java
@@ -208,7 +208,7 @@
             return true;
         }
         double rate = RAMP_HEADROOM * share * fullRate(nowUs, replicas);
-        double capacityUs = Math.max(rate * rules.fallUs() / RAMP_SPAN_DIVISOR, ranking.meanWorkUs());
+        double capacityUs = Math.max(rate * rules.overloadWindowUs() / RAMP_SPAN_DIVISOR, ranking.meanWorkUs());
         return members.ramp(handle).fill(nowUs, rate, capacityUs) > 0;
     }
 
--- a/lab/src/main/java/frostreel/lab/processes/Fleet.java
+++ b/lab/src/main/java/frostreel/lab/processes/Fleet.java
@@ -94,8 +94,8 @@
                 rules.onlyDrainingBinds(),
                 rules.coldFrom(),
                 rules.warmAfterUs(),
-                rules.fallMultiple(),
-                rules.fallUs());
+                rules.overloadMultiple(),
+                rules.overloadWindowUs());
     }
 
     /** Runs a task on the event loop and waits for its result; from any other thread. */
--- a/lab/src/main/java/frostreel/lab/processes/PlatformConfig.java
+++ b/lab/src/main/java/frostreel/lab/processes/PlatformConfig.java
@@ -94,8 +94,8 @@
                 .put("onlyDrainingBinds", rules.onlyDrainingBinds())
                 .put("coldFrom", rules.coldFrom())
                 .put("warmAfterS", seconds(rules.warmAfterUs()))
-                .put("fallMultiple", rules.fallMultiple())
-                .put("fallS", seconds(rules.fallUs()));
+                .put("fallMultiple", rules.overloadMultiple())
+                .put("fallS", seconds(rules.overloadWindowUs()));
     }
 
     /** The settings that apply to databases alone: freshness by class, positions and roles. */
--- a/lab/src/test/java/frostreel/lab/virtual/ColdFleetTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/ColdFleetTest.java
@@ -45,8 +45,8 @@
                                 rules.onlyDrainingBinds(),
                                 1,
                                 rules.warmAfterUs(),
-                                rules.fallMultiple(),
-                                rules.fallUs())),
+                                rules.overloadMultiple(),
+                                rules.overloadWindowUs())),
                 actions);
     }
 
--- a/lab/src/test/java/frostreel/lab/virtual/RandomScenario.java
+++ b/lab/src/test/java/frostreel/lab/virtual/RandomScenario.java
@@ -96,8 +96,8 @@
         return new ServerParameters(
                 rules.coldFrom(),
                 rules.warmAfterUs(),
-                rules.fallMultiple(),
-                rules.fallUs(),
+                rules.overloadMultiple(),
+                rules.overloadWindowUs(),
                 micros(fleet, "logDelayS"),
                 fleet.getDouble("replay"),
                 fleet.getInt("queue"),
