--- a/decisions/src/main/java/frostreel/routing/MemberState.java
+++ b/decisions/src/main/java/frostreel/routing/MemberState.java
@@ -68,7 +68,7 @@
 
     /** Whether requests may be sent to it by the endpoint list. */
     boolean isUsable(Rules rules) {
-        return state == State.UP || (state == State.GONE && rules.onlyDrainingBinds() && !drained);
+        return state == State.UP || (state == State.GONE && rules.goneMembersUsable() && !drained);
     }
 
     /** Whether an attempt would find an open connection with room for it. */
@@ -90,7 +90,7 @@
         if (goneSinceUs == LISTED || inFlight != 0) {
             return false;
         }
-        boolean mayServeAgain = rules.onlyDrainingBinds() || nowUs - goneSinceUs <= retentionUs;
+        boolean mayServeAgain = rules.goneMembersUsable() || nowUs - goneSinceUs <= retentionUs;
         return !(verified && mayServeAgain);
     }
 
--- a/decisions/src/main/java/frostreel/routing/Router.java
+++ b/decisions/src/main/java/frostreel/routing/Router.java
@@ -139,28 +139,28 @@
     /**
      * The figures of the rules that every router keeps.
      *
-     * @param answerSlackUs how long after its deadline the final answer to a request still counts
+     * @param responseSlackUs how long after its deadline the final answer to a request still counts
      * @param stopSendingUs how long after a member was listed as draining or gone the last request may be sent to it
-     * @param onlyDrainingBinds whether members that are gone, but were never listed as draining, may be sent to
-     * @param coldFrom the least share from 0 to 1 of its capacity that a member starts with
-     * @param warmAfterUs how long after its start a member has all its capacity
+     * @param goneMembersUsable whether members that are gone, but were never listed as draining, may be sent to
+     * @param initialCapacityShare the least share from 0 to 1 of its capacity that a member starts with
+     * @param warmUpUs how long after its start a member has all its capacity
      * @param overloadMultiple a starting member collapses if it is sent this multiple of its capacity over {@code overloadWindowUs}
      */
     record Rules(
-            long answerSlackUs,
+            long responseSlackUs,
             long stopSendingUs,
-            boolean onlyDrainingBinds,
-            double coldFrom,
-            long warmAfterUs,
+            boolean goneMembersUsable,
+            double initialCapacityShare,
+            long warmUpUs,
             double overloadMultiple,
             long overloadWindowUs) {
         /** The least share of its capacity, to 1, that a member has now that started then. */
-        double warmth(long nowUs, long startedUs) {
-            double ageUs = startedUs == Member.LONG_AGO ? warmAfterUs : Math.max(0, nowUs - startedUs);
-            if (ageUs >= warmAfterUs) {
+        double capacityShare(long nowUs, long startedUs) {
+            double ageUs = startedUs == Member.LONG_AGO ? warmUpUs : Math.max(0, nowUs - startedUs);
+            if (ageUs >= warmUpUs) {
                 return 1;
             }
-            return coldFrom + (1 - coldFrom) * ageUs / warmAfterUs;
+            return initialCapacityShare + (1 - initialCapacityShare) * ageUs / warmUpUs;
         }
     }
 
--- a/decisions/src/main/java/frostreel/routing/SlowStart.java
+++ b/decisions/src/main/java/frostreel/routing/SlowStart.java
@@ -217,7 +217,7 @@
     }
 
     private double warmth(long nowUs, Member member) {
-        return settings.rules().warmth(nowUs, member.startedUs);
+        return settings.rules().capacityShare(nowUs, member.startedUs);
     }
 
     /** Twice the time span of the rule on overloading members. */
--- a/decisions/src/main/java/frostreel/zones/ZoneFailoverPolicy.java
+++ b/decisions/src/main/java/frostreel/zones/ZoneFailoverPolicy.java
@@ -201,7 +201,7 @@
         if (!replicas.isRecovering()) {
             return true;
         }
-        double share = replicas.rampShare(nowUs, rules.coldFrom(), rules.warmAfterUs());
+        double share = replicas.rampShare(nowUs, rules.initialCapacityShare(), rules.warmUpUs());
         if (share >= 1) {
             recordRecovery(nowUs, replicas);
             replicas.completeRecovery();
--- a/decisions/src/test/java/frostreel/routing/MembershipTest.java
+++ b/decisions/src/test/java/frostreel/routing/MembershipTest.java
@@ -64,8 +64,7 @@
 
     @Test
     void goneMemberMayStillServeWhereOnlyDrainingIsBinding() {
-        RouterHarness harness =
-                new SettingsBuilder().onlyDrainingIsBinding(true).start(primary("a", 0));
+        RouterHarness harness = new SettingsBuilder().goneMembersUsable(true).start(primary("a", 0));
         harness.updateMembers(ListKind.FULL);
         harness.submit("write", NON_IDEMPOTENT_WRITE);
         assertEquals("a", harness.lastAttempt("write").member());
@@ -91,8 +90,7 @@
      */
     @Test
     void memberListedLaterReceivesNothingBeforeItAnsweredAHealthCheck() {
-        RouterHarness harness =
-                new SettingsBuilder().onlyDrainingIsBinding(true).start(primary("b", 0), replica("c", 1));
+        RouterHarness harness = new SettingsBuilder().goneMembersUsable(true).start(primary("b", 0), replica("c", 1));
         harness.updateMembers(ListKind.CHANGES, replica("a", 0));
         harness.submit("read", ANY_READ);
         harness.submit("write", NON_IDEMPOTENT_WRITE);
@@ -111,8 +109,7 @@
     /** Unverified members must not stay for ever where only draining is binding. */
     @Test
     void unverifiedMemberThatLeavesTheListIsForgotten() {
-        RouterHarness harness =
-                new SettingsBuilder().onlyDrainingIsBinding(true).start(primary("b", 0));
+        RouterHarness harness = new SettingsBuilder().goneMembersUsable(true).start(primary("b", 0));
         harness.updateMembers(ListKind.FULL, replica("a", 0), primary("b", 0));
         harness.updateMembers(ListKind.FULL, primary("b", 0));
         harness.updateMembers(ListKind.FULL, primary("b", 0));
--- a/decisions/src/test/java/frostreel/routing/SettingsBuilder.java
+++ b/decisions/src/test/java/frostreel/routing/SettingsBuilder.java
@@ -21,7 +21,7 @@
     private SessionTracking sessionTracking = SessionTracking.CARRIED;
     private HealthChecks healthChecks = HealthChecks.REPORT;
     private boolean subscribe;
-    private boolean onlyDrainingIsBinding;
+    private boolean goneMembersUsable;
     private int maxAttempts = 8;
     private long seed = 7;
     private int instances;
@@ -52,8 +52,8 @@
         return this;
     }
 
-    SettingsBuilder onlyDrainingIsBinding(boolean value) {
-        onlyDrainingIsBinding = value;
+    SettingsBuilder goneMembersUsable(boolean value) {
+        goneMembersUsable = value;
         return this;
     }
 
@@ -96,7 +96,7 @@
                 sessionTracking,
                 true,
                 limits(),
-                new Router.Rules(20_000, 500_000, onlyDrainingIsBinding, 0.2, 18_000_000, 3, 2_000_000));
+                new Router.Rules(20_000, 500_000, goneMembersUsable, 0.2, 18_000_000, 3, 2_000_000));
     }
 
     private Limits limits() {
--- a/lab/src/main/java/frostreel/lab/processes/Fleet.java
+++ b/lab/src/main/java/frostreel/lab/processes/Fleet.java
@@ -89,11 +89,11 @@
 
     private static Router.Rules eased(Router.Rules rules, long slackUs) {
         return new Router.Rules(
-                rules.answerSlackUs() + slackUs,
+                rules.responseSlackUs() + slackUs,
                 rules.stopSendingUs() + slackUs,
-                rules.onlyDrainingBinds(),
-                rules.coldFrom(),
-                rules.warmAfterUs(),
+                rules.goneMembersUsable(),
+                rules.initialCapacityShare(),
+                rules.warmUpUs(),
                 rules.overloadMultiple(),
                 rules.overloadWindowUs());
     }
--- a/lab/src/main/java/frostreel/lab/processes/PlatformConfig.java
+++ b/lab/src/main/java/frostreel/lab/processes/PlatformConfig.java
@@ -89,11 +89,11 @@
 
     private static JSONObject rules(Router.Rules rules) {
         return new JSONObject()
-                .put("answerSlackS", seconds(rules.answerSlackUs()))
+                .put("answerSlackS", seconds(rules.responseSlackUs()))
                 .put("stopSendingWithinS", seconds(rules.stopSendingUs()))
-                .put("onlyDrainingBinds", rules.onlyDrainingBinds())
-                .put("coldFrom", rules.coldFrom())
-                .put("warmAfterS", seconds(rules.warmAfterUs()))
+                .put("onlyDrainingBinds", rules.goneMembersUsable())
+                .put("coldFrom", rules.initialCapacityShare())
+                .put("warmAfterS", seconds(rules.warmUpUs()))
                 .put("fallMultiple", rules.overloadMultiple())
                 .put("fallS", seconds(rules.overloadWindowUs()));
     }
--- a/lab/src/main/java/frostreel/lab/rules/InvariantChecker.java
+++ b/lab/src/main/java/frostreel/lab/rules/InvariantChecker.java
@@ -21,10 +21,10 @@
 
     /** A checker of the limits and figures that a deployment states. */
     public InvariantChecker(Limits limits, Rules figures) {
-        oneAnswer = new OneAnswerRule(figures.answerSlackUs());
+        oneAnswer = new OneAnswerRule(figures.responseSlackUs());
         attemptLimit = new AttemptLimitRule(limits.maxAttempts());
         retries = new RetryRule();
-        drains = new DrainRule(figures.stopSendingUs(), figures.onlyDrainingBinds());
+        drains = new DrainRule(figures.stopSendingUs(), figures.goneMembersUsable());
         coldServers = new ColdServerRule();
         freshness = new FreshnessRule();
     }
--- a/lab/src/test/java/frostreel/lab/virtual/ColdFleetTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/ColdFleetTest.java
@@ -40,11 +40,11 @@
                         settings.positions(),
                         settings.limits(),
                         new Router.Rules(
-                                rules.answerSlackUs(),
+                                rules.responseSlackUs(),
                                 rules.stopSendingUs(),
-                                rules.onlyDrainingBinds(),
+                                rules.goneMembersUsable(),
                                 1,
-                                rules.warmAfterUs(),
+                                rules.warmUpUs(),
                                 rules.overloadMultiple(),
                                 rules.overloadWindowUs())),
                 actions);
--- a/lab/src/test/java/frostreel/lab/virtual/RandomScenario.java
+++ b/lab/src/test/java/frostreel/lab/virtual/RandomScenario.java
@@ -94,8 +94,8 @@
         boolean commitsWait =
                 json.getJSONObject("settings").getJSONObject("familyInfo").optBoolean("commitWaits", true);
         return new ServerParameters(
-                rules.coldFrom(),
-                rules.warmAfterUs(),
+                rules.initialCapacityShare(),
+                rules.warmUpUs(),
                 rules.overloadMultiple(),
                 rules.overloadWindowUs(),
                 micros(fleet, "logDelayS"),
--- a/pooler/src/main/java/frostreel/backend/ServerPool.java
+++ b/pooler/src/main/java/frostreel/backend/ServerPool.java
@@ -29,7 +29,7 @@
     /** An empty pool for at most {@code maxConnections} connections. */
     public ServerPool(EventLoop loop, Router.Settings settings, int maxConnections) {
         this.loop = loop;
-        servers = new ServerDirectory(settings.rules().onlyDrainingBinds());
+        servers = new ServerDirectory(settings.rules().goneMembersUsable());
         connections = new ConnectionTable(maxConnections);
         updateSettings(settings);
     }
--- a/pooler/src/main/java/frostreel/broker/Broker.java
+++ b/pooler/src/main/java/frostreel/broker/Broker.java
@@ -158,7 +158,7 @@
     }
 
     private long overdueAtUs(long deadlineUs) {
-        return deadlineUs + (long) (settings.rules().answerSlackUs() * OVERDUE_SHARE);
+        return deadlineUs + (long) (settings.rules().responseSlackUs() * OVERDUE_SHARE);
     }
 
     /** The client has disconnected; its handler is not called any more. A stale handle does nothing. */
