--- a/decisions/src/main/java/frostreel/operation/RequestClassRegistry.java
+++ b/decisions/src/main/java/frostreel/operation/RequestClassRegistry.java
@@ -108,7 +108,7 @@
     /** Relies on the order of {@link Router.Idempotency}: what may be retried most freely comes first. */
     private static boolean isLooser(RequestClass candidate, RequestClass other) {
         return candidate.idempotency().compareTo(other.idempotency()) < 0
-                || candidate.windowUs() > other.windowUs()
-                || candidate.boundUs() > other.boundUs();
+                || candidate.deduplicationWindowUs() > other.deduplicationWindowUs()
+                || candidate.stalenessBoundUs() > other.stalenessBoundUs();
     }
 }
--- a/decisions/src/main/java/frostreel/routing/Freshness.java
+++ b/decisions/src/main/java/frostreel/routing/Freshness.java
@@ -84,7 +84,7 @@
     /** The position that a member must have applied to answer the request, or {@link Router#NO_POSITION}. */
     long requiredPositionUs(long nowUs, PendingRequest request) {
         return switch (request.requestClass.access()) {
-            case BOUNDED -> nowUs - request.requestClass.boundUs() + ROUNDING_US;
+            case BOUNDED -> nowUs - request.requestClass.stalenessBoundUs() + ROUNDING_US;
             case SESSION -> sessionPositionUs(nowUs, request);
             case ANY -> Router.NO_POSITION;
             case WRITE, FRESH -> LATEST;
--- a/decisions/src/main/java/frostreel/routing/RetryPolicy.java
+++ b/decisions/src/main/java/frostreel/routing/RetryPolicy.java
@@ -61,7 +61,8 @@
         RequestClass requestClass = request.requestClass;
         return switch (requestClass.idempotency()) {
             case IDEMPOTENT -> true;
-            case KEYED -> nowUs + recheckIntervalUs <= request.firstUncertainSendUs + requestClass.windowUs();
+            case KEYED ->
+                nowUs + recheckIntervalUs <= request.firstUncertainSendUs + requestClass.deduplicationWindowUs();
             case NON_IDEMPOTENT -> false;
         };
     }
@@ -169,7 +170,7 @@
         }
         long keyUsedAtUs = request.mayHaveRun ? request.firstUncertainSendUs : nowUs;
         return request.requestClass.idempotency() == Idempotency.IDEMPOTENT
-                || timeUs + recheckIntervalUs < keyUsedAtUs + request.requestClass.windowUs();
+                || timeUs + recheckIntervalUs < keyUsedAtUs + request.requestClass.deduplicationWindowUs();
     }
 
     /**
--- a/decisions/src/main/java/frostreel/routing/Router.java
+++ b/decisions/src/main/java/frostreel/routing/Router.java
@@ -117,8 +117,8 @@
     /**
      * A class of requests.
      *
-     * @param windowUs how long after a first attempt that may have run a KEYED request is deduplicated
-     * @param boundUs the greatest staleness that a BOUNDED read accepts
+     * @param deduplicationWindowUs how long after a first attempt that may have run a KEYED request is deduplicated
+     * @param stalenessBoundUs the greatest staleness that a BOUNDED read accepts
      * @param latencyObjectiveUs from the arrival; an answer after it is late
      * @param deadlineUs how long after the arrival clients usually wait for an answer
      * @param priorityWeight the value of an answer in time, relative to those of other classes
@@ -129,8 +129,8 @@
             Access access,
             Idempotency idempotency,
             DeduplicationScope deduplicationScope,
-            long windowUs,
-            long boundUs,
+            long deduplicationWindowUs,
+            long stalenessBoundUs,
             long latencyObjectiveUs,
             long deadlineUs,
             double priorityWeight,
@@ -156,7 +156,7 @@
             long overloadWindowUs) {
         /** The least share of its capacity, to 1, that a member has now that started then. */
         double capacityShare(long nowUs, long startedUs) {
-            double ageUs = startedUs == Member.LONG_AGO ? warmUpUs : Math.max(0, nowUs - startedUs);
+            double ageUs = startedUs == Member.NO_START_TIME ? warmUpUs : Math.max(0, nowUs - startedUs);
             if (ageUs >= warmUpUs) {
                 return 1;
             }
@@ -171,7 +171,7 @@
      * @param instances how many routers there are, 0 where that is not known
      * @param zone the zone of the router
      * @param tickUs the shortest interval at which events are handed in
-     * @param positions whether every answer carries a position
+     * @param responsesCarryPositions whether every answer carries a position
      */
     record Settings(
             long seed,
@@ -182,7 +182,7 @@
             StalenessCheck stalenessCheck,
             ListRole listRole,
             SessionTracking sessionTracking,
-            boolean positions,
+            boolean responsesCarryPositions,
             Limits limits,
             Rules rules) {
         /** The same settings with other classes and another number of attempts. */
@@ -191,7 +191,7 @@
         }
 
         /** The same settings on sockets: one attempt at a time a connection, and a limit of clients' requests. */
-        public Settings onSockets(int concurrentRequestLimit) {
+        public Settings withSocketLimits(int concurrentRequestLimit) {
             return with(
                     classes,
                     limits.toBuilder()
@@ -210,7 +210,7 @@
                     stalenessCheck,
                     listRole,
                     sessionTracking,
-                    positions,
+                    responsesCarryPositions,
                     newLimits,
                     rules);
         }
@@ -220,12 +220,12 @@
      * An entry of the endpoint list.
      *
      * @param kind the kind of machine; members of one kind have equal capacity for equal weight
-     * @param startedUs when it started, or {@link #LONG_AGO}
+     * @param startedUs when it started, or {@link #NO_START_TIME}
      */
     record Member(
             String id, int zone, int kind, int group, boolean primary, State state, double weight, long startedUs) {
         /** The start of a member of which the list says no more than that it started before all that matters. */
-        public static final long LONG_AGO = 0;
+        public static final long NO_START_TIME = 0;
     }
 
     /**
--- a/decisions/src/main/java/frostreel/routing/SlowStart.java
+++ b/decisions/src/main/java/frostreel/routing/SlowStart.java
@@ -32,7 +32,7 @@
         private int machineKind;
         private double weight = 1;
         private boolean usable = true;
-        private long startedUs = Router.Member.LONG_AGO;
+        private long startedUs = Router.Member.NO_START_TIME;
         private long budgetUpdatedUs;
         /** Work that may be sent now, in microseconds. */
         private double budgetUs;
--- a/decisions/src/main/java/frostreel/simulator/MessageDecoder.java
+++ b/decisions/src/main/java/frostreel/simulator/MessageDecoder.java
@@ -64,7 +64,7 @@
                 fields.number("leads", 0) == 1,
                 state,
                 fields.number("scale", 1),
-                fields.microsFromSeconds("cameUpS", Router.Member.LONG_AGO));
+                fields.microsFromSeconds("cameUpS", Router.Member.NO_START_TIME));
     }
 
     static Router.Request request(MessageFields message, int classCount) throws MalformedMessageException {
--- a/decisions/src/test/java/frostreel/routing/SlowStartTest.java
+++ b/decisions/src/test/java/frostreel/routing/SlowStartTest.java
@@ -25,7 +25,7 @@
     }
 
     private static SlowStart.Member registerWarm(SlowStart slowStart) {
-        return register(slowStart, "warm", START_US, Member.LONG_AGO);
+        return register(slowStart, "warm", START_US, Member.NO_START_TIME);
     }
 
     private static SlowStart slowStart(int instances, long seed) {
--- a/lab/src/main/java/frostreel/lab/processes/PlatformConfig.java
+++ b/lab/src/main/java/frostreel/lab/processes/PlatformConfig.java
@@ -54,7 +54,7 @@
                 .put("onTimeS", seconds(requestClass.latencyObjectiveUs()))
                 .put("worth", requestClass.priorityWeight())
                 .put("lateWorth", requestClass.lateWeight())
-                .put("repeatWindowS", seconds(requestClass.windowUs()))
+                .put("repeatWindowS", seconds(requestClass.deduplicationWindowUs()))
                 .put("repeat", idempotency(requestClass.idempotency()))
                 .put("group", scope(requestClass.deduplicationScope()));
     }
@@ -104,13 +104,13 @@
         JSONArray bounds = new JSONArray();
         for (Router.RequestClass requestClass : settings.classes()) {
             freshness.put(lowerCase(requestClass.access()));
-            bounds.put(seconds(requestClass.boundUs()));
+            bounds.put(seconds(requestClass.stalenessBoundUs()));
         }
         return new JSONObject()
                 .put("freshness", freshness)
                 .put("lagAllowedS", bounds)
                 .put("holdsForS", seconds(settings.limits().holdsForUs()))
-                .put("positions", settings.positions())
+                .put("positions", settings.responsesCarryPositions())
                 .put("serverChecks", lowerCase(settings.stalenessCheck()))
                 .put("listRole", lowerCase(settings.listRole()))
                 .put("writeMarks", lowerCase(settings.sessionTracking()));
--- a/lab/src/main/java/frostreel/lab/processes/StatementCosts.java
+++ b/lab/src/main/java/frostreel/lab/processes/StatementCosts.java
@@ -34,6 +34,8 @@
             return 0;
         }
         RequestClass requestClass = classes.get(statement.requestClass());
-        return requestClass.boundUs() > 0 ? nowUs - requestClass.boundUs() : statement.afterMs() * 1000;
+        return requestClass.stalenessBoundUs() > 0
+                ? nowUs - requestClass.stalenessBoundUs()
+                : statement.afterMs() * 1000;
     }
 }
--- a/lab/src/main/java/frostreel/lab/processes/StatementRecorder.java
+++ b/lab/src/main/java/frostreel/lab/processes/StatementRecorder.java
@@ -116,7 +116,7 @@
     /** The position that a read had to see. */
     private long requiredUs(Statement statement, Router.RequestClass requestClass) {
         return switch (requestClass.access()) {
-            case BOUNDED -> lastByteUs - requestClass.boundUs();
+            case BOUNDED -> lastByteUs - requestClass.stalenessBoundUs();
             case SESSION -> statement.afterMs() * 1000;
             default -> 0;
         };
--- a/lab/src/main/java/frostreel/lab/rules/RetryRule.java
+++ b/lab/src/main/java/frostreel/lab/rules/RetryRule.java
@@ -35,7 +35,7 @@
     private static boolean mayRetry(RequestClass requestClass, long ageUs) {
         return switch (requestClass.idempotency()) {
             case IDEMPOTENT -> true;
-            case KEYED -> ageUs <= requestClass.windowUs();
+            case KEYED -> ageUs <= requestClass.deduplicationWindowUs();
             case NON_IDEMPOTENT -> false;
         };
     }
--- a/lab/src/main/java/frostreel/lab/virtual/SimulatedClients.java
+++ b/lab/src/main/java/frostreel/lab/virtual/SimulatedClients.java
@@ -138,7 +138,7 @@
                 request.workUs(),
                 access == Router.Access.WRITE,
                 request.session(),
-                access == Router.Access.BOUNDED ? requestClass.boundUs() : 0,
+                access == Router.Access.BOUNDED ? requestClass.stalenessBoundUs() : 0,
                 requiredPositionUs(access, wroteUs, scheduler.now()));
     }
 
--- a/lab/src/main/java/frostreel/lab/virtual/SimulationPlan.java
+++ b/lab/src/main/java/frostreel/lab/virtual/SimulationPlan.java
@@ -100,7 +100,7 @@
                 common.stalenessCheck(),
                 common.listRole(),
                 common.sessionTracking(),
-                common.positions(),
+                common.responsesCarryPositions(),
                 common.limits(),
                 common.rules());
     }
--- a/lab/src/main/java/frostreel/lab/virtual/VirtualBackEnd.java
+++ b/lab/src/main/java/frostreel/lab/virtual/VirtualBackEnd.java
@@ -56,7 +56,7 @@
         runListener = environment.listener();
         attemptsTo = new long[zones];
         connectTimeoutUs = settings.limits().connectTimeoutUs();
-        reports = new ServerReports(settings.positions(), reportFields);
+        reports = new ServerReports(settings.responsesCarryPositions(), reportFields);
         idleConnections = new IdleConnections(settings.limits().idleCloseUs());
     }
 
--- a/lab/src/test/java/frostreel/lab/virtual/ColdFleetTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/ColdFleetTest.java
@@ -37,7 +37,7 @@
                         settings.stalenessCheck(),
                         settings.listRole(),
                         settings.sessionTracking(),
-                        settings.positions(),
+                        settings.responsesCarryPositions(),
                         settings.limits(),
                         new Router.Rules(
                                 rules.responseSlackUs(),
--- a/lab/src/test/java/frostreel/lab/virtual/KnownSitesTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/KnownSitesTest.java
@@ -84,7 +84,7 @@
         assertThat(bsas.stalenessCheck()).isEqualTo(Router.StalenessCheck.SILENT);
         assertThat(bsas.listRole()).isEqualTo(Router.ListRole.START);
         assertThat(bsas.sessionTracking()).isEqualTo(Router.SessionTracking.REMEMBERED);
-        assertThat(bsas.positions()).isTrue();
+        assertThat(bsas.responsesCarryPositions()).isTrue();
         assertThat(bsas.limits())
                 .isEqualTo(Limits.builder()
                         .maxAttempts(10)
--- a/pooler/src/main/java/frostreel/broker/ActiveRequest.java
+++ b/pooler/src/main/java/frostreel/broker/ActiveRequest.java
@@ -91,7 +91,7 @@
         }
         return switch (requestClass.idempotency()) {
             case IDEMPOTENT -> deadlineUs;
-            case KEYED -> Math.min(deadlineUs, firstMaybeExecutedUs + requestClass.windowUs());
+            case KEYED -> Math.min(deadlineUs, firstMaybeExecutedUs + requestClass.deduplicationWindowUs());
             case NON_IDEMPOTENT -> firstMaybeExecutedUs;
         };
     }
--- a/pooler/src/main/java/frostreel/config/ConfigReader.java
+++ b/pooler/src/main/java/frostreel/config/ConfigReader.java
@@ -61,7 +61,7 @@
                 initialEndpoints,
                 zones,
                 machineTypes,
-                settings.onSockets(budget.expectedClients()),
+                settings.withSocketLimits(budget.expectedClients()),
                 source);
     }
 
--- a/pooler/src/test/java/frostreel/PoolerHarness.java
+++ b/pooler/src/test/java/frostreel/PoolerHarness.java
@@ -178,7 +178,7 @@
     void startSilent(String... hosts) throws Exception {
         Config config = Config.load(environment(configured(discovery.address(), hosts)));
         pooler = new Pooler(
-                unlimitedConcurrency ? config.withSettings(config.settings().onSockets(0)) : config,
+                unlimitedConcurrency ? config.withSettings(config.settings().withSocketLimits(0)) : config,
                 operators,
                 configuredListPatienceUs,
                 lingerUs);
