--- a/decisions/src/jmh/java/frostreel/zones/LocalityPolicyBenchmark.java
+++ b/decisions/src/jmh/java/frostreel/zones/LocalityPolicyBenchmark.java
@@ -75,8 +75,8 @@
                         .retryAfterAllowed(true)
                         .maxRetryAfterUs(1)
                         .connectTimeoutUs(250_000)
-                        .holdsForUs(50_000)
-                        .idleCloseUs(30_000_000)
+                        .staleReadWaitUs(50_000)
+                        .idleTimeoutUs(30_000_000)
                         .build(),
                 new Router.Rules(20_000, 1_000_000, false, 0.2, 15_000_000, 3, 2_000_000));
     }
--- a/decisions/src/main/java/frostreel/routing/Freshness.java
+++ b/decisions/src/main/java/frostreel/routing/Freshness.java
@@ -118,7 +118,7 @@
         return member.appliedUpToUs >= requiredUs
                 || (settings.get().stalenessCheck() != StalenessCheck.SILENT
                         && nowUs - member.staleAtUs > STALE_US
-                        && nowUs - requiredUs + settings.limits().holdsForUs() >= unusualLagUs(member));
+                        && nowUs - requiredUs + settings.limits().staleReadWaitUs() >= unusualLagUs(member));
     }
 
     /** By how much a member's last report was further behind than reports usually are. */
--- a/decisions/src/main/java/frostreel/routing/Limits.java
+++ b/decisions/src/main/java/frostreel/routing/Limits.java
@@ -10,10 +10,10 @@
         boolean retryAfterAllowed,
         long maxRetryAfterUs,
         boolean subscribe,
-        long askWithinUs,
+        long maxListAgeUs,
         long connectTimeoutUs,
-        long holdsForUs,
-        long idleCloseUs,
+        long staleReadWaitUs,
+        long idleTimeoutUs,
         int requestsPerConnection,
         int concurrentRequestLimit) {
     /** The {@link #concurrentRequestLimit} of a deployment that does not bound the open requests of clients. */
@@ -33,10 +33,10 @@
                 .retryAfterAllowed(retryAfterAllowed)
                 .maxRetryAfterUs(maxRetryAfterUs)
                 .subscribe(subscribe)
-                .askWithinUs(askWithinUs)
+                .maxListAgeUs(maxListAgeUs)
                 .connectTimeoutUs(connectTimeoutUs)
-                .holdsForUs(holdsForUs)
-                .idleCloseUs(idleCloseUs)
+                .staleReadWaitUs(staleReadWaitUs)
+                .idleTimeoutUs(idleTimeoutUs)
                 .requestsPerConnection(requestsPerConnection)
                 .concurrentRequestLimit(concurrentRequestLimit);
     }
@@ -49,10 +49,10 @@
         private boolean retryAfterAllowed;
         private long maxRetryAfterUs;
         private boolean subscribe;
-        private long askWithinUs;
+        private long maxListAgeUs;
         private long connectTimeoutUs;
-        private long holdsForUs;
-        private long idleCloseUs;
+        private long staleReadWaitUs;
+        private long idleTimeoutUs;
         private int requestsPerConnection = 1;
         private int concurrentRequestLimit = UNLIMITED;
 
@@ -95,8 +95,8 @@
         }
 
         /** How old an endpoint list may be and still count as known without having been asked for. */
-        public Builder askWithinUs(long value) {
-            askWithinUs = value;
+        public Builder maxListAgeUs(long value) {
+            maxListAgeUs = value;
             return this;
         }
 
@@ -107,14 +107,14 @@
         }
 
         /** How long a member that checks staleness by waiting holds a read. */
-        public Builder holdsForUs(long value) {
-            holdsForUs = value;
+        public Builder staleReadWaitUs(long value) {
+            staleReadWaitUs = value;
             return this;
         }
 
         /** After how long without use a connection is closed. */
-        public Builder idleCloseUs(long value) {
-            idleCloseUs = value;
+        public Builder idleTimeoutUs(long value) {
+            idleTimeoutUs = value;
             return this;
         }
 
@@ -139,10 +139,10 @@
                     retryAfterAllowed,
                     maxRetryAfterUs,
                     subscribe,
-                    askWithinUs,
+                    maxListAgeUs,
                     connectTimeoutUs,
-                    holdsForUs,
-                    idleCloseUs,
+                    staleReadWaitUs,
+                    idleTimeoutUs,
                     requestsPerConnection,
                     concurrentRequestLimit);
         }
--- a/decisions/src/main/java/frostreel/routing/MemberState.java
+++ b/decisions/src/main/java/frostreel/routing/MemberState.java
@@ -73,7 +73,7 @@
 
     /** Whether an attempt would find an open connection with room for it. */
     boolean hasFreeConnection(long nowUs, Limits limits) {
-        return inFlight < connections * limits.requestsPerConnection() && nowUs - lastUsedAtUs < limits.idleCloseUs();
+        return inFlight < connections * limits.requestsPerConnection() && nowUs - lastUsedAtUs < limits.idleTimeoutUs();
     }
 
     /** An endpoint list was applied: notes since when the member is missing from it. */
--- a/decisions/src/main/java/frostreel/wire/SettingsReader.java
+++ b/decisions/src/main/java/frostreel/wire/SettingsReader.java
@@ -135,10 +135,10 @@
                 .retryAfterAllowed(capabilities.isTrue("retryAfter"))
                 .maxRetryAfterUs(capabilities.microsFromSeconds("maxRetryAfterS", 0))
                 .subscribe(options.oneOf("membershipMode", SUBSCRIBES, false))
-                .askWithinUs(rules.microsFromSeconds("askWithinS", 0))
+                .maxListAgeUs(rules.microsFromSeconds("askWithinS", 0))
                 .connectTimeoutUs(capabilities.microsFromSeconds("connectTimeoutS", 0))
-                .holdsForUs(family.microsFromSeconds("holdsForS", 0))
-                .idleCloseUs(capabilities.microsFromSeconds("idleCloseS", 0))
+                .staleReadWaitUs(family.microsFromSeconds("holdsForS", 0))
+                .idleTimeoutUs(capabilities.microsFromSeconds("idleCloseS", 0))
                 .requestsPerConnection((int) capabilities.integer("streamsPerConn", 1, MAX_COUNT, 1))
                 .build();
     }
--- a/decisions/src/test/java/example/Embedding.java
+++ b/decisions/src/test/java/example/Embedding.java
@@ -51,8 +51,8 @@
                         .retryAfterAllowed(true)
                         .maxRetryAfterUs(500_000)
                         .connectTimeoutUs(250_000)
-                        .holdsForUs(50_000)
-                        .idleCloseUs(30_000_000)
+                        .staleReadWaitUs(50_000)
+                        .idleTimeoutUs(30_000_000)
                         .build(),
                 new Router.Rules(20_000, 500_000, false, 0.15, 18_000_000, 3, 3_000_000));
     }
--- a/decisions/src/test/java/frostreel/routing/SettingsBuilder.java
+++ b/decisions/src/test/java/frostreel/routing/SettingsBuilder.java
@@ -107,10 +107,10 @@
                 .retryAfterAllowed(true)
                 .maxRetryAfterUs(2_000_000)
                 .subscribe(subscribe)
-                .askWithinUs(10_000_000)
+                .maxListAgeUs(10_000_000)
                 .connectTimeoutUs(250_000)
-                .holdsForUs(50_000)
-                .idleCloseUs(30_000_000)
+                .staleReadWaitUs(50_000)
+                .idleTimeoutUs(30_000_000)
                 .concurrentRequestLimit(concurrentRequestLimit)
                 .build();
     }
--- a/decisions/src/test/java/frostreel/wire/SettingsReaderTest.java
+++ b/decisions/src/test/java/frostreel/wire/SettingsReaderTest.java
@@ -62,10 +62,10 @@
                                 .retryAfterAllowed(false)
                                 .maxRetryAfterUs(0)
                                 .subscribe(false)
-                                .askWithinUs(0)
+                                .maxListAgeUs(0)
                                 .connectTimeoutUs(0)
-                                .holdsForUs(0)
-                                .idleCloseUs(0)
+                                .staleReadWaitUs(0)
+                                .idleTimeoutUs(0)
                                 .requestsPerConnection(1)
                                 .concurrentRequestLimit(Limits.UNLIMITED)
                                 .build(),
--- a/decisions/src/test/java/frostreel/zones/ZoneFailoverPolicyTest.java
+++ b/decisions/src/test/java/frostreel/zones/ZoneFailoverPolicyTest.java
@@ -41,8 +41,8 @@
                     .retryAfterAllowed(true)
                     .maxRetryAfterUs(SECOND_US)
                     .connectTimeoutUs(250_000)
-                    .holdsForUs(50_000)
-                    .idleCloseUs(30 * SECOND_US)
+                    .staleReadWaitUs(50_000)
+                    .idleTimeoutUs(30 * SECOND_US)
                     .build(),
             new Router.Rules(20_000, SECOND_US, false, 0.2, 15 * SECOND_US, 3, 2 * SECOND_US));
     private final ZoneSettings zones = new ZoneSettings(
--- a/lab/src/main/java/frostreel/lab/processes/PlatformConfig.java
+++ b/lab/src/main/java/frostreel/lab/processes/PlatformConfig.java
@@ -83,7 +83,7 @@
                 .put("retryAfter", limits.retryAfterAllowed())
                 .put("maxRetryAfterS", seconds(limits.maxRetryAfterUs()))
                 .put("connectTimeoutS", seconds(limits.connectTimeoutUs()))
-                .put("idleCloseS", seconds(limits.idleCloseUs()))
+                .put("idleCloseS", seconds(limits.idleTimeoutUs()))
                 .put("streamsPerConn", limits.requestsPerConnection());
     }
 
@@ -109,7 +109,7 @@
         return new JSONObject()
                 .put("freshness", freshness)
                 .put("lagAllowedS", bounds)
-                .put("holdsForS", seconds(settings.limits().holdsForUs()))
+                .put("holdsForS", seconds(settings.limits().staleReadWaitUs()))
                 .put("positions", settings.responsesCarryPositions())
                 .put("serverChecks", lowerCase(settings.stalenessCheck()))
                 .put("listRole", lowerCase(settings.listRole()))
--- a/lab/src/main/java/frostreel/lab/virtual/Site.java
+++ b/lab/src/main/java/frostreel/lab/virtual/Site.java
@@ -46,8 +46,8 @@
                             .retryAfterAllowed(true)
                             .maxRetryAfterUs(2_000_000)
                             .connectTimeoutUs(250_000)
-                            .holdsForUs(50_000)
-                            .idleCloseUs(30_000_000)
+                            .staleReadWaitUs(50_000)
+                            .idleTimeoutUs(30_000_000)
                             .build(),
                     new Router.Rules(20_000, 1_000_000, false, 0.22, 15_000_000, 3, 2_000_000)),
             ServerParameters.USUAL,
--- a/lab/src/main/java/frostreel/lab/virtual/VirtualBackEnd.java
+++ b/lab/src/main/java/frostreel/lab/virtual/VirtualBackEnd.java
@@ -57,7 +57,7 @@
         attemptsTo = new long[zones];
         connectTimeoutUs = settings.limits().connectTimeoutUs();
         reports = new ServerReports(settings.responsesCarryPositions(), reportFields);
-        idleConnections = new IdleConnections(settings.limits().idleCloseUs());
+        idleConnections = new IdleConnections(settings.limits().idleTimeoutUs());
     }
 
     /** Takes an entry of the endpoint list. */
@@ -142,7 +142,7 @@
         boolean mayWait = settings.stalenessCheck() == Router.StalenessCheck.WAIT && !attempt.waitedForReplay;
         if (mayWait && requiredUs > attempt.server.appliedUs()) {
             attempt.waitedForReplay = true;
-            scheduler.after(settings.limits().holdsForUs(), () -> arrive(attempt, requiredUs));
+            scheduler.after(settings.limits().staleReadWaitUs(), () -> arrive(attempt, requiredUs));
             return;
         }
         long checkedUs = settings.stalenessCheck() == Router.StalenessCheck.SILENT ? 0 : requiredUs;
--- a/lab/src/test/java/frostreel/lab/virtual/KnownSitesTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/KnownSitesTest.java
@@ -93,10 +93,10 @@
                         .retryAfterAllowed(false)
                         .maxRetryAfterUs(500_000)
                         .subscribe(false)
-                        .askWithinUs(10_000_000)
+                        .maxListAgeUs(10_000_000)
                         .connectTimeoutUs(250_000)
-                        .holdsForUs(0)
-                        .idleCloseUs(15_000_000)
+                        .staleReadWaitUs(0)
+                        .idleTimeoutUs(15_000_000)
                         .requestsPerConnection(8)
                         .concurrentRequestLimit(Limits.UNLIMITED)
                         .build());
--- a/pooler/src/main/java/frostreel/backend/ServerPool.java
+++ b/pooler/src/main/java/frostreel/backend/ServerPool.java
@@ -39,7 +39,7 @@
     /** Applies the timeouts of new settings to what begins from now on. */
     public void updateSettings(Router.Settings settings) {
         connectTimeoutUs = settings.limits().connectTimeoutUs();
-        idleCloseUs = (long) (settings.limits().idleCloseUs() * IDLE_CLOSE_SHARE);
+        idleCloseUs = (long) (settings.limits().idleTimeoutUs() * IDLE_CLOSE_SHARE);
     }
 
     /**
