--- a/decisions/src/main/java/frostreel/routing/AttemptRecorder.java
+++ b/decisions/src/main/java/frostreel/routing/AttemptRecorder.java
@@ -11,9 +11,9 @@
      * Part of the latency objective beyond which the mean latency of a member is a sign of a queue. A longer mean
      * would leave no reserve for slower answers.
      */
-    private static final double TARGET_SHARE = 0.5;
+    private static final double QUEUEING_LATENCY_SHARE = 0.5;
     /** A report without a position is taken to be this old, in microseconds. */
-    private static final long REPORT_AGE_US = 500_000;
+    private static final long ASSUMED_REPORT_AGE_US = 500_000;
 
     private final ActiveSettings settings;
     private final LocalityPolicy localityPolicy;
@@ -66,7 +66,7 @@
         if (hasPosition) {
             freshness.recordReport(nowUs, member, report.positionUs());
         }
-        long asOfUs = hasPosition ? report.positionUs() : nowUs - REPORT_AGE_US;
+        long asOfUs = hasPosition ? report.positionUs() : nowUs - ASSUMED_REPORT_AGE_US;
         primaryTracker.recordRole(group, member, report.role(), asOfUs, RoleEvidence.REPORT);
     }
 
@@ -94,7 +94,7 @@
         if (hasPosition(positionUs)) {
             member.recordPosition(nowUs, positionUs);
         }
-        primaryTracker.recordRole(request.group, member, role, nowUs, RoleEvidence.ANSWER);
+        primaryTracker.recordRole(request.group, member, role, nowUs, RoleEvidence.RESPONSE);
         freshness.recordOutcome(nowUs, request, outcome, positionUs);
         switch (outcome) {
             case OK -> recordSuccess(nowUs, request, member, tookUs);
@@ -140,12 +140,12 @@
     private boolean isQueueing(long nowUs, PendingRequest request, MemberState member) {
         double expectedUs = member.outliers.expectedLatencyUs(nowUs, latencies.meanUs(request.classIndex()));
         return !latencies.isLongRunning(request)
-                && expectedUs > TARGET_SHARE * request.requestClass.latencyObjectiveUs();
+                && expectedUs > QUEUEING_LATENCY_SHARE * request.requestClass.latencyObjectiveUs();
     }
 
     private void recordWrongRoleOrStale(long nowUs, PendingRequest request, MemberState member, long positionUs) {
         if (request.requestClass.access() == Access.WRITE) {
-            primaryTracker.recordRole(request.group, member, Role.REPLICA, nowUs, RoleEvidence.ANSWER);
+            primaryTracker.recordRole(request.group, member, Role.REPLICA, nowUs, RoleEvidence.RESPONSE);
             return;
         }
         member.staleAtUs = nowUs;
--- a/decisions/src/main/java/frostreel/routing/ChainRouter.java
+++ b/decisions/src/main/java/frostreel/routing/ChainRouter.java
@@ -41,7 +41,7 @@
     /** The open requests by id. */
     private final Map<String, PendingRequest> requests = new HashMap<>();
     /** Whether an endpoint list was handed in. */
-    private boolean started;
+    private boolean listReported;
 
     /** A router that prefers replicas of its own zone and has no peer process. */
     public ChainRouter(Settings settings, Actions actions) {
@@ -77,8 +77,8 @@
 
     @Override
     public void onMembers(long nowUs, ListKind kind, List<Member> entries) {
-        boolean initial = !started;
-        started = true;
+        boolean initial = !listReported;
+        listReported = true;
         if (initial && settings.limits().subscribe()) {
             actions.subscribe();
         }
@@ -159,10 +159,10 @@
         writeQueue.release(nowUs, group, queues.writes);
         for (int i = queues.reads.size() - 1; i >= 0; i--) {
             PendingRequest request = queues.reads.get(i);
-            request.waitsAsRead = false;
+            request.inReadQueue = false;
             routeRead(nowUs, request);
         }
-        queues.reads.removeIf(request -> !request.waitsAsRead);
+        queues.reads.removeIf(request -> !request.inReadQueue);
     }
 
     @Override
@@ -254,11 +254,11 @@
             return false;
         }
         boolean restarted = request.memberStartedUs != member.slowStart.startedUs();
-        return !restarted || admitAnew(nowUs, request, member);
+        return !restarted || admitAfterRestart(nowUs, request, member);
     }
 
     /** Charges an attempt to the slow start of its restarted member, if that admits it. */
-    private boolean admitAnew(long nowUs, PendingRequest request, MemberState member) {
+    private boolean admitAfterRestart(long nowUs, PendingRequest request, MemberState member) {
         boolean admitted = slowStart.admits(nowUs, member.slowStart, request.classIndex());
         if (admitted) {
             attemptRecorder.chargeSlowStart(request);
--- a/decisions/src/main/java/frostreel/routing/GroupState.java
+++ b/decisions/src/main/java/frostreel/routing/GroupState.java
@@ -20,20 +20,20 @@
     /** The member last known as primary, null while none is. */
     MemberState primary;
     /** When the primary was last heard as such. */
-    long primaryAtUs = MemberState.NEVER;
+    long primaryAtUs = MemberState.NO_ROLE_EVIDENCE;
     /** Whether the primary is known by an answer of its own, which outranks reports and the list. */
     boolean primaryConfirmed;
     /** The primary has been silent for too long: only trial writes are sent to it. */
     boolean primarySuspected;
     /** No member took a write in a full round: writes wait unsent until a member answers as primary. */
-    boolean holdingWrites;
+    boolean writesBlocked;
 
     /** The member that a write without a known primary tries first. */
-    MemberState searchStart;
+    MemberState firstCandidate;
     /** The position in the chain of the next member that the search looks at. */
-    int searchIndex;
+    int nextProbeIndex;
 
-    long lastSearchUs;
+    long lastProbeUs;
     /** When a request was last tried on a suspected primary. */
     long lastTrialUs;
 
--- a/decisions/src/main/java/frostreel/routing/MemberDirectory.java
+++ b/decisions/src/main/java/frostreel/routing/MemberDirectory.java
@@ -57,17 +57,17 @@
         }
         members.values().forEach(member -> slowStart.setUsable(member.slowStart, member.isUsable(settings.rules())));
         for (GroupState group : groups.values()) {
-            forgetGone(nowUs, group);
+            removeGoneMembers(nowUs, group);
             if (group.primary != null && !group.primary.isUsable(settings.rules())) {
                 primaryTracker.clearPrimary(group);
             }
         }
     }
 
-    private void forgetGone(long nowUs, GroupState group) {
+    private void removeGoneMembers(long nowUs, GroupState group) {
         group.chain.forEach(member -> member.recordPresence(nowUs));
         group.chain.removeIf(
-                member -> member.isForgettable(nowUs, settings.rules(), freshness.retentionUs()) && forget(member));
+                member -> member.isRemovable(nowUs, settings.rules(), freshness.retentionUs()) && remove(member));
     }
 
     private void apply(long nowUs, Member entry, boolean initial) {
@@ -82,7 +82,7 @@
         member.zone = entry.zone();
         member.weight = entry.weight();
         member.state = entry.state();
-        member.drained |= entry.state() == State.DRAINING;
+        member.wasDraining |= entry.state() == State.DRAINING;
         if (entry.primary() && member.isUsable(settings.rules())) {
             primaryTracker.recordListedPrimary(group(member.groupNumber), member);
         }
@@ -100,7 +100,7 @@
     }
 
     /** Forgets a member; whether it was known. */
-    private boolean forget(MemberState member) {
+    private boolean remove(MemberState member) {
         localityPolicy.onMemberRemoved(member.localityHandle);
         slowStart.forget(member.slowStart);
         return members.remove(member.id, member);
--- a/decisions/src/main/java/frostreel/routing/MemberState.java
+++ b/decisions/src/main/java/frostreel/routing/MemberState.java
@@ -9,9 +9,9 @@
  */
 final class MemberState {
     /** A time before all others; half the range, so that differences to it don't overflow. */
-    static final long LONG_AGO = Long.MIN_VALUE / 2;
+    static final long DISTANT_PAST = Long.MIN_VALUE / 2;
     /** No evidence of a role yet. */
-    static final long NEVER = -1;
+    static final long NO_ROLE_EVIDENCE = -1;
 
     private static final long LISTED = 0;
 
@@ -27,7 +27,7 @@
     double weight = 1;
     State state = State.UP;
     /** It was listed as draining once: it stays out of use even when the list no longer names it. */
-    boolean drained;
+    boolean wasDraining;
     /** It was on the first list or has answered since; the list may name servers that don't belong to the group. */
     boolean verified;
     /** When it left the list, {@link #LISTED} while it is on it. */
@@ -39,18 +39,18 @@
     long lagUs;
 
     /** When it last reported its position. */
-    long positionAtUs = LONG_AGO;
+    long positionAtUs = DISTANT_PAST;
     /** When it last declined a read as too stale for it. */
-    long staleAtUs = LONG_AGO;
+    long staleAtUs = DISTANT_PAST;
 
     /** When it last was known to be the primary; an answer counts from its arrival. */
-    long primaryAtUs = NEVER;
+    long primaryAtUs = NO_ROLE_EVIDENCE;
 
     /** When it last was known to be a replica. */
-    long replicaAtUs = NEVER;
+    long replicaAtUs = NO_ROLE_EVIDENCE;
 
     boolean healthCheckPending;
-    long healthCheckAtUs = LONG_AGO;
+    long healthCheckAtUs = DISTANT_PAST;
 
     int inFlight;
     /** Connections that are open as far as this router can tell. */
@@ -68,7 +68,7 @@
 
     /** Whether requests may be sent to it by the endpoint list. */
     boolean isUsable(Rules rules) {
-        return state == State.UP || (state == State.GONE && rules.goneMembersUsable() && !drained);
+        return state == State.UP || (state == State.GONE && rules.goneMembersUsable() && !wasDraining);
     }
 
     /** Whether an attempt would find an open connection with room for it. */
@@ -86,7 +86,7 @@
     }
 
     /** Whether it is gone from the list, nothing is in flight to it, and it need not be remembered. */
-    boolean isForgettable(long nowUs, Rules rules, long retentionUs) {
+    boolean isRemovable(long nowUs, Rules rules, long retentionUs) {
         if (goneSinceUs == LISTED || inFlight != 0) {
             return false;
         }
--- a/decisions/src/main/java/frostreel/routing/PendingRequest.java
+++ b/decisions/src/main/java/frostreel/routing/PendingRequest.java
@@ -12,7 +12,7 @@
     /** It has not had to wait for a health check so far. */
     static final long NO_WAIT_YET = 0;
     /** Room for the members of a usual group, so that the list need not grow. */
-    private static final int USUAL_GROUP_SIZE = 4;
+    private static final int TYPICAL_GROUP_SIZE = 4;
 
     /** The request as the client sent it. */
     final Request original;
@@ -26,7 +26,7 @@
     final int maxAttempts;
 
     /** The members that were tried in this round. */
-    final ArrayList<MemberState> triedMembers = new ArrayList<>(USUAL_GROUP_SIZE);
+    final ArrayList<MemberState> triedMembers = new ArrayList<>(TYPICAL_GROUP_SIZE);
     /** Where an attempt is in flight, null if none is. */
     MemberState currentMember;
 
@@ -47,7 +47,7 @@
     /** Until when it waits for a health check that may prove a replica fresh enough, or {@link #NO_WAIT_YET}. */
     long healthCheckWaitUntilUs = NO_WAIT_YET;
     /** Whether it is among the waiting reads; cleared while they are routed again. */
-    boolean waitsAsRead;
+    boolean inReadQueue;
     /** It has its final answer, or its client is gone. */
     boolean ended;
     /** Its end depends on the group's load: it was shed, answered, rejected or timed out. */
@@ -73,7 +73,7 @@
     }
 
     /** The time up to which an answer counts as on time. */
-    long objectiveUs() {
+    long onTimeUntilUs() {
         return arrivedUs + requestClass.latencyObjectiveUs();
     }
 }
--- a/decisions/src/main/java/frostreel/routing/PrimarySearch.java
+++ b/decisions/src/main/java/frostreel/routing/PrimarySearch.java
@@ -32,7 +32,7 @@
      */
     MemberState nextCandidate(PendingRequest request) {
         List<MemberState> chain = request.group.chain;
-        int start = startOfRound(request.group);
+        int start = firstIndexOfRound(request.group);
         MemberState lastResort = null;
         for (int i = 0; i < chain.size(); i++) {
             MemberState member = chain.get((start + i) % chain.size());
@@ -47,15 +47,15 @@
         return lastResort;
     }
 
-    private static int startOfRound(GroupState group) {
-        return group.searchStart == null ? 0 : Math.max(0, group.chain.indexOf(group.searchStart));
+    private static int firstIndexOfRound(GroupState group) {
+        return group.firstCandidate == null ? 0 : Math.max(0, group.chain.indexOf(group.firstCandidate));
     }
 
     /** Starts the next round for a write whose attempt failed; after a round without a primary writes are held. */
     void continueRound(PendingRequest request) {
         GroupState group = request.group;
         boolean roundOver = group.primary == null && nextCandidate(request) == null;
-        group.holdingWrites |= roundOver;
+        group.writesBlocked |= roundOver;
         if (roundOver || group.primary != null) {
             request.triedMembers.clear();
         }
@@ -69,9 +69,9 @@
         if (!isSearchDue(nowUs, group, writes)) {
             return;
         }
-        group.lastSearchUs = nowUs;
+        group.lastProbeUs = nowUs;
         for (int i = 0; i < group.chain.size(); i++) {
-            MemberState member = group.chain.get(group.searchIndex++ % group.chain.size());
+            MemberState member = group.chain.get(group.nextProbeIndex++ % group.chain.size());
             boolean mayBeProbed = member.isUsable(settings.rules()) && !member.healthCheckPending;
             if (mayBeProbed && probe(nowUs, group, member, writes)) {
                 return;
@@ -86,11 +86,11 @@
         boolean heardRecently = nowUs - group.primaryAtUs < RECENT_US;
         boolean wanted = isUrgent(group) || !(writes.isEmpty() || heardRecently);
         long intervalUs = ROUND_US / Math.max(1, Math.min(group.chain.size(), writes.size()));
-        return wanted && nowUs - group.lastSearchUs >= intervalUs;
+        return wanted && nowUs - group.lastProbeUs >= intervalUs;
     }
 
     private static boolean isUrgent(GroupState group) {
-        return group.primary == null || group.holdingWrites || group.primarySuspected;
+        return group.primary == null || group.writesBlocked || group.primarySuspected;
     }
 
     /** Has a member show whether it is the primary, if there is a way to do so. */
--- a/decisions/src/main/java/frostreel/routing/PrimaryTracker.java
+++ b/decisions/src/main/java/frostreel/routing/PrimaryTracker.java
@@ -37,14 +37,14 @@
     private void acceptPrimary(GroupState group, MemberState member, long atUs, RoleEvidence evidence) {
         if (group.primary == member) {
             group.primaryAtUs = Math.max(group.primaryAtUs, atUs);
-            group.primaryConfirmed |= evidence == RoleEvidence.ANSWER;
+            group.primaryConfirmed |= evidence == RoleEvidence.RESPONSE;
         } else if (atUs > group.primaryAtUs && outranksPrimary(group, evidence)) {
             setPrimary(group, member, atUs, evidence);
         }
     }
 
     private static boolean outranksPrimary(GroupState group, RoleEvidence evidence) {
-        return evidence == RoleEvidence.ANSWER
+        return evidence == RoleEvidence.RESPONSE
                 || group.primary == null
                 || group.primarySuspected
                 || !group.primaryConfirmed;
@@ -52,22 +52,22 @@
 
     /** The endpoint list names a usable member as primary, which counts until anything else is known. */
     void recordListedPrimary(GroupState group, MemberState member) {
-        group.searchStart = member;
-        if (group.primaryAtUs == MemberState.NEVER && member.replicaAtUs == MemberState.NEVER) {
+        group.firstCandidate = member;
+        if (group.primaryAtUs == MemberState.NO_ROLE_EVIDENCE && member.replicaAtUs == MemberState.NO_ROLE_EVIDENCE) {
             member.primaryAtUs = Math.max(member.primaryAtUs, LISTED_AT_US);
             setPrimary(group, member, LISTED_AT_US, RoleEvidence.LIST);
         }
     }
 
     private void setPrimary(GroupState group, MemberState member, long atUs, RoleEvidence evidence) {
-        if (group.holdingWrites || group.primarySuspected) {
+        if (group.writesBlocked || group.primarySuspected) {
             member.window.restart();
         }
         group.primary = member;
-        group.searchStart = member;
+        group.firstCandidate = member;
         group.primaryAtUs = atUs;
-        group.primaryConfirmed = evidence == RoleEvidence.ANSWER;
-        group.holdingWrites = false;
+        group.primaryConfirmed = evidence == RoleEvidence.RESPONSE;
+        group.writesBlocked = false;
         group.primarySuspected = false;
     }
 
--- a/decisions/src/main/java/frostreel/routing/RetryPolicy.java
+++ b/decisions/src/main/java/frostreel/routing/RetryPolicy.java
@@ -14,26 +14,26 @@
     /** Tokens that each arriving request adds; a retry after an attempt that may have run takes one. */
     private static final double TOKENS_PER_REQUEST = 0.2;
     /** The most tokens that are kept for later. */
-    private static final double MOST_TOKENS = 10;
+    private static final double MAX_TOKENS = 10;
     /** First backoff of a write in microseconds; a primary that is merely full takes one within that time. */
-    private static final long FIRST_BACKOFF_US = 25_000;
+    private static final long BACKOFF_BASE_US = 25_000;
     /** How often the backoff may double. */
-    private static final int MOST_DOUBLINGS = 5;
+    private static final int MAX_DOUBLINGS = 5;
     /**
      * Part of its time that a request waits at the most before its first attempt: after that its client does better
      * to try another router.
      */
-    private static final double MOST_WAIT = 0.45;
+    private static final double MAX_WAIT_SHARE = 0.45;
     /** A primary that reports this utilization is busy rather than silent. */
     private static final double BUSY_UTILIZATION = 0.9;
     /** A retried read should still be on time, if it takes this many times the expected latency. */
     private static final double RETRY_LATENCY_FACTOR = 1.5;
     /** A request must have time for this many rechecks, as the next one may come late. */
-    private static final int RECHECKS_LEFT = 2;
+    private static final int MIN_RECHECKS_LEFT = 2;
 
     private final long recheckIntervalUs;
     private final ClassLatencies latencies;
-    private double tokens = MOST_TOKENS;
+    private double tokens = MAX_TOKENS;
 
     RetryPolicy(long recheckIntervalUs, ClassLatencies latencies) {
         this.recheckIntervalUs = recheckIntervalUs;
@@ -42,22 +42,22 @@
 
     /** A request arrived. */
     void recordArrival() {
-        tokens = Math.min(MOST_TOKENS, tokens + TOKENS_PER_REQUEST);
+        tokens = Math.min(MAX_TOKENS, tokens + TOKENS_PER_REQUEST);
     }
 
     /** Whether nothing more may be tried: time, attempts or the window of the idempotency key have run out. */
     boolean isExhausted(long nowUs, PendingRequest request) {
-        return recheckedByUs(nowUs) >= request.original.deadlineUs()
+        return latestRecheckUs(nowUs) >= request.original.deadlineUs()
                 || request.attempts >= request.maxAttempts
-                || (request.mayHaveRun && !mayRunTwice(nowUs, request));
+                || (request.mayHaveRun && !mayRunAgain(nowUs, request));
     }
 
     /** By when a request that has to wait now is rechecked at the latest. */
-    private long recheckedByUs(long nowUs) {
-        return nowUs + RECHECKS_LEFT * recheckIntervalUs;
+    private long latestRecheckUs(long nowUs) {
+        return nowUs + MIN_RECHECKS_LEFT * recheckIntervalUs;
     }
 
-    private boolean mayRunTwice(long nowUs, PendingRequest request) {
+    private boolean mayRunAgain(long nowUs, PendingRequest request) {
         RequestClass requestClass = request.requestClass;
         return switch (requestClass.idempotency()) {
             case IDEMPOTENT -> true;
@@ -69,8 +69,8 @@
 
     /** Whether a request that has had no attempt yet has waited for too much of its time. */
     boolean hasWaitedTooLong(long nowUs, PendingRequest request) {
-        double mostWaitUs = MOST_WAIT * (request.original.deadlineUs() - request.arrivedUs);
-        return request.attempts == 0 && recheckedByUs(nowUs) > request.arrivedUs + mostWaitUs;
+        double maxWaitUs = MAX_WAIT_SHARE * (request.original.deadlineUs() - request.arrivedUs);
+        return request.attempts == 0 && latestRecheckUs(nowUs) > request.arrivedUs + maxWaitUs;
     }
 
     /**
@@ -86,7 +86,7 @@
     private static long usefulUntilUs(PendingRequest request) {
         return request.requestClass.lateWeight() > 0
                 ? request.original.deadlineUs()
-                : Math.min(request.original.deadlineUs(), request.objectiveUs());
+                : Math.min(request.original.deadlineUs(), request.onTimeUntilUs());
     }
 
     /** An attempt ended that may have run: from now on the rules for running twice bind. */
@@ -124,7 +124,7 @@
     /** Delays the retry of a write that the primary rejected or may have run, exponentially. */
     void backOff(long nowUs, PendingRequest request, Outcome outcome) {
         if (outcome == Outcome.REJECTED || !outcome.provesNotRun) {
-            long backoffUs = FIRST_BACKOFF_US << Math.min(request.attempts, MOST_DOUBLINGS);
+            long backoffUs = BACKOFF_BASE_US << Math.min(request.attempts, MAX_DOUBLINGS);
             request.notBeforeUs = nowUs + backoffUs;
         }
     }
@@ -181,7 +181,7 @@
         long untilUs = member.window.isSmallest() ? usefulUntilUs(request) : request.original.deadlineUs();
         long leftUs = untilUs - nowUs;
         double expectedUs = expectedLatencyUs(nowUs, request, member);
-        double spareUs = request.objectiveUs() - nowUs - RETRY_LATENCY_FACTOR * expectedUs;
+        double spareUs = request.onTimeUntilUs() - nowUs - RETRY_LATENCY_FACTOR * expectedUs;
         boolean retryWouldBeOnTime = spareUs > OutlierDetector.SILENCE_FACTOR * expectedUs;
         return retryWouldBeOnTime && tokens >= 1 ? (long) Math.min((double) leftUs, spareUs) : leftUs;
     }
--- a/decisions/src/main/java/frostreel/routing/RoleEvidence.java
+++ b/decisions/src/main/java/frostreel/routing/RoleEvidence.java
@@ -7,5 +7,5 @@
     /** A report of the member, which is as old as the position in it. */
     REPORT,
     /** An answer of the member, current as of its arrival. */
-    ANSWER
+    RESPONSE
 }
--- a/decisions/src/main/java/frostreel/routing/RoutingComponents.java
+++ b/decisions/src/main/java/frostreel/routing/RoutingComponents.java
@@ -7,7 +7,7 @@
 /** The parts of a router that several of its classes use, wired together. */
 final class RoutingComponents {
     /** Shortest interval between two rechecks of waiting requests, in microseconds. */
-    private static final long SHORTEST_RECHECK_US = 10_000;
+    private static final long MIN_RECHECK_INTERVAL_US = 10_000;
 
     final ActiveSettings settings;
     final Actions actions;
@@ -30,7 +30,7 @@
         this.actions = actions;
         this.localityPolicy = localityPolicy;
         settings = new ActiveSettings(initialSettings);
-        recheckIntervalUs = Math.max(initialSettings.tickUs(), SHORTEST_RECHECK_US);
+        recheckIntervalUs = Math.max(initialSettings.tickUs(), MIN_RECHECK_INTERVAL_US);
         SplittableRandom random = new SplittableRandom(initialSettings.seed());
         rotationSeed = (int) (random.nextLong() >>> 40);
         slowStart = new SlowStart(initialSettings);
--- a/decisions/src/main/java/frostreel/routing/WaitingRequests.java
+++ b/decisions/src/main/java/frostreel/routing/WaitingRequests.java
@@ -64,11 +64,11 @@
      */
     void addRead(PendingRequest request) {
         Queues queues = of(request.group);
-        if (!request.waitsAsRead && !queues.reads.contains(request)) {
+        if (!request.inReadQueue && !queues.reads.contains(request)) {
             queues.reads.add(request.original.repeated() ? 0 : queues.reads.size(), request);
             scheduleRecheck(queues);
         }
-        request.waitsAsRead = true;
+        request.inReadQueue = true;
     }
 
     void remove(PendingRequest request) {
--- a/decisions/src/main/java/frostreel/routing/WriteQueue.java
+++ b/decisions/src/main/java/frostreel/routing/WriteQueue.java
@@ -30,7 +30,7 @@
     /** Sends what may be sent now, and takes it from the queue. */
     void release(long nowUs, GroupState group, List<PendingRequest> writes) {
         for (int i = writes.size() - 1; i >= 0; i--) {
-            if (group.holdingWrites || isPrimaryFull(nowUs, group)) {
+            if (group.writesBlocked || isPrimaryFull(nowUs, group)) {
                 return;
             }
             PendingRequest request = writes.get(i);
@@ -39,7 +39,7 @@
             }
             MemberState member = group.primary != null ? group.primary : primarySearch.nextCandidate(request);
             if (member == null) {
-                group.holdingWrites = true;
+                group.writesBlocked = true;
                 return;
             }
             if (send(nowUs, request, member)) {
@@ -81,8 +81,8 @@
     void removeExpired(long nowUs, GroupState group, List<PendingRequest> writes) {
         for (int i = 0; i < writes.size(); i++) {
             PendingRequest request = writes.get(i);
-            boolean waitsInVain = group.primary == null && retryPolicy.hasWaitedTooLong(nowUs, request);
-            if (waitsInVain || retryPolicy.isExhausted(nowUs, request)) {
+            boolean waitedTooLong = group.primary == null && retryPolicy.hasWaitedTooLong(nowUs, request);
+            if (waitedTooLong || retryPolicy.isExhausted(nowUs, request)) {
                 writes.remove(i--);
                 ender.giveUp(nowUs, request);
             }
--- a/decisions/src/main/java/frostreel/wire/SettingsReader.java
+++ b/decisions/src/main/java/frostreel/wire/SettingsReader.java
@@ -55,11 +55,11 @@
      * @throws MalformedMessageException naming the first field that is missing or out of range
      */
     public static Router.Settings read(long seed, MessageFields options) throws MalformedMessageException {
-        MessageFields family = options.object("familyInfo");
-        List<Router.RequestClass> classes = requestClasses(options, family);
+        MessageFields databaseSettings = options.object("familyInfo");
+        List<Router.RequestClass> classes = requestClasses(options, databaseSettings);
         MessageFields capabilities = options.object("caps");
         MessageFields rules = options.object("rules");
-        Limits limits = limits(options, family, capabilities, rules);
+        Limits limits = limits(options, databaseSettings, capabilities, rules);
         Router.Rules routingRules = rules(rules);
         return new Router.Settings(
                 seed,
@@ -67,20 +67,20 @@
                 (int) options.integer("zone", 0, MAX_COUNT, 0),
                 options.microsFromSeconds("roundS", DEFAULT_TICK_US),
                 classes,
-                family.oneOf("serverChecks", STALENESS_CHECK, Router.StalenessCheck.SILENT),
-                family.oneOf("listRole", LIST_ROLE, Router.ListRole.SILENT),
-                family.oneOf("writeMarks", SESSION_TRACKING, Router.SessionTracking.REMEMBERED),
-                family.isTrue("positions"),
+                databaseSettings.oneOf("serverChecks", STALENESS_CHECK, Router.StalenessCheck.SILENT),
+                databaseSettings.oneOf("listRole", LIST_ROLE, Router.ListRole.SILENT),
+                databaseSettings.oneOf("writeMarks", SESSION_TRACKING, Router.SessionTracking.REMEMBERED),
+                databaseSettings.isTrue("positions"),
                 limits,
                 routingRules);
     }
 
     /** The classes in their order, which numbers them; how fresh a read must be stands in lists apart from them. */
     @SuppressWarnings("unchecked") // The keys of JSON objects are strings.
-    private static List<Router.RequestClass> requestClasses(MessageFields options, MessageFields family)
+    private static List<Router.RequestClass> requestClasses(MessageFields options, MessageFields databaseSettings)
             throws MalformedMessageException {
-        List<Object> freshness = family.list("freshness");
-        List<Object> stalenessBoundsS = family.listOrEmpty("lagAllowedS");
+        List<Object> freshness = databaseSettings.list("freshness");
+        List<Object> stalenessBoundsS = databaseSettings.listOrEmpty("lagAllowedS");
         List<Router.RequestClass> classes = new ArrayList<>();
         for (Object each : options.list("classes")) {
             int number = classes.size();
@@ -126,7 +126,7 @@
     }
 
     private static Limits limits(
-            MessageFields options, MessageFields family, MessageFields capabilities, MessageFields rules)
+            MessageFields options, MessageFields databaseSettings, MessageFields capabilities, MessageFields rules)
             throws MalformedMessageException {
         return Limits.builder()
                 .maxAttempts((int) capabilities.integer("maxAttempts", 1, MAX_COUNT, 1))
@@ -137,7 +137,7 @@
                 .subscribe(options.oneOf("membershipMode", SUBSCRIBES, false))
                 .maxListAgeUs(rules.microsFromSeconds("askWithinS", 0))
                 .connectTimeoutUs(capabilities.microsFromSeconds("connectTimeoutS", 0))
-                .staleReadWaitUs(family.microsFromSeconds("holdsForS", 0))
+                .staleReadWaitUs(databaseSettings.microsFromSeconds("holdsForS", 0))
                 .idleTimeoutUs(capabilities.microsFromSeconds("idleCloseS", 0))
                 .requestsPerConnection((int) capabilities.integer("streamsPerConn", 1, MAX_COUNT, 1))
                 .build();
--- a/decisions/src/test/java/frostreel/routing/PrimaryTrackerTest.java
+++ b/decisions/src/test/java/frostreel/routing/PrimaryTrackerTest.java
@@ -22,7 +22,7 @@
         return new MemberState(id, 1, slowStart.register(NOW_US), 0, NOW_US);
     }
 
-    private void tellPrimary(MemberState member, RoleEvidence evidence, long atUs) {
+    private void recordPrimary(MemberState member, RoleEvidence evidence, long atUs) {
         if (evidence == RoleEvidence.LIST) {
             tracker.recordListedPrimary(group, member);
         } else {
@@ -34,32 +34,32 @@
     @CsvSource({
         "LIST, LIST, false",
         "LIST, REPORT, true",
-        "LIST, ANSWER, true",
+        "LIST, RESPONSE, true",
         "REPORT, LIST, false",
         "REPORT, REPORT, true",
-        "REPORT, ANSWER, true",
-        "ANSWER, LIST, false",
-        "ANSWER, REPORT, false",
-        "ANSWER, ANSWER, true"
+        "REPORT, RESPONSE, true",
+        "RESPONSE, LIST, false",
+        "RESPONSE, REPORT, false",
+        "RESPONSE, RESPONSE, true"
     })
     void newerEvidenceReplacesThePrimaryUnlessItIsOfLowerRank(
             RoleEvidence known, RoleEvidence newer, boolean replaces) {
-        tellPrimary(first, known, NOW_US);
-        tellPrimary(second, newer, NOW_US + 1);
+        recordPrimary(first, known, NOW_US);
+        recordPrimary(second, newer, NOW_US + 1);
         assertThat(group.primary).isSameAs(replaces ? second : first);
     }
 
     @Test
     void evidenceOlderThanThatForThePrimaryIsIgnored() {
-        tellPrimary(first, RoleEvidence.REPORT, NOW_US);
-        tellPrimary(second, RoleEvidence.ANSWER, NOW_US);
+        recordPrimary(first, RoleEvidence.REPORT, NOW_US);
+        recordPrimary(second, RoleEvidence.RESPONSE, NOW_US);
         assertThat(group.primary).isSameAs(first);
     }
 
     @Test
-    void primaryThatTellsThatItIsAReplicaIsNoLongerKnownAsPrimary() {
-        tellPrimary(first, RoleEvidence.ANSWER, NOW_US);
-        tracker.recordRole(group, first, Role.REPLICA, NOW_US, RoleEvidence.ANSWER);
+    void primaryThatReportsThatItIsAReplicaIsNoLongerKnownAsPrimary() {
+        recordPrimary(first, RoleEvidence.RESPONSE, NOW_US);
+        tracker.recordRole(group, first, Role.REPLICA, NOW_US, RoleEvidence.RESPONSE);
         assertThat(group.primary).as("not later").isSameAs(first);
         tracker.recordRole(group, first, Role.REPLICA, NOW_US + 1, RoleEvidence.REPORT);
         assertThat(group.primary).isNull();
@@ -68,23 +68,23 @@
     @Test
     void memberThatMayNotBeSentToDoesNotBecomePrimary() {
         first.state = State.DRAINING;
-        tellPrimary(first, RoleEvidence.ANSWER, NOW_US);
+        recordPrimary(first, RoleEvidence.RESPONSE, NOW_US);
         assertThat(group.primary).isNull();
     }
 
     @Test
     void evidenceFromBeforeAFailedConnectionDoesNotRestoreThePrimary() {
-        tellPrimary(first, RoleEvidence.ANSWER, NOW_US);
+        recordPrimary(first, RoleEvidence.RESPONSE, NOW_US);
         tracker.recordConnectFailure(NOW_US + 1_000, group, first);
-        tellPrimary(first, RoleEvidence.REPORT, NOW_US + 1_000);
+        recordPrimary(first, RoleEvidence.REPORT, NOW_US + 1_000);
         assertThat(group.primary).isNull();
-        tellPrimary(first, RoleEvidence.REPORT, NOW_US + 1_001);
+        recordPrimary(first, RoleEvidence.REPORT, NOW_US + 1_001);
         assertThat(group.primary).isSameAs(first);
     }
 
     @Test
     void silentPrimaryIsSuspectedAndTriedEachHalfSecondUntilItServesARequest() {
-        tellPrimary(first, RoleEvidence.ANSWER, NOW_US);
+        recordPrimary(first, RoleEvidence.RESPONSE, NOW_US);
         first.outliers.recordSend(NOW_US, 0, 100_000);
         first.inFlight = 1;
         long silentUs = NOW_US + 400_001;
