--- a/decisions/src/test/java/frostreel/routing/ConcurrencyLimitTest.java
+++ b/decisions/src/test/java/frostreel/routing/ConcurrencyLimitTest.java
@@ -41,7 +41,8 @@
     @Test
     void memberWhoseServiceTimeIsAThirdOfTheObjectiveReceivesConcurrentRequests() {
         RouterHarness harness = new SettingsBuilder().start(replica("b", 0));
-        harness.submitInTurn("read", 200, ANY_READ, 200_000, attempt -> harness.answer(attempt, 200_000, Role.REPLICA));
+        harness.submitInTurn(
+                "read", 200, ANY_READ, 200_000, attempt -> harness.respond(attempt, 200_000, Role.REPLICA));
         assertSentAtOnce(harness, ANY_READ);
     }
 
--- a/decisions/src/test/java/frostreel/routing/FreshnessTest.java
+++ b/decisions/src/test/java/frostreel/routing/FreshnessTest.java
@@ -105,7 +105,7 @@
         harness.complete("write", Outcome.OK, Role.PRIMARY, commitUs);
         harness.healthCheckSucceeded("b", Role.REPLICA, commitUs - 1_000_000);
         harness.advance(200_000_000);
-        harness.submitFor(43, "other", NON_IDEMPOTENT_WRITE, 2_000_000);
+        harness.submitForSession(43, "other", NON_IDEMPOTENT_WRITE, 2_000_000);
         harness.complete("other", Outcome.OK, Role.PRIMARY, harness.nowUs);
         harness.advance(10_000);
         harness.submit("read", SESSION_READ);
--- a/decisions/src/test/java/frostreel/routing/OutlierDetectionTest.java
+++ b/decisions/src/test/java/frostreel/routing/OutlierDetectionTest.java
@@ -34,7 +34,7 @@
             if (attempt.member().equals("b")) {
                 harness.complete(attempt.requestId(), Outcome.ERROR, Role.REPLICA, 0);
             }
-            harness.answerAsReplica(harness.lastAttempt(attempt.requestId()));
+            harness.respondAsReplica(harness.lastAttempt(attempt.requestId()));
         });
         assertSecondReplicaReceivesFarMoreThanTheFirst();
         long before = harness.attemptCountTo("b");
@@ -49,7 +49,8 @@
     @Test
     void slowReplicaReceivesLessThanItsPeer() {
         submitReads(
-                300, attempt -> harness.answer(attempt, attempt.member().equals("b") ? 500_000 : 50_000, Role.REPLICA));
+                300,
+                attempt -> harness.respond(attempt, attempt.member().equals("b") ? 500_000 : 50_000, Role.REPLICA));
         assertSecondReplicaReceivesFarMoreThanTheFirst();
     }
 
@@ -59,7 +60,7 @@
         submitReads(
                 200,
                 attempt ->
-                        harness.answer(attempt, 900_000, attempt.member().equals("a") ? Role.PRIMARY : Role.REPLICA));
+                        harness.respond(attempt, 900_000, attempt.member().equals("a") ? Role.PRIMARY : Role.REPLICA));
         assertTrue(harness.attemptCountTo("b") > 50 && harness.attemptCountTo("c") > 50);
     }
 }
--- a/decisions/src/test/java/frostreel/routing/PrimaryTrackingTest.java
+++ b/decisions/src/test/java/frostreel/routing/PrimaryTrackingTest.java
@@ -16,7 +16,7 @@
 /** Which evidence of a role decides who is taken for the primary, and when that is doubted. */
 class PrimaryTrackingTest {
     /** Three members of which a is listed as primary, and b has answered a write as primary. */
-    private static RouterHarness answeredByBAsPrimary() {
+    private static RouterHarness bConfirmedAsPrimary() {
         RouterHarness harness = threeMembers();
         harness.submit("write", KEYED_WRITE);
         harness.complete("write", Outcome.WRONG_ROLE_OR_STALE, Role.REPLICA, 0);
@@ -31,7 +31,7 @@
 
     @Test
     void primaryConfirmedByAnAnswerIsNotReplacedByALateMemberList() {
-        RouterHarness harness = answeredByBAsPrimary();
+        RouterHarness harness = bConfirmedAsPrimary();
         harness.advance(20_000);
         harness.updateMembers(ListKind.FULL, primary("a", 0), replica("b", 0), replica("c", 1));
         assertNextWriteGoesToB(harness);
@@ -39,7 +39,7 @@
 
     @Test
     void primaryConfirmedByAnAnswerIsNotReplacedByAnOldReport() {
-        RouterHarness harness = answeredByBAsPrimary();
+        RouterHarness harness = bConfirmedAsPrimary();
         harness.healthCheckSucceeded("a", Role.PRIMARY, harness.nowUs - 300_000);
         assertNextWriteGoesToB(harness);
     }
--- a/decisions/src/test/java/frostreel/routing/PromotionTest.java
+++ b/decisions/src/test/java/frostreel/routing/PromotionTest.java
@@ -40,8 +40,8 @@
                 .healthChecks(HealthChecks.LIVENESS)
                 .start(primary("a", 0), replica("b", 0), replica("c", 0));
         commitUs = harness.nowUs;
-        reports("b", Role.REPLICA, commitUs - BEHIND_US);
-        reports("c", Role.REPLICA, commitUs - BEHIND_US / 2);
+        report("b", Role.REPLICA, commitUs - BEHIND_US);
+        report("c", Role.REPLICA, commitUs - BEHIND_US / 2);
         harness.submit("commit", KEYED_WRITE);
         harness.complete("commit", Outcome.OK, Role.PRIMARY, commitUs);
         harness.advance(50_000);
@@ -49,7 +49,7 @@
     }
 
     /** Sends reads until one reaches the member, and answers that one with role and position. */
-    private void reports(String member, Role role, long positionUs) {
+    private void report(String member, Role role, long positionUs) {
         String id = "";
         for (int i = 0; !id.endsWith(member); i++) {
             id = "any " + harness.attempts.size() + " " + i;
@@ -63,7 +63,7 @@
 
     /** A write of another session, which waits for a primary. */
     private void write(String id) {
-        harness.submitFor(OTHER_SESSION, id, KEYED_WRITE, 3_000_000);
+        harness.submitForSession(OTHER_SESSION, id, KEYED_WRITE, 3_000_000);
     }
 
     private void promoteB() {
@@ -73,7 +73,7 @@
         harness.advance(1_000);
     }
 
-    private void answerRead(String id) {
+    private void respondToRead(String id) {
         harness.complete(id, Outcome.OK, Role.PRIMARY, commitUs - BEHIND_US + 20_000);
     }
 
@@ -93,12 +93,12 @@
         assertThat(harness.lastAttempt("before").member())
                 .as("the primary counts as fresh")
                 .isEqualTo("b");
-        answerRead("before");
+        respondToRead("before");
         for (int i = 0; i < 4; i++) {
             assertThat(read("after " + i)).isEqualTo("b");
-            answerRead("after " + i);
+            respondToRead("after " + i);
         }
-        reports("c", Role.REPLICA, commitUs + 1_000);
+        report("c", Role.REPLICA, commitUs + 1_000);
         assertThat(read("caught up")).as("its position is beyond the commit").isEqualTo("c");
     }
 
@@ -127,7 +127,7 @@
             assertThat(read("while b leads " + i))
                     .as("though the list still names a")
                     .isEqualTo("b");
-            answerRead("while b leads " + i);
+            respondToRead("while b leads " + i);
         }
         harness.advance(20_000_000); // It is warm by then, and has not been heard from.
         write("cut off");
--- a/decisions/src/test/java/frostreel/routing/RetryTest.java
+++ b/decisions/src/test/java/frostreel/routing/RetryTest.java
@@ -96,7 +96,7 @@
             soon.complete("write" + i, Outcome.OK, Role.PRIMARY, soon.nowUs);
             late.advance(400_000);
             soon.advance(400_000);
-            late.answer(late.lastAttempt("write" + i), 800_000, Role.PRIMARY);
+            late.respond(late.lastAttempt("write" + i), 800_000, Role.PRIMARY);
         }
         late.submit("last", KEYED_WRITE);
         soon.submit("last", KEYED_WRITE);
--- a/decisions/src/test/java/frostreel/routing/RouterHarness.java
+++ b/decisions/src/test/java/frostreel/routing/RouterHarness.java
@@ -104,7 +104,7 @@
     }
 
     /** Submits a request of another session than the usual one. */
-    void submitFor(long session, String id, int requestClass, long deadlineInUs) {
+    void submitForSession(long session, String id, int requestClass, long deadlineInUs) {
         router.onRequest(nowUs, new Request(id, requestClass, session, GROUP, nowUs + deadlineInUs, 0, false));
     }
 
@@ -134,8 +134,8 @@
     }
 
     /** Ends an attempt with an answer of a replica that took the usual time and is current as of now. */
-    void answerAsReplica(Attempt attempt) {
-        answer(attempt, USUAL_DURATION_US, Role.REPLICA);
+    void respondAsReplica(Attempt attempt) {
+        respond(attempt, USUAL_DURATION_US, Role.REPLICA);
     }
 
     /** Ends the newest attempt of a request; OK also ends the request. */
@@ -171,7 +171,7 @@
     }
 
     /** Ends an attempt with an answer that took so long and is current as of now. */
-    void answer(Attempt attempt, long tookUs, Role role) {
+    void respond(Attempt attempt, long tookUs, Role role) {
         complete(attempt, Outcome.OK, tookUs, role, nowUs, null);
     }
 
--- a/decisions/src/test/java/frostreel/routing/SlowStartRoutingTest.java
+++ b/decisions/src/test/java/frostreel/routing/SlowStartRoutingTest.java
@@ -32,7 +32,7 @@
     @Test
     void startingMemberReceivesAShareOfWhatAWarmMemberServes() {
         RouterHarness harness = withStartingReplica();
-        harness.submitInTurn("read", 400, ANY_READ, 10_000, harness::answerAsReplica);
+        harness.submitInTurn("read", 400, ANY_READ, 10_000, harness::respondAsReplica);
         assertSomeButLessThanHalf(harness.attemptCountTo("c"), harness.attemptCountTo("b"));
     }
 
