--- a/decisions/src/main/java/frostreel/routing/Router.java
+++ b/decisions/src/main/java/frostreel/routing/Router.java
@@ -144,7 +144,8 @@
      * @param goneMembersUsable whether members that are gone, but were never listed as draining, may be sent to
      * @param initialCapacityShare the least share from 0 to 1 of its capacity that a member starts with
      * @param warmUpUs how long after its start a member has all its capacity
-     * @param overloadMultiple a starting member collapses if it is sent this multiple of its capacity over {@code overloadWindowUs}
+     * @param overloadMultiple a starting member collapses if it is sent this multiple of its capacity over {@code
+     *     overloadWindowUs}
      */
     record Rules(
             long responseSlackUs,
