--- a/decisions/src/main/java/frostreel/routing/ActiveSettings.java
+++ b/decisions/src/main/java/frostreel/routing/ActiveSettings.java
@@ -3,7 +3,7 @@
 import frostreel.routing.Router.Rules;
 import frostreel.routing.Router.Settings;
 
-/** The settings in force. They may be replaced while the router runs, so nobody keeps a copy. */
+/** Holder of the current settings. They may be replaced at any time, so users read them from here each time. */
 final class ActiveSettings {
     private Settings settings;
 
--- a/decisions/src/main/java/frostreel/routing/AttemptRecorder.java
+++ b/decisions/src/main/java/frostreel/routing/AttemptRecorder.java
@@ -5,14 +5,14 @@
 import frostreel.routing.Router.Report;
 import frostreel.routing.Router.Role;
 
-/** Records attempts, and updates what is known of members from their outcomes and reports. */
+/** Records attempts, and updates the state of members from their outcomes and reports. */
 final class AttemptRecorder {
     /**
-     * Part of the latency objective beyond which the mean latency of a member is a sign of a queue. A longer mean
-     * would leave no reserve for slower answers.
+     * Share of the latency objective above which the expected latency of a member indicates a queue. A higher threshold
+     * would leave no reserve for slower responses.
      */
     private static final double QUEUEING_LATENCY_SHARE = 0.5;
-    /** A report without a position is taken to be this old, in microseconds. */
+    /** Assumed age, in microseconds, of a report without a position. */
     private static final long ASSUMED_REPORT_AGE_US = 500_000;
 
     private final ActiveSettings settings;
@@ -33,7 +33,7 @@
         healthChecker = components.healthChecker;
     }
 
-    /** An attempt is sent to a member. */
+    /** Records that an attempt is sent to a member. */
     void recordSend(long nowUs, PendingRequest request, MemberState member) {
         GroupState group = request.group;
         int classIndex = request.classIndex();
@@ -52,14 +52,14 @@
         chargeSlowStart(request);
     }
 
-    /** Charges an attempt to what its member may be sent in slow start. */
+    /** Charges an attempt to the slow-start budget of its member. */
     void chargeSlowStart(PendingRequest request) {
         SlowStart.Member slowStartState = request.currentMember.slowStart;
         slowStart.recordSend(slowStartState, request.classIndex());
         request.memberStartedUs = slowStartState.startedUs();
     }
 
-    /** A member reported on itself, by a health check or with an answer. */
+    /** Records a load report, from a health check or a response. */
     void recordReport(long nowUs, GroupState group, MemberState member, Report report) {
         slowStart.recordUtilization(member.slowStart, report.utilization());
         boolean hasPosition = hasPosition(report.positionUs());
@@ -71,10 +71,10 @@
     }
 
     /**
-     * An attempt ended.
+     * Records the end of an attempt.
      *
-     * @param positionUs the position in the answer, or {@link Router#NO_POSITION}
-     * @param report the report that came with the answer, or null
+     * @param positionUs the position in the response, or {@link Router#NO_POSITION}
+     * @param report the report in the response, or null
      */
     void recordOutcome(
             long nowUs,
@@ -101,18 +101,18 @@
             case WRONG_ROLE_OR_STALE -> recordWrongRoleOrStale(nowUs, request, member, positionUs);
             case REJECTED -> recordRejection(nowUs, request, member);
             case ERROR, TIMEOUT, CONNECT_FAILED, RESET -> recordFailure(nowUs, request, member, outcome);
-            case CANCELLED, NOT_SENT -> {} // Nothing is learned of the member.
+            case CANCELLED, NOT_SENT -> {} // These say nothing about the member.
         }
     }
 
     private static void recordProgress(long nowUs, MemberState member, Outcome outcome) {
-        boolean answered = outcome == Outcome.OK
+        boolean responded = outcome == Outcome.OK
                 || outcome == Outcome.ERROR
                 || outcome == Outcome.REJECTED
                 || outcome == Outcome.WRONG_ROLE_OR_STALE;
-        if (answered) {
+        if (responded) {
             member.outliers.recordProgress(nowUs);
-            member.verified |= outcome != Outcome.ERROR; // Any server may answer with an error.
+            member.verified |= outcome != Outcome.ERROR; // Any server may respond with an error.
         }
         if (member.inFlight == 0) {
             member.outliers.recordIdle();
@@ -136,7 +136,7 @@
         }
     }
 
-    /** Whether the latency of a member is a sign of a queue; that of long-running queries is their own work. */
+    /** Whether the latency of a member indicates a queue; that of long-running queries is due to their own work. */
     private boolean isQueueing(long nowUs, PendingRequest request, MemberState member) {
         double expectedUs = member.outliers.expectedLatencyUs(nowUs, latencies.meanUs(request.classIndex()));
         return !latencies.isLongRunning(request)
@@ -149,7 +149,7 @@
             return;
         }
         member.staleAtUs = nowUs;
-        if (positionUs == Router.NO_POSITION) { // Otherwise the answer says how far behind it is.
+        if (positionUs == Router.NO_POSITION) { // Otherwise the response shows how far behind it is.
             healthChecker.check(nowUs, member);
         }
     }
@@ -166,7 +166,7 @@
             member.recordConnectionLoss();
         }
         member.outliers.recordFailure(nowUs);
-        if (outcome != Outcome.ERROR) { // An error that came in time is no sign of a queue.
+        if (outcome != Outcome.ERROR) { // An error response is not a sign of a queue.
             member.window.shrink(nowUs, member.inFlight, meanUs);
         }
         if (outcome == Outcome.CONNECT_FAILED) {
--- a/decisions/src/main/java/frostreel/routing/AttemptSender.java
+++ b/decisions/src/main/java/frostreel/routing/AttemptSender.java
@@ -1,6 +1,6 @@
 package frostreel.routing;
 
-/** Sends attempts; the router implements it for the classes that choose a member. */
+/** Sender of attempts, which the router implements for the classes that choose a member. */
 @FunctionalInterface
 interface AttemptSender {
     /** Starts an attempt if every rule permits it; returns whether it did. */
--- a/decisions/src/main/java/frostreel/routing/ChainRouter.java
+++ b/decisions/src/main/java/frostreel/routing/ChainRouter.java
@@ -5,22 +5,24 @@
 import java.util.Map;
 
 /**
- * Routes requests along the failover chain of each group. Its interface, events in and actions out, is {@link
- * Router}; this class coordinates the classes that decide.
+ * Routes requests along the failover chain of each replica group. This class coordinates the classes that make the
+ * individual decisions.
  *
- * <p>The members of a group form a chain, ordered by id. Writes and fresh reads go to the member last heard as
- * primary. Its answers confirm that; a member that declines a write, or can't be connected to, has
- * certainly not executed it, so that the write moves on to the next member of the chain; after a timeout it is
- * sent again only if it is idempotent or has a key. After a full round without a primary the group holds its
- * writes, unsent, while {@link PrimarySearch} looks at one member after another, and releases them when one
- * answers as primary. Other reads go to a replica of the own zone that is fresh enough, else to one of another
- * zone, and to the primary only if no replica can serve them. Every attempt is sent by {@link #send}, which
- * holds the rules; every request ends with an answer or in {@link #giveUp}.
+ * <p>The members of a group form a chain, ordered by id. Writes and fresh reads go to the last known primary, whose
+ * responses confirm its role. A member that declines a write, or cannot be connected to, has certainly not executed
+ * it, so the write moves on to the next member of the chain. After a timeout a write is retried only if it is
+ * idempotent or has an idempotency key. After a full round without a primary the writes of the group stay queued
+ * while {@link PrimarySearch} probes one member after another; they are sent when a member is known as primary. Other
+ * reads go to the cheapest replica that is fresh enough, members of the local zone costing less, and to the primary
+ * only if no replica can serve them.
+ *
+ * <p>{@link #send} starts every attempt and enforces the rules for it; {@link #giveUp} sends the final response to
+ * requests that were not served.
  */
 public final class ChainRouter implements Router {
-    /** After a failed read of the endpoint list the subscription is retried after this time in microseconds. */
+    /** Delay, in microseconds, before the subscription is retried after a failed endpoint list update. */
     private static final long SUBSCRIBE_RETRY_US = 500_000;
-    /** Retry-After of rejected requests in microseconds: about the time that a failover takes. */
+    /** Retry-After of rejected requests in microseconds: about the duration of a failover. */
     private static final long RETRY_AFTER_US = 500_000;
 
     private static final String SUBSCRIBE_TIMER = "subscribe";
@@ -40,10 +42,10 @@
     private final AttemptRecorder attemptRecorder;
     /** The open requests by id. */
     private final Map<String, PendingRequest> requests = new HashMap<>();
-    /** Whether an endpoint list was handed in. */
+    /** Whether an endpoint list update, even a failed one, was reported. */
     private boolean listReported;
 
-    /** A router that prefers replicas of its own zone and has no peer process. */
+    /** A router that prefers replicas of its zone and has no peer process. */
     public ChainRouter(Settings settings, Actions actions) {
         this(settings, actions, new NearestZonePolicy(settings.zone()));
     }
@@ -53,7 +55,7 @@
         this(settings, actions, localityPolicy, PeerCommits.NONE);
     }
 
-    /** A router that decides for {@code actions}; its sessions also see the commits of the peer process. */
+    /** A router whose session reads also reflect the commits made through the peer process. */
     public ChainRouter(Settings settings, Actions actions, LocalityPolicy localityPolicy, PeerCommits peerCommits) {
         this.actions = actions;
         components = new RoutingComponents(settings, actions, localityPolicy, peerCommits);
@@ -152,7 +154,7 @@
         }
     }
 
-    /** Sends what waits in a group as far as that is possible now: first writes, then reads, the newest first. */
+    /** Sends as many of a group's queued requests as possible: first writes, then reads, each newest first. */
     private void releaseWaiting(long nowUs, GroupState group) {
         components.primaryTracker.suspectIfSilent(nowUs, group);
         WaitingRequests.Queues queues = waiting.of(group);
@@ -197,7 +199,7 @@
         releaseWaiting(nowUs, request.group);
     }
 
-    /** Tries a request again whose attempt didn't serve it, if that is allowed. */
+    /** Retries a request whose attempt did not serve it, or gives it up if it may not be retried. */
     private void retry(long nowUs, PendingRequest request, MemberState member, Outcome outcome) {
         if (outcome != Outcome.REJECTED || !request.needsPrimary) {
             request.triedMembers.add(member);
@@ -242,7 +244,7 @@
         }
     }
 
-    /** Where the member has restarted since, the attempt also has to be admitted to its slow start again. */
+    /** If the member has restarted since the attempt was sent, its slow start must also admit the attempt again. */
     @Override
     public boolean mayStillBegin(long nowUs, String requestId) {
         PendingRequest request = requests.get(requestId);
@@ -257,7 +259,7 @@
         return !restarted || admitAfterRestart(nowUs, request, member);
     }
 
-    /** Charges an attempt to the slow start of its restarted member, if that admits it. */
+    /** Charges an attempt to the slow start of its restarted member if the member's budget admits it. */
     private boolean admitAfterRestart(long nowUs, PendingRequest request, MemberState member) {
         boolean admitted = slowStart.admits(nowUs, member.slowStart, request.classIndex());
         if (admitted) {
@@ -266,7 +268,7 @@
         return admitted;
     }
 
-    /** The one place that sends: only where every rule permits it. */
+    /** Starts an attempt if every rule permits it; no other method does. */
     private boolean send(long nowUs, PendingRequest request, MemberState member, long timeoutUs) {
         if (!mayBeSent(nowUs, request, member)) {
             return false;
@@ -278,9 +280,10 @@
     }
 
     /**
-     * The rules that every attempt keeps: one at a time for each request, none to draining members or to those of
-     * other groups, none after the last, after the deadline or where a retry is not allowed, not too much to a member
-     * in slow start, and none to a member that is too stale or does not know the request's idempotency key.
+     * Checks the rules for an attempt. A request has at most one attempt in flight, none after its deadline or its
+     * last permitted attempt, and none after one that may have run unless it may be retried. The member must be usable
+     * by the endpoint list, belong to the group, have slow-start budget left, be fresh enough, and be in a zone that
+     * knows the request's idempotency key.
      */
     private boolean mayBeSent(long nowUs, PendingRequest request, MemberState member) {
         return !request.ended
@@ -293,7 +296,7 @@
                 && request.mayGoToZone(member.zone);
     }
 
-    /** The one place that ends a request unserved: with a rejection where a retry is harmless, else a failure. */
+    /** Ends a request that was not served: rejects it if a retry by the client is harmless, else fails it. */
     private void giveUp(long nowUs, PendingRequest request) {
         recordEnd(nowUs, request, false);
         requests.remove(request.original.id());
@@ -309,8 +312,8 @@
         return limits.retryAfterAllowed() ? Math.min(RETRY_AFTER_US, limits.maxRetryAfterUs()) : Actions.NO_RETRY_AFTER;
     }
 
-    private void recordEnd(long nowUs, PendingRequest request, boolean answered) {
-        loadShedder.recordEnd(nowUs, request, answered);
+    private void recordEnd(long nowUs, PendingRequest request, boolean served) {
+        loadShedder.recordEnd(nowUs, request, served);
         request.ended = true;
     }
 }
--- a/decisions/src/main/java/frostreel/routing/GroupState.java
+++ b/decisions/src/main/java/frostreel/routing/GroupState.java
@@ -4,46 +4,46 @@
 import java.util.List;
 
 /**
- * What is known of one replica group: its members, its primary and the progress of the search for one. Times
- * are microseconds on the router's clock.
+ * State of one replica group: its members, its primary and the search for one. Times are microseconds on the
+ * router's clock.
  */
 final class GroupState {
-    /** No health check was made for a read since the last one was answered: the next may be made at once. */
+    /** No health check was started for a read since one last ended in the group: the next may start at once. */
     static final long NO_FRESHNESS_CHECK = 0;
 
     final int number;
-    /** The failover chain: the members in the order of their ids, the same for every router. */
+    /** Failover chain: the members ordered by id, as in every router. */
     final List<MemberState> chain = new ArrayList<>();
-    /** The requests that ended recently, and how many of them were useful. */
+    /** Rates of ended and of useful requests. */
     final Goodput goodput;
 
-    /** The member last known as primary, null while none is. */
+    /** The primary, or null if it is not known. */
     MemberState primary;
-    /** When the primary was last heard as such. */
+    /** Time of the latest evidence for the primary; older evidence is ignored. */
     long primaryAtUs = MemberState.NO_ROLE_EVIDENCE;
-    /** Whether the primary is known by an answer of its own, which outranks reports and the list. */
+    /** Whether a response of the primary confirmed its role, which outranks reports and the endpoint list. */
     boolean primaryConfirmed;
-    /** The primary has been silent for too long: only trial writes are sent to it. */
+    /** Whether the primary has been silent for too long; only trial requests are sent to it. */
     boolean primarySuspected;
-    /** No member took a write in a full round: writes wait unsent until a member answers as primary. */
+    /** Whether a full round of members found no primary; writes stay queued until one is known. */
     boolean writesBlocked;
 
-    /** The member that a write without a known primary tries first. */
+    /** The last known or listed primary, which a write tries first while the primary is not known. */
     MemberState firstCandidate;
-    /** The position in the chain of the next member that the search looks at. */
+    /** Index of the next member to probe, to be taken modulo the length of the chain. */
     int nextProbeIndex;
 
     long lastProbeUs;
-    /** When a request was last tried on a suspected primary. */
+    /** Time of the last trial request to a suspected primary. */
     long lastTrialUs;
 
-    /** Where this group's long-running reads go. */
+    /** The replica for this group's long-running reads. */
     MemberState longQueryReplica;
-    /** When a health check was last made for a read that needs a fresh replica, or {@link #NO_FRESHNESS_CHECK}. */
+    /** Time of the last health check for a read that needs a fresh replica, or {@link #NO_FRESHNESS_CHECK}. */
     long lastFreshnessCheckUs = NO_FRESHNESS_CHECK;
-    /** Shifts the member that reads look at first. */
+    /** Offset of the replica that the next read considers first. */
     int rotation;
-    /** Requests sent on open connections since the last that needed a new one. */
+    /** Number of attempts sent on open connections since the last that needed a new one. */
     int sendsSinceConnect;
 
     GroupState(int number, Goodput goodput) {
@@ -51,7 +51,7 @@
         this.goodput = goodput;
     }
 
-    /** Inserts a member into the failover chain, at its place in the order of ids. */
+    /** Inserts a member into the failover chain, ordered by id. */
     void insert(MemberState member) {
         int index = 0;
         while (index < chain.size() && chain.get(index).id.compareTo(member.id) < 0) {
--- a/decisions/src/main/java/frostreel/routing/Limits.java
+++ b/decisions/src/main/java/frostreel/routing/Limits.java
@@ -2,7 +2,7 @@
 
 import frostreel.routing.Router.HealthChecks;
 
-/** What the deployment permits. Each component is described at the method of {@link Builder} that sets it. */
+/** Limits and permissions of a deployment. {@link Builder} documents each component at the method that sets it. */
 public record Limits(
         int maxAttempts,
         HealthChecks healthChecks,
@@ -16,15 +16,15 @@
         long idleTimeoutUs,
         int requestsPerConnection,
         int concurrentRequestLimit) {
-    /** The {@link #concurrentRequestLimit} of a deployment that does not bound the open requests of clients. */
+    /** Value of {@link #concurrentRequestLimit} if the open requests of clients are not limited. */
     public static final int UNLIMITED = 0;
 
-    /** Starts from a deployment that permits one attempt for each request, and nothing else. */
+    /** Returns a builder that permits one attempt per request, and nothing else. */
     public static Builder builder() {
         return new Builder();
     }
 
-    /** Starts from these limits. */
+    /** Returns a builder with these limits. */
     public Builder toBuilder() {
         return new Builder()
                 .maxAttempts(maxAttempts)
@@ -41,7 +41,7 @@
                 .concurrentRequestLimit(concurrentRequestLimit);
     }
 
-    /** Builds limits by name: a call with twelve figures in a row could not be read. */
+    /** Builder of limits, as a constructor call with twelve arguments would be hard to read. */
     public static final class Builder {
         private int maxAttempts = 1;
         private HealthChecks healthChecks = HealthChecks.NONE;
@@ -58,79 +58,79 @@
 
         private Builder() {}
 
-        /** How many attempts a request may have, counting the first. */
+        /** Maximum number of attempts per request, including the first. */
         public Builder maxAttempts(int value) {
             maxAttempts = value;
             return this;
         }
 
-        /** Whether members may be health-checked, and what such a check reports. */
+        /** Whether health checks are permitted, and what they report. */
         public Builder healthChecks(HealthChecks value) {
             healthChecks = value;
             return this;
         }
 
-        /** Whether an attempt that is in flight may be cancelled. */
+        /** Whether attempts in flight may be cancelled. */
         public Builder cancel(boolean value) {
             cancel = value;
             return this;
         }
 
-        /** Whether rejected clients receive a Retry-After. */
+        /** Whether rejections may carry a Retry-After. */
         public Builder retryAfterAllowed(boolean value) {
             retryAfterAllowed = value;
             return this;
         }
 
-        /** The longest Retry-After that a client may receive. */
+        /** Longest Retry-After that a client may receive. */
         public Builder maxRetryAfterUs(long value) {
             maxRetryAfterUs = value;
             return this;
         }
 
-        /** Whether changes of the endpoint list have to be subscribed to. */
+        /** Whether endpoint list updates must be subscribed to. */
         public Builder subscribe(boolean value) {
             subscribe = value;
             return this;
         }
 
-        /** How old an endpoint list may be and still count as known without having been asked for. */
+        /** Age up to which an unsolicited endpoint list counts as known; no decision depends on it. */
         public Builder maxListAgeUs(long value) {
             maxListAgeUs = value;
             return this;
         }
 
-        /** How long connecting to a member may take. */
+        /** Timeout of a connection attempt to a member. */
         public Builder connectTimeoutUs(long value) {
             connectTimeoutUs = value;
             return this;
         }
 
-        /** How long a member that checks staleness by waiting holds a read. */
+        /** How long a member whose {@link Router.StalenessCheck} is WAIT delays a read that it is too stale for. */
         public Builder staleReadWaitUs(long value) {
             staleReadWaitUs = value;
             return this;
         }
 
-        /** After how long without use a connection is closed. */
+        /** Idle time after which a connection to a member is closed. */
         public Builder idleTimeoutUs(long value) {
             idleTimeoutUs = value;
             return this;
         }
 
-        /** How many requests one connection to a member carries at a time. */
+        /** Maximum number of requests in flight on one connection to a member. */
         public Builder requestsPerConnection(int value) {
             requestsPerConnection = value;
             return this;
         }
 
-        /** How many client requests may be open here, or {@link Limits#UNLIMITED}. */
+        /** Maximum number of open client requests, or {@link Limits#UNLIMITED}. */
         public Builder concurrentRequestLimit(int value) {
             concurrentRequestLimit = value;
             return this;
         }
 
-        /** The limits as they were set. */
+        /** Returns the limits. */
         public Limits build() {
             return new Limits(
                     maxAttempts,
--- a/decisions/src/main/java/frostreel/routing/MemberDirectory.java
+++ b/decisions/src/main/java/frostreel/routing/MemberDirectory.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The members and groups that the endpoint list has named. */
+/** Members and replica groups that the endpoint list has named. */
 final class MemberDirectory {
     private final SlowStart slowStart;
     private final LocalityPolicy localityPolicy;
@@ -28,12 +28,12 @@
         freshness = components.freshness;
     }
 
-    /** The member of that id, null if there is none. */
+    /** The member with this id, or null. */
     MemberState member(String id) {
         return members.get(id);
     }
 
-    /** The group of that number, which may have no members yet. */
+    /** The group with this number, created without members if it is new. */
     GroupState group(int number) {
         GroupState group = groups.get(number);
         if (group == null) {
@@ -44,9 +44,9 @@
     }
 
     /**
-     * Takes in an endpoint list, or changes to it.
+     * Applies an endpoint list update.
      *
-     * @param initial whether it is the first: its members count as verified
+     * @param initial whether it is the first, whose members count as verified
      */
     void update(long nowUs, ListKind kind, List<Member> entries, boolean initial) {
         if (kind != ListKind.CHANGES) {
@@ -99,7 +99,7 @@
         return member;
     }
 
-    /** Forgets a member; whether it was known. */
+    /** Removes a member; returns whether it was known. */
     private boolean remove(MemberState member) {
         localityPolicy.onMemberRemoved(member.localityHandle);
         slowStart.forget(member.slowStart);
--- a/decisions/src/main/java/frostreel/routing/MemberState.java
+++ b/decisions/src/main/java/frostreel/routing/MemberState.java
@@ -4,13 +4,13 @@
 import frostreel.routing.Router.State;
 
 /**
- * What is known of one member of a replica group from the endpoint list, from answers and from health checks.
- * Times are microseconds on the router's clock.
+ * State of one member of a replica group, from the endpoint list, responses and health checks. Times are
+ * microseconds on the router's clock.
  */
 final class MemberState {
-    /** A time before all others; half the range, so that differences to it don't overflow. */
+    /** Time before all others; half the range, so that differences to it do not overflow. */
     static final long DISTANT_PAST = Long.MIN_VALUE / 2;
-    /** No evidence of a role yet. */
+    /** Evidence time of a role for which there is no evidence yet. */
     static final long NO_ROLE_EVIDENCE = -1;
 
     private static final long LISTED = 0;
@@ -20,40 +20,43 @@
     final SlowStart.Member slowStart;
     final ConcurrencyWindow window = new ConcurrencyWindow();
     final OutlierDetector outliers;
-    /** Its handle at the locality policy. */
+    /** Its handle in the locality policy. */
     final int localityHandle;
 
     int zone;
     double weight = 1;
     State state = State.UP;
-    /** It was listed as draining once: it stays out of use even when the list no longer names it. */
+    /** Whether it was ever listed as draining; such a member stays unusable after it leaves the list. */
     boolean wasDraining;
-    /** It was on the first list or has answered since; the list may name servers that don't belong to the group. */
+    /**
+     * Whether it was on the first list, or has passed a health check or responded other than with an error since. The
+     * list may name servers that do not belong to the group.
+     */
     boolean verified;
-    /** When it left the list, {@link #LISTED} while it is on it. */
+    /** Time at which it left the list, or {@link #LISTED}. */
     private long goneSinceUs = LISTED;
 
-    /** It has applied every commit up to this time; never moves back. */
+    /** Position: it has applied every commit up to this time. Never decreases. */
     long appliedUpToUs;
-    /** How far it was behind by the last position that it reported. */
+    /** Replication lag at the time of its last reported position. */
     long lagUs;
 
-    /** When it last reported its position. */
+    /** Time of its last reported position. */
     long positionAtUs = DISTANT_PAST;
-    /** When it last declined a read as too stale for it. */
+    /** Time at which it last rejected a read because it was too stale. */
     long staleAtUs = DISTANT_PAST;
 
-    /** When it last was known to be the primary; an answer counts from its arrival. */
+    /** Time of the latest evidence that it is the primary; that of a response is its arrival. */
     long primaryAtUs = NO_ROLE_EVIDENCE;
 
-    /** When it last was known to be a replica. */
+    /** Time of the latest evidence that it is a replica. */
     long replicaAtUs = NO_ROLE_EVIDENCE;
 
     boolean healthCheckPending;
     long healthCheckAtUs = DISTANT_PAST;
 
     int inFlight;
-    /** Connections that are open as far as this router can tell. */
+    /** Number of open connections, as far as this router can tell. */
     private int connections;
 
     private long lastUsedAtUs;
@@ -66,17 +69,17 @@
         outliers = new OutlierDetector(nowUs);
     }
 
-    /** Whether requests may be sent to it by the endpoint list. */
+    /** Whether the endpoint list permits attempts to it. */
     boolean isUsable(Rules rules) {
         return state == State.UP || (state == State.GONE && rules.goneMembersUsable() && !wasDraining);
     }
 
-    /** Whether an attempt would find an open connection with room for it. */
+    /** Whether an open connection has capacity for one more attempt. */
     boolean hasFreeConnection(long nowUs, Limits limits) {
         return inFlight < connections * limits.requestsPerConnection() && nowUs - lastUsedAtUs < limits.idleTimeoutUs();
     }
 
-    /** An endpoint list was applied: notes since when the member is missing from it. */
+    /** Records, after an endpoint list was applied, since when the member has been gone from it. */
     void recordPresence(long nowUs) {
         if (state != State.GONE) {
             goneSinceUs = LISTED;
@@ -85,7 +88,10 @@
         }
     }
 
-    /** Whether it is gone from the list, nothing is in flight to it, and it need not be remembered. */
+    /**
+     * Whether it can be removed: it is gone, has no attempts in flight, and either was never verified or, if gone
+     * members are not usable, has been gone for longer than the retention time.
+     */
     boolean isRemovable(long nowUs, Rules rules, long retentionUs) {
         if (goneSinceUs == LISTED || inFlight != 0) {
             return false;
@@ -94,7 +100,7 @@
         return !(verified && mayServeAgain);
     }
 
-    /** An attempt goes out, on a free connection or on a new one. */
+    /** Records that an attempt is sent, on a free connection or a new one. */
     void recordSend(long nowUs, Limits limits) {
         if (!hasFreeConnection(nowUs, limits)) {
             connections = inFlight / limits.requestsPerConnection() + 1;
@@ -103,18 +109,18 @@
         inFlight++;
     }
 
-    /** An attempt has ended. */
+    /** Records that an attempt ended. */
     void recordEnd(long nowUs) {
         inFlight--;
         lastUsedAtUs = nowUs;
     }
 
-    /** Connections were lost or refused: only those of the attempts in flight remain. */
+    /** Records that connections were lost or refused: only those of the attempts in flight count as open. */
     void recordConnectionLoss() {
         connections = inFlight;
     }
 
-    /** It has reported its position. */
+    /** Records its reported position. */
     void recordPosition(long nowUs, long positionUs) {
         appliedUpToUs = Math.max(appliedUpToUs, positionUs);
         lagUs = Math.max(0, nowUs - appliedUpToUs);
--- a/decisions/src/main/java/frostreel/routing/PendingRequest.java
+++ b/decisions/src/main/java/frostreel/routing/PendingRequest.java
@@ -5,13 +5,13 @@
 import frostreel.routing.Router.RequestClass;
 import java.util.ArrayList;
 
-/** A client's request until its final answer, with its attempts. Times are microseconds on the router's clock. */
+/** State of a client's request up to its final response. Times are microseconds on the router's clock. */
 final class PendingRequest {
-    /** The key of the request may be known in any zone, as no attempt may have run yet. */
+    /** Value of {@link #deduplicationZone} for a request that may go to members of any zone. */
     static final int ANY_ZONE = -1;
-    /** It has not had to wait for a health check so far. */
+    /** Value of {@link #healthCheckWaitUntilUs} for a request that has not waited for a health check. */
     static final long NO_WAIT_YET = 0;
-    /** Room for the members of a usual group, so that the list need not grow. */
+    /** Initial capacity of the list of tried members, so that it need not grow for a typical group. */
     private static final int TYPICAL_GROUP_SIZE = 4;
 
     /** The request as the client sent it. */
@@ -20,37 +20,37 @@
     final RequestClass requestClass;
     final GroupState group;
     final long arrivedUs;
-    /** Only the primary can serve it: a write, or a read that must see the latest commit. */
+    /** Whether only the primary can serve it: a write, or a read that must reflect the latest commit. */
     final boolean needsPrimary;
 
     final int maxAttempts;
 
-    /** The members that were tried in this round. */
+    /** Members that were tried in the current round. */
     final ArrayList<MemberState> triedMembers = new ArrayList<>(TYPICAL_GROUP_SIZE);
-    /** Where an attempt is in flight, null if none is. */
+    /** Member to which an attempt is in flight, or null. */
     MemberState currentMember;
 
     int attempts;
     long sentAtUs;
-    /** The start of the current member, as it was known when the attempt was charged to its slow start. */
+    /** Start time of the current member at the time when the attempt was charged to its slow start. */
     long memberStartedUs;
 
-    /** An attempt may have run although its answer did not come. */
+    /** Whether an attempt that did not serve the request may have run. */
     boolean mayHaveRun;
-    /** When the first attempt was sent that may have run. */
+    /** Time at which the first such attempt was sent. */
     long firstUncertainSendUs;
-    /** The one zone whose members know its idempotency key, {@link #ANY_ZONE} while it may go anywhere. */
+    /** The only zone whose members know its idempotency key and may run it, or {@link #ANY_ZONE}. */
     int deduplicationZone = ANY_ZONE;
 
-    /** Its next attempt may not start before this time. */
+    /** Earliest time of its next attempt. */
     long notBeforeUs;
-    /** Until when it waits for a health check that may prove a replica fresh enough, or {@link #NO_WAIT_YET}. */
+    /** Time until which it waits for a health check that may prove a replica fresh enough, or {@link #NO_WAIT_YET}. */
     long healthCheckWaitUntilUs = NO_WAIT_YET;
-    /** Whether it is among the waiting reads; cleared while they are routed again. */
+    /** Whether it is in its group's queue of reads; cleared while the queued reads are routed again. */
     boolean inReadQueue;
-    /** It has its final answer, or its client is gone. */
+    /** Whether it has its final response, or its client has disconnected. */
     boolean ended;
-    /** Its end depends on the group's load: it was shed, answered, rejected or timed out. */
+    /** Whether its end reflects the group's load: it was shed, served, rejected or timed out. */
     boolean countsForGoodput;
 
     PendingRequest(Request original, RequestClass requestClass, GroupState group, int maxAttempts, long nowUs) {
@@ -62,17 +62,17 @@
         needsPrimary = requestClass.access() == Access.WRITE || requestClass.access() == Access.FRESH;
     }
 
-    /** The number of its class in the settings. */
+    /** The index of its class in the settings. */
     int classIndex() {
         return original.classIndex();
     }
 
-    /** Whether it may be sent to members of this zone: those of other zones may not know its idempotency key. */
+    /** Whether members of this zone may receive it; those of some zones may not know its idempotency key. */
     boolean mayGoToZone(int zone) {
         return deduplicationZone == ANY_ZONE || zone == deduplicationZone;
     }
 
-    /** The time up to which an answer counts as on time. */
+    /** The time up to which a response is on time. */
     long onTimeUntilUs() {
         return arrivedUs + requestClass.latencyObjectiveUs();
     }
--- a/decisions/src/main/java/frostreel/routing/PrimarySearch.java
+++ b/decisions/src/main/java/frostreel/routing/PrimarySearch.java
@@ -3,17 +3,18 @@
 import java.util.List;
 
 /**
- * Finds the primary of a group when none is known, along the failover chain. A write that was certainly not
- * executed moves on to the next member; when a full round of members has declined, the group holds its writes
- * and the search looks at one member after another until one answers as primary.
+ * Searches the failover chain of a group for its primary. A write that was certainly not executed moves on to the
+ * next member. After a full round of members without a primary, the writes of the group stay queued, and one member
+ * after another is probed until one is known as primary.
  */
 final class PrimarySearch {
     /**
-     * A full round of the chain takes this long, in microseconds, if at least as many writes wait: a failover
-     * is noticed within half a second, and the checks of hundreds of routers don't load the members.
+     * Duration, in microseconds, of a full round of probes if at least as many writes are queued as the chain has
+     * members: a failover is noticed within half a second, and the probes of hundreds of routers do not load the
+     * members. Also the timeout of a trial write.
      */
     private static final long ROUND_US = 500_000;
-    /** A primary that was heard within this time, in microseconds, is not searched for. */
+    /** Time, in microseconds, after the last evidence for a primary in which there is no need to search for another. */
     private static final long RECENT_US = 2_000_000;
 
     private final HealthChecker healthChecker;
@@ -27,8 +28,9 @@
     }
 
     /**
-     * The next member to try: each once, from where the primary was last known, those that were never verified
-     * and those of zones that don't know the request's key last. Null after a full round.
+     * The next member to try, null after a full round. Each member is tried once per round, beginning with the last
+     * known or listed primary. Members that were never verified, or whose zone does not know the request's idempotency
+     * key, come last.
      */
     MemberState nextCandidate(PendingRequest request) {
         List<MemberState> chain = request.group.chain;
@@ -51,7 +53,10 @@
         return group.firstCandidate == null ? 0 : Math.max(0, group.chain.indexOf(group.firstCandidate));
     }
 
-    /** Starts the next round for a write whose attempt failed; after a round without a primary writes are held. */
+    /**
+     * Prepares the next attempt of a write: begins another round if the primary is known or a full round found none. In
+     * the latter case the writes of the group stay queued.
+     */
     void continueRound(PendingRequest request) {
         GroupState group = request.group;
         boolean roundOver = group.primary == null && nextCandidate(request) == null;
@@ -62,8 +67,8 @@
     }
 
     /**
-     * Looks at the next member, by a health check or else by a waiting write that was certainly not executed
-     * yet. Slower where few writes wait, as every router searches.
+     * Probes the next member if a probe is due: by a health check if those report roles, else by a queued write that
+     * was certainly not executed yet. Probes are less frequent if few writes are queued, as every router searches.
      */
     void search(long nowUs, GroupState group, List<PendingRequest> writes) {
         if (!isSearchDue(nowUs, group, writes)) {
@@ -93,7 +98,7 @@
         return group.primary == null || group.writesBlocked || group.primarySuspected;
     }
 
-    /** Has a member show whether it is the primary, if there is a way to do so. */
+    /** Starts a check of whether a member is the primary; returns whether it could. */
     private boolean probe(long nowUs, GroupState group, MemberState member, List<PendingRequest> writes) {
         if (healthChecker.reportsPositions()) {
             healthChecker.check(nowUs, member);
--- a/decisions/src/main/java/frostreel/routing/PrimaryTracker.java
+++ b/decisions/src/main/java/frostreel/routing/PrimaryTracker.java
@@ -3,14 +3,14 @@
 import frostreel.routing.Router.Role;
 
 /**
- * Tracks which member of a group is its primary. Evidence is ranked: an answer of the member outranks a health
- * check, which outranks the endpoint list; evidence older than that for the present primary is ignored.
+ * Tracks which member of a group is its primary. Evidence is ranked: a response of the member outranks a load report,
+ * which outranks the endpoint list. Evidence that is not newer than that for the current primary is ignored.
  */
 final class PrimaryTracker {
-    /** How often, in microseconds, a request is tried on a suspected primary: few clients notice half a second. */
+    /** Interval, in microseconds, between trial requests to a suspected primary; few clients notice half a second. */
     private static final long TRIAL_INTERVAL_US = 500_000;
 
-    /** An entry of the list counts as older than any report, since it is not known how late the list is. */
+    /** Time of an endpoint list entry: before any report, as it is not known how late the list is. */
     private static final long LISTED_AT_US = 0;
 
     private final ActiveSettings settings;
@@ -19,7 +19,7 @@
         this.settings = settings;
     }
 
-    /** A member reported its role, as of this time. */
+    /** Records the role of a member as of {@code atUs}. */
     void recordRole(GroupState group, MemberState member, Role role, long atUs, RoleEvidence evidence) {
         if (role == Role.PRIMARY && atUs > member.replicaAtUs) {
             member.primaryAtUs = Math.max(member.primaryAtUs, atUs);
@@ -50,7 +50,7 @@
                 || !group.primaryConfirmed;
     }
 
-    /** The endpoint list names a usable member as primary, which counts until anything else is known. */
+    /** Records that the endpoint list names a usable member as primary, which counts only without other evidence. */
     void recordListedPrimary(GroupState group, MemberState member) {
         group.firstCandidate = member;
         if (group.primaryAtUs == MemberState.NO_ROLE_EVIDENCE && member.replicaAtUs == MemberState.NO_ROLE_EVIDENCE) {
@@ -71,21 +71,21 @@
         group.primarySuspected = false;
     }
 
-    /** The primary is no longer known. */
+    /** Clears the primary, which is no longer known. */
     void clearPrimary(GroupState group) {
         group.primary = null;
         group.primaryConfirmed = false;
         group.primarySuspected = false;
     }
 
-    /** A member served a request: a primary that does is no longer suspected. */
+    /** Records that a member served a request; a primary that does is no longer suspected. */
     void recordSuccess(GroupState group, MemberState member) {
         if (member == group.primary) {
             group.primarySuspected = false;
         }
     }
 
-    /** A member cannot be connected to: older evidence must not make it primary again. */
+    /** Records that a member cannot be connected to; evidence from before must not make it primary again. */
     void recordConnectFailure(long nowUs, GroupState group, MemberState member) {
         if (member == group.primary) {
             clearPrimary(group);
@@ -93,7 +93,7 @@
         }
     }
 
-    /** Suspects a primary that has attempts in flight and has long been silent. */
+    /** Suspects a primary that has attempts in flight but has not responded for long. */
     void suspectIfSilent(long nowUs, GroupState group) {
         MemberState primary = group.primary;
         if (primary != null && !group.primarySuspected && primary.outliers.isSilent(nowUs, primary.inFlight)) {
@@ -102,12 +102,12 @@
         }
     }
 
-    /** Whether the primary is suspected and one request may be sent to it now as a trial. */
+    /** Whether the primary is suspected and due for a trial request. */
     boolean isTrialDue(long nowUs, GroupState group) {
         return group.primarySuspected && nowUs - group.lastTrialUs >= TRIAL_INTERVAL_US;
     }
 
-    /** A request was sent to a suspected primary. */
+    /** Records that a trial request was sent to a suspected primary. */
     void recordTrial(long nowUs, GroupState group) {
         group.lastTrialUs = nowUs;
     }
--- a/decisions/src/main/java/frostreel/routing/RequestEnder.java
+++ b/decisions/src/main/java/frostreel/routing/RequestEnder.java
@@ -1,8 +1,8 @@
 package frostreel.routing;
 
-/** Ends requests that cannot be served; the router implements it for the classes that decide so. */
+/** Ends requests that cannot be served; the router implements it for the classes that decide to give up. */
 @FunctionalInterface
 interface RequestEnder {
-    /** Gives the request its final answer: a rejection where a retry is harmless, else a failure. */
+    /** Rejects the request if a retry by its client is harmless, else fails it. */
     void giveUp(long nowUs, PendingRequest request);
 }
--- a/decisions/src/main/java/frostreel/routing/RetryPolicy.java
+++ b/decisions/src/main/java/frostreel/routing/RetryPolicy.java
@@ -6,29 +6,31 @@
 import frostreel.routing.Router.RequestClass;
 
 /**
- * Decides whether and when a request may be tried again, and how long one attempt may take. Retries of attempts
- * that may have run are paid from a token bucket that the arriving requests fill, so that retries never
- * multiply an overload.
+ * Decides whether and when a request may be retried, and how long one attempt may take. A retry after an attempt that
+ * may have run takes a token from a bucket that arriving requests fill, so that retries never multiply an overload.
  */
 final class RetryPolicy {
-    /** Tokens that each arriving request adds; a retry after an attempt that may have run takes one. */
+    /** Tokens that each arriving request adds. */
     private static final double TOKENS_PER_REQUEST = 0.2;
-    /** The most tokens that are kept for later. */
+    /** Capacity of the token bucket. */
     private static final double MAX_TOKENS = 10;
-    /** First backoff of a write in microseconds; a primary that is merely full takes one within that time. */
+    /**
+     * Backoff of a write, in microseconds, before it is doubled for each attempt; a primary that is merely full accepts
+     * a write within that time.
+     */
     private static final long BACKOFF_BASE_US = 25_000;
-    /** How often the backoff may double. */
+    /** Maximum number of times that the backoff doubles. */
     private static final int MAX_DOUBLINGS = 5;
     /**
-     * Part of its time that a request waits at the most before its first attempt: after that its client does better
-     * to try another router.
+     * Share of the time to its deadline that a request may wait for its first attempt; after that its client does
+     * better to try another router.
      */
     private static final double MAX_WAIT_SHARE = 0.45;
-    /** A primary that reports this utilization is busy rather than silent. */
+    /** Utilization from which a primary that does not respond counts as busy rather than silent. */
     private static final double BUSY_UTILIZATION = 0.9;
-    /** A retried read should still be on time, if it takes this many times the expected latency. */
+    /** Multiple of the expected latency that a retried read may take and still be on time. */
     private static final double RETRY_LATENCY_FACTOR = 1.5;
-    /** A request must have time for this many rechecks, as the next one may come late. */
+    /** Number of recheck intervals that must be left until the deadline, as the next recheck may be late. */
     private static final int MIN_RECHECKS_LEFT = 2;
 
     private final long recheckIntervalUs;
@@ -40,19 +42,22 @@
         this.latencies = latencies;
     }
 
-    /** A request arrived. */
+    /** Records the arrival of a request. */
     void recordArrival() {
         tokens = Math.min(MAX_TOKENS, tokens + TOKENS_PER_REQUEST);
     }
 
-    /** Whether nothing more may be tried: time, attempts or the window of the idempotency key have run out. */
+    /**
+     * Whether no further attempt is permitted: the time or the attempts are used up, or an attempt may have run and the
+     * request must not run again.
+     */
     boolean isExhausted(long nowUs, PendingRequest request) {
         return latestRecheckUs(nowUs) >= request.original.deadlineUs()
                 || request.attempts >= request.maxAttempts
                 || (request.mayHaveRun && !mayRunAgain(nowUs, request));
     }
 
-    /** By when a request that has to wait now is rechecked at the latest. */
+    /** The latest time at which a request that is queued now is rechecked. */
     private long latestRecheckUs(long nowUs) {
         return nowUs + MIN_RECHECKS_LEFT * recheckIntervalUs;
     }
@@ -67,29 +72,29 @@
         };
     }
 
-    /** Whether a request that has had no attempt yet has waited for too much of its time. */
+    /** Whether a request without any attempt has waited for more than its permitted share of time. */
     boolean hasWaitedTooLong(long nowUs, PendingRequest request) {
         double maxWaitUs = MAX_WAIT_SHARE * (request.original.deadlineUs() - request.arrivedUs);
         return request.attempts == 0 && latestRecheckUs(nowUs) > request.arrivedUs + maxWaitUs;
     }
 
     /**
-     * Whether a read would be answered when that has no value any more, even in half of the usual time. One that
-     * has just arrived is tried in any case.
+     * Whether a response to a read would come too late to have any value, even in half of the mean latency. A read that
+     * has just arrived is always tried.
      */
     boolean isTooLateForRead(long nowUs, PendingRequest request) {
         boolean justArrived = request.attempts == 0 && nowUs <= request.arrivedUs;
         return !justArrived && nowUs + latencies.meanUs(request.classIndex()) / 2 > usefulUntilUs(request);
     }
 
-    /** Until when an answer has any value: until the deadline, or the objective where late answers have none. */
+    /** The time until which a response has value: the deadline, or the objective if late responses have none. */
     private static long usefulUntilUs(PendingRequest request) {
         return request.requestClass.lateWeight() > 0
                 ? request.original.deadlineUs()
                 : Math.min(request.original.deadlineUs(), request.onTimeUntilUs());
     }
 
-    /** An attempt ended that may have run: from now on the rules for running twice bind. */
+    /** Records the end of an attempt that may have run; from now on the rules for running again apply. */
     void recordUncertainAttempt(PendingRequest request, MemberState member) {
         if (request.mayHaveRun) {
             return;
@@ -104,7 +109,7 @@
                 && requestClass.deduplicationScope() == DeduplicationScope.ZONE;
     }
 
-    /** Whether a request may be tried again after this outcome; if so, a token is taken where it costs one. */
+    /** Whether a request may be retried after this outcome; takes a token if the attempt may have run. */
     boolean admitRetry(long nowUs, PendingRequest request, Outcome outcome) {
         if (isExhausted(nowUs, request)) {
             return false;
@@ -112,7 +117,7 @@
         return outcome.provesNotRun || takeToken(request);
     }
 
-    /** Takes a token; only keyed writes may be retried without a whole one. */
+    /** Takes a token, or what is left of one for keyed writes, which are retried even if the bucket is empty. */
     private boolean takeToken(PendingRequest request) {
         if (tokens < 1 && request.requestClass.idempotency() == Idempotency.IDEMPOTENT) {
             return false;
@@ -121,7 +126,7 @@
         return true;
     }
 
-    /** Delays the retry of a write that the primary rejected or may have run, exponentially. */
+    /** Delays the retry of a write that the primary rejected or may have executed, with exponential backoff. */
     void backOff(long nowUs, PendingRequest request, Outcome outcome) {
         if (outcome == Outcome.REJECTED || !outcome.provesNotRun) {
             long backoffUs = BACKOFF_BASE_US << Math.min(request.attempts, MAX_DOUBLINGS);
@@ -129,7 +134,7 @@
         }
     }
 
-    /** Whether its client may send the request again although an attempt may have run. */
+    /** Whether the client may send the request again: no attempt can have run, or running again is harmless. */
     static boolean isClientRetryHarmless(PendingRequest request) {
         RequestClass requestClass = request.requestClass;
         return !request.mayHaveRun
@@ -139,10 +144,10 @@
     }
 
     /**
-     * How long an attempt of a write may take: until its member counts as silent, if the write can be retried then,
-     * else until the deadline.
+     * Timeout of a write attempt: the time after which its member counts as silent, at least the latency objective, if
+     * the write can be retried then and the member is not busy; else the time to the deadline.
      *
-     * @param utilization as the member last reported it, or {@link SlowStart#NO_REPORT}
+     * @param utilization the member's last reported utilization, or {@link SlowStart#NO_REPORT}
      */
     long writeTimeoutUs(long nowUs, PendingRequest request, MemberState member, double utilization) {
         long leftUs = request.original.deadlineUs() - nowUs;
@@ -155,15 +160,15 @@
     }
 
     /**
-     * Whether a primary reports itself busy, or reports nothing and has recently been late. A busy primary is not a
-     * silent one: the same write again would only add to its work.
+     * Whether a primary reports high utilization or, if it reports none, has recently been late. A retry at a busy
+     * primary would only add to its work.
      */
     private static boolean isBusy(MemberState member, double utilization) {
         return utilization >= BUSY_UTILIZATION
                 || (utilization == SlowStart.NO_REPORT && member.window.isBelowInitial());
     }
 
-    /** Whether a write that is sent now may be sent again at that time. */
+    /** Whether a write that is sent now may be retried at {@code timeUs}. */
     private boolean mayRetryAt(long timeUs, long nowUs, PendingRequest request) {
         if (request.attempts + 1 >= request.maxAttempts) {
             return false;
@@ -174,8 +179,9 @@
     }
 
     /**
-     * How long an attempt of a read may take: until a retry elsewhere could just be on time. At the smallest
-     * window no read is kept waiting at the member beyond its use, as nothing else bounds the queue there.
+     * Timeout of a read attempt: such that a retry at another member can still be on time if that is possible and a
+     * token is left for it, else the time to the deadline. If the member's window is the smallest, a read is not left
+     * there until its deadline but only while a response has value, as nothing else bounds the member's queue.
      */
     long readTimeoutUs(long nowUs, PendingRequest request, MemberState member) {
         long untilUs = member.window.isSmallest() ? usefulUntilUs(request) : request.original.deadlineUs();
--- a/decisions/src/main/java/frostreel/routing/Router.java
+++ b/decisions/src/main/java/frostreel/routing/Router.java
@@ -3,25 +3,28 @@
 import java.util.List;
 
 /**
- * The routing decisions, as a proxy that embeds them sees them: it hands in settings and events, and carries out
- * the {@link Actions} that it is asked for.
+ * Interface between the routing decisions and the proxy that embeds them. The proxy passes in settings and events,
+ * and carries out the requested {@link Actions}.
  *
- * <p>All times are microseconds on one clock that only advances, handed in with every event; a position is the
- * time up to which a member has applied every commit. A router is used by one thread, does no I/O and reads no
- * clock; equal events give equal actions.
+ * <p>All times are microseconds on one monotonic clock, passed in with every event. A position is the time up to
+ * which a member has applied every commit. A router is confined to one thread, does no I/O and reads no clock;
+ * equal events give equal actions.
  */
 public interface Router {
-    /** In place of the age of a session's last write: it has not written. */
+    /** Age of the last write of a session that has not written. */
     long NO_WRITE = 0;
-    /** In place of a position: none was reported, or none is required. */
+    /** Position that was not reported, or is not required. */
     long NO_POSITION = 0;
 
-    /** The content of an answer counts as known this long after it was written, whether or not the answer arrived. */
+    /**
+     * Time from when a server writes a response to when the response's content counts as known, whether or not the
+     * response arrived.
+     */
     long KNOWN_AFTER_US = 100_000;
 
     /**
-     * What data a class of requests needs: WRITE and FRESH go to the primary, SESSION must see the writes of its
-     * session, BOUNDED data no older than a bound, and ANY may be answered by any member.
+     * Data that a request class requires: WRITE and FRESH need the primary, SESSION must reflect the writes of its
+     * session, BOUNDED accepts data up to a given staleness, and ANY may be served by any member.
      */
     enum Access {
         WRITE,
@@ -31,62 +34,68 @@
         ANY
     }
 
-    /** Whether a request may be retried after an attempt that may have run: KEYED only with its idempotency key. */
+    /**
+     * Whether a request may be retried after an attempt that may have run: KEYED only while members deduplicate it by
+     * its idempotency key.
+     */
     enum Idempotency {
         IDEMPOTENT,
         KEYED,
         NON_IDEMPOTENT
     }
 
-    /** Which members deduplicate retries of a keyed request: all, those of one zone, or those of its group. */
+    /** Members that deduplicate retries of a keyed request: all, those of one zone, or those of its group. */
     enum DeduplicationScope {
         ALL,
         ZONE,
         GROUP
     }
 
-    /** What a member does with a read that it is too stale for: answer all the same, reject, or wait and reject. */
+    /**
+     * How a member treats a read that requires newer data than it has: SILENT serves it anyway, REFUSE rejects it, and
+     * WAIT delays it, then rejects it if the data is still too old.
+     */
     enum StalenessCheck {
         SILENT,
         REFUSE,
         WAIT
     }
 
-    /** How the endpoint list tracks roles: some seconds late, as at its start for ever, or not at all. */
+    /** How the endpoint list tracks roles: some seconds late, only as of its start, or not at all. */
     enum ListRole {
         LATE,
         START,
         SILENT
     }
 
-    /** Where the last write of a session is known from: carried by its reads, or remembered by the router. */
+    /** Source of the last write of a session: carried by its reads, or remembered by the router. */
     enum SessionTracking {
         CARRIED,
         REMEMBERED
     }
 
-    /** The role of a member in its group. */
+    /** Role of a member in its replica group. */
     enum Role {
         UNKNOWN,
         PRIMARY,
         REPLICA
     }
 
-    /** Whether health checks are permitted, and whether they report role and position or only that a member runs. */
+    /** Whether health checks are permitted, and whether they report role and position or only liveness. */
     enum HealthChecks {
         NONE,
         LIVENESS,
         REPORT
     }
 
-    /** The state of a member by the endpoint list. */
+    /** State of a member in the endpoint list. */
     enum State {
         UP,
         DRAINING,
         GONE
     }
 
-    /** An endpoint list: complete, only what changed, complete but possibly stale, or a failed update. */
+    /** Kind of an endpoint list update: complete, changes only, complete but possibly stale, or failed. */
     enum ListKind {
         FULL,
         CHANGES,
@@ -94,7 +103,7 @@
         FAILED
     }
 
-    /** How an attempt ended. */
+    /** Outcome of an attempt. */
     enum Outcome {
         OK(false),
         ERROR(false),
@@ -106,7 +115,7 @@
         NOT_SENT(true),
         WRONG_ROLE_OR_STALE(true);
 
-        /** Whether it proves that the attempt was not executed: even a non-idempotent request may be retried then. */
+        /** Whether the attempt was certainly not executed, so that even a non-idempotent request may be retried. */
         public final boolean provesNotRun;
 
         Outcome(boolean provesNotRun) {
@@ -115,14 +124,15 @@
     }
 
     /**
-     * A class of requests.
+     * A request class.
      *
-     * @param deduplicationWindowUs how long after a first attempt that may have run a KEYED request is deduplicated
+     * @param deduplicationWindowUs how long members deduplicate a KEYED request, counted from its first attempt that
+     *     may have run
      * @param stalenessBoundUs the greatest staleness that a BOUNDED read accepts
-     * @param latencyObjectiveUs from the arrival; an answer after it is late
-     * @param deadlineUs how long after the arrival clients usually wait for an answer
-     * @param priorityWeight the value of an answer in time, relative to those of other classes
-     * @param lateWeight the value of a late answer, as a share from 0 to 1 of one in time
+     * @param latencyObjectiveUs time from the arrival after which a response is late
+     * @param deadlineUs time from the arrival for which clients usually wait for a response
+     * @param priorityWeight the value of a response on time, relative to other classes
+     * @param lateWeight the value of a late response, as a share from 0 to 1 of the value of one on time
      */
     record RequestClass(
             String name,
@@ -137,15 +147,16 @@
             double lateWeight) {}
 
     /**
-     * The figures of the rules that every router keeps.
+     * Parameters of the rules that every router obeys.
      *
-     * @param responseSlackUs how long after its deadline the final answer to a request still counts
-     * @param stopSendingUs how long after a member was listed as draining or gone the last request may be sent to it
-     * @param goneMembersUsable whether members that are gone, but were never listed as draining, may be sent to
-     * @param initialCapacityShare the least share from 0 to 1 of its capacity that a member starts with
-     * @param warmUpUs how long after its start a member has all its capacity
-     * @param overloadMultiple a starting member collapses if it is sent this multiple of its capacity over {@code
-     *     overloadWindowUs}
+     * @param responseSlackUs how long after its deadline a request may still receive its final response
+     * @param stopSendingUs how long after a member was listed as draining or gone attempts may still be sent to it
+     * @param goneMembersUsable whether attempts may be sent to members that are gone but were never listed as draining
+     * @param initialCapacityShare the least share of its full capacity, from 0 to 1, that a member has when it starts
+     * @param warmUpUs how long after its start a member reaches its full capacity
+     * @param overloadMultiple a member in slow start is overloaded if the work sent to it within {@code
+     *     overloadWindowUs} exceeds this multiple of its capacity
+     * @param overloadWindowUs the time over which that work is added up
      */
     record Rules(
             long responseSlackUs,
@@ -155,7 +166,7 @@
             long warmUpUs,
             double overloadMultiple,
             long overloadWindowUs) {
-        /** The least share of its capacity, to 1, that a member has now that started then. */
+        /** The least share of its full capacity, up to 1, that a member started at {@code startedUs} has now. */
         double capacityShare(long nowUs, long startedUs) {
             double ageUs = startedUs == Member.NO_START_TIME ? warmUpUs : Math.max(0, nowUs - startedUs);
             if (ageUs >= warmUpUs) {
@@ -166,13 +177,13 @@
     }
 
     /**
-     * The settings of one router.
+     * Settings of one router.
      *
-     * @param seed determines its random choices
-     * @param instances how many routers there are, 0 where that is not known
+     * @param seed the seed of its random choices
+     * @param instances the number of routers, 0 if unknown
      * @param zone the zone of the router
-     * @param tickUs the shortest interval at which events are handed in
-     * @param responsesCarryPositions whether every answer carries a position
+     * @param tickUs the shortest interval between events
+     * @param responsesCarryPositions whether every response carries a position
      */
     record Settings(
             long seed,
@@ -186,12 +197,12 @@
             boolean responsesCarryPositions,
             Limits limits,
             Rules rules) {
-        /** The same settings with other classes and another number of attempts. */
+        /** A copy with other classes and another limit of attempts. */
         public Settings with(List<RequestClass> newClasses, int maxAttempts) {
             return with(newClasses, limits.toBuilder().maxAttempts(maxAttempts).build());
         }
 
-        /** The same settings on sockets: one attempt at a time a connection, and a limit of clients' requests. */
+        /** A copy for socket connections: one attempt at a time on each, and a limit of open client requests. */
         public Settings withSocketLimits(int concurrentRequestLimit) {
             return with(
                     classes,
@@ -221,18 +232,18 @@
      * An entry of the endpoint list.
      *
      * @param kind the kind of machine; members of one kind have equal capacity for equal weight
-     * @param startedUs when it started, or {@link #NO_START_TIME}
+     * @param startedUs the time at which it started, or {@link #NO_START_TIME}
      */
     record Member(
             String id, int zone, int kind, int group, boolean primary, State state, double weight, long startedUs) {
-        /** The start of a member of which the list says no more than that it started before all that matters. */
+        /** Start time of a member for which the list gives none; it counts as warmed up. */
         public static final long NO_START_TIME = 0;
     }
 
     /**
      * A client's request.
      *
-     * @param classIndex the number of its class in the settings
+     * @param classIndex the index of its class in the settings
      * @param sinceWriteUs the age of its session's last write, or {@link #NO_WRITE}
      * @param repeated whether the client marked it as a retry
      */
@@ -240,29 +251,30 @@
             String id, int classIndex, long session, int group, long deadlineUs, long sinceWriteUs, boolean repeated) {}
 
     /**
-     * The load report of a member, somewhat old; a value that it does not hold is NaN, a position {@link #NO_POSITION}.
+     * Load report of a member, some time after it was made. A missing value is NaN, a missing position {@link
+     * #NO_POSITION}.
      *
-     * @param utilization the used share from 0 to 1 of its present capacity
-     * @param inProgress how many requests it is working on
+     * @param utilization the used share, from 0 to 1, of its present capacity
+     * @param inProgress the number of requests that it is executing
      */
     record Report(long positionUs, Role role, double utilization, double queued, double inProgress) {}
 
     /**
-     * New settings, for requests from now on. Their classes begin with those in force, so that a class keeps its
-     * number; open requests keep their class and number of attempts.
+     * Replaces the settings for future requests. The new classes must begin with the present ones, so that a class
+     * keeps its index. Open requests keep their class and their limit of attempts.
      */
     void onSettings(Settings settings);
 
-    /** A request arrived; it gets exactly one final answer. */
+    /** A request arrived. It receives exactly one final response. */
     void onRequest(long nowUs, Request request);
 
     /**
      * An attempt ended.
      *
-     * @param closed whether the request is finished with it
-     * @param role of the member, UNKNOWN where it did not tell it
-     * @param positionUs of the member, or {@link #NO_POSITION}
-     * @param report of the member, null where none came
+     * @param closed whether the request has its final response
+     * @param role the role that the member reported, or UNKNOWN
+     * @param positionUs the position that the member reported, or {@link #NO_POSITION}
+     * @param report the load report of the member, or null
      */
     void onOutcome(
             long nowUs,
@@ -277,35 +289,38 @@
             Report report);
 
     /**
-     * Whether an attempt that had to wait for its connection may still begin: asked right before its first byte,
-     * as the member may have become too stale for it. If not, the attempt ends as NOT_SENT.
+     * Whether an attempt that waited for its connection may still begin. Called immediately before its first byte is
+     * written, because the member may have become too stale in the meantime. If not, the attempt ends as NOT_SENT.
      */
     boolean mayStillBegin(long nowUs, String requestId);
 
     /** An endpoint list arrived, or its update failed. */
     void onMembers(long nowUs, ListKind kind, List<Member> members);
 
-    /** A health check ended; {@code report} is null where none came. */
+    /** A health check ended; {@code report} is null if the member sent none. */
     void onHealthCheck(long nowUs, String memberId, boolean ok, long tookUs, Report report);
 
     /** A timer fired. */
     void onTimer(long nowUs, String name);
 
-    /** The client of a request disconnected; it needs no answer any more. */
+    /** The client of a request disconnected; the request needs no response any more. */
     void onClientDisconnected(long nowUs, String requestId);
 
-    /** What the router asks the proxy to do that embeds it. */
+    /** Actions that the router requests from the embedding proxy. */
     interface Actions {
-        /** In place of a Retry-After: the client receives none. */
+        /** Retry-After of a rejection that carries none. */
         long NO_RETRY_AFTER = 0;
 
-        /** Starts an attempt; a request's attempts are numbered 0, 1, 2 ... in this order. */
+        /** Starts an attempt. The attempts of a request are numbered from 0 in the order of these calls. */
         void send(String requestId, String memberId, long timeoutUs);
 
-        /** Final answer: nothing was executed or a retry is harmless; with a Retry-After or {@link #NO_RETRY_AFTER}. */
+        /**
+         * Sends the final response that nothing was executed or a retry is harmless, with a Retry-After unless that is
+         * {@link #NO_RETRY_AFTER}.
+         */
         void reject(String requestId, long retryAfterUs);
 
-        /** Final answer: the request may or may not have been executed. */
+        /** Sends the final response that the request may or may not have been executed. */
         void fail(String requestId);
 
         /** Cancels an attempt that is in flight. */
@@ -314,7 +329,7 @@
         /** Starts a health check. */
         void checkHealth(String memberId);
 
-        /** Sets a timer of this name. */
+        /** Sets a one-shot timer of this name. */
         void setTimer(long inUs, String name);
 
         /** Writes a line to the log. */
--- a/decisions/src/main/java/frostreel/routing/RoutingComponents.java
+++ b/decisions/src/main/java/frostreel/routing/RoutingComponents.java
@@ -4,17 +4,17 @@
 import frostreel.routing.Router.Settings;
 import java.util.SplittableRandom;
 
-/** The parts of a router that several of its classes use, wired together. */
+/** Objects that several classes of a router share. */
 final class RoutingComponents {
-    /** Shortest interval between two rechecks of waiting requests, in microseconds. */
+    /** Shortest interval, in microseconds, between two rechecks of the queued requests. */
     private static final long MIN_RECHECK_INTERVAL_US = 10_000;
 
     final ActiveSettings settings;
     final Actions actions;
     final LocalityPolicy localityPolicy;
-    /** How often waiting requests are rechecked. */
+    /** Interval, in microseconds, between two rechecks of the queued requests. */
     final long recheckIntervalUs;
-    /** Where the rotation of reads begins: from the seed, so that routers don't all start at the same member. */
+    /** Random start of the rotation of reads, so that routers do not all begin with the same member. */
     final int rotationSeed;
 
     final SlowStart slowStart;
@@ -43,7 +43,7 @@
         localityPolicy.onSettings(initialSettings);
     }
 
-    /** Puts new settings in force. */
+    /** Replaces the settings. */
     void onSettings(Settings newSettings) {
         settings.replace(newSettings);
         latencies.onSettings(newSettings);
--- a/decisions/src/main/java/frostreel/routing/WaitingRequests.java
+++ b/decisions/src/main/java/frostreel/routing/WaitingRequests.java
@@ -11,14 +11,14 @@
 import java.util.stream.Stream;
 
 /**
- * The requests that wait unsent, by group, and the timer by which they are rechecked: whether they can be sent by
- * now, or have to be given up. The timer runs only while a request waits, so that an idle router costs nothing.
+ * Queues of unsent requests by group, and the timer for rechecking whether these can be sent or must be given up. The
+ * timer runs only while a request is queued, so that an idle router costs nothing.
  */
 final class WaitingRequests {
-    /** The name of the timer, which event logs of the simulator hold. */
+    /** Name of the timer; event logs of the simulator contain it. */
     static final String RECHECK_TIMER = "sweep";
 
-    /** The waiting requests of one group. */
+    /** Queued requests of one group, in the order in which they were queued except for reads marked as retries. */
     static final class Queues {
         final GroupState group;
         final List<PendingRequest> writes = new ArrayList<>();
@@ -36,7 +36,7 @@
     private final Actions actions;
     private final long recheckIntervalUs;
     private final IdentityHashMap<GroupState, Queues> byGroup = new IdentityHashMap<>();
-    /** The groups in which a request may wait, by their numbers: only these are rechecked. */
+    /** Queues that may contain requests, by group number; only these are rechecked. */
     private final Map<Integer, Queues> waiting = new TreeMap<>();
 
     private boolean timerSet;
@@ -58,9 +58,9 @@
     }
 
     /**
-     * Adds a read unless it is there already. Reads are served newest first, but those that clients marked as retries
-     * come after the others: part of their objective has passed, and under overload they would take the capacity
-     * in which other reads still are on time.
+     * Queues a read unless it is queued already. Reads are served newest first, but those that clients marked as
+     * retries after all others: part of their latency objective has passed, and under overload they would take
+     * capacity from reads that can still be on time.
      */
     void addRead(PendingRequest request) {
         Queues queues = of(request.group);
@@ -77,19 +77,19 @@
         queues.reads.remove(request);
     }
 
-    /** The request that has waited longest. */
+    /** The queued request that arrived first. */
     Optional<PendingRequest> oldest() {
         return waiting.values().stream()
                 .flatMap(queues -> Stream.concat(queues.writes.stream(), queues.reads.stream()))
                 .min(Comparator.comparingLong(request -> request.arrivedUs));
     }
 
-    /** The groups in which a request may wait, as a copy, since rechecking them may change them. */
+    /** A copy of the queues that may contain requests, since rechecking them may change the original. */
     List<Queues> groupsToRecheck() {
         return List.copyOf(waiting.values());
     }
 
-    /** Forgets the groups in which nothing waits any more, and sets the timer anew for the rest. */
+    /** Drops empty queues from the recheck, and sets the timer again if any are left. */
     void finishRecheck() {
         waiting.values().removeIf(Queues::isEmpty);
         timerSet = !waiting.isEmpty();
--- a/decisions/src/main/java/frostreel/routing/WriteQueue.java
+++ b/decisions/src/main/java/frostreel/routing/WriteQueue.java
@@ -4,11 +4,11 @@
 import java.util.List;
 
 /**
- * Releases the writes of a group that wait unsent, as the window of its primary allows. The newest goes first:
- * if the oldest did, a backlog would make every write late; this way only those wait on that already are.
+ * Sends the queued writes of a group as the concurrency window of its primary allows, newest first. Oldest first, a
+ * backlog would make every write late; newest first, only the oldest ones are late.
  */
 final class WriteQueue {
-    /** All of the primary's window may be used for writes. */
+    /** Share of the primary's window that writes may use. */
     private static final double WHOLE_WINDOW = 1;
 
     private final PrimaryTracker primaryTracker;
@@ -27,7 +27,7 @@
         slowStart = components.slowStart;
     }
 
-    /** Sends what may be sent now, and takes it from the queue. */
+    /** Sends the writes that may be sent now, and removes them from the queue. */
     void release(long nowUs, GroupState group, List<PendingRequest> writes) {
         for (int i = writes.size() - 1; i >= 0; i--) {
             if (group.writesBlocked || isPrimaryFull(nowUs, group)) {
@@ -65,8 +65,8 @@
     }
 
     /**
-     * A write waits for its backoff. It is sent to a suspected primary only as a trial, and not if it must not be
-     * executed twice.
+     * Whether the backoff of a write is over. To a suspected primary a write is sent only as a trial, and only if it
+     * may be executed twice.
      */
     private boolean mayBeSent(long nowUs, PendingRequest request) {
         return nowUs >= request.notBeforeUs && (!request.group.primarySuspected || mayBeTrial(nowUs, request));
@@ -77,7 +77,7 @@
                 && request.requestClass.idempotency() != Idempotency.NON_IDEMPOTENT;
     }
 
-    /** Gives up the writes that can no longer be served. */
+    /** Gives up the writes that can no longer be served. Called at each recheck. */
     void removeExpired(long nowUs, GroupState group, List<PendingRequest> writes) {
         for (int i = 0; i < writes.size(); i++) {
             PendingRequest request = writes.get(i);
--- a/decisions/src/main/java/frostreel/routing/package-info.java
+++ b/decisions/src/main/java/frostreel/routing/package-info.java
@@ -1,7 +1,7 @@
 /**
- * The routing decisions: which member each request goes to, when it is retried, queued or rejected. Pure code on
- * one thread: events come in through {@link frostreel.routing.Router}, actions go out through
- * {@link frostreel.routing.Router.Actions}, and equal events give equal actions. There is no I/O, and time and the
- * seed of random choices are handed in.
+ * Routing decisions: to which member each request is sent, and when it is retried, queued or rejected. The code is
+ * confined to one thread and deterministic: {@link frostreel.routing.Router} receives events, {@link
+ * frostreel.routing.Router.Actions} receives the resulting actions, and equal events give equal actions. It does no
+ * I/O; the caller passes in the time and the seed of random choices.
  */
 package frostreel.routing;
--- a/decisions/src/main/java/frostreel/wire/MalformedMessageException.java
+++ b/decisions/src/main/java/frostreel/wire/MalformedMessageException.java
@@ -1,8 +1,8 @@
 package frostreel.wire;
 
-/** A message or a setting that cannot be understood; its text names the offending field. */
+/** Thrown for a message or a setting that is missing, of the wrong type or out of range; its text names the field. */
 public final class MalformedMessageException extends Exception {
-    /** Describes the fault; {@code text} is shown to operators as it is. */
+    /** {@code text}: a description of the error, shown to operators as it is. */
     public MalformedMessageException(String text) {
         super(text);
     }
--- a/decisions/src/main/java/frostreel/wire/MessageFields.java
+++ b/decisions/src/main/java/frostreel/wire/MessageFields.java
@@ -9,7 +9,7 @@
  * @param map the fields by name; a field that is null counts as missing
  */
 public record MessageFields(Map<String, Object> map) {
-    /** JSON readers that hold numbers as doubles cannot represent each integer beyond 2^53. */
+    /** The largest integer up to which JSON readers that use doubles represent every integer. */
     public static final long MAX_EXACT_INTEGER = 1L << 53;
 
     private static final double MAX_SECONDS = 1e12;
@@ -36,7 +36,7 @@
         throw malformed(key, "a number");
     }
 
-    /** A finite number, or {@code fallback} where the field is missing. */
+    /** A finite number, or {@code fallback} if the field is missing. */
     public double number(String key, double fallback) throws MalformedMessageException {
         return has(key) ? number(key) : fallback;
     }
@@ -50,7 +50,7 @@
         return map.get(key) instanceof Long exact ? exact : (long) number;
     }
 
-    /** An integer from {@code min} to {@code max}, or {@code fallback} where the field is missing. */
+    /** An integer from {@code min} to {@code max}, or {@code fallback} if the field is missing. */
     public long integer(String key, long min, long max, long fallback) throws MalformedMessageException {
         return has(key) ? integer(key, min, max) : fallback;
     }
@@ -59,17 +59,17 @@
     public long microsFromSeconds(String key) throws MalformedMessageException {
         double seconds = number(key);
         if (Math.abs(seconds) > MAX_SECONDS) {
-            throw malformed(key, "a time in range");
+            throw malformed(key, "a time from -1e12 to 1e12 seconds");
         }
         return Math.round(seconds * MICROS_PER_SECOND);
     }
 
-    /** The value in microseconds of a field in seconds, or {@code fallback} where the field is missing. */
+    /** The value in microseconds of a field in seconds, or {@code fallback} if the field is missing. */
     public long microsFromSeconds(String key, long fallback) throws MalformedMessageException {
         return has(key) ? microsFromSeconds(key) : fallback;
     }
 
-    /** Whether a boolean field is set; false where it is missing. */
+    /** The value of a boolean field, false if it is missing. */
     public boolean isTrue(String key) throws MalformedMessageException {
         Object value = map.get(key);
         if (value == null || value instanceof Boolean) {
@@ -87,7 +87,7 @@
         throw malformed(key, "an object");
     }
 
-    /** A nested object; one without fields where the field is missing. */
+    /** A nested object, or an empty one if the field is missing. */
     public MessageFields objectOrEmpty(String key) throws MalformedMessageException {
         return has(key) ? object(key) : new MessageFields(Map.of());
     }
@@ -101,12 +101,12 @@
         throw malformed(key, "a list");
     }
 
-    /** A list; an empty one where the field is missing. */
+    /** A list, or an empty one if the field is missing. */
     public List<Object> listOrEmpty(String key) throws MalformedMessageException {
         return has(key) ? list(key) : List.of();
     }
 
-    /** The value whose name the field holds; it must be present and one of {@code choices}. */
+    /** The value of the choice that the field names; the field must be present and name one of {@code choices}. */
     public <T> T oneOf(String key, List<NamedValue<T>> choices) throws MalformedMessageException {
         String name = text(key);
         for (NamedValue<T> choice : choices) {
@@ -121,7 +121,7 @@
                                 ", ", choices.stream().map(NamedValue::name).toList()));
     }
 
-    /** As {@link #oneOf(String, List)}, or {@code fallback} where the field is missing. */
+    /** As {@link #oneOf(String, List)}, or {@code fallback} if the field is missing. */
     public <T> T oneOf(String key, List<NamedValue<T>> choices, T fallback) throws MalformedMessageException {
         return has(key) ? oneOf(key, choices) : fallback;
     }
--- a/decisions/src/main/java/frostreel/wire/NamedValue.java
+++ b/decisions/src/main/java/frostreel/wire/NamedValue.java
@@ -1,13 +1,13 @@
 package frostreel.wire;
 
 /**
- * A value together with the name that messages give it.
+ * A value and its name in messages.
  *
- * @param name as it is written on the wire
- * @param value what the name stands for
+ * @param name the name on the wire
+ * @param value the value that the name stands for
  */
 public record NamedValue<T>(String name, T value) {
-    /** A value under its name; reads better than a constructor in a list of several. */
+    /** Creates a named value; shorter than the constructor in a list of several. */
     public static <T> NamedValue<T> named(String name, T value) {
         return new NamedValue<>(name, value);
     }
--- a/decisions/src/main/java/frostreel/wire/SettingsReader.java
+++ b/decisions/src/main/java/frostreel/wire/SettingsReader.java
@@ -8,12 +8,12 @@
 import java.util.List;
 import java.util.Map;
 
-/** Maps the settings object, which the simulator and the platform write alike, to {@link Router.Settings}. */
+/** Maps the settings object, whose format the simulator and the platform share, to {@link Router.Settings}. */
 public final class SettingsReader {
     private static final int MAX_COUNT = 1 << 20;
     private static final long DEFAULT_TICK_US = 1000;
     private static final double MICROS_PER_SECOND = 1e6;
-    /** Names under which reports hold the position and the role of a member. */
+    /** Names of the report fields for the position and the role of a member. */
     private static final List<String> POSITION_AND_ROLE = List.of("x0", "x1");
 
     private static final List<NamedValue<Router.Access>> ACCESS = List.of(
@@ -50,7 +50,7 @@
     /**
      * Reads the settings of one router.
      *
-     * @param seed from which all its random choices follow
+     * @param seed the seed of its random choices
      * @param options the settings object
      * @throws MalformedMessageException naming the first field that is missing or out of range
      */
@@ -75,7 +75,7 @@
                 routingRules);
     }
 
-    /** The classes in their order, which numbers them; how fresh a read must be stands in lists apart from them. */
+    /** The classes in order; the required freshness of each is in separate lists, at the same index. */
     @SuppressWarnings("unchecked") // The keys of JSON objects are strings.
     private static List<Router.RequestClass> requestClasses(MessageFields options, MessageFields databaseSettings)
             throws MalformedMessageException {
@@ -95,10 +95,10 @@
         if (number < freshness.size() && freshness.get(number) instanceof String name) {
             return name;
         }
-        throw new MalformedMessageException("field 'freshness' has no word for class " + number);
+        throw new MalformedMessageException("field 'freshness' has no entry for class " + number);
     }
 
-    /** How stale the data of a bounded read may be, 0 where no bound is stated. */
+    /** The greatest staleness that a bounded read accepts, 0 if the settings give no bound. */
     private static long stalenessBoundUs(List<Object> boundsS, int number) {
         return number < boundsS.size() && boundsS.get(number) instanceof Number seconds
                 ? Math.round(seconds.doubleValue() * MICROS_PER_SECOND)
@@ -110,7 +110,7 @@
             throws MalformedMessageException {
         long deadlineUs = fields.microsFromSeconds("deadlineS");
         if (deadlineUs <= 0) {
-            throw new MalformedMessageException("field 'deadlineS' of class " + number + " is not above 0");
+            throw new MalformedMessageException("field 'deadlineS' of class " + number + " is not greater than 0");
         }
         return new Router.RequestClass(
                 fields.has("name") ? fields.text("name") : "class " + number,
@@ -154,7 +154,7 @@
                 rules.microsFromSeconds("fallS", 0));
     }
 
-    /** Whether health checks are permitted, and whether their answers hold the position and role of a member. */
+    /** Whether health checks are permitted, and whether they report the position and role of a member. */
     private static Router.HealthChecks healthChecks(MessageFields capabilities, MessageFields options)
             throws MalformedMessageException {
         if (!capabilities.isTrue("probes")) {
--- a/decisions/src/main/java/frostreel/wire/package-info.java
+++ b/decisions/src/main/java/frostreel/wire/package-info.java
@@ -1,9 +1,9 @@
 /**
- * Reads messages and settings that are written in JSON: fields by name, each checked for its type and range, and
- * the settings object, which the platform and the simulator write alike, as {@link
- * frostreel.routing.Router.Settings}. Names that the wire gives to values are mapped here and nowhere deeper.
+ * Reads messages and settings in JSON: reads fields by name, checks their types and ranges, and maps the settings
+ * object, whose format the platform and the simulator share, to {@link frostreel.routing.Router.Settings}. The names of
+ * values on the wire are mapped in this package only.
  *
- * <p>The classes are immutable or have no state, do no I/O, and may be used on any thread. They depend on
- * {@code frostreel.routing} alone; JSON text is decoded by the caller.
+ * <p>The classes are immutable or stateless, do no I/O, and may be used on any thread. They depend on
+ * {@code frostreel.routing} alone; the caller decodes the JSON text.
  */
 package frostreel.wire;
--- a/decisions/src/test/java/frostreel/wire/MessageFieldsTest.java
+++ b/decisions/src/test/java/frostreel/wire/MessageFieldsTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Reads fields of a message, and names the field in errors. */
+/** Values of message fields, and error messages that name the field. */
 class MessageFieldsTest {
     private static final List<NamedValue<Integer>> CHOICES = List.of(named("first", 1), named("second", 2));
 
@@ -82,7 +82,8 @@
         assertThatThrownBy(() -> fields.isTrue("field")).hasMessage("field 'field' is not true or false");
         assertThatThrownBy(() -> fields.object("field")).hasMessage("field 'field' is not an object");
         assertThatThrownBy(() -> fields.list("choice")).hasMessage("field 'choice' is not a list");
-        assertThatThrownBy(() -> fields.microsFromSeconds("time")).hasMessage("field 'time' is not a time in range");
+        assertThatThrownBy(() -> fields.microsFromSeconds("time"))
+                .hasMessage("field 'time' is not a time from -1e12 to 1e12 seconds");
         assertThatThrownBy(() -> fields.oneOf("choice", CHOICES))
                 .hasMessage("field 'choice' is not one of first, second");
     }
--- a/decisions/src/test/java/frostreel/wire/SettingsReaderTest.java
+++ b/decisions/src/test/java/frostreel/wire/SettingsReaderTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Maps the keys and names of the settings object to the router's settings. */
+/** Mapping of the settings object's keys and names to the router's settings. */
 class SettingsReaderTest {
     private static final long SEED = 5;
 
@@ -162,10 +162,10 @@
     void namesTheClassWithoutFreshnessOrDeadline() {
         JSONObject tooManyClasses = minimalSettings();
         tooManyClasses.getJSONArray("classes").put(new JSONObject());
-        assertThatThrownBy(() -> read(tooManyClasses)).hasMessage("field 'freshness' has no word for class 1");
+        assertThatThrownBy(() -> read(tooManyClasses)).hasMessage("field 'freshness' has no entry for class 1");
         JSONObject noTime = minimalSettings();
         noTime.getJSONArray("classes").getJSONObject(0).put("deadlineS", 0);
-        assertThatThrownBy(() -> read(noTime)).hasMessage("field 'deadlineS' of class 0 is not above 0");
+        assertThatThrownBy(() -> read(noTime)).hasMessage("field 'deadlineS' of class 0 is not greater than 0");
     }
 
     @Test
