--- a/decisions/src/test/java/example/Embedding.java
+++ b/decisions/src/test/java/example/Embedding.java
@@ -5,7 +5,7 @@
 import frostreel.routing.Router;
 import java.util.List;
 
-/** How a proxy embeds the router: it hands in what happens, and carries out the actions that the router asks for. */
+/** Example of a proxy that embeds the router: it passes in events, and carries out the requested actions. */
 public final class Embedding implements Router.Actions {
     private static final int WRITE_CLASS = 0;
     private static final int READ_CLASS = 1;
@@ -15,7 +15,7 @@
     private static final String PRIMARY = "10.0.0.1:5432";
     private static final String REPLICA = "10.0.0.2:5432";
 
-    /** Plays one write, its answer, and a read of the same session. */
+    /** Simulates a write, its response, and a read of the same session. */
     public static void main(String[] args) {
         Router router = new ChainRouter(settings(), new Embedding());
         long nowUs = 1_000_000;
--- a/decisions/src/test/java/frostreel/routing/ChainRouterTest.java
+++ b/decisions/src/test/java/frostreel/routing/ChainRouterTest.java
@@ -17,10 +17,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What holds for every request, through the router's interface alone. */
+/** Properties of all requests, tested through the router's public interface. */
 class ChainRouterTest {
     @Test
-    void everyRequestIsAnsweredExactlyOnceBeforeItsDeadline() {
+    void everyRequestGetsExactlyOneFinalResponseBeforeItsDeadline() {
         RouterHarness harness = new SettingsBuilder().start();
         for (int requestClass = 0; requestClass <= KEYED_WRITE_ALL_ZONES; requestClass++) {
             harness.submit("request" + requestClass, requestClass, 0, 900_000);
@@ -31,7 +31,7 @@
         assertTrue(harness.attempts.isEmpty());
     }
 
-    /** Summed over hundreds of routers, idle health checks and timers once outweighed the requests. */
+    /** Guards against idle health checks and timers, which for hundreds of routers outweigh the requests. */
     @Test
     void idleRouterNeitherChecksHealthNorSetsTimers() {
         RouterHarness harness = threeMembers();
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void requestOfADisconnectedClientIsForgottenAndItsAttemptCancelled() {
+    void requestOfADisconnectedClientIsRemovedAndItsAttemptCancelled() {
         RouterHarness harness = threeMembers();
         harness.submit("write", KEYED_WRITE);
         harness.clientDisconnected("write");
@@ -58,11 +58,11 @@
 
     @Test
     void equalEventsGiveEqualActions() {
-        List<List<RouterHarness.Attempt>> runs = List.of(rotation(3), rotation(3));
+        List<List<RouterHarness.Attempt>> runs = List.of(runReads(3), runReads(3));
         assertEquals(runs.get(0), runs.get(1));
     }
 
-    private static List<RouterHarness.Attempt> rotation(long seed) {
+    private static List<RouterHarness.Attempt> runReads(long seed) {
         RouterHarness harness = new SettingsBuilder()
                 .seed(seed)
                 .start(primary("a", 0), replica("b", 0), replica("c", 0), replica("d", 0));
--- a/decisions/src/test/java/frostreel/routing/LimitsTest.java
+++ b/decisions/src/test/java/frostreel/routing/LimitsTest.java
@@ -5,7 +5,7 @@
 import frostreel.routing.Router.HealthChecks;
 import org.junit.jupiter.api.Test;
 
-/** Builders of limits take over each of them. */
+/** Builders of limits set and copy each of them. */
 class LimitsTest {
     private static final Limits ALL_DIFFERENT =
             new Limits(2, HealthChecks.REPORT, true, true, 3, true, 4, 5, 6, 7, 8, 9);
--- a/decisions/src/test/java/frostreel/routing/MembershipTest.java
+++ b/decisions/src/test/java/frostreel/routing/MembershipTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What the endpoint list says of members: draining, gone, forgotten, listed later and not yet verified. */
+/** Members by their state in the endpoint list: draining, gone, removed, listed later and not yet verified. */
 class MembershipTest {
     @ParameterizedTest
     @ValueSource(ints = {BOUNDED_READ, SESSION_READ, FRESH_READ, KEYED_WRITE, NON_IDEMPOTENT_WRITE, ANY_READ})
@@ -38,9 +38,9 @@
         }
     }
 
-    /** A failover chain that kept every replaced machine would grow with each deployment. */
+    /** Guards against a failover chain that grows with each replaced machine. */
     @Test
-    void memberGoneForLongIsForgottenAndItsGroupKeepsServing() {
+    void memberGoneForLongIsRemovedAndItsGroupKeepsServing() {
         RouterHarness harness = threeMembers();
         harness.updateMembers(ListKind.FULL, replica("b", 0), replica("c", 1));
         harness.advance(200_000_000);
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void goneMemberMayStillServeWhereOnlyDrainingIsBinding() {
+    void goneMemberMayStillServeIfGoneMembersAreUsable() {
         RouterHarness harness = new SettingsBuilder().goneMembersUsable(true).start(primary("a", 0));
         harness.updateMembers(ListKind.FULL);
         harness.submit("write", NON_IDEMPOTENT_WRITE);
@@ -85,11 +85,11 @@
     }
 
     /**
-     * A list may name machines that do not belong to the deployment; each router would lose requests finding that
-     * out.
+     * The endpoint list may name machines that do not belong to the deployment; requests sent to them would be lost at
+     * each router.
      */
     @Test
-    void memberListedLaterReceivesNothingBeforeItAnsweredAHealthCheck() {
+    void memberListedLaterReceivesNothingBeforeItPassedAHealthCheck() {
         RouterHarness harness = new SettingsBuilder().goneMembersUsable(true).start(primary("b", 0), replica("c", 1));
         harness.updateMembers(ListKind.CHANGES, replica("a", 0));
         harness.submit("read", ANY_READ);
@@ -106,9 +106,9 @@
         assertEquals("a", harness.lastAttempt("third read").member());
     }
 
-    /** Unverified members must not stay for ever where only draining is binding. */
+    /** Unverified members must be removed even if gone members are usable. */
     @Test
-    void unverifiedMemberThatLeavesTheListIsForgotten() {
+    void unverifiedMemberThatLeavesTheListIsRemoved() {
         RouterHarness harness = new SettingsBuilder().goneMembersUsable(true).start(primary("b", 0));
         harness.updateMembers(ListKind.FULL, replica("a", 0), primary("b", 0));
         harness.updateMembers(ListKind.FULL, primary("b", 0));
--- a/decisions/src/test/java/frostreel/routing/PrimarySearchTest.java
+++ b/decisions/src/test/java/frostreel/routing/PrimarySearchTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** How a router finds the primary of a group: along the failover chain, by health checks and by a trial write. */
+/** Search for the primary of a group: along the failover chain, by health checks and by a trial write. */
 class PrimarySearchTest {
     @Test
     void writeGoesToTheListedPrimaryAndMovesToTheNextMemberWhenTheRoleIsWrong() {
@@ -58,6 +58,6 @@
         assertEquals(
                 4,
                 harness.attemptCount("write") + harness.attemptCount("second write"),
-                "one queued write is sent, the rest wait");
+                "one queued write is sent, the rest stay queued");
     }
 }
--- a/decisions/src/test/java/frostreel/routing/PrimaryTrackerTest.java
+++ b/decisions/src/test/java/frostreel/routing/PrimaryTrackerTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Which evidence of a role replaces which, and when a suspected primary is tried. */
+/** Ranking of the evidence for a primary, and trial requests to a suspected primary. */
 class PrimaryTrackerTest {
     private static final long NOW_US = 10_000_000;
     private final Router.Settings settings = new SettingsBuilder().build();
--- a/decisions/src/test/java/frostreel/routing/PrimaryTrackingTest.java
+++ b/decisions/src/test/java/frostreel/routing/PrimaryTrackingTest.java
@@ -13,9 +13,9 @@
 import frostreel.routing.Router.Role;
 import org.junit.jupiter.api.Test;
 
-/** Which evidence of a role decides who is taken for the primary, and when that is doubted. */
+/** Routing of writes by the evidence for a primary, and with a primary that does not respond. */
 class PrimaryTrackingTest {
-    /** Three members of which a is listed as primary, and b has answered a write as primary. */
+    /** Starts with three members of which a is listed as primary but b has served a write as primary. */
     private static RouterHarness bConfirmedAsPrimary() {
         RouterHarness harness = threeMembers();
         harness.submit("write", KEYED_WRITE);
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void primaryConfirmedByAnAnswerIsNotReplacedByALateMemberList() {
+    void primaryConfirmedByAResponseIsNotReplacedByALateEndpointList() {
         RouterHarness harness = bConfirmedAsPrimary();
         harness.advance(20_000);
         harness.updateMembers(ListKind.FULL, primary("a", 0), replica("b", 0), replica("c", 1));
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void primaryConfirmedByAnAnswerIsNotReplacedByAnOldReport() {
+    void primaryConfirmedByAResponseIsNotReplacedByAnOldReport() {
         RouterHarness harness = bConfirmedAsPrimary();
         harness.healthCheckSucceeded("a", Role.PRIMARY, harness.nowUs - 300_000);
         assertNextWriteGoesToB(harness);
@@ -57,7 +57,7 @@
         harness.submit("next", NON_IDEMPOTENT_WRITE);
         harness.healthCheckSucceeded("a", Role.PRIMARY, harness.nowUs);
         harness.advance(100_000);
-        assertNull(harness.lastAttempt("next"), "its report says primary, but it does not answer");
+        assertNull(harness.lastAttempt("next"), "reports that it is primary, but does not respond");
         harness.healthCheckSucceeded("b", Role.PRIMARY, harness.nowUs);
         assertEquals("b", harness.lastAttempt("next").member());
     }
--- a/decisions/src/test/java/frostreel/routing/PromotionTest.java
+++ b/decisions/src/test/java/frostreel/routing/PromotionTest.java
@@ -20,16 +20,16 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A lagging replica is promoted, where commits do not wait for a replica, members do not check staleness, health
- * checks report no role, the list keeps naming the first primary, and the commits of sessions are remembered. The
- * primary counts as fresh whatever it reports; any other member must have reported a position that contains the
- * session's commit.
+ * Promotion of a lagging replica in a deployment in which commits do not wait for a replica, members do not check
+ * staleness, health checks report no role, the endpoint list keeps naming the first primary, and the router remembers
+ * the commits of sessions. The primary counts as fresh whatever position it reports; any other member must have
+ * reported one that includes the session's commit.
  */
 class PromotionTest {
     private static final long BEHIND_US = 2_000_000;
     private static final long OTHER_SESSION = 9;
     private RouterHarness harness;
-    /** The commit of the usual session, answered by a; no other member has it. */
+    /** The commit of {@link RouterHarness#SESSION}, acknowledged by a; no other member has it. */
     private long commitUs;
 
     @BeforeEach
@@ -48,7 +48,7 @@
         harness.updateMembers(ListKind.CHANGES, inState(primary("a", 0), State.GONE));
     }
 
-    /** Sends reads until one reaches the member, and answers that one with role and position. */
+    /** Sends reads until one reaches the member, and completes that one with this role and position. */
     private void report(String member, Role role, long positionUs) {
         String id = "";
         for (int i = 0; !id.endsWith(member); i++) {
@@ -61,7 +61,7 @@
         }
     }
 
-    /** A write of another session, which waits for a primary. */
+    /** Submits a write of another session. */
     private void write(String id) {
         harness.submitForSession(OTHER_SESSION, id, KEYED_WRITE, 3_000_000);
     }
@@ -124,23 +124,23 @@
         harness.updateMembers(
                 ListKind.FULL, startedAt(primary("a", 0), harness.nowUs), replica("b", 0), replica("c", 0));
         for (int i = 0; i < 4; i++) {
-            assertThat(read("while b leads " + i))
+            assertThat(read("while b is primary " + i))
                     .as("though the list still names a")
                     .isEqualTo("b");
-            respondToRead("while b leads " + i);
+            respondToRead("while b is primary " + i);
         }
-        harness.advance(20_000_000); // It is warm by then, and has not been heard from.
+        harness.advance(20_000_000); // Member a is warmed up by then, but has not responded yet.
         write("cut off");
         harness.complete("cut off", Outcome.CONNECT_FAILED);
         harness.updateMembers(ListKind.CHANGES, inState(replica("c", 0), State.GONE));
-        assertThat(read("while none leads")).isEqualTo("nobody");
+        assertThat(read("without a primary")).isEqualTo("nobody");
         harness.advance(20_000);
-        assertThat(harness.lastAttempt("while none leads")).isNull();
+        assertThat(harness.lastAttempt("without a primary")).isNull();
     }
 
     /**
-     * The old primary never reported a change of role, but two members are not primary at once and the other
-     * report is newer.
+     * The old primary never reports a change of role, but two members cannot be primary at the same time, and the
+     * report of the other one is newer.
      */
     @Test
     void primaryReplacedByAnotherMustProveItsFreshnessAgain() {
--- a/decisions/src/test/java/frostreel/routing/RetryPolicyTest.java
+++ b/decisions/src/test/java/frostreel/routing/RetryPolicyTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What a retry costs, how long it waits, and when nothing may be tried any more. */
+/** Cost and backoff of retries, and the conditions under which no further attempt is permitted. */
 class RetryPolicyTest {
     private static final long NOW_US = 10_000_000;
     private static final long DEADLINE_US = NOW_US + 4_000_000;
@@ -83,7 +83,7 @@
     @ParameterizedTest
     @CsvSource({
         "5, false, true", // ANY_READ: idempotent.
-        "3, false, false", // KEYED_WRITE: its key is known in its group only.
+        "3, false, false", // KEYED_WRITE: deduplicated in its group only.
         "6, false, true", // KEYED_WRITE_ALL_ZONES
         "4, true, false" // NON_IDEMPOTENT_WRITE
     })
--- a/decisions/src/test/java/frostreel/routing/RetryTest.java
+++ b/decisions/src/test/java/frostreel/routing/RetryTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** When an attempt may be retried, for how long, and how soon it is given up. */
+/** Conditions, time limits and timeouts of retries. */
 class RetryTest {
     @ParameterizedTest
     @EnumSource(Outcome.class)
@@ -37,7 +37,7 @@
         } else {
             assertEquals(1, harness.attemptCount("write"));
             assertEquals(List.of("write"), harness.failed);
-            assertTrue(harness.rejected.isEmpty(), "a rejection would say that it never ran");
+            assertTrue(harness.rejected.isEmpty(), "a rejection would tell the client that it never ran");
         }
     }
 
@@ -66,8 +66,8 @@
     }
 
     /**
-     * Timed out after a few times its usual duration, such a write was retried at the same primary, which then did
-     * the work twice.
+     * Guards against a busy primary doing the same work twice: a write that times out after a few times its usual
+     * duration is retried at the same primary.
      */
     @ParameterizedTest
     @CsvSource({"NaN, false", "0.5, false", "0.9, true", "1, true"})
@@ -84,9 +84,9 @@
                 untilDeadline, harness.lastAttempt("write").timeoutUs() == 2_900_000, "timeout up to the deadline");
     }
 
-    /** Where no report tells that a primary is busy, its late answers do: a retried write would add to its queue. */
+    /** Without load reports, late responses indicate a busy primary; a retried write would add to its queue. */
     @Test
-    void writeToAPrimaryThatAnsweredLateIsNotTimedOutForARetry() {
+    void writeToAPrimaryThatRespondedLateIsNotTimedOutForARetry() {
         SettingsBuilder settings = new SettingsBuilder().healthChecks(Router.HealthChecks.LIVENESS);
         RouterHarness late = settings.start(primary("a", 0), replica("b", 0));
         RouterHarness soon = settings.start(primary("a", 0), replica("b", 0));
@@ -115,8 +115,8 @@
     }
 
     /**
-     * The members of the zone where it may have run deduplicate it by its key; those of another zone would run it
-     * again.
+     * Only the members of the zone in which the write may have run know its idempotency key; those of another zone
+     * would execute it again.
      */
     @ParameterizedTest
     @CsvSource({
@@ -155,7 +155,7 @@
         assertEquals(1, harness.attemptCount("write"));
     }
 
-    /** Members that were gone once kept a read from its second round. */
+    /** Guards against a gone member, which is never tried, keeping a read from its second round. */
     @Test
     void readThatFailedOnEveryUsableMemberGetsASecondRound() {
         RouterHarness harness = threeMembers();
--- a/decisions/src/test/java/frostreel/routing/RouterHarness.java
+++ b/decisions/src/test/java/frostreel/routing/RouterHarness.java
@@ -12,8 +12,8 @@
 import java.util.function.Consumer;
 
 /**
- * A router under test with a clock that a test advances by hand. Records what the router asked for, and fires its
- * timers while time advances.
+ * A router under test with a manual clock. Records the actions that the router requests, and fires its timers when a
+ * test advances the clock.
  */
 final class RouterHarness implements Router.Actions {
     static final int BOUNDED_READ = 0;
@@ -32,7 +32,7 @@
     private static final long USUAL_DURATION_US = 50_000;
     private static final long HEALTH_CHECK_DURATION_US = 1_000;
 
-    /** An attempt that the router started; {@code number} counts the attempts of its request from 0. */
+    /** An attempt that the router started; {@code number} is its number within the request, from 0. */
     record Attempt(String requestId, String member, long timeoutUs, int number) {}
 
     private record Timer(long dueUs, String name) {}
@@ -55,7 +55,7 @@
         router = new ChainRouter(settings, this);
     }
 
-    /** Three members of one group: a is listed as primary, b is a replica in the router's zone, c in another. */
+    /** Starts with three members: a, listed as primary, and b are in the router's zone, c is in another. */
     static RouterHarness threeMembers() {
         return new SettingsBuilder().start(primary("a", 0), replica("b", 0), replica("c", 1));
     }
@@ -70,12 +70,12 @@
         return new Member(id, zone, 0, GROUP, false, State.UP, 1, 0);
     }
 
-    /** The same member in another state. */
+    /** A copy of a member in another state. */
     static Member inState(Member member, State state) {
         return copy(member, state, 0);
     }
 
-    /** The same member, started at this time. */
+    /** A copy of a member that started at this time. */
     static Member startedAt(Member member, long startedUs) {
         return copy(member, State.UP, startedUs);
     }
@@ -92,18 +92,18 @@
                 startedUs);
     }
 
-    /** Submits a request of a session that has not written yet, with the usual deadline. */
+    /** Submits a request of {@link #SESSION}, which has not written yet, with the default deadline. */
     void submit(String id, int requestClass) {
         submit(id, requestClass, 0, USUAL_DEADLINE_US);
     }
 
-    /** Submits a request; {@code sinceWriteUs} is the age of its session's last write, 0 for none. */
+    /** Submits a request; {@code sinceWriteUs} is the age of the last write of its session, 0 for none. */
     void submit(String id, int requestClass, long sinceWriteUs, long deadlineInUs) {
         router.onRequest(
                 nowUs, new Request(id, requestClass, SESSION, GROUP, nowUs + deadlineInUs, sinceWriteUs, false));
     }
 
-    /** Submits a request of another session than the usual one. */
+    /** Submits a request of another session. */
     void submitForSession(long session, String id, int requestClass, long deadlineInUs) {
         router.onRequest(nowUs, new Request(id, requestClass, session, GROUP, nowUs + deadlineInUs, 0, false));
     }
@@ -114,10 +114,10 @@
     }
 
     /**
-     * Submits requests one after another, numbered from 0 behind a prefix, and lets an interval pass after each.
+     * Submits requests one after another, named by a prefix and a number from 0, and advances the clock after each.
      *
-     * @param end ends the newest attempt of each request that has one when its interval is over
-     * @return how many requests that were
+     * @param end ends the newest attempt of a request, if it has one, after the interval
+     * @return the number of requests that had an attempt
      */
     int submitInTurn(String prefix, int count, int requestClass, long intervalUs, Consumer<Attempt> end) {
         int attempted = 0;
@@ -133,7 +133,7 @@
         return attempted;
     }
 
-    /** Ends an attempt with an answer of a replica that took the usual time and is current as of now. */
+    /** Ends an attempt with an up-to-date response of a replica after the default duration. */
     void respondAsReplica(Attempt attempt) {
         respond(attempt, USUAL_DURATION_US, Role.REPLICA);
     }
@@ -143,19 +143,19 @@
         complete(lastAttempt(id), outcome, USUAL_DURATION_US, role, positionUs, null);
     }
 
-    /** Ends the newest attempt of a request without telling role or position. */
+    /** Ends the newest attempt of a request without a reported role or position. */
     void complete(String id, Outcome outcome) {
         complete(id, outcome, Role.UNKNOWN, 0);
     }
 
-    /** Ends so many attempts of a write in turn, each with a rejection by a member that says it is a replica. */
+    /** Ends {@code times} attempts of a write in turn, each rejected by a member that reports to be a replica. */
     void rejectAsReplicas(String id, int times) {
         for (int i = 0; i < times; i++) {
             complete(id, Outcome.WRONG_ROLE_OR_STALE, Role.REPLICA, 0);
         }
     }
 
-    /** Ends an attempt after a time of its own; OK also ends the request. */
+    /** Ends an attempt that took {@code tookUs}; OK also ends the request. */
     void complete(Attempt attempt, Outcome outcome, long tookUs, Role role, long positionUs, Report report) {
         router.onOutcome(
                 nowUs,
@@ -170,22 +170,22 @@
                 report);
     }
 
-    /** Ends an attempt with an answer that took so long and is current as of now. */
+    /** Ends an attempt with an up-to-date response after {@code tookUs}. */
     void respond(Attempt attempt, long tookUs, Role role) {
         complete(attempt, Outcome.OK, tookUs, role, nowUs, null);
     }
 
-    /** Answers a health check with a report of role and position. */
+    /** Completes a health check with a report of role and position. */
     void healthCheckSucceeded(String member, Role role, long positionUs) {
         healthCheckSucceeded(member, new Report(positionUs, role, Double.NaN, Double.NaN, Double.NaN));
     }
 
-    /** Answers a health check with a report. */
+    /** Completes a health check with a report. */
     void healthCheckSucceeded(String member, Report report) {
         router.onHealthCheck(nowUs, member, true, HEALTH_CHECK_DURATION_US, report);
     }
 
-    /** Lets a health check fail. */
+    /** Fails a health check. */
     void healthCheckFailed(String member) {
         router.onHealthCheck(nowUs, member, false, HEALTH_CHECK_DURATION_US, null);
     }
@@ -198,12 +198,12 @@
         router.onClientDisconnected(nowUs, id);
     }
 
-    /** Asks whether the newest attempt of a request may still begin, now that it has its connection. */
+    /** Whether the newest attempt of a request may still begin once it has its connection. */
     boolean mayStillBegin(String id) {
         return router.mayStillBegin(nowUs, id);
     }
 
-    /** Lets time pass, firing timers as they fall due, the earliest first. */
+    /** Advances the clock, firing timers in the order in which they are due. */
     void advance(long byUs) {
         long untilUs = nowUs + byUs;
         for (Timer next = earliestTimer(); next != null && next.dueUs <= untilUs; next = earliestTimer()) {
@@ -214,7 +214,7 @@
         nowUs = untilUs;
     }
 
-    /** Of timers due at once the one that was set first; null where none is set. */
+    /** The timer that is due next, the one set first if several are due at the same time; null if none is set. */
     private Timer earliestTimer() {
         Timer earliest = null;
         for (Timer timer : timers) {
@@ -223,7 +223,7 @@
         return earliest;
     }
 
-    /** The newest attempt of a request, or null where none was started. */
+    /** The newest attempt of a request, or null if it has none. */
     Attempt lastAttempt(String id) {
         Attempt last = null;
         for (Attempt attempt : attempts) {
--- a/decisions/src/test/java/frostreel/routing/SettingsBuilder.java
+++ b/decisions/src/test/java/frostreel/routing/SettingsBuilder.java
@@ -12,7 +12,7 @@
 import frostreel.routing.Router.StalenessCheck;
 import java.util.List;
 
-/** Builds the settings of a router under test; its classes are numbered by {@link RouterHarness}. */
+/** Builder of the settings of a router under test; {@link RouterHarness} has the indices of its classes. */
 final class SettingsBuilder {
     private static final long TICK_US = 5_000;
     private static final double LATE_WEIGHT_OF_WRITES = 0.5;
@@ -77,7 +77,7 @@
         return this;
     }
 
-    /** Starts a router with these settings and this first list of members. */
+    /** Starts a router with these settings and this first endpoint list. */
     RouterHarness start(Member... members) {
         RouterHarness harness = new RouterHarness(build());
         harness.updateMembers(ListKind.CACHED, members);
--- a/decisions/src/test/java/frostreel/routing/WriteQueueTest.java
+++ b/decisions/src/test/java/frostreel/routing/WriteQueueTest.java
@@ -16,7 +16,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Writes that wait while no primary is known. */
+/** Queueing of writes while no primary is known. */
 class WriteQueueTest {
     @Test
     void queuedWritesAreReleasedToTheNewPrimaryGradually() {
