--- a/decisions/src/main/java/frostreel/routing/Freshness.java
+++ b/decisions/src/main/java/frostreel/routing/Freshness.java
@@ -84,7 +84,7 @@
     /** The position that a member must have applied to answer the request, or {@link Router#NO_POSITION}. */
     long requiredPositionUs(long nowUs, PendingRequest request) {
         return switch (request.requestClass.access()) {
-            case BOUNDED -> nowUs - request.requestClass.boundUs() + ROUNDING_US;
+            case BOUNDED -> nowUs - request.requestClass.stalenessBoundUs() + ROUNDING_US;
             case SESSION -> sessionPositionUs(nowUs, request);
             case ANY -> Router.NO_POSITION;
             case WRITE, FRESH -> LATEST;
@@ -118,7 +118,7 @@
         return member.appliedUpToUs >= requiredUs
                 || (settings.get().stalenessCheck() != StalenessCheck.SILENT
                         && nowUs - member.staleAtUs > STALE_US
-                        && nowUs - requiredUs + settings.limits().holdsForUs() >= unusualLagUs(member));
+                        && nowUs - requiredUs + settings.limits().staleReadWaitUs() >= unusualLagUs(member));
     }
 
     /** By how much a member's last report was further behind than reports usually are. */
--- a/decisions/src/main/java/frostreel/zones/ZoneFailoverPolicy.java
+++ b/decisions/src/main/java/frostreel/zones/ZoneFailoverPolicy.java
@@ -201,14 +201,14 @@
         if (!replicas.isRecovering()) {
             return true;
         }
-        double share = replicas.rampShare(nowUs, rules.coldFrom(), rules.warmAfterUs());
+        double share = replicas.rampShare(nowUs, rules.initialCapacityShare(), rules.warmUpUs());
         if (share >= 1) {
             recordRecovery(nowUs, replicas);
             replicas.completeRecovery();
             return true;
         }
         double rate = RAMP_HEADROOM * share * fullRate(nowUs, replicas);
-        double capacityUs = Math.max(rate * rules.fallUs() / RAMP_SPAN_DIVISOR, ranking.meanWorkUs());
+        double capacityUs = Math.max(rate * rules.overloadWindowUs() / RAMP_SPAN_DIVISOR, ranking.meanWorkUs());
         return members.ramp(handle).fill(nowUs, rate, capacityUs) > 0;
     }
 
--- a/decisions/src/test/java/frostreel/routing/SettingsBuilder.java
+++ b/decisions/src/test/java/frostreel/routing/SettingsBuilder.java
@@ -12,7 +12,7 @@
 import frostreel.routing.Router.StalenessCheck;
 import java.util.List;
 
-/** Builds the settings of a router under test; its classes are numbered by {@link RouterHarness}. */
+/** Builder of the settings of a router under test; {@link RouterHarness} has the indices of its classes. */
 final class SettingsBuilder {
     private static final long TICK_US = 5_000;
     private static final double LATE_WEIGHT_OF_WRITES = 0.5;
@@ -21,7 +21,7 @@
     private SessionTracking sessionTracking = SessionTracking.CARRIED;
     private HealthChecks healthChecks = HealthChecks.REPORT;
     private boolean subscribe;
-    private boolean onlyDrainingIsBinding;
+    private boolean goneMembersUsable;
     private int maxAttempts = 8;
     private long seed = 7;
     private int instances;
@@ -52,8 +52,8 @@
         return this;
     }
 
-    SettingsBuilder onlyDrainingIsBinding(boolean value) {
-        onlyDrainingIsBinding = value;
+    SettingsBuilder goneMembersUsable(boolean value) {
+        goneMembersUsable = value;
         return this;
     }
 
@@ -77,7 +77,7 @@
         return this;
     }
 
-    /** Starts a router with these settings and this first list of members. */
+    /** Starts a router with these settings and this first endpoint list. */
     RouterHarness start(Member... members) {
         RouterHarness harness = new RouterHarness(build());
         harness.updateMembers(ListKind.CACHED, members);
@@ -96,7 +96,7 @@
                 sessionTracking,
                 true,
                 limits(),
-                new Router.Rules(20_000, 500_000, onlyDrainingIsBinding, 0.2, 18_000_000, 3, 2_000_000));
+                new Router.Rules(20_000, 500_000, goneMembersUsable, 0.2, 18_000_000, 3, 2_000_000));
     }
 
     private Limits limits() {
@@ -107,10 +107,10 @@
                 .retryAfterAllowed(true)
                 .maxRetryAfterUs(2_000_000)
                 .subscribe(subscribe)
-                .askWithinUs(10_000_000)
+                .maxListAgeUs(10_000_000)
                 .connectTimeoutUs(250_000)
-                .holdsForUs(50_000)
-                .idleCloseUs(30_000_000)
+                .staleReadWaitUs(50_000)
+                .idleTimeoutUs(30_000_000)
                 .concurrentRequestLimit(concurrentRequestLimit)
                 .build();
     }
--- a/lab/src/main/java/frostreel/lab/processes/Fleet.java
+++ b/lab/src/main/java/frostreel/lab/processes/Fleet.java
@@ -89,13 +89,13 @@
 
     private static Router.Rules eased(Router.Rules rules, long slackUs) {
         return new Router.Rules(
-                rules.answerSlackUs() + slackUs,
+                rules.responseSlackUs() + slackUs,
                 rules.stopSendingUs() + slackUs,
-                rules.onlyDrainingBinds(),
-                rules.coldFrom(),
-                rules.warmAfterUs(),
-                rules.fallMultiple(),
-                rules.fallUs());
+                rules.goneMembersUsable(),
+                rules.initialCapacityShare(),
+                rules.warmUpUs(),
+                rules.overloadMultiple(),
+                rules.overloadWindowUs());
     }
 
     /** Runs a task on the event loop and waits for its result; from any other thread. */
--- a/lab/src/test/java/frostreel/lab/virtual/ColdFleetTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/ColdFleetTest.java
@@ -37,16 +37,16 @@
                         settings.stalenessCheck(),
                         settings.listRole(),
                         settings.sessionTracking(),
-                        settings.positions(),
+                        settings.responsesCarryPositions(),
                         settings.limits(),
                         new Router.Rules(
-                                rules.answerSlackUs(),
+                                rules.responseSlackUs(),
                                 rules.stopSendingUs(),
-                                rules.onlyDrainingBinds(),
+                                rules.goneMembersUsable(),
                                 1,
-                                rules.warmAfterUs(),
-                                rules.fallMultiple(),
-                                rules.fallUs())),
+                                rules.warmUpUs(),
+                                rules.overloadMultiple(),
+                                rules.overloadWindowUs())),
                 actions);
     }
 
--- a/pooler/src/main/java/frostreel/backend/ServerPool.java
+++ b/pooler/src/main/java/frostreel/backend/ServerPool.java
@@ -29,7 +29,7 @@
     /** An empty pool for at most {@code maxConnections} connections. */
     public ServerPool(EventLoop loop, Router.Settings settings, int maxConnections) {
         this.loop = loop;
-        servers = new ServerDirectory(settings.rules().onlyDrainingBinds());
+        servers = new ServerDirectory(settings.rules().goneMembersUsable());
         connections = new ConnectionTable(maxConnections);
         updateSettings(settings);
     }
@@ -39,7 +39,7 @@
     /** Applies the timeouts of new settings to what begins from now on. */
     public void updateSettings(Router.Settings settings) {
         connectTimeoutUs = settings.limits().connectTimeoutUs();
-        idleCloseUs = (long) (settings.limits().idleCloseUs() * IDLE_CLOSE_SHARE);
+        idleCloseUs = (long) (settings.limits().idleTimeoutUs() * IDLE_CLOSE_SHARE);
     }
 
     /**
