--- a/decisions/src/main/java/frostreel/routing/AttemptRecorder.java
+++ b/decisions/src/main/java/frostreel/routing/AttemptRecorder.java
@@ -111,7 +111,7 @@
                 || outcome == Outcome.REJECTED
                 || outcome == Outcome.WRONG_ROLE_OR_STALE;
         if (answered) {
-            member.outliers.recordProgress(nowUs);
+            member.outliers.recordResponse(nowUs);
             member.verified |= outcome != Outcome.ERROR; // Any server may answer with an error.
         }
         if (member.inFlight == 0) {
@@ -126,9 +126,9 @@
     private void recordSuccess(long nowUs, PendingRequest request, MemberState member, long tookUs) {
         int classIndex = request.classIndex();
         member.outliers.recordSuccess(nowUs, tookUs / latencies.meanUs(classIndex));
-        latencies.recordAnswer(classIndex, tookUs);
+        latencies.recordResponse(classIndex, tookUs);
         primaryTracker.recordSuccess(request.group, member);
-        slowStart.recordAnswer(nowUs, member.slowStart, classIndex, tookUs);
+        slowStart.recordResponse(nowUs, member.slowStart, classIndex, tookUs);
         if (tookUs > request.requestClass.latencyObjectiveUs() || isQueueing(nowUs, request, member)) {
             member.window.shrink(nowUs, member.inFlight, latencies.meanUs(classIndex));
         } else {
--- a/decisions/src/main/java/frostreel/routing/ClassLatencies.java
+++ b/decisions/src/main/java/frostreel/routing/ClassLatencies.java
@@ -43,7 +43,7 @@
     }
 
     /** A request of this class was answered. */
-    void recordAnswer(int classIndex, long tookUs) {
+    void recordResponse(int classIndex, long tookUs) {
         meanUs[classIndex] += ANSWER_WEIGHT * (tookUs - meanUs[classIndex]);
     }
 
--- a/decisions/src/main/java/frostreel/routing/OutlierDetector.java
+++ b/decisions/src/main/java/frostreel/routing/OutlierDetector.java
@@ -61,7 +61,7 @@
     }
 
     /** An answer of any kind arrived. */
-    void recordProgress(long nowUs) {
+    void recordResponse(long nowUs) {
         lastProgressUs = nowUs;
     }
 
--- a/decisions/src/main/java/frostreel/routing/ServiceTimes.java
+++ b/decisions/src/main/java/frostreel/routing/ServiceTimes.java
@@ -44,7 +44,7 @@
     }
 
     /** A request of this class was answered in {@code tookUs}. */
-    void recordAnswer(int classIndex, long tookUs) {
+    void recordResponse(int classIndex, long tookUs) {
         double weight = weight(classIndex, tookUs);
         serviceUs[classIndex] += weight * (tookUs - serviceUs[classIndex]);
         answered[classIndex] = true;
--- a/decisions/src/main/java/frostreel/routing/SlowStart.java
+++ b/decisions/src/main/java/frostreel/routing/SlowStart.java
@@ -132,8 +132,8 @@
     }
 
     /** Learns from an answer that served a request of this class in {@code tookUs}. */
-    void recordAnswer(long nowUs, Member member, int classIndex, long tookUs) {
-        serviceTimes.recordAnswer(classIndex, tookUs);
+    void recordResponse(long nowUs, Member member, int classIndex, long tookUs) {
+        serviceTimes.recordResponse(classIndex, tookUs);
         member.servedWork.add(nowUs, serviceTimes.us(classIndex));
     }
 
--- a/decisions/src/test/java/frostreel/routing/OutlierDetectorTest.java
+++ b/decisions/src/test/java/frostreel/routing/OutlierDetectorTest.java
@@ -55,7 +55,7 @@
         assertThat(detector.isSilent(silentFromUs, 1)).isTrue();
         assertThat(detector.isSilent(silentFromUs, 0)).as("without attempts").isFalse();
         assertThat(detector.cost(silentFromUs, 1, 1)).isEqualTo(12);
-        detector.recordProgress(silentFromUs);
+        detector.recordResponse(silentFromUs);
         assertThat(detector.isSilent(silentFromUs, 1)).isFalse();
     }
 }
--- a/decisions/src/test/java/frostreel/routing/SlowStartTest.java
+++ b/decisions/src/test/java/frostreel/routing/SlowStartTest.java
@@ -49,7 +49,7 @@
     private static long serve(SlowStart slowStart, SlowStart.Member warm, int classIndex, int perSecond, long tookUs) {
         long nowUs = START_US;
         for (; nowUs < START_US + 20 * SECOND_US; nowUs += SECOND_US / perSecond) {
-            slowStart.recordAnswer(nowUs, warm, classIndex, tookUs);
+            slowStart.recordResponse(nowUs, warm, classIndex, tookUs);
         }
         return nowUs;
     }
@@ -78,8 +78,8 @@
     void queueingTimeIsNotCountedAsWork() {
         SlowStart slowStart = slowStart(1, 7);
         SlowStart.Member warm = registerWarm(slowStart);
-        slowStart.recordAnswer(START_US, warm, SHORT, WORK_US);
-        slowStart.recordAnswer(START_US, warm, LONG, 20 * WORK_US);
+        slowStart.recordResponse(START_US, warm, SHORT, WORK_US);
+        slowStart.recordResponse(START_US, warm, LONG, 20 * WORK_US);
         long nowUs = serve(slowStart, warm, SHORT, 10, 20 * WORK_US); // Queued: ten a second of 50 ms.
         SlowStart.Member cold = register(slowStart, "cold", nowUs, nowUs);
         assertThat(sent(slowStart, cold, nowUs, LONG, 5_000)).isLessThanOrEqualTo(2);
@@ -94,7 +94,7 @@
         SlowStart.Member cold = register(slowStart, "cold", startedUs, startedUs);
         int sent = 0;
         for (long nowUs = startedUs; nowUs < startedUs + 2 * SECOND_US; nowUs += SECOND_US / 40) {
-            slowStart.recordAnswer(nowUs, warm, SHORT, WORK_US);
+            slowStart.recordResponse(nowUs, warm, SHORT, WORK_US);
             if (slowStart.admits(nowUs, cold, SHORT)) {
                 slowStart.recordSend(cold, SHORT);
                 sent++;
@@ -110,7 +110,7 @@
         SlowStart slowStart = slowStart(0, 7);
         SlowStart.Member only = registerWarm(slowStart);
         for (int i = 0; i < 20; i++) {
-            slowStart.recordAnswer(START_US, only, SHORT, WORK_US / 1000);
+            slowStart.recordResponse(START_US, only, SHORT, WORK_US / 1000);
         }
         slowStart.recordListEntry(START_US, only, entry("warm", START_US)); // It restarts.
         assertThat(sent(slowStart, only, START_US, LONG, 1_000)).isBetween(1, 60);
