--- a/decisions/src/main/java/frostreel/routing/ConcurrencyWindow.java
+++ b/decisions/src/main/java/frostreel/routing/ConcurrencyWindow.java
@@ -41,7 +41,7 @@
     }
 
     /** Whether only one attempt at a time is allowed. */
-    boolean isSmallest() {
+    boolean isAtMinimum() {
         return size <= SMALLEST_SIZE;
     }
 
--- a/decisions/src/main/java/frostreel/routing/LoadShedder.java
+++ b/decisions/src/main/java/frostreel/routing/LoadShedder.java
@@ -43,8 +43,8 @@
     private static boolean isOverloaded(PendingRequest request) {
         GroupState group = request.group;
         return request.needsPrimary
-                ? group.primary != null && !group.primarySuspected && group.primary.window.isSmallest()
-                : group.chain.stream().anyMatch(member -> member.window.isSmallest());
+                ? group.primary != null && !group.primarySuspected && group.primary.window.isAtMinimum()
+                : group.chain.stream().anyMatch(member -> member.window.isAtMinimum());
     }
 
     /**
--- a/decisions/src/main/java/frostreel/routing/RetryPolicy.java
+++ b/decisions/src/main/java/frostreel/routing/RetryPolicy.java
@@ -177,7 +177,7 @@
      * window no read is kept waiting at the member beyond its use, as nothing else bounds the queue there.
      */
     long readTimeoutUs(long nowUs, PendingRequest request, MemberState member) {
-        long untilUs = member.window.isSmallest() ? usefulUntilUs(request) : request.original.deadlineUs();
+        long untilUs = member.window.isAtMinimum() ? usefulUntilUs(request) : request.original.deadlineUs();
         long leftUs = untilUs - nowUs;
         double expectedUs = expectedLatencyUs(nowUs, request, member);
         double spareUs = request.objectiveUs() - nowUs - RETRY_LATENCY_FACTOR * expectedUs;
--- a/decisions/src/test/java/frostreel/routing/ConcurrencyWindowTest.java
+++ b/decisions/src/test/java/frostreel/routing/ConcurrencyWindowTest.java
@@ -57,7 +57,7 @@
         for (int i = 1; i <= 20; i++) {
             window.shrink(NOW_US + i * NOW_US, 3, LATENCY_US);
         }
-        assertThat(window.isSmallest()).isTrue();
+        assertThat(window.isAtMinimum()).isTrue();
         assertThat(capacity()).isEqualTo(1);
     }
 
