--- a/decisions/src/main/java/frostreel/routing/ChainRouter.java
+++ b/decisions/src/main/java/frostreel/routing/ChainRouter.java
@@ -114,7 +114,7 @@
         PendingRequest request = new PendingRequest(
                 original, requestClass, group, settings.limits().maxAttempts(), nowUs);
         requests.put(original.id(), request);
-        boolean shed = loadShedder.sheds(nowUs, request);
+        boolean shed = loadShedder.shouldShed(nowUs, request);
         request.countsForGoodput = shed;
         if (shed) {
             giveUp(nowUs, request);
--- a/decisions/src/main/java/frostreel/routing/LoadShedder.java
+++ b/decisions/src/main/java/frostreel/routing/LoadShedder.java
@@ -35,7 +35,7 @@
     }
 
     /** Whether to reject a request that has just arrived. */
-    boolean sheds(long nowUs, PendingRequest request) {
+    boolean shouldShed(long nowUs, PendingRequest request) {
         return isOverloaded(request) && random.nextDouble() < request.group.goodput.excess(nowUs, goodput);
     }
 
--- a/decisions/src/test/java/frostreel/routing/LoadShedderTest.java
+++ b/decisions/src/test/java/frostreel/routing/LoadShedderTest.java
@@ -27,7 +27,7 @@
     private int shedOf(int requests) {
         int shed = 0;
         for (int i = 0; i < requests; i++) {
-            shed += shedder.sheds(NOW_US, read()) ? 1 : 0;
+            shed += shedder.shouldShed(NOW_US, read()) ? 1 : 0;
         }
         return shed;
     }
