--- a/decisions/src/main/java/frostreel/routing/ClassLatencies.java
+++ b/decisions/src/main/java/frostreel/routing/ClassLatencies.java
@@ -9,7 +9,7 @@
     /** Until its first answer a class is expected to take its latency objective divided by this. */
     private static final double OBJECTIVE_DIVISOR = 5.0;
     /** Weight of one more answer in a class's mean; small, as all members count into one mean. */
-    private static final double ANSWER_WEIGHT = 0.02;
+    private static final double RESPONSE_WEIGHT = 0.02;
     /** Weight of one more request in the mean of what is sent. */
     private static final double REQUEST_WEIGHT = 0.15;
     /** A class this many times slower than the mean request is long-running. */
@@ -17,18 +17,18 @@
 
     private double[] meanUs = {};
     /** The mean latency of the requests that were sent recently. */
-    private double meanRequestUs;
+    private double meanSentUs;
 
     ClassLatencies(Settings settings) {
         onSettings(settings);
-        meanRequestUs = Arrays.stream(meanUs).min().orElse(Double.MAX_VALUE);
+        meanSentUs = Arrays.stream(meanUs).min().orElse(Double.MAX_VALUE);
     }
 
     /** New settings are in force; classes that are already known keep what was learned of them. */
     void onSettings(Settings settings) {
-        int known = meanUs.length;
+        int knownCount = meanUs.length;
         meanUs = Arrays.copyOf(meanUs, settings.classes().size());
-        for (int i = known; i < meanUs.length; i++) {
+        for (int i = knownCount; i < meanUs.length; i++) {
             meanUs[i] = settings.classes().get(i).latencyObjectiveUs() / OBJECTIVE_DIVISOR;
         }
     }
@@ -39,17 +39,17 @@
 
     /** A request of this class is sent. */
     void recordSend(int classIndex) {
-        meanRequestUs += REQUEST_WEIGHT * (meanUs[classIndex] - meanRequestUs);
+        meanSentUs += REQUEST_WEIGHT * (meanUs[classIndex] - meanSentUs);
     }
 
     /** A request of this class was answered. */
     void recordResponse(int classIndex, long tookUs) {
-        meanUs[classIndex] += ANSWER_WEIGHT * (tookUs - meanUs[classIndex]);
+        meanUs[classIndex] += RESPONSE_WEIGHT * (tookUs - meanUs[classIndex]);
     }
 
     /** Whether any member may answer this query, and its own work rather than a queue makes it slow. */
     boolean isLongRunning(PendingRequest request) {
         return request.requestClass.access() == Access.ANY
-                && meanUs[request.classIndex()] > LONG_RUNNING_FACTOR * meanRequestUs;
+                && meanUs[request.classIndex()] > LONG_RUNNING_FACTOR * meanSentUs;
     }
 }
--- a/decisions/src/main/java/frostreel/routing/ConcurrencyWindow.java
+++ b/decisions/src/main/java/frostreel/routing/ConcurrencyWindow.java
@@ -10,17 +10,17 @@
     /** Attempts in flight to a member that is new, or that has just become primary. */
     private static final double INITIAL_SIZE = 4;
     /** No window falls below one attempt: without any, a member's recovery would never be noticed. */
-    private static final double SMALLEST_SIZE = 1;
+    private static final double MIN_SIZE = 1;
     /** What is left of a window after a timeout, a rejection or a late answer. */
     private static final double DECREASE_FACTOR = 0.7;
     /** A window grows only while at least this part of it is in use, since else nothing was learned. */
-    private static final double LEAST_USE = 0.5;
+    private static final double MIN_USE_TO_GROW = 0.5;
     /** The first pause is the class's mean latency over this. */
-    private static final int FIRST_PAUSE_DIVISOR = 4;
+    private static final int INITIAL_PAUSE_DIVISOR = 4;
     /** How often the pause may double. */
-    private static final int MOST_DOUBLINGS = 8;
+    private static final int MAX_DOUBLINGS = 8;
     /** Longest pause in microseconds, so that a recovered member is used again within half a second. */
-    private static final long LONGEST_PAUSE_US = 500_000;
+    private static final long MAX_PAUSE_US = 500_000;
 
     private double size = INITIAL_SIZE;
     /** Until the first sign of a queue, the window grows by one with every answer. */
@@ -29,11 +29,11 @@
     private long shrunkAtUs;
     private long pausedUntilUs;
     /** Rejections and failed connections since the last answer in time. */
-    private int rejections;
+    private int rejectionsSinceSuccess;
 
     /** Whether one more attempt may be sent when only {@code share} of the window may be used. */
     boolean hasRoom(long nowUs, int inFlight, double share) {
-        return !isPaused(nowUs) && inFlight < Math.max(SMALLEST_SIZE, size * share);
+        return !isPaused(nowUs) && inFlight < Math.max(MIN_SIZE, size * share);
     }
 
     boolean isPaused(long nowUs) {
@@ -42,7 +42,7 @@
 
     /** Whether only one attempt at a time is allowed. */
     boolean isAtMinimum() {
-        return size <= SMALLEST_SIZE;
+        return size <= MIN_SIZE;
     }
 
     /** Whether it is smaller than that of a new member: there were recent signs of a queue. */
@@ -58,8 +58,8 @@
 
     /** An answer came in time; {@code inFlight} no longer counts its attempt. */
     void grow(int inFlight) {
-        rejections = 0;
-        if (inFlight + 1 >= size * LEAST_USE) {
+        rejectionsSinceSuccess = 0;
+        if (inFlight + 1 >= size * MIN_USE_TO_GROW) {
             size += growingFast ? 1 : 1 / size;
         }
     }
@@ -68,7 +68,7 @@
     void shrink(long nowUs, int inFlight, double latencyUs) {
         growingFast = false;
         if (nowUs - shrunkAtUs > latencyUs) {
-            size = Math.max(SMALLEST_SIZE, Math.min(size, inFlight + 1) * DECREASE_FACTOR);
+            size = Math.max(MIN_SIZE, Math.min(size, inFlight + 1) * DECREASE_FACTOR);
             shrunkAtUs = nowUs;
         }
     }
@@ -78,7 +78,7 @@
      * would attract a storm of attempts.
      */
     void pause(long nowUs, double latencyUs) {
-        long pauseUs = ((long) latencyUs / FIRST_PAUSE_DIVISOR) << Math.min(rejections++, MOST_DOUBLINGS);
-        pausedUntilUs = nowUs + Math.min(LONGEST_PAUSE_US, pauseUs);
+        long pauseUs = ((long) latencyUs / INITIAL_PAUSE_DIVISOR) << Math.min(rejectionsSinceSuccess++, MAX_DOUBLINGS);
+        pausedUntilUs = nowUs + Math.min(MAX_PAUSE_US, pauseUs);
     }
 }
--- a/decisions/src/main/java/frostreel/routing/DecayingRate.java
+++ b/decisions/src/main/java/frostreel/routing/DecayingRate.java
@@ -6,7 +6,7 @@
 public final class DecayingRate {
     private final LongSupplier timeConstantUs;
     private double perUs;
-    private double updatedUs;
+    private double updatedAtUs;
 
     /** {@code timeConstantUs}: over which it decays to 1/e; read anew each time, as settings may change it. */
     public DecayingRate(LongSupplier timeConstantUs) {
@@ -15,19 +15,19 @@
 
     /** The amount per microsecond as of now. */
     public double at(long nowUs) {
-        return perUs * Math.exp(-(nowUs - updatedUs) / timeConstantUs.getAsLong());
+        return perUs * Math.exp(-(nowUs - updatedAtUs) / timeConstantUs.getAsLong());
     }
 
     /** Counts an amount as of now. */
     public void add(long nowUs, double amount) {
         perUs = at(nowUs) + amount / timeConstantUs.getAsLong();
-        updatedUs = nowUs;
+        updatedAtUs = nowUs;
     }
 
     /** Changes the rate by a difference, to no less than 0. */
     public void shift(long nowUs, double difference) {
         perUs = Math.max(0, at(nowUs) + difference);
-        updatedUs = nowUs;
+        updatedAtUs = nowUs;
     }
 
     /** Multiplies all that was counted so far. */
--- a/decisions/src/main/java/frostreel/routing/Freshness.java
+++ b/decisions/src/main/java/frostreel/routing/Freshness.java
@@ -15,26 +15,26 @@
     /** Added to a required position, in microseconds: positions and ages are reported in milliseconds. */
     private static final long ROUNDING_US = 2000;
     /** What a read of the latest commit requires: no replica has it. */
-    private static final long LATEST = Long.MAX_VALUE;
+    private static final long LATEST_POSITION_US = Long.MAX_VALUE;
     /** A member that found itself too stale isn't taken for fresh for so many microseconds. */
-    private static final long STALE_US = 500_000;
+    private static final long STALE_HOLD_OFF_US = 500_000;
     /** The usual lag of reports, in microseconds, before the first one. */
-    private static final double FIRST_USUAL_LAG_US = 250_000;
+    private static final double INITIAL_TYPICAL_LAG_US = 250_000;
     /** Weight of one report's lag in the usual lag; that falls at once and rises slowly. */
-    private static final double LAG_WEIGHT = 0.01;
+    private static final double TYPICAL_LAG_RISE = 0.01;
     /** A member is checked for a read at most this often, in microseconds: checks are work for it too. */
-    private static final long CHECK_INTERVAL_US = 250_000;
+    private static final long MIN_CHECK_INTERVAL_US = 250_000;
     /** Seconds that a replica needs, at the least, to apply one second of the log. */
-    private static final double CATCH_UP = 0.7;
+    private static final double MIN_CATCH_UP_RATIO = 0.7;
     /** Commits are remembered for this many of the longest deadlines. */
-    private static final long DEADLINES_KEPT = 20;
+    private static final long RETENTION_DEADLINES = 20;
 
     private final SessionCommits sessionCommits = new SessionCommits();
     private final PeerCommits peerCommits;
     private final ActiveSettings settings;
     private long retentionUs;
     /** How far reports are behind where a replica keeps up: mostly their own age. */
-    private double usualLagUs = FIRST_USUAL_LAG_US;
+    private double typicalLagUs = INITIAL_TYPICAL_LAG_US;
 
     Freshness(ActiveSettings settings, PeerCommits peerCommits) {
         this.settings = settings;
@@ -45,7 +45,7 @@
     /** New settings are in force; what older ones required to be remembered still is. */
     void onSettings(Settings newSettings) {
         for (RequestClass requestClass : newSettings.classes()) {
-            retentionUs = Math.max(retentionUs, DEADLINES_KEPT * requestClass.deadlineUs());
+            retentionUs = Math.max(retentionUs, RETENTION_DEADLINES * requestClass.deadlineUs());
         }
     }
 
@@ -78,7 +78,7 @@
     /** A member reported its position. */
     void recordReport(long nowUs, MemberState member, long positionUs) {
         member.recordPosition(nowUs, positionUs);
-        usualLagUs = Math.min(usualLagUs + member.lagUs * LAG_WEIGHT, (double) member.lagUs);
+        typicalLagUs = Math.min(typicalLagUs + member.lagUs * TYPICAL_LAG_RISE, (double) member.lagUs);
     }
 
     /** The position that a member must have applied to answer the request, or {@link Router#NO_POSITION}. */
@@ -87,7 +87,7 @@
             case BOUNDED -> nowUs - request.requestClass.boundUs() + ROUNDING_US;
             case SESSION -> sessionPositionUs(nowUs, request);
             case ANY -> Router.NO_POSITION;
-            case WRITE, FRESH -> LATEST;
+            case WRITE, FRESH -> LATEST_POSITION_US;
         };
     }
 
@@ -117,13 +117,13 @@
     boolean isProbablyFresh(long nowUs, MemberState member, long requiredUs) {
         return member.appliedUpToUs >= requiredUs
                 || (settings.get().stalenessCheck() != StalenessCheck.SILENT
-                        && nowUs - member.staleAtUs > STALE_US
-                        && nowUs - requiredUs + settings.limits().holdsForUs() >= unusualLagUs(member));
+                        && nowUs - member.staleAtUs > STALE_HOLD_OFF_US
+                        && nowUs - requiredUs + settings.limits().holdsForUs() >= excessLagUs(member));
     }
 
     /** By how much a member's last report was further behind than reports usually are. */
-    double unusualLagUs(MemberState member) {
-        return member.lagUs - Math.min(usualLagUs, (double) member.lagUs);
+    double excessLagUs(MemberState member) {
+        return member.lagUs - Math.min(typicalLagUs, (double) member.lagUs);
     }
 
     /**
@@ -133,8 +133,8 @@
      */
     boolean mayBeProvenFresh(long nowUs, MemberState member, long requiredUs) {
         long missingUs = member.lagUs - (nowUs - requiredUs);
-        return nowUs - requiredUs > usualLagUs
-                && nowUs - member.healthCheckAtUs > CHECK_INTERVAL_US
-                && nowUs - member.positionAtUs > CATCH_UP * missingUs;
+        return nowUs - requiredUs > typicalLagUs
+                && nowUs - member.healthCheckAtUs > MIN_CHECK_INTERVAL_US
+                && nowUs - member.positionAtUs > MIN_CATCH_UP_RATIO * missingUs;
     }
 }
--- a/decisions/src/main/java/frostreel/routing/Goodput.java
+++ b/decisions/src/main/java/frostreel/routing/Goodput.java
@@ -39,10 +39,10 @@
      * {@link #ADMITTED_PER_USEFUL} is useful, all are admitted. The share of all groups counts as one request
      * more, so that it decides for a group with few requests of its own.
      */
-    double excess(long nowUs, Goodput allGroups) {
-        double oneRequest = 1.0 / timeConstantUs.getAsLong();
-        double overallShare = allGroups.excessRate(nowUs) / (allGroups.ended.at(nowUs) + oneRequest);
-        double share = (excessRate(nowUs) + overallShare * oneRequest) / (ended.at(nowUs) + oneRequest);
+    double shedShare(long nowUs, Goodput allGroups) {
+        double oneRequestRate = 1.0 / timeConstantUs.getAsLong();
+        double overallExcessShare = allGroups.excessRate(nowUs) / (allGroups.ended.at(nowUs) + oneRequestRate);
+        double share = (excessRate(nowUs) + overallExcessShare * oneRequestRate) / (ended.at(nowUs) + oneRequestRate);
         return Math.min(MAX_SHED_SHARE, share);
     }
 }
--- a/decisions/src/main/java/frostreel/routing/LoadShedder.java
+++ b/decisions/src/main/java/frostreel/routing/LoadShedder.java
@@ -13,7 +13,7 @@
      * Part of the limit of concurrent requests from which the longest waiting is ended; below one half, since
      * two processes share the limit during an upgrade.
      */
-    private static final double USABLE_LIMIT = 0.375;
+    private static final double USABLE_LIMIT_SHARE = 0.375;
 
     private final SplittableRandom random;
     private final ActiveSettings settings;
@@ -36,7 +36,7 @@
 
     /** Whether to reject a request that has just arrived. */
     boolean shouldShed(long nowUs, PendingRequest request) {
-        return isOverloaded(request) && random.nextDouble() < request.group.goodput.excess(nowUs, goodput);
+        return isOverloaded(request) && random.nextDouble() < request.group.goodput.shedShare(nowUs, goodput);
     }
 
     /** Whether a member that could serve it is at the smallest window; a slow replica doesn't affect writes. */
@@ -51,16 +51,16 @@
      * A request has ended. Its end doesn't count if load was not the reason: rejecting other requests cures
      * neither errors nor the lack of a primary.
      */
-    void recordEnd(long nowUs, PendingRequest request, boolean answered) {
-        double weight = answered ? answerWeight(nowUs, request) : 0;
-        if (!request.ended && (weight > 0 || request.countsForGoodput)) {
-            goodput.add(nowUs, weight);
-            request.group.goodput.add(nowUs, weight);
+    void recordEnd(long nowUs, PendingRequest request, boolean succeeded) {
+        double value = succeeded ? responseValue(nowUs, request) : 0;
+        if (!request.ended && (value > 0 || request.countsForGoodput)) {
+            goodput.add(nowUs, value);
+            request.group.goodput.add(nowUs, value);
         }
     }
 
     /** The value of an answer that comes now, from 0 to 1. */
-    private static double answerWeight(long nowUs, PendingRequest request) {
+    private static double responseValue(long nowUs, PendingRequest request) {
         RequestClass requestClass = request.requestClass;
         return nowUs - request.arrivedUs <= requestClass.latencyObjectiveUs() ? 1 : requestClass.lateWeight();
     }
@@ -68,6 +68,6 @@
     /** Whether this many concurrent requests are too many to let all of them wait. */
     boolean isNearLimit(int concurrentRequests) {
         int limit = settings.limits().concurrentRequestLimit();
-        return limit > 0 && concurrentRequests > USABLE_LIMIT * limit;
+        return limit > 0 && concurrentRequests > USABLE_LIMIT_SHARE * limit;
     }
 }
--- a/decisions/src/main/java/frostreel/routing/LongQueryPlacement.java
+++ b/decisions/src/main/java/frostreel/routing/LongQueryPlacement.java
@@ -9,16 +9,18 @@
  */
 final class LongQueryPlacement {
     /** A long-running read waits for the group's one replica for this part of its objective. */
-    private static final double PATIENCE = 0.25;
+    private static final double MAX_WAIT_SHARE = 0.25;
     /** Another replica must be this much further behind, in microseconds, to take the place of the present one. */
-    private static final long KEEP_US = 1_000_000;
+    private static final long SWITCH_MARGIN_US = 1_000_000;
     /** Expected latency, in microseconds, from which a read prefers replicas that are behind in full. */
-    private static final long FULL_PREFERENCE_US = 500_000;
+    private static final long FULL_PREFERENCE_LATENCY_US = 500_000;
+    /** Lag, in microseconds, that adds 1 to a preference of full strength. */
+    private static final long PREFERENCE_LAG_UNIT_US = 500_000;
     /** Lag, in microseconds, beyond which a replica isn't preferred any more strongly. */
-    private static final long MOST_LAG_US = 2_000_000;
+    private static final long MAX_PREFERRED_LAG_US = 2_000_000;
 
     /** Any replica is further behind than none. */
-    private static final double BEHIND_OF_NONE_US = -1;
+    private static final double NO_CANDIDATE_LAG_US = -1;
 
     private final LocalityPolicy localityPolicy;
     private final ClassLatencies latencies;
@@ -35,7 +37,7 @@
 
     /** The one replica that a read may go to now, null if it may go to any. */
     MemberState requiredReplica(long nowUs, PendingRequest request) {
-        boolean mayWait = nowUs - request.arrivedUs < PATIENCE * request.requestClass.latencyObjectiveUs();
+        boolean mayWait = nowUs - request.arrivedUs < MAX_WAIT_SHARE * request.requestClass.latencyObjectiveUs();
         return mayWait && latencies.isLongRunning(request) ? chooseReplica(nowUs, request) : null;
     }
 
@@ -46,13 +48,13 @@
     private MemberState chooseReplica(long nowUs, PendingRequest request) {
         GroupState group = request.group;
         MemberState best = null;
-        double furthestBehindUs = BEHIND_OF_NONE_US;
+        double maxLagUs = NO_CANDIDATE_LAG_US;
         for (MemberState member : group.chain) {
             double costFactor = localityPolicy.costFactor(nowUs, member.localityHandle);
             if (isCandidate(nowUs, request, member) && costFactor != LocalityPolicy.EXCLUDED) {
-                double behindUs = behindUs(nowUs, group, member) / costFactor;
-                if (behindUs > furthestBehindUs) {
-                    furthestBehindUs = behindUs;
+                double weightedLagUs = lagWithMarginUs(nowUs, group, member) / costFactor;
+                if (weightedLagUs > maxLagUs) {
+                    maxLagUs = weightedLagUs;
                     best = member;
                 }
             }
@@ -72,12 +74,12 @@
                 && !member.outliers.isSilent(nowUs, member.inFlight);
     }
 
-    private static long behindUs(long nowUs, GroupState group, MemberState member) {
+    private static long lagWithMarginUs(long nowUs, GroupState group, MemberState member) {
         if (member.appliedUpToUs == Router.NO_POSITION) {
             return 0;
         }
         long lagUs = nowUs - member.appliedUpToUs;
-        return member == group.longQueryReplica ? lagUs + KEEP_US : lagUs;
+        return member == group.longQueryReplica ? lagUs + SWITCH_MARGIN_US : lagUs;
     }
 
     /**
@@ -88,7 +90,7 @@
         if (request.requestClass.access() != Access.ANY) {
             return 1;
         }
-        double length = Math.min(1, latencies.meanUs(request.classIndex()) / FULL_PREFERENCE_US);
-        return 1 + length * Math.min(freshness.unusualLagUs(member), MOST_LAG_US) / FULL_PREFERENCE_US;
+        double strength = Math.min(1, latencies.meanUs(request.classIndex()) / FULL_PREFERENCE_LATENCY_US);
+        return 1 + strength * Math.min(freshness.excessLagUs(member), MAX_PREFERRED_LAG_US) / PREFERENCE_LAG_UNIT_US;
     }
 }
--- a/decisions/src/main/java/frostreel/routing/NearestZonePolicy.java
+++ b/decisions/src/main/java/frostreel/routing/NearestZonePolicy.java
@@ -5,14 +5,14 @@
  * those of the router's own, and all are admitted. A member's handle is its zone.
  */
 public final class NearestZonePolicy implements LocalityPolicy {
-    private static final double OWN_ZONE_COST_FACTOR = 1;
-    private static final double OTHER_ZONE_COST_FACTOR = 2;
+    private static final double LOCAL_ZONE_COST_FACTOR = 1;
+    private static final double REMOTE_ZONE_COST_FACTOR = 2;
 
-    private final int ownZone;
+    private final int localZone;
 
-    /** {@code ownZone}: the zone of the router. */
-    public NearestZonePolicy(int ownZone) {
-        this.ownZone = ownZone;
+    /** {@code localZone}: the zone of the router. */
+    public NearestZonePolicy(int localZone) {
+        this.localZone = localZone;
     }
 
     @Override
@@ -37,7 +37,7 @@
 
     @Override
     public double costFactor(long nowUs, int handle) {
-        return handle == ownZone ? OWN_ZONE_COST_FACTOR : OTHER_ZONE_COST_FACTOR;
+        return handle == localZone ? LOCAL_ZONE_COST_FACTOR : REMOTE_ZONE_COST_FACTOR;
     }
 
     @Override
--- a/decisions/src/main/java/frostreel/routing/OutlierDetector.java
+++ b/decisions/src/main/java/frostreel/routing/OutlierDetector.java
@@ -7,17 +7,17 @@
  */
 final class OutlierDetector {
     /** Time constant in microseconds over which observations fade, about that of a short outage. */
-    private static final double FADE_US = 4e6;
+    private static final double DECAY_TIME_CONSTANT_US = 4e6;
     /** Weight of one more sample in the running mean. */
     private static final double SAMPLE_WEIGHT = 0.15;
     /** Failures are rarer than answers, and count twice. */
     private static final double FAILURE_WEIGHT = 2 * SAMPLE_WEIGHT;
     /** One answer counts as at most this many times slower than the mean, so that it doesn't decide alone. */
-    private static final double HIGHEST_SAMPLE = 10;
+    private static final double MAX_LATENCY_RATIO = 10;
     /** Cost added, in multiples of the cost without failures, for a member all of whose attempts fail. */
     private static final double FAILURE_COST = 12;
     /** A silent member costs this many times as much as one that answers. */
-    private static final double SILENCE_COST = 12;
+    private static final double SILENCE_COST_FACTOR = 12;
     /** A member is silent after this many times the expected latency without any answer. */
     static final double SILENCE_FACTOR = 4;
 
@@ -26,13 +26,13 @@
 
     private double failureRate;
     private long observedAtUs;
-    private long lastProgressUs;
+    private long lastResponseUs;
     /** The longest expected latency among the attempts in flight. */
     private double slowestExpectedUs;
 
     OutlierDetector(long nowUs) {
         observedAtUs = nowUs;
-        lastProgressUs = nowUs;
+        lastResponseUs = nowUs;
     }
 
     /** The member was restarted: what was observed before says nothing of it. */
@@ -43,26 +43,26 @@
 
     /** The latency to expect of it for a class with this mean latency among all members. */
     double expectedLatencyUs(long nowUs, double meanLatencyUs) {
-        return meanLatencyUs * (1 + (latencyRatio - 1) * fading(nowUs));
+        return meanLatencyUs * (1 + (latencyRatio - 1) * decayFactor(nowUs));
     }
 
     /** How little it should be chosen: {@code load} raised by slow answers, failures and silence. */
     double cost(long nowUs, int inFlight, double load) {
-        double fading = fading(nowUs);
-        double latencyCost = 1 + (latencyRatio - 1) * fading;
-        double failureCost = 1 + FAILURE_COST * failureRate * fading;
+        double decayFactor = decayFactor(nowUs);
+        double latencyCost = 1 + (latencyRatio - 1) * decayFactor;
+        double failureCost = 1 + FAILURE_COST * failureRate * decayFactor;
         double cost = latencyCost * load * failureCost;
-        return isSilent(nowUs, inFlight) ? cost * SILENCE_COST : cost;
+        return isSilent(nowUs, inFlight) ? cost * SILENCE_COST_FACTOR : cost;
     }
 
     /** Whether attempts are in flight and no answer has come for a multiple of the expected latency. */
     boolean isSilent(long nowUs, int inFlight) {
-        return inFlight > 0 && nowUs - lastProgressUs > SILENCE_FACTOR * slowestExpectedUs;
+        return inFlight > 0 && nowUs - lastResponseUs > SILENCE_FACTOR * slowestExpectedUs;
     }
 
     /** An answer of any kind arrived. */
     void recordResponse(long nowUs) {
-        lastProgressUs = nowUs;
+        lastResponseUs = nowUs;
     }
 
     /** No attempt is in flight any more. */
@@ -73,7 +73,7 @@
     /** An attempt goes out beside {@code inFlight} others, of a class with this mean latency. */
     void recordSend(long nowUs, int inFlight, double meanLatencyUs) {
         if (inFlight == 0) {
-            lastProgressUs = nowUs;
+            lastResponseUs = nowUs;
         }
         double expectedUs = Math.max(meanLatencyUs, expectedLatencyUs(nowUs, meanLatencyUs));
         slowestExpectedUs = Math.max(slowestExpectedUs, expectedUs);
@@ -81,25 +81,25 @@
 
     /** An attempt succeeded, after {@code ratio} times the mean latency of its class. */
     void recordSuccess(long nowUs, double ratio) {
-        fadeAndRecord(nowUs, 0);
+        decayAndRecord(nowUs, 0);
         if (ratio > 0) {
-            latencyRatio += SAMPLE_WEIGHT * (Math.min(ratio, HIGHEST_SAMPLE) - latencyRatio);
+            latencyRatio += SAMPLE_WEIGHT * (Math.min(ratio, MAX_LATENCY_RATIO) - latencyRatio);
         }
     }
 
     /** An attempt failed. */
     void recordFailure(long nowUs) {
-        fadeAndRecord(nowUs, FAILURE_WEIGHT);
+        decayAndRecord(nowUs, FAILURE_WEIGHT);
     }
 
-    private void fadeAndRecord(long nowUs, double failure) {
-        double fading = fading(nowUs);
-        failureRate = failureRate * fading * (1 - FAILURE_WEIGHT) + failure;
-        latencyRatio = 1 + (latencyRatio - 1) * fading;
+    private void decayAndRecord(long nowUs, double failureWeight) {
+        double decayFactor = decayFactor(nowUs);
+        failureRate = failureRate * decayFactor * (1 - FAILURE_WEIGHT) + failureWeight;
+        latencyRatio = 1 + (latencyRatio - 1) * decayFactor;
         observedAtUs = nowUs;
     }
 
-    private double fading(long nowUs) {
-        return Math.exp(-(nowUs - observedAtUs) / FADE_US);
+    private double decayFactor(long nowUs) {
+        return Math.exp(-(nowUs - observedAtUs) / DECAY_TIME_CONSTANT_US);
     }
 }
--- a/decisions/src/main/java/frostreel/routing/ReplicaScan.java
+++ b/decisions/src/main/java/frostreel/routing/ReplicaScan.java
@@ -6,9 +6,9 @@
  */
 final class ReplicaScan {
     /** A replica replaces the best so far only if it is cheaper by this factor: closer ones take turns. */
-    private static final double EQUAL_COST = 1.25;
+    private static final double REPLACEMENT_COST_RATIO = 1.25;
     /** Any replica is cheaper than none. */
-    private static final double COST_OF_NONE = Double.MAX_VALUE;
+    private static final double NO_CANDIDATE_COST = Double.MAX_VALUE;
 
     /** The position that the read requires. */
     long requiredPositionUs;
@@ -19,7 +19,7 @@
     /** A replica might serve the read later. */
     boolean mayServeLater;
     /** The locality policy permits no more reads to a replica that could serve this one. */
-    boolean denied;
+    boolean deniedByPolicy;
 
     private MemberState best;
     private double bestCost;
@@ -32,16 +32,16 @@
         requiredReplica = newRequiredReplica;
         windowShare = newWindowShare;
         mayServeLater = false;
-        denied = false;
+        deniedByPolicy = false;
         best = null;
-        bestCost = COST_OF_NONE;
+        bestCost = NO_CANDIDATE_COST;
         unproven = null;
-        unprovenCost = COST_OF_NONE;
+        unprovenCost = NO_CANDIDATE_COST;
     }
 
     /** A replica can serve the read now. */
     void offer(MemberState replica, double cost) {
-        if (cost * EQUAL_COST < bestCost) {
+        if (cost * REPLACEMENT_COST_RATIO < bestCost) {
             bestCost = cost;
             best = replica;
         }
@@ -49,7 +49,7 @@
 
     /** A health check might prove that a replica is fresh enough to serve the read. */
     void offerUnproven(MemberState replica, double cost) {
-        if (cost * EQUAL_COST < unprovenCost) {
+        if (cost * REPLACEMENT_COST_RATIO < unprovenCost) {
             unprovenCost = cost;
             unproven = replica;
         }
@@ -66,7 +66,7 @@
     }
 
     /** Whether only the locality policy keeps the read from being served, now and later. */
-    boolean isOnlyDenied() {
-        return denied && !mayServeLater && unproven == null;
+    boolean isDeniedByPolicyOnly() {
+        return deniedByPolicy && !mayServeLater && unproven == null;
     }
 }
--- a/decisions/src/main/java/frostreel/routing/ReplicaSelector.java
+++ b/decisions/src/main/java/frostreel/routing/ReplicaSelector.java
@@ -17,11 +17,11 @@
     /** Part of the primary's window for reads that no replica can serve; the rest is for writes. */
     private static final double PRIMARY_READ_SHARE = 0.6;
     /** A read waits for a health check for one tenth of its latency objective. */
-    private static final int WAITS_PER_OBJECTIVE = 10;
+    private static final int HEALTH_CHECK_WAIT_DIVISOR = 10;
     /** It waits at least this many ticks of the clock: an answer isn't noticed sooner. */
-    private static final int LEAST_WAIT_TICKS = 2;
+    private static final int MIN_WAIT_TICKS = 2;
     /** A read that was tried on all members is tried again after this time in microseconds. */
-    private static final long ROUND_DELAY_US = 50_000;
+    private static final long RETRY_ROUND_DELAY_US = 50_000;
 
     private final ReplicaScan scan = new ReplicaScan();
     private final int rotationSeed;
@@ -58,7 +58,7 @@
 
     /** Sends a read if a member can take it now; else decides whether it waits. */
     ReadDecision route(long nowUs, PendingRequest request) {
-        if (hasNoUse(nowUs, request)) {
+        if (shouldGiveUp(nowUs, request)) {
             return ReadDecision.GIVE_UP;
         }
         if (nowUs < request.notBeforeUs) {
@@ -73,14 +73,14 @@
         if (scan.requiredReplica == null && sendToPrimary(nowUs, request)) {
             return ReadDecision.SENT;
         }
-        if (scan.isOnlyDenied()) {
+        if (scan.isDeniedByPolicyOnly()) {
             return ReadDecision.GIVE_UP;
         }
         startNextRoundIfAllWereTried(nowUs, request);
         return ReadDecision.WAIT;
     }
 
-    private boolean hasNoUse(long nowUs, PendingRequest request) {
+    private boolean shouldGiveUp(long nowUs, PendingRequest request) {
         return retryPolicy.isTooLateForRead(nowUs, request)
                 || retryPolicy.hasWaitedTooLong(nowUs, request)
                 || retryPolicy.isExhausted(nowUs, request);
@@ -89,7 +89,7 @@
     private void startNextRoundIfAllWereTried(long nowUs, PendingRequest request) {
         if (primarySearch.nextCandidate(request) == null) {
             request.triedMembers.clear();
-            request.notBeforeUs = nowUs + ROUND_DELAY_US;
+            request.notBeforeUs = nowUs + RETRY_ROUND_DELAY_US;
         }
     }
 
@@ -126,11 +126,11 @@
     /** Looks at each replica once, beginning with the one whose turn it is. */
     private void scanReplicas(long nowUs, PendingRequest request) {
         GroupState group = request.group;
-        boolean sharesWindow = request.requestClass.access() == Access.ANY && !latencies.isLongRunning(request);
+        boolean usesPartOfWindow = request.requestClass.access() == Access.ANY && !latencies.isLongRunning(request);
         scan.reset(
                 freshness.requiredPositionUs(nowUs, request),
                 longQueries.requiredReplica(nowUs, request),
-                sharesWindow ? ANY_READ_SHARE : WHOLE_WINDOW);
+                usesPartOfWindow ? ANY_READ_SHARE : WHOLE_WINDOW);
         int size = group.chain.size();
         for (int i = 0; i < size; i++) {
             MemberState member = group.chain.get((rotationSeed + group.rotation + i) % size);
@@ -169,7 +169,7 @@
         if (!hasCapacity(nowUs, request, member)) {
             scan.mayServeLater = true;
         } else if (!localityPolicy.admits(nowUs, member.localityHandle, request.classIndex())) {
-            scan.denied = true;
+            scan.deniedByPolicy = true;
         } else {
             scan.offer(member, replicaCost.of(nowUs, request, member, costFactor));
         }
@@ -208,16 +208,16 @@
             return false;
         }
         if (request.healthCheckWaitUntilUs == PendingRequest.NO_WAIT_YET) {
-            request.healthCheckWaitUntilUs = nowUs + longestWaitUs(request);
+            request.healthCheckWaitUntilUs = nowUs + maxHealthCheckWaitUs(request);
         }
         return nowUs < request.healthCheckWaitUntilUs
                 && healthChecker.reportsPositions()
                 && isHealthCheckPending(request);
     }
 
-    private long longestWaitUs(PendingRequest request) {
-        long shareUs = request.requestClass.latencyObjectiveUs() / WAITS_PER_OBJECTIVE;
-        return Math.max(LEAST_WAIT_TICKS * settings.get().tickUs(), shareUs);
+    private long maxHealthCheckWaitUs(PendingRequest request) {
+        long shareUs = request.requestClass.latencyObjectiveUs() / HEALTH_CHECK_WAIT_DIVISOR;
+        return Math.max(MIN_WAIT_TICKS * settings.get().tickUs(), shareUs);
     }
 
     private boolean isHealthCheckPending(PendingRequest request) {
--- a/decisions/src/main/java/frostreel/routing/SessionCommits.java
+++ b/decisions/src/main/java/frostreel/routing/SessionCommits.java
@@ -24,18 +24,18 @@
         /** Since when at least one write is in flight. */
         long inFlightSinceUs;
         /** Until when writes that ended with unknown outcome may be answered. */
-        long unknownUntilUs;
+        long unknownOutcomeUntilUs;
 
         /** The latest commit that the writes may have, where none is in flight. */
-        long latestUs() {
-            return Math.max(lastCommitUs, unknownUntilUs);
+        long latestPossibleCommitUs() {
+            return Math.max(lastCommitUs, unknownOutcomeUntilUs);
         }
     }
 
     /** The longest unused first. */
     private final LinkedHashMap<Long, SessionWrites> sessions = new LinkedHashMap<>();
     /** Binds the reads of every session, on behalf of the sessions that were dropped. */
-    private long floorUs;
+    private long minPositionUs;
 
     /** A write of the session was sent. */
     void recordSend(long nowUs, long session) {
@@ -62,32 +62,32 @@
         SessionWrites writes = sessions.get(session);
         if (writes != null) { // A session that was dropped binds all reads already.
             writes.inFlight = Math.max(0, writes.inFlight - 1);
-            learn(writes, nowUs, deadlineUs, outcome, commitUs);
+            applyOutcome(writes, nowUs, deadlineUs, outcome, commitUs);
         }
-        dropOldest(nowUs, retentionUs);
+        evictOldest(nowUs, retentionUs);
     }
 
-    private static void learn(
+    private static void applyOutcome(
             SessionWrites writes, long nowUs, long deadlineUs, Router.Outcome outcome, long commitUs) {
         if (outcome == Router.Outcome.OK && commitUs > Router.NO_POSITION) {
             writes.lastCommitUs = Math.max(writes.lastCommitUs, commitUs);
         } else if (!outcome.provesNotRun) {
             boolean mayStillRun = outcome == Router.Outcome.TIMEOUT || outcome == Router.Outcome.CANCELLED;
-            long answeredByUs = mayStillRun ? Math.max(nowUs, deadlineUs) : nowUs;
-            writes.unknownUntilUs = Math.max(writes.unknownUntilUs, answeredByUs);
+            long respondedByUs = mayStillRun ? Math.max(nowUs, deadlineUs) : nowUs;
+            writes.unknownOutcomeUntilUs = Math.max(writes.unknownOutcomeUntilUs, respondedByUs);
         }
     }
 
-    private void dropOldest(long nowUs, long retentionUs) {
+    private void evictOldest(long nowUs, long retentionUs) {
         Iterator<SessionWrites> oldestFirst = sessions.values().iterator();
         while (oldestFirst.hasNext()) {
             SessionWrites oldest = oldestFirst.next();
-            boolean aged = oldest.inFlight == 0 && oldest.latestUs() < nowUs - retentionUs;
-            if (!aged && sessions.size() <= MAX_SESSIONS) {
+            boolean expired = oldest.inFlight == 0 && oldest.latestPossibleCommitUs() < nowUs - retentionUs;
+            if (!expired && sessions.size() <= MAX_SESSIONS) {
                 break;
             }
-            long mayCommitUntilUs = oldest.inFlight == 0 ? oldest.latestUs() : nowUs + retentionUs;
-            floorUs = Math.max(floorUs, mayCommitUntilUs);
+            long mayCommitUntilUs = oldest.inFlight == 0 ? oldest.latestPossibleCommitUs() : nowUs + retentionUs;
+            minPositionUs = Math.max(minPositionUs, mayCommitUntilUs);
             oldestFirst.remove();
         }
     }
@@ -95,7 +95,7 @@
     /** The position that a read of the session must see now, or {@link Router#NO_POSITION}. */
     long requiredPositionUs(long nowUs, long session) {
         SessionWrites writes = sessions.get(session);
-        long requiredUs = Math.min(floorUs, nowUs);
+        long requiredUs = Math.min(minPositionUs, nowUs);
         if (writes == null) {
             return requiredUs;
         }
@@ -106,7 +106,7 @@
         if (writes.inFlight > 0 && writes.inFlightSinceUs < knownUs) {
             requiredUs = Math.max(requiredUs, knownUs);
         }
-        return Math.max(requiredUs, Math.min(knownUs, writes.unknownUntilUs));
+        return Math.max(requiredUs, Math.min(knownUs, writes.unknownOutcomeUntilUs));
     }
 
     /** How many sessions are kept. */
--- a/decisions/src/main/java/frostreel/routing/SlowStart.java
+++ b/decisions/src/main/java/frostreel/routing/SlowStart.java
@@ -20,11 +20,11 @@
     /** How much of the overload rule's time span a budget may hold. */
     private static final double BUDGET_SPAN_SHARE = 0.5;
     /** A member with this share of its capacity in use is busy enough. */
-    private static final double FULL_UTILIZATION = 0.9;
+    private static final double TARGET_UTILIZATION = 0.9;
     /** A lower utilization than this says nothing about a capacity. */
     private static final double MIN_UTILIZATION = 0.05;
 
-    private static final long NOT_BEGUN = Long.MIN_VALUE;
+    private static final long NOTHING_LISTED = Long.MIN_VALUE;
 
     /** What is known of a member from the endpoint list and from answers; made by {@link #register}. */
     static final class Member {
@@ -60,7 +60,7 @@
     private final List<Member> members = new ArrayList<>();
     private Router.Settings settings;
     /** When the first member was listed: what was served before is not known to this router. */
-    private long begunUs = NOT_BEGUN;
+    private long firstListedAtUs = NOTHING_LISTED;
 
     SlowStart(Router.Settings settings) {
         this.settings = settings;
@@ -76,8 +76,8 @@
 
     /** Starts to track a member that is newly listed. */
     Member register(long nowUs) {
-        if (begunUs == NOT_BEGUN) {
-            begunUs = nowUs;
+        if (firstListedAtUs == NOTHING_LISTED) {
+            firstListedAtUs = nowUs;
         }
         Member member = new Member(new DecayingRate(this::timeConstantUs));
         member.budgetUpdatedUs = nowUs;
@@ -102,11 +102,11 @@
             return false;
         }
         member.startedUs = entry.startedUs();
-        startOver(nowUs, member);
+        recordRestart(nowUs, member);
         return true;
     }
 
-    private void startOver(long nowUs, Member member) {
+    private void recordRestart(long nowUs, Member member) {
         member.utilization = NO_REPORT;
         member.servedWork.scale(warmth(nowUs, member)); // It can do as little as it is warm now.
         member.budgetUs = 0;
@@ -134,12 +134,12 @@
     /** Learns from an answer that served a request of this class in {@code tookUs}. */
     void recordResponse(long nowUs, Member member, int classIndex, long tookUs) {
         serviceTimes.recordResponse(classIndex, tookUs);
-        member.servedWork.add(nowUs, serviceTimes.us(classIndex));
+        member.servedWork.add(nowUs, serviceTimes.serviceTimeUs(classIndex));
     }
 
     /** Takes a request of this class, which is sent to the member, off its budget. */
     void recordSend(Member member, int classIndex) {
-        member.budgetUs -= serviceTimes.us(classIndex);
+        member.budgetUs -= serviceTimes.serviceTimeUs(classIndex);
     }
 
     /**
@@ -152,7 +152,7 @@
         if (warmth >= 1) {
             return true;
         }
-        double requestUs = serviceTimes.us(classIndex);
+        double requestUs = serviceTimes.serviceTimeUs(classIndex);
         refillBudget(nowUs, member, workPerUs(nowUs, member, warmth), requestUs);
         return member.budgetUs > member.sendThreshold * requestUs;
     }
@@ -181,7 +181,7 @@
         if (!member.hasReported()) {
             return maxFactor;
         }
-        return Math.max(1, Math.min(FULL_UTILIZATION / member.utilization, maxFactor));
+        return Math.max(1, Math.min(TARGET_UTILIZATION / member.utilization, maxFactor));
     }
 
     /**
@@ -208,12 +208,12 @@
             }
         }
         double capacityInUse = reportedCapacity > 0 ? usedCapacity * allCapacity / reportedCapacity : allCapacity;
-        return servedWork / observedPart(nowUs) / capacityInUse;
+        return servedWork / observedShare(nowUs) / capacityInUse;
     }
 
     /** How much of what is served this router has seen by now, as its rates begin at 0. */
-    private double observedPart(long nowUs) {
-        return -Math.expm1((begunUs - nowUs - 1) / (double) timeConstantUs());
+    private double observedShare(long nowUs) {
+        return -Math.expm1((firstListedAtUs - nowUs - 1) / (double) timeConstantUs());
     }
 
     private double warmth(long nowUs, Member member) {
--- a/decisions/src/test/java/frostreel/routing/GoodputTest.java
+++ b/decisions/src/test/java/frostreel/routing/GoodputTest.java
@@ -23,38 +23,38 @@
 
     @Test
     void nothingIsShedBeforeAnyRequestEnded() {
-        assertThat(group.excess(NOW_US, allGroups)).isZero();
+        assertThat(group.shedShare(NOW_US, allGroups)).isZero();
     }
 
     @Test
     void nothingIsShedWhileEverySecondRequestIsUseful() {
         add(group, 50, 50);
         add(allGroups, 50, 50);
-        assertThat(group.excess(NOW_US, allGroups)).isZero();
+        assertThat(group.shedShare(NOW_US, allGroups)).isZero();
     }
 
     @Test
     void ofUselessRequestsAlmostAllAreShed() {
         add(group, 0, 1_000);
         add(allGroups, 0, 1_000);
-        assertThat(group.excess(NOW_US, allGroups)).isEqualTo(0.9);
+        assertThat(group.shedShare(NOW_US, allGroups)).isEqualTo(0.9);
     }
 
     @Test
     void aQuarterUsefulShedsAboutAHalf() {
         add(group, 250, 750);
-        assertThat(group.excess(NOW_US, allGroups)).isCloseTo(0.5, within(0.001));
+        assertThat(group.shedShare(NOW_US, allGroups)).isCloseTo(0.5, within(0.001));
     }
 
     @Test
     void aGroupWithoutRequestsFollowsAllGroups() {
         add(allGroups, 250, 750);
-        assertThat(group.excess(NOW_US, allGroups)).isCloseTo(0.5, within(0.001));
+        assertThat(group.shedShare(NOW_US, allGroups)).isCloseTo(0.5, within(0.001));
     }
 
     @Test
     void whatIsLongPastCountsForNothing() {
         add(group, 0, 1_000);
-        assertThat(group.excess(NOW_US + 30 * TIME_CONSTANT_US, allGroups)).isCloseTo(0, within(0.001));
+        assertThat(group.shedShare(NOW_US + 30 * TIME_CONSTANT_US, allGroups)).isCloseTo(0, within(0.001));
     }
 }
