--- a/decisions/src/test/java/frostreel/routing/ConcurrencyLimitTest.java
+++ b/decisions/src/test/java/frostreel/routing/ConcurrencyLimitTest.java
@@ -21,7 +21,7 @@
     @EnumSource(
             value = Outcome.class,
             names = {"REJECTED", "CONNECT_FAILED"})
-    void rejectingOrUnreachableMemberIsPausedForAWhile(Outcome outcome) {
+    void rejectingOrUnreachableMemberIsPaused(Outcome outcome) {
         RouterHarness harness = new SettingsBuilder().start(primary("a", 0), replica("b", 0));
         for (int i = 0; i < 100; i++) {
             harness.submit("read" + i, ANY_READ);
@@ -42,12 +42,12 @@
     void memberWhoseServiceTimeIsAThirdOfTheObjectiveReceivesConcurrentRequests() {
         RouterHarness harness = new SettingsBuilder().start(replica("b", 0));
         harness.submitInTurn("read", 200, ANY_READ, 200_000, attempt -> harness.answer(attempt, 200_000, Role.REPLICA));
-        assertSentAtOnce(harness, ANY_READ);
+        assertFourAreSentAtOnce(harness, ANY_READ);
     }
 
     /** Answers may be corrupted, from any member equally: sending less shortens no queue then. */
     @Test
-    void errorsThatArriveInTimeDoNotNarrowTheWindow() {
+    void errorsThatArriveInTimeDoNotShrinkTheWindow() {
         RouterHarness harness = new SettingsBuilder().start(primary("a", 0));
         int attempted = harness.submitInTurn(
                 "write",
@@ -56,10 +56,10 @@
                 200_000,
                 attempt -> harness.complete(attempt.requestId(), Outcome.ERROR, Role.PRIMARY, 0));
         assertEquals(30, attempted);
-        assertSentAtOnce(harness, NON_IDEMPOTENT_WRITE);
+        assertFourAreSentAtOnce(harness, NON_IDEMPOTENT_WRITE);
     }
 
-    private static void assertSentAtOnce(RouterHarness harness, int requestClass) {
+    private static void assertFourAreSentAtOnce(RouterHarness harness, int requestClass) {
         for (int i = 0; i < 4; i++) {
             harness.submit("at once " + i, requestClass);
             assertNotNull(harness.lastAttempt("at once " + i), "of four at once, number " + i + " waits");
--- a/decisions/src/test/java/frostreel/routing/ConcurrencyWindowTest.java
+++ b/decisions/src/test/java/frostreel/routing/ConcurrencyWindowTest.java
@@ -20,14 +20,14 @@
     }
 
     @Test
-    void newMemberMayHaveFourAttemptsAndAPartOfThemWhereAShareIsReserved() {
+    void newMemberAdmitsFourAttemptsOrTheGivenShareOfThem() {
         assertThat(capacity()).isEqualTo(4);
         assertThat(window.hasRoom(NOW_US, 1, 0.5)).isTrue();
         assertThat(window.hasRoom(NOW_US, 2, 0.5)).isFalse();
     }
 
     @Test
-    void everyAnswerInTimeWidensTheWindowByOneUntilThereIsASignOfAQueue() {
+    void everyResponseInTimeEnlargesTheWindowByOneUntilThereIsASignOfAQueue() {
         window.grow(3);
         window.grow(4);
         assertThat(capacity()).isEqualTo(6);
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void signsOfOneQueueNarrowTheWindowOnce() {
+    void signsOfOneQueueShrinkTheWindowOnce() {
         window.shrink(NOW_US, 3, LATENCY_US);
         window.shrink(NOW_US + (long) LATENCY_US, 3, LATENCY_US);
         assertThat(capacity()).isEqualTo(3);
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void pausesDoubleUpToHalfASecondAndStartOverAfterAnAnswerInTime() {
+    void pausesDoubleUpToHalfASecondAndStartOverAfterAResponseInTime() {
         assertPause(10_000);
         assertPause(20_000);
         assertPause(40_000);
--- a/decisions/src/test/java/frostreel/routing/FreshnessTest.java
+++ b/decisions/src/test/java/frostreel/routing/FreshnessTest.java
@@ -98,7 +98,7 @@
 
     /** Forgetting a commit must not permit its session to read data that is older than its write. */
     @Test
-    void forgottenCommitsStillBindReads() {
+    void readsMustSeeCommitsOfDroppedSessions() {
         RouterHarness harness = rememberingSessions();
         harness.submit("write", NON_IDEMPOTENT_WRITE);
         long commitUs = harness.nowUs;
--- a/decisions/src/test/java/frostreel/routing/GoodputTest.java
+++ b/decisions/src/test/java/frostreel/routing/GoodputTest.java
@@ -34,26 +34,26 @@
     }
 
     @Test
-    void ofUselessRequestsAlmostAllAreShed() {
+    void almostAllRequestsAreShedIfNoneIsUseful() {
         add(group, 0, 1_000);
         add(allGroups, 0, 1_000);
         assertThat(group.shedShare(NOW_US, allGroups)).isEqualTo(0.9);
     }
 
     @Test
-    void aQuarterUsefulShedsAboutAHalf() {
+    void aboutHalfIsShedIfAQuarterIsUseful() {
         add(group, 250, 750);
         assertThat(group.shedShare(NOW_US, allGroups)).isCloseTo(0.5, within(0.001));
     }
 
     @Test
-    void aGroupWithoutRequestsFollowsAllGroups() {
+    void groupWithoutRequestsUsesTheShareOfAllGroups() {
         add(allGroups, 250, 750);
         assertThat(group.shedShare(NOW_US, allGroups)).isCloseTo(0.5, within(0.001));
     }
 
     @Test
-    void whatIsLongPastCountsForNothing() {
+    void requestsOfTheDistantPastDoNotCount() {
         add(group, 0, 1_000);
         assertThat(group.shedShare(NOW_US + 30 * TIME_CONSTANT_US, allGroups)).isCloseTo(0, within(0.001));
     }
--- a/decisions/src/test/java/frostreel/routing/LoadShedderTest.java
+++ b/decisions/src/test/java/frostreel/routing/LoadShedderTest.java
@@ -24,7 +24,7 @@
         return new PendingRequest(original, settings.classes().get(RouterHarness.ANY_READ), group, 8, NOW_US);
     }
 
-    private int shedOf(int requests) {
+    private int shedCount(int requests) {
         int shed = 0;
         for (int i = 0; i < requests; i++) {
             shed += shedder.shouldShed(NOW_US, read()) ? 1 : 0;
@@ -32,7 +32,7 @@
         return shed;
     }
 
-    private void endUselessly(int requests, boolean countsForGoodput) {
+    private void endWithoutResponse(int requests, boolean countsForGoodput) {
         for (int i = 0; i < requests; i++) {
             PendingRequest request = read();
             request.countsForGoodput = countsForGoodput;
@@ -40,30 +40,30 @@
         }
     }
 
-    private void narrowWindow() {
+    private void shrinkWindowToMinimum() {
         for (int i = 1; i <= 20; i++) {
             group.chain.get(0).window.shrink(NOW_US + i * NOW_US, 0, 1);
         }
     }
 
     @Test
-    void uselessRequestsAloneShedNothingAndMostAreShedOnceAWindowIsAtItsSmallest() {
-        endUselessly(1_000, true);
-        assertThat(shedOf(1_000)).isZero();
-        narrowWindow();
-        assertThat(shedOf(1_000)).isBetween(850, 950);
+    void uselessRequestsCauseSheddingOnlyOnceAWindowIsAtItsMinimum() {
+        endWithoutResponse(1_000, true);
+        assertThat(shedCount(1_000)).isZero();
+        shrinkWindowToMinimum();
+        assertThat(shedCount(1_000)).isBetween(850, 950);
     }
 
     @Test
-    void smallestWindowAloneShedsNothingNorDoRequestsThatLoadDidNotEnd() {
-        narrowWindow();
-        assertThat(shedOf(1_000)).isZero();
-        endUselessly(1_000, false);
-        assertThat(shedOf(1_000)).isZero();
+    void minimumWindowShedsNothingAloneOrWithRequestsThatEndedForOtherReasonsThanLoad() {
+        shrinkWindowToMinimum();
+        assertThat(shedCount(1_000)).isZero();
+        endWithoutResponse(1_000, false);
+        assertThat(shedCount(1_000)).isZero();
     }
 
     @Test
-    void moreThanThreeEighthsOfTheLimitAreTooManyAndWithoutALimitNoneAre() {
+    void limitIsNearAboveThreeEighthsOfItAndNeverWithoutALimit() {
         assertThat(shedder.isNearLimit(3)).isFalse();
         assertThat(shedder.isNearLimit(4)).isTrue();
         ActiveSettings unlimited = new ActiveSettings(new SettingsBuilder().build());
--- a/decisions/src/test/java/frostreel/routing/FleetTest.java
+++ b/decisions/src/test/java/frostreel/routing/ManyRoutersTest.java
@@ -17,29 +17,31 @@
 import org.junit.jupiter.api.Test;
 
 /** What many routers do to the same members, where each knows only what it observed itself. */
-class FleetTest {
+class ManyRoutersTest {
     private static final int INSTANCES = 14;
     /** What a router without history expects of a request: a fifth of the latency objective. */
     private static final long USUAL_DURATION_US = 120_000;
 
-    private static List<RouterHarness> fleet(Member... members) {
-        List<RouterHarness> all = new ArrayList<>();
+    private static List<RouterHarness> startRouters(Member... members) {
+        List<RouterHarness> routers = new ArrayList<>();
         for (int seed = 0; seed < INSTANCES; seed++) {
-            all.add(new SettingsBuilder().seed(seed).instances(INSTANCES).start(members));
+            routers.add(new SettingsBuilder().seed(seed).instances(INSTANCES).start(members));
         }
-        return all;
+        return routers;
     }
 
-    private static long sentTo(List<RouterHarness> all, String member) {
-        return all.stream().mapToLong(harness -> harness.attemptCountTo(member)).sum();
+    private static long sentTo(List<RouterHarness> routers, String member) {
+        return routers.stream()
+                .mapToLong(harness -> harness.attemptCountTo(member))
+                .sum();
     }
 
     /** Without history each router took its share to be zero, and a replaced group stayed idle until it was warm. */
     @Test
     void routersWithoutHistoryTogetherSendAStartingGroupItsFirstWork() {
         Member restarted = startedAt(primary("a", 0), 99_900_000);
-        List<RouterHarness> all = fleet(restarted, startedAt(replica("b", 0), 99_900_000));
-        for (RouterHarness harness : all) {
+        List<RouterHarness> routers = startRouters(restarted, startedAt(replica("b", 0), 99_900_000));
+        for (RouterHarness harness : routers) {
             for (int i = 0; i < 4; i++) {
                 harness.submit("write" + i, NON_IDEMPOTENT_WRITE);
                 harness.advance(500_000);
@@ -47,7 +49,7 @@
         }
         // A starting member has at least a fifth of a core of half the speed: three requests of 60 ms in two
         // seconds. Three times as many overload it.
-        assertThat(sentTo(all, "a")).isBetween(1L, 8L);
+        assertThat(sentTo(routers, "a")).isBetween(1L, 8L);
     }
 
     /**
@@ -56,13 +58,13 @@
      */
     @Test
     void startingMemberReceivesWhatItsCapacityAllowsNotAShareOfTheCurrentLoad() {
-        RouterHarness busy = served(1);
-        RouterHarness calm = served(0.1);
+        RouterHarness busy = serveReads(1);
+        RouterHarness calm = serveReads(0.1);
         assertThat(busy.attemptCountTo("c")).isPositive().isLessThan(busy.attemptCountTo("b") / 2);
         assertThat(calm.attemptCountTo("c")).isGreaterThan(2 * busy.attemptCountTo("c"));
     }
 
-    private static RouterHarness served(double utilization) {
+    private static RouterHarness serveReads(double utilization) {
         RouterHarness harness = new SettingsBuilder()
                 .instances(INSTANCES)
                 .start(primary("a", 0), replica("b", 0), startedAt(replica("c", 0), 99_900_000));
@@ -73,12 +75,14 @@
         return harness;
     }
 
-    private static long healthChecks(List<RouterHarness> all) {
-        return all.stream().mapToLong(harness -> harness.healthChecked.size()).sum();
+    private static long healthChecks(List<RouterHarness> routers) {
+        return routers.stream()
+                .mapToLong(harness -> harness.healthChecked.size())
+                .sum();
     }
 
     /** Answers what was health-checked since then, each member as a replica that lags this far. */
-    private static void answerHealthChecks(RouterHarness harness, int since, long lagUs) {
+    private static void completeHealthChecks(RouterHarness harness, int since, long lagUs) {
         for (int i = since; i < harness.healthChecked.size(); i++) {
             harness.healthCheckSucceeded(harness.healthChecked.get(i), Role.REPLICA, harness.nowUs - lagUs);
         }
@@ -87,18 +91,18 @@
     /** Each waiting read had each replica checked four times a second, by each of fourteen routers. */
     @Test
     void replicaFarBehindIsNotCheckedAgainBeforeItCanHaveCaughtUp() {
-        List<RouterHarness> all = fleet(primary("a", 0), replica("b", 0));
-        for (RouterHarness harness : all) {
+        List<RouterHarness> routers = startRouters(primary("a", 0), replica("b", 0));
+        for (RouterHarness harness : routers) {
             for (int i = 0; i < 30; i++) {
                 int before = harness.healthChecked.size();
                 harness.submit("read" + i, BOUNDED_READ);
                 harness.advance(100_000);
                 harness.complete("read" + i, Outcome.OK, Role.PRIMARY, harness.nowUs); // No replica is fresh enough.
-                answerHealthChecks(harness, before, 5_000_000);
+                completeHealthChecks(harness, before, 5_000_000);
             }
         }
         // 4.2 s over its bound, it needs at least 2.9 s to catch up: one check at first, and one in three seconds.
-        assertThat(healthChecks(all)).isBetween((long) INSTANCES, 2L * INSTANCES);
+        assertThat(healthChecks(routers)).isBetween((long) INSTANCES, 2L * INSTANCES);
     }
 
     @Test
@@ -117,15 +121,15 @@
      * gained.
      */
     @Test
-    void primarySearchIsAsFastAsTheNumberOfWaitingWritesDemands() {
+    void primarySearchRateFollowsTheNumberOfQueuedWrites() {
         assertThat(healthChecksDuringSearch(1)).isBetween(3L * INSTANCES, 5L * INSTANCES);
         assertThat(healthChecksDuringSearch(6)).isBetween(10L * INSTANCES, 13L * INSTANCES);
     }
 
     /** Health checks by all routers in two seconds without a primary, of three members, with so many writes each. */
     private static long healthChecksDuringSearch(int writes) {
-        List<RouterHarness> all = fleet(primary("a", 0), replica("b", 0), replica("c", 0));
-        for (RouterHarness harness : all) {
+        List<RouterHarness> routers = startRouters(primary("a", 0), replica("b", 0), replica("c", 0));
+        for (RouterHarness harness : routers) {
             for (int i = 0; i < writes; i++) {
                 harness.submit("write" + i, NON_IDEMPOTENT_WRITE);
             }
@@ -136,9 +140,9 @@
             for (int i = 0; i < 20; i++) {
                 int before = harness.healthChecked.size();
                 harness.advance(100_000);
-                answerHealthChecks(harness, before, 10_000);
+                completeHealthChecks(harness, before, 10_000);
             }
         }
-        return healthChecks(all);
+        return healthChecks(routers);
     }
 }
--- a/decisions/src/test/java/frostreel/routing/OutlierDetectorTest.java
+++ b/decisions/src/test/java/frostreel/routing/OutlierDetectorTest.java
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void slowAnswersRaiseTheCostAndFade() {
+    void slowResponsesRaiseTheCostAndDecay() {
         for (int i = 0; i < 50; i++) {
             detector.recordSuccess(NOW_US, 5);
         }
@@ -33,13 +33,13 @@
     }
 
     @Test
-    void singleAnswerCountsAsNoMoreThanTenTimesTheMean() {
+    void singleResponseCountsAsNoMoreThanTenTimesTheMean() {
         detector.recordSuccess(NOW_US, 1_000);
         assertThat(cost(NOW_US)).isCloseTo(1 + 0.15 * 9, within(1e-9));
     }
 
     @Test
-    void failuresRaiseTheCostAndFadeAndCountForNothingAfterARestart() {
+    void failuresRaiseTheCostAndDecayAndAreDiscardedAfterARestart() {
         detector.recordFailure(NOW_US);
         assertThat(cost(NOW_US)).isCloseTo(1 + 12 * 0.3, within(1e-9));
         assertThat(cost(LATER_US)).isCloseTo(1, within(0.01));
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void memberIsSilentAfterFourTimesTheExpectedLatencyWithoutAnyAnswer() {
+    void memberIsSilentAfterFourTimesTheExpectedLatencyWithoutAnyResponse() {
         detector.recordSend(NOW_US, 0, MEAN_LATENCY_US);
         long silentFromUs = NOW_US + 400_001;
         assertThat(detector.isSilent(silentFromUs - 1, 1)).isFalse();
--- a/decisions/src/test/java/frostreel/routing/ReplicaSelectionTest.java
+++ b/decisions/src/test/java/frostreel/routing/ReplicaSelectionTest.java
@@ -20,7 +20,7 @@
 /** Which member a read is sent to, and which are health-checked for it. */
 class ReplicaSelectionTest {
     @Test
-    void replicaInTheOwnZoneIsPreferredAndThePrimarySpared() {
+    void replicaInTheLocalZoneIsPreferredToOtherReplicasAndToThePrimary() {
         RouterHarness harness = threeMembers();
         harness.submit("read", ANY_READ);
         assertEquals("b", harness.lastAttempt("read").member());
@@ -38,7 +38,7 @@
 
     /** Checking every replica for a single read costs a fleet of low-traffic routers more than the reads themselves. */
     @Test
-    void readWithoutAProvenReplicaChecksOneReplicaAtATimeAndThePrimaryLast() {
+    void readWithoutAProvenReplicaChecksReplicasOneAtATimeAndNotThePrimary() {
         RouterHarness harness = threeMembers();
         harness.submit("read", BOUNDED_READ);
         assertEquals(List.of("b"), harness.healthChecked);
--- a/decisions/src/test/java/frostreel/routing/SessionCommitsTest.java
+++ b/decisions/src/test/java/frostreel/routing/SessionCommitsTest.java
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void reportedCommitBindsItsOwnSessionOnly() {
+    void readsOfOtherSessionsNeedNotSeeAReportedCommit() {
         commits.recordSend(START_US, SESSION);
         commits.recordOutcome(afterMs(50), SESSION, DEADLINE_US, Outcome.OK, afterMs(40), RETENTION_US);
         assertThat(commits.requiredPositionUs(afterMs(60), SESSION)).isEqualTo(afterMs(41));
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void writeInFlightBindsOnceItsAnswerMayCountAsKnown() {
+    void readsMustSeeAWriteInFlightOnceItsResponseCountsAsKnown() {
         commits.recordSend(START_US, SESSION);
         assertThat(commits.requiredPositionUs(afterMs(100), SESSION)).isZero();
         assertThat(commits.requiredPositionUs(afterMs(150), SESSION)).isEqualTo(afterMs(50));
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void oldestOfTwoConcurrentWritesBindsUntilBothHaveEnded() {
+    void readsMustSeeTheOldestOfTwoConcurrentWritesUntilBothHaveEnded() {
         commits.recordSend(START_US, SESSION);
         commits.recordSend(afterMs(500), SESSION);
         commits.recordOutcome(afterMs(510), SESSION, DEADLINE_US, Outcome.REJECTED, NO_COMMIT, RETENTION_US);
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void writeThatTimedOutBindsUpToItsDeadline() {
+    void readsMustSeeAWriteThatTimedOutUpToItsDeadline() {
         commits.recordSend(START_US, SESSION);
         commits.recordOutcome(afterMs(700), SESSION, DEADLINE_US, Outcome.TIMEOUT, NO_COMMIT, RETENTION_US);
         assertThat(commits.requiredPositionUs(afterMs(800), SESSION)).isEqualTo(afterMs(700));
@@ -63,14 +63,14 @@
     @EnumSource(
             value = Outcome.class,
             names = {"RESET", "ERROR", "OK"})
-    void writeWithoutReportedCommitBindsUpToItsEnd(Outcome outcome) {
+    void readsMustSeeAWriteWithoutReportedCommitUpToItsEnd(Outcome outcome) {
         commits.recordSend(START_US, SESSION);
         commits.recordOutcome(afterMs(700), SESSION, DEADLINE_US, outcome, NO_COMMIT, RETENTION_US);
         assertThat(commits.requiredPositionUs(afterMs(60_000), SESSION)).isEqualTo(afterMs(700));
     }
 
     @Test
-    void forgottenCommitBindsEverySession() {
+    void readsOfAllSessionsMustSeeADroppedCommit() {
         commits.recordSend(START_US, SESSION);
         commits.recordOutcome(START_US, SESSION, afterMs(1), Outcome.OK, afterMs(-1), RETENTION_US);
         long laterUs = START_US + 2 * RETENTION_US;
@@ -81,7 +81,7 @@
     }
 
     @Test
-    void numberOfSessionsIsBoundedAndADroppedWriteStillBinds() {
+    void numberOfSessionsIsBoundedAndReadsMustSeeADroppedWrite() {
         for (int session = 0; session <= SessionCommits.MAX_SESSIONS + 1; session++) {
             commits.recordSend(START_US, session);
         }
--- a/decisions/src/test/java/frostreel/routing/SlowStartRoutingTest.java
+++ b/decisions/src/test/java/frostreel/routing/SlowStartRoutingTest.java
@@ -60,7 +60,7 @@
      * at once.
      */
     @Test
-    void attemptThatWaitsForAConnectionIsHeldToSlowStartWhenItsMemberRestartedMeanwhile() {
+    void attemptThatWaitsForAConnectionMustBeAdmittedAgainIfItsMemberRestarted() {
         RouterHarness harness = new SettingsBuilder().start(primary("a", 0), replica("b", 0));
         harness.healthCheckSucceeded("b", Role.REPLICA, harness.nowUs);
         harness.submit("read", ANY_READ);
