--- a/decisions/src/main/java/frostreel/routing/ClassLatencies.java
+++ b/decisions/src/main/java/frostreel/routing/ClassLatencies.java
@@ -4,19 +4,19 @@
 import frostreel.routing.Router.Settings;
 import java.util.Arrays;
 
-/** The mean latency of each request class over all members, and the mean of what is sent. */
+/** Mean latency of each request class over all members, and its mean over the requests sent recently. */
 final class ClassLatencies {
-    /** Until its first answer a class is expected to take its latency objective divided by this. */
+    /** Initial mean of a class: its latency objective divided by this. */
     private static final double OBJECTIVE_DIVISOR = 5.0;
-    /** Weight of one more answer in a class's mean; small, as all members count into one mean. */
+    /** Weight of a new response in the mean of its class; small, since all members contribute to one mean. */
     private static final double RESPONSE_WEIGHT = 0.02;
-    /** Weight of one more request in the mean of what is sent. */
+    /** Weight of a new request in the mean over the requests sent. */
     private static final double REQUEST_WEIGHT = 0.15;
-    /** A class this many times slower than the mean request is long-running. */
+    /** A class is long-running if its mean latency is this many times that of the requests sent recently. */
     private static final double LONG_RUNNING_FACTOR = 4;
 
     private double[] meanUs = {};
-    /** The mean latency of the requests that were sent recently. */
+    /** Mean, over the requests sent recently, of the mean latency of their classes. */
     private double meanSentUs;
 
     ClassLatencies(Settings settings) {
@@ -24,7 +24,7 @@
         meanSentUs = Arrays.stream(meanUs).min().orElse(Double.MAX_VALUE);
     }
 
-    /** New settings are in force; classes that are already known keep what was learned of them. */
+    /** Applies new settings; existing classes keep their mean latency. */
     void onSettings(Settings settings) {
         int knownCount = meanUs.length;
         meanUs = Arrays.copyOf(meanUs, settings.classes().size());
@@ -37,17 +37,17 @@
         return meanUs[classIndex];
     }
 
-    /** A request of this class is sent. */
+    /** Records that a request of this class is sent. */
     void recordSend(int classIndex) {
         meanSentUs += REQUEST_WEIGHT * (meanUs[classIndex] - meanSentUs);
     }
 
-    /** A request of this class was answered. */
+    /** Records a response to a request of this class. */
     void recordResponse(int classIndex, long tookUs) {
         meanUs[classIndex] += RESPONSE_WEIGHT * (tookUs - meanUs[classIndex]);
     }
 
-    /** Whether any member may answer this query, and its own work rather than a queue makes it slow. */
+    /** Whether any member may serve the request and it is slow because of its own work rather than a queue. */
     boolean isLongRunning(PendingRequest request) {
         return request.requestClass.access() == Access.ANY
                 && meanUs[request.classIndex()] > LONG_RUNNING_FACTOR * meanSentUs;
--- a/decisions/src/main/java/frostreel/routing/DecayingRate.java
+++ b/decisions/src/main/java/frostreel/routing/DecayingRate.java
@@ -2,23 +2,26 @@
 
 import java.util.function.LongSupplier;
 
-/** An amount per microsecond, averaged over the recent past with exponentially decaying weights. */
+/** Rate of an amount per microsecond, averaged over the recent past with exponentially decaying weights. */
 public final class DecayingRate {
     private final LongSupplier timeConstantUs;
     private double perUs;
     private double updatedAtUs;
 
-    /** {@code timeConstantUs}: over which it decays to 1/e; read anew each time, as settings may change it. */
+    /**
+     * Creates a rate of 0; {@code timeConstantUs} is the time over which it decays to 1/e, read at each use since
+     * settings may change it.
+     */
     public DecayingRate(LongSupplier timeConstantUs) {
         this.timeConstantUs = timeConstantUs;
     }
 
-    /** The amount per microsecond as of now. */
+    /** Returns the amount per microsecond as of now. */
     public double at(long nowUs) {
         return perUs * Math.exp(-(nowUs - updatedAtUs) / timeConstantUs.getAsLong());
     }
 
-    /** Counts an amount as of now. */
+    /** Adds an amount as of now. */
     public void add(long nowUs, double amount) {
         perUs = at(nowUs) + amount / timeConstantUs.getAsLong();
         updatedAtUs = nowUs;
@@ -30,7 +33,7 @@
         updatedAtUs = nowUs;
     }
 
-    /** Multiplies all that was counted so far. */
+    /** Multiplies everything that was added so far. */
     void scale(double factor) {
         perUs *= factor;
     }
--- a/decisions/src/main/java/frostreel/routing/Freshness.java
+++ b/decisions/src/main/java/frostreel/routing/Freshness.java
@@ -8,32 +8,32 @@
 import frostreel.routing.Router.StalenessCheck;
 
 /**
- * Tells which position of the log a read needs, and which members have it or may have it. A position is the
- * time up to which all commits are applied, in microseconds.
+ * Determines which log position a read requires, and which members have it or may have it. A position is the time in
+ * microseconds up to which all commits are applied.
  */
 final class Freshness {
-    /** Added to a required position, in microseconds: positions and ages are reported in milliseconds. */
+    /** Added to required positions, in microseconds, since positions and ages are reported in milliseconds. */
     private static final long ROUNDING_US = 2000;
-    /** What a read of the latest commit requires: no replica has it. */
+    /** Position required by a read that must see the latest commit; no replica reaches it. */
     private static final long LATEST_POSITION_US = Long.MAX_VALUE;
-    /** A member that found itself too stale isn't taken for fresh for so many microseconds. */
+    /** Time, in microseconds, for which a member that declined a read as too stale is not assumed to be fresh. */
     private static final long STALE_HOLD_OFF_US = 500_000;
-    /** The usual lag of reports, in microseconds, before the first one. */
+    /** Typical lag before the first report, in microseconds. */
     private static final double INITIAL_TYPICAL_LAG_US = 250_000;
-    /** Weight of one report's lag in the usual lag; that falls at once and rises slowly. */
+    /** Share of a report's lag by which the typical lag rises; a smaller lag replaces the typical one at once. */
     private static final double TYPICAL_LAG_RISE = 0.01;
-    /** A member is checked for a read at most this often, in microseconds: checks are work for it too. */
+    /** Minimum interval, in microseconds, between health checks of a member for reads: checks are work for it too. */
     private static final long MIN_CHECK_INTERVAL_US = 250_000;
-    /** Seconds that a replica needs, at the least, to apply one second of the log. */
+    /** Minimum time, in seconds, that a replica needs to apply one second of the log. */
     private static final double MIN_CATCH_UP_RATIO = 0.7;
-    /** Commits are remembered for this many of the longest deadlines. */
+    /** Commits are remembered for the longest deadline of a request class times this. */
     private static final long RETENTION_DEADLINES = 20;
 
     private final SessionCommits sessionCommits = new SessionCommits();
     private final PeerCommits peerCommits;
     private final ActiveSettings settings;
     private long retentionUs;
-    /** How far reports are behind where a replica keeps up: mostly their own age. */
+    /** Lag of the reports of replicas that keep up, which is mostly the age of the report itself. */
     private double typicalLagUs = INITIAL_TYPICAL_LAG_US;
 
     Freshness(ActiveSettings settings, PeerCommits peerCommits) {
@@ -42,26 +42,29 @@
         onSettings(settings.get());
     }
 
-    /** New settings are in force; what older ones required to be remembered still is. */
+    /** Applies new settings. The retention never shrinks, so that commits required under earlier settings are kept. */
     void onSettings(Settings newSettings) {
         for (RequestClass requestClass : newSettings.classes()) {
             retentionUs = Math.max(retentionUs, RETENTION_DEADLINES * requestClass.deadlineUs());
         }
     }
 
-    /** How long the commits of sessions and of members that are gone are remembered. */
+    /**
+     * Returns how long, in microseconds, the commits of sessions are remembered, and members after they left the
+     * endpoint list.
+     */
     long retentionUs() {
         return retentionUs;
     }
 
-    /** An attempt is sent; writes of sessions are remembered where the settings say so. */
+    /** Records that an attempt is sent; writes of sessions are remembered if the settings require it. */
     void recordSend(long nowUs, PendingRequest request) {
         if (isTrackedWrite(request)) {
             sessionCommits.recordSend(nowUs, request.original.session());
         }
     }
 
-    /** An attempt ended. */
+    /** Records the end of an attempt. */
     void recordOutcome(long nowUs, PendingRequest request, Outcome outcome, long positionUs) {
         if (isTrackedWrite(request)) {
             long deadlineUs = request.original.deadlineUs();
@@ -75,13 +78,13 @@
                 && settings.get().sessionTracking() == SessionTracking.REMEMBERED;
     }
 
-    /** A member reported its position. */
+    /** Records the position that a member reported. */
     void recordReport(long nowUs, MemberState member, long positionUs) {
         member.recordPosition(nowUs, positionUs);
         typicalLagUs = Math.min(typicalLagUs + member.lagUs * TYPICAL_LAG_RISE, (double) member.lagUs);
     }
 
-    /** The position that a member must have applied to answer the request, or {@link Router#NO_POSITION}. */
+    /** Returns the position that a member must have applied to serve the request, or {@link Router#NO_POSITION}. */
     long requiredPositionUs(long nowUs, PendingRequest request) {
         return switch (request.requestClass.access()) {
             case BOUNDED -> nowUs - request.requestClass.boundUs() + ROUNDING_US;
@@ -103,8 +106,9 @@
     }
 
     /**
-     * Whether a request may be sent to a member by what that reported. The primary is excused until it, or
-     * another member as primary, reports that it is a replica.
+     * Whether a request may be sent to a member according to its reported position. A position is not required for
+     * writes, from members that check staleness themselves, or from the group's primary while the latest evidence of
+     * its role says that it is the primary.
      */
     boolean isFreshEnough(long nowUs, PendingRequest request, MemberState member) {
         return settings.get().stalenessCheck() != StalenessCheck.SILENT
@@ -113,7 +117,9 @@
                 || (member == request.group.primary && member.primaryAtUs > member.replicaAtUs);
     }
 
-    /** Whether a member has the required position, or else checks that itself and probably has it. */
+    /**
+     * Whether a member has the required position, or checks staleness itself and has probably reached that position.
+     */
     boolean isProbablyFresh(long nowUs, MemberState member, long requiredUs) {
         return member.appliedUpToUs >= requiredUs
                 || (settings.get().stalenessCheck() != StalenessCheck.SILENT
@@ -121,15 +127,15 @@
                         && nowUs - requiredUs + settings.limits().holdsForUs() >= excessLagUs(member));
     }
 
-    /** By how much a member's last report was further behind than reports usually are. */
+    /** Returns by how much the lag of a member's last report exceeds the typical lag. */
     double excessLagUs(MemberState member) {
         return member.lagUs - Math.min(typicalLagUs, (double) member.lagUs);
     }
 
     /**
-     * Whether a health check might prove that a member has the required position: that isn't too recent, the
-     * member wasn't checked just now, and it can have caught up since its last report. A waiting read that
-     * checks again and again costs more than it is worth.
+     * Whether a health check might prove that a member has the required position: the position is older than the
+     * typical lag, the member was not checked within {@link #MIN_CHECK_INTERVAL_US}, and it may have caught up since
+     * its last report. Checking again and again for a waiting read costs more than it gains.
      */
     boolean mayBeProvenFresh(long nowUs, MemberState member, long requiredUs) {
         long missingUs = member.lagUs - (nowUs - requiredUs);
--- a/decisions/src/main/java/frostreel/routing/Goodput.java
+++ b/decisions/src/main/java/frostreel/routing/Goodput.java
@@ -3,41 +3,45 @@
 import java.util.function.LongSupplier;
 
 /**
- * The recent requests that ended, and how many of them were useful. Tells what share of new requests to shed.
+ * Rates of the requests that ended recently and of their useful responses, which determine the share of new requests to
+ * shed.
  */
 final class Goodput {
-    /** How many requests are admitted for each one that ends in time. */
+    /** Number of requests that are admitted for each one that ends in time. */
     private static final double ADMITTED_PER_USEFUL = 2;
-    /** The largest share of requests that is shed. */
+    /** Maximum share of requests that is shed. */
     private static final double MAX_SHED_SHARE = 0.9;
 
     private final LongSupplier timeConstantUs;
     private final DecayingRate ended;
     private final DecayingRate useful;
 
-    /** {@code timeConstantUs}: over which requests fade to 1/e; read anew each time, as settings may change it. */
+    /**
+     * Creates a goodput; {@code timeConstantUs} is the time over which requests decay to 1/e, read at each use since
+     * settings may change it.
+     */
     Goodput(LongSupplier timeConstantUs) {
         this.timeConstantUs = timeConstantUs;
         ended = new DecayingRate(timeConstantUs);
         useful = new DecayingRate(timeConstantUs);
     }
 
-    /** A request ended; {@code value} is that of its answer, from 0 for none to 1 for one in time. */
+    /** Records the end of a request; {@code value} is that of its response, from 0 for none to 1 for one in time. */
     void add(long nowUs, double value) {
         ended.add(nowUs, 1);
         useful.add(nowUs, value);
     }
 
-    /** The rate of requests beyond what is admitted for the useful ones. */
+    /** Returns the rate of requests beyond those admitted for the useful ones. */
     private double excessRate(long nowUs) {
         return Math.max(0, ended.at(nowUs) - ADMITTED_PER_USEFUL * useful.at(nowUs));
     }
 
     /**
-     * The share of requests to shed at once, from 0 to {@value #MAX_SHED_SHARE}. No concurrency window falls below
-     * one attempt, so hundreds of routers overload a member even at their least. As long as one request in
-     * {@link #ADMITTED_PER_USEFUL} is useful, all are admitted. The share of all groups counts as one request
-     * more, so that it decides for a group with few requests of its own.
+     * Returns the share of requests to shed on arrival, from 0 to {@value #MAX_SHED_SHARE}. Shedding is needed because
+     * no concurrency window falls below one attempt, so that hundreds of routers overload a member even with minimum
+     * windows. While one request in {@link #ADMITTED_PER_USEFUL} is useful, all are admitted. The share over all groups
+     * counts as one additional request, so that it decides for a group with few requests of its own.
      */
     double shedShare(long nowUs, Goodput allGroups) {
         double oneRequestRate = 1.0 / timeConstantUs.getAsLong();
--- a/decisions/src/main/java/frostreel/routing/HealthChecker.java
+++ b/decisions/src/main/java/frostreel/routing/HealthChecker.java
@@ -3,11 +3,11 @@
 import frostreel.routing.Router.Actions;
 import frostreel.routing.Router.HealthChecks;
 
-/** Starts health checks where the deployment allows them, at most one per member at a time. */
+/** Starts health checks if the deployment permits them, at most one per member at a time. */
 final class HealthChecker {
     /**
-     * How often, in microseconds, an unverified member is checked: rarely, as each of hundreds of routers does so
-     * and the member may belong to another deployment.
+     * Interval in microseconds between health checks of an unverified member; long, since each of hundreds of routers
+     * sends them and the member may belong to another deployment.
      */
     private static final long VERIFICATION_INTERVAL_US = 5_000_000;
 
@@ -36,8 +36,8 @@
     }
 
     /**
-     * Whether a member must not receive reads yet. A member that was listed after the router started has to pass a
-     * health check first, because the list may name servers of another deployment. Starts that check when it is due.
+     * Whether a member must not receive reads yet. A member that is listed after the start of the router must first
+     * pass a health check, since the list may name servers of another deployment. Starts that check if it is due.
      */
     boolean awaitsVerification(long nowUs, MemberState member) {
         if (!member.verified && nowUs - member.healthCheckAtUs > VERIFICATION_INTERVAL_US) {
--- a/decisions/src/main/java/frostreel/routing/LoadShedder.java
+++ b/decisions/src/main/java/frostreel/routing/LoadShedder.java
@@ -5,21 +5,24 @@
 import java.util.function.LongSupplier;
 
 /**
- * Rejects requests on arrival when members are overloaded and too few of the answers are useful, and ends the
- * request that has waited longest when clients have nearly used up the limit of concurrent requests.
+ * Decides which requests to reject on arrival while members are overloaded and too few responses are useful, and
+ * whether the limit of concurrent requests is so nearly used up that the longest-waiting one must end.
  */
 final class LoadShedder {
     /**
-     * Part of the limit of concurrent requests from which the longest waiting is ended; below one half, since
+     * Share of the limit of concurrent requests above which the longest-waiting request is ended. Below one half, since
      * two processes share the limit during an upgrade.
      */
     private static final double USABLE_LIMIT_SHARE = 0.375;
 
     private final SplittableRandom random;
     private final ActiveSettings settings;
-    /** Twice the span of the rule on members in slow start; read anew each time, as settings may change it. */
+    /**
+     * Time constant of the goodput, in microseconds: twice the overload window. Read at each use, since settings may
+     * change it.
+     */
     private final LongSupplier spanUs;
-    /** Of all groups together. */
+    /** Goodput of all groups together. */
     private final Goodput goodput;
 
     LoadShedder(ActiveSettings settings, SplittableRandom random) {
@@ -29,7 +32,7 @@
         goodput = newGoodput();
     }
 
-    /** The goodput of a further group. */
+    /** Creates the goodput of another group. */
     Goodput newGoodput() {
         return new Goodput(spanUs);
     }
@@ -39,7 +42,10 @@
         return isOverloaded(request) && random.nextDouble() < request.group.goodput.shedShare(nowUs, goodput);
     }
 
-    /** Whether a member that could serve it is at the smallest window; a slow replica doesn't affect writes. */
+    /**
+     * Whether the window of a member that could serve the request is at its minimum. For a request that needs the
+     * primary only the primary counts, so that a slow replica does not affect writes.
+     */
     private static boolean isOverloaded(PendingRequest request) {
         GroupState group = request.group;
         return request.needsPrimary
@@ -48,8 +54,8 @@
     }
 
     /**
-     * A request has ended. Its end doesn't count if load was not the reason: rejecting other requests cures
-     * neither errors nor the lack of a primary.
+     * Records the end of a request. It does not count unless load was its cause: rejecting other requests cures neither
+     * errors nor the lack of a primary.
      */
     void recordEnd(long nowUs, PendingRequest request, boolean succeeded) {
         double value = succeeded ? responseValue(nowUs, request) : 0;
@@ -59,13 +65,13 @@
         }
     }
 
-    /** The value of an answer that comes now, from 0 to 1. */
+    /** Returns the value of a response that arrives now, from 0 to 1. */
     private static double responseValue(long nowUs, PendingRequest request) {
         RequestClass requestClass = request.requestClass;
         return nowUs - request.arrivedUs <= requestClass.latencyObjectiveUs() ? 1 : requestClass.lateWeight();
     }
 
-    /** Whether this many concurrent requests are too many to let all of them wait. */
+    /** Whether this number of concurrent requests is too high for all of them to wait. */
     boolean isNearLimit(int concurrentRequests) {
         int limit = settings.limits().concurrentRequestLimit();
         return limit > 0 && concurrentRequests > USABLE_LIMIT_SHARE * limit;
--- a/decisions/src/main/java/frostreel/routing/LocalityPolicy.java
+++ b/decisions/src/main/java/frostreel/routing/LocalityPolicy.java
@@ -1,41 +1,44 @@
 package frostreel.routing;
 
 /**
- * Decides which members reads may be sent to and at what cost, by their zones. The router notifies it of events (the
- * methods that begin with {@code on}) and asks it for each read; it answers at once and takes no action of its own.
- * Members are identified by handles, which it gives out.
+ * Decides to which members reads may be sent and at what cost, based on the zones of the members. The router notifies
+ * the policy of events (the methods that begin with {@code on}) and queries it for each read; the policy responds
+ * immediately and takes no action of its own. It assigns the handles by which members are identified.
  */
 public interface LocalityPolicy {
-    /** The cost factor of a member that may be sent nothing. */
+    /** Cost factor of a member to which no requests may be sent. */
     double EXCLUDED = Double.POSITIVE_INFINITY;
 
-    /** New settings are in force, as in {@link Router#onSettings}. */
+    /** Called when new settings take effect, as in {@link Router#onSettings}. */
     void onSettings(Router.Settings settings);
 
-    /** A member was listed for the first time; returns its handle, valid until {@link #onMemberRemoved}. */
+    /** Called when a member is listed for the first time; returns its handle, valid until {@link #onMemberRemoved}. */
     int onMemberAdded(int group, int zone);
 
-    /** A member was forgotten; its handle may be given to another. */
+    /** Called when a member is removed; its handle may be assigned to another member. */
     void onMemberRemoved(int handle);
 
-    /** An attempt of a read was sent; {@code workUs} is the mean latency of its class. */
+    /**
+     * Called when an attempt of a read that does not require the primary is sent; {@code workUs} is the mean latency of
+     * its class.
+     */
     void onAttemptSent(long nowUs, int handle, int classIndex, double workUs);
 
-    /** An attempt of a read or a write ended; {@code workUs} is the mean latency of its class. */
+    /** Called when an attempt of a read or a write has ended; {@code workUs} is the mean latency of its class. */
     void onAttemptEnded(long nowUs, int handle, Router.Outcome outcome, double workUs);
 
-    /** A health check ended. */
+    /** Called when a health check has ended. */
     void onHealthCheck(long nowUs, int handle, boolean ok);
 
-    /** The cost of a member relative to the nearest, from 1, or {@link #EXCLUDED}. */
+    /** Returns the cost of a member relative to the nearest one, at least 1, or {@link #EXCLUDED}. */
     double costFactor(long nowUs, int handle);
 
     /** Whether one more read of this class may be sent to a member now. */
     boolean admits(long nowUs, int handle, int classIndex);
 
     /**
-     * Whether a member that may be sent nothing is due for a health check. Asked only when that check could start at
-     * once: where it is due, it counts as started.
+     * Whether a health check is due for an excluded member. Called only if that check could start immediately: a check
+     * that is due counts as started.
      */
     boolean healthCheckDue(long nowUs, int handle);
 }
--- a/decisions/src/main/java/frostreel/routing/LongQueryPlacement.java
+++ b/decisions/src/main/java/frostreel/routing/LongQueryPlacement.java
@@ -3,23 +3,22 @@
 import frostreel.routing.Router.Access;
 
 /**
- * Keeps the long-running reads of a group together on one replica. A replica that executes any may stop
- * applying the log meanwhile; spread over all replicas they would leave none that is fresh enough for other
- * reads.
+ * Concentrates the long-running reads of a group on one replica. A replica may stop applying the log while it executes
+ * such a read; spread over all replicas, these reads would leave none that is fresh enough for other reads.
  */
 final class LongQueryPlacement {
-    /** A long-running read waits for the group's one replica for this part of its objective. */
+    /** Share of its latency objective for which a long-running read waits for that replica. */
     private static final double MAX_WAIT_SHARE = 0.25;
-    /** Another replica must be this much further behind, in microseconds, to take the place of the present one. */
+    /** Lag, in microseconds, by which another replica must exceed the chosen one to replace it. */
     private static final long SWITCH_MARGIN_US = 1_000_000;
-    /** Expected latency, in microseconds, from which a read prefers replicas that are behind in full. */
+    /** Mean latency of a class, in microseconds, from which its preference for lagging replicas has full strength. */
     private static final long FULL_PREFERENCE_LATENCY_US = 500_000;
     /** Lag, in microseconds, that adds 1 to a preference of full strength. */
     private static final long PREFERENCE_LAG_UNIT_US = 500_000;
-    /** Lag, in microseconds, beyond which a replica isn't preferred any more strongly. */
+    /** Lag, in microseconds, above which the preference for a replica does not increase further. */
     private static final long MAX_PREFERRED_LAG_US = 2_000_000;
 
-    /** Any replica is further behind than none. */
+    /** Lag while there is no candidate; below the lag of any replica. */
     private static final double NO_CANDIDATE_LAG_US = -1;
 
     private final LocalityPolicy localityPolicy;
@@ -35,15 +34,16 @@
         this.freshness = freshness;
     }
 
-    /** The one replica that a read may go to now, null if it may go to any. */
+    /** Returns the only replica that a read may be sent to now, null if it may be sent to any. */
     MemberState requiredReplica(long nowUs, PendingRequest request) {
         boolean mayWait = nowUs - request.arrivedUs < MAX_WAIT_SHARE * request.requestClass.latencyObjectiveUs();
         return mayWait && latencies.isLongRunning(request) ? chooseReplica(nowUs, request) : null;
     }
 
     /**
-     * Chooses the replica that is furthest behind, as all routers agree on that one, and keeps to it until
-     * another is well behind it or it can't serve.
+     * Chooses the replica with the greatest lag, so that routers agree on one; a higher locality cost makes its lag
+     * count for less. Keeps the choice until another replica exceeds it by {@link #SWITCH_MARGIN_US} or it can no
+     * longer serve.
      */
     private MemberState chooseReplica(long nowUs, PendingRequest request) {
         GroupState group = request.group;
@@ -83,8 +83,8 @@
     }
 
     /**
-     * How strongly a read prefers a replica, 1 for not at all. Reads that any member may answer prefer those
-     * that are behind and can serve little else, the more so the longer they run.
+     * Returns how strongly a read prefers a replica, 1 for no preference. Reads that any member may serve prefer
+     * replicas with excess lag, which can serve few other reads; the longer the reads run, the stronger the preference.
      */
     double preference(PendingRequest request, MemberState member) {
         if (request.requestClass.access() != Access.ANY) {
--- a/decisions/src/main/java/frostreel/routing/NearestZonePolicy.java
+++ b/decisions/src/main/java/frostreel/routing/NearestZonePolicy.java
@@ -1,8 +1,8 @@
 package frostreel.routing;
 
 /**
- * The policy of an installation that configures no failover between zones: members of other zones cost more than
- * those of the router's own, and all are admitted. A member's handle is its zone.
+ * Policy of an installation without failover between zones: members of other zones cost more than those of the local
+ * zone, and all reads are admitted. The handle of a member is the number of its zone.
  */
 public final class NearestZonePolicy implements LocalityPolicy {
     private static final double LOCAL_ZONE_COST_FACTOR = 1;
@@ -10,7 +10,7 @@
 
     private final int localZone;
 
-    /** {@code localZone}: the zone of the router. */
+    /** Creates the policy of a router in {@code localZone}. */
     public NearestZonePolicy(int localZone) {
         this.localZone = localZone;
     }
--- a/decisions/src/main/java/frostreel/routing/OutlierDetector.java
+++ b/decisions/src/main/java/frostreel/routing/OutlierDetector.java
@@ -1,33 +1,35 @@
 package frostreel.routing;
 
 /**
- * Compares one member with its peers by the outcomes of its attempts: how much slower it answers than the mean
- * of each request class, how often attempts fail, and whether it has stopped answering. What was observed
- * fades with time, so that a member that was avoided is tried again.
+ * Compares one member with its peers by the outcomes of its attempts: its latency relative to the mean of each request
+ * class, its failure rate, and whether it has stopped responding. Observations decay with time, so that a member that
+ * was avoided is tried again.
  */
 final class OutlierDetector {
-    /** Time constant in microseconds over which observations fade, about that of a short outage. */
+    /** Time constant of the decay of observations, in microseconds; about the duration of a short outage. */
     private static final double DECAY_TIME_CONSTANT_US = 4e6;
-    /** Weight of one more sample in the running mean. */
+    /** Weight of a new sample in the moving averages. */
     private static final double SAMPLE_WEIGHT = 0.15;
-    /** Failures are rarer than answers, and count twice. */
+    /** Weight of a failure: failures are rarer than responses and count twice. */
     private static final double FAILURE_WEIGHT = 2 * SAMPLE_WEIGHT;
-    /** One answer counts as at most this many times slower than the mean, so that it doesn't decide alone. */
+    /** Upper limit of the latency ratio of one response, so that a single response does not decide. */
     private static final double MAX_LATENCY_RATIO = 10;
-    /** Cost added, in multiples of the cost without failures, for a member all of whose attempts fail. */
+    /** Added to the cost factor of a member all of whose attempts fail. */
     private static final double FAILURE_COST = 12;
-    /** A silent member costs this many times as much as one that answers. */
+    /** Cost factor of a member that has stopped responding. */
     private static final double SILENCE_COST_FACTOR = 12;
-    /** A member is silent after this many times the expected latency without any answer. */
+    /** A member counts as silent after the expected latency times this without any response. */
     static final double SILENCE_FACTOR = 4;
 
-    /** Its latency over the mean of the class, as a running mean: 1 for a member like its peers. */
+    /** Moving average of the member's latency divided by the mean of the class; 1 for a member like its peers. */
     private double latencyRatio = 1;
 
     private double failureRate;
     private long observedAtUs;
+    /** Time of the last response, or of the first attempt after the member was idle if that is later. */
     private long lastResponseUs;
-    /** The longest expected latency among the attempts in flight. */
+
+    /** Longest expected latency of the attempts since the member was last idle, in microseconds. */
     private double slowestExpectedUs;
 
     OutlierDetector(long nowUs) {
@@ -35,18 +37,18 @@
         lastResponseUs = nowUs;
     }
 
-    /** The member was restarted: what was observed before says nothing of it. */
+    /** Discards the observations, which do not apply to a member that has restarted. */
     void reset() {
         failureRate = 0;
         latencyRatio = 1;
     }
 
-    /** The latency to expect of it for a class with this mean latency among all members. */
+    /** Returns the latency to expect of the member for a class with this mean latency over all members. */
     double expectedLatencyUs(long nowUs, double meanLatencyUs) {
         return meanLatencyUs * (1 + (latencyRatio - 1) * decayFactor(nowUs));
     }
 
-    /** How little it should be chosen: {@code load} raised by slow answers, failures and silence. */
+    /** Returns the cost of choosing the member: {@code load} adjusted for latency, failures and silence. */
     double cost(long nowUs, int inFlight, double load) {
         double decayFactor = decayFactor(nowUs);
         double latencyCost = 1 + (latencyRatio - 1) * decayFactor;
@@ -55,22 +57,24 @@
         return isSilent(nowUs, inFlight) ? cost * SILENCE_COST_FACTOR : cost;
     }
 
-    /** Whether attempts are in flight and no answer has come for a multiple of the expected latency. */
+    /** Whether attempts are in flight and no response has arrived for a multiple of the expected latency. */
     boolean isSilent(long nowUs, int inFlight) {
         return inFlight > 0 && nowUs - lastResponseUs > SILENCE_FACTOR * slowestExpectedUs;
     }
 
-    /** An answer of any kind arrived. */
+    /** Records the arrival of a response of any kind. */
     void recordResponse(long nowUs) {
         lastResponseUs = nowUs;
     }
 
-    /** No attempt is in flight any more. */
+    /** Records that no attempt is in flight any more. */
     void recordIdle() {
         slowestExpectedUs = 0;
     }
 
-    /** An attempt goes out beside {@code inFlight} others, of a class with this mean latency. */
+    /**
+     * Records the send of an attempt of a class with this mean latency, while {@code inFlight} others are in flight.
+     */
     void recordSend(long nowUs, int inFlight, double meanLatencyUs) {
         if (inFlight == 0) {
             lastResponseUs = nowUs;
@@ -79,7 +83,7 @@
         slowestExpectedUs = Math.max(slowestExpectedUs, expectedUs);
     }
 
-    /** An attempt succeeded, after {@code ratio} times the mean latency of its class. */
+    /** Records a successful attempt that took {@code ratio} times the mean latency of its class. */
     void recordSuccess(long nowUs, double ratio) {
         decayAndRecord(nowUs, 0);
         if (ratio > 0) {
@@ -87,7 +91,7 @@
         }
     }
 
-    /** An attempt failed. */
+    /** Records a failed attempt. */
     void recordFailure(long nowUs) {
         decayAndRecord(nowUs, FAILURE_WEIGHT);
     }
--- a/decisions/src/main/java/frostreel/routing/ReadDecision.java
+++ b/decisions/src/main/java/frostreel/routing/ReadDecision.java
@@ -1,11 +1,13 @@
 package frostreel.routing;
 
-/** The result of routing a read. */
+/** Result of routing a read. */
 enum ReadDecision {
-    /** An attempt is in flight. */
+    /** An attempt was sent. */
     SENT,
-    /** No member can take it now: it waits for capacity, or for a health check. */
+    /**
+     * No member can take the read now: it waits for capacity, for a health check, or for the next round of attempts.
+     */
     WAIT,
-    /** It can't be served in time, or waiting would not help. */
+    /** The read cannot be served in time, may not be tried again, or would wait in vain. */
     GIVE_UP
 }
--- a/decisions/src/main/java/frostreel/routing/ReplicaCost.java
+++ b/decisions/src/main/java/frostreel/routing/ReplicaCost.java
@@ -1,14 +1,14 @@
 package frostreel.routing;
 
-/** How little a replica should be chosen for a read, by its load, its health, its zone and its connections. */
+/** Cost of choosing a replica for a read, based on its load, its health, its zone and its connections. */
 final class ReplicaCost {
-    /** How much more a replica costs if a connection must be opened: that costs it work, and the read time. */
+    /** Cost factor if a connection must be opened, which is work for the replica and takes time from the read. */
     private static final double NEW_CONNECTION_COST_FACTOR = 1.5;
-    /** For each further connection a group's requests are sent on open ones this many times. */
+    /** A group's next new connection has no extra cost after this many requests on open connections. */
     private static final int MIN_SENDS_PER_NEW_CONNECTION = 10;
-    /** Attempts in flight raise a replica's cost by this much over its weight. */
+    /** Cost of each attempt in flight, divided by the replica's weight. */
     private static final double COST_PER_ATTEMPT_IN_FLIGHT = 0.5;
-    /** Weights below it count as this much, so that the cost stays finite. */
+    /** Lower weights are raised to this one, so that the cost stays finite. */
     private static final double MIN_WEIGHT = 0.1;
 
     private final ActiveSettings settings;
@@ -19,7 +19,7 @@
         this.longQueries = longQueries;
     }
 
-    /** The cost of a replica for a read; {@code costFactor} by its zone. */
+    /** Returns the cost of a replica for a read; {@code costFactor} is that of the locality policy. */
     double of(long nowUs, PendingRequest request, MemberState replica, double costFactor) {
         double load = 1 + COST_PER_ATTEMPT_IN_FLIGHT * replica.inFlight / Math.max(MIN_WEIGHT, replica.weight);
         return replica.outliers.cost(nowUs, replica.inFlight, load)
--- a/decisions/src/main/java/frostreel/routing/ReplicaScan.java
+++ b/decisions/src/main/java/frostreel/routing/ReplicaScan.java
@@ -1,24 +1,27 @@
 package frostreel.routing;
 
 /**
- * The result of one pass over a group's replicas for one read. A selector reuses one object for all passes, so that
- * none is allocated.
+ * Result of one pass over the replicas of a group for one read. A selector reuses one object for all passes to avoid
+ * allocations.
  */
 final class ReplicaScan {
-    /** A replica replaces the best so far only if it is cheaper by this factor: closer ones take turns. */
+    /**
+     * A replica replaces the best one so far only if it is cheaper by this factor, so that replicas of similar cost
+     * take turns.
+     */
     private static final double REPLACEMENT_COST_RATIO = 1.25;
-    /** Any replica is cheaper than none. */
+    /** Cost while there is no candidate; above the cost of any replica. */
     private static final double NO_CANDIDATE_COST = Double.MAX_VALUE;
 
-    /** The position that the read requires. */
+    /** Position that the read requires. */
     long requiredPositionUs;
-    /** The only replica that the read may be sent to, null if it may be sent to any. */
+    /** Only replica that the read may be sent to, null if it may be sent to any. */
     MemberState requiredReplica;
-    /** The part of a replica's concurrency window that the read may use. */
+    /** Share of a replica's concurrency window that the read may use. */
     double windowShare;
-    /** A replica might serve the read later. */
+    /** Whether a replica that cannot serve the read now might serve it later. */
     boolean mayServeLater;
-    /** The locality policy permits no more reads to a replica that could serve this one. */
+    /** Whether the locality policy denied the read to a replica that could otherwise serve it. */
     boolean deniedByPolicy;
 
     private MemberState best;
@@ -26,7 +29,7 @@
     private MemberState unproven;
     private double unprovenCost;
 
-    /** Begins a pass. */
+    /** Starts a pass. */
     void reset(long newRequiredPositionUs, MemberState newRequiredReplica, double newWindowShare) {
         requiredPositionUs = newRequiredPositionUs;
         requiredReplica = newRequiredReplica;
@@ -39,7 +42,7 @@
         unprovenCost = NO_CANDIDATE_COST;
     }
 
-    /** A replica can serve the read now. */
+    /** Records a replica that can serve the read now. */
     void offer(MemberState replica, double cost) {
         if (cost * REPLACEMENT_COST_RATIO < bestCost) {
             bestCost = cost;
@@ -47,7 +50,7 @@
         }
     }
 
-    /** A health check might prove that a replica is fresh enough to serve the read. */
+    /** Records a replica that a health check might prove to be fresh enough. */
     void offerUnproven(MemberState replica, double cost) {
         if (cost * REPLACEMENT_COST_RATIO < unprovenCost) {
             unprovenCost = cost;
@@ -55,17 +58,17 @@
         }
     }
 
-    /** The cheapest replica that can serve the read now, null for none. */
+    /** Returns the replica with the lowest cost that can serve the read now, null for none. */
     MemberState best() {
         return best;
     }
 
-    /** The cheapest replica that a health check might prove to be fresh enough, null for none. */
+    /** Returns the replica with the lowest cost that a health check might prove to be fresh enough, null for none. */
     MemberState unproven() {
         return unproven;
     }
 
-    /** Whether only the locality policy keeps the read from being served, now and later. */
+    /** Whether only the locality policy prevents the read from being served, and waiting would not change that. */
     boolean isDeniedByPolicyOnly() {
         return deniedByPolicy && !mayServeLater && unproven == null;
     }
--- a/decisions/src/main/java/frostreel/routing/ReplicaSelector.java
+++ b/decisions/src/main/java/frostreel/routing/ReplicaSelector.java
@@ -5,22 +5,27 @@
 import frostreel.routing.Router.StalenessCheck;
 
 /**
- * Chooses the member for a read: the cheapest replica that is fresh enough and has capacity, with replicas of
- * the own zone cheaper than others. Where none is known to be fresh enough, a health check may prove one; the
- * primary serves reads only if no replica can.
+ * Chooses the member for a read: the replica with the lowest cost that is fresh enough and has capacity. If none is
+ * known to be fresh enough, a health check may prove that one is. The primary serves such reads only if no replica can.
+ * Replicas of the local zone cost less than others.
  */
 final class ReplicaSelector {
-    /** Part of a replica's window for short reads that any member may answer; the rest is for other reads. */
+    /**
+     * Share of a replica's concurrency window for short reads of {@link Access#ANY}; the rest is reserved for other
+     * reads.
+     */
     private static final double ANY_READ_SHARE = 0.8;
-    /** Other reads may use all of a replica's window. */
+    /** Share of a replica's concurrency window for all other reads. */
     private static final double WHOLE_WINDOW = 1;
-    /** Part of the primary's window for reads that no replica can serve; the rest is for writes. */
+    /**
+     * Share of the primary's concurrency window for reads that no replica can serve; the rest is reserved for writes.
+     */
     private static final double PRIMARY_READ_SHARE = 0.6;
-    /** A read waits for a health check for one tenth of its latency objective. */
+    /** A read waits for a health check for at most its latency objective divided by this. */
     private static final int HEALTH_CHECK_WAIT_DIVISOR = 10;
-    /** It waits at least this many ticks of the clock: an answer isn't noticed sooner. */
+    /** Lower limit of that wait in ticks of the clock: a response is not noticed any earlier. */
     private static final int MIN_WAIT_TICKS = 2;
-    /** A read that was tried on all members is tried again after this time in microseconds. */
+    /** Delay in microseconds before a read that was tried on all members is tried on them again. */
     private static final long RETRY_ROUND_DELAY_US = 50_000;
 
     private final ReplicaScan scan = new ReplicaScan();
@@ -56,7 +61,7 @@
         replicaCost = new ReplicaCost(settings, longQueries);
     }
 
-    /** Sends a read if a member can take it now; else decides whether it waits. */
+    /** Sends a read if a member can take it now; otherwise decides whether it waits or is given up. */
     ReadDecision route(long nowUs, PendingRequest request) {
         if (shouldGiveUp(nowUs, request)) {
             return ReadDecision.GIVE_UP;
@@ -97,7 +102,7 @@
         return sender.send(nowUs, request, member, retryPolicy.readTimeoutUs(nowUs, request, member));
     }
 
-    /** Tries an idempotent read on a suspected primary, which shows whether it still answers. */
+    /** Sends an idempotent read to a suspected primary as a trial, which shows whether it still responds. */
     private boolean sendTrial(long nowUs, PendingRequest request) {
         GroupState group = request.group;
         if (primaryTracker.isTrialDue(nowUs, group)
@@ -110,7 +115,9 @@
         return false;
     }
 
-    /** Sends a read to the cheapest replica that can serve it; where none can, has a likely one checked. */
+    /**
+     * Sends a read to the replica with the lowest cost that can serve it. If none can, health-checks one that might.
+     */
     private boolean sendToReplica(long nowUs, PendingRequest request) {
         scanReplicas(nowUs, request);
         if (scan.best() != null && send(nowUs, request, scan.best())) {
@@ -123,7 +130,7 @@
         return false;
     }
 
-    /** Looks at each replica once, beginning with the one whose turn it is. */
+    /** Examines each replica once, starting at the group's rotation offset. */
     private void scanReplicas(long nowUs, PendingRequest request) {
         GroupState group = request.group;
         boolean usesPartOfWindow = request.requestClass.access() == Access.ANY && !latencies.isLongRunning(request);
@@ -194,7 +201,10 @@
                 && freshness.mayBeProvenFresh(nowUs, member, scan.requiredPositionUs);
     }
 
-    /** Checks a replica that may be fresh enough, at most one of the group per recheck interval. */
+    /**
+     * Health-checks a replica that may be fresh enough: at most one of the group per recheck interval, unless a health
+     * check of the group has ended since.
+     */
     private void checkFreshness(long nowUs, GroupState group, MemberState member) {
         if (nowUs - group.lastFreshnessCheckUs >= recheckIntervalUs) {
             group.lastFreshnessCheckUs = nowUs;
@@ -202,7 +212,7 @@
         }
     }
 
-    /** Whether to wait for a pending health check, which may prove a replica to be fresh enough. */
+    /** Whether a read waits for a pending health check, which may prove that a replica is fresh enough. */
     private boolean awaitsHealthCheck(long nowUs, PendingRequest request) {
         if (settings.get().stalenessCheck() != StalenessCheck.SILENT) {
             return false;
--- a/decisions/src/main/java/frostreel/routing/ServiceTimes.java
+++ b/decisions/src/main/java/frostreel/routing/ServiceTimes.java
@@ -6,28 +6,29 @@
 import java.util.List;
 
 /**
- * The service time of each request class: in what time its requests are observed when nothing is queued. Mean times
- * would include queueing, and under overload made a short query seem as expensive as a long one.
+ * Service time of each request class: the time to serve a request when nothing is queued. Mean latencies would include
+ * queueing, which under overload makes a short query seem as expensive as a long one.
  */
 final class ServiceTimes {
-    /** Weight of an answer that was quicker than the service time of its class so far. */
+    /** Weight of a response that was faster than the service time of its class so far. */
     private static final double FASTER_WEIGHT = 0.2;
-    /** Weight of an answer that was slower, which is mostly queueing. */
+    /** Weight of a response that was slower, which is mostly queueing. */
     private static final double SLOWER_WEIGHT = 0.001;
-    /** A class that nothing is known of is expected to take its latency objective divided by this. */
+    /** Initial estimate of a class: its latency objective divided by this. */
     private static final double OBJECTIVE_DIVISOR = 5.0;
 
     private List<RequestClass> classes;
-    /** By class; an estimate until the class was {@link #observed}. */
+    /** Service time in microseconds by class; an estimate until the class is {@link #observed}. */
     private double[] serviceUs = {};
 
+    /** Whether a request was served, by class. */
     private boolean[] observed = {};
 
     ServiceTimes(Settings settings) {
         onSettings(settings);
     }
 
-    /** New settings are in force; classes that are already known keep what was learned of them. */
+    /** Applies new settings; existing classes keep their service times. */
     void onSettings(Settings settings) {
         classes = settings.classes();
         int knownCount = serviceUs.length;
@@ -38,12 +39,12 @@
         }
     }
 
-    /** The service time of a class in microseconds. */
+    /** Returns the service time of a class in microseconds. */
     double serviceTimeUs(int classIndex) {
         return serviceUs[classIndex];
     }
 
-    /** A request of this class was observed in {@code tookUs}. */
+    /** Records a response to a request of this class that took {@code tookUs}. */
     void recordResponse(int classIndex, long tookUs) {
         double weight = weight(classIndex, tookUs);
         serviceUs[classIndex] += weight * (tookUs - serviceUs[classIndex]);
@@ -58,7 +59,10 @@
         return tookUs < serviceUs[classIndex] ? FASTER_WEIGHT : SLOWER_WEIGHT;
     }
 
-    /** Expects classes without an answer to be off from their estimate as much as the others are from theirs. */
+    /**
+     * Estimates the classes without a response: their initial estimates, scaled by the ratio of the measured service
+     * times of the other classes to the initial estimates of those.
+     */
     private void estimateUnobserved() {
         double estimatedUs = 0;
         double measuredUs = 0;
--- a/decisions/src/main/java/frostreel/routing/SessionCommits.java
+++ b/decisions/src/main/java/frostreel/routing/SessionCommits.java
@@ -4,42 +4,46 @@
 import java.util.LinkedHashMap;
 
 /**
- * The commits that the reads of a session must see, remembered from the writes that went through this router.
- * Owned by {@link ChainRouter}; it decides nothing. Positions and times are microseconds on one clock.
+ * Commits that the reads of a session must see, remembered from the writes that went through this router. Owned by
+ * {@link Freshness}. Positions and times are microseconds on one clock.
  *
- * <p>A write whose answer has arrived binds reads by its commit. The outcome of a write that is in flight, or that
- * ended without telling its effect, is unknown: its server may have answered and the answer may be lost. The
- * content of an answer counts as known {@link Router#KNOWN_AFTER_US} after it was written, arrived or not; until
- * its outcome is settled, such a write therefore binds reads to everything committed up to that long ago.
+ * <p>After the response to a write has arrived, reads of its session must see its commit. The outcome of a write that
+ * is in flight, or that ended without a known effect, is unknown: its server may have responded and the response may be
+ * lost. The content of a response counts as known {@link Router#KNOWN_AFTER_US} after it was written, whether or not it
+ * arrived. Until the outcome of such a write is settled, reads of its session must therefore see everything committed
+ * up to that long ago.
  */
 final class SessionCommits {
-    /** Commits are reported in milliseconds. */
+    /** Added to commit times, in microseconds, since they are reported in milliseconds. */
     private static final long ROUNDING_US = 1_000;
-    /** How many sessions are kept. Those beyond it that were not used for longest bind all reads, as aged ones do. */
+    /**
+     * Maximum number of sessions. Beyond it the sessions whose last write was sent earliest are dropped, and reads of
+     * all sessions must then see their commits, as with expired sessions.
+     */
     static final int MAX_SESSIONS = 1 << 16;
 
     private static final class SessionWrites {
         long lastCommitUs;
         int inFlight;
-        /** Since when at least one write is in flight. */
+        /** Time since which at least one write is in flight. */
         long inFlightSinceUs;
-        /** Until when writes that ended with unknown outcome may be answered. */
+        /** Time until which the server may still respond to writes that ended with unknown outcome. */
         long unknownOutcomeUntilUs;
 
-        /** The latest commit that the writes may have, where none is in flight. */
+        /** Returns the latest time at which the writes may have committed, if none is in flight. */
         long latestPossibleCommitUs() {
             return Math.max(lastCommitUs, unknownOutcomeUntilUs);
         }
     }
 
-    /** The longest unused first. */
+    /** Ordered by the last write sent, the oldest first. */
     private final LinkedHashMap<Long, SessionWrites> sessions = new LinkedHashMap<>();
-    /** Binds the reads of every session, on behalf of the sessions that were dropped. */
+    /** Position that reads of every session must see, because of the sessions that were dropped. */
     private long minPositionUs;
 
-    /** A write of the session was sent. */
+    /** Records that a write of the session was sent. */
     void recordSend(long nowUs, long session) {
-        SessionWrites writes = sessions.remove(session); // Inserted again at the end, as the last used.
+        SessionWrites writes = sessions.remove(session); // Inserted again below, at the end.
         if (writes == null) {
             writes = new SessionWrites();
         }
@@ -51,16 +55,16 @@
     }
 
     /**
-     * A write that was sent has ended. One that may have run and has no commit has an unknown outcome: its server
-     * answered by now or, where it may still be running, answers by its deadline.
+     * Records the end of a write. If the write may have run and reported no commit, its outcome is unknown: its server
+     * has responded by now or, if the write may still be running, responds by the deadline.
      *
-     * @param commitUs its commit, or {@link Router#NO_POSITION} where none was reported
-     * @param retentionUs after which commits are dropped, to bind the reads of all sessions from then on
+     * @param commitUs the commit of the write, or {@link Router#NO_POSITION} if none was reported
+     * @param retentionUs the age from which commits are dropped; reads of all sessions must see them from then on
      */
     void recordOutcome(
             long nowUs, long session, long deadlineUs, Router.Outcome outcome, long commitUs, long retentionUs) {
         SessionWrites writes = sessions.get(session);
-        if (writes != null) { // A session that was dropped binds all reads already.
+        if (writes != null) { // All reads must see the commits of dropped sessions already.
             writes.inFlight = Math.max(0, writes.inFlight - 1);
             applyOutcome(writes, nowUs, deadlineUs, outcome, commitUs);
         }
@@ -92,7 +96,7 @@
         }
     }
 
-    /** The position that a read of the session must see now, or {@link Router#NO_POSITION}. */
+    /** Returns the position that a read of the session must see now, or {@link Router#NO_POSITION}. */
     long requiredPositionUs(long nowUs, long session) {
         SessionWrites writes = sessions.get(session);
         long requiredUs = Math.min(minPositionUs, nowUs);
@@ -109,7 +113,7 @@
         return Math.max(requiredUs, Math.min(knownUs, writes.unknownOutcomeUntilUs));
     }
 
-    /** How many sessions are kept. */
+    /** Returns the number of remembered sessions. */
     int size() {
         return sessions.size();
     }
--- a/decisions/src/main/java/frostreel/routing/SlowStart.java
+++ b/decisions/src/main/java/frostreel/routing/SlowStart.java
@@ -5,47 +5,55 @@
 import java.util.SplittableRandom;
 
 /**
- * Slow start: how much work a member that started a short while ago may be sent. Each router sends its share of
- * the least that such a member can do, so that all routers together do not overload it. Pure: times are handed in,
- * and random choices follow from the seed of the settings.
+ * Slow start: limits the work that is sent to a member that started recently. Each router sends its share of the
+ * minimum that such a member can do, so that all routers together do not overload it. Deterministic: times are passed
+ * in, and random choices follow from the seed of the settings.
  *
  * <p>Work is measured in microseconds of {@link ServiceTimes}.
  */
 final class SlowStart {
-    /** The utilization of a member that has not reported one since it started. */
+    /** Utilization of a member that has not reported any since it started. */
     static final double NO_REPORT = -1;
 
-    /** The share of the work that overloads a member, with a full budget spent at once. */
+    /**
+     * Upper limit of {@link #spareCapacityFactor} as a share of the multiple that overloads a member; the rest is for a
+     * full budget that is spent at once.
+     */
     private static final double MAX_OVERLOAD_SHARE = 0.6;
-    /** How much of the overload rule's time span a budget may hold. */
+    /** Share of the overload window whose work a budget may hold. */
     private static final double BUDGET_SPAN_SHARE = 0.5;
-    /** A member with this share of its capacity in use is busy enough. */
+    /** Utilization up to which a member is sent additional work. */
     private static final double TARGET_UTILIZATION = 0.9;
-    /** A lower utilization than this says nothing about a capacity. */
+    /** Lower reported utilizations are raised to this one, since they do not allow estimating a capacity. */
     private static final double MIN_UTILIZATION = 0.05;
 
+    /** No member has been listed yet. */
     private static final long NOTHING_LISTED = Long.MIN_VALUE;
 
-    /** What is known of a member from the endpoint list and from answers; made by {@link #register}. */
+    /** State of one member, from the endpoint list and from responses; created by {@link #register}. */
     static final class Member {
+        /** Work that the member served for this router. */
         private final DecayingRate servedWork;
+
         private int machineKind;
         private double weight = 1;
         private boolean usable = true;
         private long startedUs = Router.Member.LONG_AGO;
         private long budgetUpdatedUs;
-        /** Work that may be sent now, in microseconds. */
+        /** Work that may be sent now, in microseconds of service time. */
         private double budgetUs;
-        /** The part of a request's work that the budget must hold before it is sent; drawn anew at each start. */
+        /**
+         * Share of a request's work that the budget must hold before the request is sent; drawn again at each start.
+         */
         private double sendThreshold;
-        /** The used share of its present capacity by its last report, or {@link #NO_REPORT}. */
+        /** Used share of the member's present capacity by its last report, or {@link #NO_REPORT}. */
         private double utilization = NO_REPORT;
 
         private Member(DecayingRate servedWork) {
             this.servedWork = servedWork;
         }
 
-        /** When it started, by the endpoint list. */
+        /** Returns when the member started, according to the endpoint list. */
         long startedUs() {
             return startedUs;
         }
@@ -59,7 +67,7 @@
     private final ServiceTimes serviceTimes;
     private final List<Member> members = new ArrayList<>();
     private Router.Settings settings;
-    /** When the first member was listed: what was served before is not known to this router. */
+    /** Time when the first member was listed; work that was served earlier is not known to this router. */
     private long firstListedAtUs = NOTHING_LISTED;
 
     SlowStart(Router.Settings settings) {
@@ -68,13 +76,13 @@
         serviceTimes = new ServiceTimes(settings);
     }
 
-    /** New settings are in force; classes that are already known keep what was learned of them. */
+    /** Applies new settings; existing classes keep their service times. */
     void onSettings(Router.Settings newSettings) {
         settings = newSettings;
         serviceTimes.onSettings(newSettings);
     }
 
-    /** Starts to track a member that is newly listed. */
+    /** Starts tracking a newly listed member. */
     Member register(long nowUs) {
         if (firstListedAtUs == NOTHING_LISTED) {
             firstListedAtUs = nowUs;
@@ -85,13 +93,13 @@
         return member;
     }
 
-    /** Ends the tracking of a member. */
+    /** Stops tracking a member. */
     void forget(Member member) {
         members.remove(member);
     }
 
     /**
-     * Takes over what the endpoint list says of a member.
+     * Applies an entry of the endpoint list to a member.
      *
      * @return whether the member has restarted since the last entry
      */
@@ -108,44 +116,44 @@
 
     private void recordRestart(long nowUs, Member member) {
         member.utilization = NO_REPORT;
-        member.servedWork.scale(warmth(nowUs, member)); // It can do as little as it is warm now.
+        member.servedWork.scale(warmth(nowUs, member)); // Right after a restart it can do only this share.
         member.budgetUs = 0;
         member.budgetUpdatedUs = nowUs;
         member.sendThreshold = random.nextDouble();
     }
 
-    /** Says whether anything may be sent to a member at all. */
+    /** Sets whether requests may be sent to a member at all. */
     void setUsable(Member member, boolean isUsable) {
         member.usable = isUsable;
     }
 
-    /** Takes the used share of a member's present capacity from a report; NaN where the report holds none. */
+    /** Records the used share of a member's present capacity from a report; NaN if the report does not contain it. */
     void recordUtilization(Member member, double utilization) {
         if (utilization >= 0) {
             member.utilization = Math.max(utilization, MIN_UTILIZATION);
         }
     }
 
-    /** The used share of a member's capacity by its last report since it started, or {@link #NO_REPORT}. */
+    /** Returns the used share of a member's capacity by its last report since it started, or {@link #NO_REPORT}. */
     double utilization(Member member) {
         return member.utilization;
     }
 
-    /** Learns from an answer that served a request of this class in {@code tookUs}. */
+    /** Records a response to a request of this class that the member served in {@code tookUs}. */
     void recordResponse(long nowUs, Member member, int classIndex, long tookUs) {
         serviceTimes.recordResponse(classIndex, tookUs);
         member.servedWork.add(nowUs, serviceTimes.serviceTimeUs(classIndex));
     }
 
-    /** Takes a request of this class, which is sent to the member, off its budget. */
+    /** Deducts a request of this class, which is sent to the member, from the member's budget. */
     void recordSend(Member member, int classIndex) {
         member.budgetUs -= serviceTimes.serviceTimeUs(classIndex);
     }
 
     /**
-     * Whether a member may be sent a request of this class now. A warm member always may; any other as far as its
-     * budget reaches. Each of hundreds of routers may have a budget below one request, so each draws the part of a
-     * request that it waits for before its first one.
+     * Whether a request of this class may be sent to a member now: always to a warm member, to others as far as the
+     * budget permits. Each of hundreds of routers may have a budget below one request, so each draws at random the
+     * share of a request that its budget must hold before its first one.
      */
     boolean admits(long nowUs, Member member, int classIndex) {
         double warmth = warmth(nowUs, member);
@@ -157,14 +165,20 @@
         return member.budgetUs > member.sendThreshold * requestUs;
     }
 
-    /** A full budget and what is added while it is spent stay below what overloads the member. */
+    /**
+     * Adds to the budget what it has gained since the last update. A full budget and what is added while it is spent
+     * stay below the work that overloads the member.
+     */
     private void refillBudget(long nowUs, Member member, double workPerUs, double requestUs) {
         double capacityUs = Math.max(workPerUs * settings.rules().fallUs() * BUDGET_SPAN_SHARE, requestUs);
         member.budgetUs = Math.min(capacityUs, member.budgetUs + workPerUs * (nowUs - member.budgetUpdatedUs));
         member.budgetUpdatedUs = nowUs;
     }
 
-    /** This router's share of what a member can do by now: at the least its part of one core. */
+    /**
+     * Returns this router's share of what a member can do now, in cores: at least an equal share of one core, reduced
+     * by the warmth of the member.
+     */
     private double workPerUs(long nowUs, Member member, double warmth) {
         double shareOfOneCore = settings.instances() > 0 ? warmth / settings.instances() : 0;
         double shareOfCapacity =
@@ -173,8 +187,9 @@
     }
 
     /**
-     * How much more a member may be sent than its share of the others' work: more where it reports free capacity,
-     * or where there are no reports, since what the others served is then the least that they can do.
+     * Returns the factor by which a member may be sent more than this router's share of the work of others. It exceeds
+     * 1 if the member reports free capacity, or if it has not reported: what the others served is then the minimum that
+     * they can do.
      */
     private double spareCapacityFactor(Member member) {
         double maxFactor = Math.max(1, MAX_OVERLOAD_SHARE * settings.rules().fallMultiple());
@@ -185,10 +200,11 @@
     }
 
     /**
-     * This router's share of what a warm member of that kind can do, in cores: the work that it had served there,
-     * over the used part of all capacity as the members report it. Unlike the share of the served load, that
-     * holds where no member is warm, and where this router has only begun. Without any reports it is the share of
-     * the served load; a member without a report counts with the mean utilization of the others.
+     * Returns this router's share of what a warm member of that machine kind can do, in cores: the work that such
+     * members served for this router, divided by the used part of their capacity according to their reports. Unlike the
+     * share of the served load, this is also correct if no member is warm or if this router has just started. Without
+     * any reports it is the share of the served load; a member without a report counts with the mean utilization of the
+     * others.
      */
     private double warmShare(long nowUs, int machineKind) {
         double servedWork = 0;
@@ -211,7 +227,7 @@
         return servedWork / observedShare(nowUs) / capacityInUse;
     }
 
-    /** How much of what is served this router has seen by now, as its rates begin at 0. */
+    /** Returns the share of the served work that this router has observed so far, since its rates begin at 0. */
     private double observedShare(long nowUs) {
         return -Math.expm1((firstListedAtUs - nowUs - 1) / (double) timeConstantUs());
     }
@@ -220,7 +236,7 @@
         return settings.rules().warmth(nowUs, member.startedUs);
     }
 
-    /** Twice the time span of the rule on overloading members. */
+    /** Returns the time constant of the served work: twice the overload window. */
     private long timeConstantUs() {
         return 2 * settings.rules().fallUs();
     }
