--- a/decisions/src/test/java/frostreel/routing/ConcurrencyLimitTest.java
+++ b/decisions/src/test/java/frostreel/routing/ConcurrencyLimitTest.java
@@ -14,9 +14,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** How many attempts may be in flight to a member at once, and how long a rejecting one is left alone. */
+/** Limit of the attempts in flight to a member, and the pauses of a member that rejects attempts. */
 class ConcurrencyLimitTest {
-    /** A member that rejects or cannot be reached answers at once and would attract a storm of attempts. */
+    /** Attempts to a rejecting or unreachable member end at once, so that it would attract a storm of attempts. */
     @ParameterizedTest
     @EnumSource(
             value = Outcome.class,
@@ -35,8 +35,8 @@
     }
 
     /**
-     * On some machines service time alone took a quarter of the latency objective; windows narrowed for that left
-     * them idle.
+     * Service time alone may take a quarter of the latency objective on some machines; shrinking windows because of it
+     * would leave those machines idle.
      */
     @Test
     void memberWhoseServiceTimeIsAThirdOfTheObjectiveReceivesConcurrentRequests() {
@@ -45,7 +45,7 @@
         assertFourAreSentAtOnce(harness, ANY_READ);
     }
 
-    /** Answers may be corrupted, from any member equally: sending less shortens no queue then. */
+    /** Responses of any member may be corrupted; sending fewer attempts does not shorten a queue then. */
     @Test
     void errorsThatArriveInTimeDoNotShrinkTheWindow() {
         RouterHarness harness = new SettingsBuilder().start(primary("a", 0));
@@ -62,11 +62,14 @@
     private static void assertFourAreSentAtOnce(RouterHarness harness, int requestClass) {
         for (int i = 0; i < 4; i++) {
             harness.submit("at once " + i, requestClass);
-            assertNotNull(harness.lastAttempt("at once " + i), "of four at once, number " + i + " waits");
+            assertNotNull(harness.lastAttempt("at once " + i), "request " + i + " of four at once is not sent");
         }
     }
 
-    /** Requests queued at a member beyond their use delay others, where no window bounds the queue. */
+    /**
+     * At the minimum window nothing limits the queue at the member, where requests whose response has no value any more
+     * delay others.
+     */
     @Test
     void readWithoutLateWeightTimesOutAtItsObjectiveOnceTheWindowIsAtItsMinimum() {
         RouterHarness harness = new SettingsBuilder().start(replica("a", 0));
--- a/decisions/src/test/java/frostreel/routing/ConcurrencyWindowTest.java
+++ b/decisions/src/test/java/frostreel/routing/ConcurrencyWindowTest.java
@@ -4,13 +4,13 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The size of a window by answers in time and signs of a queue, and the pauses of a member that rejects. */
+/** Size of the window after responses in time and signs of a queue, and pauses of a member that rejects. */
 class ConcurrencyWindowTest {
     private static final long NOW_US = 1_000_000;
     private static final double LATENCY_US = 40_000;
     private final ConcurrencyWindow window = new ConcurrencyWindow();
 
-    /** How many attempts may be in flight at once. */
+    /** Returns the number of attempts that may be in flight at once. */
     private int capacity() {
         int inFlight = 0;
         while (window.hasRoom(NOW_US, inFlight, 1)) {
--- a/decisions/src/test/java/frostreel/routing/FreshnessTest.java
+++ b/decisions/src/test/java/frostreel/routing/FreshnessTest.java
@@ -18,9 +18,9 @@
 import frostreel.routing.Router.StalenessCheck;
 import org.junit.jupiter.api.Test;
 
-/** Which members are fresh enough for a read. */
+/** Freshness that a read requires of the member that it is sent to. */
 class FreshnessTest {
-    /** A router that remembers the writes of sessions, with a primary a and a replica b. */
+    /** Starts a router that remembers the writes of sessions, with a primary a and a replica b. */
     private static RouterHarness rememberingSessions() {
         return new SettingsBuilder()
                 .sessionTracking(SessionTracking.REMEMBERED)
@@ -64,14 +64,14 @@
         assertEquals("b", harness.lastAttempt("second read").member());
     }
 
-    /** The server may have answered and the answer may be lost: what it contained counts as known all the same. */
+    /** The server may have responded and the response may be lost; its content also counts as known. */
     @Test
     void readsOfASessionMustSeeItsWritesWithUnknownOutcome() {
         RouterHarness harness = rememberingSessions();
         harness.healthCheckSucceeded("b", Role.REPLICA, harness.nowUs - 10_000);
         harness.submit("write", NON_IDEMPOTENT_WRITE);
         harness.advance(150_000);
-        harness.submit("while out", SESSION_READ);
+        harness.submit("during write", SESSION_READ);
         harness.complete("write", Outcome.RESET);
         harness.submit("after", SESSION_READ);
         harness.advance(150_000);
@@ -81,7 +81,7 @@
         assertEquals("b", harness.lastAttempt("caught up").member());
     }
 
-    /** While an attempt waits for its connection, further commits may become known that its answer must contain. */
+    /** While an attempt waits for its connection, further commits may become known that its response must reflect. */
     @Test
     void attemptThatWaitsForAConnectionMayBeginOnlyWhileItsMemberIsFreshEnough() {
         RouterHarness harness = rememberingSessions();
@@ -96,7 +96,7 @@
         assertEquals("a", harness.lastAttempt("read").member());
     }
 
-    /** Forgetting a commit must not permit its session to read data that is older than its write. */
+    /** A session whose commit was dropped must not read data that is older than its write. */
     @Test
     void readsMustSeeCommitsOfDroppedSessions() {
         RouterHarness harness = rememberingSessions();
--- a/decisions/src/test/java/frostreel/routing/GoodputTest.java
+++ b/decisions/src/test/java/frostreel/routing/GoodputTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The share of requests to shed, by how recent requests ended. */
+/** Share of requests to shed, based on how recent requests ended. */
 class GoodputTest {
     private static final long TIME_CONSTANT_US = 1_000_000;
     private static final long NOW_US = 5_000_000;
--- a/decisions/src/test/java/frostreel/routing/LoadShedderTest.java
+++ b/decisions/src/test/java/frostreel/routing/LoadShedderTest.java
@@ -6,7 +6,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** When requests are rejected on arrival, and when there are too many of them. */
+/** Rejection of requests on arrival, and the limit of concurrent requests. */
 class LoadShedderTest {
     private static final long NOW_US = 10_000_000;
     private final Router.Settings settings =
--- a/decisions/src/test/java/frostreel/routing/LoadSheddingTest.java
+++ b/decisions/src/test/java/frostreel/routing/LoadSheddingTest.java
@@ -18,11 +18,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** When requests are rejected at once, and when they may not be. */
+/** Conditions under which a router rejects requests on arrival, and under which it must not. */
 class LoadSheddingTest {
     /**
-     * Hundreds of routers overload a member even with a window of one attempt each; each router infers that from
-     * how its own requests end.
+     * Hundreds of routers overload a member even with a window of one attempt each; each router detects this from the
+     * outcomes of its own requests.
      */
     @Test
     void routerWhoseRequestsAllEndLateShedsMostLoadAndRecovers() {
@@ -41,7 +41,7 @@
             harness.submit("recovered" + i, ANY_READ);
             assertTrue(
                     i < 80 || harness.lastAttempt("recovered" + i) != null,
-                    "request " + i + " though all is well again");
+                    "request " + i + " is not sent after the recovery");
             harness.advance(200_000);
             if (harness.lastAttempt("recovered" + i) != null) {
                 harness.complete("recovered" + i, Outcome.OK, Role.REPLICA, harness.nowUs);
@@ -50,8 +50,8 @@
     }
 
     /**
-     * With many poolers a sixth of the total value was lost to writes shed at once, most of them while their
-     * primary had capacity.
+     * Overloaded replicas must not cause writes to be rejected on arrival while their primary has capacity: with many
+     * poolers, a sixth of the total value was lost that way.
      */
     @Test
     void overloadedReplicaCausesNoWriteToBeRejected() {
@@ -75,7 +75,7 @@
         assertTrue(harness.rejected.size() > 10, "reads rejected: " + harness.rejected.size());
     }
 
-    /** Load is shed under overload only: failing members and lost answers must not cause rejections. */
+    /** Load is shed only under overload: failing members and lost responses must not cause rejections. */
     @Test
     void failureOfAThirdOfTheRequestsShedsNoLoad() {
         RouterHarness harness = threeMembers();
@@ -87,7 +87,7 @@
         }
     }
 
-    /** In experiment i633ad7, primaries that failed fast caused most requests of all classes to be rejected. */
+    /** Primaries that fail fast must not cause most requests of all classes to be rejected. */
     @Test
     void errorsAloneShedNoLoad() {
         RouterHarness harness = threeMembers();
@@ -100,8 +100,8 @@
     }
 
     /**
-     * Each waiting request occupies a slot that another client cannot use; the one that waits longest has the
-     * least to gain.
+     * Each waiting request occupies a slot that another client could use; the one that has waited longest has the least
+     * to gain.
      */
     @Test
     void longestWaitingRequestIsRejectedWhenTooManyClientRequestsAreOpen() {
--- a/decisions/src/test/java/frostreel/routing/ManyRoutersTest.java
+++ b/decisions/src/test/java/frostreel/routing/ManyRoutersTest.java
@@ -16,10 +16,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What many routers do to the same members, where each knows only what it observed itself. */
+/** Combined effect of many routers on the same members; each router knows only its own observations. */
 class ManyRoutersTest {
     private static final int INSTANCES = 14;
-    /** What a router without history expects of a request: a fifth of the latency objective. */
+    /** Latency that a router without history expects of a request: a fifth of the latency objective. */
     private static final long USUAL_DURATION_US = 120_000;
 
     private static List<RouterHarness> startRouters(Member... members) {
@@ -36,7 +36,10 @@
                 .sum();
     }
 
-    /** Without history each router took its share to be zero, and a replaced group stayed idle until it was warm. */
+    /**
+     * Routers without history must not take their share to be zero: a group of replaced members would stay idle until
+     * they are warm.
+     */
     @Test
     void routersWithoutHistoryTogetherSendAStartingGroupItsFirstWork() {
         Member restarted = startedAt(primary("a", 0), 99_900_000);
@@ -47,15 +50,12 @@
                 harness.advance(500_000);
             }
         }
-        // A starting member has at least a fifth of a core of half the speed: three requests of 60 ms in two
-        // seconds. Three times as many overload it.
+        // A starting member has at least a fifth of a core of half the speed, which serves three requests of 60 ms in
+        // two seconds. Three times as many overload it.
         assertThat(sentTo(routers, "a")).isBetween(1L, 8L);
     }
 
-    /**
-     * A starting member once received a fifth of the load that warm members happened to have, however much
-     * capacity it had.
-     */
+    /** A starting member must not be limited to a fifth of the current load of warm members, whatever its capacity. */
     @Test
     void startingMemberReceivesWhatItsCapacityAllowsNotAShareOfTheCurrentLoad() {
         RouterHarness busy = serveReads(1);
@@ -81,14 +81,17 @@
                 .sum();
     }
 
-    /** Answers what was health-checked since then, each member as a replica that lags this far. */
+    /** Ends the health checks from number {@code since} on: each member reports that it is a replica with this lag. */
     private static void completeHealthChecks(RouterHarness harness, int since, long lagUs) {
         for (int i = since; i < harness.healthChecked.size(); i++) {
             harness.healthCheckSucceeded(harness.healthChecked.get(i), Role.REPLICA, harness.nowUs - lagUs);
         }
     }
 
-    /** Each waiting read had each replica checked four times a second, by each of fourteen routers. */
+    /**
+     * Each waiting read would otherwise trigger four health checks of each replica a second, from each of fourteen
+     * routers.
+     */
     @Test
     void replicaFarBehindIsNotCheckedAgainBeforeItCanHaveCaughtUp() {
         List<RouterHarness> routers = startRouters(primary("a", 0), replica("b", 0));
@@ -101,7 +104,8 @@
                 completeHealthChecks(harness, before, 5_000_000);
             }
         }
-        // 4.2 s over its bound, it needs at least 2.9 s to catch up: one check at first, and one in three seconds.
+        // The replica is 4.2 s over the bound and needs at least 2.9 s to catch up: one check at first, one in three
+        // seconds.
         assertThat(healthChecks(routers)).isBetween((long) INSTANCES, 2L * INSTANCES);
     }
 
@@ -117,8 +121,8 @@
     }
 
     /**
-     * A full round each half second for a single waiting write, at each of fourteen routers, cost more than it
-     * gained.
+     * A full round of health checks each half second for a single queued write costs more than it gains with fourteen
+     * routers.
      */
     @Test
     void primarySearchRateFollowsTheNumberOfQueuedWrites() {
@@ -126,14 +130,17 @@
         assertThat(healthChecksDuringSearch(6)).isBetween(10L * INSTANCES, 13L * INSTANCES);
     }
 
-    /** Health checks by all routers in two seconds without a primary, of three members, with so many writes each. */
+    /**
+     * Returns the number of health checks of three members by all routers in two seconds without a primary, with this
+     * number of queued writes at each router.
+     */
     private static long healthChecksDuringSearch(int writes) {
         List<RouterHarness> routers = startRouters(primary("a", 0), replica("b", 0), replica("c", 0));
         for (RouterHarness harness : routers) {
             for (int i = 0; i < writes; i++) {
                 harness.submit("write" + i, NON_IDEMPOTENT_WRITE);
             }
-            // Each rejection moves the write on, which adds an attempt, until the round is complete.
+            // Each rejection adds an attempt at the next member until the round is complete.
             for (int i = 0; i < harness.attempts.size(); i++) {
                 harness.complete(harness.attempts.get(i), Outcome.WRONG_ROLE_OR_STALE, 1_000, Role.REPLICA, 0, null);
             }
--- a/decisions/src/test/java/frostreel/routing/OutlierDetectionTest.java
+++ b/decisions/src/test/java/frostreel/routing/OutlierDetectionTest.java
@@ -11,13 +11,13 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 
-/** Members that fail or are slower than their peers. */
+/** Routing of reads around members that fail or are slower than their peers. */
 class OutlierDetectionTest {
     private static final long INTERVAL_US = 10_000;
     private final RouterHarness harness =
             new SettingsBuilder().start(primary("a", 0), replica("b", 0), replica("c", 0));
 
-    /** Submits reads in turn, none of which may have to wait. */
+    /** Submits reads one after another and asserts that none had to wait. */
     private void submitReads(int count, Consumer<RouterHarness.Attempt> end) {
         assertEquals(count, harness.submitInTurn("read", count, ANY_READ, INTERVAL_US, end), "reads that did not wait");
     }
@@ -53,7 +53,7 @@
         assertSecondReplicaReceivesFarMoreThanTheFirst();
     }
 
-    /** Health is relative: when all members are slow, no majority is ejected. */
+    /** Members are compared with each other: when all are slow, no majority is ejected. */
     @Test
     void allMembersKeepServingWhenAllAreSlow() {
         submitReads(
--- a/decisions/src/test/java/frostreel/routing/OutlierDetectorTest.java
+++ b/decisions/src/test/java/frostreel/routing/OutlierDetectorTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The cost of a member by its latency, its failures and its silence. */
+/** Cost of a member based on its latency, failures and silence. */
 class OutlierDetectorTest {
     private static final long NOW_US = 1_000_000;
     private static final long LATER_US = NOW_US + 60_000_000;
--- a/decisions/src/test/java/frostreel/routing/ReplicaSelectionTest.java
+++ b/decisions/src/test/java/frostreel/routing/ReplicaSelectionTest.java
@@ -17,7 +17,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Which member a read is sent to, and which are health-checked for it. */
+/** Choice of the member that a read is sent to, and of the replicas that are health-checked for it. */
 class ReplicaSelectionTest {
     @Test
     void replicaInTheLocalZoneIsPreferredToOtherReplicasAndToThePrimary() {
@@ -62,7 +62,7 @@
     }
 
     /**
-     * A replica that runs a long query may apply nothing meanwhile: spread over all replicas, such queries would
+     * A replica may stop applying the log while it runs a long query: spread over all replicas, such queries would
      * leave none fresh.
      */
     @Test
@@ -91,6 +91,6 @@
         assertEquals(0, harness.attemptCount("wait"));
         assertEquals(fresh, harness.attemptCountTo("b"));
         harness.advance(200_000);
-        assertEquals(1, harness.attemptCount("wait"), "it waits for a part of its latency objective only");
+        assertEquals(1, harness.attemptCount("wait"), "the read waits only for a share of its latency objective");
     }
 }
--- a/decisions/src/test/java/frostreel/routing/SessionCommitsTest.java
+++ b/decisions/src/test/java/frostreel/routing/SessionCommitsTest.java
@@ -7,7 +7,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** What a session's reads must see of its writes, whose commit is known or whose outcome is not. */
+/**
+ * Positions that the reads of a session must see after its writes, whose commit is known or whose outcome is unknown.
+ */
 class SessionCommitsTest {
     private static final long START_US = 1_000_000_000;
     private static final long RETENTION_US = 100_000_000;
@@ -36,7 +38,7 @@
         assertThat(commits.requiredPositionUs(afterMs(150), SESSION)).isEqualTo(afterMs(50));
         commits.recordOutcome(afterMs(200), SESSION, DEADLINE_US, Outcome.WRONG_ROLE_OR_STALE, NO_COMMIT, RETENTION_US);
         assertThat(commits.requiredPositionUs(afterMs(250), SESSION))
-                .as("it never ran")
+                .as("the write never ran")
                 .isZero();
     }
 
--- a/decisions/src/test/java/frostreel/routing/SlowStartRoutingTest.java
+++ b/decisions/src/test/java/frostreel/routing/SlowStartRoutingTest.java
@@ -13,17 +13,17 @@
 import frostreel.routing.Router.Role;
 import org.junit.jupiter.api.Test;
 
-/** What routers send a member that started a short while ago. */
+/** Requests that routers send to a member that started recently. */
 class SlowStartRoutingTest {
     private static final long STARTED_US = 99_900_000;
 
-    /** A primary, a warm replica b, and a replica c that has just started. */
+    /** Starts a router with a primary a, a warm replica b, and a replica c that has just started. */
     private static RouterHarness withStartingReplica() {
         return new SettingsBuilder().start(primary("a", 0), replica("b", 0), startedAt(replica("c", 0), STARTED_US));
     }
 
     private static void assertSomeButLessThanHalf(long startingMemberAttempts, long warmMemberAttempts) {
-        assertTrue(startingMemberAttempts > 0, "the starting member receives some");
+        assertTrue(startingMemberAttempts > 0, "the starting member receives some requests");
         assertTrue(
                 startingMemberAttempts < warmMemberAttempts / 2,
                 startingMemberAttempts + " against " + warmMemberAttempts);
@@ -36,7 +36,7 @@
         assertSomeButLessThanHalf(harness.attemptCountTo("c"), harness.attemptCountTo("b"));
     }
 
-    /** A burst of rejections by warm members once raised the share of a starting member beyond its capacity. */
+    /** A burst of rejections by warm members must not raise the share of a starting member beyond its capacity. */
     @Test
     void rejectedWorkDoesNotRaiseTheShareOfAStartingMember() {
         RouterHarness harness = withStartingReplica();
@@ -56,8 +56,8 @@
     }
 
     /**
-     * The member had another slow-start budget when it was chosen, and all connections to a returning member open
-     * at once.
+     * The attempt was admitted under the budget of its member before the restart. Without another check, all attempts
+     * that wait for connections to a member that returns would begin at once.
      */
     @Test
     void attemptThatWaitsForAConnectionMustBeAdmittedAgainIfItsMemberRestarted() {
@@ -71,10 +71,7 @@
         assertEquals("a", harness.lastAttempt("read").member());
     }
 
-    /**
-     * Each of many low-traffic routers owes a starting member less than one request; once each of them sent it a
-     * whole one.
-     */
+    /** The share of each of many low-traffic routers is less than one request; they must not each send a whole one. */
     @Test
     void lowTrafficRoutersTogetherSendAStartingMemberOnlyItsShare() {
         long startingMemberAttempts = 0;
--- a/decisions/src/test/java/frostreel/routing/SlowStartTest.java
+++ b/decisions/src/test/java/frostreel/routing/SlowStartTest.java
@@ -5,7 +5,7 @@
 import frostreel.routing.Router.Member;
 import org.junit.jupiter.api.Test;
 
-/** How much of a starting member's work each router sends it; overload is three times its capacity over 2 s. */
+/** Work that each router sends to a starting member. Three times its capacity over 2 s overloads a member. */
 class SlowStartTest {
     private static final int SHORT = 0;
     private static final int LONG = 1;
@@ -17,7 +17,7 @@
         return RouterHarness.startedAt(RouterHarness.replica(id, 0), startedUs);
     }
 
-    /** Registers a member that the list says has started then. */
+    /** Registers a member that started at this time according to the endpoint list. */
     private static SlowStart.Member register(SlowStart slowStart, String id, long nowUs, long startedUs) {
         SlowStart.Member member = slowStart.register(nowUs);
         slowStart.recordListEntry(nowUs, member, entry(id, startedUs));
@@ -33,7 +33,7 @@
                 new SettingsBuilder().instances(instances).seed(seed).build());
     }
 
-    /** How many requests of a class one router sends a member that has just started, over 2 s. */
+    /** Returns the number of requests of a class that one router sends in 2 s to a member that has just started. */
     private static int sent(SlowStart slowStart, SlowStart.Member cold, long fromUs, int classIndex, long stepUs) {
         int sent = 0;
         for (long nowUs = fromUs; nowUs < fromUs + 2 * SECOND_US; nowUs += stepUs) {
@@ -45,7 +45,7 @@
         return sent;
     }
 
-    /** Lets a warm member serve requests of a class for 20 s at a steady rate. */
+    /** Lets a warm member serve requests of a class for 20 s at a steady rate, and returns the time at the end. */
     private static long serve(SlowStart slowStart, SlowStart.Member warm, int classIndex, int perSecond, long tookUs) {
         long nowUs = START_US;
         for (; nowUs < START_US + 20 * SECOND_US; nowUs += SECOND_US / perSecond) {
@@ -55,8 +55,8 @@
     }
 
     /**
-     * Sixty routers of one pool once sent one request each at the same moment, whatever its size, because every
-     * budget was above zero.
+     * A budget above zero must not suffice for a request: each of sixty routers would send one at the same moment,
+     * whatever its size.
      */
     @Test
     void onlySomeOfManyRoutersWithoutHistorySendToAStartingMember() {
@@ -66,13 +66,13 @@
             SlowStart.Member cold = register(slowStart, "cold", START_US, START_US);
             all += sent(slowStart, cold, START_US, LONG, 1_000);
         }
-        // A quarter of a core does four requests of a fifth of their objective in 2 s; three times that overloads it.
+        // A quarter of a core serves four requests of a fifth of their objective in 2 s; three times that overloads it.
         assertThat(all).isBetween(1, 12);
     }
 
     /**
-     * Times that include queueing made short work seem as expensive as long work: given long work, the member was
-     * overloaded.
+     * Times that include queueing would make short requests seem as expensive as long ones, and a starting member would
+     * be overloaded by long ones.
      */
     @Test
     void queueingTimeIsNotCountedAsWork() {
@@ -80,12 +80,12 @@
         SlowStart.Member warm = registerWarm(slowStart);
         slowStart.recordResponse(START_US, warm, SHORT, WORK_US);
         slowStart.recordResponse(START_US, warm, LONG, 20 * WORK_US);
-        long nowUs = serve(slowStart, warm, SHORT, 10, 20 * WORK_US); // Queued: ten a second of 50 ms.
+        long nowUs = serve(slowStart, warm, SHORT, 10, 20 * WORK_US); // Ten requests of 50 ms a second, queued.
         SlowStart.Member cold = register(slowStart, "cold", nowUs, nowUs);
         assertThat(sent(slowStart, cold, nowUs, LONG, 5_000)).isLessThanOrEqualTo(2);
     }
 
-    /** Where no report tells how busy the others are, what they serve is the least that they can do. */
+    /** Without reports of utilization, what the other members serve is the minimum that they can do. */
     @Test
     void withoutReportsAStartingMemberReceivesMoreThanOthersServeButLessThanOverloadsIt() {
         SlowStart slowStart = slowStart(1, 7);
@@ -100,11 +100,14 @@
                 sent++;
             }
         }
-        // Of the 80 requests that the warm member serves meanwhile a starting one could do 20; 60 would overload it.
+        // Meanwhile the warm member serves 80 requests. The starting one could serve 20; 60 would overload it.
         assertThat(sent).isBetween(21, 59);
     }
 
-    /** By its first estimate a write was a thousand times the reads answered so far, and waited for 4 s. */
+    /**
+     * By its initial estimate alone, a write would cost a thousand times as much as the reads served so far, and wait
+     * for 4 s.
+     */
     @Test
     void workOfAClassWithoutAnswersIsEstimatedFromTheOtherClasses() {
         SlowStart slowStart = slowStart(0, 7);
@@ -112,7 +115,7 @@
         for (int i = 0; i < 20; i++) {
             slowStart.recordResponse(START_US, only, SHORT, WORK_US / 1000);
         }
-        slowStart.recordListEntry(START_US, only, entry("warm", START_US)); // It restarts.
+        slowStart.recordListEntry(START_US, only, entry("warm", START_US)); // The member restarts.
         assertThat(sent(slowStart, only, START_US, LONG, 1_000)).isBetween(1, 60);
     }
 
--- a/decisions/src/test/java/frostreel/routing/WaitingReadsTest.java
+++ b/decisions/src/test/java/frostreel/routing/WaitingReadsTest.java
@@ -17,9 +17,9 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** Reads that wait for capacity: their order, their end and their health checks. */
+/** Order, rejection and health checks of reads that wait for capacity. */
 class WaitingReadsTest {
-    /** Served oldest first, a backlog would make every request late. */
+    /** A client whose read has waited unsent for that long does better to try another router. */
     @Test
     void unsentReadIsRejectedAtAlmostHalfItsTimeWhileSentReadsContinue() {
         RouterHarness harness = threeMembers();
@@ -38,6 +38,7 @@
         assertEquals(unsent, harness.rejected.stream().sorted(byNumber).toList());
     }
 
+    /** If the oldest read were served first, a backlog would make every request late. */
     @Test
     void newestWaitingReadIsServedFirst() {
         RouterHarness harness = new SettingsBuilder().start(primary("a", 0), replica("b", 0));
@@ -50,7 +51,7 @@
                 || harness.attempts.indexOf(harness.lastAttempt("read" + waiting)) > newest);
     }
 
-    /** Submits reads q1, q2 ... until one is not sent at once, and tells its number. */
+    /** Submits reads read1, read2 ... until one is not sent at once, and returns the number of that one. */
     private static int submitUntilOneWaits(RouterHarness harness) {
         int number = 0;
         do {
@@ -61,7 +62,7 @@
     }
 
     /**
-     * Under overload, client retries took the capacity in which first attempts would still have met their
+     * Under overload, client retries would otherwise take the capacity in which first attempts still meet their
      * objective.
      */
     @Test
@@ -76,11 +77,14 @@
         assertTrue(retry > 0);
         assertTrue(
                 harness.attempts.indexOf(harness.lastAttempt("read" + waiting)) < retry,
-                "the waiting first attempt went before it");
+                "the waiting first attempt was sent before the client's retry");
         assertNotNull(harness.lastAttempt("read" + waiting));
     }
 
-    /** A read that waits for capacity once triggered health checks at every recheck: 16 a request under overload. */
+    /**
+     * A read that waits for capacity would otherwise trigger health checks at every recheck: 16 per request under
+     * overload.
+     */
     @Test
     void waitingReadDoesNotRepeatHealthChecksContinuously() {
         RouterHarness harness = new SettingsBuilder().start(replica("a", 0), replica("b", 0), replica("c", 0));
