--- a/decisions/src/test/java/frostreel/routing/SlowStartTest.java
+++ b/decisions/src/test/java/frostreel/routing/SlowStartTest.java
@@ -109,7 +109,7 @@
      * for 4 s.
      */
     @Test
-    void workOfAClassWithoutAnswersIsEstimatedFromTheOtherClasses() {
+    void workOfAClassWithoutResponsesIsEstimatedFromTheOtherClasses() {
         SlowStart slowStart = slowStart(0, 7);
         SlowStart.Member only = registerWarm(slowStart);
         for (int i = 0; i < 20; i++) {
