--- a/decisions/src/main/java/frostreel/routing/LongQueryPlacement.java
+++ b/decisions/src/main/java/frostreel/routing/LongQueryPlacement.java
@@ -3,22 +3,23 @@
 import frostreel.routing.Router.Access;
 
 /**
- * Keeps the long-running reads of a group together on one replica. A replica that executes any may stop
- * applying the log meanwhile; spread over all replicas they would leave none that is fresh enough for other
- * reads.
+ * Concentrates the long-running reads of a group on one replica. A replica may stop applying the log while it executes
+ * such a read; spread over all replicas, these reads would leave none that is fresh enough for other reads.
  */
 final class LongQueryPlacement {
-    /** A long-running read waits for the group's one replica for this part of its objective. */
-    private static final double PATIENCE = 0.25;
-    /** Another replica must be this much further behind, in microseconds, to take the place of the present one. */
-    private static final long KEEP_US = 1_000_000;
-    /** Expected latency, in microseconds, from which a read prefers replicas that are behind in full. */
-    private static final long FULL_PREFERENCE_US = 500_000;
-    /** Lag, in microseconds, beyond which a replica isn't preferred any more strongly. */
-    private static final long MOST_LAG_US = 2_000_000;
+    /** Share of its latency objective for which a long-running read waits for that replica. */
+    private static final double MAX_WAIT_SHARE = 0.25;
+    /** Lag, in microseconds, by which another replica must exceed the chosen one to replace it. */
+    private static final long SWITCH_MARGIN_US = 1_000_000;
+    /** Mean latency of a class, in microseconds, from which its preference for lagging replicas has full strength. */
+    private static final long FULL_PREFERENCE_LATENCY_US = 500_000;
+    /** Lag, in microseconds, that adds 1 to a preference of full strength. */
+    private static final long PREFERENCE_LAG_UNIT_US = 500_000;
+    /** Lag, in microseconds, above which the preference for a replica does not increase further. */
+    private static final long MAX_PREFERRED_LAG_US = 2_000_000;
 
-    /** Any replica is further behind than none. */
-    private static final double BEHIND_OF_NONE_US = -1;
+    /** Lag while there is no candidate; below the lag of any replica. */
+    private static final double NO_CANDIDATE_LAG_US = -1;
 
     private final LocalityPolicy localityPolicy;
     private final ClassLatencies latencies;
@@ -33,26 +34,27 @@
         this.freshness = freshness;
     }
 
-    /** The one replica that a read may go to now, null if it may go to any. */
+    /** Returns the only replica that a read may be sent to now, null if it may be sent to any. */
     MemberState requiredReplica(long nowUs, PendingRequest request) {
-        boolean mayWait = nowUs - request.arrivedUs < PATIENCE * request.requestClass.latencyObjectiveUs();
+        boolean mayWait = nowUs - request.arrivedUs < MAX_WAIT_SHARE * request.requestClass.latencyObjectiveUs();
         return mayWait && latencies.isLongRunning(request) ? chooseReplica(nowUs, request) : null;
     }
 
     /**
-     * Chooses the replica that is furthest behind, as all routers agree on that one, and keeps to it until
-     * another is well behind it or it can't serve.
+     * Chooses the replica with the greatest lag, so that routers agree on one; a higher locality cost makes its lag
+     * count for less. Keeps the choice until another replica exceeds it by {@link #SWITCH_MARGIN_US} or it can no
+     * longer serve.
      */
     private MemberState chooseReplica(long nowUs, PendingRequest request) {
         GroupState group = request.group;
         MemberState best = null;
-        double furthestBehindUs = BEHIND_OF_NONE_US;
+        double maxLagUs = NO_CANDIDATE_LAG_US;
         for (MemberState member : group.chain) {
             double costFactor = localityPolicy.costFactor(nowUs, member.localityHandle);
             if (isCandidate(nowUs, request, member) && costFactor != LocalityPolicy.EXCLUDED) {
-                double behindUs = behindUs(nowUs, group, member) / costFactor;
-                if (behindUs > furthestBehindUs) {
-                    furthestBehindUs = behindUs;
+                double weightedLagUs = lagWithMarginUs(nowUs, group, member) / costFactor;
+                if (weightedLagUs > maxLagUs) {
+                    maxLagUs = weightedLagUs;
                     best = member;
                 }
             }
@@ -72,23 +74,23 @@
                 && !member.outliers.isSilent(nowUs, member.inFlight);
     }
 
-    private static long behindUs(long nowUs, GroupState group, MemberState member) {
+    private static long lagWithMarginUs(long nowUs, GroupState group, MemberState member) {
         if (member.appliedUpToUs == Router.NO_POSITION) {
             return 0;
         }
         long lagUs = nowUs - member.appliedUpToUs;
-        return member == group.longQueryReplica ? lagUs + KEEP_US : lagUs;
+        return member == group.longQueryReplica ? lagUs + SWITCH_MARGIN_US : lagUs;
     }
 
     /**
-     * How strongly a read prefers a replica, 1 for not at all. Reads that any member may answer prefer those
-     * that are behind and can serve little else, the more so the longer they run.
+     * Returns how strongly a read prefers a replica, 1 for no preference. Reads that any member may serve prefer
+     * replicas with excess lag, which can serve few other reads; the longer the reads run, the stronger the preference.
      */
     double preference(PendingRequest request, MemberState member) {
         if (request.requestClass.access() != Access.ANY) {
             return 1;
         }
-        double length = Math.min(1, latencies.meanUs(request.classIndex()) / FULL_PREFERENCE_US);
-        return 1 + length * Math.min(freshness.unusualLagUs(member), MOST_LAG_US) / FULL_PREFERENCE_US;
+        double strength = Math.min(1, latencies.meanUs(request.classIndex()) / FULL_PREFERENCE_LATENCY_US);
+        return 1 + strength * Math.min(freshness.excessLagUs(member), MAX_PREFERRED_LAG_US) / PREFERENCE_LAG_UNIT_US;
     }
 }
--- a/decisions/src/main/java/frostreel/routing/NearestZonePolicy.java
+++ b/decisions/src/main/java/frostreel/routing/NearestZonePolicy.java
@@ -1,18 +1,18 @@
 package frostreel.routing;
 
 /**
- * The policy of an installation that configures no failover between zones: members of other zones cost more than
- * those of the router's own, and all are admitted. A member's handle is its zone.
+ * Policy of an installation without failover between zones: members of other zones cost more than those of the local
+ * zone, and all reads are admitted. The handle of a member is the number of its zone.
  */
 public final class NearestZonePolicy implements LocalityPolicy {
-    private static final double OWN_ZONE_COST_FACTOR = 1;
-    private static final double OTHER_ZONE_COST_FACTOR = 2;
+    private static final double LOCAL_ZONE_COST_FACTOR = 1;
+    private static final double REMOTE_ZONE_COST_FACTOR = 2;
 
-    private final int ownZone;
+    private final int localZone;
 
-    /** {@code ownZone}: the zone of the router. */
-    public NearestZonePolicy(int ownZone) {
-        this.ownZone = ownZone;
+    /** Creates the policy of a router in {@code localZone}. */
+    public NearestZonePolicy(int localZone) {
+        this.localZone = localZone;
     }
 
     @Override
@@ -37,7 +37,7 @@
 
     @Override
     public double costFactor(long nowUs, int handle) {
-        return handle == ownZone ? OWN_ZONE_COST_FACTOR : OTHER_ZONE_COST_FACTOR;
+        return handle == localZone ? LOCAL_ZONE_COST_FACTOR : REMOTE_ZONE_COST_FACTOR;
     }
 
     @Override
--- a/decisions/src/main/java/frostreel/routing/RetryPolicy.java
+++ b/decisions/src/main/java/frostreel/routing/RetryPolicy.java
@@ -184,7 +184,7 @@
      * there until its deadline but only while a response has value, as nothing else bounds the member's queue.
      */
     long readTimeoutUs(long nowUs, PendingRequest request, MemberState member) {
-        long untilUs = member.window.isSmallest() ? usefulUntilUs(request) : request.original.deadlineUs();
+        long untilUs = member.window.isAtMinimum() ? usefulUntilUs(request) : request.original.deadlineUs();
         long leftUs = untilUs - nowUs;
         double expectedUs = expectedLatencyUs(nowUs, request, member);
         double spareUs = request.onTimeUntilUs() - nowUs - RETRY_LATENCY_FACTOR * expectedUs;
--- a/decisions/src/test/java/frostreel/routing/ConcurrencyLimitTest.java
+++ b/decisions/src/test/java/frostreel/routing/ConcurrencyLimitTest.java
@@ -14,14 +14,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** How many attempts may be in flight to a member at once, and how long a rejecting one is left alone. */
+/** Limit of the attempts in flight to a member, and the pauses of a member that rejects attempts. */
 class ConcurrencyLimitTest {
-    /** A member that rejects or cannot be reached answers at once and would attract a storm of attempts. */
+    /** Attempts to a rejecting or unreachable member end at once, so that it would attract a storm of attempts. */
     @ParameterizedTest
     @EnumSource(
             value = Outcome.class,
             names = {"REJECTED", "CONNECT_FAILED"})
-    void rejectingOrUnreachableMemberIsPausedForAWhile(Outcome outcome) {
+    void rejectingOrUnreachableMemberIsPaused(Outcome outcome) {
         RouterHarness harness = new SettingsBuilder().start(primary("a", 0), replica("b", 0));
         for (int i = 0; i < 100; i++) {
             harness.submit("read" + i, ANY_READ);
@@ -35,20 +35,20 @@
     }
 
     /**
-     * On some machines service time alone took a quarter of the latency objective; windows narrowed for that left
-     * them idle.
+     * Service time alone may take a quarter of the latency objective on some machines; shrinking windows because of it
+     * would leave those machines idle.
      */
     @Test
     void memberWhoseServiceTimeIsAThirdOfTheObjectiveReceivesConcurrentRequests() {
         RouterHarness harness = new SettingsBuilder().start(replica("b", 0));
         harness.submitInTurn(
                 "read", 200, ANY_READ, 200_000, attempt -> harness.respond(attempt, 200_000, Role.REPLICA));
-        assertSentAtOnce(harness, ANY_READ);
+        assertFourAreSentAtOnce(harness, ANY_READ);
     }
 
-    /** Answers may be corrupted, from any member equally: sending less shortens no queue then. */
+    /** Responses of any member may be corrupted; sending fewer attempts does not shorten a queue then. */
     @Test
-    void errorsThatArriveInTimeDoNotNarrowTheWindow() {
+    void errorsThatArriveInTimeDoNotShrinkTheWindow() {
         RouterHarness harness = new SettingsBuilder().start(primary("a", 0));
         int attempted = harness.submitInTurn(
                 "write",
@@ -57,17 +57,20 @@
                 200_000,
                 attempt -> harness.complete(attempt.requestId(), Outcome.ERROR, Role.PRIMARY, 0));
         assertEquals(30, attempted);
-        assertSentAtOnce(harness, NON_IDEMPOTENT_WRITE);
+        assertFourAreSentAtOnce(harness, NON_IDEMPOTENT_WRITE);
     }
 
-    private static void assertSentAtOnce(RouterHarness harness, int requestClass) {
+    private static void assertFourAreSentAtOnce(RouterHarness harness, int requestClass) {
         for (int i = 0; i < 4; i++) {
             harness.submit("at once " + i, requestClass);
-            assertNotNull(harness.lastAttempt("at once " + i), "of four at once, number " + i + " waits");
+            assertNotNull(harness.lastAttempt("at once " + i), "request " + i + " of four at once is not sent");
         }
     }
 
-    /** Requests queued at a member beyond their use delay others, where no window bounds the queue. */
+    /**
+     * At the minimum window nothing limits the queue at the member, where requests whose response has no value any more
+     * delay others.
+     */
     @Test
     void readWithoutLateWeightTimesOutAtItsObjectiveOnceTheWindowIsAtItsMinimum() {
         RouterHarness harness = new SettingsBuilder().start(replica("a", 0));
--- a/decisions/src/test/java/frostreel/routing/GoodputTest.java
+++ b/decisions/src/test/java/frostreel/routing/GoodputTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The share of requests to shed, by how recent requests ended. */
+/** Share of requests to shed, based on how recent requests ended. */
 class GoodputTest {
     private static final long TIME_CONSTANT_US = 1_000_000;
     private static final long NOW_US = 5_000_000;
@@ -23,38 +23,38 @@
 
     @Test
     void nothingIsShedBeforeAnyRequestEnded() {
-        assertThat(group.excess(NOW_US, allGroups)).isZero();
+        assertThat(group.shedShare(NOW_US, allGroups)).isZero();
     }
 
     @Test
     void nothingIsShedWhileEverySecondRequestIsUseful() {
         add(group, 50, 50);
         add(allGroups, 50, 50);
-        assertThat(group.excess(NOW_US, allGroups)).isZero();
+        assertThat(group.shedShare(NOW_US, allGroups)).isZero();
     }
 
     @Test
-    void ofUselessRequestsAlmostAllAreShed() {
+    void almostAllRequestsAreShedIfNoneIsUseful() {
         add(group, 0, 1_000);
         add(allGroups, 0, 1_000);
-        assertThat(group.excess(NOW_US, allGroups)).isEqualTo(0.9);
+        assertThat(group.shedShare(NOW_US, allGroups)).isEqualTo(0.9);
     }
 
     @Test
-    void aQuarterUsefulShedsAboutAHalf() {
+    void aboutHalfIsShedIfAQuarterIsUseful() {
         add(group, 250, 750);
-        assertThat(group.excess(NOW_US, allGroups)).isCloseTo(0.5, within(0.001));
+        assertThat(group.shedShare(NOW_US, allGroups)).isCloseTo(0.5, within(0.001));
     }
 
     @Test
-    void aGroupWithoutRequestsFollowsAllGroups() {
+    void groupWithoutRequestsUsesTheShareOfAllGroups() {
         add(allGroups, 250, 750);
-        assertThat(group.excess(NOW_US, allGroups)).isCloseTo(0.5, within(0.001));
+        assertThat(group.shedShare(NOW_US, allGroups)).isCloseTo(0.5, within(0.001));
     }
 
     @Test
-    void whatIsLongPastCountsForNothing() {
+    void requestsOfTheDistantPastDoNotCount() {
         add(group, 0, 1_000);
-        assertThat(group.excess(NOW_US + 30 * TIME_CONSTANT_US, allGroups)).isCloseTo(0, within(0.001));
+        assertThat(group.shedShare(NOW_US + 30 * TIME_CONSTANT_US, allGroups)).isCloseTo(0, within(0.001));
     }
 }
--- a/decisions/src/test/java/frostreel/routing/SessionCommitsTest.java
+++ b/decisions/src/test/java/frostreel/routing/SessionCommitsTest.java
@@ -7,7 +7,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** What a session's reads must see of its writes, whose commit is known or whose outcome is not. */
+/**
+ * Positions that the reads of a session must see after its writes, whose commit is known or whose outcome is unknown.
+ */
 class SessionCommitsTest {
     private static final long START_US = 1_000_000_000;
     private static final long RETENTION_US = 100_000_000;
@@ -22,7 +24,7 @@
     }
 
     @Test
-    void reportedCommitBindsItsOwnSessionOnly() {
+    void readsOfOtherSessionsNeedNotSeeAReportedCommit() {
         commits.recordSend(START_US, SESSION);
         commits.recordOutcome(afterMs(50), SESSION, DEADLINE_US, Outcome.OK, afterMs(40), RETENTION_US);
         assertThat(commits.requiredPositionUs(afterMs(60), SESSION)).isEqualTo(afterMs(41));
@@ -30,18 +32,18 @@
     }
 
     @Test
-    void writeInFlightBindsOnceItsAnswerMayCountAsKnown() {
+    void readsMustSeeAWriteInFlightOnceItsResponseCountsAsKnown() {
         commits.recordSend(START_US, SESSION);
         assertThat(commits.requiredPositionUs(afterMs(100), SESSION)).isZero();
         assertThat(commits.requiredPositionUs(afterMs(150), SESSION)).isEqualTo(afterMs(50));
         commits.recordOutcome(afterMs(200), SESSION, DEADLINE_US, Outcome.WRONG_ROLE_OR_STALE, NO_COMMIT, RETENTION_US);
         assertThat(commits.requiredPositionUs(afterMs(250), SESSION))
-                .as("it never ran")
+                .as("the write never ran")
                 .isZero();
     }
 
     @Test
-    void oldestOfTwoConcurrentWritesBindsUntilBothHaveEnded() {
+    void readsMustSeeTheOldestOfTwoConcurrentWritesUntilBothHaveEnded() {
         commits.recordSend(START_US, SESSION);
         commits.recordSend(afterMs(500), SESSION);
         commits.recordOutcome(afterMs(510), SESSION, DEADLINE_US, Outcome.REJECTED, NO_COMMIT, RETENTION_US);
@@ -51,7 +53,7 @@
     }
 
     @Test
-    void writeThatTimedOutBindsUpToItsDeadline() {
+    void readsMustSeeAWriteThatTimedOutUpToItsDeadline() {
         commits.recordSend(START_US, SESSION);
         commits.recordOutcome(afterMs(700), SESSION, DEADLINE_US, Outcome.TIMEOUT, NO_COMMIT, RETENTION_US);
         assertThat(commits.requiredPositionUs(afterMs(800), SESSION)).isEqualTo(afterMs(700));
@@ -63,14 +65,14 @@
     @EnumSource(
             value = Outcome.class,
             names = {"RESET", "ERROR", "OK"})
-    void writeWithoutReportedCommitBindsUpToItsEnd(Outcome outcome) {
+    void readsMustSeeAWriteWithoutReportedCommitUpToItsEnd(Outcome outcome) {
         commits.recordSend(START_US, SESSION);
         commits.recordOutcome(afterMs(700), SESSION, DEADLINE_US, outcome, NO_COMMIT, RETENTION_US);
         assertThat(commits.requiredPositionUs(afterMs(60_000), SESSION)).isEqualTo(afterMs(700));
     }
 
     @Test
-    void forgottenCommitBindsEverySession() {
+    void readsOfAllSessionsMustSeeADroppedCommit() {
         commits.recordSend(START_US, SESSION);
         commits.recordOutcome(START_US, SESSION, afterMs(1), Outcome.OK, afterMs(-1), RETENTION_US);
         long laterUs = START_US + 2 * RETENTION_US;
@@ -81,7 +83,7 @@
     }
 
     @Test
-    void numberOfSessionsIsBoundedAndADroppedWriteStillBinds() {
+    void numberOfSessionsIsBoundedAndReadsMustSeeADroppedWrite() {
         for (int session = 0; session <= SessionCommits.MAX_SESSIONS + 1; session++) {
             commits.recordSend(START_US, session);
         }
