--- a/decisions/src/main/java/frostreel/operation/SharedCommitTable.java
+++ b/decisions/src/main/java/frostreel/operation/SharedCommitTable.java
@@ -29,7 +29,7 @@
      * For a process that cannot see the others' writes: it assumes that any session may have committed at any time,
      * and binds its reads to every commit whose response counts as known by now.
      */
-    public static final PeerCommits UNKNOWN_PEERS = (nowUs, session) -> nowUs - Router.KNOWN_AFTER_US;
+    public static final PeerCommits UNKNOWN_PEER_COMMITS = (nowUs, session) -> nowUs - Router.KNOWN_AFTER_US;
 
     /** Servers state commits in milliseconds, rounded down. */
     private static final long COMMIT_ROUNDING_US = 1_000;
--- a/pooler/src/main/java/frostreel/control/PeerProcessCommits.java
+++ b/pooler/src/main/java/frostreel/control/PeerProcessCommits.java
@@ -39,10 +39,10 @@
                 SharedCommitTable table = new SharedCommitTable(file, newIncarnation(), nowUs);
                 file.replacementReason().ifPresent(SharedFile::warn);
                 boolean peersKnown = file.replacementReason().isEmpty();
-                return new PeerProcessCommits(table, peersKnown ? table : SharedCommitTable.UNKNOWN_PEERS);
+                return new PeerProcessCommits(table, peersKnown ? table : SharedCommitTable.UNKNOWN_PEER_COMMITS);
             } catch (IOException | UnsupportedOperationException e) { // The latter on a file system without links.
                 warn(e.toString());
-                return new PeerProcessCommits(WriteObserver.NONE, SharedCommitTable.UNKNOWN_PEERS);
+                return new PeerProcessCommits(WriteObserver.NONE, SharedCommitTable.UNKNOWN_PEER_COMMITS);
             }
         }
 
