--- a/decisions/src/main/java/frostreel/operation/RequestClassRegistry.java
+++ b/decisions/src/main/java/frostreel/operation/RequestClassRegistry.java
@@ -53,7 +53,7 @@
     }
 
     /** Replaces the classes in force. */
-    public void change(long nowUs, List<RequestClass> replacement) {
+    public void replaceClasses(long nowUs, List<RequestClass> replacement) {
         previous = current;
         current = numbersByName(replacement);
         changedAtUs = nowUs;
--- a/decisions/src/test/java/frostreel/operation/RequestClassRegistryTest.java
+++ b/decisions/src/test/java/frostreel/operation/RequestClassRegistryTest.java
@@ -36,7 +36,7 @@
 
     @Test
     void servesAddedClassesAtOnceAndDroppedOnesDuringTheTransition() {
-        registry.change(0, List.of(post, requestClass("new", Access.WRITE, Idempotency.NON_IDEMPOTENT)));
+        registry.replaceClasses(0, List.of(post, requestClass("new", Access.WRITE, Idempotency.NON_IDEMPOTENT)));
         assertThat(write(0, "new")).isEqualTo(2);
         assertThat(keyedWrite(0, "post")).as("unchanged, it keeps its number").isEqualTo(1);
         assertThat(read(IN_TRANSITION_US, "read")).isZero();
@@ -46,18 +46,18 @@
 
     @Test
     void choosesTheStricterOfTwoClassesOfOneNameDuringTheTransition() {
-        registry.change(0, List.of(read, requestClass("post", Access.WRITE, Idempotency.IDEMPOTENT)));
+        registry.replaceClasses(0, List.of(read, requestClass("post", Access.WRITE, Idempotency.IDEMPOTENT)));
         assertThat(keyedWrite(IN_TRANSITION_US, "post")).as("keyed is stricter").isEqualTo(1);
         assertThat(write(IN_TRANSITION_US, "post")).as("only the new fits").isEqualTo(2);
         assertThat(keyedWrite(AFTER_TRANSITION_US, "post")).isEqualTo(2);
-        registry.change(
+        registry.replaceClasses(
                 AFTER_TRANSITION_US, List.of(read, requestClass("post", Access.WRITE, Idempotency.NON_IDEMPOTENT)));
         assertThat(write(AFTER_TRANSITION_US, "post")).isEqualTo(3);
     }
 
     @Test
     void distinguishesReadsAndWritesOfOneClassName() {
-        registry.change(0, List.of(requestClass("read", Access.WRITE, Idempotency.NON_IDEMPOTENT), post));
+        registry.replaceClasses(0, List.of(requestClass("read", Access.WRITE, Idempotency.NON_IDEMPOTENT), post));
         assertThat(read(IN_TRANSITION_US, "read")).isZero();
         assertThat(write(IN_TRANSITION_US, "read")).isEqualTo(2);
         assertThat(read(AFTER_TRANSITION_US, "read")).isEqualTo(RequestClassRegistry.NO_CLASS);
@@ -67,7 +67,7 @@
     void givesReturningClassesTheirFormerNumber() {
         for (int i = 0; i < 100; i++) {
             Idempotency idempotency = i % 2 == 0 ? Idempotency.NON_IDEMPOTENT : Idempotency.IDEMPOTENT;
-            registry.change(i, List.of(requestClass("read", Access.ANY, idempotency), post));
+            registry.replaceClasses(i, List.of(requestClass("read", Access.ANY, idempotency), post));
         }
         assertThat(registry.all()).hasSize(3);
         assertThat(read(99 + AFTER_TRANSITION_US, "read")).isZero();
--- a/pooler/src/main/java/frostreel/ConfigReloader.java
+++ b/pooler/src/main/java/frostreel/ConfigReloader.java
@@ -80,7 +80,7 @@
      * send requests by the previous settings.
      */
     private void apply(Router.Settings settings) {
-        classes.change(loop.clock().now(), settings.classes());
+        classes.replaceClasses(loop.clock().now(), settings.classes());
         int newMaxAttempts = settings.limits().maxAttempts();
         maxAttempts = Math.min(maxAttempts, newMaxAttempts);
         Router.Settings duringTransition = settings.with(classes.all(), maxAttempts);
