--- a/decisions/src/main/java/frostreel/operation/MaintenanceOverlay.java
+++ b/decisions/src/main/java/frostreel/operation/MaintenanceOverlay.java
@@ -49,7 +49,7 @@
         List<Router.Member> effective = new ArrayList<>(members.size());
         for (Router.Member member : members) {
             remember(member);
-            effective.add(effective(member));
+            effective.add(effectiveMember(member));
         }
         return effective;
     }
@@ -81,18 +81,18 @@
     }
 
     /** Whether discovery has listed a server of that id, or operators have given a command on one. */
-    public boolean knows(String serverId) {
+    public boolean isKnown(String serverId) {
         return listed.containsKey(serverId)
                 || commands.latest(CommandTarget.server(serverId)).isPresent();
     }
 
     /** The member to pass on for a server now, empty if discovery has not listed it. */
-    public Optional<Router.Member> effective(String serverId) {
-        return Optional.ofNullable(listed.get(serverId)).map(this::effective);
+    public Optional<Router.Member> effectiveMember(String serverId) {
+        return Optional.ofNullable(listed.get(serverId)).map(this::effectiveMember);
     }
 
     /** The ids of the servers that are out of service. */
-    public List<String> outOfService() {
+    public List<String> outOfServiceIds() {
         List<String> serverIds = new ArrayList<>();
         commands.all().forEach((target, state) -> {
             if (state.inForce()) {
@@ -103,7 +103,7 @@
     }
 
     /** The listed member with the commands on it applied. */
-    private Router.Member effective(Router.Member member) {
+    private Router.Member effectiveMember(Router.Member member) {
         Optional<CommandState> latest = commands.latest(CommandTarget.server(member.id()));
         if (latest.isEmpty()) {
             return member;
--- a/decisions/src/test/java/frostreel/operation/MaintenanceOverlayTest.java
+++ b/decisions/src/test/java/frostreel/operation/MaintenanceOverlayTest.java
@@ -20,15 +20,15 @@
         return new Router.Member(id, 0, 0, 1, false, state, 1, startedUs);
     }
 
-    private Router.Member effective(String serverId) {
-        return overlay.effective(serverId).orElseThrow();
+    private Router.Member effectiveMember(String serverId) {
+        return overlay.effectiveMember(serverId).orElseThrow();
     }
 
     @Test
     void suspendedServerDrainsWhateverIsListedUntilRestored() {
         overlay.applyComplete(List.of(member("a", State.UP, 0), member("b", State.UP, 0)));
         commands.issue(100, SERVER_A);
-        assertThat(effective("a").state()).isEqualTo(State.DRAINING);
+        assertThat(effectiveMember("a").state()).isEqualTo(State.DRAINING);
 
         assertThat(overlay.applyChanges(List.of(member("a", State.UP, 0))))
                 .extracting(Router.Member::state)
@@ -42,7 +42,7 @@
                 .containsExactly(State.DRAINING);
 
         commands.revoke(200, SERVER_A);
-        assertThat(effective("a").state()).isEqualTo(State.UP);
+        assertThat(effectiveMember("a").state()).isEqualTo(State.UP);
     }
 
     @Test
@@ -50,7 +50,7 @@
         overlay.applyComplete(List.of(member("a", State.UP, 5)));
         commands.issue(100, SERVER_A);
         commands.revoke(200, SERVER_A);
-        assertThat(effective("a").startedUs()).isEqualTo(200);
+        assertThat(effectiveMember("a").startedUs()).isEqualTo(200);
         assertThat(overlay.applyChanges(List.of(member("a", State.UP, 5))))
                 .extracting(Router.Member::startedUs)
                 .containsExactly(200L);
@@ -65,7 +65,7 @@
 
         assertThat(commands.revoke(50, SERVER_A)).isFalse();
 
-        assertThat(effective("a").startedUs()).isZero();
+        assertThat(effectiveMember("a").startedUs()).isZero();
     }
 
     @Test
@@ -76,8 +76,8 @@
 
         commands.revoke(200, SERVER_A);
 
-        assertThat(effective("a").state()).isEqualTo(State.UP);
-        assertThat(overlay.outOfService()).isEmpty();
+        assertThat(effectiveMember("a").state()).isEqualTo(State.UP);
+        assertThat(overlay.outOfServiceIds()).isEmpty();
     }
 
     @Test
@@ -91,22 +91,22 @@
         commands.revoke(200, SERVER_A);
         commands.revoke(200, SERVER_B);
 
-        assertThat(effective("a").state()).isEqualTo(State.DRAINING);
-        assertThat(effective("b").state()).isEqualTo(State.GONE);
+        assertThat(effectiveMember("a").state()).isEqualTo(State.DRAINING);
+        assertThat(effectiveMember("b").state()).isEqualTo(State.GONE);
     }
 
     @Test
     void forgetsTheOldestDepartedServers() {
-        assertThat(overlay.knows("a")).isFalse();
+        assertThat(overlay.isKnown("a")).isFalse();
         overlay.applyComplete(List.of(member("a", State.UP, 0)));
         overlay.applyComplete(List.of());
-        assertThat(overlay.knows("a")).as("it may come back").isTrue();
+        assertThat(overlay.isKnown("a")).as("it may come back").isTrue();
 
         for (int i = 0; i < MORE_THAN_ARE_REMEMBERED; i++) {
             overlay.applyChanges(List.of(member("x" + i, State.GONE, 0)));
         }
 
-        assertThat(overlay.knows("a")).isFalse();
+        assertThat(overlay.isKnown("a")).isFalse();
     }
 
     @Test
@@ -115,8 +115,8 @@
         overlay.applyComplete(List.of(member("a", State.UP, 0)));
         commands.merge(unknown, CommandState.issued(5));
         commands.merge(CommandTarget.CLIENTS, CommandState.issued(5));
-        assertThat(overlay.outOfService()).isEmpty();
-        assertThat(effective("a").state()).isEqualTo(State.UP);
+        assertThat(overlay.outOfServiceIds()).isEmpty();
+        assertThat(effectiveMember("a").state()).isEqualTo(State.UP);
         assertThat(commands.all()).containsKey(unknown);
     }
 }
--- a/pooler/src/main/java/frostreel/control/CommandExecutor.java
+++ b/pooler/src/main/java/frostreel/control/CommandExecutor.java
@@ -76,7 +76,7 @@
 
     /** The page {@code SHOW operation}: the commands in force. */
     public String statusPage() {
-        return "clients=" + lifecycle.status().wireName() + " out=" + overlay.outOfService();
+        return "clients=" + lifecycle.status().wireName() + " out=" + overlay.outOfServiceIds();
     }
 
     /** Executes one line of the operators' protocol; replies once its effect is complete and stored. */
@@ -118,11 +118,13 @@
     }
 
     private Effect suspend(String serverId) {
-        return overlay.knows(serverId) ? issue(CommandTarget.server(serverId)) : Effect.none(AdminReply.UNKNOWN_SERVER);
+        return overlay.isKnown(serverId)
+                ? issue(CommandTarget.server(serverId))
+                : Effect.none(AdminReply.UNKNOWN_SERVER);
     }
 
     private Effect restore(String serverId) {
-        return overlay.knows(serverId)
+        return overlay.isKnown(serverId)
                 ? revoke(CommandTarget.server(serverId))
                 : Effect.none(AdminReply.UNKNOWN_SERVER);
     }
--- a/pooler/src/main/java/frostreel/control/EndpointPublisher.java
+++ b/pooler/src/main/java/frostreel/control/EndpointPublisher.java
@@ -45,7 +45,7 @@
 
     /** Publishes one server again, after a command on it; does nothing if discovery has not listed it. */
     void republish(String serverId) {
-        overlay.effective(serverId).ifPresent(member -> {
+        overlay.effectiveMember(serverId).ifPresent(member -> {
             pool.updateState(serverId, member.state());
             broker.updateMembers(Router.ListKind.CHANGES, List.of(member));
             pool.closeUnwanted();
