--- a/decisions/src/main/java/frostreel/operation/LifecycleState.java
+++ b/decisions/src/main/java/frostreel/operation/LifecycleState.java
@@ -36,7 +36,7 @@
     private static final Set<LifecycleState> PAUSED =
             EnumSet.of(STARTING_PAUSED, DRAINING, HANDING_OVER_PAUSED, STOPPING_PAUSED, STOPPING_UNREADY_PAUSED);
     /** The states after SIGTERM. */
-    private static final Set<LifecycleState> TERMINATED = EnumSet.range(HANDING_OVER, STOPPING_UNREADY_PAUSED);
+    private static final Set<LifecycleState> TERMINATING = EnumSet.range(HANDING_OVER, STOPPING_UNREADY_PAUSED);
 
     private record Transition(LifecycleState from, LifecycleEvent event, LifecycleState to) {}
 
@@ -100,8 +100,8 @@
     }
 
     /** Whether SIGTERM has arrived. */
-    boolean isTerminated() {
-        return TERMINATED.contains(this);
+    boolean isTerminating() {
+        return TERMINATING.contains(this);
     }
 
     /** Whether SIGTERM has arrived and a successor accepts from the same socket. */
--- a/decisions/src/main/java/frostreel/operation/MaintenanceOverlay.java
+++ b/decisions/src/main/java/frostreel/operation/MaintenanceOverlay.java
@@ -21,7 +21,7 @@
     private static final int MAX_DEPARTED = 256;
 
     private final OperatorCommands commands;
-    private final Map<String, Router.Member> listed = new HashMap<>();
+    private final Map<String, Router.Member> lastListed = new HashMap<>();
     /** Ids of listed servers that are gone, in the order in which they left. */
     private final Set<String> departed = new LinkedHashSet<>();
 
@@ -48,23 +48,23 @@
     public List<Router.Member> applyChanges(List<Router.Member> members) {
         List<Router.Member> effective = new ArrayList<>(members.size());
         for (Router.Member member : members) {
-            remember(member);
+            recordListed(member);
             effective.add(effectiveMember(member));
         }
         return effective;
     }
 
     private void markUnlistedAsGone(List<Router.Member> members) {
-        Set<String> unlisted = new HashSet<>(listed.keySet());
+        Set<String> unlisted = new HashSet<>(lastListed.keySet());
         members.forEach(member -> unlisted.remove(member.id()));
         for (String id : unlisted) {
-            Router.Member last = listed.get(id);
-            remember(with(last, Router.State.GONE, last.startedUs()));
+            Router.Member last = lastListed.get(id);
+            recordListed(withStateAndStart(last, Router.State.GONE, last.startedUs()));
         }
     }
 
-    private void remember(Router.Member member) {
-        listed.put(member.id(), member);
+    private void recordListed(Router.Member member) {
+        lastListed.put(member.id(), member);
         departed.remove(member.id());
         if (member.state() == Router.State.GONE) {
             departed.add(member.id());
@@ -76,19 +76,19 @@
         if (departed.size() > MAX_DEPARTED) {
             String oldest = departed.iterator().next();
             departed.remove(oldest);
-            listed.remove(oldest);
+            lastListed.remove(oldest);
         }
     }
 
     /** Whether discovery has listed a server of that id, or operators have given a command on one. */
     public boolean isKnown(String serverId) {
-        return listed.containsKey(serverId)
+        return lastListed.containsKey(serverId)
                 || commands.latest(CommandTarget.server(serverId)).isPresent();
     }
 
     /** The member to pass on for a server now, empty if discovery has not listed it. */
     public Optional<Router.Member> effectiveMember(String serverId) {
-        return Optional.ofNullable(listed.get(serverId)).map(this::effectiveMember);
+        return Optional.ofNullable(lastListed.get(serverId)).map(this::effectiveMember);
     }
 
     /** The ids of the servers that are out of service. */
@@ -114,7 +114,7 @@
 
     private static Router.Member suspended(Router.Member member) {
         boolean gone = member.state() == Router.State.GONE;
-        return gone ? member : with(member, Router.State.DRAINING, member.startedUs());
+        return gone ? member : withStateAndStart(member, Router.State.DRAINING, member.startedUs());
     }
 
     /**
@@ -125,10 +125,10 @@
     private static Router.Member restored(Router.Member member, CommandState revoked) {
         boolean restartReported = member.startedUs() >= revoked.inForceSinceUs();
         long startedUs = restartReported ? member.startedUs() : revoked.changedAtUs();
-        return with(member, member.state(), startedUs);
+        return withStateAndStart(member, member.state(), startedUs);
     }
 
-    private static Router.Member with(Router.Member member, Router.State state, long startedUs) {
+    private static Router.Member withStateAndStart(Router.Member member, Router.State state, long startedUs) {
         return new Router.Member(
                 member.id(),
                 member.zone(),
--- a/decisions/src/main/java/frostreel/operation/ServingLifecycle.java
+++ b/decisions/src/main/java/frostreel/operation/ServingLifecycle.java
@@ -50,7 +50,7 @@
     /** When operators paused the process; undefined in a state that is not paused. */
     private long pausedAtUs;
     /** When SIGTERM arrived; undefined before that. */
-    private long terminatedAtUs;
+    private long sigtermAtUs;
 
     /**
      * @param hasSuccessor whether another process accepts from the same socket when this one ends, so that no
@@ -92,8 +92,8 @@
 
     /** Reports SIGTERM; repeated, it changes nothing. */
     public void terminate(long nowUs) {
-        if (!state.isTerminated()) {
-            terminatedAtUs = nowUs;
+        if (!state.isTerminating()) {
+            sigtermAtUs = nowUs;
         }
         state = state.after(hasSuccessor ? LifecycleEvent.HAND_OVER : LifecycleEvent.STOP);
     }
@@ -143,7 +143,7 @@
     /** When to close all idle connections; {@link #NEVER_US} in normal service. */
     public long closeIdleAtUs() {
         long afterPauseUs = state.isPaused() ? pausedAtUs + PAUSE_IDLE_CLOSE_DELAY_US : NEVER_US;
-        long afterSigtermUs = state.isHandingOver() ? terminatedAtUs + HANDOVER_IDLE_CLOSE_DELAY_US : NEVER_US;
+        long afterSigtermUs = state.isHandingOver() ? sigtermAtUs + HANDOVER_IDLE_CLOSE_DELAY_US : NEVER_US;
         return Math.min(lastResponseUs(), Math.min(afterPauseUs, afterSigtermUs));
     }
 
@@ -154,11 +154,11 @@
 
     /** When the last response must be sent, shortly before SIGKILL; {@link #NEVER_US} before SIGTERM. */
     public long lastResponseUs() {
-        if (!state.isTerminated()) {
+        if (!state.isTerminating()) {
             return NEVER_US;
         }
         long killDelayUs = Math.min(longestDeadlineUs, KILL_DEADLINE_CAP_US) + SHUTDOWN_GRACE_US;
-        return terminatedAtUs + killDelayUs - KILL_MARGIN_US;
+        return sigtermAtUs + killDelayUs - KILL_MARGIN_US;
     }
 
     /** By when a request that arrives now must be answered; {@link #NEVER_US} if its own deadline is all. */
@@ -168,13 +168,13 @@
 
     /** Whether nothing keeps the process from exiting. */
     public boolean mayExit(long nowUs, int openClients, int openRequests) {
-        if (!state.isTerminated() || openClients > 0 || openRequests > 0) {
+        if (!state.isTerminating() || openClients > 0 || openRequests > 0) {
             return false;
         }
         return state.isHandingOver() || isGracePeriodOver(nowUs);
     }
 
     private boolean isGracePeriodOver(long nowUs) {
-        return state.isTerminated() && nowUs >= terminatedAtUs + SHUTDOWN_GRACE_US;
+        return state.isTerminating() && nowUs >= sigtermAtUs + SHUTDOWN_GRACE_US;
     }
 }
--- a/decisions/src/main/java/frostreel/operation/SharedCommitTable.java
+++ b/decisions/src/main/java/frostreel/operation/SharedCommitTable.java
@@ -76,7 +76,7 @@
 
     private final long[] inFlightSinceUs = new long[SLOTS];
     private final long[] inFlightUntilUs = new long[SLOTS];
-    /** What former owners left in the region of this process, by slot: {@link #boundUs} skips that region. */
+    /** What former owners left in the region of this process, by slot: {@link #requiredUs} skips that region. */
     private final long[] inheritedCommitUs = new long[SLOTS];
 
     private final long[] inheritedUncertainUntilUs = new long[SLOTS];
@@ -117,12 +117,12 @@
     /** Keeps what the former owner left, its writes in flight as uncertain ones, and adds those of this process. */
     private void inheritSlot(int slot) {
         int base = slotIndex(ownRegion, slot);
-        boolean leftInFlight = memory.get(base + IN_FLIGHT_SINCE_US) > NO_TIME;
-        raise(base + UNCERTAIN_UNTIL_US, leftInFlight ? memory.get(base + IN_FLIGHT_UNTIL_US) : NO_TIME);
+        boolean hadWriteInFlight = memory.get(base + IN_FLIGHT_SINCE_US) > NO_TIME;
+        raiseTo(base + UNCERTAIN_UNTIL_US, hadWriteInFlight ? memory.get(base + IN_FLIGHT_UNTIL_US) : NO_TIME);
         inheritedCommitUs[slot] = Math.max(inheritedCommitUs[slot], memory.get(base + LATEST_COMMIT_US));
         inheritedUncertainUntilUs[slot] =
                 Math.max(inheritedUncertainUntilUs[slot], memory.get(base + UNCERTAIN_UNTIL_US));
-        raise(base + IN_FLIGHT_UNTIL_US, inFlightUntilUs[slot]);
+        raiseTo(base + IN_FLIGHT_UNTIL_US, inFlightUntilUs[slot]);
         memory.set(base + IN_FLIGHT_SINCE_US, inFlight[slot] > 0 ? inFlightSinceUs[slot] : NO_TIME);
     }
 
@@ -142,9 +142,9 @@
     }
 
     /** Sets a value to the given one unless it is greater already. */
-    private void raise(int index, long toAtLeast) {
+    private void raiseTo(int index, long minimum) {
         long present = memory.get(index);
-        while (present < toAtLeast && !memory.compareAndSet(index, present, toAtLeast)) {
+        while (present < minimum && !memory.compareAndSet(index, present, minimum)) {
             present = memory.get(index);
         }
     }
@@ -155,7 +155,7 @@
         int slot = slotOf(session);
         int base = slotIndex(ownRegion, slot);
         inFlightUntilUs[slot] = Math.max(inFlightUntilUs[slot], deadlineUs);
-        raise(base + IN_FLIGHT_UNTIL_US, inFlightUntilUs[slot]);
+        raiseTo(base + IN_FLIGHT_UNTIL_US, inFlightUntilUs[slot]);
         if (inFlight[slot]++ == 0) {
             inFlightSinceUs[slot] = nowUs;
             memory.set(base + IN_FLIGHT_SINCE_US, nowUs);
@@ -169,9 +169,9 @@
         int slot = slotOf(session);
         int base = slotIndex(ownRegion, slot);
         if (outcome == Router.Outcome.OK) {
-            raise(base + LATEST_COMMIT_US, positionUs > UNKNOWN_POSITION_US ? positionUs : nowUs);
+            raiseTo(base + LATEST_COMMIT_US, positionUs > UNKNOWN_POSITION_US ? positionUs : nowUs);
         } else if (!outcome.provesNotRun) {
-            raise(base + UNCERTAIN_UNTIL_US, mayStillRun(outcome) ? Math.max(nowUs, deadlineUs) : nowUs);
+            raiseTo(base + UNCERTAIN_UNTIL_US, mayStillRun(outcome) ? Math.max(nowUs, deadlineUs) : nowUs);
         }
         if (--inFlight[slot] == 0) {
             memory.set(base + IN_FLIGHT_SINCE_US, NO_TIME);
@@ -191,27 +191,27 @@
     @Override
     public long requiredPositionUs(long nowUs, long session) {
         int slot = slotOf(session);
-        long bound = boundUs(nowUs, inheritedCommitUs[slot], inheritedUncertainUntilUs[slot], NO_TIME, NO_TIME);
+        long positionUs = requiredUs(nowUs, inheritedCommitUs[slot], inheritedUncertainUntilUs[slot], NO_TIME, NO_TIME);
         for (int region = 0; region < LONGS; region += REGION_LONGS) {
             long owner = memory.get(region + OWNER);
             if (owner != NO_OWNER && owner != incarnation) {
-                bound = Math.max(bound, boundOfSlotUs(nowUs, slotIndex(region, slot)));
+                positionUs = Math.max(positionUs, requiredBySlotUs(nowUs, slotIndex(region, slot)));
             }
         }
-        return bound;
+        return positionUs;
     }
 
     /** Reads first whether a write is in flight: one that ends during this call has stored its result by then. */
-    private long boundOfSlotUs(long nowUs, int base) {
+    private long requiredBySlotUs(long nowUs, int base) {
         long inFlightSinceUs = memory.get(base + IN_FLIGHT_SINCE_US);
         long commitUs = memory.get(base + LATEST_COMMIT_US);
         long uncertainUntilUs = memory.get(base + UNCERTAIN_UNTIL_US);
         long inFlightUntilUs = inFlightSinceUs > NO_TIME ? memory.get(base + IN_FLIGHT_UNTIL_US) : NO_TIME;
-        return boundUs(nowUs, commitUs, uncertainUntilUs, inFlightSinceUs, inFlightUntilUs);
+        return requiredUs(nowUs, commitUs, uncertainUntilUs, inFlightSinceUs, inFlightUntilUs);
     }
 
     /** The position that a read must see by a slot's values; never later than now, even if the clock was set back. */
-    private static long boundUs(
+    private static long requiredUs(
             long nowUs, long latestCommitUs, long uncertainUntilUs, long inFlightSinceUs, long inFlightUntilUs) {
         long knownUs = nowUs - Router.KNOWN_AFTER_US;
         long commitUs = latestCommitUs > NO_TIME ? Math.min(latestCommitUs + COMMIT_ROUNDING_US, nowUs) : NO_TIME;
--- a/decisions/src/main/java/frostreel/simulator/ActionWriter.java
+++ b/decisions/src/main/java/frostreel/simulator/ActionWriter.java
@@ -85,7 +85,7 @@
     }
 
     /** Reports that the router of this instance threw an exception. */
-    void fault(String description) {
+    void reportException(String description) {
         begin("Fault");
         text("bodyText", description);
         end();
--- a/decisions/src/main/java/frostreel/simulator/SimulatedInstances.java
+++ b/decisions/src/main/java/frostreel/simulator/SimulatedInstances.java
@@ -10,14 +10,14 @@
 /** The instances of a simulation by name, and the member lists that were registered for them. */
 final class SimulatedInstances {
     /** The first stack frame of a class in these packages is named in a fault. */
-    private static final String OWN_PACKAGES = "frostreel.";
+    private static final String PROJECT_PACKAGE_PREFIX = "frostreel.";
 
     private static final int MAX_LIST_NUMBER = 15;
     private final Map<String, SimulatedInstance> instances = new HashMap<>();
-    private final Map<Long, List<Router.Member>> memberLists = new HashMap<>();
+    private final Map<Long, List<Router.Member>> registeredLists = new HashMap<>();
     private final SimulatedInstance.RouterFactory factory;
     private final StringBuilder out;
-    private boolean faulted;
+    private boolean routerFailed;
 
     SimulatedInstances(SimulatedInstance.RouterFactory factory, StringBuilder out) {
         this.factory = factory;
@@ -25,8 +25,8 @@
     }
 
     /** Whether a router threw an exception; from then on no event is handed on. */
-    boolean faulted() {
-        return faulted;
+    boolean routerFailed() {
+        return routerFailed;
     }
 
     /** Hands an event to the instance that it names, and reports an exception of its router as a fault. */
@@ -42,14 +42,14 @@
         try {
             event(type, name, nowUs, message);
         } catch (RuntimeException e) {
-            faulted = true;
-            new ActionWriter(name, out).fault(type + ": " + e + location(e));
+            routerFailed = true;
+            new ActionWriter(name, out).reportException(type + ": " + e + location(e));
         }
     }
 
     private void register(MessageFields message) throws MalformedMessageException {
         List<Router.Member> members = MessageDecoder.members(message);
-        memberLists.put(listNumber(message), members);
+        registeredLists.put(listNumber(message), members);
     }
 
     private void event(String type, String name, long nowUs, MessageFields message) throws MalformedMessageException {
@@ -68,12 +68,12 @@
     private void updateMembers(SimulatedInstance instance, long nowUs, MessageFields message)
             throws MalformedMessageException {
         Router.ListKind kind = MessageDecoder.listKind(message);
-        List<Router.Member> members = kind == Router.ListKind.FAILED ? List.of() : registered(message);
+        List<Router.Member> members = kind == Router.ListKind.FAILED ? List.of() : registeredMembers(message);
         instance.updateMembers(nowUs, kind, members);
     }
 
-    private List<Router.Member> registered(MessageFields message) throws MalformedMessageException {
-        List<Router.Member> members = memberLists.get(listNumber(message));
+    private List<Router.Member> registeredMembers(MessageFields message) throws MalformedMessageException {
+        List<Router.Member> members = registeredLists.get(listNumber(message));
         if (members == null) {
             throw new MalformedMessageException("field 'buffer': no list was registered under this number");
         }
@@ -86,7 +86,7 @@
 
     private static String location(RuntimeException exception) {
         for (StackTraceElement frame : exception.getStackTrace()) {
-            if (frame.getClassName().startsWith(OWN_PACKAGES)) {
+            if (frame.getClassName().startsWith(PROJECT_PACKAGE_PREFIX)) {
                 return " at " + frame;
             }
         }
--- a/decisions/src/main/java/frostreel/simulator/WireAdapter.java
+++ b/decisions/src/main/java/frostreel/simulator/WireAdapter.java
@@ -25,7 +25,7 @@
     private static final int INPUT_BUFFER_BYTES = 1 << 16;
     private static final int OUTPUT_BUFFER_CHARS = 1 << 16;
     private static final int LINE_BUFFER_BYTES = 1 << 12;
-    private static final JSONParserConfiguration STRICT = new JSONParserConfiguration().withStrictMode(true);
+    private static final JSONParserConfiguration STRICT_JSON = new JSONParserConfiguration().withStrictMode(true);
 
     private final StringBuilder out = new StringBuilder(OUTPUT_BUFFER_CHARS);
     private final SimulatedInstances instances;
@@ -66,21 +66,21 @@
             try {
                 handle(decode(line.toByteArray()));
             } catch (MalformedMessageException e) {
-                return malformed(err, lineNumber, e.getMessage());
+                return reportMalformed(err, lineNumber, e.getMessage());
             } catch (JSONException e) {
-                return malformed(err, lineNumber, "not JSON: " + e.getMessage());
+                return reportMalformed(err, lineNumber, "not JSON: " + e.getMessage());
             }
-            if (!inBatch && instances.faulted()) {
+            if (!inBatch && instances.routerFailed()) {
                 return FAILURE;
             }
         }
         if (inBatch) {
-            return malformed(err, lineNumber + 1, "the input ends inside a batch, before a 't' of EofBatch");
+            return reportMalformed(err, lineNumber + 1, "the input ends inside a batch, before a 't' of EofBatch");
         }
         return SUCCESS;
     }
 
-    private static int malformed(PrintStream err, long lineNumber, String description) {
+    private static int reportMalformed(PrintStream err, long lineNumber, String description) {
         err.println("frostreel: line " + lineNumber + ": " + description);
         return FAILURE;
     }
@@ -93,7 +93,7 @@
             throw new MalformedMessageException("field 't': " + type + " outside a batch");
         } else if (type.equals("EofBatch")) {
             endBatch();
-        } else if (!instances.faulted()) {
+        } else if (!instances.routerFailed()) {
             instances.event(type, nowUs, message);
         }
     }
@@ -128,7 +128,7 @@
     }
 
     private static MessageFields decode(byte[] bytes) throws MalformedMessageException {
-        JSONTokener tokens = new JSONTokener(new String(bytes, StandardCharsets.UTF_8), STRICT);
+        JSONTokener tokens = new JSONTokener(new String(bytes, StandardCharsets.UTF_8), STRICT_JSON);
         Object value = tokens.nextValue();
         if (!(value instanceof JSONObject object) || tokens.nextClean() != 0) {
             throw new MalformedMessageException("field 't': the line is not one object");
--- a/decisions/src/main/java/frostreel/zones/ClassRanking.java
+++ b/decisions/src/main/java/frostreel/zones/ClassRanking.java
@@ -13,21 +13,21 @@
     /** Classes are ranked anew after this many requests. */
     private static final int REQUESTS_BETWEEN_RANKINGS = 500;
     /** The share of a spill budget that must be left by the class of the lowest rank. */
-    private static final double MAX_RESERVE = 0.7;
+    private static final double MAX_RESERVED_SHARE = 0.7;
 
     private List<Router.RequestClass> classes = List.of();
     private double[] workUs = {};
-    private double[] reserves = {};
+    private double[] reservedShares = {};
     private double meanWorkUs;
-    private int untilRanking = REQUESTS_BETWEEN_RANKINGS;
+    private int requestsUntilRanking = REQUESTS_BETWEEN_RANKINGS;
 
     /** Takes new classes, which begin with those in force; what is known of those stays. */
     void configure(List<Router.RequestClass> newClasses) {
         classes = newClasses;
-        int known = workUs.length;
+        int knownCount = workUs.length;
         workUs = Arrays.copyOf(workUs, classes.size());
-        reserves = Arrays.copyOf(reserves, classes.size());
-        for (int i = known; i < workUs.length; i++) {
+        reservedShares = Arrays.copyOf(reservedShares, classes.size());
+        for (int i = knownCount; i < workUs.length; i++) {
             workUs[i] = classes.get(i).latencyObjectiveUs() / OBJECTIVE_DIVISOR;
         }
         meanWorkUs = Arrays.stream(workUs).min().orElse(1);
@@ -38,8 +38,8 @@
     void recordSent(int classIndex, double requestWorkUs) {
         workUs[classIndex] += SMOOTHING * (requestWorkUs - workUs[classIndex]);
         meanWorkUs += SMOOTHING * (requestWorkUs - meanWorkUs);
-        if (--untilRanking <= 0) {
-            untilRanking = REQUESTS_BETWEEN_RANKINGS;
+        if (--requestsUntilRanking <= 0) {
+            requestsUntilRanking = REQUESTS_BETWEEN_RANKINGS;
             rank();
         }
     }
@@ -52,14 +52,14 @@
     /**
      * The share of a spill budget's capacity that requests of the class must leave to those of higher rank.
      */
-    double reserve(int classIndex) {
-        return reserves[classIndex];
+    double reservedShare(int classIndex) {
+        return reservedShares[classIndex];
     }
 
     private void rank() {
         int otherClasses = Math.max(1, workUs.length - 1);
         for (int i = 0; i < workUs.length; i++) {
-            reserves[i] = MAX_RESERVE * countOfHigherRank(i) / otherClasses;
+            reservedShares[i] = MAX_RESERVED_SHARE * countOfHigherRank(i) / otherClasses;
         }
     }
 
--- a/decisions/src/main/java/frostreel/zones/NearestTierLoad.java
+++ b/decisions/src/main/java/frostreel/zones/NearestTierLoad.java
@@ -8,7 +8,7 @@
  */
 final class NearestTierLoad {
     /** What the replicas serve that are up. */
-    private final DecayingRate served = new DecayingRate(() -> ZoneReplicas.SERVED_SPAN_US);
+    private final DecayingRate servedRate = new DecayingRate(() -> ZoneReplicas.RATE_TIME_CONSTANT_US);
     /** What the replicas served that are down. */
     private double missingRate;
 
@@ -21,24 +21,24 @@
 
     /** What the nearest tiers usually serve: without the outages, if there are any. */
     double usualRate(long nowUs) {
-        return served.at(nowUs) + missingRate;
+        return servedRate.at(nowUs) + missingRate;
     }
 
     void recordServed(long nowUs, double workUs) {
-        served.add(nowUs, workUs);
+        servedRate.add(nowUs, workUs);
         everServed = true;
     }
 
     /** Replicas went down that served this rate. */
     void recordOutage(long nowUs, double rate) {
-        served.shift(nowUs, -rate);
+        servedRate.shift(nowUs, -rate);
         missingRate += rate;
     }
 
     /** Replicas serve again that served this rate before they went down. */
     void recordRecovery(long nowUs, double rate) {
         missingRate = Math.max(0, missingRate - rate);
-        served.shift(nowUs, rate);
+        servedRate.shift(nowUs, rate);
     }
 
     /** Forgets which replicas are down, as another tier is the nearest one; {@link #addMissing} has to follow. */
--- a/decisions/src/main/java/frostreel/zones/SpillBudgets.java
+++ b/decisions/src/main/java/frostreel/zones/SpillBudgets.java
@@ -45,12 +45,12 @@
      *
      * @param nearestRate what the nearest tiers usually serve, in microseconds of work a microsecond
      * @param minCapacityUs the budget holds at least this much work
-     * @param reserve the share of its capacity that must be left for classes of higher rank
+     * @param reservedShare the share of its capacity that must be left for classes of higher rank
      */
-    boolean admits(long nowUs, int tier, double nearestRate, double minCapacityUs, double reserve) {
+    boolean admits(long nowUs, int tier, double nearestRate, double minCapacityUs, double reservedShare) {
         double rate = settings.tiers().get(tier - 1).spill() * nearestRate;
         double capacityUs = Math.max(rate * CAPACITY_US, minCapacityUs);
-        boolean admitted = buckets[tier].fill(nowUs, rate, capacityUs) > reserve * capacityUs;
+        boolean admitted = buckets[tier].fill(nowUs, rate, capacityUs) > reservedShare * capacityUs;
         if (!admitted) {
             denied[tier]++;
         }
--- a/decisions/src/main/java/frostreel/zones/ZoneFailoverPolicy.java
+++ b/decisions/src/main/java/frostreel/zones/ZoneFailoverPolicy.java
@@ -71,7 +71,7 @@
         nearestLoad.resetMissing();
         for (ZoneReplicas replicas : replicaSets.values()) {
             if (replicas.isNearest() && !replicas.isUp()) {
-                nearestLoad.addMissing(replicas.servedBeforeOutage());
+                nearestLoad.addMissing(replicas.rateBeforeOutage());
             }
         }
     }
@@ -138,15 +138,15 @@
         if (!ok) {
             recordFailure(nowUs, replicas);
         } else if (replicas.recordHealthy(nowUs)) {
-            recordReturn(nowUs, replicas);
+            resumeRouting(nowUs, replicas);
         }
     }
 
     /** Replicas may be sent requests again: all at once where they did not fail themselves, else by a ramp. */
-    private void recordReturn(long nowUs, ZoneReplicas replicas) {
+    private void resumeRouting(long nowUs, ZoneReplicas replicas) {
         recoveries++;
         if (replicas.isUp()) {
-            recordRecovery(nowUs, replicas);
+            recordRecoveredLoad(nowUs, replicas);
         } else {
             // Poolers that see the recovery in the same moment must not all send in the same moment.
             members.resetRamps(nowUs, replicas, -rampPhase * ranking.meanWorkUs());
@@ -164,37 +164,37 @@
 
     private void markZoneDown(long nowUs, ZoneFailureDetector zone) {
         for (ZoneReplicas replicas : zone.replicaSets()) {
-            if (replicas.isOpen()) {
+            if (replicas.isRoutable()) {
                 markDown(nowUs, replicas);
             }
         }
     }
 
     private void markDown(long nowUs, ZoneReplicas replicas) {
-        boolean servedNearest = replicas.isNearest() && replicas.isUp();
+        boolean wasServingNearestTier = replicas.isNearest() && replicas.isUp();
         outages++;
         replicas.markDown(nowUs);
-        if (servedNearest) {
-            nearestLoad.recordOutage(nowUs, replicas.servedBeforeOutage());
+        if (wasServingNearestTier) {
+            nearestLoad.recordOutage(nowUs, replicas.rateBeforeOutage());
         }
     }
 
-    private void recordRecovery(long nowUs, ZoneReplicas replicas) {
+    private void recordRecoveredLoad(long nowUs, ZoneReplicas replicas) {
         if (replicas.isNearest()) {
-            nearestLoad.recordRecovery(nowUs, replicas.servedBeforeOutage());
+            nearestLoad.recordRecovery(nowUs, replicas.rateBeforeOutage());
         }
     }
 
     @Override
     public double costFactor(long nowUs, int handle) {
         ZoneReplicas replicas = members.replicas(handle);
-        return replicas.isOpen() ? budgets.costFactor(replicas.tier()) : EXCLUDED;
+        return replicas.isRoutable() ? budgets.costFactor(replicas.tier()) : EXCLUDED;
     }
 
     @Override
     public boolean admits(long nowUs, int handle, int classIndex) {
         ZoneReplicas replicas = members.replicas(handle);
-        return replicas.isOpen() && rampAdmits(nowUs, handle, replicas) && tierAdmits(nowUs, replicas, classIndex);
+        return replicas.isRoutable() && rampAdmits(nowUs, handle, replicas) && tierAdmits(nowUs, replicas, classIndex);
     }
 
     private boolean rampAdmits(long nowUs, int handle, ZoneReplicas replicas) {
@@ -203,7 +203,7 @@
         }
         double share = replicas.rampShare(nowUs, rules.coldFrom(), rules.warmAfterUs());
         if (share >= 1) {
-            recordRecovery(nowUs, replicas);
+            recordRecoveredLoad(nowUs, replicas);
             replicas.completeRecovery();
             return true;
         }
@@ -223,7 +223,8 @@
             return true;
         }
         double nearestRate = nearestLoad.usualRate(nowUs);
-        return budgets.admits(nowUs, replicas.tier(), nearestRate, ranking.meanWorkUs(), ranking.reserve(classIndex));
+        return budgets.admits(
+                nowUs, replicas.tier(), nearestRate, ranking.meanWorkUs(), ranking.reservedShare(classIndex));
     }
 
     @Override
--- a/decisions/src/main/java/frostreel/zones/ZoneFailureDetector.java
+++ b/decisions/src/main/java/frostreel/zones/ZoneFailureDetector.java
@@ -14,7 +14,7 @@
     static final long NEVER_US = Long.MIN_VALUE / 2;
 
     /** Consecutive failures, in the replicas of two groups or more, that mean the whole zone. */
-    private static final int FAILURES_TO_FAIL = 4;
+    private static final int FAILURES_TO_MARK_ZONE_DOWN = 4;
 
     final int zone;
     private final List<ZoneReplicas> replicaSets = new ArrayList<>();
@@ -22,7 +22,7 @@
     /** The replicas that failed first since the last success, null for none. */
     private ZoneReplicas firstFailed;
     /** Whether other replicas have failed, too. */
-    private boolean severalFailed;
+    private boolean severalGroupsFailed;
 
     private long lastSuccessUs = NEVER_US;
 
@@ -41,7 +41,7 @@
 
     void recordSuccess(long nowUs) {
         failures = 0;
-        severalFailed = false;
+        severalGroupsFailed = false;
         firstFailed = null;
         lastSuccessUs = nowUs;
     }
@@ -54,10 +54,10 @@
         if (firstFailed == null) {
             firstFailed = replicas;
         }
-        severalFailed |= firstFailed != replicas;
+        severalGroupsFailed |= firstFailed != replicas;
     }
 
     boolean hasFailed() {
-        return severalFailed && failures >= FAILURES_TO_FAIL;
+        return severalGroupsFailed && failures >= FAILURES_TO_MARK_ZONE_DOWN;
     }
 }
--- a/decisions/src/main/java/frostreel/zones/ZoneReplicas.java
+++ b/decisions/src/main/java/frostreel/zones/ZoneReplicas.java
@@ -26,20 +26,20 @@
     /** Consecutive failures by which replicas go down that are up. */
     private static final int FAILURES_TO_MARK_DOWN = 3;
     /** Consecutive failures by which replicas go down that are recovering or on probation. */
-    private static final int FAILURES_TO_MARK_DOWN_AGAIN = 1;
+    private static final int FAILURES_TO_MARK_RECOVERING_DOWN = 1;
     /** How often replicas are health-checked that may be sent nothing. */
     private static final long HEALTH_CHECK_INTERVAL_US = 500_000;
     /** What they serve is averaged over this time. */
-    static final long SERVED_SPAN_US = 10_000_000;
+    static final long RATE_TIME_CONSTANT_US = 10_000_000;
 
     private final NearestTier nearestTier;
     private final ZoneFailureDetector zoneDetector;
     private final FlapDamping damping = new FlapDamping();
-    private final DecayingRate served = new DecayingRate(() -> SERVED_SPAN_US);
+    private final DecayingRate servedRate = new DecayingRate(() -> RATE_TIME_CONSTANT_US);
     private int tier;
     private int members;
     private Health health = Health.UP;
-    private double servedBeforeOutage;
+    private double rateBeforeOutage;
     private int failures;
     /** Whether they went down with their zone, without a failure of their own. */
     private boolean downWithZone;
@@ -105,7 +105,7 @@
     }
 
     /** Whether requests may be sent. */
-    boolean isOpen() {
+    boolean isRoutable() {
         return isUp() || isRecovering();
     }
 
@@ -116,19 +116,19 @@
     }
 
     void recordServed(long nowUs, double workUs) {
-        served.add(nowUs, workUs);
+        servedRate.add(nowUs, workUs);
     }
 
     /** Records a failure; true where the replicas go down by it, and {@link #markDown} has to follow. */
     boolean recordFailure(long nowUs) {
         failures++;
         zoneDetector.recordFailure(nowUs, this);
-        boolean answeredRecently = nowUs - lastSuccessUs <= ZoneFailureDetector.SUCCESS_GRACE_US;
-        return health != Health.DOWN && !answeredRecently && failures >= failuresToMarkDown();
+        boolean respondedRecently = nowUs - lastSuccessUs <= ZoneFailureDetector.SUCCESS_GRACE_US;
+        return health != Health.DOWN && !respondedRecently && failures >= failuresToMarkDown();
     }
 
     private int failuresToMarkDown() {
-        return isUp() ? FAILURES_TO_MARK_DOWN : FAILURES_TO_MARK_DOWN_AGAIN;
+        return isUp() ? FAILURES_TO_MARK_DOWN : FAILURES_TO_MARK_RECOVERING_DOWN;
     }
 
     /**
@@ -138,7 +138,7 @@
     void markDown(long nowUs) {
         downWithZone = failures == 0;
         if (isUp()) {
-            servedBeforeOutage = served.at(Math.max(lastSuccessUs, 0)); // It may never have answered.
+            rateBeforeOutage = servedRate.at(Math.max(lastSuccessUs, 0)); // It may never have answered.
         }
         if (!downWithZone) {
             damping.recordFailure(nowUs);
@@ -149,9 +149,9 @@
 
     /** Records a successful health check; true where it lets requests be sent again. */
     boolean recordHealthy(long nowUs) {
-        boolean unharmed = downWithZone && failures == 0;
+        boolean failedOnlyWithZone = downWithZone && failures == 0;
         recordSuccess(nowUs);
-        if (health == Health.DOWN && unharmed) {
+        if (health == Health.DOWN && failedOnlyWithZone) {
             health = Health.UP;
             return true;
         }
@@ -178,7 +178,7 @@
 
     /** Whether a health check is due; where it is, the next one is due after the interval. */
     boolean healthCheckDue(long nowUs) {
-        if (isOpen() || nowUs < nextHealthCheckUs) {
+        if (isRoutable() || nowUs < nextHealthCheckUs) {
             return false;
         }
         nextHealthCheckUs = nowUs + HEALTH_CHECK_INTERVAL_US;
@@ -192,12 +192,12 @@
     }
 
     /** What they served before they last went down, in microseconds of work a microsecond. */
-    double servedBeforeOutage() {
-        return servedBeforeOutage;
+    double rateBeforeOutage() {
+        return rateBeforeOutage;
     }
 
     /** What they usually serve, in microseconds of work a microsecond: now, or before they went down. */
     double usualRate(long nowUs) {
-        return isUp() ? served.at(nowUs) : servedBeforeOutage;
+        return isUp() ? servedRate.at(nowUs) : rateBeforeOutage;
     }
 }
--- a/decisions/src/main/java/frostreel/zones/ZoneSettings.java
+++ b/decisions/src/main/java/frostreel/zones/ZoneSettings.java
@@ -5,13 +5,13 @@
 /**
  * The operators' preferences among zones. Zones are numbers, as in endpoint lists.
  *
- * @param own the pooler's own zone, which is tier 0
+ * @param localZone the pooler's own zone, which is tier 0
  * @param tiers the other zones in order of preference; the last one includes those that none names
  * @param poolers how many poolers there are in all zones, among which a recovering member's first requests
  *     are divided
  */
-public record ZoneSettings(int own, List<Tier> tiers, int poolers) {
-    private static final int OWN_TIER = 0;
+public record ZoneSettings(int localZone, List<Tier> tiers, int poolers) {
+    private static final int LOCAL_TIER = 0;
 
     /**
      * Zones of equal preference.
@@ -48,8 +48,8 @@
 
     /** The tier of a zone: 0 for the pooler's own zone, the last tier for zones that no tier names. */
     int tierOf(int zone) {
-        if (zone == own) {
-            return OWN_TIER;
+        if (zone == localZone) {
+            return LOCAL_TIER;
         }
         for (int i = 0; i < tiers.size(); i++) {
             if (tiers.get(i).zones().contains(zone)) {
--- a/decisions/src/test/java/frostreel/operation/MaintenanceOverlayTest.java
+++ b/decisions/src/test/java/frostreel/operation/MaintenanceOverlayTest.java
@@ -11,7 +11,7 @@
     private static final CommandTarget SERVER_A = CommandTarget.server("a");
     private static final CommandTarget SERVER_B = CommandTarget.server("b");
 
-    private static final int MORE_THAN_ARE_REMEMBERED = 300;
+    private static final int MORE_THAN_MAX_DEPARTED = 300;
 
     private final OperatorCommands commands = new OperatorCommands();
     private final MaintenanceOverlay overlay = new MaintenanceOverlay(commands);
@@ -102,7 +102,7 @@
         overlay.applyComplete(List.of());
         assertThat(overlay.isKnown("a")).as("it may come back").isTrue();
 
-        for (int i = 0; i < MORE_THAN_ARE_REMEMBERED; i++) {
+        for (int i = 0; i < MORE_THAN_MAX_DEPARTED; i++) {
             overlay.applyChanges(List.of(member("x" + i, State.GONE, 0)));
         }
 
--- a/decisions/src/test/java/frostreel/operation/ServingLifecycleTest.java
+++ b/decisions/src/test/java/frostreel/operation/ServingLifecycleTest.java
@@ -24,13 +24,13 @@
     private static final long NEVER_HAPPENED = -1;
 
     /** What has happened, by plain reading of the events. */
-    private record History(boolean ready, long pausedAtUs, long terminatedAtUs) {
+    private record History(boolean ready, long pausedAtUs, long sigtermAtUs) {
         History then(Event event, long nowUs) {
             return switch (event) {
-                case READY -> new History(true, pausedAtUs, terminatedAtUs);
-                case PAUSE -> new History(ready, isPaused() ? pausedAtUs : nowUs, terminatedAtUs);
-                case RESUME -> new History(ready, NEVER_HAPPENED, terminatedAtUs);
-                case TERMINATE -> new History(ready, pausedAtUs, isTerminated() ? terminatedAtUs : nowUs);
+                case READY -> new History(true, pausedAtUs, sigtermAtUs);
+                case PAUSE -> new History(ready, isPaused() ? pausedAtUs : nowUs, sigtermAtUs);
+                case RESUME -> new History(ready, NEVER_HAPPENED, sigtermAtUs);
+                case TERMINATE -> new History(ready, pausedAtUs, isTerminating() ? sigtermAtUs : nowUs);
                 case NOTHING -> this;
             };
         }
@@ -39,8 +39,8 @@
             return pausedAtUs != NEVER_HAPPENED;
         }
 
-        boolean isTerminated() {
-            return terminatedAtUs != NEVER_HAPPENED;
+        boolean isTerminating() {
+            return sigtermAtUs != NEVER_HAPPENED;
         }
     }
 
@@ -76,33 +76,33 @@
     }
 
     private static void check(ServingLifecycle lifecycle, History history, long nowUs, boolean hasSuccessor) {
-        boolean terminated = history.isTerminated();
+        boolean terminating = history.isTerminating();
         boolean paused = history.isPaused();
-        boolean handingOver = hasSuccessor && terminated;
+        boolean handingOver = hasSuccessor && terminating;
         assertThat(lifecycle.state()).isEqualTo(expectedState(history, hasSuccessor));
         assertThat(lifecycle.status()).isEqualTo(expectedStatus(history, hasSuccessor));
         assertThat(lifecycle.status() == ReadinessStatus.READY).isEqualTo(history.ready() && !paused && !handingOver);
-        if (!paused && !terminated) {
+        if (!paused && !terminating) {
             checkServing(lifecycle, nowUs);
             assertThat(lifecycle.accepts(nowUs)).isEqualTo(!hasSuccessor || history.ready());
         }
         if (paused) {
             checkPaused(lifecycle, history, hasSuccessor);
         }
-        if (terminated) {
-            checkTerminated(lifecycle, history.terminatedAtUs());
+        if (terminating) {
+            checkTerminated(lifecycle, history.sigtermAtUs());
             assertThat(lifecycle.accepts(nowUs)).isEqualTo(!hasSuccessor && nowUs < lifecycle.lastResponseUs());
         }
         long afterKillUs = nowUs + KILL_DELAY_US;
         assertThat(lifecycle.mayExit(afterKillUs, 1, 0)).isFalse();
         assertThat(lifecycle.mayExit(afterKillUs, 0, 1)).isFalse();
-        assertThat(lifecycle.mayExit(afterKillUs, 0, 0)).isEqualTo(terminated);
-        assertThat(lifecycle.closesUnused(nowUs)).isEqualTo(terminated && nowUs >= lifecycle.lastResponseUs());
+        assertThat(lifecycle.mayExit(afterKillUs, 0, 0)).isEqualTo(terminating);
+        assertThat(lifecycle.closesUnused(nowUs)).isEqualTo(terminating && nowUs >= lifecycle.lastResponseUs());
     }
 
     private static LifecycleState expectedState(History history, boolean hasSuccessor) {
         boolean paused = history.isPaused();
-        if (!history.isTerminated()) {
+        if (!history.isTerminating()) {
             LifecycleState running = paused ? LifecycleState.DRAINING : LifecycleState.SERVING;
             LifecycleState starting = paused ? LifecycleState.STARTING_PAUSED : LifecycleState.STARTING;
             return history.ready() ? running : starting;
@@ -117,7 +117,7 @@
     }
 
     private static ReadinessStatus expectedStatus(History history, boolean hasSuccessor) {
-        if (hasSuccessor && history.isTerminated()) {
+        if (hasSuccessor && history.isTerminating()) {
             return ReadinessStatus.STOPPING;
         }
         if (!history.ready()) {
@@ -134,11 +134,11 @@
     }
 
     private static void checkPaused(ServingLifecycle lifecycle, History history, boolean hasSuccessor) {
-        long earlyUs = history.pausedAtUs() + 300_000;
-        boolean terminated = history.isTerminated();
-        assertThat(lifecycle.closesAfterResponse(earlyUs))
+        long beforeLoadBalancerDelayUs = history.pausedAtUs() + 300_000;
+        boolean terminating = history.isTerminating();
+        assertThat(lifecycle.closesAfterResponse(beforeLoadBalancerDelayUs))
                 .as("the load balancer still assigns clients")
-                .isEqualTo(terminated && (hasSuccessor || earlyUs >= lifecycle.lastResponseUs()));
+                .isEqualTo(terminating && (hasSuccessor || beforeLoadBalancerDelayUs >= lifecycle.lastResponseUs()));
         assertThat(lifecycle.closesAfterResponse(history.pausedAtUs() + 2_000_000))
                 .isTrue();
         assertThat(lifecycle.closeIdleAtUs())
@@ -146,16 +146,16 @@
                 .isLessThan(history.pausedAtUs() + 2_000_000);
     }
 
-    private static void checkTerminated(ServingLifecycle lifecycle, long terminatedAtUs) {
-        assertThat(lifecycle.lastResponseUs()).isLessThan(terminatedAtUs + KILL_DELAY_US);
+    private static void checkTerminated(ServingLifecycle lifecycle, long sigtermAtUs) {
+        assertThat(lifecycle.lastResponseUs()).isLessThan(sigtermAtUs + KILL_DELAY_US);
         assertThat(lifecycle.closeIdleAtUs()).isLessThanOrEqualTo(lifecycle.lastResponseUs());
-        assertThat(lifecycle.responseDueUs(terminatedAtUs + 700_000)).isEqualTo(lifecycle.lastResponseUs());
-        assertThat(lifecycle.responseDueUs(terminatedAtUs + 600_000)).isEqualTo(ServingLifecycle.NEVER_US);
+        assertThat(lifecycle.responseDueUs(sigtermAtUs + 700_000)).isEqualTo(lifecycle.lastResponseUs());
+        assertThat(lifecycle.responseDueUs(sigtermAtUs + 600_000)).isEqualTo(ServingLifecycle.NEVER_US);
         assertThat(lifecycle.mayExit(lifecycle.lastResponseUs(), 0, 0)).isTrue();
     }
 
     @Test
-    void matchesThePlainReadingOfEverySequenceOfEvents() {
+    void matchesTheReferenceModelForEverySequenceOfEvents() {
         checkAllFrom(false, 0, new Event[MAX_LENGTH]);
         checkAllFrom(true, 0, new Event[MAX_LENGTH]);
 
--- a/decisions/src/test/java/frostreel/operation/SharedCommitTableTest.java
+++ b/decisions/src/test/java/frostreel/operation/SharedCommitTableTest.java
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void ownWritesBindNoRead() {
+    void ownWritesRequireNothing() {
         Arrays.fill(values, 0);
         SharedCommitTable alone = startProcess(NOW_US);
         write(alone, 10, Outcome.OK, NOW_US + 5);
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void answeredCommitBindsTheOtherProcessAndNoOtherSession() {
+    void answeredCommitIsRequiredByTheOtherProcessForThatSessionOnly() {
         write(before, 10, Outcome.OK, NOW_US - 4_000);
         assertThat(after.requiredPositionUs(NOW_US + 10, SESSION))
                 .as("rounded up to milliseconds")
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void writeInFlightBindsOnceItsResponseMayCountAsKnown() {
+    void writeInFlightIsRequiredOnceItsResponseMayCountAsKnown() {
         before.onSent(NOW_US, SESSION, DEADLINE_US);
         before.onSent(NOW_US + 50_000, SESSION, DEADLINE_US);
         assertThat(after.requiredPositionUs(NOW_US + 100_000, SESSION)).isZero();
@@ -90,7 +90,7 @@
     }
 
     @Test
-    void writeOfUnknownOutcomeBindsWhileItMayCommit() {
+    void writeOfUnknownOutcomeIsRequiredWhileItMayCommit() {
         write(before, 10, Outcome.RESET, 0);
         assertThat(after.requiredPositionUs(NOW_US + 10_000, SESSION)).isEqualTo(knownUs(NOW_US + 10_000));
         assertThat(after.requiredPositionUs(NOW_US + 900_000, SESSION)).isEqualTo(NOW_US + 10);
@@ -100,7 +100,7 @@
     }
 
     @Test
-    void writesInFlightOfKilledProcessBindUntilTheirDeadline() {
+    void writesInFlightOfKilledProcessAreRequiredUntilTheirDeadline() {
         before.onSent(NOW_US, SESSION, DEADLINE_US);
         SharedCommitTable laterProcess = startProcess(NOW_US + 500_000);
         for (SharedCommitTable other : new SharedCommitTable[] {after, laterProcess}) {
@@ -110,7 +110,7 @@
     }
 
     @Test
-    void processSuspendedPastItsDeadlinesBindsAgainOnceResumed() {
+    void commitOfProcessSuspendedPastItsDeadlineIsRequiredOnceResumed() {
         before.onSent(NOW_US, SESSION, DEADLINE_US);
         before.onEnded(DEADLINE_US + 1_000_000, SESSION, DEADLINE_US, Outcome.OK, DEADLINE_US + 40_000);
         assertThat(after.requiredPositionUs(DEADLINE_US + 2_000_000, SESSION)).isEqualTo(DEADLINE_US + 41_000);
@@ -133,7 +133,7 @@
     }
 
     @Test
-    void regionTakenOverKeepsItsContent() {
+    void reusedRegionKeepsItsContent() {
         write(before, 10, Outcome.OK, NOW_US - 4_000);
         before.onSent(NOW_US, SESSION, DEADLINE_US);
         SharedCommitTable[] later = new SharedCommitTable[SharedCommitTable.REGIONS];
@@ -164,16 +164,16 @@
     }
 
     @Test
-    void futureTimesAndDamagedMemoryBindToNowAtMost() {
+    void futureTimesAndCorruptedMemoryRequireAtMostThePresent() {
         SplittableRandom random = new SplittableRandom(7);
         write(before, 10, Outcome.OK, NOW_US + 9_000_000);
         assertThat(after.requiredPositionUs(NOW_US, SESSION)).isEqualTo(NOW_US);
         Arrays.setAll(values, i -> i % 3 == 0 ? 0 : random.nextLong());
-        SharedCommitTable amidDamage = startProcess(NOW_US);
-        amidDamage.onSent(NOW_US, SESSION, DEADLINE_US);
-        amidDamage.onEnded(NOW_US, SESSION, DEADLINE_US, Outcome.OK, NOW_US);
+        SharedCommitTable onCorruptedMemory = startProcess(NOW_US);
+        onCorruptedMemory.onSent(NOW_US, SESSION, DEADLINE_US);
+        onCorruptedMemory.onEnded(NOW_US, SESSION, DEADLINE_US, Outcome.OK, NOW_US);
         for (long session = 0; session < 1000; session++) {
-            assertThat(amidDamage.requiredPositionUs(NOW_US, session)).isBetween(0L, NOW_US);
+            assertThat(onCorruptedMemory.requiredPositionUs(NOW_US, session)).isBetween(0L, NOW_US);
         }
     }
 }
--- a/decisions/src/test/java/frostreel/simulator/WireAdapterTest.java
+++ b/decisions/src/test/java/frostreel/simulator/WireAdapterTest.java
@@ -38,7 +38,7 @@
         return "{\"t\":\"Clock\",\"timeS\":" + timeS + "}\n" + events + "{\"t\":\"EofBatch\"}\n";
     }
 
-    private static Result play(String input) throws IOException {
+    private static Result run(String input) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         ByteArrayOutputStream err = new ByteArrayOutputStream();
         int exit = WireAdapter.run(
@@ -50,13 +50,13 @@
 
     @Test
     void emptyBatchIsAcknowledgedAndEmptyInputEndsNormally() throws IOException {
-        assertEquals(new Result(0, "{\"t\":\"Ack\"}\n", ""), play(batch(8.41225, "")));
-        assertEquals(new Result(0, "", ""), play(""));
+        assertEquals(new Result(0, "{\"t\":\"Ack\"}\n", ""), run(batch(8.41225, "")));
+        assertEquals(new Result(0, "", ""), run(""));
     }
 
     @Test
     void writeIsForwardedToTheListedPrimary() throws IOException {
-        Result result = play(START
+        Result result = run(START
                 + batch(
                         100.1,
                         "{\"t\":\"Ingress\",\"i\":\"proxy/1\",\"xid\":\"r-a\",\"category\":1,\"sess\":9,"
@@ -76,7 +76,7 @@
                 + "\"member\":\"m:1\",\"outcome\":5,\"healthInfo\":{\"x0\":10.01,\"x1\":0}}\n";
         String connectionReset = "{\"t\":\"Answer\",\"i\":\"proxy/1\",\"xid\":\"r-a\",\"leg\":1,\"member\":\"m:2\","
                 + "\"outcome\":10}\n";
-        Result result = play(START + batch(100.1, request) + batch(100.2, rejection) + batch(100.3, connectionReset));
+        Result result = run(START + batch(100.1, request) + batch(100.2, rejection) + batch(100.3, connectionReset));
         assertEquals(0, result.exit, result.err);
         assertTrue(result.out.contains("\"xid\":\"r-a\",\"member\":\"m:2\""), result.out);
         assertTrue(result.out.contains("{\"t\":\"Surrender\",\"i\":\"proxy/1\",\"xid\":\"r-a\"}\n"), result.out);
@@ -84,7 +84,7 @@
 
     @Test
     void requestThatNoMemberCanServeIsRejectedInTimeWithRetryAfter() throws IOException {
-        Result result = play(START
+        Result result = run(START
                 + batch(
                         100.1,
                         "{\"t\":\"Ingress\",\"i\":\"proxy/1\",\"xid\":\"r-a\",\"category\":1,"
@@ -96,8 +96,8 @@
     }
 
     @Test
-    void instanceThatIsDownTakesNoActions() throws IOException {
-        Result result = play(START
+    void instanceThatIsDownWritesNoActions() throws IOException {
+        Result result = run(START
                 + batch(101, "{\"t\":\"Down\",\"i\":\"proxy/1\"}\n")
                 + batch(102, CREATE + LIST)
                 + batch(103, ""));
@@ -105,7 +105,7 @@
     }
 
     @Test
-    void exceptionInTheRouterIsReportedAsAFaultWithItsLocation() throws IOException {
+    void exceptionInTheRouterIsReportedWithItsLocation() throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         int exit = WireAdapter.run(
                 new ByteArrayInputStream(START.getBytes(StandardCharsets.UTF_8)),
@@ -137,9 +137,10 @@
                 "{\"t\":\"Answer\",\"i\":\"proxy/1\",\"xid\":\"r\",\"member\":\"m:1\",\"outcome\":77} | 'outcome'",
                 "{\"t\":\"Clock\",\"timeS\":101} | 't'"
             })
-    void badInputIsReportedByLineAndFieldAndNoPartialBatchIsWritten(String line, String expected) throws IOException {
-        Result valid = play(START);
-        Result result = play(START + "{\"t\":\"Clock\",\"timeS\":100.1}\n" + line + "\n{\"t\":\"EofBatch\"}\n");
+    void malformedInputIsReportedByLineAndFieldAndNoPartialBatchIsWritten(String line, String expected)
+            throws IOException {
+        Result valid = run(START);
+        Result result = run(START + "{\"t\":\"Clock\",\"timeS\":100.1}\n" + line + "\n{\"t\":\"EofBatch\"}\n");
         assertEquals(1, result.exit);
         assertEquals(valid.out, result.out);
         assertTrue(result.err.contains("line 7") && result.err.contains(expected), result.err);
@@ -148,7 +149,7 @@
 
     @Test
     void inputThatEndsInsideABatchIsAnError() throws IOException {
-        Result result = play("{\"t\":\"Clock\",\"timeS\":1}\n");
+        Result result = run("{\"t\":\"Clock\",\"timeS\":1}\n");
         assertEquals(1, result.exit);
         assertTrue(result.err.contains("line 2"), result.err);
         assertEquals("", result.out);
--- a/decisions/src/test/java/frostreel/zones/ZoneFailoverPolicyTest.java
+++ b/decisions/src/test/java/frostreel/zones/ZoneFailoverPolicyTest.java
@@ -13,10 +13,10 @@
 /** A pooler in zone 0 with zones 1 and 2 as its tiers, and four groups with a member in each zone. */
 class ZoneFailoverPolicyTest {
     /** The pooler's own zone; each zone is a tier. */
-    private static final int OWN = 0;
+    private static final int LOCAL = 0;
 
-    private static final int NEXT = 1;
-    private static final int FARTHEST = 2;
+    private static final int NEAR = 1;
+    private static final int FAR = 2;
     /** Request classes by their rank: the first has twice the priority weight for the same work. */
     private static final int HIGH_RANK = 0;
 
@@ -55,7 +55,7 @@
 
     ZoneFailoverPolicyTest() {
         for (int group = 0; group < handles.length; group++) {
-            for (int zone : new int[] {OWN, NEXT, FARTHEST}) {
+            for (int zone : new int[] {LOCAL, NEAR, FAR}) {
                 handles[group][zone] = policy.onMemberAdded(group, zone);
             }
         }
@@ -93,7 +93,7 @@
     private void serveNearestTier() {
         for (int i = 0; i < 40; i++) {
             for (int[] group : handles) {
-                assertThat(sendReads(group[OWN], HIGH_RANK, 10, 1)).isEqualTo(10);
+                assertThat(sendReads(group[LOCAL], HIGH_RANK, 10, 1)).isEqualTo(10);
             }
         }
     }
@@ -105,51 +105,51 @@
         }
     }
 
-    private boolean isOpen(int handle) {
+    private boolean isRoutable(int handle) {
         return policy.costFactor(nowUs, handle) < Double.POSITIVE_INFINITY;
     }
 
     private void takeZoneDown() {
         for (int[] group : handles) {
-            fail(group[OWN], 3);
+            fail(group[LOCAL], 3);
         }
     }
 
     @Test
     void costFactorDoublesWithEachTier() {
-        assertThat(policy.costFactor(nowUs, handles[0][OWN])).isEqualTo(1);
-        assertThat(policy.costFactor(nowUs, handles[0][NEXT])).isEqualTo(2);
-        assertThat(policy.costFactor(nowUs, handles[0][FARTHEST])).isEqualTo(4);
+        assertThat(policy.costFactor(nowUs, handles[0][LOCAL])).isEqualTo(1);
+        assertThat(policy.costFactor(nowUs, handles[0][NEAR])).isEqualTo(2);
+        assertThat(policy.costFactor(nowUs, handles[0][FAR])).isEqualTo(4);
         assertThatThrownBy(() -> new ZoneSettings.Tier(List.of(1), 0)).isInstanceOf(IllegalArgumentException.class);
     }
 
     @Test
-    void replicasGoDownByThreeFailuresWithoutAnAnswerBetween() {
+    void replicasGoDownAfterThreeFailuresWithoutAResponseBetween() {
         serveNearestTier();
-        fail(handles[0][OWN], 2);
-        policy.onAttemptEnded(nowUs, handles[0][OWN], Outcome.WRONG_ROLE_OR_STALE, WORK_US);
-        fail(handles[0][OWN], 2);
-        assertThat(isOpen(handles[0][OWN])).isTrue();
-        fail(handles[0][OWN], 1);
-        assertThat(isOpen(handles[0][OWN])).isFalse();
-        assertThat(isOpen(handles[1][OWN])).isTrue();
+        fail(handles[0][LOCAL], 2);
+        policy.onAttemptEnded(nowUs, handles[0][LOCAL], Outcome.WRONG_ROLE_OR_STALE, WORK_US);
+        fail(handles[0][LOCAL], 2);
+        assertThat(isRoutable(handles[0][LOCAL])).isTrue();
+        fail(handles[0][LOCAL], 1);
+        assertThat(isRoutable(handles[0][LOCAL])).isFalse();
+        assertThat(isRoutable(handles[1][LOCAL])).isTrue();
     }
 
     @Test
-    void zoneWithFailuresInSeveralGroupsAndNoAnswerGoesDownAsAWhole() {
+    void zoneWithFailuresInSeveralGroupsAndNoResponseGoesDownAsAWhole() {
         serveNearestTier();
-        fail(handles[0][OWN], 2);
-        fail(handles[1][OWN], 1);
-        assertThat(isOpen(handles[0][OWN])).isTrue();
-        fail(handles[2][OWN], 1);
+        fail(handles[0][LOCAL], 2);
+        fail(handles[1][LOCAL], 1);
+        assertThat(isRoutable(handles[0][LOCAL])).isTrue();
+        fail(handles[2][LOCAL], 1);
         for (int[] group : handles) {
-            assertThat(isOpen(group[OWN])).isFalse();
+            assertThat(isRoutable(group[LOCAL])).isFalse();
         }
-        assertThat(isOpen(handles[0][NEXT])).isTrue();
-        policy.onHealthCheck(nowUs, handles[3][OWN], true); // It had no failure of its own: no ramp.
-        assertThat(sendReads(handles[3][OWN], HIGH_RANK, 50, 1)).isEqualTo(50);
-        policy.onHealthCheck(nowUs, handles[1][OWN], true);
-        assertThat(policy.admits(nowUs, handles[1][OWN], HIGH_RANK))
+        assertThat(isRoutable(handles[0][NEAR])).isTrue();
+        policy.onHealthCheck(nowUs, handles[3][LOCAL], true); // It had no failure of its own: no ramp.
+        assertThat(sendReads(handles[3][LOCAL], HIGH_RANK, 50, 1)).isEqualTo(50);
+        policy.onHealthCheck(nowUs, handles[1][LOCAL], true);
+        assertThat(policy.admits(nowUs, handles[1][LOCAL], HIGH_RANK))
                 .as("in a ramp")
                 .isFalse();
     }
@@ -157,52 +157,52 @@
     @Test
     void failuresOfOneGroupDoNotTakeItsZoneDown() {
         serveNearestTier();
-        fail(handles[0][OWN], 9);
-        assertThat(isOpen(handles[0][OWN])).isFalse();
-        assertThat(isOpen(handles[1][OWN])).isTrue();
+        fail(handles[0][LOCAL], 9);
+        assertThat(isRoutable(handles[0][LOCAL])).isFalse();
+        assertThat(isRoutable(handles[1][LOCAL])).isTrue();
     }
 
     @Test
     void spillIsBoundedByTheTiersShareOfWhatTheNearestServed() {
         serveNearestTier();
         takeZoneDown();
-        sendReads(handles[0][NEXT], HIGH_RANK, 100, 3); // Uses what the budget had saved up.
-        int sent = sendReads(handles[0][NEXT], HIGH_RANK, 100, 20);
+        sendReads(handles[0][NEAR], HIGH_RANK, 100, 3); // Uses what the budget had saved up.
+        int sent = sendReads(handles[0][NEAR], HIGH_RANK, 100, 20);
         // Ten reads a second sent to one of the four groups at a time.
         assertThat(sent / 20.0).isCloseTo(SPILL * 10, within(0.5));
     }
 
     @Test
-    void classesOfLessWeightForTheirWorkAreDeniedFirst() {
+    void classesWithTheLowestWeightPerWorkAreDeniedFirst() {
         serveNearestTier();
         takeZoneDown();
-        sendReads(handles[0][NEXT], HIGH_RANK, 100, 3);
+        sendReads(handles[0][NEAR], HIGH_RANK, 100, 3);
         int highRankAdmitted = 0;
         int lowRankAdmitted = 0;
         for (int i = 0; i < 200; i++) {
-            lowRankAdmitted += sendReads(handles[0][NEXT], LOW_RANK, 10, 0.1);
-            highRankAdmitted += sendReads(handles[0][NEXT], HIGH_RANK, 10, 0.1);
+            lowRankAdmitted += sendReads(handles[0][NEAR], LOW_RANK, 10, 0.1);
+            highRankAdmitted += sendReads(handles[0][NEAR], HIGH_RANK, 10, 0.1);
         }
         assertThat(highRankAdmitted).isGreaterThan(5 * Math.max(1, lowRankAdmitted));
     }
 
     @Test
-    void withoutOutageATierServesItsShareAndGroupsWithoutNearerMembersAreNotBounded() {
+    void spillIsBoundedWithoutAnOutageAndUnboundedForGroupsWithoutNearerMembers() {
         serveNearestTier();
-        assertThat(sendReads(handles[0][FARTHEST], HIGH_RANK, 100, 10)).isLessThan(100);
-        int far = policy.onMemberAdded(9, NEXT);
-        assertThat(sendReads(far, HIGH_RANK, 100, 2)).isEqualTo(200);
+        assertThat(sendReads(handles[0][FAR], HIGH_RANK, 100, 10)).isLessThan(100);
+        int otherGroup = policy.onMemberAdded(9, NEAR);
+        assertThat(sendReads(otherGroup, HIGH_RANK, 100, 2)).isEqualTo(200);
     }
 
     @Test
     void recoveringReplicasAreRampedUpFromTheirColdShare() {
         serveNearestTier();
         takeZoneDown();
-        int handle = handles[0][OWN];
+        int handle = handles[0][LOCAL];
         assertThat(policy.healthCheckDue(nowUs, handle)).isTrue();
         assertThat(policy.healthCheckDue(nowUs, handle)).as("again right away").isFalse();
         policy.onHealthCheck(nowUs, handle, true);
-        assertThat(isOpen(handle)).isTrue();
+        assertThat(isRoutable(handle)).isTrue();
         assertThat(policy.admits(nowUs, handle, HIGH_RANK))
                 .as("the ramp begins below zero")
                 .isFalse();
@@ -214,39 +214,39 @@
     }
 
     @Test
-    void secondOutageWithinAMinuteDelaysTheRecoveryAndMinutesLaterItDoesNot() {
+    void outageSoonAfterAnotherDelaysTheRecoveryAndALaterOneDoesNot() {
         serveNearestTier();
-        int handle = handles[0][OWN];
+        int handle = handles[0][LOCAL];
         fail(handle, 3);
         policy.onHealthCheck(nowUs, handle, true);
-        assertThat(isOpen(handle)).isTrue();
+        assertThat(isRoutable(handle)).isTrue();
         nowUs += 10 * SECOND_US;
         fail(handle, 1); // During a ramp one failure is enough.
-        assertThat(isOpen(handle)).isFalse();
+        assertThat(isRoutable(handle)).isFalse();
         policy.onHealthCheck(nowUs, handle, true);
-        assertThat(isOpen(handle)).as("on probation").isFalse();
+        assertThat(isRoutable(handle)).as("on probation").isFalse();
         nowUs += SECOND_US / 2;
         policy.onHealthCheck(nowUs, handle, false); // The delay starts again.
         nowUs += SECOND_US;
         policy.onHealthCheck(nowUs, handle, true);
-        assertThat(isOpen(handle)).isFalse();
+        assertThat(isRoutable(handle)).isFalse();
         nowUs += 10 * SECOND_US;
         policy.onHealthCheck(nowUs, handle, true);
-        assertThat(isOpen(handle)).isTrue();
+        assertThat(isRoutable(handle)).isTrue();
         nowUs += 600 * SECOND_US;
         assertThat(policy.admits(nowUs, handle, HIGH_RANK)).isTrue();
         fail(handle, 3);
         policy.onHealthCheck(nowUs, handle, true);
-        assertThat(isOpen(handle)).isTrue();
+        assertThat(isRoutable(handle)).isTrue();
     }
 
     @Test
     void handlesAreReusedAndReplicasWithoutMembersStillCountAsNearest() {
         serveNearestTier();
-        policy.onMemberRemoved(handles[0][OWN]);
-        assertThat(policy.onMemberAdded(1, FARTHEST)).isEqualTo(handles[0][OWN]);
-        sendReads(handles[0][NEXT], HIGH_RANK, 100, 3);
-        assertThat(sendReads(handles[0][NEXT], HIGH_RANK, 100, 5))
+        policy.onMemberRemoved(handles[0][LOCAL]);
+        assertThat(policy.onMemberAdded(1, FAR)).isEqualTo(handles[0][LOCAL]);
+        sendReads(handles[0][NEAR], HIGH_RANK, 100, 3);
+        assertThat(sendReads(handles[0][NEAR], HIGH_RANK, 100, 5))
                 .as("still a spill")
                 .isLessThan(100);
     }
@@ -257,23 +257,23 @@
         takeZoneDown();
         policy.configure(new ZoneSettings(
                 0, List.of(new ZoneSettings.Tier(List.of(2), 1), new ZoneSettings.Tier(List.of(1), SPILL)), 10));
-        assertThat(policy.costFactor(nowUs, handles[0][FARTHEST])).isEqualTo(2);
-        assertThat(isOpen(handles[0][OWN])).isFalse();
-        sendReads(handles[0][FARTHEST], HIGH_RANK, 100, 3);
-        assertThat(sendReads(handles[0][FARTHEST], HIGH_RANK, 100, 10) / 10.0).isCloseTo(10, within(2.0));
+        assertThat(policy.costFactor(nowUs, handles[0][FAR])).isEqualTo(2);
+        assertThat(isRoutable(handles[0][LOCAL])).isFalse();
+        sendReads(handles[0][FAR], HIGH_RANK, 100, 3);
+        assertThat(sendReads(handles[0][FAR], HIGH_RANK, 100, 10) / 10.0).isCloseTo(10, within(2.0));
     }
 
     @Test
-    void equalEventsGiveEqualDecisions() {
-        String first = play(new ZoneFailoverPolicyTest());
-        assertThat(play(new ZoneFailoverPolicyTest())).isEqualTo(first);
+    void sameEventsGiveSameDecisions() {
+        String first = transcript(new ZoneFailoverPolicyTest());
+        assertThat(transcript(new ZoneFailoverPolicyTest())).isEqualTo(first);
     }
 
-    private static String play(ZoneFailoverPolicyTest test) {
+    private static String transcript(ZoneFailoverPolicyTest test) {
         test.serveNearestTier();
         test.takeZoneDown();
-        int sent = test.sendReads(test.handles[1][NEXT], LOW_RANK, 70, 5);
-        test.policy.onHealthCheck(test.nowUs, test.handles[1][OWN], true);
-        return sent + " " + test.sendReads(test.handles[1][OWN], HIGH_RANK, 30, 5) + " " + test.policy;
+        int sent = test.sendReads(test.handles[1][NEAR], LOW_RANK, 70, 5);
+        test.policy.onHealthCheck(test.nowUs, test.handles[1][LOCAL], true);
+        return sent + " " + test.sendReads(test.handles[1][LOCAL], HIGH_RANK, 30, 5) + " " + test.policy;
     }
 }
