--- a/cluster/src/main/java/frostreel/cluster/ClusterSettings.java
+++ b/cluster/src/main/java/frostreel/cluster/ClusterSettings.java
@@ -9,7 +9,7 @@
 /**
  * The configured members of a group. Messages from any other sender are ignored.
  *
- * @param group the group's name; poolers of other groups are ignored
+ * @param clusterName the group's name; poolers of other groups are ignored
  * @param self this pooler's name, one of {@code members}
  * @param bind where this pooler listens for the other members; no wildcard
  * @param members the advertised address of each by name, at which the others reach it; may differ from the
@@ -17,7 +17,11 @@
  * @param silentAfterMs a member without a heartbeat for this time is suspected; 500 to 60,000
  */
 public record ClusterSettings(
-        String group, String self, InetSocketAddress bind, Map<String, InetSocketAddress> members, long silentAfterMs) {
+        String clusterName,
+        String self,
+        InetSocketAddress bind,
+        Map<String, InetSocketAddress> members,
+        long silentAfterMs) {
     private static final long MIN_SILENT_MS = 500;
     private static final long MAX_SILENT_MS = 60_000;
 
@@ -28,7 +32,7 @@
      */
     public ClusterSettings {
         members = new TreeMap<>(members);
-        require(!group.isBlank(), "the group has no name");
+        require(!clusterName.isBlank(), "the group has no name");
         require(members.containsKey(self), "the members do not name this pooler, " + self);
         require(!bind.isUnresolved(), "unknown address " + bind);
         require(!bind.getAddress().isAnyLocalAddress(), "bind to one address, not to all: " + bind);
--- a/cluster/src/main/java/frostreel/cluster/Membership.java
+++ b/cluster/src/main/java/frostreel/cluster/Membership.java
@@ -13,8 +13,8 @@
 
     /** Notified of the events of the group. */
     interface Listener {
-        /** Members have joined or left; {@code before} is {@link MembershipView#NONE} at first. */
-        void onViewChanged(MembershipView view, MembershipView before);
+        /** Members have joined or left; {@code previous} is {@link MembershipView#NONE} at first. */
+        void onViewChanged(MembershipView view, MembershipView previous);
 
         /**
          * Heartbeats of a member of the view are missing. Either a view without it follows, or they resume. If
--- a/cluster/src/main/java/frostreel/cluster/MembershipView.java
+++ b/cluster/src/main/java/frostreel/cluster/MembershipView.java
@@ -20,12 +20,12 @@
     }
 
     /** The members that the earlier view lacks. */
-    public List<Peer> joined(MembershipView before) {
-        return members.stream().filter(peer -> !before.members.contains(peer)).toList();
+    public List<Peer> joined(MembershipView previous) {
+        return members.stream().filter(peer -> !previous.members.contains(peer)).toList();
     }
 
     /** The members of the earlier view that this one lacks. */
-    public List<Peer> left(MembershipView before) {
-        return before.joined(this);
+    public List<Peer> left(MembershipView previous) {
+        return previous.joined(this);
     }
 }
--- a/cluster/src/main/java/frostreel/cluster/jgroups/ChannelExecutor.java
+++ b/cluster/src/main/java/frostreel/cluster/jgroups/ChannelExecutor.java
@@ -12,29 +12,29 @@
 final class ChannelExecutor implements Executor {
     private static final int QUEUE_CAPACITY = 1024;
 
-    private final ThreadPoolExecutor thread = new ThreadPoolExecutor(
+    private final ThreadPoolExecutor executor = new ThreadPoolExecutor(
             1, 1, 0, TimeUnit.SECONDS, new ArrayBlockingQueue<>(QUEUE_CAPACITY), ChannelExecutor::newThread);
 
-    private static Thread newThread(Runnable tasks) {
-        Thread thread = new Thread(tasks, "cluster");
+    private static Thread newThread(Runnable worker) {
+        Thread thread = new Thread(worker, "cluster");
         thread.setDaemon(true);
         return thread;
     }
 
     @Override
     public void execute(Runnable task) {
-        thread.execute(task);
+        executor.execute(task);
     }
 
     /** Drops the queued tasks, runs a last one, and ends the thread. */
     void finishWith(Runnable last) {
-        thread.getQueue().clear();
-        thread.execute(last);
-        thread.shutdown();
+        executor.getQueue().clear();
+        executor.execute(last);
+        executor.shutdown();
     }
 
     /** Blocks until the thread has ended; returns false after the timeout. */
     boolean awaitTermination(long timeoutMs) throws InterruptedException {
-        return thread.awaitTermination(timeoutMs, TimeUnit.MILLISECONDS);
+        return executor.awaitTermination(timeoutMs, TimeUnit.MILLISECONDS);
     }
 }
--- a/cluster/src/main/java/frostreel/cluster/jgroups/CommittedEntries.java
+++ b/cluster/src/main/java/frostreel/cluster/jgroups/CommittedEntries.java
@@ -70,22 +70,22 @@
     }
 
     /** The index in the answer to a proposal, or {@link #SUPERSEDED}. */
-    static long decodeAnswer(byte[] answer) {
-        return ByteBuffer.wrap(answer).getLong();
+    static long decodeResponse(byte[] response) {
+        return ByteBuffer.wrap(response).getLong();
     }
 
-    private static byte[] encodeAnswer(long index) {
+    private static byte[] encodeResponse(long index) {
         return ByteBuffer.allocate(Long.BYTES).putLong(index).array();
     }
 
     @Override
-    public byte[] apply(byte[] data, int offset, int length, boolean wantsAnswer) throws IOException {
+    public byte[] apply(byte[] data, int offset, int length, boolean wantsResponse) throws IOException {
         DataInputStream in = new DataInputStream(new ByteArrayInputStream(data, offset, length));
         String member = in.readUTF();
         LatestProposal proposal = new LatestProposal(in.readLong(), in.readLong(), lastIndex + 1);
         LatestProposal latest = latestByMember.get(member);
         if (latest != null && !proposal.isAfter(latest)) {
-            return encodeAnswer(proposal.isSameProposal(latest) ? latest.index : SUPERSEDED);
+            return encodeResponse(proposal.isSameProposal(latest) ? latest.index : SUPERSEDED);
         }
         lastIndex++;
         latestByMember.put(member, proposal);
@@ -94,7 +94,7 @@
             retained.pollFirstEntry();
         }
         notifyListener();
-        return encodeAnswer(lastIndex);
+        return encodeResponse(lastIndex);
     }
 
     private void notifyListener() {
--- a/cluster/src/main/java/frostreel/cluster/jgroups/GroupMembership.java
+++ b/cluster/src/main/java/frostreel/cluster/jgroups/GroupMembership.java
@@ -39,7 +39,7 @@
 
     private final ClusterSettings settings;
     private final Peer self;
-    private final Executor owner;
+    private final Executor ownerExecutor;
     private final Listener listener;
     private final ChannelExecutor channelExecutor = new ChannelExecutor();
     /** Null where none was requested. */
@@ -55,53 +55,53 @@
     /** Confined to the owner's thread. */
     private MembershipView view = MembershipView.NONE;
     /** Confined to the owner's thread. */
-    private boolean left;
+    private boolean leaveRequested;
 
     /**
      * Joins the group, and retries while no member answers.
      *
      * @param incarnation of this process, higher at each start
-     * @param owner runs one task at a time, in order
+     * @param ownerExecutor runs one task at a time, in order
      */
-    public GroupMembership(ClusterSettings settings, long incarnation, Executor owner, Listener listener) {
-        this(settings, incarnation, owner, listener, null, null);
+    public GroupMembership(ClusterSettings settings, long incarnation, Executor ownerExecutor, Listener listener) {
+        this(settings, incarnation, ownerExecutor, listener, null, null);
     }
 
     /**
      * Joins the group as the other constructor does, with a replicated log.
      *
-     * @param folder stores the log; null for a log in memory, which a restart forgets
+     * @param directory stores the log; null for a log in memory, which a restart forgets
      * @param logListener notified of the log's entries; null for no log
      */
     public GroupMembership(
             ClusterSettings settings,
             long incarnation,
-            Executor owner,
+            Executor ownerExecutor,
             Listener listener,
-            Path folder,
+            Path directory,
             ReplicatedLog.Listener logListener) {
         this.settings = settings;
-        this.owner = owner;
+        this.ownerExecutor = ownerExecutor;
         this.listener = listener;
         self = new Peer(settings.self(), incarnation);
         log = logListener == null
                 ? null
                 : new RaftLog(
-                        self, settings.members().keySet(), folder, channelExecutor, this::notifyOwner, logListener);
+                        self, settings.members().keySet(), directory, channelExecutor, this::notifyOwner, logListener);
         channelExecutor.execute(this::join);
     }
 
     private void join() {
         try {
             channel = newChannel();
-            channel.connect(settings.group());
+            channel.connect(settings.clusterName());
         } catch (SecurityException e) { // The previous incarnation is still in the view.
             LOG.fine(e.getMessage());
             channel.close();
             CompletableFuture.delayedExecutor(REJOIN_DELAY_MS, TimeUnit.MILLISECONDS, this::runOnChannel)
                     .execute(this::join);
         } catch (Exception e) { // The library declares no narrower type.
-            LOG.log(Level.SEVERE, "GW_CLUSTER: cannot join " + settings.group() + " at " + settings.bind(), e);
+            LOG.log(Level.SEVERE, "GW_CLUSTER: cannot join " + settings.clusterName() + " at " + settings.bind(), e);
             notifyOwner(() -> listener.onJoinFailed(String.valueOf(e.getMessage())));
         }
     }
@@ -146,7 +146,7 @@
             }
             for (Address address : current.getMembers()) {
                 if (PeerAddress.peer(address).filter(to::equals).isPresent()) {
-                    write(address, message);
+                    sendToAddress(address, message);
                 }
             }
         });
@@ -155,7 +155,7 @@
     @Override
     public void broadcast(byte[] message) {
         Membership.checkSize(message);
-        runOnChannel(() -> write(null, message));
+        runOnChannel(() -> sendToAddress(null, message));
     }
 
     private void runOnChannel(Runnable task) {
@@ -167,7 +167,7 @@
     }
 
     /** Sends a message; {@code to} is null for all members. */
-    private void write(Address to, byte[] message) {
+    private void sendToAddress(Address to, byte[] message) {
         try {
             channel.send(new BytesMessage(to, message).setFlag(Message.TransientFlag.DONT_BLOCK));
             counters.sent.increment();
@@ -178,10 +178,10 @@
 
     @Override
     public void leave() {
-        if (left) {
+        if (leaveRequested) {
             return;
         }
-        left = true;
+        leaveRequested = true;
         channelExecutor.finishWith(() -> channel.close());
     }
 
@@ -213,8 +213,8 @@
 
     private void notifyOwner(Runnable event) {
         try {
-            owner.execute(() -> {
-                if (!left) {
+            ownerExecutor.execute(() -> {
+                if (!leaveRequested) {
                     event.run();
                 }
             });
--- a/cluster/src/main/java/frostreel/cluster/jgroups/RaftLog.java
+++ b/cluster/src/main/java/frostreel/cluster/jgroups/RaftLog.java
@@ -31,7 +31,7 @@
      */
     private static final long RESEND_INTERVAL_MS = 100;
 
-    private static final long ANSWER_TIMEOUT_MS = 1000;
+    private static final long RESPONSE_TIMEOUT_MS = 1000;
     private static final long RETRY_DELAY_MS = 500;
     private static final long PROPOSAL_TIMEOUT_MS = 10_000;
     private static final int MAX_QUEUED_PROPOSALS = 64;
@@ -43,9 +43,9 @@
 
     private final Peer self;
     private final Executor channelExecutor;
-    private final Executor owner;
-    private final Collection<String> members;
-    private final Path folder;
+    private final Executor ownerExecutor;
+    private final Collection<String> memberNames;
+    private final Path directory;
     /** Shared by all attempts to join, so that the listener is not notified of an entry twice. */
     private final CommittedEntries entries;
     /** The protocol of the present channel that forwards proposals to the leader; read on the channel executor. */
@@ -58,36 +58,37 @@
     /**
      * Creates a log without protocols.
      *
-     * @param folder stores the log; null for a log in memory, with which a restart forgets the votes cast
+     * @param directory stores the log; null for a log in memory, with which a restart forgets the votes cast
      */
     RaftLog(
             Peer self,
-            Collection<String> members,
-            Path folder,
+            Collection<String> memberNames,
+            Path directory,
             Executor channelExecutor,
-            Executor owner,
+            Executor ownerExecutor,
             Listener listener) {
         this.self = self;
         this.channelExecutor = channelExecutor;
-        this.owner = owner;
-        this.members = members;
-        this.folder = folder;
-        entries = new CommittedEntries((index, entry) -> owner.execute(() -> listener.onCommitted(index, entry)));
+        this.ownerExecutor = ownerExecutor;
+        this.memberNames = memberNames;
+        this.directory = directory;
+        entries =
+                new CommittedEntries((index, entry) -> ownerExecutor.execute(() -> listener.onCommitted(index, entry)));
     }
 
     /** Creates the log's protocols for a new channel, to be placed above those that carry messages. */
     List<Protocol> newProtocols() {
         RAFT raft = new RAFT()
-                .members(members)
+                .members(memberNames)
                 .raftId(self.name())
                 .maxLogSize(MAX_LOG_BYTES)
                 .resendInterval(RESEND_INTERVAL_MS)
                 .stateMachine(entries);
-        if (folder == null) {
+        if (directory == null) {
             raft.logClass(InMemoryLog.class.getName()).logPrefix(self.toString());
         } else {
             raft.logClass(FileBasedLog.class.getName())
-                    .logDir(folder.toString())
+                    .logDir(directory.toString())
                     .logPrefix(self.name())
                     .logUseFsync(true);
         }
@@ -116,7 +117,7 @@
 
     private void submit(Proposal proposal, long deadlineMs) {
         try {
-            channelExecutor.execute(() -> attempt(proposal, deadlineMs));
+            channelExecutor.execute(() -> sendAttempt(proposal, deadlineMs));
         } catch (RejectedExecutionException full) {
             finishUnknown(proposal, "the queue to the channel is full");
         }
@@ -124,16 +125,16 @@
 
     /** Runs on the channel executor. */
     @SuppressWarnings("FutureReturnValueIgnored") // whenComplete handles both results.
-    private void attempt(Proposal proposal, long deadlineMs) {
-        CompletableFuture<byte[]> answer;
+    private void sendAttempt(Proposal proposal, long deadlineMs) {
+        CompletableFuture<byte[]> response;
         try {
-            answer = redirect.setAsync(proposal.bytes, 0, proposal.bytes.length, null);
+            response = redirect.setAsync(proposal.bytes, 0, proposal.bytes.length, null);
         } catch (Exception e) { // No leader is known here, or it cannot be reached.
-            answer = CompletableFuture.failedFuture(e);
+            response = CompletableFuture.failedFuture(e);
         }
-        answer.orTimeout(ANSWER_TIMEOUT_MS, TimeUnit.MILLISECONDS).whenComplete((bytes, failure) -> {
+        response.orTimeout(RESPONSE_TIMEOUT_MS, TimeUnit.MILLISECONDS).whenComplete((bytes, failure) -> {
             if (failure == null) {
-                owner.execute(() -> finish(proposal, CommittedEntries.decodeAnswer(bytes)));
+                ownerExecutor.execute(() -> onResponse(proposal, CommittedEntries.decodeResponse(bytes)));
             } else {
                 onAttemptFailed(proposal, deadlineMs, failure);
             }
@@ -143,15 +144,15 @@
     /** Runs on any thread. */
     private void onAttemptFailed(Proposal proposal, long deadlineMs, Throwable failure) {
         if (nowMs() < deadlineMs) {
-            CompletableFuture.delayedExecutor(RETRY_DELAY_MS, TimeUnit.MILLISECONDS, owner)
+            CompletableFuture.delayedExecutor(RETRY_DELAY_MS, TimeUnit.MILLISECONDS, ownerExecutor)
                     .execute(() -> submit(proposal, deadlineMs));
         } else {
             Throwable cause = failure instanceof CompletionException ? failure.getCause() : failure;
-            owner.execute(() -> finishUnknown(proposal, String.valueOf(cause)));
+            ownerExecutor.execute(() -> finishUnknown(proposal, String.valueOf(cause)));
         }
     }
 
-    private void finish(Proposal proposal, long index) {
+    private void onResponse(Proposal proposal, long index) {
         if (index == CommittedEntries.SUPERSEDED) {
             finishUnknown(proposal, "a later one was chosen before it");
             return;
--- a/cluster/src/test/java/frostreel/cluster/ClusterSettingsTest.java
+++ b/cluster/src/test/java/frostreel/cluster/ClusterSettingsTest.java
@@ -19,67 +19,73 @@
 
     /** Good settings of the member a alone, and one change to them at a time. */
     private record Draft(
-            String group, String self, InetSocketAddress bind, Map<String, InetSocketAddress> members, long silentMs) {
-        static final Draft GOOD = new Draft("g", "a", ADDRESS_A, Map.of("a", ADDRESS_A), 1000);
+            String clusterName,
+            String self,
+            InetSocketAddress bind,
+            Map<String, InetSocketAddress> members,
+            long silentMs) {
+        static final Draft VALID = new Draft("g", "a", ADDRESS_A, Map.of("a", ADDRESS_A), 1000);
 
-        Draft group(String name) {
-            return new Draft(name, self, bind, members, silentMs);
+        Draft clusterName(String newName) {
+            return new Draft(newName, self, bind, members, silentMs);
         }
 
         Draft self(String name) {
-            return new Draft(group, name, bind, members, silentMs);
+            return new Draft(clusterName, name, bind, members, silentMs);
         }
 
         Draft bind(InetSocketAddress address) {
-            return new Draft(group, self, address, members, silentMs);
+            return new Draft(clusterName, self, address, members, silentMs);
         }
 
         Draft members(Map<String, InetSocketAddress> addresses) {
-            return new Draft(group, self, bind, addresses, silentMs);
+            return new Draft(clusterName, self, bind, addresses, silentMs);
         }
 
         Draft silentMs(long millis) {
-            return new Draft(group, self, bind, members, millis);
+            return new Draft(clusterName, self, bind, members, millis);
         }
 
         ClusterSettings settings() {
-            return new ClusterSettings(group, self, bind, members, silentMs);
+            return new ClusterSettings(clusterName, self, bind, members, silentMs);
         }
     }
 
     @Test
-    void acceptsGoodSettings() {
-        assertThat(Draft.GOOD.settings().advertised()).isEqualTo(ADDRESS_A);
+    void acceptsValidSettings() {
+        assertThat(Draft.VALID.settings().advertised()).isEqualTo(ADDRESS_A);
     }
 
-    static Stream<Arguments> faults() {
+    static Stream<Arguments> invalidSettings() {
         return Stream.of(
-                fault(
+                invalid(
                         "the members do not name this pooler, c",
                         draft -> draft.members(Map.of("a", ADDRESS_A, "b", ADDRESS_B))
                                 .self("c")),
-                fault("b has another member's address", draft -> draft.members(Map.of("a", ADDRESS_A, "b", ADDRESS_A))),
-                fault("bind to one address, not to all", draft -> draft.bind(WILDCARD)),
-                fault("a has no address of its own", draft -> draft.members(Map.of("a", WILDCARD))),
-                fault(
+                invalid(
+                        "b has another member's address",
+                        draft -> draft.members(Map.of("a", ADDRESS_A, "b", ADDRESS_A))),
+                invalid("bind to one address, not to all", draft -> draft.bind(WILDCARD)),
+                invalid("a has no address of its own", draft -> draft.members(Map.of("a", WILDCARD))),
+                invalid(
                         "unknown address",
                         draft -> draft.members(Map.of("a", InetSocketAddress.createUnresolved("x", 1)))),
-                fault("unknown address", draft -> draft.members(Map.of("a", new InetSocketAddress("127.0.0.1", 0)))),
-                fault("the group has no name", draft -> draft.group(" ")),
-                fault("silentAfterMs is 499", draft -> draft.silentMs(499)),
-                fault("silentAfterMs is 60001", draft -> draft.silentMs(60_001)));
+                invalid("unknown address", draft -> draft.members(Map.of("a", new InetSocketAddress("127.0.0.1", 0)))),
+                invalid("the group has no name", draft -> draft.clusterName(" ")),
+                invalid("silentAfterMs is 499", draft -> draft.silentMs(499)),
+                invalid("silentAfterMs is 60001", draft -> draft.silentMs(60_001)));
     }
 
-    private static Arguments fault(String reason, UnaryOperator<Draft> change) {
+    private static Arguments invalid(String reason, UnaryOperator<Draft> change) {
         return Arguments.of(reason, change);
     }
 
     @ParameterizedTest
-    @MethodSource("faults")
-    void rejectsFaultySettingsWithTheReason(String reason, UnaryOperator<Draft> change) {
-        Draft faulty = change.apply(Draft.GOOD);
+    @MethodSource("invalidSettings")
+    void rejectsInvalidSettingsWithTheReason(String reason, UnaryOperator<Draft> change) {
+        Draft invalidDraft = change.apply(Draft.VALID);
 
-        assertThatThrownBy(faulty::settings)
+        assertThatThrownBy(invalidDraft::settings)
                 .isInstanceOf(IllegalArgumentException.class)
                 .hasMessageContaining(reason);
     }
--- a/cluster/src/test/java/frostreel/cluster/MembershipViewTest.java
+++ b/cluster/src/test/java/frostreel/cluster/MembershipViewTest.java
@@ -9,19 +9,19 @@
     private static final Peer FIRST = new Peer("a", 1);
     private static final Peer SECOND = new Peer("b", 1);
     private static final Peer SECOND_RESTARTED = new Peer("b", 2);
-    private static final MembershipView BEFORE = new MembershipView(1, List.of(SECOND, FIRST), false);
+    private static final MembershipView PREVIOUS = new MembershipView(1, List.of(SECOND, FIRST), false);
 
     @Test
     void sortsItsMembers() {
-        assertThat(BEFORE.members()).containsExactly(FIRST, SECOND);
+        assertThat(PREVIOUS.members()).containsExactly(FIRST, SECOND);
     }
 
     @Test
     void derivesMembersThatJoinedAndLeftFromTwoViews() {
-        MembershipView after = new MembershipView(2, List.of(FIRST, SECOND_RESTARTED), false);
+        MembershipView next = new MembershipView(2, List.of(FIRST, SECOND_RESTARTED), false);
 
-        assertThat(after.joined(BEFORE)).containsExactly(SECOND_RESTARTED);
-        assertThat(after.left(BEFORE)).containsExactly(SECOND);
-        assertThat(BEFORE.joined(MembershipView.NONE)).containsExactly(FIRST, SECOND);
+        assertThat(next.joined(PREVIOUS)).containsExactly(SECOND_RESTARTED);
+        assertThat(next.left(PREVIOUS)).containsExactly(SECOND);
+        assertThat(PREVIOUS.joined(MembershipView.NONE)).containsExactly(FIRST, SECOND);
     }
 }
