--- a/decisions/src/jmh/java/frostreel/zones/LocalityPolicyBenchmark.java
+++ b/decisions/src/jmh/java/frostreel/zones/LocalityPolicyBenchmark.java
@@ -15,7 +15,7 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** The cost of zone failover to a read that considers three members, and to the events of one attempt. */
+/** Measures the cost of zone failover for a read with three candidate members, and for recording one attempt. */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -32,7 +32,7 @@
     private long nowUs = 1_000_000_000;
     private int group;
 
-    /** A hundred groups over three zones, of which the nearest is down. */
+    /** Sets up 100 groups in three zones, the nearest of which is down. */
     @Setup
     public void takeNearestZoneDown() {
         policy = new ZoneFailoverPolicy(settings(), zones(), 0.5);
@@ -48,7 +48,7 @@
 
     private static Router.Settings settings() {
         Router.RequestClass read = new Router.RequestClass(
-                "look",
+                "read",
                 Router.Access.ANY,
                 Router.Idempotency.IDEMPOTENT,
                 Router.DeduplicationScope.GROUP,
@@ -87,7 +87,7 @@
         return new ZoneSettings(0, List.of(next, others), 10);
     }
 
-    /** The two questions for each of three members from which a read is to choose. */
+    /** Queries cost factor and admission for the three candidate members of a read. */
     @Benchmark
     public double chooseAmongThree() {
         advance();
@@ -100,7 +100,7 @@
         return sum;
     }
 
-    /** The two events of one attempt. */
+    /** Records the start and the end of one attempt. */
     @Benchmark
     public void recordAttempt() {
         advance();
--- a/decisions/src/main/java/frostreel/operation/CommandState.java
+++ b/decisions/src/main/java/frostreel/operation/CommandState.java
@@ -1,27 +1,27 @@
 package frostreel.operation;
 
 /**
- * The state in which the last command on a target left it. Times are Unix microseconds of the machine's shared
- * clock.
+ * State of the latest operator command on a target. Times are Unix microseconds on the machine's clock, which all
+ * processes share.
  *
- * @param inForce whether the command is in force, or was revoked
- * @param inForceSinceUs when it last came into force
- * @param changedAtUs when it last came into force or was revoked
+ * @param inForce true after the command was issued, false after it was revoked
+ * @param inForceSinceUs when the command last came into force
+ * @param changedAtUs when the command was last issued or revoked
  */
 public record CommandState(boolean inForce, long inForceSinceUs, long changedAtUs) {
-    /** A command that came into force at that time. */
+    /** State of a command that came into force at {@code atUs}. */
     public static CommandState issued(long atUs) {
         return new CommandState(true, atUs, atUs);
     }
 
-    /** A command that came into force at the first time and was revoked at the second. */
+    /** State of a command that came into force at {@code inForceSinceUs} and was revoked at {@code revokedAtUs}. */
     public static CommandState revoked(long inForceSinceUs, long revokedAtUs) {
         return new CommandState(false, inForceSinceUs, revokedAtUs);
     }
 
     /**
-     * Whether this state replaces the other. The later change wins; of two changes at the same time the command
-     * in force does, as it is safer to keep a server or the clients out than to let them in.
+     * Whether this state replaces the other one. The later change wins. If both changed at the same time, the command
+     * in force wins: keeping a server or the clients out for too long is safer than admitting them by mistake.
      */
     boolean supersedes(CommandState other) {
         if (changedAtUs != other.changedAtUs) {
--- a/decisions/src/main/java/frostreel/operation/LifecycleEvent.java
+++ b/decisions/src/main/java/frostreel/operation/LifecycleEvent.java
@@ -1,15 +1,15 @@
 package frostreel.operation;
 
-/** What can happen to this process, see {@link LifecycleState}. */
+/** Events that change the {@link LifecycleState}. */
 enum LifecycleEvent {
-    /** Servers are known, commands are restored and sockets are open: serving may begin. */
+    /** Startup is complete: servers are known, commands are restored and sockets are open. */
     READY,
-    /** Operators ask clients to leave. */
+    /** Operators ask clients to disconnect. */
     PAUSE,
-    /** Operators let clients stay again. */
+    /** Operators admit clients again. */
     RESUME,
-    /** SIGTERM arrived, and there is no successor. */
+    /** SIGTERM arrived, and there is no successor process. */
     STOP,
-    /** SIGTERM arrived, and a successor accepts from the same socket. */
+    /** SIGTERM arrived, and a successor process accepts connections on the same socket. */
     HAND_OVER
 }
--- a/decisions/src/main/java/frostreel/operation/LifecycleState.java
+++ b/decisions/src/main/java/frostreel/operation/LifecycleState.java
@@ -13,26 +13,26 @@
 import java.util.Set;
 
 /**
- * The state machine of this process: starting, serving, draining, handing over, stopping.
+ * Lifecycle states of this process: starting, serving, draining, handing over and stopping.
  *
- * <p>Operators may pause the process in any state: clients are then asked to leave. Only a paused process that
- * would otherwise be serving is called draining.
+ * <p>Operators may pause the process in any state; clients are then asked to disconnect. Only a paused process that
+ * would otherwise be serving is in state {@code DRAINING}.
  */
 enum LifecycleState {
     STARTING(ReadinessStatus.STARTING),
     STARTING_PAUSED(ReadinessStatus.STARTING),
     SERVING(ReadinessStatus.READY),
     DRAINING(ReadinessStatus.DRAINING),
-    /** After SIGTERM, when a successor accepts from the same socket. */
+    /** After SIGTERM, with a successor process that accepts connections on the same socket. */
     HANDING_OVER(ReadinessStatus.STOPPING),
     HANDING_OVER_PAUSED(ReadinessStatus.STOPPING),
-    /** After SIGTERM without a successor: clients are served as before for the grace period. */
+    /** After SIGTERM without a successor: clients are still served during the grace period. */
     STOPPING(ReadinessStatus.READY),
     STOPPING_PAUSED(ReadinessStatus.DRAINING),
     STOPPING_UNREADY(ReadinessStatus.STARTING),
     STOPPING_UNREADY_PAUSED(ReadinessStatus.STARTING);
 
-    /** The states in which clients are asked to leave. */
+    /** The states in which clients are asked to disconnect. */
     private static final Set<LifecycleState> PAUSED =
             EnumSet.of(STARTING_PAUSED, DRAINING, HANDING_OVER_PAUSED, STOPPING_PAUSED, STOPPING_UNREADY_PAUSED);
     /** The states after SIGTERM. */
@@ -40,7 +40,7 @@
 
     private record Transition(LifecycleState from, LifecycleEvent event, LifecycleState to) {}
 
-    /** All transitions: an event that is not listed for a state leaves it unchanged. */
+    /** All transitions. An event without a transition from the current state leaves it unchanged. */
     private static final List<Transition> TRANSITIONS = List.of(
             new Transition(STARTING, READY, SERVING),
             new Transition(STARTING, PAUSE, STARTING_PAUSED),
@@ -84,17 +84,17 @@
         this.status = status;
     }
 
-    /** The state that follows when the event happens in this one. */
+    /** The state after the event. */
     LifecycleState after(LifecycleEvent event) {
         return NEXT_STATE.get(this).getOrDefault(event, this);
     }
 
-    /** What load balancers and operators are told in this state. */
+    /** The readiness that is reported to load balancers and operators in this state. */
     ReadinessStatus status() {
         return status;
     }
 
-    /** Whether clients are asked to leave, as operators paused the process. */
+    /** Whether operators have paused the process, so that clients are asked to disconnect. */
     boolean isPaused() {
         return PAUSED.contains(this);
     }
@@ -104,7 +104,7 @@
         return TERMINATING.contains(this);
     }
 
-    /** Whether SIGTERM has arrived and a successor accepts from the same socket. */
+    /** Whether SIGTERM has arrived and a successor accepts connections on the same socket. */
     boolean isHandingOver() {
         return this == HANDING_OVER || this == HANDING_OVER_PAUSED;
     }
--- a/decisions/src/main/java/frostreel/operation/MaintenanceOverlay.java
+++ b/decisions/src/main/java/frostreel/operation/MaintenanceOverlay.java
@@ -11,29 +11,29 @@
 import java.util.Set;
 
 /**
- * Overlays the operators' commands on discovery's endpoint list: a server that is out of service appears as
- * draining, whatever discovery says meanwhile, and as discovery last listed it once the command is revoked.
+ * Applies the operators' commands to discovery's endpoint list. A server that is out of service appears as draining,
+ * whatever state discovery reports; once the command is revoked, it appears as last listed.
  *
- * <p>Owns the last entry that discovery listed for each server; the commands belong to the caller.
+ * <p>Owns the last listed entry of each server. The commands are owned by the caller.
  */
 public final class MaintenanceOverlay {
-    /** How many departed servers are remembered: they may come back, and commands on them may come late. */
+    /** Number of departed servers to remember, since they may return and commands on them may arrive late. */
     private static final int MAX_DEPARTED = 256;
 
     private final OperatorCommands commands;
     private final Map<String, Router.Member> lastListed = new HashMap<>();
-    /** Ids of listed servers that are gone, in the order in which they left. */
+    /** Ids of departed servers, oldest departure first; their entries in {@link #lastListed} are kept. */
     private final Set<String> departed = new LinkedHashSet<>();
 
-    /** Overlays these commands, as they are at each call. */
+    /** Creates an overlay that reads the current state of {@code commands} at each call. */
     public MaintenanceOverlay(OperatorCommands commands) {
         this.commands = commands;
     }
 
     /**
-     * Takes in a complete endpoint list: servers that it lacks are gone.
+     * Processes a complete endpoint list. Servers that are missing from it are recorded as gone.
      *
-     * @return the members to pass on in place of the listed ones, in the same order
+     * @return the members to publish instead of the listed ones, in the same order
      */
     public List<Router.Member> applyComplete(List<Router.Member> members) {
         markUnlistedAsGone(members);
@@ -41,9 +41,9 @@
     }
 
     /**
-     * Takes in an endpoint list that names changed servers alone.
+     * Processes an endpoint list that contains only changed servers.
      *
-     * @return the members to pass on in place of the listed ones, in the same order
+     * @return the members to publish instead of the listed ones, in the same order
      */
     public List<Router.Member> applyChanges(List<Router.Member> members) {
         List<Router.Member> effective = new ArrayList<>(members.size());
@@ -80,18 +80,18 @@
         }
     }
 
-    /** Whether discovery has listed a server of that id, or operators have given a command on one. */
+    /** Whether discovery has listed a server with this id, or operators have issued a command on it. */
     public boolean isKnown(String serverId) {
         return lastListed.containsKey(serverId)
                 || commands.latest(CommandTarget.server(serverId)).isPresent();
     }
 
-    /** The member to pass on for a server now, empty if discovery has not listed it. */
+    /** The member to publish for a server now; empty if discovery has not listed the server. */
     public Optional<Router.Member> effectiveMember(String serverId) {
         return Optional.ofNullable(lastListed.get(serverId)).map(this::effectiveMember);
     }
 
-    /** The ids of the servers that are out of service. */
+    /** Ids of the servers that are out of service. */
     public List<String> outOfServiceIds() {
         List<String> serverIds = new ArrayList<>();
         commands.all().forEach((target, state) -> {
@@ -102,7 +102,7 @@
         return serverIds;
     }
 
-    /** The listed member with the commands on it applied. */
+    /** The listed member with the latest command on it applied. */
     private Router.Member effectiveMember(Router.Member member) {
         Optional<CommandState> latest = commands.latest(CommandTarget.server(member.id()));
         if (latest.isEmpty()) {
@@ -118,9 +118,9 @@
     }
 
     /**
-     * Operators restart a server that is out of service, and discovery may report that seconds after the command
-     * is revoked: until it reports a start since the server went out of service, the revocation counts as the
-     * start.
+     * Applies a revoked command. A server that is out of service is usually restarted, and discovery may report the
+     * restart seconds after the command is revoked. Until discovery reports a start later than the suspension, the
+     * time of the revocation counts as the start.
      */
     private static Router.Member restored(Router.Member member, CommandState revoked) {
         boolean restartReported = member.startedUs() >= revoked.inForceSinceUs();
--- a/decisions/src/main/java/frostreel/operation/OperatorCommands.java
+++ b/decisions/src/main/java/frostreel/operation/OperatorCommands.java
@@ -6,19 +6,19 @@
 import java.util.TreeMap;
 
 /**
- * The operators' commands: for each target the state that the last command left it in.
+ * The latest operator command on each target.
  *
- * <p>Each process of one pooler keeps a copy of its own and merges those of the others. The last change of a
- * target wins, whichever process recorded it, so that all copies converge in whatever order they are merged.
- * Times are Unix microseconds of the machine's shared clock. Not thread-safe.
+ * <p>Each process of a pooler keeps its own copy and merges those of the other processes. For each target the latest
+ * change wins, whichever process recorded it, so all copies converge regardless of the merge order. Times are Unix
+ * microseconds on the machine's clock, which all processes share. Not thread-safe.
  */
 public final class OperatorCommands {
     private final Map<CommandTarget, CommandState> commands = new TreeMap<>();
 
     /**
-     * Records that this process was given a command on the target.
+     * Records a command on the target.
      *
-     * @return whether it changed anything; a command that is in force already does not
+     * @return whether the state changed; false if a command was already in force
      */
     public boolean issue(long nowUs, CommandTarget target) {
         if (isInForce(target)) {
@@ -31,9 +31,9 @@
     }
 
     /**
-     * Records that the command on the target was revoked through this process.
+     * Records that the command on the target was revoked.
      *
-     * @return whether it changed anything; revoking a command that is not in force does not
+     * @return whether the state changed; false if no command was in force
      */
     public boolean revoke(long nowUs, CommandTarget target) {
         if (!isInForce(target)) {
@@ -44,15 +44,15 @@
         return true;
     }
 
-    /** Later than the previous change, also if the clock has not advanced since. */
+    /** A time later than the previous change, even if the clock has not advanced since. */
     private static long timeOfChangeUs(long nowUs, CommandState previous) {
         return Math.max(nowUs, previous.changedAtUs() + 1);
     }
 
     /**
-     * Merges what another process recorded.
+     * Merges a state that another process recorded.
      *
-     * @return whether it supersedes what was known here
+     * @return whether it superseded the state recorded here
      */
     public boolean merge(CommandTarget target, CommandState recorded) {
         CommandState known = commands.get(target);
@@ -63,7 +63,7 @@
         return true;
     }
 
-    /** The state that the last command left the target in, empty if there was none. */
+    /** State of the latest command on the target; empty if there was none. */
     public Optional<CommandState> latest(CommandTarget target) {
         return Optional.ofNullable(commands.get(target));
     }
@@ -74,7 +74,7 @@
         return state != null && state.inForce();
     }
 
-    /** A read-only view of all commands, ordered by their targets' keys. */
+    /** A read-only view of all commands, ordered by target key. */
     public Map<CommandTarget, CommandState> all() {
         return Collections.unmodifiableMap(commands);
     }
--- a/decisions/src/main/java/frostreel/operation/ReadinessStatus.java
+++ b/decisions/src/main/java/frostreel/operation/ReadinessStatus.java
@@ -1,6 +1,6 @@
 package frostreel.operation;
 
-/** Whether this process takes clients, as reported to load balancers and operators. */
+/** Whether this process accepts clients, as reported to load balancers and operators. */
 public enum ReadinessStatus {
     READY("yes"),
     STARTING("starting"),
@@ -13,7 +13,7 @@
         this.wireName = wireName;
     }
 
-    /** The word for it on the wire: in answers to clients and operators, and on the pages of {@code SHOW}. */
+    /** The name of the status in responses to clients and operators, and on the {@code SHOW} pages. */
     public String wireName() {
         return wireName;
     }
--- a/decisions/src/main/java/frostreel/operation/RequestClassRegistry.java
+++ b/decisions/src/main/java/frostreel/operation/RequestClassRegistry.java
@@ -8,29 +8,30 @@
 import java.util.Map;
 
 /**
- * Numbers the classes of requests such that a number keeps its meaning when settings change. A class that is
- * new, or whose rules have changed, gets the next number; one that returns unchanged gets its former number.
- * Not thread-safe.
+ * Assigns numbers to request classes that remain valid when the settings change. A class that is new, or whose rules
+ * have changed, gets the next free number; one that returns unchanged gets its previous number. Not thread-safe.
  */
 public final class RequestClassRegistry {
-    /** Returned in place of a number for a request that fits no class. */
+    /** Returned instead of a class number for a request that matches no class. */
     public static final int NO_CLASS = -1;
 
-    /** How long clients may still follow the previous settings after a change. */
+    /** How long after a settings change clients may still send requests according to the previous settings. */
     public static final long TRANSITION_US = 1_200_000;
 
-    /** The time of the last change before there was one; half the range, so that subtracting it cannot overflow. */
+    /** Time of the last change if there was none; half the range, so that subtracting it cannot overflow. */
     private static final long NEVER_CHANGED_US = Long.MIN_VALUE / 2;
 
-    /** Every class that was ever in force, each at the index of its number. */
+    /** All classes that have ever been in force, indexed by class number. */
     private final List<RequestClass> classes = new ArrayList<>();
-    /** Numbers by name, in the settings in force and in those before them. */
+    /** Class numbers by name in the current settings. */
     private Map<String, Integer> current;
 
+    /** Class numbers by name in the previous settings. */
     private Map<String, Integer> previous = Map.of();
+
     private long changedAtUs = NEVER_CHANGED_US;
 
-    /** Numbers the classes in force at the start, from 0 on. */
+    /** Assigns numbers from 0 to the initial classes. */
     public RequestClassRegistry(List<RequestClass> initial) {
         current = numbersByName(initial);
     }
@@ -52,26 +53,25 @@
         return classes.size() - 1;
     }
 
-    /** Replaces the classes in force. */
+    /** Puts other classes in force. */
     public void replaceClasses(long nowUs, List<RequestClass> replacement) {
         previous = current;
         current = numbersByName(replacement);
         changedAtUs = nowUs;
     }
 
-    /** An immutable copy of all classes that have a number, each at the index of that number. */
+    /** An immutable copy of all classes that have a number, indexed by that number. */
     public List<RequestClass> all() {
         return List.copyOf(classes);
     }
 
     /**
-     * The number of the class that a request belongs to. Within {@link #TRANSITION_US} of a change a request
-     * may fit the class of that name in the previous settings, in the current ones, or in both; in the last
-     * case the stricter of the two is chosen.
+     * The class number of a request. Within {@link #TRANSITION_US} of a change, a request may match the class of that
+     * name in the previous settings, in the current settings or in both; if both match, the stricter class is chosen.
      *
      * @param write whether the request writes
-     * @param keyed whether it has an idempotency key
-     * @return {@link #NO_CLASS} if no class of that name fits
+     * @param keyed whether the request carries an idempotency key
+     * @return {@link #NO_CLASS} if no class of that name matches
      */
     public int classNumber(long nowUs, String name, boolean write, boolean keyed) {
         int fromCurrent = fittingNumber(current, name, write, keyed);
@@ -105,7 +105,7 @@
         return isLooser(classes.get(fromCurrent), classes.get(fromPrevious)) ? fromPrevious : fromCurrent;
     }
 
-    /** Relies on the order of {@link Router.Idempotency}: what may be retried most freely comes first. */
+    /** Relies on the order of {@link Router.Idempotency}, from freely retryable to not retryable. */
     private static boolean isLooser(RequestClass candidate, RequestClass other) {
         return candidate.idempotency().compareTo(other.idempotency()) < 0
                 || candidate.windowUs() > other.windowUs()
--- a/decisions/src/main/java/frostreel/operation/ServingLifecycle.java
+++ b/decisions/src/main/java/frostreel/operation/ServingLifecycle.java
@@ -1,60 +1,63 @@
 package frostreel.operation;
 
 /**
- * The timing rules of this process's life: when it accepts connections, when it closes them, and when it may
- * exit. {@link LifecycleState} holds the states and their transitions.
+ * Timing rules of the process lifecycle: when the process accepts connections, when it closes them and when it may
+ * exit. {@link LifecycleState} defines the states and transitions.
  *
- * <p>Callers report events with their time, and ask. The class holds no sockets and reads no clock. Times are
- * microseconds on one clock that only advances. Confined to the event loop, except where a method says
+ * <p>Callers report events together with their time, and query the resulting rules. The class uses no sockets and
+ * reads no clock. Times are microseconds on one monotonic clock. Confined to the event loop, unless a method says
  * otherwise.
  *
- * <p>Connections are closed in three stages: first each one after a response, as its client cannot have sent
- * another request yet ({@link #closesAfterResponse}); then all idle ones at once ({@link #closeIdleAtUs}); last
- * even those that have not sent a request yet ({@link #closesUnused}).
+ * <p>Connections are closed in three stages: first each one after a response, when its client cannot have sent
+ * another request yet ({@link #closesAfterResponse}); then all idle ones at once ({@link #closeIdleAtUs}); finally
+ * also those that have not sent a request yet ({@link #closesUnused}).
  */
 public final class ServingLifecycle {
-    /** The time of an event that is not planned. */
+    /** The time of an event that is not scheduled. */
     public static final long NEVER_US = Long.MAX_VALUE;
-    /** How long clients are served as before after SIGTERM, as they keep connecting for a while. */
+    /** How long clients are served as usual after SIGTERM, because new ones keep connecting for a while. */
     public static final long SHUTDOWN_GRACE_US = 700_000;
     /**
-     * How long a client whose connection was ended may take to end its side. Its bytes are read and dropped
-     * meanwhile: closing with bytes unread would reset the connection, and could lose its last response.
-     * Shorter than {@link #KILL_MARGIN_US}, so that the final close completes in order.
+     * How long a client may take to close its side of a connection after the process has closed its own. Data
+     * received meanwhile is read and discarded, because closing a socket with unread data resets the connection and
+     * may lose the last response. Shorter than {@link #KILL_MARGIN_US}, so that the final close completes before
+     * SIGKILL.
      */
     public static final long LINGER_US = 300_000;
 
     /**
-     * From PAUSE until clients may be closed: a load balancer polls the readiness every 0.1 s and goes on
-     * assigning new connections for 0.2 s after the first negative answer.
+     * Delay from PAUSE until connections are closed after a response. A load balancer polls the readiness every 100
+     * ms and keeps assigning new connections for 200 ms after the first negative response.
      */
     static final long LOAD_BALANCER_DELAY_US = 400_000;
-    /** From PAUSE until idle connections are closed; a client that sent no request by then has no more to send. */
+    /** Delay from PAUSE to closing idle connections; a client that has sent no request by then has no more to send. */
     static final long PAUSE_IDLE_CLOSE_DELAY_US = 1_400_000;
     /**
-     * From SIGTERM until idle connections are closed when a successor takes over. The longer this is, the fewer
-     * requests are in transit on a connection that is being closed; SIGKILL comes at 3.7 s.
+     * Delay from SIGTERM to closing idle connections if a successor takes over. A longer delay leaves fewer requests
+     * in transit on a connection that is being closed; the limit is SIGKILL after 3.7 s.
      */
     static final long HANDOVER_IDLE_CLOSE_DELAY_US = 2_000_000;
-    /** SIGKILL follows after the grace period and the longest deadline of a request, the latter capped at this. */
+    /** SIGKILL follows the grace period by the longest request deadline, or by this time if that is shorter. */
     private static final long KILL_DEADLINE_CAP_US = 3_000_000;
     /** How long before SIGKILL the last response must be sent. */
     private static final long KILL_MARGIN_US = 400_000;
 
     private final boolean hasSuccessor;
     private final long lingerUs;
-    /** Volatile, as the thread that waits for the exit reads it too. */
+    /** Volatile because the thread that waits for the exit also reads it. */
     private volatile long longestDeadlineUs;
 
     private LifecycleState state = LifecycleState.STARTING;
-    /** When operators paused the process; undefined in a state that is not paused. */
+    /** When operators paused the process; undefined unless {@link #state} is paused. */
     private long pausedAtUs;
     /** When SIGTERM arrived; undefined before that. */
     private long sigtermAtUs;
 
     /**
-     * @param hasSuccessor whether another process accepts from the same socket when this one ends, so that no
-     *     client is rejected meanwhile
+     * Creates a lifecycle in the starting state.
+     *
+     * @param hasSuccessor whether another process accepts connections on the same socket when this one ends, so that
+     *     no client is rejected during the switch
      * @param longestDeadlineUs the longest deadline that a request may have
      */
     public ServingLifecycle(boolean hasSuccessor, long longestDeadlineUs) {
@@ -62,9 +65,10 @@
     }
 
     /**
-     * As {@link #ServingLifecycle(boolean, long)}, with another linger time than {@link #LINGER_US}.
+     * Creates a lifecycle with a linger time other than {@link #LINGER_US}.
      *
-     * @param lingerUs how long a client whose connection was ended may take to end its side
+     * @param lingerUs how long a client may take to close its side of a connection after the process has closed its
+     *     own
      */
     public ServingLifecycle(boolean hasSuccessor, long longestDeadlineUs, long lingerUs) {
         this.hasSuccessor = hasSuccessor;
@@ -72,12 +76,12 @@
         this.lingerUs = lingerUs;
     }
 
-    /** Reports that servers are known, commands are restored and sockets are open: serving may begin. */
+    /** Records that startup is complete: servers are known, commands are restored and sockets are open. */
     public void markReady() {
         state = state.after(LifecycleEvent.READY);
     }
 
-    /** Reports that operators ask clients to leave; repeated, it changes nothing. */
+    /** Records that operators ask clients to disconnect; no effect if already paused. */
     public void pause(long nowUs) {
         if (!state.isPaused()) {
             pausedAtUs = nowUs;
@@ -85,12 +89,12 @@
         state = state.after(LifecycleEvent.PAUSE);
     }
 
-    /** Reports that operators end the pause. */
+    /** Records that operators end the pause. */
     public void resume() {
         state = state.after(LifecycleEvent.RESUME);
     }
 
-    /** Reports SIGTERM; repeated, it changes nothing. */
+    /** Records SIGTERM; no effect if it has already arrived. */
     public void terminate(long nowUs) {
         if (!state.isTerminating()) {
             sigtermAtUs = nowUs;
@@ -98,35 +102,34 @@
         state = state.after(hasSuccessor ? LifecycleEvent.HAND_OVER : LifecycleEvent.STOP);
     }
 
-    /** The longest deadline that a request may have, as of new settings. */
+    /** Sets the longest deadline that a request may have after a settings change. */
     public void setLongestDeadlineUs(long longestDeadlineUs) {
         this.longestDeadlineUs = longestDeadlineUs;
     }
 
-    /** The state of the process. */
     LifecycleState state() {
         return state;
     }
 
-    /** What load balancers and operators are told about this process. */
+    /** The readiness that is reported to load balancers and operators. */
     public ReadinessStatus status() {
         return state.status();
     }
 
-    /** How long a client whose connection was ended may take to end its side. */
+    /** How long a client may take to close its side of a connection after the process has closed its own. */
     public long lingerUs() {
         return lingerUs;
     }
 
     /**
-     * The longest that a shutdown may take: a request that arrives at the end of the grace period has its whole
-     * deadline, and its response must be sent before the process exits. May be called from any thread.
+     * Upper bound on the duration of a shutdown: a request that arrives at the end of the grace period may use its
+     * whole deadline, and its response must be sent before the process exits. Thread-safe.
      */
     public long shutdownTimeoutUs() {
         return longestDeadlineUs + SHUTDOWN_GRACE_US + KILL_MARGIN_US;
     }
 
-    /** Whether to accept connections; with a successor at the same socket only while ready and before SIGTERM. */
+    /** Whether to accept connections. With a successor on the same socket, only after startup and before SIGTERM. */
     public boolean accepts(long nowUs) {
         if (hasSuccessor) {
             return state == LifecycleState.SERVING || state == LifecycleState.DRAINING;
@@ -134,7 +137,7 @@
         return nowUs < lastResponseUs();
     }
 
-    /** Whether to close a connection as soon as it has its response. */
+    /** Whether to close a connection as soon as its response has been sent. */
     public boolean closesAfterResponse(long nowUs) {
         boolean pausedLongEnough = state.isPaused() && nowUs - pausedAtUs >= LOAD_BALANCER_DELAY_US;
         return pausedLongEnough || state.isHandingOver() || nowUs >= lastResponseUs();
@@ -147,12 +150,12 @@
         return Math.min(lastResponseUs(), Math.min(afterPauseUs, afterSigtermUs));
     }
 
-    /** Whether to close even connections that have not sent a request yet. */
+    /** Whether to close also connections that have not sent a request yet. */
     public boolean closesUnused(long nowUs) {
         return nowUs >= lastResponseUs();
     }
 
-    /** When the last response must be sent, shortly before SIGKILL; {@link #NEVER_US} before SIGTERM. */
+    /** The time by which the last response must be sent, shortly before SIGKILL; {@link #NEVER_US} before SIGTERM. */
     public long lastResponseUs() {
         if (!state.isTerminating()) {
             return NEVER_US;
@@ -161,12 +164,15 @@
         return sigtermAtUs + killDelayUs - KILL_MARGIN_US;
     }
 
-    /** By when a request that arrives now must be answered; {@link #NEVER_US} if its own deadline is all. */
+    /**
+     * The time by which a request that arrives now must be answered, in addition to its own deadline; {@link
+     * #NEVER_US} if there is no such limit.
+     */
     public long responseDueUs(long nowUs) {
         return isGracePeriodOver(nowUs) ? lastResponseUs() : NEVER_US;
     }
 
-    /** Whether nothing keeps the process from exiting. */
+    /** Whether the process may exit: it is shutting down and has no open clients or requests. */
     public boolean mayExit(long nowUs, int openClients, int openRequests) {
         if (!state.isTerminating() || openClients > 0 || openRequests > 0) {
             return false;
--- a/decisions/src/main/java/frostreel/operation/SharedCommitTable.java
+++ b/decisions/src/main/java/frostreel/operation/SharedCommitTable.java
@@ -4,53 +4,55 @@
 import frostreel.routing.Router;
 
 /**
- * A table of recent writes in shared memory that all processes of one pooler map, so that a session's read in one
- * process sees the commits that the session made through another. Two processes serve at once during an upgrade;
- * otherwise they follow one another. Each process has a table object of its own, confined to its event loop.
+ * Table of recent writes in memory that all processes of one pooler map. It lets a session's read in one process see
+ * the commits that the session made through another. Two processes serve at the same time during an upgrade;
+ * otherwise only one runs at a time. Each process has its own table object, confined to its event loop.
  *
  * <h2>Layout</h2>
  *
- * The memory is divided into regions, one a process, in which only that process writes. A region has a header
- * and slots. A session has a slot by its number; sessions that share one bind each other's reads needlessly, and
- * never too little. A slot holds four times: the latest answered commit; until when a write that ended without a
- * known outcome may still commit; since when a write is in flight; and until when that one may commit. A process
- * does not look up its own commits here, as its router knows them.
+ * The memory is divided into regions, one for each process, which is the only writer of its region. A region consists
+ * of a header and slots, and a session is hashed to a slot by its number. Sessions that share a slot may make each
+ * other's reads require a later position than necessary, but never an earlier one. A slot contains four times: the
+ * latest commit that was answered; the end of the period in which a write with an unknown outcome may still commit;
+ * the time since which at least one write has been in flight; and the end of the period in which the writes in flight
+ * may commit. A process does not look up its own commits here, because its router knows them.
  *
  * <h2>Crashes and restarts</h2>
  *
- * A slot is written before the first byte of an attempt is sent, and before the first byte of its response is.
- * It is therefore correct at any moment, also for a process that was killed or is suspended: its writes in flight
- * bind the others until their deadlines. What former processes left binds like what living ones write; an old
- * commit costs nothing, as every member has it by then. A new process takes over the region with the oldest
- * heartbeat and keeps what is in it: new values only ever raise those.
+ * A slot is updated before the first byte of an attempt is sent, and before the first byte of the response reaches
+ * the client. Its content is therefore valid at any moment, even if the process is killed or suspended: reads in the
+ * other processes take its writes in flight into account until their deadlines. The content that former processes
+ * left is used like that of running ones; an old commit has no cost, as every member has applied it by then. A new
+ * process takes over the region with the oldest heartbeat and keeps its content: recorded commits and deadlines are
+ * only ever raised.
  */
 public final class SharedCommitTable implements WriteObserver, PeerCommits {
     /**
-     * For a process that cannot see the others' writes: it assumes that any session may have committed at any time,
-     * and binds its reads to every commit whose response counts as known by now.
+     * Peer commits for a process that cannot read the others' writes. It assumes that any session may have committed
+     * at any time, so that a read must see every commit whose response counts as known by now.
      */
     public static final PeerCommits UNKNOWN_PEER_COMMITS = (nowUs, session) -> nowUs - Router.KNOWN_AFTER_US;
 
-    /** Servers state commits in milliseconds, rounded down. */
+    /** Servers report commit positions in milliseconds, rounded down. */
     private static final long COMMIT_ROUNDING_US = 1_000;
 
-    /** How many processes have a region each; one more takes over that with the oldest heartbeat. */
+    /** Number of regions. One more process takes over the region with the oldest heartbeat. */
     static final int REGIONS = 4;
 
     private static final int SLOT_BITS = 9;
     private static final int SLOTS = 1 << SLOT_BITS;
-    /** Spreads sessions over slots whatever the pattern of their numbers: 2^64 divided by the golden ratio. */
+    /** Multiplier that spreads session numbers evenly over slots: 2^64 divided by the golden ratio. */
     private static final long FIBONACCI_HASH = 0x9E3779B97F4A7C15L;
 
-    // The header of a region, by offset.
-    /** The incarnation of the process that owns the region. */
+    // Offsets in the header of a region.
+    /** Incarnation of the process that owns the region. */
     private static final int OWNER = 0;
-    /** The time of that process's last heartbeat. */
+    /** Time of the last heartbeat of the owner. */
     private static final int HEARTBEAT_US = 1;
 
     private static final int HEADER_LONGS = 2;
 
-    // A slot, by offset; each value is a time, or NO_TIME.
+    // Offsets in a slot. Each value is a time or NO_TIME.
     private static final int LATEST_COMMIT_US = 0;
     private static final int UNCERTAIN_UNTIL_US = 1;
     private static final int IN_FLIGHT_SINCE_US = 2;
@@ -59,30 +61,36 @@
     private static final int SLOT_LONGS = 4;
 
     private static final int REGION_LONGS = HEADER_LONGS + SLOTS * SLOT_LONGS;
-    /** The size of the shared memory. */
+    /** Size of the shared memory. */
     public static final int LONGS = REGIONS * REGION_LONGS;
 
-    /** The owner of a region that was never used. */
+    /** Owner of a region that has never been used. */
     private static final long NO_OWNER = 0;
-    /** A value of a slot that was never set, or is not in use; every time is greater. */
+    /** Slot value that was never set or is not in use; less than any time. */
     private static final long NO_TIME = 0;
 
     private final SharedMemoryLongs memory;
     private final long incarnation;
-    /** The index at which the region of this process begins. */
+    /** Index at which the region of this process begins. */
     private int ownRegion;
-    /** The writes of this process in flight, by slot: how many, since when, and their latest deadline. */
+    /** Number of writes of this process in flight, by slot. */
     private final int[] inFlight = new int[SLOTS];
 
+    /** Time since which this process has had at least one write in flight, by slot. */
     private final long[] inFlightSinceUs = new long[SLOTS];
+    /** Latest deadline of the writes of this process in flight, by slot. */
     private final long[] inFlightUntilUs = new long[SLOTS];
-    /** What former owners left in the region of this process, by slot: {@link #requiredUs} skips that region. */
+    /**
+     * Latest commit that former owners of this process's region recorded, by slot. Kept separately, as {@link
+     * #requiredPositionUs} skips the region.
+     */
     private final long[] inheritedCommitUs = new long[SLOTS];
 
+    /** Until when uncertain writes of former owners may commit, by slot. */
     private final long[] inheritedUncertainUntilUs = new long[SLOTS];
 
     /**
-     * Takes over a region of the memory.
+     * Claims a region of the memory.
      *
      * @param incarnation a number other than 0 that no other process of this pooler has or had
      */
@@ -114,7 +122,10 @@
         return oldest;
     }
 
-    /** Keeps what the former owner left, its writes in flight as uncertain ones, and adds those of this process. */
+    /**
+     * Inherits the values of the former owner, with its writes in flight as uncertain ones, and adds the writes in
+     * flight of this process.
+     */
     private void inheritSlot(int slot) {
         int base = slotIndex(ownRegion, slot);
         boolean hadWriteInFlight = memory.get(base + IN_FLIGHT_SINCE_US) > NO_TIME;
@@ -126,7 +137,7 @@
         memory.set(base + IN_FLIGHT_SINCE_US, inFlight[slot] > 0 ? inFlightSinceUs[slot] : NO_TIME);
     }
 
-    /** Claims another region if this one was taken, as may happen while this process is suspended and others start. */
+    /** Claims another region if this one was taken over, which may happen while this process is suspended. */
     private void ensureRegion(long nowUs) {
         if (memory.get(ownRegion + OWNER) != incarnation) {
             claimRegion(nowUs);
@@ -141,7 +152,7 @@
         return region + HEADER_LONGS + slot * SLOT_LONGS;
     }
 
-    /** Sets a value to the given one unless it is greater already. */
+    /** Sets a value to the minimum if it is less. */
     private void raiseTo(int index, long minimum) {
         long present = memory.get(index);
         while (present < minimum && !memory.compareAndSet(index, present, minimum)) {
@@ -162,7 +173,10 @@
         }
     }
 
-    /** {@inheritDoc} The result is stored before the write stops being in flight, so that readers see either. */
+    /**
+     * {@inheritDoc} The result is stored before the write stops being in flight, so that readers see at least one of
+     * them.
+     */
     @Override
     public void onEnded(long nowUs, long session, long deadlineUs, Router.Outcome outcome, long positionUs) {
         ensureRegion(nowUs);
@@ -201,7 +215,10 @@
         return positionUs;
     }
 
-    /** Reads first whether a write is in flight: one that ends during this call has stored its result by then. */
+    /**
+     * The position that a slot requires a read to see. Reads the in-flight state first: a write that ends during this
+     * call has then already stored its result.
+     */
     private long requiredBySlotUs(long nowUs, int base) {
         long inFlightSinceUs = memory.get(base + IN_FLIGHT_SINCE_US);
         long commitUs = memory.get(base + LATEST_COMMIT_US);
@@ -210,7 +227,7 @@
         return requiredUs(nowUs, commitUs, uncertainUntilUs, inFlightSinceUs, inFlightUntilUs);
     }
 
-    /** The position that a read must see by a slot's values; never later than now, even if the clock was set back. */
+    /** The position that slot values require a read to see; at most now, even if the clock was set back. */
     private static long requiredUs(
             long nowUs, long latestCommitUs, long uncertainUntilUs, long inFlightSinceUs, long inFlightUntilUs) {
         long knownUs = nowUs - Router.KNOWN_AFTER_US;
--- a/decisions/src/main/java/frostreel/operation/SharedMemoryLongs.java
+++ b/decisions/src/main/java/frostreel/operation/SharedMemoryLongs.java
@@ -1,8 +1,8 @@
 package frostreel.operation;
 
 /**
- * An array of longs in memory that several processes share. Every access is atomic and volatile: all processes
- * see all accesses in one order. The values are zero at first, and anything at all if the memory was damaged.
+ * An array of longs in memory that several processes share. Accesses are atomic and volatile: all processes observe
+ * them in the same order. Values are initially zero, and arbitrary if the memory was corrupted.
  */
 public interface SharedMemoryLongs {
     /** Reads the value at the index. */
@@ -12,9 +12,9 @@
     void set(int index, long value);
 
     /**
-     * Writes the new value if the present one is as expected.
+     * Writes the new value if the current value is the expected one.
      *
-     * @return whether it was
+     * @return whether the value was written
      */
     boolean compareAndSet(int index, long expected, long newValue);
 }
--- a/decisions/src/main/java/frostreel/operation/WriteObserver.java
+++ b/decisions/src/main/java/frostreel/operation/WriteObserver.java
@@ -3,15 +3,15 @@
 import frostreel.routing.Router;
 
 /**
- * Is notified of the write attempts that this process sends, on behalf of the other processes of the same
- * pooler. Called on the event loop with each write, so implementations do a few memory accesses and no I/O.
- * Times are microseconds on the pooler's clock.
+ * Observes the write attempts that this process sends, on behalf of the other processes of the same pooler. Called on
+ * the event loop for each write, so implementations access memory a few times and do no I/O. Times are microseconds
+ * on the pooler's clock.
  */
 public interface WriteObserver {
-    /** The position of a commit that the server did not state. */
+    /** Position of a commit for which the server reported none. */
     long UNKNOWN_POSITION_US = 0;
 
-    /** Observes nothing, for a pooler that never has a second process. */
+    /** An observer that does nothing, for a pooler that never has a second process. */
     WriteObserver NONE = new WriteObserver() {
         @Override
         public void onSent(long nowUs, long session, long deadlineUs) {}
@@ -23,16 +23,16 @@
         public void onHeartbeat(long nowUs) {}
     };
 
-    /** An attempt of a write of that session is about to be sent; called before its first byte. */
+    /** Called before the first byte of a write attempt is sent. */
     void onSent(long nowUs, long session, long deadlineUs);
 
     /**
-     * An attempt of a write has ended; called before its client learns of it.
+     * Called when a write attempt has ended, before its client is notified.
      *
-     * @param positionUs the commit's position, or {@link #UNKNOWN_POSITION_US}
+     * @param positionUs position of the commit, or {@link #UNKNOWN_POSITION_US}
      */
     void onEnded(long nowUs, long session, long deadlineUs, Router.Outcome outcome, long positionUs);
 
-    /** This process is alive; called several times a second. */
+    /** Called several times a second while this process is running. */
     void onHeartbeat(long nowUs);
 }
--- a/decisions/src/main/java/frostreel/simulator/ActionWriter.java
+++ b/decisions/src/main/java/frostreel/simulator/ActionWriter.java
@@ -4,16 +4,16 @@
 import java.math.BigDecimal;
 import org.json.JSONObject;
 
-/** Writes the actions of one simulated instance as messages, one JSON object a line. */
+/** Writes the actions of one simulated instance as messages, one JSON object per line. */
 final class ActionWriter implements Router.Actions {
     private static final int MICROSECOND_DIGITS = 6;
     private final String instance;
     private final StringBuilder out;
 
     /**
-     * Writes for one instance.
+     * Creates a writer for one instance.
      *
-     * @param instance its name, stated in every message
+     * @param instance name of the instance, which every message contains
      * @param out collects the messages of a batch; shared by all instances
      */
     ActionWriter(String instance, StringBuilder out) {
@@ -84,7 +84,7 @@
         end();
     }
 
-    /** Reports that the router of this instance threw an exception. */
+    /** Reports an exception that the router of this instance has thrown. */
     void reportException(String description) {
         begin("Fault");
         text("bodyText", description);
--- a/decisions/src/main/java/frostreel/simulator/MessageDecoder.java
+++ b/decisions/src/main/java/frostreel/simulator/MessageDecoder.java
@@ -11,14 +11,14 @@
 import java.util.List;
 import java.util.Map;
 
-/** Decodes the fields of the simulator's messages into the values of {@link Router}. */
+/** Decodes fields of the simulator's messages into {@link Router} values. */
 final class MessageDecoder {
     private static final long NO_SESSION = -1;
     private static final int MAX_COUNT = 1 << 20;
     private static final int MAX_OUTCOME_CODE = 1000;
-    /** Set in a request's attributes where the client marked it as a retry. */
+    /** Bit of a request's attributes by which the client marks a retry. */
     private static final long RETRY_FLAG = 2;
-    /** A mark holds a role in its lowest two bits, and above them a position in milliseconds. */
+    /** A mark contains a role in its lowest two bits, and a position in milliseconds above them. */
     private static final int MARK_ROLE_BITS = 2;
 
     private static final long MARK_ROLE_MASK = (1 << MARK_ROLE_BITS) - 1;
@@ -97,7 +97,7 @@
         };
     }
 
-    /** The mark that an answer carries; 0 where it carries none. */
+    /** The mark, which contains role and position, in a response; 0 if there is none. */
     static long mark(MessageFields message) throws MalformedMessageException {
         return message.integer("mark", 0, MessageFields.MAX_EXACT_INTEGER, 0);
     }
@@ -110,13 +110,13 @@
         return role == MARK_ROLE_REPLICA ? Router.Role.REPLICA : Router.Role.UNKNOWN;
     }
 
-    /** The position that a mark holds, or {@link Router#NO_POSITION}. */
+    /** The position in a mark, or {@link Router#NO_POSITION}. */
     static long markedPositionUs(long mark, long baseTimeUs) {
         long positionMs = mark >> MARK_ROLE_BITS;
         return positionMs == 0 ? Router.NO_POSITION : baseTimeUs + positionMs * MICROS_PER_MILLI;
     }
 
-    /** The load report that came with a message, or null where none did. */
+    /** The load report in a message; null if there is none. */
     static Router.Report report(MessageFields message, long baseTimeUs, boolean reportsRole)
             throws MalformedMessageException {
         if (!message.has("healthInfo")) {
--- a/decisions/src/main/java/frostreel/simulator/SimulatedInstance.java
+++ b/decisions/src/main/java/frostreel/simulator/SimulatedInstance.java
@@ -7,15 +7,15 @@
 import java.util.List;
 import java.util.function.BiFunction;
 
-/** One router of a simulation: hands it the events that concern it. */
+/** One router of a simulation, and the conversion of its events from messages. */
 final class SimulatedInstance {
-    /** Makes routers; replaced in tests. */
+    /** Creates routers; replaced in tests. */
     interface RouterFactory extends BiFunction<Router.Settings, Router.Actions, Router> {}
 
     private final Router router;
-    /** The time to which the positions in messages are relative. */
+    /** Time to which positions in messages are relative. */
     private final long baseTimeUs;
-    /** Whether reports say which role a member has. */
+    /** Whether load reports include the role of the member. */
     private final boolean reportsRole;
 
     private final int classCount;
@@ -27,7 +27,7 @@
         this.classCount = classCount;
     }
 
-    /** Makes the router that a Create message describes. */
+    /** Creates the router that a {@code Create} message describes. */
     static SimulatedInstance create(MessageFields message, Router.Actions actions, RouterFactory factory)
             throws MalformedMessageException {
         MessageFields options = message.object("options");
@@ -53,7 +53,7 @@
         router.onMembers(nowUs, kind, members);
     }
 
-    /** Hands the router an event of any other type. */
+    /** Passes an event of any type other than an endpoint list to the router. */
     void event(String type, long nowUs, MessageFields message) throws MalformedMessageException {
         switch (type) {
             case "Ingress" -> router.onRequest(nowUs, MessageDecoder.request(message, classCount));
@@ -61,7 +61,7 @@
             case "StatusBack" -> endHealthCheck(nowUs, message);
             case "Fired" -> router.onTimer(nowUs, message.text("ctx"));
             case "ClientGone" -> router.onClientDisconnected(nowUs, message.text("xid"));
-            case "Accepted", "Datagram" -> {} // They do not concern a router.
+            case "Accepted", "Datagram" -> {} // Not relevant to routing.
             default -> throw new MalformedMessageException("field 't': unknown message " + type);
         }
     }
--- a/decisions/src/main/java/frostreel/simulator/SimulatedInstances.java
+++ b/decisions/src/main/java/frostreel/simulator/SimulatedInstances.java
@@ -7,9 +7,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** The instances of a simulation by name, and the member lists that were registered for them. */
+/** The instances of a simulation by name, and the endpoint lists that were registered for them. */
 final class SimulatedInstances {
-    /** The first stack frame of a class in these packages is named in a fault. */
+    /** The first stack frame in a package with this prefix is included when an exception is reported. */
     private static final String PROJECT_PACKAGE_PREFIX = "frostreel.";
 
     private static final int MAX_LIST_NUMBER = 15;
@@ -24,12 +24,12 @@
         this.out = out;
     }
 
-    /** Whether a router threw an exception; from then on no event is handed on. */
+    /** Whether a router has thrown an exception; no events are processed after that. */
     boolean routerFailed() {
         return routerFailed;
     }
 
-    /** Hands an event to the instance that it names, and reports an exception of its router as a fault. */
+    /** Passes an event to the instance that it names; an exception of its router is reported as a Fault message. */
     void event(String type, long nowUs, MessageFields message) throws MalformedMessageException {
         if (type.equals("Register")) {
             register(message);
--- a/decisions/src/main/java/frostreel/simulator/WireAdapter.java
+++ b/decisions/src/main/java/frostreel/simulator/WireAdapter.java
@@ -16,8 +16,8 @@
 import org.json.JSONTokener;
 
 /**
- * Serves the simulator's protocol: reads batches of events, one JSON object a line, hands them to one router for each
- * simulated instance, and writes the routers' actions at the end of the batch. It decides nothing.
+ * Adapter for the simulator's protocol. Reads batches of events, one JSON object per line, passes them to one router
+ * per simulated instance, and writes the routers' actions at the end of the batch. Contains no routing logic.
  */
 public final class WireAdapter {
     private static final int SUCCESS = 0;
@@ -39,11 +39,11 @@
     }
 
     /**
-     * Serves batches until the input ends.
+     * Processes batches until the end of the input.
      *
      * @param in events
-     * @param out actions, written and flushed once a batch
-     * @param err the one line that describes why the input could not be understood
+     * @param out actions, written and flushed once per batch
+     * @param err receives one line that describes the error if the input is malformed
      * @return the exit status: 0, or 1 after malformed input or an exception in a router
      */
     public static int run(InputStream in, PrintStream out, PrintStream err) throws IOException {
@@ -68,14 +68,14 @@
             } catch (MalformedMessageException e) {
                 return reportMalformed(err, lineNumber, e.getMessage());
             } catch (JSONException e) {
-                return reportMalformed(err, lineNumber, "not JSON: " + e.getMessage());
+                return reportMalformed(err, lineNumber, "invalid JSON: " + e.getMessage());
             }
             if (!inBatch && instances.routerFailed()) {
                 return FAILURE;
             }
         }
         if (inBatch) {
-            return reportMalformed(err, lineNumber + 1, "the input ends inside a batch, before a 't' of EofBatch");
+            return reportMalformed(err, lineNumber + 1, "input ended inside a batch, before a 't' of EofBatch");
         }
         return SUCCESS;
     }
@@ -114,7 +114,7 @@
         out.setLength(0);
     }
 
-    /** Reads up to the next line feed, which it drops; false at the end of the input. */
+    /** Reads up to the next line feed, which is discarded; returns false at the end of the input. */
     private static boolean readLine(InputStream in, ByteArrayOutputStream line) throws IOException {
         line.reset();
         int next;
@@ -131,7 +131,7 @@
         JSONTokener tokens = new JSONTokener(new String(bytes, StandardCharsets.UTF_8), STRICT_JSON);
         Object value = tokens.nextValue();
         if (!(value instanceof JSONObject object) || tokens.nextClean() != 0) {
-            throw new MalformedMessageException("field 't': the line is not one object");
+            throw new MalformedMessageException("field 't': line is not a single JSON object");
         }
         return new MessageFields(object.toMap());
     }
--- a/decisions/src/main/java/frostreel/simulator/package-info.java
+++ b/decisions/src/main/java/frostreel/simulator/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The adapter to the simulator's protocol. {@link frostreel.simulator.WireAdapter} reads batches of events, one JSON
- * object a line, and writes the actions of the routers. The names of the protocol's messages and fields are known in
- * this package alone; it decides nothing.
+ * Adapter for the simulator's protocol. {@link frostreel.simulator.WireAdapter} reads batches of events, one JSON
+ * object per line, and writes the actions of the routers. Only this package knows the names of the protocol's
+ * messages and fields. It contains no routing logic.
  */
 package frostreel.simulator;
--- a/decisions/src/main/java/frostreel/zones/ClassRanking.java
+++ b/decisions/src/main/java/frostreel/zones/ClassRanking.java
@@ -4,15 +4,15 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Estimates the work of each request class, and ranks classes by priority weight for their work. */
+/** Estimates the work of a request of each class, and ranks the classes by priority weight per unit of work. */
 final class ClassRanking {
-    /** The weight of the latest request in an average. */
+    /** Weight of the latest request in the moving averages. */
     private static final double SMOOTHING = 0.05;
-    /** Until its first request, a class is taken to need its latency objective divided by this. */
+    /** Until its first request, the work of a class is estimated as its latency objective divided by this. */
     private static final double OBJECTIVE_DIVISOR = 5.0;
-    /** Classes are ranked anew after this many requests. */
+    /** Classes are ranked again after this many requests. */
     private static final int REQUESTS_BETWEEN_RANKINGS = 500;
-    /** The share of a spill budget that must be left by the class of the lowest rank. */
+    /** Share of a spill budget that the class of the lowest rank must leave to the others. */
     private static final double MAX_RESERVED_SHARE = 0.7;
 
     private List<Router.RequestClass> classes = List.of();
@@ -21,7 +21,7 @@
     private double meanWorkUs;
     private int requestsUntilRanking = REQUESTS_BETWEEN_RANKINGS;
 
-    /** Takes new classes, which begin with those in force; what is known of those stays. */
+    /** Sets the classes, which begin with the current ones. The estimates for the current classes are kept. */
     void configure(List<Router.RequestClass> newClasses) {
         classes = newClasses;
         int knownCount = workUs.length;
@@ -34,7 +34,7 @@
         rank();
     }
 
-    /** Records a request that was sent, with the work that its class usually takes. */
+    /** Records a request that was sent, with the usual work of its class. */
     void recordSent(int classIndex, double requestWorkUs) {
         workUs[classIndex] += SMOOTHING * (requestWorkUs - workUs[classIndex]);
         meanWorkUs += SMOOTHING * (requestWorkUs - meanWorkUs);
@@ -44,14 +44,12 @@
         }
     }
 
-    /** The mean work of a request of any class. */
+    /** Mean work of a request, over all classes. */
     double meanWorkUs() {
         return meanWorkUs;
     }
 
-    /**
-     * The share of a spill budget's capacity that requests of the class must leave to those of higher rank.
-     */
+    /** Share of a spill budget's capacity that requests of the class must leave to classes of higher rank. */
     double reservedShare(int classIndex) {
         return reservedShares[classIndex];
     }
--- a/decisions/src/main/java/frostreel/zones/FlapDamping.java
+++ b/decisions/src/main/java/frostreel/zones/FlapDamping.java
@@ -1,17 +1,17 @@
 package frostreel.zones;
 
-/** Delays the recovery of replicas that fail again and again: each recent failure at least doubles the delay. */
+/** Delays the recovery of replicas that fail repeatedly: each recent failure at least doubles the delay. */
 final class FlapDamping {
-    /** A failure's weight fades to 1/e in this time. */
+    /** Time in which the weight of a failure decays to 1/e. */
     private static final double DECAY_TIME_US = 60e6;
-    /** Failures up to this weight cause no delay: one, and what is left of an older one. */
+    /** Failure weight that causes no delay: one failure, plus the remainder of an earlier one. */
     private static final double UNDELAYED_WEIGHT = 1.2;
-    /** The delay for a weight of one more than {@link #UNDELAYED_WEIGHT}; each further failure more than doubles it. */
+    /** Delay for a weight of {@link #UNDELAYED_WEIGHT} + 1; each additional failure more than doubles it. */
     private static final double BASE_DELAY_US = 2e6;
-    /** The longest delay. */
+
     private static final double MAX_DELAY_US = 60e6;
 
-    /** The number of failures, each of which fades with time. */
+    /** Number of failures, weighted with an exponential decay over time. */
     private double failureWeight;
 
     private long updatedUs;
@@ -26,7 +26,8 @@
     }
 
     /**
-     * How long replicas that answer health checks from {@code nowUs} on must do so before they get requests.
+     * How long replicas that respond to health checks from {@code nowUs} on must keep responding before they get
+     * requests.
      */
     double delayUs(long nowUs) {
         double excessWeight = Math.max(0, decayedWeight(nowUs) - UNDELAYED_WEIGHT);
--- a/decisions/src/main/java/frostreel/zones/MemberHandles.java
+++ b/decisions/src/main/java/frostreel/zones/MemberHandles.java
@@ -4,15 +4,15 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The members that a router knows, by handle: a small number, so that a look-up on the way of a read costs little. */
+/** Maps the router's member handles to replicas. Handles are small integers, so that a lookup for a read is cheap. */
 final class MemberHandles {
     private final List<ZoneReplicas> replicasByHandle = new ArrayList<>();
-    /** The budget of each member while its replicas recover. */
+    /** Ramp budget of each member, used while its replicas recover. */
     private final List<TokenBucket> rampByHandle = new ArrayList<>();
 
     private final ArrayDeque<Integer> freeHandles = new ArrayDeque<>();
 
-    /** Gives out a handle for a further member of these replicas. */
+    /** Returns a handle for another member of these replicas. */
     int add(ZoneReplicas replicas) {
         Integer free = freeHandles.poll();
         if (free != null) {
@@ -25,12 +25,12 @@
         return replicasByHandle.size() - 1;
     }
 
-    /** Takes a handle back, which may be given out again. */
+    /** Releases a handle, which may then be reused. */
     void release(int handle) {
         freeHandles.add(handle);
     }
 
-    /** The replicas that the member belongs to. */
+    /** The replicas to which the member belongs. */
     ZoneReplicas replicas(int handle) {
         return replicasByHandle.get(handle);
     }
@@ -39,7 +39,7 @@
         return rampByHandle.get(handle);
     }
 
-    /** Sets the ramps of all members of these replicas to a level. */
+    /** Sets the ramp budgets of all members of these replicas to a level. */
     void resetRamps(long nowUs, ZoneReplicas replicas, double levelUs) {
         for (int handle = 0; handle < replicasByHandle.size(); handle++) {
             if (replicasByHandle.get(handle) == replicas) {
--- a/decisions/src/main/java/frostreel/zones/NearestTierLoad.java
+++ b/decisions/src/main/java/frostreel/zones/NearestTierLoad.java
@@ -3,23 +3,23 @@
 import frostreel.routing.DecayingRate;
 
 /**
- * What the replicas of the nearest tiers serve this pooler, and what those of them that are down would serve. Rates are
- * microseconds of work a microsecond.
+ * Load that the replicas of the nearest tiers serve for this pooler, and that those of them that are down would
+ * serve. Rates are microseconds of work per microsecond.
  */
 final class NearestTierLoad {
-    /** What the replicas serve that are up. */
+    /** Load served by the replicas that are up. */
     private final DecayingRate servedRate = new DecayingRate(() -> ZoneReplicas.RATE_TIME_CONSTANT_US);
-    /** What the replicas served that are down. */
+    /** Load that the replicas that are down served before their outage. */
     private double missingRate;
 
     private boolean everServed;
 
-    /** Whether any replicas of a nearest tier have served anything: their usual load is not known before. */
+    /** Whether replicas of a nearest tier have served any request; their usual load is unknown before. */
     boolean everServed() {
         return everServed;
     }
 
-    /** What the nearest tiers usually serve: without the outages, if there are any. */
+    /** Load that the nearest tiers serve when none of their replicas is down. */
     double usualRate(long nowUs) {
         return servedRate.at(nowUs) + missingRate;
     }
@@ -29,24 +29,24 @@
         everServed = true;
     }
 
-    /** Replicas went down that served this rate. */
+    /** Records that replicas which served this rate went down. */
     void recordOutage(long nowUs, double rate) {
         servedRate.shift(nowUs, -rate);
         missingRate += rate;
     }
 
-    /** Replicas serve again that served this rate before they went down. */
+    /** Records that replicas which served this rate before their outage serve requests again. */
     void recordRecovery(long nowUs, double rate) {
         missingRate = Math.max(0, missingRate - rate);
         servedRate.shift(nowUs, rate);
     }
 
-    /** Forgets which replicas are down, as another tier is the nearest one; {@link #addMissing} has to follow. */
+    /** Clears the load of replicas that are down after a change of tiers; {@link #addMissing} must follow. */
     void resetMissing() {
         missingRate = 0;
     }
 
-    /** Replicas of the nearest tier are down that served this rate. */
+    /** Adds the rate that replicas of the nearest tier served before they went down. */
     void addMissing(double rate) {
         missingRate += rate;
     }
--- a/decisions/src/main/java/frostreel/zones/SpillBudgets.java
+++ b/decisions/src/main/java/frostreel/zones/SpillBudgets.java
@@ -2,11 +2,11 @@
 
 import java.util.Arrays;
 
-/** The budget of each tier for requests that nearer tiers cannot serve, and what was sent to it. */
+/** The budget of each tier for requests that nearer tiers cannot serve, and the counts of reads sent and denied. */
 final class SpillBudgets {
-    /** Each tier is this many times as expensive as the next nearer one. */
+    /** Cost factor of a tier relative to the next nearer one. */
     private static final double COST_PER_TIER = 2;
-    /** A budget holds what it gains in this time. */
+    /** Time in which a budget fills to its capacity. */
     private static final double CAPACITY_US = 500_000;
 
     private final ZoneSettings settings;
@@ -41,11 +41,11 @@
     }
 
     /**
-     * Whether a tier's budget admits one more request.
+     * Whether the budget of a tier admits one more request.
      *
-     * @param nearestRate what the nearest tiers usually serve, in microseconds of work a microsecond
-     * @param minCapacityUs the budget holds at least this much work
-     * @param reservedShare the share of its capacity that must be left for classes of higher rank
+     * @param nearestRate usual load of the nearest tiers, in microseconds of work per microsecond
+     * @param minCapacityUs lower bound on the capacity of the budget, in microseconds of work
+     * @param reservedShare share of the capacity that must be left to classes of higher rank
      */
     boolean admits(long nowUs, int tier, double nearestRate, double minCapacityUs, double reservedShare) {
         double rate = settings.tiers().get(tier - 1).spill() * nearestRate;
--- a/decisions/src/main/java/frostreel/zones/TokenBucket.java
+++ b/decisions/src/main/java/frostreel/zones/TokenBucket.java
@@ -1,18 +1,20 @@
 package frostreel.zones;
 
-/** A token bucket whose tokens are microseconds of work. The last request may overdraw it. */
+/** Token bucket whose tokens are microseconds of work. The last request may overdraw it. */
 final class TokenBucket {
     private double levelUs;
     private long updatedUs;
 
-    /** Sets the level; below 0 the bucket has to fill first. */
+    /** Sets the level. With a negative level, the bucket must refill before it admits requests. */
     void reset(long nowUs, double newLevelUs) {
         levelUs = newLevelUs;
         updatedUs = nowUs;
     }
 
     /**
-     * Fills the bucket up to now, and returns its level: {@code rate} in microseconds of work a microsecond.
+     * Fills the bucket up to {@code nowUs} and returns its level.
+     *
+     * @param rate in microseconds of work per microsecond
      */
     double fill(long nowUs, double rate, double capacityUs) {
         double bound = Math.max(capacityUs, Math.min(levelUs, 0));
--- a/decisions/src/main/java/frostreel/zones/ZoneFailoverPolicy.java
+++ b/decisions/src/main/java/frostreel/zones/ZoneFailoverPolicy.java
@@ -8,25 +8,29 @@
 import java.util.TreeMap;
 
 /**
- * Fails reads over between zones: prefers nearer tiers of zones, limits what spills over to farther ones when nearer
- * replicas fail, and ramps up replicas that recover. Writes are not affected.
+ * Locality policy that fails reads over between zones: it prefers nearer tiers of zones, limits the load that spills
+ * over to farther tiers when nearer replicas fail, and ramps up replicas that recover. The routing of writes is not
+ * affected.
  *
  * <ul>
- *   <li>Failure: the replicas of a group in a zone go down after consecutive failures, sooner where much of their zone
- *       fails too. They are only health-checked then.
- *   <li>Spill: what the nearest tier no longer serves may go to farther ones as far as their budgets reach, classes
- *       with the highest priority weight for their work first; the rest is not admitted.
- *   <li>Recovery: replicas that answer again are ramped up over the time in which a restarted server warms up. Each
- *       pooler sends its part of what they served before, from a moment on that differs among poolers. Replicas that
- *       fail again and again must pass health checks for a while first.
+ *   <li>Failure: the replicas of a group in a zone are marked down after consecutive failures, and earlier if other
+ *       replicas in the zone fail, too. They then get health checks only.
+ *   <li>Spill: load that the nearest tier no longer serves may go to farther tiers within their budgets, request
+ *       classes with the highest priority weight per unit of work first. Other requests are not admitted.
+ *   <li>Recovery: replicas that respond again are ramped up over the time in which a restarted server warms up. Each
+ *       pooler sends its share of the load that they served before, and poolers start at different times. Replicas
+ *       that fail repeatedly must first pass health checks for some time.
  * </ul>
  */
 public final class ZoneFailoverPolicy implements LocalityPolicy {
-    /** Recovering replicas get this many times their share of what they served: they have the capacity for that. */
+    /** Recovering replicas get this multiple of their share of the earlier load; they have the capacity for it. */
     private static final double RAMP_HEADROOM = 1.5;
-    /** A ramp's budget holds at least one request, else what it gains in the overload rule's time span over this. */
+    /** The capacity of a ramp budget is its gain in the overload window divided by this, but at least one request. */
     private static final int RAMP_SPAN_DIVISOR = 2;
-    /** Replicas that served this pooler nothing can do at least the work of one core, for all poolers together. */
+    /**
+     * Lower bound on the load of a warm member, for all poolers together: one core. Applies to replicas that served
+     * little or nothing for this pooler.
+     */
     private static final double ONE_CORE = 1.0;
 
     private final double rampPhase;
@@ -44,9 +48,10 @@
     private long recoveries;
 
     /**
-     * A policy with these tiers.
+     * Creates a policy with these tiers.
      *
-     * @param rampPhase at least 0 and under 1, drawn for each pooler, so that ramps do not begin in the same moment
+     * @param rampPhase random number for this pooler, at least 0 and less than 1, so that poolers do not start their
+     *     ramps at the same time
      */
     public ZoneFailoverPolicy(Router.Settings settings, ZoneSettings zones, double rampPhase) {
         this.rampPhase = rampPhase;
@@ -60,7 +65,7 @@
         ranking.configure(settings.classes());
     }
 
-    /** Takes other tiers: what is known of replicas stays, and the budgets begin empty. */
+    /** Replaces the tiers. The state of replicas is kept; the budgets start empty. */
     public void configure(ZoneSettings settings) {
         zones = settings;
         budgets = new SpillBudgets(settings);
@@ -118,9 +123,9 @@
         ZoneReplicas replicas = members.replicas(handle);
         switch (outcome) {
             case OK -> recordServed(nowUs, replicas, workUs);
-            case WRONG_ROLE_OR_STALE, REJECTED, ERROR -> replicas.recordSuccess(nowUs); // It answers.
+            case WRONG_ROLE_OR_STALE, REJECTED, ERROR -> replicas.recordSuccess(nowUs); // The member responds.
             case TIMEOUT, RESET, CONNECT_FAILED -> recordFailure(nowUs, replicas);
-            case CANCELLED, NOT_SENT -> {} // Nothing is learned of the replicas.
+            case CANCELLED, NOT_SENT -> {} // Says nothing about the health of the replicas.
         }
     }
 
@@ -142,13 +147,16 @@
         }
     }
 
-    /** Replicas may be sent requests again: all at once where they did not fail themselves, else by a ramp. */
+    /**
+     * Resumes routing to replicas that passed their health checks: at full load if they went down only with their
+     * zone, otherwise with a ramp.
+     */
     private void resumeRouting(long nowUs, ZoneReplicas replicas) {
         recoveries++;
         if (replicas.isUp()) {
             recordRecoveredLoad(nowUs, replicas);
         } else {
-            // Poolers that see the recovery in the same moment must not all send in the same moment.
+            // Delays the first requests by a time that differs between poolers that detect the recovery simultaneously.
             members.resetRamps(nowUs, replicas, -rampPhase * ranking.meanWorkUs());
         }
     }
@@ -212,12 +220,12 @@
         return members.ramp(handle).fill(nowUs, rate, capacityUs) > 0;
     }
 
-    /** What one member can take of this pooler's work when it is warm. */
+    /** Load of this pooler that one warm member can serve. */
     private double fullRate(long nowUs, ZoneReplicas replicas) {
         return Math.max(replicas.usualRate(nowUs) / replicas.members(), ONE_CORE / zones.poolers());
     }
 
-    /** The nearest tier is never limited, nor is any before it is known what the nearest one serves. */
+    /** Never limits the nearest tier, nor any tier until the load of the nearest tier is known. */
     private boolean tierAdmits(long nowUs, ZoneReplicas replicas, int classIndex) {
         if (replicas.isNearest() || !nearestLoad.everServed()) {
             return true;
@@ -233,7 +241,7 @@
     }
 
     /**
-     * The page {@code SHOW zones}: replicas by zone and health, reads sent and denied by tier, outages and
+     * Status for {@code SHOW zones}: replicas by zone and health, reads sent and denied by tier, outages and
      * recoveries.
      */
     @Override
--- a/decisions/src/main/java/frostreel/zones/ZoneFailureDetector.java
+++ b/decisions/src/main/java/frostreel/zones/ZoneFailureDetector.java
@@ -4,24 +4,24 @@
 import java.util.List;
 
 /**
- * Detects that a whole zone has failed, from the failures of all groups' replicas in it: where each group has few
- * reads, their sum shows it sooner.
+ * Detects that a whole zone has failed from the failures of the replicas of all groups in it. If each group gets few
+ * reads, their sum shows an outage sooner.
  */
 final class ZoneFailureDetector {
-    /** After a success failures are not counted for this time: their requests may be older than it. */
+    /** How long after a success failures are ignored, because their requests may have been sent before it. */
     static final long SUCCESS_GRACE_US = 200_000;
-    /** Before the first success; half of the range, so that the time since then does not overflow. */
+    /** Time of the last success if there was none; half of the range, so that the time since then does not overflow. */
     static final long NEVER_US = Long.MIN_VALUE / 2;
 
-    /** Consecutive failures, in the replicas of two groups or more, that mean the whole zone. */
+    /** Consecutive failures, in replicas of at least two groups, after which the zone counts as failed. */
     private static final int FAILURES_TO_MARK_ZONE_DOWN = 4;
 
     final int zone;
     private final List<ZoneReplicas> replicaSets = new ArrayList<>();
     private int failures;
-    /** The replicas that failed first since the last success, null for none. */
+    /** The replicas with the first failure since the last success; null if there was no failure. */
     private ZoneReplicas firstFailed;
-    /** Whether other replicas have failed, too. */
+    /** Whether replicas of another group than {@link #firstFailed} have also failed. */
     private boolean severalGroupsFailed;
 
     private long lastSuccessUs = NEVER_US;
--- a/decisions/src/main/java/frostreel/zones/ZoneReplicas.java
+++ b/decisions/src/main/java/frostreel/zones/ZoneReplicas.java
@@ -3,33 +3,34 @@
 import frostreel.routing.DecayingRate;
 
 /**
- * The replicas of one group in one zone: their health as this pooler observes it, and what they usually serve
- * it.
+ * The members of one group in one zone, called replicas even if one of them is the primary: their health as observed
+ * by this pooler, and the load that they usually serve for it.
  *
- * <p>{@code UP} becomes {@code DOWN} by consecutive failures; {@code DOWN} becomes {@code PROBATION} by the
- * first health check that succeeds, and {@code RECOVERING} after the delay of {@link FlapDamping}; {@code
- * RECOVERING} becomes {@code UP} at the end of the ramp, or {@code DOWN} by a single failure.
+ * <p>Consecutive failures change {@code UP} to {@code DOWN}. The first successful health check changes {@code DOWN}
+ * to {@code PROBATION}, which becomes {@code RECOVERING} after the delay of {@link FlapDamping}. If the replicas went
+ * down only with their zone, that check changes {@code DOWN} to {@code UP} instead. {@code RECOVERING} becomes {@code
+ * UP} at the end of the ramp. A single failure changes {@code PROBATION} and {@code RECOVERING} to {@code DOWN}.
  */
 final class ZoneReplicas {
-    /** Whether requests are sent to the replicas. */
+    /** Health of the replicas, which determines whether they get requests. */
     enum Health {
         /** Requests are sent. */
         UP,
-        /** No requests are sent: the replicas have failed. */
+        /** No requests are sent, because the replicas have failed. */
         DOWN,
         /** No requests are sent yet: health checks succeed, but the replicas have failed too often recently. */
         PROBATION,
-        /** Requests are sent, at a share that grows. */
+        /** Requests are sent at an increasing rate. */
         RECOVERING
     }
 
-    /** Consecutive failures by which replicas go down that are up. */
+    /** Consecutive failures after which replicas that are up are marked down. */
     private static final int FAILURES_TO_MARK_DOWN = 3;
-    /** Consecutive failures by which replicas go down that are recovering or on probation. */
+    /** Consecutive failures after which replicas that are recovering or on probation are marked down. */
     private static final int FAILURES_TO_MARK_RECOVERING_DOWN = 1;
-    /** How often replicas are health-checked that may be sent nothing. */
+    /** Interval of health checks for replicas that get no requests. */
     private static final long HEALTH_CHECK_INTERVAL_US = 500_000;
-    /** What they serve is averaged over this time. */
+    /** Time constant of the moving average of the load served. */
     static final long RATE_TIME_CONSTANT_US = 10_000_000;
 
     private final NearestTier nearestTier;
@@ -39,9 +40,11 @@
     private int tier;
     private int members;
     private Health health = Health.UP;
+    /** Load before the last outage, in microseconds of work per microsecond. */
     private double rateBeforeOutage;
+
     private int failures;
-    /** Whether they went down with their zone, without a failure of their own. */
+    /** Whether the replicas were marked down together with their zone, without a failure of their own. */
     private boolean downWithZone;
 
     private long lastSuccessUs = ZoneFailureDetector.NEVER_US;
@@ -68,13 +71,13 @@
         return tier;
     }
 
-    /** Moves them to a tier, which counts for their group's nearest one. */
+    /** Moves the replicas to a tier, and includes it in the nearest tier of their group. */
     void assignTier(int newTier) {
         tier = newTier;
         nearestTier.include(newTier);
     }
 
-    /** Whether they are in the nearest tier of their group. */
+    /** Whether the replicas are in the nearest tier of their group. */
     boolean isNearest() {
         return nearestTier.isNearest(tier);
     }
@@ -104,7 +107,7 @@
         return health == Health.RECOVERING;
     }
 
-    /** Whether requests may be sent. */
+    /** Whether requests may be sent to the replicas. */
     boolean isRoutable() {
         return isUp() || isRecovering();
     }
@@ -119,7 +122,7 @@
         servedRate.add(nowUs, workUs);
     }
 
-    /** Records a failure; true where the replicas go down by it, and {@link #markDown} has to follow. */
+    /** Records a failure; returns true if the caller must mark the replicas down by {@link #markDown}. */
     boolean recordFailure(long nowUs) {
         failures++;
         zoneDetector.recordFailure(nowUs, this);
@@ -132,13 +135,13 @@
     }
 
     /**
-     * Stops requests. Where it is for the zone alone, the first successful health check brings the replicas
-     * back as before.
+     * Stops requests to the replicas. If they had no failure of their own, the first successful health check marks
+     * them up again without a ramp.
      */
     void markDown(long nowUs) {
         downWithZone = failures == 0;
         if (isUp()) {
-            rateBeforeOutage = servedRate.at(Math.max(lastSuccessUs, 0)); // It may never have answered.
+            rateBeforeOutage = servedRate.at(Math.max(lastSuccessUs, 0)); // There may have been no success yet.
         }
         if (!downWithZone) {
             damping.recordFailure(nowUs);
@@ -147,7 +150,7 @@
         nextHealthCheckUs = nowUs;
     }
 
-    /** Records a successful health check; true where it lets requests be sent again. */
+    /** Records a successful health check; returns true if requests may be sent again because of it. */
     boolean recordHealthy(long nowUs) {
         boolean failedOnlyWithZone = downWithZone && failures == 0;
         recordSuccess(nowUs);
@@ -171,12 +174,12 @@
         return nowUs - probationSinceUs >= damping.delayUs(probationSinceUs);
     }
 
-    /** Ends the ramp. */
+    /** Ends the ramp and marks the replicas up. */
     void completeRecovery() {
         health = Health.UP;
     }
 
-    /** Whether a health check is due; where it is, the next one is due after the interval. */
+    /** Whether a health check is due; if it is, schedules the next one after the interval. */
     boolean healthCheckDue(long nowUs) {
         if (isRoutable() || nowUs < nextHealthCheckUs) {
             return false;
@@ -185,18 +188,21 @@
         return true;
     }
 
-    /** The share of their full capacity that they have at the least by now: all of them may have restarted. */
+    /** Lower bound on the share of their full capacity that the replicas have now, since all may have restarted. */
     double rampShare(long nowUs, double coldShare, long warmAfterUs) {
         double share = coldShare + (1 - coldShare) * (nowUs - recoveringSinceUs) / warmAfterUs;
         return Math.min(1, share);
     }
 
-    /** What they served before they last went down, in microseconds of work a microsecond. */
+    /** Load before the last outage, in microseconds of work per microsecond. */
     double rateBeforeOutage() {
         return rateBeforeOutage;
     }
 
-    /** What they usually serve, in microseconds of work a microsecond: now, or before they went down. */
+    /**
+     * Load that the replicas usually serve, in microseconds of work per microsecond: the current load, or the load
+     * before the outage unless they are up.
+     */
     double usualRate(long nowUs) {
         return isUp() ? servedRate.at(nowUs) : rateBeforeOutage;
     }
--- a/decisions/src/main/java/frostreel/zones/ZoneSettings.java
+++ b/decisions/src/main/java/frostreel/zones/ZoneSettings.java
@@ -3,12 +3,11 @@
 import java.util.List;
 
 /**
- * The operators' preferences among zones. Zones are numbers, as in endpoint lists.
+ * Preferences of the operators among zones. Zones are identified by number, as in endpoint lists.
  *
- * @param localZone the pooler's own zone, which is tier 0
- * @param tiers the other zones in order of preference; the last one includes those that none names
- * @param poolers how many poolers there are in all zones, among which a recovering member's first requests
- *     are divided
+ * @param localZone the pooler's local zone, which is tier 0
+ * @param tiers the other zones in order of preference; the last tier includes all zones that no tier names
+ * @param poolers number of poolers in all zones, which share the first requests to a recovering member
  */
 public record ZoneSettings(int localZone, List<Tier> tiers, int poolers) {
     private static final int LOCAL_TIER = 0;
@@ -16,37 +15,38 @@
     /**
      * Zones of equal preference.
      *
-     * @param zones their numbers; empty for all that no other tier names
-     * @param spill what may go there, as a share of what this pooler's nearest tier usually serves it; over
-     *     0. With as many poolers in each zone, that is the share of what this tier serves.
+     * @param zones zone numbers; empty for all zones that no other tier names
+     * @param spill load that may spill over to the tier, as a share of the load that this pooler's nearest tier
+     *     usually serves; greater than 0. If every zone has the same number of poolers, it is also the share of the
+     *     tier's own load.
      */
     public record Tier(List<Integer> zones, double spill) {
         /**
-         * Checks the tier.
+         * Validates the tier.
          *
-         * @throws IllegalArgumentException where the spill is not over 0
+         * @throws IllegalArgumentException if the spill is not greater than 0
          */
         public Tier {
             zones = List.copyOf(zones);
             if (!(spill > 0)) {
-                throw new IllegalArgumentException("a tier's spill is not over 0");
+                throw new IllegalArgumentException("spill of a tier must be greater than 0");
             }
         }
     }
 
     /**
-     * Checks the settings.
+     * Validates the settings.
      *
-     * @throws IllegalArgumentException without a tier or without a pooler
+     * @throws IllegalArgumentException if there is no tier or no pooler
      */
     public ZoneSettings {
         tiers = List.copyOf(tiers);
         if (tiers.isEmpty() || poolers < 1) {
-            throw new IllegalArgumentException("no tier, or no pooler");
+            throw new IllegalArgumentException("at least one tier and one pooler are required");
         }
     }
 
-    /** The tier of a zone: 0 for the pooler's own zone, the last tier for zones that no tier names. */
+    /** Tier of a zone: 0 for the local zone, the last tier for zones that no tier names. */
     int tierOf(int zone) {
         if (zone == localZone) {
             return LOCAL_TIER;
--- a/decisions/src/main/java/frostreel/zones/package-info.java
+++ b/decisions/src/main/java/frostreel/zones/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Routing across zones: detects that replicas of a zone have failed, bounds what spills over to other zones,
- * and ramps recovered replicas up. Pure decisions: time and randomness are passed in.
+ * Routing across zones: detects that the replicas of a zone have failed, limits the load that spills over to other
+ * zones, and ramps up replicas that recover. Deterministic and without I/O: time and randomness are passed in.
  */
 package frostreel.zones;
