--- a/decisions/src/test/java/frostreel/operation/CommandTargetTest.java
+++ b/decisions/src/test/java/frostreel/operation/CommandTargetTest.java
@@ -18,7 +18,7 @@
         assertThat(new CommandTarget("server a").serverId()).contains("a");
         assertThat(CommandTarget.CLIENTS.serverId()).isEmpty();
         assertThat(new CommandTarget("zone a").serverId())
-                .as("of another version")
+                .as("kind known only to another version")
                 .isEmpty();
     }
 
--- a/decisions/src/test/java/frostreel/operation/MaintenanceOverlayTest.java
+++ b/decisions/src/test/java/frostreel/operation/MaintenanceOverlayTest.java
@@ -100,7 +100,7 @@
         assertThat(overlay.isKnown("a")).isFalse();
         overlay.applyComplete(List.of(member("a", State.UP, 0)));
         overlay.applyComplete(List.of());
-        assertThat(overlay.isKnown("a")).as("it may come back").isTrue();
+        assertThat(overlay.isKnown("a")).as("a departed server may return").isTrue();
 
         for (int i = 0; i < MORE_THAN_MAX_DEPARTED; i++) {
             overlay.applyChanges(List.of(member("x" + i, State.GONE, 0)));
--- a/decisions/src/test/java/frostreel/operation/OperatorCommandsTest.java
+++ b/decisions/src/test/java/frostreel/operation/OperatorCommandsTest.java
@@ -18,7 +18,7 @@
 
     @Test
     void doesNotRecordCommandsThatChangeNothing() {
-        assertThat(commands.revoke(5, SERVER)).as("never in force").isFalse();
+        assertThat(commands.revoke(5, SERVER)).as("no command was in force").isFalse();
         assertThat(commands.latest(SERVER)).isEmpty();
         assertThat(commands.issue(10, SERVER)).isTrue();
         assertThat(commands.issue(20, SERVER)).isFalse();
--- a/decisions/src/test/java/frostreel/operation/RequestClassRegistryTest.java
+++ b/decisions/src/test/java/frostreel/operation/RequestClassRegistryTest.java
@@ -38,7 +38,9 @@
     void servesAddedClassesAtOnceAndDroppedOnesDuringTheTransition() {
         registry.replaceClasses(0, List.of(post, requestClass("new", Access.WRITE, Idempotency.NON_IDEMPOTENT)));
         assertThat(write(0, "new")).isEqualTo(2);
-        assertThat(keyedWrite(0, "post")).as("unchanged, it keeps its number").isEqualTo(1);
+        assertThat(keyedWrite(0, "post"))
+                .as("an unchanged class keeps its number")
+                .isEqualTo(1);
         assertThat(read(IN_TRANSITION_US, "read")).isZero();
         assertThat(read(AFTER_TRANSITION_US, "read")).isEqualTo(RequestClassRegistry.NO_CLASS);
         assertThat(registry.all()).hasSize(3);
@@ -47,8 +49,12 @@
     @Test
     void choosesTheStricterOfTwoClassesOfOneNameDuringTheTransition() {
         registry.replaceClasses(0, List.of(read, requestClass("post", Access.WRITE, Idempotency.IDEMPOTENT)));
-        assertThat(keyedWrite(IN_TRANSITION_US, "post")).as("keyed is stricter").isEqualTo(1);
-        assertThat(write(IN_TRANSITION_US, "post")).as("only the new fits").isEqualTo(2);
+        assertThat(keyedWrite(IN_TRANSITION_US, "post"))
+                .as("KEYED is stricter than IDEMPOTENT")
+                .isEqualTo(1);
+        assertThat(write(IN_TRANSITION_US, "post"))
+                .as("only the current class matches")
+                .isEqualTo(2);
         assertThat(keyedWrite(AFTER_TRANSITION_US, "post")).isEqualTo(2);
         registry.replaceClasses(
                 AFTER_TRANSITION_US, List.of(read, requestClass("post", Access.WRITE, Idempotency.NON_IDEMPOTENT)));
--- a/decisions/src/test/java/frostreel/operation/ServingLifecycleTest.java
+++ b/decisions/src/test/java/frostreel/operation/ServingLifecycleTest.java
@@ -5,8 +5,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Checks all sequences of events up to a length, half a second apart, with a successor and without, against what
- * follows from a plain reading of the events; and a few sequences by name.
+ * Checks every sequence of events up to a maximum length, half a second apart, with and without a successor, against
+ * a reference model that derives the expected rules from the events. Also checks some sequences individually.
  */
 class ServingLifecycleTest {
     private enum Event {
@@ -23,7 +23,7 @@
     private static final long KILL_DELAY_US = 3_700_000;
     private static final long NEVER_HAPPENED = -1;
 
-    /** What has happened, by plain reading of the events. */
+    /** The reference model: what has happened, derived directly from the events. */
     private record History(boolean ready, long pausedAtUs, long sigtermAtUs) {
         History then(Event event, long nowUs) {
             return switch (event) {
@@ -128,7 +128,7 @@
 
     private static void checkServing(ServingLifecycle lifecycle, long nowUs) {
         assertThat(lifecycle.closesAfterResponse(nowUs + STEP_US))
-                .as("nobody is closed in service")
+                .as("no connection is closed in normal service")
                 .isFalse();
         assertThat(lifecycle.closeIdleAtUs()).isEqualTo(ServingLifecycle.NEVER_US);
     }
@@ -137,12 +137,12 @@
         long beforeLoadBalancerDelayUs = history.pausedAtUs() + 300_000;
         boolean terminating = history.isTerminating();
         assertThat(lifecycle.closesAfterResponse(beforeLoadBalancerDelayUs))
-                .as("the load balancer still assigns clients")
+                .as("the load balancer still assigns new connections")
                 .isEqualTo(terminating && (hasSuccessor || beforeLoadBalancerDelayUs >= lifecycle.lastResponseUs()));
         assertThat(lifecycle.closesAfterResponse(history.pausedAtUs() + 2_000_000))
                 .isTrue();
         assertThat(lifecycle.closeIdleAtUs())
-                .as("no client has a request of the last 2 s after 4 s")
+                .as("4 s after PAUSE, no client has sent a request for 2 s")
                 .isLessThan(history.pausedAtUs() + 2_000_000);
     }
 
@@ -173,7 +173,7 @@
         assertThat(lifecycle.closesUnused(3_300_000)).isTrue();
     }
 
-    /** The process once exited at the very moment at which the last response was due. */
+    /** Guards against a process that exits at the moment at which the last response is due. */
     @Test
     void shutdownTimeoutLastsUntilRequestsOfTheGracePeriodAreAnswered() {
         ServingLifecycle lifecycle = new ServingLifecycle(false, LONGEST_DEADLINE_US);
--- a/decisions/src/test/java/frostreel/operation/SharedCommitTableTest.java
+++ b/decisions/src/test/java/frostreel/operation/SharedCommitTableTest.java
@@ -39,7 +39,7 @@
         return new SharedCommitTable(memory, ++lastIncarnation, nowUs);
     }
 
-    /** A write that is sent now and ends that much later. */
+    /** A write that is sent at {@link #NOW_US} and ends {@code afterUs} later. */
     private static void write(SharedCommitTable process, long afterUs, Outcome outcome, long commitUs) {
         process.onSent(NOW_US, SESSION, DEADLINE_US);
         process.onEnded(NOW_US + afterUs, SESSION, DEADLINE_US, outcome, commitUs);
@@ -69,11 +69,11 @@
         assertThat(after.requiredPositionUs(NOW_US + 10, SESSION + 1)).isZero();
         write(after, 20, Outcome.OK, 0);
         assertThat(before.requiredPositionUs(NOW_US + 2_000, SESSION))
-                .as("the server stated no position")
+                .as("the server reported no position")
                 .isEqualTo(NOW_US + 1_020);
         write(before, 30, Outcome.OK, NOW_US - 6_000);
         assertThat(after.requiredPositionUs(NOW_US + 10, SESSION))
-                .as("an older one after it")
+                .as("an older commit that is reported later")
                 .isEqualTo(NOW_US - 3_000);
     }
 
--- a/decisions/src/test/java/frostreel/simulator/MessageDecoderTest.java
+++ b/decisions/src/test/java/frostreel/simulator/MessageDecoderTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What the simulator's codes, names and marks mean to the router. */
+/** Tests how the simulator's codes, names and marks are decoded. */
 class MessageDecoderTest {
     private static final long BASE_TIME_US = 90_000_000;
 
@@ -96,9 +96,9 @@
     @CsvSource({"true, 1, PRIMARY", "true, 0, REPLICA", "false, 1, UNKNOWN"})
     void aReportTellsTheRoleWhereReportsHoldRoles(boolean reportsRole, int value, Router.Role role)
             throws MalformedMessageException {
-        MessageFields answer = message("""
+        MessageFields response = message("""
                 {"healthInfo":{"x0":10.01,"x1":%d,"load_share":0.25}}""".formatted(value));
-        assertThat(MessageDecoder.report(answer, BASE_TIME_US, reportsRole))
+        assertThat(MessageDecoder.report(response, BASE_TIME_US, reportsRole))
                 .isEqualTo(new Router.Report(100_010_000, role, 0.25, Double.NaN, Double.NaN));
     }
 
--- a/decisions/src/test/java/frostreel/simulator/WireAdapterTest.java
+++ b/decisions/src/test/java/frostreel/simulator/WireAdapterTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The simulator's messages, from the input to the output. */
+/** Tests the simulator's protocol from input to output. */
 class WireAdapterTest {
     private static final String CREATE = """
             {"t":"Create","i":"proxy/1","initSeed":5,"options":{"zone":0,"roundS":0.005,"novelty":[{}],
@@ -31,7 +31,7 @@
             """;
     private static final String START = batch(100, CREATE + LIST);
 
-    /** What the adapter did with an input: its exit status, and what it wrote. */
+    /** Exit status and output of the adapter. */
     private record Result(int exit, String out, String err) {}
 
     private static String batch(double timeS, String events) {
@@ -112,12 +112,12 @@
                 new PrintStream(out, true, StandardCharsets.UTF_8),
                 System.err,
                 (settings, actions) -> {
-                    throw new IllegalStateException("no router today");
+                    throw new IllegalStateException("router creation failed");
                 });
         String text = out.toString(StandardCharsets.UTF_8);
         assertEquals(1, exit);
         assertTrue(text.startsWith("{\"t\":\"Fault\",\"i\":\"proxy/1\",\"bodyText\":\"Create: "), text);
-        assertTrue(text.contains("no router today at frostreel.simulator.WireAdapterTest"), text);
+        assertTrue(text.contains("router creation failed at frostreel.simulator.WireAdapterTest"), text);
         assertTrue(text.endsWith("{\"t\":\"Ack\"}\n"));
     }
 
--- a/decisions/src/test/java/frostreel/zones/ZoneFailoverPolicyTest.java
+++ b/decisions/src/test/java/frostreel/zones/ZoneFailoverPolicyTest.java
@@ -10,14 +10,14 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A pooler in zone 0 with zones 1 and 2 as its tiers, and four groups with a member in each zone. */
+/** Tests a pooler in zone 0 with zones 1 and 2 as its tiers, and four groups with one member in each zone. */
 class ZoneFailoverPolicyTest {
-    /** The pooler's own zone; each zone is a tier. */
+    /** Zones, each of which is a tier. */
     private static final int LOCAL = 0;
 
     private static final int NEAR = 1;
     private static final int FAR = 2;
-    /** Request classes by their rank: the first has twice the priority weight for the same work. */
+    /** Request classes by rank; the first has twice the priority weight for the same work. */
     private static final int HIGH_RANK = 0;
 
     private static final int LOW_RANK = 1;
@@ -48,7 +48,7 @@
     private final ZoneSettings zones = new ZoneSettings(
             0, List.of(new ZoneSettings.Tier(List.of(1), SPILL), new ZoneSettings.Tier(List.of(), SPILL)), 10);
     private final ZoneFailoverPolicy policy = new ZoneFailoverPolicy(settings, zones, 0.5);
-    /** Handles by group and zone. */
+    /** Member handles by group and zone. */
     private final int[][] handles = new int[4][3];
 
     private long nowUs = 1_000 * SECOND_US;
@@ -75,7 +75,7 @@
                 0);
     }
 
-    /** Offers reads of 40 ms to one member at a rate; returns how many were admitted, sent and answered. */
+    /** Offers reads of 40 ms to one member at a constant rate; returns how many were admitted and answered. */
     private int sendReads(int handle, int classIndex, int perSecond, double seconds) {
         int admitted = 0;
         for (int i = 0; i < perSecond * seconds; i++) {
@@ -146,11 +146,11 @@
             assertThat(isRoutable(group[LOCAL])).isFalse();
         }
         assertThat(isRoutable(handles[0][NEAR])).isTrue();
-        policy.onHealthCheck(nowUs, handles[3][LOCAL], true); // It had no failure of its own: no ramp.
+        policy.onHealthCheck(nowUs, handles[3][LOCAL], true); // It had no failure of its own, so there is no ramp.
         assertThat(sendReads(handles[3][LOCAL], HIGH_RANK, 50, 1)).isEqualTo(50);
         policy.onHealthCheck(nowUs, handles[1][LOCAL], true);
         assertThat(policy.admits(nowUs, handles[1][LOCAL], HIGH_RANK))
-                .as("in a ramp")
+                .as("during the ramp")
                 .isFalse();
     }
 
@@ -166,9 +166,9 @@
     void spillIsBoundedByTheTiersShareOfWhatTheNearestServed() {
         serveNearestTier();
         takeZoneDown();
-        sendReads(handles[0][NEAR], HIGH_RANK, 100, 3); // Uses what the budget had saved up.
+        sendReads(handles[0][NEAR], HIGH_RANK, 100, 3); // Uses up the accumulated budget.
         int sent = sendReads(handles[0][NEAR], HIGH_RANK, 100, 20);
-        // Ten reads a second sent to one of the four groups at a time.
+        // The nearest tier served ten reads per second, for one of the four groups at a time.
         assertThat(sent / 20.0).isCloseTo(SPILL * 10, within(0.5));
     }
 
@@ -200,14 +200,17 @@
         takeZoneDown();
         int handle = handles[0][LOCAL];
         assertThat(policy.healthCheckDue(nowUs, handle)).isTrue();
-        assertThat(policy.healthCheckDue(nowUs, handle)).as("again right away").isFalse();
+        assertThat(policy.healthCheckDue(nowUs, handle))
+                .as("the next check is due only after the interval")
+                .isFalse();
         policy.onHealthCheck(nowUs, handle, true);
         assertThat(isRoutable(handle)).isTrue();
         assertThat(policy.admits(nowUs, handle, HIGH_RANK))
-                .as("the ramp begins below zero")
+                .as("the ramp budget starts below zero")
                 .isFalse();
         double first = sendReads(handle, HIGH_RANK, 50, 3) / 3.0;
-        assertThat(first).isBetween(0.3, 1.5); // Of 2.5 a second before; cold it can do 0.2 to 0.36 of that.
+        // 2.5 reads per second before the outage; in the first 3 s of the ramp the capacity is 0.2 to 0.36 of that.
+        assertThat(first).isBetween(0.3, 1.5);
         sendReads(handle, HIGH_RANK, 50, 12);
         assertThat(sendReads(handle, HIGH_RANK, 50, 1)).isEqualTo(50);
         assertThat(policy.toString()).contains("recoveries=1").contains("0={UP=1, DOWN=3}");
@@ -221,12 +224,12 @@
         policy.onHealthCheck(nowUs, handle, true);
         assertThat(isRoutable(handle)).isTrue();
         nowUs += 10 * SECOND_US;
-        fail(handle, 1); // During a ramp one failure is enough.
+        fail(handle, 1); // During a ramp, one failure marks the replicas down.
         assertThat(isRoutable(handle)).isFalse();
         policy.onHealthCheck(nowUs, handle, true);
         assertThat(isRoutable(handle)).as("on probation").isFalse();
         nowUs += SECOND_US / 2;
-        policy.onHealthCheck(nowUs, handle, false); // The delay starts again.
+        policy.onHealthCheck(nowUs, handle, false); // Restarts the delay.
         nowUs += SECOND_US;
         policy.onHealthCheck(nowUs, handle, true);
         assertThat(isRoutable(handle)).isFalse();
@@ -247,7 +250,7 @@
         assertThat(policy.onMemberAdded(1, FAR)).isEqualTo(handles[0][LOCAL]);
         sendReads(handles[0][NEAR], HIGH_RANK, 100, 3);
         assertThat(sendReads(handles[0][NEAR], HIGH_RANK, 100, 5))
-                .as("still a spill")
+                .as("still limited as spill")
                 .isLessThan(100);
     }
 
