--- a/cluster/src/main/java/frostreel/cluster/ClusterSettings.java
+++ b/cluster/src/main/java/frostreel/cluster/ClusterSettings.java
@@ -7,14 +7,14 @@
 import java.util.TreeMap;
 
 /**
- * The configured members of a group. Messages from any other sender are ignored.
+ * The settings of a cluster and its members. Messages from other senders are ignored.
  *
- * @param clusterName the group's name; poolers of other groups are ignored
- * @param self this pooler's name, one of {@code members}
- * @param bind where this pooler listens for the other members; no wildcard
- * @param members the advertised address of each by name, at which the others reach it; may differ from the
- *     address that it binds
- * @param silentAfterMs a member without a heartbeat for this time is suspected; 500 to 60,000
+ * @param clusterName name of the cluster; poolers of other clusters are ignored
+ * @param self name of this pooler, one of {@code members}
+ * @param bind address at which this pooler listens for the other members; not a wildcard
+ * @param members advertised address of each member by name, at which the other members reach it; may differ from the
+ *     address that the member binds
+ * @param silentAfterMs a member that sends no heartbeat for this time is suspected; 500 to 60,000
  */
 public record ClusterSettings(
         String clusterName,
@@ -32,22 +32,26 @@
      */
     public ClusterSettings {
         members = new TreeMap<>(members);
-        require(!clusterName.isBlank(), "the group has no name");
-        require(members.containsKey(self), "the members do not name this pooler, " + self);
-        require(!bind.isUnresolved(), "unknown address " + bind);
-        require(!bind.getAddress().isAnyLocalAddress(), "bind to one address, not to all: " + bind);
+        require(!clusterName.isBlank(), "the cluster name is blank");
+        require(members.containsKey(self), "members do not include this pooler, " + self);
+        require(!bind.isUnresolved(), "cannot resolve the bind address " + bind);
+        require(!bind.getAddress().isAnyLocalAddress(), "the bind address must not be a wildcard: " + bind);
         require(
                 silentAfterMs >= MIN_SILENT_MS && silentAfterMs <= MAX_SILENT_MS,
-                "silentAfterMs is " + silentAfterMs + ", " + MIN_SILENT_MS + " to " + MAX_SILENT_MS);
+                "silentAfterMs is " + silentAfterMs + ", must be " + MIN_SILENT_MS + " to " + MAX_SILENT_MS);
         Set<InetSocketAddress> taken = new HashSet<>();
         members.forEach((name, address) -> {
-            require(!address.isUnresolved() && address.getPort() > 0, "unknown address " + address + " of " + name);
-            require(!address.getAddress().isAnyLocalAddress(), name + " has no address of its own: " + address);
-            require(taken.add(address), name + " has another member's address, " + address);
+            require(
+                    !address.isUnresolved() && address.getPort() > 0,
+                    "address of " + name + " is unresolved or has no port: " + address);
+            require(
+                    !address.getAddress().isAnyLocalAddress(),
+                    "address of " + name + " must not be a wildcard: " + address);
+            require(taken.add(address), "address of " + name + " is already used by another member: " + address);
         });
     }
 
-    /** Where the other members reach this pooler. */
+    /** The address at which the other members reach this pooler. */
     public InetSocketAddress advertised() {
         return members.get(self);
     }
--- a/cluster/src/main/java/frostreel/cluster/Membership.java
+++ b/cluster/src/main/java/frostreel/cluster/Membership.java
@@ -1,65 +1,65 @@
 package frostreel.cluster;
 
 /**
- * A pooler's membership of the group, with messages to the other members. Called on its owner's thread; no call
- * blocks. A {@link Listener} is notified on that same thread.
+ * A pooler's membership in the cluster, which exchanges messages with the other members. Called on the owner's
+ * thread; no call blocks. The {@link Listener} is notified on the same thread.
  *
- * <p>Messages from one sender to one receiver arrive in order, each as a whole or not at all. A message is lost
- * without notice if its receiver leaves, or is separated by a partition until it has left the view.
+ * <p>Messages from one sender to one receiver are delivered in order, each complete or not at all. A message is lost
+ * without notification if its receiver leaves, or if a partition separates the receiver until it has left the view.
  */
 public interface Membership {
-    /** The largest message, in bytes. */
+    /** Maximum size of a message. */
     int MAX_MESSAGE_BYTES = 64 * 1024;
 
-    /** Notified of the events of the group. */
+    /** Receives the events of the cluster. */
     interface Listener {
-        /** Members have joined or left; {@code previous} is {@link MembershipView#NONE} at first. */
+        /** Members have joined or left; {@code previous} is {@link MembershipView#NONE} at the first call. */
         void onViewChanged(MembershipView view, MembershipView previous);
 
         /**
-         * Heartbeats of a member of the view are missing. Either a view without it follows, or they resume. If
-         * another member detects the failure first, the view without the peer comes without this call.
+         * Heartbeats of a member of the view are missing. Either the heartbeats resume or a view without the member
+         * follows. If another member detects the failure first, that view arrives without this call.
          */
         void onSuspected(Peer peer);
 
-        /** A message has arrived; the listener may keep and change the array. */
+        /** A message has arrived; the listener may keep and modify the array. */
         void onMessage(Peer from, byte[] message);
 
-        /** Joining failed for good, for instance because the address cannot be bound; no other event follows. */
+        /** Joining failed permanently, for example because the address cannot be bound; no other event follows. */
         void onJoinFailed(String reason);
     }
 
     /**
-     * Checks the size of a message, for implementations.
+     * Checks the size of a message; used by implementations.
      *
-     * @throws IllegalArgumentException beyond {@link #MAX_MESSAGE_BYTES}
+     * @throws IllegalArgumentException if the message exceeds {@link #MAX_MESSAGE_BYTES}
      */
     static void checkSize(byte[] message) {
         if (message.length > MAX_MESSAGE_BYTES) {
-            throw new IllegalArgumentException(message.length + " bytes, at most " + MAX_MESSAGE_BYTES);
+            throw new IllegalArgumentException("message of " + message.length + " bytes exceeds " + MAX_MESSAGE_BYTES);
         }
     }
 
-    /** This pooler, in its present incarnation. */
+    /** This pooler, in its current incarnation. */
     Peer self();
 
-    /** The latest view of which the listener was notified. */
+    /** The latest view of which the listener has been notified. */
     MembershipView view();
 
     /**
      * Sends a message to one peer.
      *
-     * @throws IllegalArgumentException beyond {@link #MAX_MESSAGE_BYTES}
+     * @throws IllegalArgumentException if the message exceeds {@link #MAX_MESSAGE_BYTES}
      */
     void send(Peer to, byte[] message);
 
     /**
      * Sends a message to all other members of the view.
      *
-     * @throws IllegalArgumentException beyond {@link #MAX_MESSAGE_BYTES}
+     * @throws IllegalArgumentException if the message exceeds {@link #MAX_MESSAGE_BYTES}
      */
     void broadcast(byte[] message);
 
-    /** Leaves the group, of which the other members are notified at once; no event follows. */
+    /** Leaves the cluster, and notifies the other members at once; no event follows. */
     void leave();
 }
--- a/cluster/src/main/java/frostreel/cluster/MembershipView.java
+++ b/cluster/src/main/java/frostreel/cluster/MembershipView.java
@@ -3,12 +3,12 @@
 import java.util.List;
 
 /**
- * The members of the group as one member knows them. In a partitioned group, the members of one partition
- * have the same view.
+ * The members of the cluster as one member sees them. In a partitioned cluster, the members of one partition have the
+ * same view.
  *
- * @param number grows with each view of a member
- * @param members those present, in their natural order
- * @param merged whether this view unites partitions
+ * @param number increases with each view of a member
+ * @param members the present members, in their natural order
+ * @param merged whether this view merges partitions
  */
 public record MembershipView(long number, List<Peer> members, boolean merged) {
     /** The view of a member that has not joined yet. */
@@ -19,12 +19,12 @@
         members = members.stream().sorted().toList();
     }
 
-    /** The members that the earlier view lacks. */
+    /** Members that are missing from the previous view. */
     public List<Peer> joined(MembershipView previous) {
         return members.stream().filter(peer -> !previous.members.contains(peer)).toList();
     }
 
-    /** The members of the earlier view that this one lacks. */
+    /** Members of the previous view that are missing from this one. */
     public List<Peer> left(MembershipView previous) {
         return previous.joined(this);
     }
--- a/cluster/src/main/java/frostreel/cluster/Peer.java
+++ b/cluster/src/main/java/frostreel/cluster/Peer.java
@@ -1,14 +1,14 @@
 package frostreel.cluster;
 
 /**
- * One incarnation of a pooler. It distinguishes the messages of a process that has ended from those of its
- * successor under the same name.
+ * One incarnation of a pooler. The incarnation distinguishes messages of a process that has ended from those of a
+ * later process with the same name.
  *
- * @param name from the operators' file
- * @param incarnation higher at each start of the process
+ * @param name name of the pooler in the operators' file
+ * @param incarnation increases with each start of the process
  */
 public record Peer(String name, long incarnation) implements Comparable<Peer> {
-    /** By name, then by incarnation. */
+    /** Compares by name, then by incarnation. */
     @Override
     public int compareTo(Peer other) {
         int byName = name.compareTo(other.name);
--- a/cluster/src/main/java/frostreel/cluster/ReplicatedLog.java
+++ b/cluster/src/main/java/frostreel/cluster/ReplicatedLog.java
@@ -1,53 +1,53 @@
 package frostreel.cluster;
 
 /**
- * A log on whose entries and their order a majority of all configured members agrees. Indexes begin at 1 and
- * have no gaps. As long as the members keep their folders, no crash, partition or restart gives an index to
- * two entries. Called on its owner's thread, on which the listeners are notified too.
+ * A log whose entries and their order are agreed by a majority of all configured members. Indexes start at 1 and have
+ * no gaps. As long as the members keep their log directories, no crash, partition or restart assigns an index to two
+ * entries. Called on the owner's thread, on which the listeners are also notified.
  */
 public interface ReplicatedLog {
-    /** The largest entry, in bytes. */
+    /** Maximum size of an entry. */
     int MAX_ENTRY_BYTES = 8 * 1024;
-    /** How many of the latest entries each member retains for those that lag behind. */
+    /** Number of latest entries that each member retains for members that lag behind. */
     int RETAINED_ENTRIES = 256;
 
-    /** Notified of the entries, at each member and in the order of their indexes. */
+    /** Receives committed entries, at each member and in the order of their indexes. */
     interface Listener {
         /**
-         * An entry was committed. Called once for each entry in an incarnation, beginning with those retained at
-         * its start. A member that lags by more than {@link #RETAINED_ENTRIES} misses the oldest of them, and
-         * sees a gap in the indexes.
+         * An entry was committed. Called once for each entry in an incarnation, beginning with those retained at its
+         * start. A member that lags by more than {@link #RETAINED_ENTRIES} misses the oldest entries, and receives
+         * indexes with a gap.
          */
         void onCommitted(long index, byte[] entry);
     }
 
-    /** Notified of the result of one proposal, by exactly one of its methods. */
+    /** Receives the result of one proposal, through exactly one of its methods. */
     interface ProposalListener {
-        /** The entry was committed. */
+        /** The proposed entry was committed. */
         void onCommitted(long index);
 
         /**
-         * No majority answered in time. The entry may still be committed, and the {@link Listener} notified of
-         * it, until a later proposal of this member is committed.
+         * No majority responded in time. The entry may still be committed, and the {@link Listener} notified of it,
+         * until a later proposal of this member is committed.
          */
         void onUnknown(String reason);
     }
 
     /**
-     * Checks the size of an entry, for implementations.
+     * Checks the size of an entry; used by implementations.
      *
-     * @throws IllegalArgumentException beyond {@link #MAX_ENTRY_BYTES}
+     * @throws IllegalArgumentException if the entry exceeds {@link #MAX_ENTRY_BYTES}
      */
     static void checkSize(byte[] entry) {
         if (entry.length > MAX_ENTRY_BYTES) {
-            throw new IllegalArgumentException(entry.length + " bytes, at most " + MAX_ENTRY_BYTES);
+            throw new IllegalArgumentException("entry of " + entry.length + " bytes exceeds " + MAX_ENTRY_BYTES);
         }
     }
 
     /**
-     * Proposes an entry; this member's proposals are committed in the order of these calls.
+     * Proposes an entry. Proposals of one member are committed in the order of the calls.
      *
-     * @throws IllegalArgumentException beyond {@link #MAX_ENTRY_BYTES}
+     * @throws IllegalArgumentException if the entry exceeds {@link #MAX_ENTRY_BYTES}
      */
     void propose(byte[] entry, ProposalListener listener);
 }
--- a/cluster/src/main/java/frostreel/cluster/jgroups/ChannelExecutor.java
+++ b/cluster/src/main/java/frostreel/cluster/jgroups/ChannelExecutor.java
@@ -6,8 +6,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The only thread that calls a channel, as joining, sending and leaving may block. Its queue is bounded:
- * {@link #execute} throws {@link java.util.concurrent.RejectedExecutionException} while it is full.
+ * The only thread that calls a channel, as joining, sending and leaving may block. Its queue is bounded: {@link
+ * #execute} throws {@link java.util.concurrent.RejectedExecutionException} if the queue is full.
  */
 final class ChannelExecutor implements Executor {
     private static final int QUEUE_CAPACITY = 1024;
@@ -26,14 +26,14 @@
         executor.execute(task);
     }
 
-    /** Drops the queued tasks, runs a last one, and ends the thread. */
+    /** Discards the queued tasks, runs one last task and ends the thread. */
     void finishWith(Runnable last) {
         executor.getQueue().clear();
         executor.execute(last);
         executor.shutdown();
     }
 
-    /** Blocks until the thread has ended; returns false after the timeout. */
+    /** Blocks until the thread has ended; returns false if the timeout expires first. */
     boolean awaitTermination(long timeoutMs) throws InterruptedException {
         return executor.awaitTermination(timeoutMs, TimeUnit.MILLISECONDS);
     }
--- a/cluster/src/main/java/frostreel/cluster/jgroups/CommittedEntries.java
+++ b/cluster/src/main/java/frostreel/cluster/jgroups/CommittedEntries.java
@@ -17,19 +17,19 @@
 import org.jgroups.raft.StateMachine;
 
 /**
- * The state machine of the replicated log, which reaches the same state at each member: it depends on nothing
- * but the committed proposals and their order. Deduplicates proposals that were retried because an answer was
- * lost, so that none has two indexes. Called on the library's thread.
+ * State machine of the replicated log. It reaches the same state at each member, since it depends only on the
+ * committed proposals and their order. Proposals that were retried because a response was lost are deduplicated, so
+ * that none has two indexes. Called on the library's thread.
  */
 final class CommittedEntries implements StateMachine {
-    /** The answer to a proposal that is committed after a later one of the same member; no entry has this index. */
+    /** Response to a proposal that is committed after a later one of the same member; not used as an index. */
     static final long SUPERSEDED = 0;
 
     /**
      * The latest committed proposal of a member.
      *
-     * @param sequence counts the member's proposals, from 1 in each incarnation
-     * @param index of its entry
+     * @param sequence number of the proposal, counted from 1 in each incarnation
+     * @param index index of its entry
      */
     private record LatestProposal(long incarnation, long sequence, long index) {
         boolean isAfter(LatestProposal other) {
@@ -52,9 +52,9 @@
     }
 
     /**
-     * Encodes a proposal as the log stores it.
+     * Encodes a proposal in the format in which the log stores it.
      *
-     * @param sequence the number of the proposal among those of the proposer's incarnation
+     * @param sequence number of the proposal among those of the proposer's incarnation
      */
     static byte[] encodeProposal(Peer proposer, long sequence, byte[] entry) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
@@ -64,12 +64,12 @@
             out.writeLong(sequence);
             out.write(entry);
         } catch (IOException e) {
-            throw new IllegalStateException(e); // Cannot occur, as the stream writes to memory.
+            throw new IllegalStateException(e); // Cannot occur, because the stream writes to memory.
         }
         return bytes.toByteArray();
     }
 
-    /** The index in the answer to a proposal, or {@link #SUPERSEDED}. */
+    /** The index in the response to a proposal, or {@link #SUPERSEDED}. */
     static long decodeResponse(byte[] response) {
         return ByteBuffer.wrap(response).getLong();
     }
--- a/cluster/src/main/java/frostreel/cluster/jgroups/GroupMembership.java
+++ b/cluster/src/main/java/frostreel/cluster/jgroups/GroupMembership.java
@@ -26,12 +26,12 @@
 import org.jgroups.stack.Protocol;
 
 /**
- * Membership by JGroups over TCP. Owns the channel, which is called on the {@link ChannelExecutor} only. The
- * channel delivers its events on the library's threads; they are handed to the owner's executor. Both queues
- * are bounded: a message for a full queue is dropped and counted; views are never dropped.
+ * Membership in the cluster, implemented with JGroups over TCP. Owns the channel, which is called only on the {@link
+ * ChannelExecutor}. The channel delivers events on the library's threads; they are passed to the owner's executor.
+ * Both queues are bounded: a message that finds its queue full is dropped and counted. Views are never dropped.
  */
 public final class GroupMembership implements Membership {
-    /** Limit on received messages that wait for the owner's thread. */
+    /** Maximum number of received messages that are queued for the owner's thread. */
     private static final int MAX_PENDING_MESSAGES = 1024;
 
     private static final long REJOIN_DELAY_MS = 300;
@@ -42,14 +42,14 @@
     private final Executor ownerExecutor;
     private final Listener listener;
     private final ChannelExecutor channelExecutor = new ChannelExecutor();
-    /** Null where none was requested. */
+    /** Null if no log was requested. */
     private final RaftLog log;
 
     private final MessageCounters counters = new MessageCounters();
     private final AtomicInteger pendingMessages = new AtomicInteger();
     /**
-     * Confined to the channel executor. Each attempt to join has a new one, as a rejected one cannot be used
-     * again.
+     * Confined to the channel executor. Created for each attempt to join, as a channel whose join was rejected cannot
+     * be reused.
      */
     private JChannel channel;
     /** Confined to the owner's thread. */
@@ -58,9 +58,9 @@
     private boolean leaveRequested;
 
     /**
-     * Joins the group, and retries while no member answers.
+     * Joins the cluster, and retries while no member responds.
      *
-     * @param incarnation of this process, higher at each start
+     * @param incarnation incarnation of this process, higher at each start
      * @param ownerExecutor runs one task at a time, in order
      */
     public GroupMembership(ClusterSettings settings, long incarnation, Executor ownerExecutor, Listener listener) {
@@ -68,9 +68,9 @@
     }
 
     /**
-     * Joins the group as the other constructor does, with a replicated log.
+     * Joins the cluster like the other constructor, with a replicated log.
      *
-     * @param directory stores the log; null for a log in memory, which a restart forgets
+     * @param directory stores the log; null for a log in memory, which is lost in a restart
      * @param logListener notified of the log's entries; null for no log
      */
     public GroupMembership(
@@ -95,12 +95,12 @@
         try {
             channel = newChannel();
             channel.connect(settings.clusterName());
-        } catch (SecurityException e) { // The previous incarnation is still in the view.
+        } catch (SecurityException e) { // Rejected while the previous incarnation is in the view.
             LOG.fine(e.getMessage());
             channel.close();
             CompletableFuture.delayedExecutor(REJOIN_DELAY_MS, TimeUnit.MILLISECONDS, this::runOnChannel)
                     .execute(this::join);
-        } catch (Exception e) { // The library declares no narrower type.
+        } catch (Exception e) { // The library declares no more specific type.
             LOG.log(Level.SEVERE, "GW_CLUSTER: cannot join " + settings.clusterName() + " at " + settings.bind(), e);
             notifyOwner(() -> listener.onJoinFailed(String.valueOf(e.getMessage())));
         }
@@ -108,7 +108,7 @@
 
     private JChannel newChannel() throws Exception {
         JChannel created = new JChannel(newStack()).name(self.toString()).setDiscardOwnMessages(true);
-        // The diagnostics handler would open a port without access control.
+        // The diagnostics handler would open a port that has no access control.
         created.getProtocolStack().getTransport().getDiagnosticsHandler().setEnabled(false);
         created.addAddressGenerator(() -> PeerAddress.of(self));
         created.setReceiver(new ChannelReceiver());
@@ -121,7 +121,7 @@
                 : ProtocolStack.withLog(settings, log, this::onSuspicion);
     }
 
-    /** The replicated log, null where none was requested. */
+    /** The replicated log; null if none was requested. */
     public ReplicatedLog log() {
         return log;
     }
@@ -166,7 +166,7 @@
         }
     }
 
-    /** Sends a message; {@code to} is null for all members. */
+    /** Sends a message to a member, or to all members if {@code to} is null. */
     private void sendToAddress(Address to, byte[] message) {
         try {
             channel.send(new BytesMessage(to, message).setFlag(Message.TransientFlag.DONT_BLOCK));
@@ -185,12 +185,12 @@
         channelExecutor.finishWith(() -> channel.close());
     }
 
-    /** Blocks until the group has been left; returns false after the timeout. */
+    /** Blocks until the member has left the cluster; returns false if the timeout expires first. */
     public boolean awaitTermination(long timeoutMs) throws InterruptedException {
         return channelExecutor.awaitTermination(timeoutMs);
     }
 
-    /** The messages sent, received and dropped so far, on one line; from any thread. */
+    /** The numbers of messages sent, received and dropped, on one line. Thread-safe. */
     public String counters() {
         return counters.toString();
     }
@@ -201,7 +201,7 @@
         }
     }
 
-    /** The peer of an address; empty, and counted, for one that is not configured. */
+    /** The peer at an address; empty if it is not a configured member, which is counted. */
     private Optional<Peer> configuredPeer(Address address) {
         Optional<Peer> peer =
                 PeerAddress.peer(address).filter(named -> settings.members().containsKey(named.name()));
@@ -219,11 +219,11 @@
                 }
             });
         } catch (RejectedExecutionException e) {
-            LOG.fine("the owner has ended");
+            LOG.fine("owner's executor has shut down; event dropped");
         }
     }
 
-    /** Receives the channel's events, on the library's threads. */
+    /** Receives the events of the channel on the library's threads. */
     private final class ChannelReceiver implements Receiver {
         @Override
         public void viewAccepted(View accepted) {
--- a/cluster/src/main/java/frostreel/cluster/jgroups/MessageCounters.java
+++ b/cluster/src/main/java/frostreel/cluster/jgroups/MessageCounters.java
@@ -2,13 +2,13 @@
 
 import java.util.concurrent.atomic.LongAdder;
 
-/** Counts messages. Thread-safe. */
+/** Message counters. Thread-safe. */
 final class MessageCounters {
     final LongAdder sent = new LongAdder();
     final LongAdder received = new LongAdder();
-    /** Messages for a full queue, or for a channel that has not joined. */
+    /** Messages dropped because a queue was full or the channel had not joined. */
     final LongAdder dropped = new LongAdder();
-    /** Senders of messages and members of views that are no configured poolers. */
+    /** Message senders and view members that are not configured poolers. */
     final LongAdder unknownSenders = new LongAdder();
 
     @Override
--- a/cluster/src/main/java/frostreel/cluster/jgroups/PeerAddress.java
+++ b/cluster/src/main/java/frostreel/cluster/jgroups/PeerAddress.java
@@ -7,8 +7,8 @@
 import org.jgroups.util.ExtendedUUID;
 
 /**
- * Encodes a peer's name and incarnation in its JGroups address, so that every member knows them from the first
- * message.
+ * Encodes the name and incarnation of a peer in its JGroups address, so that every member knows them from the first
+ * message on.
  */
 final class PeerAddress {
     private static final String NAME_KEY = "name";
@@ -19,11 +19,11 @@
     static Address of(Peer peer) {
         return ExtendedUUID.randomUUID(peer.toString())
                 .put(NAME_KEY, peer.name().getBytes(StandardCharsets.UTF_8))
-                // In decimal, as the library's log lines show it.
+                // Decimal text, because the library's log lines include it.
                 .put(INCARNATION_KEY, Long.toString(peer.incarnation()).getBytes(StandardCharsets.US_ASCII));
     }
 
-    /** The peer of an address; empty for an address that another program made. */
+    /** The peer at an address; empty if the address was not created by a pooler. */
     static Optional<Peer> peer(Address address) {
         if (!(address instanceof ExtendedUUID id) || !id.keyExists(NAME_KEY) || !id.keyExists(INCARNATION_KEY)) {
             return Optional.empty();
--- a/cluster/src/main/java/frostreel/cluster/jgroups/ProtocolStack.java
+++ b/cluster/src/main/java/frostreel/cluster/jgroups/ProtocolStack.java
@@ -23,11 +23,11 @@
 import org.jgroups.stack.Protocol;
 
 /**
- * The JGroups protocols of a channel, from the transport up. Failures are detected by heartbeats alone: a
+ * The JGroups protocol stack of a channel, from the transport up. Failures are detected only by heartbeats, since a
  * socket-based detector would need a second port for each member.
  */
 final class ProtocolStack {
-    /** The largest frame that is accepted: room for the library's headers and its own messages. */
+    /** Maximum size of an accepted frame, with room for the library's headers and its own messages. */
     private static final int MAX_FRAME_BYTES = 2 * Membership.MAX_MESSAGE_BYTES;
 
     private static final int MAX_FRAGMENT_BYTES = Membership.MAX_MESSAGE_BYTES / 2;
@@ -35,16 +35,16 @@
     private static final int CONNECT_TIMEOUT_MS = 1000;
     private static final long JOIN_TIMEOUT_MS = 1000;
     private static final long LEAVE_TIMEOUT_MS = 500;
-    /** The time between two searches for partitions to merge with is random, from this to the maximum. */
+    /** Lower bound of the random interval between searches for partitions to merge with. */
     private static final long MIN_MERGE_INTERVAL_MS = 500;
 
     private static final long MAX_MERGE_INTERVAL_MS = 2000;
-    /** Heartbeats sent in the time after which a member is suspected. */
+    /** Number of heartbeats sent within the time after which a member is suspected. */
     private static final int HEARTBEATS_PER_TIMEOUT = 4;
 
     private ProtocolStack() {}
 
-    /** A new stack for one channel, with no log above it. */
+    /** Creates a stack for one channel, without a replicated log. */
     static List<Protocol> withoutLog(ClusterSettings settings, Consumer<Collection<Address>> onSuspicion)
             throws Exception {
         List<Protocol> stack = reliableTransport(settings);
@@ -53,11 +53,11 @@
         return stack;
     }
 
-    /** A new stack for one channel, with the log's own protocols in it. */
+    /** Creates a stack for one channel, with the protocols of the replicated log. */
     static List<Protocol> withLog(ClusterSettings settings, RaftLog log, Consumer<Collection<Address>> onSuspicion)
             throws Exception {
         List<Protocol> stack = reliableTransport(settings);
-        stack.add(new NO_DUPES()); // Otherwise two incarnations of one name would have two votes.
+        stack.add(new NO_DUPES()); // Prevents two incarnations of one member from both voting.
         stack.addAll(membership());
         stack.addAll(log.newProtocols());
         stack.add(new SuspicionListener(onSuspicion));
@@ -74,7 +74,7 @@
                 new MERGE3().setMinInterval(MIN_MERGE_INTERVAL_MS).setMaxInterval(MAX_MERGE_INTERVAL_MS),
                 new FD_ALL3().setTimeout(silentMs).setInterval(silentMs / HEARTBEATS_PER_TIMEOUT),
                 new VERIFY_SUSPECT2().setTimeout(silentMs / 2),
-                new NAKACK2().useMcastXmit(false).logDiscardMessages(false), // Otherwise a line for each message.
+                new NAKACK2().useMcastXmit(false).logDiscardMessages(false), // Would log a line per message.
                 new UNICAST3(),
                 new STABLE()));
     }
--- a/cluster/src/main/java/frostreel/cluster/jgroups/RaftLog.java
+++ b/cluster/src/main/java/frostreel/cluster/jgroups/RaftLog.java
@@ -20,14 +20,14 @@
 import org.jgroups.stack.Protocol;
 
 /**
- * The replicated log by jgroups-raft, on the channel of {@link GroupMembership}. One proposal is in flight at a
- * time, retried until it is answered or has timed out; {@link CommittedEntries} deduplicates the attempts.
- * Fields are confined to the owner's thread unless they say otherwise.
+ * Replicated log by jgroups-raft, on the channel of {@link GroupMembership}. One proposal is in flight at a time, and
+ * is retried until it is answered or times out; {@link CommittedEntries} deduplicates the attempts. Fields are
+ * confined to the owner's thread unless they say otherwise.
  */
 final class RaftLog implements ReplicatedLog {
     /**
-     * The leader resends missing entries to a follower only after receiving nothing new for this long. Proposals
-     * retried more often than that would keep a restarted member behind for ever.
+     * How long the leader receives nothing new before it resends missing entries to a follower. Proposals retried
+     * more often than this would keep a restarted member behind indefinitely.
      */
     private static final long RESEND_INTERVAL_MS = 100;
 
@@ -35,7 +35,7 @@
     private static final long RETRY_DELAY_MS = 500;
     private static final long PROPOSAL_TIMEOUT_MS = 10_000;
     private static final int MAX_QUEUED_PROPOSALS = 64;
-    /** A log larger than this is replaced by a snapshot. */
+    /** A log that exceeds this size is replaced by a snapshot. */
     private static final int MAX_LOG_BYTES = 1 << 20;
 
     @SuppressWarnings("ArrayRecordComponent") // Never compared.
@@ -48,7 +48,7 @@
     private final Path directory;
     /** Shared by all attempts to join, so that the listener is not notified of an entry twice. */
     private final CommittedEntries entries;
-    /** The protocol of the present channel that forwards proposals to the leader; read on the channel executor. */
+    /** Protocol of the current channel that forwards proposals to the leader; read on the channel executor. */
     private volatile REDIRECT redirect;
 
     private final Queue<Proposal> queued = new ArrayDeque<>();
@@ -58,7 +58,7 @@
     /**
      * Creates a log without protocols.
      *
-     * @param directory stores the log; null for a log in memory, with which a restart forgets the votes cast
+     * @param directory stores the log; null for a log in memory, whose votes are lost in a restart
      */
     RaftLog(
             Peer self,
@@ -76,7 +76,7 @@
                 new CommittedEntries((index, entry) -> ownerExecutor.execute(() -> listener.onCommitted(index, entry)));
     }
 
-    /** Creates the log's protocols for a new channel, to be placed above those that carry messages. */
+    /** Creates the log's protocols for a new channel, to be placed above those that transport messages. */
     List<Protocol> newProtocols() {
         RAFT raft = new RAFT()
                 .members(memberNames)
@@ -129,7 +129,7 @@
         CompletableFuture<byte[]> response;
         try {
             response = redirect.setAsync(proposal.bytes, 0, proposal.bytes.length, null);
-        } catch (Exception e) { // No leader is known here, or it cannot be reached.
+        } catch (Exception e) { // No leader is known, or it is unreachable.
             response = CompletableFuture.failedFuture(e);
         }
         response.orTimeout(RESPONSE_TIMEOUT_MS, TimeUnit.MILLISECONDS).whenComplete((bytes, failure) -> {
--- a/cluster/src/main/java/frostreel/cluster/jgroups/SuspicionListener.java
+++ b/cluster/src/main/java/frostreel/cluster/jgroups/SuspicionListener.java
@@ -7,8 +7,7 @@
 import org.jgroups.stack.Protocol;
 
 /**
- * The top protocol of a stack. Passes on which members the protocols below suspect, as a channel does not report
- * them.
+ * Top protocol of a stack. Forwards the members that the protocols below suspect, as a channel does not report them.
  */
 final class SuspicionListener extends Protocol {
     private final Consumer<Collection<Address>> listener;
--- a/cluster/src/main/java/frostreel/cluster/package-info.java
+++ b/cluster/src/main/java/frostreel/cluster/package-info.java
@@ -1,9 +1,9 @@
 /**
- * Cluster membership of a pooler: who is present, messages among members, and a log on whose entries a majority
- * of the configured members agrees. These interfaces name no library; {@code frostreel.cluster.jgroups}
- * implements them over TCP, and the lab in virtual time.
+ * Cluster membership of a pooler: the present members, messages among them, and a log whose entries are agreed by a
+ * majority of the configured members. The interfaces do not depend on a library; {@code frostreel.cluster.jgroups}
+ * implements them over TCP, and the lab implements them in virtual time.
  *
- * <p>Every interface is called on the thread of its owner, on which its listeners are notified too; no call
- * blocks. Depends on no other package of the program.
+ * <p>Each interface is called on its owner's thread, on which its listeners are also notified; no call blocks.
+ * Depends on no other package of the program.
  */
 package frostreel.cluster;
--- a/cluster/src/test/java/frostreel/cluster/ClusterSettingsTest.java
+++ b/cluster/src/test/java/frostreel/cluster/ClusterSettingsTest.java
@@ -17,7 +17,7 @@
     private static final InetSocketAddress ADDRESS_B = new InetSocketAddress("127.0.0.2", 7800);
     private static final InetSocketAddress WILDCARD = new InetSocketAddress("0.0.0.0", 7800);
 
-    /** Good settings of the member a alone, and one change to them at a time. */
+    /** Valid settings of a cluster with the only member a; each method returns a copy with one change. */
     private record Draft(
             String clusterName,
             String self,
@@ -59,21 +59,23 @@
     static Stream<Arguments> invalidSettings() {
         return Stream.of(
                 invalid(
-                        "the members do not name this pooler, c",
+                        "members do not include this pooler, c",
                         draft -> draft.members(Map.of("a", ADDRESS_A, "b", ADDRESS_B))
                                 .self("c")),
                 invalid(
-                        "b has another member's address",
+                        "address of b is already used by another member",
                         draft -> draft.members(Map.of("a", ADDRESS_A, "b", ADDRESS_A))),
-                invalid("bind to one address, not to all", draft -> draft.bind(WILDCARD)),
-                invalid("a has no address of its own", draft -> draft.members(Map.of("a", WILDCARD))),
+                invalid("the bind address must not be a wildcard", draft -> draft.bind(WILDCARD)),
+                invalid("address of a must not be a wildcard", draft -> draft.members(Map.of("a", WILDCARD))),
                 invalid(
-                        "unknown address",
+                        "address of a is unresolved or has no port",
                         draft -> draft.members(Map.of("a", InetSocketAddress.createUnresolved("x", 1)))),
-                invalid("unknown address", draft -> draft.members(Map.of("a", new InetSocketAddress("127.0.0.1", 0)))),
-                invalid("the group has no name", draft -> draft.clusterName(" ")),
-                invalid("silentAfterMs is 499", draft -> draft.silentMs(499)),
-                invalid("silentAfterMs is 60001", draft -> draft.silentMs(60_001)));
+                invalid(
+                        "address of a is unresolved or has no port",
+                        draft -> draft.members(Map.of("a", new InetSocketAddress("127.0.0.1", 0)))),
+                invalid("the cluster name is blank", draft -> draft.clusterName(" ")),
+                invalid("silentAfterMs is 499, must be 500 to 60000", draft -> draft.silentMs(499)),
+                invalid("silentAfterMs is 60001, must be 500 to 60000", draft -> draft.silentMs(60_001)));
     }
 
     private static Arguments invalid(String reason, UnaryOperator<Draft> change) {
