--- a/cluster/src/main/java/frostreel/cluster/jgroups/RaftLog.java
+++ b/cluster/src/main/java/frostreel/cluster/jgroups/RaftLog.java
@@ -20,22 +20,22 @@
 import org.jgroups.stack.Protocol;
 
 /**
- * The replicated log by jgroups-raft, on the channel of {@link GroupMembership}. One proposal is in flight at a
- * time, retried until it is answered or has timed out; {@link CommittedEntries} deduplicates the attempts.
- * Fields are confined to the owner's thread unless they say otherwise.
+ * Replicated log by jgroups-raft, on the channel of {@link GroupMembership}. One proposal is in flight at a time, and
+ * is retried until it is answered or times out; {@link CommittedEntries} deduplicates the attempts. Fields are
+ * confined to the owner's thread unless they say otherwise.
  */
 final class RaftLog implements ReplicatedLog {
     /**
-     * The leader resends missing entries to a follower only after receiving nothing new for this long. Proposals
-     * retried more often than that would keep a restarted member behind for ever.
+     * How long the leader receives nothing new before it resends missing entries to a follower. Proposals retried
+     * more often than this would keep a restarted member behind indefinitely.
      */
     private static final long RESEND_INTERVAL_MS = 100;
 
-    private static final long ANSWER_TIMEOUT_MS = 1000;
+    private static final long RESPONSE_TIMEOUT_MS = 1000;
     private static final long RETRY_DELAY_MS = 500;
     private static final long PROPOSAL_TIMEOUT_MS = 10_000;
     private static final int MAX_QUEUED_PROPOSALS = 64;
-    /** A log larger than this is replaced by a snapshot. */
+    /** A log that exceeds this size is replaced by a snapshot. */
     private static final int MAX_LOG_BYTES = 1 << 20;
 
     @SuppressWarnings("ArrayRecordComponent") // Never compared.
@@ -43,12 +43,12 @@
 
     private final Peer self;
     private final Executor channelExecutor;
-    private final Executor owner;
-    private final Collection<String> members;
-    private final Path folder;
+    private final Executor ownerExecutor;
+    private final Collection<String> memberNames;
+    private final Path directory;
     /** Shared by all attempts to join, so that the listener is not notified of an entry twice. */
     private final CommittedEntries entries;
-    /** The protocol of the present channel that forwards proposals to the leader; read on the channel executor. */
+    /** Protocol of the current channel that forwards proposals to the leader; read on the channel executor. */
     private volatile REDIRECT redirect;
 
     private final Queue<Proposal> queued = new ArrayDeque<>();
@@ -58,36 +58,37 @@
     /**
      * Creates a log without protocols.
      *
-     * @param folder stores the log; null for a log in memory, with which a restart forgets the votes cast
+     * @param directory stores the log; null for a log in memory, whose votes are lost in a restart
      */
     RaftLog(
             Peer self,
-            Collection<String> members,
-            Path folder,
+            Collection<String> memberNames,
+            Path directory,
             Executor channelExecutor,
-            Executor owner,
+            Executor ownerExecutor,
             Listener listener) {
         this.self = self;
         this.channelExecutor = channelExecutor;
-        this.owner = owner;
-        this.members = members;
-        this.folder = folder;
-        entries = new CommittedEntries((index, entry) -> owner.execute(() -> listener.onCommitted(index, entry)));
+        this.ownerExecutor = ownerExecutor;
+        this.memberNames = memberNames;
+        this.directory = directory;
+        entries =
+                new CommittedEntries((index, entry) -> ownerExecutor.execute(() -> listener.onCommitted(index, entry)));
     }
 
-    /** Creates the log's protocols for a new channel, to be placed above those that carry messages. */
+    /** Creates the log's protocols for a new channel, to be placed above those that transport messages. */
     List<Protocol> newProtocols() {
         RAFT raft = new RAFT()
-                .members(members)
+                .members(memberNames)
                 .raftId(self.name())
                 .maxLogSize(MAX_LOG_BYTES)
                 .resendInterval(RESEND_INTERVAL_MS)
                 .stateMachine(entries);
-        if (folder == null) {
+        if (directory == null) {
             raft.logClass(InMemoryLog.class.getName()).logPrefix(self.toString());
         } else {
             raft.logClass(FileBasedLog.class.getName())
-                    .logDir(folder.toString())
+                    .logDir(directory.toString())
                     .logPrefix(self.name())
                     .logUseFsync(true);
         }
@@ -116,7 +117,7 @@
 
     private void submit(Proposal proposal, long deadlineMs) {
         try {
-            channelExecutor.execute(() -> attempt(proposal, deadlineMs));
+            channelExecutor.execute(() -> sendAttempt(proposal, deadlineMs));
         } catch (RejectedExecutionException full) {
             finishUnknown(proposal, "the queue to the channel is full");
         }
@@ -124,16 +125,16 @@
 
     /** Runs on the channel executor. */
     @SuppressWarnings("FutureReturnValueIgnored") // whenComplete handles both results.
-    private void attempt(Proposal proposal, long deadlineMs) {
-        CompletableFuture<byte[]> answer;
+    private void sendAttempt(Proposal proposal, long deadlineMs) {
+        CompletableFuture<byte[]> response;
         try {
-            answer = redirect.setAsync(proposal.bytes, 0, proposal.bytes.length, null);
-        } catch (Exception e) { // No leader is known here, or it cannot be reached.
-            answer = CompletableFuture.failedFuture(e);
+            response = redirect.setAsync(proposal.bytes, 0, proposal.bytes.length, null);
+        } catch (Exception e) { // No leader is known, or it is unreachable.
+            response = CompletableFuture.failedFuture(e);
         }
-        answer.orTimeout(ANSWER_TIMEOUT_MS, TimeUnit.MILLISECONDS).whenComplete((bytes, failure) -> {
+        response.orTimeout(RESPONSE_TIMEOUT_MS, TimeUnit.MILLISECONDS).whenComplete((bytes, failure) -> {
             if (failure == null) {
-                owner.execute(() -> finish(proposal, CommittedEntries.decodeAnswer(bytes)));
+                ownerExecutor.execute(() -> onResponse(proposal, CommittedEntries.decodeResponse(bytes)));
             } else {
                 onAttemptFailed(proposal, deadlineMs, failure);
             }
@@ -143,15 +144,15 @@
     /** Runs on any thread. */
     private void onAttemptFailed(Proposal proposal, long deadlineMs, Throwable failure) {
         if (nowMs() < deadlineMs) {
-            CompletableFuture.delayedExecutor(RETRY_DELAY_MS, TimeUnit.MILLISECONDS, owner)
+            CompletableFuture.delayedExecutor(RETRY_DELAY_MS, TimeUnit.MILLISECONDS, ownerExecutor)
                     .execute(() -> submit(proposal, deadlineMs));
         } else {
             Throwable cause = failure instanceof CompletionException ? failure.getCause() : failure;
-            owner.execute(() -> finishUnknown(proposal, String.valueOf(cause)));
+            ownerExecutor.execute(() -> finishUnknown(proposal, String.valueOf(cause)));
         }
     }
 
-    private void finish(Proposal proposal, long index) {
+    private void onResponse(Proposal proposal, long index) {
         if (index == CommittedEntries.SUPERSEDED) {
             finishUnknown(proposal, "a later one was chosen before it");
             return;
--- a/cluster/src/test/java/frostreel/cluster/ClusterSettingsTest.java
+++ b/cluster/src/test/java/frostreel/cluster/ClusterSettingsTest.java
@@ -17,69 +17,77 @@
     private static final InetSocketAddress ADDRESS_B = new InetSocketAddress("127.0.0.2", 7800);
     private static final InetSocketAddress WILDCARD = new InetSocketAddress("0.0.0.0", 7800);
 
-    /** Good settings of the member a alone, and one change to them at a time. */
+    /** Valid settings of a cluster with the only member a; each method returns a copy with one change. */
     private record Draft(
-            String group, String self, InetSocketAddress bind, Map<String, InetSocketAddress> members, long silentMs) {
-        static final Draft GOOD = new Draft("g", "a", ADDRESS_A, Map.of("a", ADDRESS_A), 1000);
+            String clusterName,
+            String self,
+            InetSocketAddress bind,
+            Map<String, InetSocketAddress> members,
+            long silentMs) {
+        static final Draft VALID = new Draft("g", "a", ADDRESS_A, Map.of("a", ADDRESS_A), 1000);
 
-        Draft group(String name) {
-            return new Draft(name, self, bind, members, silentMs);
+        Draft clusterName(String newName) {
+            return new Draft(newName, self, bind, members, silentMs);
         }
 
         Draft self(String name) {
-            return new Draft(group, name, bind, members, silentMs);
+            return new Draft(clusterName, name, bind, members, silentMs);
         }
 
         Draft bind(InetSocketAddress address) {
-            return new Draft(group, self, address, members, silentMs);
+            return new Draft(clusterName, self, address, members, silentMs);
         }
 
         Draft members(Map<String, InetSocketAddress> addresses) {
-            return new Draft(group, self, bind, addresses, silentMs);
+            return new Draft(clusterName, self, bind, addresses, silentMs);
         }
 
         Draft silentMs(long millis) {
-            return new Draft(group, self, bind, members, millis);
+            return new Draft(clusterName, self, bind, members, millis);
         }
 
         ClusterSettings settings() {
-            return new ClusterSettings(group, self, bind, members, silentMs);
+            return new ClusterSettings(clusterName, self, bind, members, silentMs);
         }
     }
 
     @Test
-    void acceptsGoodSettings() {
-        assertThat(Draft.GOOD.settings().advertised()).isEqualTo(ADDRESS_A);
+    void acceptsValidSettings() {
+        assertThat(Draft.VALID.settings().advertised()).isEqualTo(ADDRESS_A);
     }
 
-    static Stream<Arguments> faults() {
+    static Stream<Arguments> invalidSettings() {
         return Stream.of(
-                fault(
-                        "the members do not name this pooler, c",
+                invalid(
+                        "members do not include this pooler, c",
                         draft -> draft.members(Map.of("a", ADDRESS_A, "b", ADDRESS_B))
                                 .self("c")),
-                fault("b has another member's address", draft -> draft.members(Map.of("a", ADDRESS_A, "b", ADDRESS_A))),
-                fault("bind to one address, not to all", draft -> draft.bind(WILDCARD)),
-                fault("a has no address of its own", draft -> draft.members(Map.of("a", WILDCARD))),
-                fault(
-                        "unknown address",
+                invalid(
+                        "address of b is already used by another member",
+                        draft -> draft.members(Map.of("a", ADDRESS_A, "b", ADDRESS_A))),
+                invalid("the bind address must not be a wildcard", draft -> draft.bind(WILDCARD)),
+                invalid("address of a must not be a wildcard", draft -> draft.members(Map.of("a", WILDCARD))),
+                invalid(
+                        "address of a is unresolved or has no port",
                         draft -> draft.members(Map.of("a", InetSocketAddress.createUnresolved("x", 1)))),
-                fault("unknown address", draft -> draft.members(Map.of("a", new InetSocketAddress("127.0.0.1", 0)))),
-                fault("the group has no name", draft -> draft.group(" ")),
-                fault("silentAfterMs is 499", draft -> draft.silentMs(499)),
-                fault("silentAfterMs is 60001", draft -> draft.silentMs(60_001)));
+                invalid(
+                        "address of a is unresolved or has no port",
+                        draft -> draft.members(Map.of("a", new InetSocketAddress("127.0.0.1", 0)))),
+                invalid("the cluster name is blank", draft -> draft.clusterName(" ")),
+                invalid("silentAfterMs is 499, must be 500 to 60000", draft -> draft.silentMs(499)),
+                invalid("silentAfterMs is 60001, must be 500 to 60000", draft -> draft.silentMs(60_001)));
     }
 
-    private static Arguments fault(String reason, UnaryOperator<Draft> change) {
+    private static Arguments invalid(String reason, UnaryOperator<Draft> change) {
         return Arguments.of(reason, change);
     }
 
     @ParameterizedTest
-    @MethodSource("faults")
-    void rejectsFaultySettingsWithTheReason(String reason, UnaryOperator<Draft> change) {
-        Draft faulty = change.apply(Draft.GOOD);
+    @MethodSource("invalidSettings")
+    void rejectsInvalidSettingsWithTheReason(String reason, UnaryOperator<Draft> change) {
+        Draft invalidDraft = change.apply(Draft.VALID);
 
-        assertThatThrownBy(faulty::settings)
+        assertThatThrownBy(invalidDraft::settings)
                 .isInstanceOf(IllegalArgumentException.class)
                 .hasMessageContaining(reason);
     }
--- a/decisions/src/test/java/frostreel/operation/ServingLifecycleTest.java
+++ b/decisions/src/test/java/frostreel/operation/ServingLifecycleTest.java
@@ -5,8 +5,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Checks all sequences of events up to a length, half a second apart, with a successor and without, against what
- * follows from a plain reading of the events; and a few sequences by name.
+ * Checks every sequence of events up to a maximum length, half a second apart, with and without a successor, against
+ * a reference model that derives the expected rules from the events. Also checks some sequences individually.
  */
 class ServingLifecycleTest {
     private enum Event {
@@ -23,14 +23,14 @@
     private static final long KILL_DELAY_US = 3_700_000;
     private static final long NEVER_HAPPENED = -1;
 
-    /** What has happened, by plain reading of the events. */
-    private record History(boolean ready, long pausedAtUs, long terminatedAtUs) {
+    /** The reference model: what has happened, derived directly from the events. */
+    private record History(boolean ready, long pausedAtUs, long sigtermAtUs) {
         History then(Event event, long nowUs) {
             return switch (event) {
-                case READY -> new History(true, pausedAtUs, terminatedAtUs);
-                case PAUSE -> new History(ready, isPaused() ? pausedAtUs : nowUs, terminatedAtUs);
-                case RESUME -> new History(ready, NEVER_HAPPENED, terminatedAtUs);
-                case TERMINATE -> new History(ready, pausedAtUs, isTerminated() ? terminatedAtUs : nowUs);
+                case READY -> new History(true, pausedAtUs, sigtermAtUs);
+                case PAUSE -> new History(ready, isPaused() ? pausedAtUs : nowUs, sigtermAtUs);
+                case RESUME -> new History(ready, NEVER_HAPPENED, sigtermAtUs);
+                case TERMINATE -> new History(ready, pausedAtUs, isTerminating() ? sigtermAtUs : nowUs);
                 case NOTHING -> this;
             };
         }
@@ -39,8 +39,8 @@
             return pausedAtUs != NEVER_HAPPENED;
         }
 
-        boolean isTerminated() {
-            return terminatedAtUs != NEVER_HAPPENED;
+        boolean isTerminating() {
+            return sigtermAtUs != NEVER_HAPPENED;
         }
     }
 
@@ -76,33 +76,33 @@
     }
 
     private static void check(ServingLifecycle lifecycle, History history, long nowUs, boolean hasSuccessor) {
-        boolean terminated = history.isTerminated();
+        boolean terminating = history.isTerminating();
         boolean paused = history.isPaused();
-        boolean handingOver = hasSuccessor && terminated;
+        boolean handingOver = hasSuccessor && terminating;
         assertThat(lifecycle.state()).isEqualTo(expectedState(history, hasSuccessor));
         assertThat(lifecycle.status()).isEqualTo(expectedStatus(history, hasSuccessor));
         assertThat(lifecycle.status() == ReadinessStatus.READY).isEqualTo(history.ready() && !paused && !handingOver);
-        if (!paused && !terminated) {
+        if (!paused && !terminating) {
             checkServing(lifecycle, nowUs);
             assertThat(lifecycle.accepts(nowUs)).isEqualTo(!hasSuccessor || history.ready());
         }
         if (paused) {
             checkPaused(lifecycle, history, hasSuccessor);
         }
-        if (terminated) {
-            checkTerminated(lifecycle, history.terminatedAtUs());
+        if (terminating) {
+            checkTerminated(lifecycle, history.sigtermAtUs());
             assertThat(lifecycle.accepts(nowUs)).isEqualTo(!hasSuccessor && nowUs < lifecycle.lastResponseUs());
         }
         long afterKillUs = nowUs + KILL_DELAY_US;
         assertThat(lifecycle.mayExit(afterKillUs, 1, 0)).isFalse();
         assertThat(lifecycle.mayExit(afterKillUs, 0, 1)).isFalse();
-        assertThat(lifecycle.mayExit(afterKillUs, 0, 0)).isEqualTo(terminated);
-        assertThat(lifecycle.closesUnused(nowUs)).isEqualTo(terminated && nowUs >= lifecycle.lastResponseUs());
+        assertThat(lifecycle.mayExit(afterKillUs, 0, 0)).isEqualTo(terminating);
+        assertThat(lifecycle.closesUnused(nowUs)).isEqualTo(terminating && nowUs >= lifecycle.lastResponseUs());
     }
 
     private static LifecycleState expectedState(History history, boolean hasSuccessor) {
         boolean paused = history.isPaused();
-        if (!history.isTerminated()) {
+        if (!history.isTerminating()) {
             LifecycleState running = paused ? LifecycleState.DRAINING : LifecycleState.SERVING;
             LifecycleState starting = paused ? LifecycleState.STARTING_PAUSED : LifecycleState.STARTING;
             return history.ready() ? running : starting;
@@ -117,7 +117,7 @@
     }
 
     private static ReadinessStatus expectedStatus(History history, boolean hasSuccessor) {
-        if (hasSuccessor && history.isTerminated()) {
+        if (hasSuccessor && history.isTerminating()) {
             return ReadinessStatus.STOPPING;
         }
         if (!history.ready()) {
@@ -128,34 +128,34 @@
 
     private static void checkServing(ServingLifecycle lifecycle, long nowUs) {
         assertThat(lifecycle.closesAfterResponse(nowUs + STEP_US))
-                .as("nobody is closed in service")
+                .as("no connection is closed in normal service")
                 .isFalse();
         assertThat(lifecycle.closeIdleAtUs()).isEqualTo(ServingLifecycle.NEVER_US);
     }
 
     private static void checkPaused(ServingLifecycle lifecycle, History history, boolean hasSuccessor) {
-        long earlyUs = history.pausedAtUs() + 300_000;
-        boolean terminated = history.isTerminated();
-        assertThat(lifecycle.closesAfterResponse(earlyUs))
-                .as("the load balancer still assigns clients")
-                .isEqualTo(terminated && (hasSuccessor || earlyUs >= lifecycle.lastResponseUs()));
+        long beforeLoadBalancerDelayUs = history.pausedAtUs() + 300_000;
+        boolean terminating = history.isTerminating();
+        assertThat(lifecycle.closesAfterResponse(beforeLoadBalancerDelayUs))
+                .as("the load balancer still assigns new connections")
+                .isEqualTo(terminating && (hasSuccessor || beforeLoadBalancerDelayUs >= lifecycle.lastResponseUs()));
         assertThat(lifecycle.closesAfterResponse(history.pausedAtUs() + 2_000_000))
                 .isTrue();
         assertThat(lifecycle.closeIdleAtUs())
-                .as("no client has a request of the last 2 s after 4 s")
+                .as("4 s after PAUSE, no client has sent a request for 2 s")
                 .isLessThan(history.pausedAtUs() + 2_000_000);
     }
 
-    private static void checkTerminated(ServingLifecycle lifecycle, long terminatedAtUs) {
-        assertThat(lifecycle.lastResponseUs()).isLessThan(terminatedAtUs + KILL_DELAY_US);
+    private static void checkTerminated(ServingLifecycle lifecycle, long sigtermAtUs) {
+        assertThat(lifecycle.lastResponseUs()).isLessThan(sigtermAtUs + KILL_DELAY_US);
         assertThat(lifecycle.closeIdleAtUs()).isLessThanOrEqualTo(lifecycle.lastResponseUs());
-        assertThat(lifecycle.responseDueUs(terminatedAtUs + 700_000)).isEqualTo(lifecycle.lastResponseUs());
-        assertThat(lifecycle.responseDueUs(terminatedAtUs + 600_000)).isEqualTo(ServingLifecycle.NEVER_US);
+        assertThat(lifecycle.responseDueUs(sigtermAtUs + 700_000)).isEqualTo(lifecycle.lastResponseUs());
+        assertThat(lifecycle.responseDueUs(sigtermAtUs + 600_000)).isEqualTo(ServingLifecycle.NEVER_US);
         assertThat(lifecycle.mayExit(lifecycle.lastResponseUs(), 0, 0)).isTrue();
     }
 
     @Test
-    void matchesThePlainReadingOfEverySequenceOfEvents() {
+    void matchesTheReferenceModelForEverySequenceOfEvents() {
         checkAllFrom(false, 0, new Event[MAX_LENGTH]);
         checkAllFrom(true, 0, new Event[MAX_LENGTH]);
 
@@ -173,7 +173,7 @@
         assertThat(lifecycle.closesUnused(3_300_000)).isTrue();
     }
 
-    /** The process once exited at the very moment at which the last response was due. */
+    /** Guards against a process that exits at the moment at which the last response is due. */
     @Test
     void shutdownTimeoutLastsUntilRequestsOfTheGracePeriodAreAnswered() {
         ServingLifecycle lifecycle = new ServingLifecycle(false, LONGEST_DEADLINE_US);
--- a/decisions/src/test/java/frostreel/simulator/WireAdapterTest.java
+++ b/decisions/src/test/java/frostreel/simulator/WireAdapterTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The simulator's messages, from the input to the output. */
+/** Tests the simulator's protocol from input to output. */
 class WireAdapterTest {
     private static final String CREATE = """
             {"t":"Create","i":"proxy/1","initSeed":5,"options":{"zone":0,"roundS":0.005,"novelty":[{}],
@@ -31,14 +31,14 @@
             """;
     private static final String START = batch(100, CREATE + LIST);
 
-    /** What the adapter did with an input: its exit status, and what it wrote. */
+    /** Exit status and output of the adapter. */
     private record Result(int exit, String out, String err) {}
 
     private static String batch(double timeS, String events) {
         return "{\"t\":\"Clock\",\"timeS\":" + timeS + "}\n" + events + "{\"t\":\"EofBatch\"}\n";
     }
 
-    private static Result play(String input) throws IOException {
+    private static Result run(String input) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         ByteArrayOutputStream err = new ByteArrayOutputStream();
         int exit = WireAdapter.run(
@@ -50,13 +50,13 @@
 
     @Test
     void emptyBatchIsAcknowledgedAndEmptyInputEndsNormally() throws IOException {
-        assertEquals(new Result(0, "{\"t\":\"Ack\"}\n", ""), play(batch(8.41225, "")));
-        assertEquals(new Result(0, "", ""), play(""));
+        assertEquals(new Result(0, "{\"t\":\"Ack\"}\n", ""), run(batch(8.41225, "")));
+        assertEquals(new Result(0, "", ""), run(""));
     }
 
     @Test
     void writeIsForwardedToTheListedPrimary() throws IOException {
-        Result result = play(START
+        Result result = run(START
                 + batch(
                         100.1,
                         "{\"t\":\"Ingress\",\"i\":\"proxy/1\",\"xid\":\"r-a\",\"category\":1,\"sess\":9,"
@@ -76,7 +76,7 @@
                 + "\"member\":\"m:1\",\"outcome\":5,\"healthInfo\":{\"x0\":10.01,\"x1\":0}}\n";
         String connectionReset = "{\"t\":\"Answer\",\"i\":\"proxy/1\",\"xid\":\"r-a\",\"leg\":1,\"member\":\"m:2\","
                 + "\"outcome\":10}\n";
-        Result result = play(START + batch(100.1, request) + batch(100.2, rejection) + batch(100.3, connectionReset));
+        Result result = run(START + batch(100.1, request) + batch(100.2, rejection) + batch(100.3, connectionReset));
         assertEquals(0, result.exit, result.err);
         assertTrue(result.out.contains("\"xid\":\"r-a\",\"member\":\"m:2\""), result.out);
         assertTrue(result.out.contains("{\"t\":\"Surrender\",\"i\":\"proxy/1\",\"xid\":\"r-a\"}\n"), result.out);
@@ -84,7 +84,7 @@
 
     @Test
     void requestThatNoMemberCanServeIsRejectedInTimeWithRetryAfter() throws IOException {
-        Result result = play(START
+        Result result = run(START
                 + batch(
                         100.1,
                         "{\"t\":\"Ingress\",\"i\":\"proxy/1\",\"xid\":\"r-a\",\"category\":1,"
@@ -96,8 +96,8 @@
     }
 
     @Test
-    void instanceThatIsDownTakesNoActions() throws IOException {
-        Result result = play(START
+    void instanceThatIsDownWritesNoActions() throws IOException {
+        Result result = run(START
                 + batch(101, "{\"t\":\"Down\",\"i\":\"proxy/1\"}\n")
                 + batch(102, CREATE + LIST)
                 + batch(103, ""));
@@ -105,19 +105,19 @@
     }
 
     @Test
-    void exceptionInTheRouterIsReportedAsAFaultWithItsLocation() throws IOException {
+    void exceptionInTheRouterIsReportedWithItsLocation() throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         int exit = WireAdapter.run(
                 new ByteArrayInputStream(START.getBytes(StandardCharsets.UTF_8)),
                 new PrintStream(out, true, StandardCharsets.UTF_8),
                 System.err,
                 (settings, actions) -> {
-                    throw new IllegalStateException("no router today");
+                    throw new IllegalStateException("router creation failed");
                 });
         String text = out.toString(StandardCharsets.UTF_8);
         assertEquals(1, exit);
         assertTrue(text.startsWith("{\"t\":\"Fault\",\"i\":\"proxy/1\",\"bodyText\":\"Create: "), text);
-        assertTrue(text.contains("no router today at frostreel.simulator.WireAdapterTest"), text);
+        assertTrue(text.contains("router creation failed at frostreel.simulator.WireAdapterTest"), text);
         assertTrue(text.endsWith("{\"t\":\"Ack\"}\n"));
     }
 
@@ -137,9 +137,10 @@
                 "{\"t\":\"Answer\",\"i\":\"proxy/1\",\"xid\":\"r\",\"member\":\"m:1\",\"outcome\":77} | 'outcome'",
                 "{\"t\":\"Clock\",\"timeS\":101} | 't'"
             })
-    void badInputIsReportedByLineAndFieldAndNoPartialBatchIsWritten(String line, String expected) throws IOException {
-        Result valid = play(START);
-        Result result = play(START + "{\"t\":\"Clock\",\"timeS\":100.1}\n" + line + "\n{\"t\":\"EofBatch\"}\n");
+    void malformedInputIsReportedByLineAndFieldAndNoPartialBatchIsWritten(String line, String expected)
+            throws IOException {
+        Result valid = run(START);
+        Result result = run(START + "{\"t\":\"Clock\",\"timeS\":100.1}\n" + line + "\n{\"t\":\"EofBatch\"}\n");
         assertEquals(1, result.exit);
         assertEquals(valid.out, result.out);
         assertTrue(result.err.contains("line 7") && result.err.contains(expected), result.err);
@@ -148,7 +149,7 @@
 
     @Test
     void inputThatEndsInsideABatchIsAnError() throws IOException {
-        Result result = play("{\"t\":\"Clock\",\"timeS\":1}\n");
+        Result result = run("{\"t\":\"Clock\",\"timeS\":1}\n");
         assertEquals(1, result.exit);
         assertTrue(result.err.contains("line 2"), result.err);
         assertEquals("", result.out);
