--- a/decisions/src/main/java/frostreel/routing/AttemptRecorder.java
+++ b/decisions/src/main/java/frostreel/routing/AttemptRecorder.java
@@ -54,7 +54,7 @@
 
     /** Charges an attempt to what its member may be sent in slow start. */
     void chargeSlowStart(PendingRequest request) {
-        SlowStart.Member slowStartState = request.currentMember.slowStart;
+        SlowStart.MemberBudget slowStartState = request.currentMember.slowStart;
         slowStart.recordSend(slowStartState, request.classIndex());
         request.memberStartedUs = slowStartState.startedUs();
     }
--- a/decisions/src/main/java/frostreel/routing/MemberDirectory.java
+++ b/decisions/src/main/java/frostreel/routing/MemberDirectory.java
@@ -90,7 +90,7 @@
 
     private MemberState add(long nowUs, Member entry, boolean initial) {
         GroupState group = group(entry.group());
-        SlowStart.Member slowStartState = slowStart.register(nowUs);
+        SlowStart.MemberBudget slowStartState = slowStart.register(nowUs);
         int localityHandle = localityPolicy.onMemberAdded(entry.group(), entry.zone());
         MemberState member = new MemberState(entry.id(), group.number, slowStartState, localityHandle, nowUs);
         member.verified = initial;
--- a/decisions/src/main/java/frostreel/routing/MemberState.java
+++ b/decisions/src/main/java/frostreel/routing/MemberState.java
@@ -17,7 +17,7 @@
 
     final String id;
     final int groupNumber;
-    final SlowStart.Member slowStart;
+    final SlowStart.MemberBudget slowStart;
     final ConcurrencyWindow window = new ConcurrencyWindow();
     final OutlierDetector outliers;
     /** Its handle at the locality policy. */
@@ -58,7 +58,7 @@
 
     private long lastUsedAtUs;
 
-    MemberState(String id, int groupNumber, SlowStart.Member slowStart, int localityHandle, long nowUs) {
+    MemberState(String id, int groupNumber, SlowStart.MemberBudget slowStart, int localityHandle, long nowUs) {
         this.id = id;
         this.groupNumber = groupNumber;
         this.slowStart = slowStart;
--- a/decisions/src/main/java/frostreel/routing/SlowStart.java
+++ b/decisions/src/main/java/frostreel/routing/SlowStart.java
@@ -31,7 +31,7 @@
     private static final long NOTHING_LISTED = Long.MIN_VALUE;
 
     /** State of one member, from the endpoint list and from responses; created by {@link #register}. */
-    static final class Member {
+    static final class MemberBudget {
         /** Work that the member served for this router. */
         private final DecayingRate servedWork;
 
@@ -49,7 +49,7 @@
         /** Used share of the member's present capacity by its last report, or {@link #NO_REPORT}. */
         private double utilization = NO_REPORT;
 
-        private Member(DecayingRate servedWork) {
+        private MemberBudget(DecayingRate servedWork) {
             this.servedWork = servedWork;
         }
 
@@ -65,7 +65,7 @@
 
     private final SplittableRandom random;
     private final ServiceTimes serviceTimes;
-    private final List<Member> members = new ArrayList<>();
+    private final List<MemberBudget> members = new ArrayList<>();
     private Router.Settings settings;
     /** Time when the first member was listed; work that was served earlier is not known to this router. */
     private long firstListedAtUs = NOTHING_LISTED;
@@ -83,18 +83,18 @@
     }
 
     /** Starts tracking a newly listed member. */
-    Member register(long nowUs) {
+    MemberBudget register(long nowUs) {
         if (firstListedAtUs == NOTHING_LISTED) {
             firstListedAtUs = nowUs;
         }
-        Member member = new Member(new DecayingRate(this::timeConstantUs));
+        MemberBudget member = new MemberBudget(new DecayingRate(this::timeConstantUs));
         member.budgetUpdatedUs = nowUs;
         members.add(member);
         return member;
     }
 
     /** Stops tracking a member. */
-    void forget(Member member) {
+    void forget(MemberBudget member) {
         members.remove(member);
     }
 
@@ -103,7 +103,7 @@
      *
      * @return whether the member has restarted since the last entry
      */
-    boolean recordListEntry(long nowUs, Member member, Router.Member entry) {
+    boolean recordListEntry(long nowUs, MemberBudget member, Router.Member entry) {
         member.machineKind = entry.kind();
         member.weight = entry.weight();
         if (member.startedUs == entry.startedUs()) {
@@ -114,7 +114,7 @@
         return true;
     }
 
-    private void recordRestart(long nowUs, Member member) {
+    private void recordRestart(long nowUs, MemberBudget member) {
         member.utilization = NO_REPORT;
         member.servedWork.scale(warmth(nowUs, member)); // Right after a restart it can do only this share.
         member.budgetUs = 0;
@@ -123,30 +123,30 @@
     }
 
     /** Sets whether requests may be sent to a member at all. */
-    void setUsable(Member member, boolean isUsable) {
+    void setUsable(MemberBudget member, boolean isUsable) {
         member.usable = isUsable;
     }
 
     /** Records the used share of a member's present capacity from a report; NaN if the report does not contain it. */
-    void recordUtilization(Member member, double utilization) {
+    void recordUtilization(MemberBudget member, double utilization) {
         if (utilization >= 0) {
             member.utilization = Math.max(utilization, MIN_UTILIZATION);
         }
     }
 
     /** Returns the used share of a member's capacity by its last report since it started, or {@link #NO_REPORT}. */
-    double utilization(Member member) {
+    double utilization(MemberBudget member) {
         return member.utilization;
     }
 
     /** Records a response to a request of this class that the member served in {@code tookUs}. */
-    void recordResponse(long nowUs, Member member, int classIndex, long tookUs) {
+    void recordResponse(long nowUs, MemberBudget member, int classIndex, long tookUs) {
         serviceTimes.recordResponse(classIndex, tookUs);
         member.servedWork.add(nowUs, serviceTimes.serviceTimeUs(classIndex));
     }
 
     /** Deducts a request of this class, which is sent to the member, from the member's budget. */
-    void recordSend(Member member, int classIndex) {
+    void recordSend(MemberBudget member, int classIndex) {
         member.budgetUs -= serviceTimes.serviceTimeUs(classIndex);
     }
 
@@ -155,7 +155,7 @@
      * budget permits. Each of hundreds of routers may have a budget below one request, so each draws at random the
      * share of a request that its budget must hold before its first one.
      */
-    boolean admits(long nowUs, Member member, int classIndex) {
+    boolean admits(long nowUs, MemberBudget member, int classIndex) {
         double warmth = warmth(nowUs, member);
         if (warmth >= 1) {
             return true;
@@ -169,7 +169,7 @@
      * Adds to the budget what it has gained since the last update. A full budget and what is added while it is spent
      * stay below the work that overloads the member.
      */
-    private void refillBudget(long nowUs, Member member, double workPerUs, double requestUs) {
+    private void refillBudget(long nowUs, MemberBudget member, double workPerUs, double requestUs) {
         double capacityUs = Math.max(workPerUs * settings.rules().fallUs() * BUDGET_SPAN_SHARE, requestUs);
         member.budgetUs = Math.min(capacityUs, member.budgetUs + workPerUs * (nowUs - member.budgetUpdatedUs));
         member.budgetUpdatedUs = nowUs;
@@ -179,7 +179,7 @@
      * Returns this router's share of what a member can do now, in cores: at least an equal share of one core, reduced
      * by the warmth of the member.
      */
-    private double workPerUs(long nowUs, Member member, double warmth) {
+    private double workPerUs(long nowUs, MemberBudget member, double warmth) {
         double shareOfOneCore = settings.instances() > 0 ? warmth / settings.instances() : 0;
         double shareOfCapacity =
                 warmShare(nowUs, member.machineKind) * warmth * member.weight * spareCapacityFactor(member);
@@ -191,7 +191,7 @@
      * 1 if the member reports free capacity, or if it has not reported: what the others served is then the minimum that
      * they can do.
      */
-    private double spareCapacityFactor(Member member) {
+    private double spareCapacityFactor(MemberBudget member) {
         double maxFactor = Math.max(1, MAX_OVERLOAD_SHARE * settings.rules().fallMultiple());
         if (!member.hasReported()) {
             return maxFactor;
@@ -211,7 +211,7 @@
         double usedCapacity = 0;
         double reportedCapacity = 0;
         double allCapacity = 0;
-        for (Member member : members) {
+        for (MemberBudget member : members) {
             if (member.machineKind != machineKind || !member.usable) {
                 continue;
             }
@@ -232,7 +232,7 @@
         return -Math.expm1((firstListedAtUs - nowUs - 1) / (double) timeConstantUs());
     }
 
-    private double warmth(long nowUs, Member member) {
+    private double warmth(long nowUs, MemberBudget member) {
         return settings.rules().warmth(nowUs, member.startedUs);
     }
 
--- a/decisions/src/test/java/frostreel/routing/SlowStartTest.java
+++ b/decisions/src/test/java/frostreel/routing/SlowStartTest.java
@@ -18,13 +18,13 @@
     }
 
     /** Registers a member that started at this time according to the endpoint list. */
-    private static SlowStart.Member register(SlowStart slowStart, String id, long nowUs, long startedUs) {
-        SlowStart.Member member = slowStart.register(nowUs);
+    private static SlowStart.MemberBudget register(SlowStart slowStart, String id, long nowUs, long startedUs) {
+        SlowStart.MemberBudget member = slowStart.register(nowUs);
         slowStart.recordListEntry(nowUs, member, entry(id, startedUs));
         return member;
     }
 
-    private static SlowStart.Member registerWarm(SlowStart slowStart) {
+    private static SlowStart.MemberBudget registerWarm(SlowStart slowStart) {
         return register(slowStart, "warm", START_US, Member.LONG_AGO);
     }
 
@@ -34,7 +34,8 @@
     }
 
     /** Returns the number of requests of a class that one router sends in 2 s to a member that has just started. */
-    private static int sent(SlowStart slowStart, SlowStart.Member cold, long fromUs, int classIndex, long stepUs) {
+    private static int sent(
+            SlowStart slowStart, SlowStart.MemberBudget cold, long fromUs, int classIndex, long stepUs) {
         int sent = 0;
         for (long nowUs = fromUs; nowUs < fromUs + 2 * SECOND_US; nowUs += stepUs) {
             if (slowStart.admits(nowUs, cold, classIndex)) {
@@ -46,7 +47,8 @@
     }
 
     /** Lets a warm member serve requests of a class for 20 s at a steady rate, and returns the time at the end. */
-    private static long serve(SlowStart slowStart, SlowStart.Member warm, int classIndex, int perSecond, long tookUs) {
+    private static long serve(
+            SlowStart slowStart, SlowStart.MemberBudget warm, int classIndex, int perSecond, long tookUs) {
         long nowUs = START_US;
         for (; nowUs < START_US + 20 * SECOND_US; nowUs += SECOND_US / perSecond) {
             slowStart.recordResponse(nowUs, warm, classIndex, tookUs);
@@ -63,7 +65,7 @@
         int all = 0;
         for (int seed = 0; seed < 60; seed++) {
             SlowStart slowStart = slowStart(60, seed);
-            SlowStart.Member cold = register(slowStart, "cold", START_US, START_US);
+            SlowStart.MemberBudget cold = register(slowStart, "cold", START_US, START_US);
             all += sent(slowStart, cold, START_US, LONG, 1_000);
         }
         // A quarter of a core serves four requests of a fifth of their objective in 2 s; three times that overloads it.
@@ -77,11 +79,11 @@
     @Test
     void queueingTimeIsNotCountedAsWork() {
         SlowStart slowStart = slowStart(1, 7);
-        SlowStart.Member warm = registerWarm(slowStart);
+        SlowStart.MemberBudget warm = registerWarm(slowStart);
         slowStart.recordResponse(START_US, warm, SHORT, WORK_US);
         slowStart.recordResponse(START_US, warm, LONG, 20 * WORK_US);
         long nowUs = serve(slowStart, warm, SHORT, 10, 20 * WORK_US); // Ten requests of 50 ms a second, queued.
-        SlowStart.Member cold = register(slowStart, "cold", nowUs, nowUs);
+        SlowStart.MemberBudget cold = register(slowStart, "cold", nowUs, nowUs);
         assertThat(sent(slowStart, cold, nowUs, LONG, 5_000)).isLessThanOrEqualTo(2);
     }
 
@@ -89,9 +91,9 @@
     @Test
     void withoutReportsAStartingMemberReceivesMoreThanOthersServeButLessThanOverloadsIt() {
         SlowStart slowStart = slowStart(1, 7);
-        SlowStart.Member warm = registerWarm(slowStart);
+        SlowStart.MemberBudget warm = registerWarm(slowStart);
         long startedUs = serve(slowStart, warm, SHORT, 40, WORK_US);
-        SlowStart.Member cold = register(slowStart, "cold", startedUs, startedUs);
+        SlowStart.MemberBudget cold = register(slowStart, "cold", startedUs, startedUs);
         int sent = 0;
         for (long nowUs = startedUs; nowUs < startedUs + 2 * SECOND_US; nowUs += SECOND_US / 40) {
             slowStart.recordResponse(nowUs, warm, SHORT, WORK_US);
@@ -111,7 +113,7 @@
     @Test
     void workOfAClassWithoutResponsesIsEstimatedFromTheOtherClasses() {
         SlowStart slowStart = slowStart(0, 7);
-        SlowStart.Member only = registerWarm(slowStart);
+        SlowStart.MemberBudget only = registerWarm(slowStart);
         for (int i = 0; i < 20; i++) {
             slowStart.recordResponse(START_US, only, SHORT, WORK_US / 1000);
         }
@@ -122,7 +124,7 @@
     @Test
     void warmMemberIsNotLimited() {
         SlowStart slowStart = slowStart(100, 7);
-        SlowStart.Member member = register(slowStart, "warm", START_US, START_US - 18 * SECOND_US);
+        SlowStart.MemberBudget member = register(slowStart, "warm", START_US, START_US - 18 * SECOND_US);
         assertThat(sent(slowStart, member, START_US, SHORT, 10_000)).isEqualTo(200);
     }
 }
