--- a/decisions/src/main/java/frostreel/routing/SlowStart.java
+++ b/decisions/src/main/java/frostreel/routing/SlowStart.java
@@ -116,7 +116,7 @@
 
     private void recordRestart(long nowUs, MemberBudget member) {
         member.utilization = NO_REPORT;
-        member.servedWork.scale(warmth(nowUs, member)); // Right after a restart it can do only this share.
+        member.servedWork.scale(capacityShare(nowUs, member)); // Right after a restart it can do only this share.
         member.budgetUs = 0;
         member.budgetUpdatedUs = nowUs;
         member.sendThreshold = random.nextDouble();
@@ -156,12 +156,12 @@
      * share of a request that its budget must hold before its first one.
      */
     boolean admits(long nowUs, MemberBudget member, int classIndex) {
-        double warmth = warmth(nowUs, member);
-        if (warmth >= 1) {
+        double capacityShare = capacityShare(nowUs, member);
+        if (capacityShare >= 1) {
             return true;
         }
         double requestUs = serviceTimes.serviceTimeUs(classIndex);
-        refillBudget(nowUs, member, workPerUs(nowUs, member, warmth), requestUs);
+        refillBudget(nowUs, member, workPerUs(nowUs, member, capacityShare), requestUs);
         return member.budgetUs > member.sendThreshold * requestUs;
     }
 
@@ -179,10 +179,10 @@
      * Returns this router's share of what a member can do now, in cores: at least an equal share of one core, reduced
      * by the warmth of the member.
      */
-    private double workPerUs(long nowUs, MemberBudget member, double warmth) {
-        double shareOfOneCore = settings.instances() > 0 ? warmth / settings.instances() : 0;
+    private double workPerUs(long nowUs, MemberBudget member, double capacityShare) {
+        double shareOfOneCore = settings.instances() > 0 ? capacityShare / settings.instances() : 0;
         double shareOfCapacity =
-                warmShare(nowUs, member.machineKind) * warmth * member.weight * spareCapacityFactor(member);
+                warmShare(nowUs, member.machineKind) * capacityShare * member.weight * spareCapacityFactor(member);
         return Math.max(shareOfCapacity, shareOfOneCore);
     }
 
@@ -215,7 +215,7 @@
             if (member.machineKind != machineKind || !member.usable) {
                 continue;
             }
-            double capacity = warmth(nowUs, member) * member.weight;
+            double capacity = capacityShare(nowUs, member) * member.weight;
             servedWork += member.servedWork.at(nowUs);
             allCapacity += capacity;
             if (member.hasReported()) {
@@ -232,7 +232,7 @@
         return -Math.expm1((firstListedAtUs - nowUs - 1) / (double) timeConstantUs());
     }
 
-    private double warmth(long nowUs, MemberBudget member) {
+    private double capacityShare(long nowUs, MemberBudget member) {
         return settings.rules().warmth(nowUs, member.startedUs);
     }
 
