--- a/decisions/src/main/java/frostreel/routing/Freshness.java
+++ b/decisions/src/main/java/frostreel/routing/Freshness.java
@@ -12,7 +12,10 @@
  * microseconds up to which all commits are applied.
  */
 final class Freshness {
-    /** Added to required positions, in microseconds, since positions and ages are reported in milliseconds. */
+    /**
+     * Added to required positions, in microseconds: positions and the ages of writes are both reported in milliseconds,
+     * which can add up to an error of 2 ms.
+     */
     private static final long ROUNDING_US = 2000;
     /** Position required by a read that must see the latest commit; no replica reaches it. */
     private static final long LATEST_POSITION_US = Long.MAX_VALUE;
--- a/decisions/src/main/java/frostreel/routing/SessionCommits.java
+++ b/decisions/src/main/java/frostreel/routing/SessionCommits.java
@@ -14,7 +14,7 @@
  * up to that long ago.
  */
 final class SessionCommits {
-    /** Added to commit times, in microseconds, since they are reported in milliseconds. */
+    /** Added to commits, in microseconds: they are reported in milliseconds, an error of up to 1 ms. */
     private static final long ROUNDING_US = 1_000;
     /**
      * Maximum number of sessions. Beyond it the sessions whose last write was sent earliest are dropped, and reads of
--- a/decisions/src/main/java/frostreel/routing/SlowStart.java
+++ b/decisions/src/main/java/frostreel/routing/SlowStart.java
@@ -30,7 +30,7 @@
     /** No member has been listed yet. */
     private static final long NOTHING_LISTED = Long.MIN_VALUE;
 
-    /** State of one member, from the endpoint list and from responses; created by {@link #register}. */
+    /** Slow start state of one member, from the endpoint list and from responses; created by {@link #register}. */
     static final class MemberBudget {
         /** Work that the member served for this router. */
         private final DecayingRate servedWork;
@@ -176,8 +176,8 @@
     }
 
     /**
-     * Returns this router's share of what a member can do now, in cores: at least an equal share of one core, reduced
-     * by the warmth of the member.
+     * Returns this router's share of what a member can do now, in microseconds of work per microsecond, that is, in
+     * cores: at least an equal share of one core, reduced to the member's capacity share.
      */
     private double workPerUs(long nowUs, MemberBudget member, double capacityShare) {
         double shareOfOneCore = settings.instances() > 0 ? capacityShare / settings.instances() : 0;
@@ -200,11 +200,11 @@
     }
 
     /**
-     * Returns this router's share of what a warm member of that machine kind can do, in cores: the work that such
-     * members served for this router, divided by the used part of their capacity according to their reports. Unlike the
-     * share of the served load, this is also correct if no member is warm or if this router has just started. Without
-     * any reports it is the share of the served load; a member without a report counts with the mean utilization of the
-     * others.
+     * Returns this router's share of what a warm member of that machine kind can do, in microseconds of work per
+     * microsecond: the work that such members served for this router, divided by the used part of their capacity
+     * according to their reports. Unlike the share of the served load, this is also correct if no member is warm or if
+     * this router has just started. Without any reports it is the share of the served load; a member without a report
+     * counts with the mean utilization of the others.
      */
     private double warmShare(long nowUs, int machineKind) {
         double servedWork = 0;
--- a/decisions/src/test/java/frostreel/routing/ConcurrencyLimitTest.java
+++ b/decisions/src/test/java/frostreel/routing/ConcurrencyLimitTest.java
@@ -36,7 +36,8 @@
 
     /**
      * Service time alone may take a quarter of the latency objective on some machines; shrinking windows because of it
-     * would leave those machines idle.
+     * would leave those machines idle. The test uses a third, which is still below the half from which the expected
+     * latency counts as a sign of a queue.
      */
     @Test
     void memberWhoseServiceTimeIsAThirdOfTheObjectiveReceivesConcurrentRequests() {
--- a/decisions/src/test/java/frostreel/routing/LoadSheddingTest.java
+++ b/decisions/src/test/java/frostreel/routing/LoadSheddingTest.java
@@ -51,7 +51,7 @@
 
     /**
      * Overloaded replicas must not cause writes to be rejected on arrival while their primary has capacity: with many
-     * poolers, a sixth of the total value was lost that way.
+     * poolers, a sixth of the value of all requests (see {@link Router.RequestClass}) was lost that way.
      */
     @Test
     void overloadedReplicaCausesNoWriteToBeRejected() {
