--- a/decisions/src/main/java/frostreel/routing/MemberState.java
+++ b/decisions/src/main/java/frostreel/routing/MemberState.java
@@ -13,6 +13,7 @@
     /** Evidence time of a role for which there is no evidence yet. */
     static final long NO_ROLE_EVIDENCE = -1;
 
+    /** Value of {@link #goneSinceUs} while the member is on the endpoint list. */
     private static final long LISTED = 0;
 
     final String id;
--- a/decisions/src/main/java/frostreel/routing/PendingRequest.java
+++ b/decisions/src/main/java/frostreel/routing/PendingRequest.java
@@ -37,7 +37,7 @@
 
     /** Whether an attempt that did not serve the request may have run. */
     boolean mayHaveRun;
-    /** Time at which the first such attempt was sent. */
+    /** Time at which the first attempt that may have run was sent. */
     long firstUncertainSendUs;
     /** The only zone whose members know its idempotency key and may run it, or {@link #ANY_ZONE}. */
     int deduplicationZone = ANY_ZONE;
--- a/decisions/src/main/java/frostreel/routing/RetryPolicy.java
+++ b/decisions/src/main/java/frostreel/routing/RetryPolicy.java
@@ -15,8 +15,8 @@
     /** Capacity of the token bucket. */
     private static final double MAX_TOKENS = 10;
     /**
-     * Backoff of a write, in microseconds, before it is doubled for each attempt; a primary that is merely full accepts
-     * a write within that time.
+     * Backoff of a write, in microseconds, before it is doubled once per attempt made so far. A primary that is merely
+     * full accepts a write within that time.
      */
     private static final long BACKOFF_BASE_US = 25_000;
     /** Maximum number of times that the backoff doubles. */
--- a/decisions/src/main/java/frostreel/routing/WaitingRequests.java
+++ b/decisions/src/main/java/frostreel/routing/WaitingRequests.java
@@ -18,10 +18,12 @@
     /** Name of the timer; event logs of the simulator contain it. */
     static final String RECHECK_TIMER = "sweep";
 
-    /** Queued requests of one group, in the order in which they were queued except for reads marked as retries. */
+    /** Queued requests of one group, oldest first, except that reads marked as retries come before all other reads. */
     static final class Queues {
         final GroupState group;
+        /** Writes, and reads that need the primary. */
         final List<PendingRequest> writes = new ArrayList<>();
+
         final List<PendingRequest> reads = new ArrayList<>();
 
         private Queues(GroupState group) {
--- a/decisions/src/main/java/frostreel/routing/WriteQueue.java
+++ b/decisions/src/main/java/frostreel/routing/WriteQueue.java
@@ -4,8 +4,9 @@
 import java.util.List;
 
 /**
- * Sends the queued writes of a group as the concurrency window of its primary allows, newest first. Oldest first, a
- * backlog would make every write late; newest first, only the oldest ones are late.
+ * Sends the queued writes of a group as the concurrency window of its primary allows, newest first. Fresh reads,
+ * which need the primary too, are queued like writes. Oldest first, a backlog would make every write late; newest
+ * first, only the oldest ones are late.
  */
 final class WriteQueue {
     /** Share of the primary's window that writes may use. */
