--- a/cluster/src/main/java/frostreel/cluster/Membership.java
+++ b/cluster/src/main/java/frostreel/cluster/Membership.java
@@ -36,7 +36,8 @@
      */
     static void checkSize(byte[] message) {
         if (message.length > MAX_MESSAGE_BYTES) {
-            throw new IllegalArgumentException("message of " + message.length + " bytes exceeds " + MAX_MESSAGE_BYTES);
+            throw new IllegalArgumentException(
+                    "message of " + message.length + " bytes; at most " + MAX_MESSAGE_BYTES + " are allowed");
         }
     }
 
--- a/cluster/src/main/java/frostreel/cluster/ReplicatedLog.java
+++ b/cluster/src/main/java/frostreel/cluster/ReplicatedLog.java
@@ -40,7 +40,8 @@
      */
     static void checkSize(byte[] entry) {
         if (entry.length > MAX_ENTRY_BYTES) {
-            throw new IllegalArgumentException("entry of " + entry.length + " bytes exceeds " + MAX_ENTRY_BYTES);
+            throw new IllegalArgumentException(
+                    "entry of " + entry.length + " bytes; at most " + MAX_ENTRY_BYTES + " are allowed");
         }
     }
 
--- a/cluster/src/main/java/frostreel/cluster/jgroups/GroupMembership.java
+++ b/cluster/src/main/java/frostreel/cluster/jgroups/GroupMembership.java
@@ -58,7 +58,8 @@
     private boolean leaveRequested;
 
     /**
-     * Joins the cluster, and retries while no member responds.
+     * Joins the cluster. If no member responds, JGroups forms a cluster of this member alone, and merges it with the
+     * others once they are found.
      *
      * @param incarnation incarnation of this process, higher at each start
      * @param ownerExecutor runs one task at a time, in order
