--- a/decisions/src/main/java/frostreel/routing/MemberDirectory.java
+++ b/decisions/src/main/java/frostreel/routing/MemberDirectory.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The members and groups that the endpoint list has named. */
+/** Members and replica groups that the endpoint list has named. */
 final class MemberDirectory {
     private final SlowStart slowStart;
     private final LocalityPolicy localityPolicy;
@@ -28,12 +28,12 @@
         freshness = components.freshness;
     }
 
-    /** The member of that id, null if there is none. */
+    /** The member with this id, or null. */
     MemberState member(String id) {
         return members.get(id);
     }
 
-    /** The group of that number, which may have no members yet. */
+    /** The group with this number, created without members if it is new. */
     GroupState group(int number) {
         GroupState group = groups.get(number);
         if (group == null) {
@@ -44,9 +44,9 @@
     }
 
     /**
-     * Takes in an endpoint list, or changes to it.
+     * Applies an endpoint list update.
      *
-     * @param initial whether it is the first: its members count as verified
+     * @param initial whether it is the first, whose members count as verified
      */
     void update(long nowUs, ListKind kind, List<Member> entries, boolean initial) {
         if (kind != ListKind.CHANGES) {
@@ -57,17 +57,17 @@
         }
         members.values().forEach(member -> slowStart.setUsable(member.slowStart, member.isUsable(settings.rules())));
         for (GroupState group : groups.values()) {
-            forgetGone(nowUs, group);
+            removeGoneMembers(nowUs, group);
             if (group.primary != null && !group.primary.isUsable(settings.rules())) {
                 primaryTracker.clearPrimary(group);
             }
         }
     }
 
-    private void forgetGone(long nowUs, GroupState group) {
+    private void removeGoneMembers(long nowUs, GroupState group) {
         group.chain.forEach(member -> member.recordPresence(nowUs));
         group.chain.removeIf(
-                member -> member.isForgettable(nowUs, settings.rules(), freshness.retentionUs()) && forget(member));
+                member -> member.isRemovable(nowUs, settings.rules(), freshness.retentionUs()) && remove(member));
     }
 
     private void apply(long nowUs, Member entry, boolean initial) {
@@ -82,7 +82,7 @@
         member.zone = entry.zone();
         member.weight = entry.weight();
         member.state = entry.state();
-        member.drained |= entry.state() == State.DRAINING;
+        member.wasDraining |= entry.state() == State.DRAINING;
         if (entry.primary() && member.isUsable(settings.rules())) {
             primaryTracker.recordListedPrimary(group(member.groupNumber), member);
         }
@@ -90,7 +90,7 @@
 
     private MemberState add(long nowUs, Member entry, boolean initial) {
         GroupState group = group(entry.group());
-        SlowStart.Member slowStartState = slowStart.register(nowUs);
+        SlowStart.MemberBudget slowStartState = slowStart.register(nowUs);
         int localityHandle = localityPolicy.onMemberAdded(entry.group(), entry.zone());
         MemberState member = new MemberState(entry.id(), group.number, slowStartState, localityHandle, nowUs);
         member.verified = initial;
@@ -99,8 +99,8 @@
         return member;
     }
 
-    /** Forgets a member; whether it was known. */
-    private boolean forget(MemberState member) {
+    /** Removes a member; returns whether it was known. */
+    private boolean remove(MemberState member) {
         localityPolicy.onMemberRemoved(member.localityHandle);
         slowStart.forget(member.slowStart);
         return members.remove(member.id, member);
--- a/decisions/src/main/java/frostreel/routing/ReplicaSelector.java
+++ b/decisions/src/main/java/frostreel/routing/ReplicaSelector.java
@@ -5,23 +5,28 @@
 import frostreel.routing.Router.StalenessCheck;
 
 /**
- * Chooses the member for a read: the cheapest replica that is fresh enough and has capacity, with replicas of
- * the own zone cheaper than others. Where none is known to be fresh enough, a health check may prove one; the
- * primary serves reads only if no replica can.
+ * Chooses the member for a read: the replica with the lowest cost that is fresh enough and has capacity. If none is
+ * known to be fresh enough, a health check may prove that one is. The primary serves such reads only if no replica can.
+ * Replicas of the local zone cost less than others.
  */
 final class ReplicaSelector {
-    /** Part of a replica's window for short reads that any member may answer; the rest is for other reads. */
+    /**
+     * Share of a replica's concurrency window for short reads of {@link Access#ANY}; the rest is reserved for other
+     * reads.
+     */
     private static final double ANY_READ_SHARE = 0.8;
-    /** Other reads may use all of a replica's window. */
+    /** Share of a replica's concurrency window for all other reads. */
     private static final double WHOLE_WINDOW = 1;
-    /** Part of the primary's window for reads that no replica can serve; the rest is for writes. */
+    /**
+     * Share of the primary's concurrency window for reads that no replica can serve; the rest is reserved for writes.
+     */
     private static final double PRIMARY_READ_SHARE = 0.6;
-    /** A read waits for a health check for one tenth of its latency objective. */
-    private static final int WAITS_PER_OBJECTIVE = 10;
-    /** It waits at least this many ticks of the clock: an answer isn't noticed sooner. */
-    private static final int LEAST_WAIT_TICKS = 2;
-    /** A read that was tried on all members is tried again after this time in microseconds. */
-    private static final long ROUND_DELAY_US = 50_000;
+    /** A read waits for a health check for at most its latency objective divided by this. */
+    private static final int HEALTH_CHECK_WAIT_DIVISOR = 10;
+    /** Lower limit of that wait in ticks of the clock: a response is not noticed any earlier. */
+    private static final int MIN_WAIT_TICKS = 2;
+    /** Delay in microseconds before a read that was tried on all members is tried on them again. */
+    private static final long RETRY_ROUND_DELAY_US = 50_000;
 
     private final ReplicaScan scan = new ReplicaScan();
     private final int rotationSeed;
@@ -56,9 +61,9 @@
         replicaCost = new ReplicaCost(settings, longQueries);
     }
 
-    /** Sends a read if a member can take it now; else decides whether it waits. */
+    /** Sends a read if a member can take it now; otherwise decides whether it waits or is given up. */
     ReadDecision route(long nowUs, PendingRequest request) {
-        if (hasNoUse(nowUs, request)) {
+        if (shouldGiveUp(nowUs, request)) {
             return ReadDecision.GIVE_UP;
         }
         if (nowUs < request.notBeforeUs) {
@@ -73,14 +78,14 @@
         if (scan.requiredReplica == null && sendToPrimary(nowUs, request)) {
             return ReadDecision.SENT;
         }
-        if (scan.isOnlyDenied()) {
+        if (scan.isDeniedByPolicyOnly()) {
             return ReadDecision.GIVE_UP;
         }
         startNextRoundIfAllWereTried(nowUs, request);
         return ReadDecision.WAIT;
     }
 
-    private boolean hasNoUse(long nowUs, PendingRequest request) {
+    private boolean shouldGiveUp(long nowUs, PendingRequest request) {
         return retryPolicy.isTooLateForRead(nowUs, request)
                 || retryPolicy.hasWaitedTooLong(nowUs, request)
                 || retryPolicy.isExhausted(nowUs, request);
@@ -89,7 +94,7 @@
     private void startNextRoundIfAllWereTried(long nowUs, PendingRequest request) {
         if (primarySearch.nextCandidate(request) == null) {
             request.triedMembers.clear();
-            request.notBeforeUs = nowUs + ROUND_DELAY_US;
+            request.notBeforeUs = nowUs + RETRY_ROUND_DELAY_US;
         }
     }
 
@@ -97,7 +102,7 @@
         return sender.send(nowUs, request, member, retryPolicy.readTimeoutUs(nowUs, request, member));
     }
 
-    /** Tries an idempotent read on a suspected primary, which shows whether it still answers. */
+    /** Sends an idempotent read to a suspected primary as a trial, which shows whether it still responds. */
     private boolean sendTrial(long nowUs, PendingRequest request) {
         GroupState group = request.group;
         if (primaryTracker.isTrialDue(nowUs, group)
@@ -110,7 +115,9 @@
         return false;
     }
 
-    /** Sends a read to the cheapest replica that can serve it; where none can, has a likely one checked. */
+    /**
+     * Sends a read to the replica with the lowest cost that can serve it. If none can, health-checks one that might.
+     */
     private boolean sendToReplica(long nowUs, PendingRequest request) {
         scanReplicas(nowUs, request);
         if (scan.best() != null && send(nowUs, request, scan.best())) {
@@ -123,14 +130,14 @@
         return false;
     }
 
-    /** Looks at each replica once, beginning with the one whose turn it is. */
+    /** Examines each replica once, starting at the group's rotation offset. */
     private void scanReplicas(long nowUs, PendingRequest request) {
         GroupState group = request.group;
-        boolean sharesWindow = request.requestClass.access() == Access.ANY && !latencies.isLongRunning(request);
+        boolean usesPartOfWindow = request.requestClass.access() == Access.ANY && !latencies.isLongRunning(request);
         scan.reset(
                 freshness.requiredPositionUs(nowUs, request),
                 longQueries.requiredReplica(nowUs, request),
-                sharesWindow ? ANY_READ_SHARE : WHOLE_WINDOW);
+                usesPartOfWindow ? ANY_READ_SHARE : WHOLE_WINDOW);
         int size = group.chain.size();
         for (int i = 0; i < size; i++) {
             MemberState member = group.chain.get((rotationSeed + group.rotation + i) % size);
@@ -169,7 +176,7 @@
         if (!hasCapacity(nowUs, request, member)) {
             scan.mayServeLater = true;
         } else if (!localityPolicy.admits(nowUs, member.localityHandle, request.classIndex())) {
-            scan.denied = true;
+            scan.deniedByPolicy = true;
         } else {
             scan.offer(member, replicaCost.of(nowUs, request, member, costFactor));
         }
@@ -194,7 +201,10 @@
                 && freshness.mayBeProvenFresh(nowUs, member, scan.requiredPositionUs);
     }
 
-    /** Checks a replica that may be fresh enough, at most one of the group per recheck interval. */
+    /**
+     * Health-checks a replica that may be fresh enough: at most one of the group per recheck interval, unless a health
+     * check of the group has ended since.
+     */
     private void checkFreshness(long nowUs, GroupState group, MemberState member) {
         if (nowUs - group.lastFreshnessCheckUs >= recheckIntervalUs) {
             group.lastFreshnessCheckUs = nowUs;
@@ -202,22 +212,22 @@
         }
     }
 
-    /** Whether to wait for a pending health check, which may prove a replica to be fresh enough. */
+    /** Whether a read waits for a pending health check, which may prove that a replica is fresh enough. */
     private boolean awaitsHealthCheck(long nowUs, PendingRequest request) {
         if (settings.get().stalenessCheck() != StalenessCheck.SILENT) {
             return false;
         }
         if (request.healthCheckWaitUntilUs == PendingRequest.NO_WAIT_YET) {
-            request.healthCheckWaitUntilUs = nowUs + longestWaitUs(request);
+            request.healthCheckWaitUntilUs = nowUs + maxHealthCheckWaitUs(request);
         }
         return nowUs < request.healthCheckWaitUntilUs
                 && healthChecker.reportsPositions()
                 && isHealthCheckPending(request);
     }
 
-    private long longestWaitUs(PendingRequest request) {
-        long shareUs = request.requestClass.latencyObjectiveUs() / WAITS_PER_OBJECTIVE;
-        return Math.max(LEAST_WAIT_TICKS * settings.get().tickUs(), shareUs);
+    private long maxHealthCheckWaitUs(PendingRequest request) {
+        long shareUs = request.requestClass.latencyObjectiveUs() / HEALTH_CHECK_WAIT_DIVISOR;
+        return Math.max(MIN_WAIT_TICKS * settings.get().tickUs(), shareUs);
     }
 
     private boolean isHealthCheckPending(PendingRequest request) {
--- a/decisions/src/test/java/frostreel/routing/ConcurrencyWindowTest.java
+++ b/decisions/src/test/java/frostreel/routing/ConcurrencyWindowTest.java
@@ -4,13 +4,13 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The size of a window by answers in time and signs of a queue, and the pauses of a member that rejects. */
+/** Size of the window after responses in time and signs of a queue, and pauses of a member that rejects. */
 class ConcurrencyWindowTest {
     private static final long NOW_US = 1_000_000;
     private static final double LATENCY_US = 40_000;
     private final ConcurrencyWindow window = new ConcurrencyWindow();
 
-    /** How many attempts may be in flight at once. */
+    /** Returns the number of attempts that may be in flight at once. */
     private int capacity() {
         int inFlight = 0;
         while (window.hasRoom(NOW_US, inFlight, 1)) {
@@ -20,14 +20,14 @@
     }
 
     @Test
-    void newMemberMayHaveFourAttemptsAndAPartOfThemWhereAShareIsReserved() {
+    void newMemberAdmitsFourAttemptsOrTheGivenShareOfThem() {
         assertThat(capacity()).isEqualTo(4);
         assertThat(window.hasRoom(NOW_US, 1, 0.5)).isTrue();
         assertThat(window.hasRoom(NOW_US, 2, 0.5)).isFalse();
     }
 
     @Test
-    void everyAnswerInTimeWidensTheWindowByOneUntilThereIsASignOfAQueue() {
+    void everyResponseInTimeEnlargesTheWindowByOneUntilThereIsASignOfAQueue() {
         window.grow(3);
         window.grow(4);
         assertThat(capacity()).isEqualTo(6);
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void signsOfOneQueueNarrowTheWindowOnce() {
+    void signsOfOneQueueShrinkTheWindowOnce() {
         window.shrink(NOW_US, 3, LATENCY_US);
         window.shrink(NOW_US + (long) LATENCY_US, 3, LATENCY_US);
         assertThat(capacity()).isEqualTo(3);
@@ -57,7 +57,7 @@
         for (int i = 1; i <= 20; i++) {
             window.shrink(NOW_US + i * NOW_US, 3, LATENCY_US);
         }
-        assertThat(window.isSmallest()).isTrue();
+        assertThat(window.isAtMinimum()).isTrue();
         assertThat(capacity()).isEqualTo(1);
     }
 
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void pausesDoubleUpToHalfASecondAndStartOverAfterAnAnswerInTime() {
+    void pausesDoubleUpToHalfASecondAndStartOverAfterAResponseInTime() {
         assertPause(10_000);
         assertPause(20_000);
         assertPause(40_000);
--- a/decisions/src/test/java/frostreel/routing/OutlierDetectionTest.java
+++ b/decisions/src/test/java/frostreel/routing/OutlierDetectionTest.java
@@ -11,13 +11,13 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 
-/** Members that fail or are slower than their peers. */
+/** Routing of reads around members that fail or are slower than their peers. */
 class OutlierDetectionTest {
     private static final long INTERVAL_US = 10_000;
     private final RouterHarness harness =
             new SettingsBuilder().start(primary("a", 0), replica("b", 0), replica("c", 0));
 
-    /** Submits reads in turn, none of which may have to wait. */
+    /** Submits reads one after another and asserts that none had to wait. */
     private void submitReads(int count, Consumer<RouterHarness.Attempt> end) {
         assertEquals(count, harness.submitInTurn("read", count, ANY_READ, INTERVAL_US, end), "reads that did not wait");
     }
@@ -34,7 +34,7 @@
             if (attempt.member().equals("b")) {
                 harness.complete(attempt.requestId(), Outcome.ERROR, Role.REPLICA, 0);
             }
-            harness.answerAsReplica(harness.lastAttempt(attempt.requestId()));
+            harness.respondAsReplica(harness.lastAttempt(attempt.requestId()));
         });
         assertSecondReplicaReceivesFarMoreThanTheFirst();
         long before = harness.attemptCountTo("b");
@@ -49,17 +49,18 @@
     @Test
     void slowReplicaReceivesLessThanItsPeer() {
         submitReads(
-                300, attempt -> harness.answer(attempt, attempt.member().equals("b") ? 500_000 : 50_000, Role.REPLICA));
+                300,
+                attempt -> harness.respond(attempt, attempt.member().equals("b") ? 500_000 : 50_000, Role.REPLICA));
         assertSecondReplicaReceivesFarMoreThanTheFirst();
     }
 
-    /** Health is relative: when all members are slow, no majority is ejected. */
+    /** Members are compared with each other: when all are slow, no majority is ejected. */
     @Test
     void allMembersKeepServingWhenAllAreSlow() {
         submitReads(
                 200,
                 attempt ->
-                        harness.answer(attempt, 900_000, attempt.member().equals("a") ? Role.PRIMARY : Role.REPLICA));
+                        harness.respond(attempt, 900_000, attempt.member().equals("a") ? Role.PRIMARY : Role.REPLICA));
         assertTrue(harness.attemptCountTo("b") > 50 && harness.attemptCountTo("c") > 50);
     }
 }
--- a/lab/src/main/java/frostreel/lab/processes/PlatformConfig.java
+++ b/lab/src/main/java/frostreel/lab/processes/PlatformConfig.java
@@ -54,7 +54,7 @@
                 .put("onTimeS", seconds(requestClass.latencyObjectiveUs()))
                 .put("worth", requestClass.priorityWeight())
                 .put("lateWorth", requestClass.lateWeight())
-                .put("repeatWindowS", seconds(requestClass.windowUs()))
+                .put("repeatWindowS", seconds(requestClass.deduplicationWindowUs()))
                 .put("repeat", idempotency(requestClass.idempotency()))
                 .put("group", scope(requestClass.deduplicationScope()));
     }
@@ -83,19 +83,19 @@
                 .put("retryAfter", limits.retryAfterAllowed())
                 .put("maxRetryAfterS", seconds(limits.maxRetryAfterUs()))
                 .put("connectTimeoutS", seconds(limits.connectTimeoutUs()))
-                .put("idleCloseS", seconds(limits.idleCloseUs()))
+                .put("idleCloseS", seconds(limits.idleTimeoutUs()))
                 .put("streamsPerConn", limits.requestsPerConnection());
     }
 
     private static JSONObject rules(Router.Rules rules) {
         return new JSONObject()
-                .put("answerSlackS", seconds(rules.answerSlackUs()))
+                .put("answerSlackS", seconds(rules.responseSlackUs()))
                 .put("stopSendingWithinS", seconds(rules.stopSendingUs()))
-                .put("onlyDrainingBinds", rules.onlyDrainingBinds())
-                .put("coldFrom", rules.coldFrom())
-                .put("warmAfterS", seconds(rules.warmAfterUs()))
-                .put("fallMultiple", rules.fallMultiple())
-                .put("fallS", seconds(rules.fallUs()));
+                .put("onlyDrainingBinds", rules.goneMembersUsable())
+                .put("coldFrom", rules.initialCapacityShare())
+                .put("warmAfterS", seconds(rules.warmUpUs()))
+                .put("fallMultiple", rules.overloadMultiple())
+                .put("fallS", seconds(rules.overloadWindowUs()));
     }
 
     /** The settings that apply to databases alone: freshness by class, positions and roles. */
@@ -104,13 +104,13 @@
         JSONArray bounds = new JSONArray();
         for (Router.RequestClass requestClass : settings.classes()) {
             freshness.put(lowerCase(requestClass.access()));
-            bounds.put(seconds(requestClass.boundUs()));
+            bounds.put(seconds(requestClass.stalenessBoundUs()));
         }
         return new JSONObject()
                 .put("freshness", freshness)
                 .put("lagAllowedS", bounds)
-                .put("holdsForS", seconds(settings.limits().holdsForUs()))
-                .put("positions", settings.positions())
+                .put("holdsForS", seconds(settings.limits().staleReadWaitUs()))
+                .put("positions", settings.responsesCarryPositions())
                 .put("serverChecks", lowerCase(settings.stalenessCheck()))
                 .put("listRole", lowerCase(settings.listRole()))
                 .put("writeMarks", lowerCase(settings.sessionTracking()));
--- a/lab/src/test/java/frostreel/lab/virtual/KnownSitesTest.java
+++ b/lab/src/test/java/frostreel/lab/virtual/KnownSitesTest.java
@@ -84,7 +84,7 @@
         assertThat(bsas.stalenessCheck()).isEqualTo(Router.StalenessCheck.SILENT);
         assertThat(bsas.listRole()).isEqualTo(Router.ListRole.START);
         assertThat(bsas.sessionTracking()).isEqualTo(Router.SessionTracking.REMEMBERED);
-        assertThat(bsas.positions()).isTrue();
+        assertThat(bsas.responsesCarryPositions()).isTrue();
         assertThat(bsas.limits())
                 .isEqualTo(Limits.builder()
                         .maxAttempts(10)
@@ -93,10 +93,10 @@
                         .retryAfterAllowed(false)
                         .maxRetryAfterUs(500_000)
                         .subscribe(false)
-                        .askWithinUs(10_000_000)
+                        .maxListAgeUs(10_000_000)
                         .connectTimeoutUs(250_000)
-                        .holdsForUs(0)
-                        .idleCloseUs(15_000_000)
+                        .staleReadWaitUs(0)
+                        .idleTimeoutUs(15_000_000)
                         .requestsPerConnection(8)
                         .concurrentRequestLimit(Limits.UNLIMITED)
                         .build());
--- a/lab/src/test/java/frostreel/lab/virtual/RandomScenario.java
+++ b/lab/src/test/java/frostreel/lab/virtual/RandomScenario.java
@@ -94,10 +94,10 @@
         boolean commitsWait =
                 json.getJSONObject("settings").getJSONObject("familyInfo").optBoolean("commitWaits", true);
         return new ServerParameters(
-                rules.coldFrom(),
-                rules.warmAfterUs(),
-                rules.fallMultiple(),
-                rules.fallUs(),
+                rules.initialCapacityShare(),
+                rules.warmUpUs(),
+                rules.overloadMultiple(),
+                rules.overloadWindowUs(),
                 micros(fleet, "logDelayS"),
                 fleet.getDouble("replay"),
                 fleet.getInt("queue"),
