--- a/decisions/src/main/java/frostreel/zones/ZoneReplicas.java
+++ b/decisions/src/main/java/frostreel/zones/ZoneReplicas.java
@@ -189,8 +189,8 @@
     }
 
     /** Lower bound on the share of their full capacity that the replicas have now, since all may have restarted. */
-    double rampShare(long nowUs, double coldShare, long warmAfterUs) {
-        double share = coldShare + (1 - coldShare) * (nowUs - recoveringSinceUs) / warmAfterUs;
+    double rampShare(long nowUs, double initialCapacityShare, long warmUpUs) {
+        double share = initialCapacityShare + (1 - initialCapacityShare) * (nowUs - recoveringSinceUs) / warmUpUs;
         return Math.min(1, share);
     }
 
