--- a/cluster/src/test/java/frostreel/cluster/ClusterSettingsTest.java
+++ b/cluster/src/test/java/frostreel/cluster/ClusterSettingsTest.java
@@ -12,6 +12,7 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
+/** Tests the validation of cluster settings. */
 class ClusterSettingsTest {
     private static final InetSocketAddress ADDRESS_A = new InetSocketAddress("127.0.0.1", 7800);
     private static final InetSocketAddress ADDRESS_B = new InetSocketAddress("127.0.0.2", 7800);
--- a/cluster/src/test/java/frostreel/cluster/MembershipViewTest.java
+++ b/cluster/src/test/java/frostreel/cluster/MembershipViewTest.java
@@ -5,6 +5,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** Tests the order of members in a view, and the difference between two views. */
 class MembershipViewTest {
     private static final Peer FIRST = new Peer("a", 1);
     private static final Peer SECOND = new Peer("b", 1);
--- a/decisions/src/main/java/frostreel/zones/NearestTier.java
+++ b/decisions/src/main/java/frostreel/zones/NearestTier.java
@@ -1,8 +1,9 @@
 package frostreel.zones;
 
 /**
- * The nearest tier in which a group has ever had a member. It is kept when those members leave, so that the load they
- * served counts as missing.
+ * The nearest tier in which a group has ever had a member. {@link ZoneFailoverPolicy} limits reads to farther tiers
+ * by spill budgets, but not reads to the nearest one. The tier is therefore kept when its members leave; otherwise
+ * the next tier would become the nearest one, and all their load could spill over to it.
  */
 final class NearestTier {
     private static final int NONE = Integer.MAX_VALUE;
--- a/decisions/src/main/java/frostreel/zones/ZoneReplicas.java
+++ b/decisions/src/main/java/frostreel/zones/ZoneReplicas.java
@@ -171,6 +171,7 @@
     }
 
     private boolean isProbationOver(long nowUs) {
+        // The delay as of the start of the probation, since it shrinks as the failure weight decays.
         return nowUs - probationSinceUs >= damping.delayUs(probationSinceUs);
     }
 
--- a/decisions/src/test/java/frostreel/operation/CommandTargetTest.java
+++ b/decisions/src/test/java/frostreel/operation/CommandTargetTest.java
@@ -4,6 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
+/** Tests the keys under which commands are stored, and the server id in a key. */
 class CommandTargetTest {
     @Test
     void usesTheStoredNamesAsKeys() {
--- a/decisions/src/test/java/frostreel/operation/MaintenanceOverlayTest.java
+++ b/decisions/src/test/java/frostreel/operation/MaintenanceOverlayTest.java
@@ -7,6 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** Tests which members are published for endpoint lists and operator commands. */
 class MaintenanceOverlayTest {
     private static final CommandTarget SERVER_A = CommandTarget.server("a");
     private static final CommandTarget SERVER_B = CommandTarget.server("b");
--- a/decisions/src/test/java/frostreel/operation/OperatorCommandsTest.java
+++ b/decisions/src/test/java/frostreel/operation/OperatorCommandsTest.java
@@ -8,6 +8,7 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
+/** Tests recording, revoking and merging of operator commands. */
 class OperatorCommandsTest {
     private static final CommandTarget SERVER = CommandTarget.server("a");
     private final OperatorCommands commands = new OperatorCommands();
--- a/decisions/src/test/java/frostreel/operation/RequestClassRegistryTest.java
+++ b/decisions/src/test/java/frostreel/operation/RequestClassRegistryTest.java
@@ -9,6 +9,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** Tests the numbering of request classes across settings changes. */
 class RequestClassRegistryTest {
     private static final long IN_TRANSITION_US = RequestClassRegistry.TRANSITION_US - 1;
     private static final long AFTER_TRANSITION_US = RequestClassRegistry.TRANSITION_US;
--- a/decisions/src/test/java/frostreel/operation/SharedCommitTableTest.java
+++ b/decisions/src/test/java/frostreel/operation/SharedCommitTableTest.java
@@ -8,6 +8,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
+/** Tests which positions reads must see, given the writes of several processes that share the memory. */
 class SharedCommitTableTest {
     private static final long NOW_US = 1_000_000_000;
     private static final long DEADLINE_US = NOW_US + 3_000_000;
