--- a/decisions/src/main/java/frostreel/zones/ZoneReplicas.java
+++ b/decisions/src/main/java/frostreel/zones/ZoneReplicas.java
@@ -171,6 +171,7 @@
     }
 
     private boolean isProbationOver(long nowUs) {
+        // The delay as of the start of the probation, since it shrinks as the failure weight decays.
         return nowUs - probationSinceUs >= damping.delayUs(probationSinceUs);
     }
 
@@ -189,8 +190,8 @@
     }
 
     /** Lower bound on the share of their full capacity that the replicas have now, since all may have restarted. */
-    double rampShare(long nowUs, double coldShare, long warmAfterUs) {
-        double share = coldShare + (1 - coldShare) * (nowUs - recoveringSinceUs) / warmAfterUs;
+    double rampShare(long nowUs, double initialCapacityShare, long warmUpUs) {
+        double share = initialCapacityShare + (1 - initialCapacityShare) * (nowUs - recoveringSinceUs) / warmUpUs;
         return Math.min(1, share);
     }
 
