--- a/lab/src/main/java/frostreel/lab/cli/ExitCodes.java
+++ b/lab/src/main/java/frostreel/lab/cli/ExitCodes.java
@@ -1,6 +1,6 @@
 package frostreel.lab.cli;
 
-import frostreel.settings.FaultyFileException;
+import frostreel.settings.InvalidFileException;
 import picocli.CommandLine;
 import picocli.CommandLine.ParseResult;
 
@@ -14,7 +14,7 @@
 
     /** Prints what is wrong with a faulty file; any other exception is a fault of the lab and rethrown. */
     static int handle(Exception thrown, CommandLine command, ParseResult parsed) throws Exception {
-        if (thrown instanceof FaultyFileException) {
+        if (thrown instanceof InvalidFileException) {
             command.getErr().println(thrown.getMessage());
             return FAULTY_INPUT;
         }
--- a/lab/src/main/java/frostreel/lab/experiment/Experiment.java
+++ b/lab/src/main/java/frostreel/lab/experiment/Experiment.java
@@ -6,8 +6,8 @@
 import frostreel.lab.virtual.Simulation;
 import frostreel.lab.virtual.SimulationPlan;
 import frostreel.routing.Router;
-import frostreel.settings.Fault;
-import frostreel.settings.FaultyFileException;
+import frostreel.settings.InvalidFileException;
+import frostreel.settings.ValidationError;
 import frostreel.settings.XmlElement;
 import frostreel.settings.XmlFile;
 import java.net.URL;
@@ -43,7 +43,7 @@
     private final List<Consumer<Simulation>> faults = new ArrayList<>();
     private final List<Check> checks = new ArrayList<>();
 
-    private Experiment(String file, XmlElement root, List<Fault> errors) {
+    private Experiment(String file, XmlElement root, List<ValidationError> errors) {
         name = root.text("name");
         seed = root.integer("seed");
         durationS = (int) root.integer("durationS");
@@ -51,7 +51,7 @@
         clients = root.child("clients");
         for (XmlElement policy : root.child("policies").children()) {
             if (policies.putIfAbsent(policy.text("name"), policy) != null) {
-                errors.add(policy.fault(file, "name", "policy '" + policy.text("name") + "' stands there twice"));
+                errors.add(policy.error(file, "name", "policy '" + policy.text("name") + "' stands there twice"));
             }
         }
         for (XmlElement fault : root.child("faults").children()) {
@@ -63,27 +63,27 @@
     }
 
     /** Reads a file that anyone may have written. */
-    public static Experiment read(Path file) throws FaultyFileException {
-        List<Fault> errors = new ArrayList<>();
+    public static Experiment read(Path file) throws InvalidFileException {
+        List<ValidationError> errors = new ArrayList<>();
         Experiment read = new Experiment(file.toString(), XmlFile.read(file, SCHEMA), errors);
         if (!errors.isEmpty()) {
-            throw new FaultyFileException(errors);
+            throw new InvalidFileException(errors);
         }
         return read;
     }
 
-    private int zone(String file, XmlElement element, String attribute, List<Fault> errors) {
+    private int zone(String file, XmlElement element, String attribute, List<ValidationError> errors) {
         long zone = element.integer(attribute);
         if (zone >= fleet.integer("zones")) {
-            errors.add(element.fault(file, attribute, "there is no zone " + zone + "; the first is 0"));
+            errors.add(element.error(file, attribute, "there is no zone " + zone + "; the first is 0"));
         }
         return (int) zone;
     }
 
-    private void readFault(String file, XmlElement element, List<Fault> errors) {
+    private void readFault(String file, XmlElement element, List<ValidationError> errors) {
         long atUs = element.microsFromSeconds("atS");
         if (element.decimal("atS") >= durationS) {
-            errors.add(element.fault(file, "atS", "the run is over then"));
+            errors.add(element.error(file, "atS", "the run is over then"));
         }
         if (element.name().equals("cut")) {
             readCut(file, element, atUs, errors);
@@ -92,12 +92,12 @@
         }
     }
 
-    private void readCut(String file, XmlElement element, long atUs, List<Fault> errors) {
+    private void readCut(String file, XmlElement element, long atUs, List<ValidationError> errors) {
         int from = zone(file, element, "from", errors);
         int to = zone(file, element, "to", errors);
         long untilUs = element.microsFromSeconds("untilS");
         if (untilUs <= atUs) {
-            errors.add(element.fault(file, "untilS", "is not after atS"));
+            errors.add(element.error(file, "untilS", "is not after atS"));
         }
         faults.add(simulation -> {
             simulation.at(atUs, () -> simulation.cut(from, to, true));
@@ -105,7 +105,7 @@
         });
     }
 
-    private void readZoneFault(String file, XmlElement element, long atUs, List<Fault> errors) {
+    private void readZoneFault(String file, XmlElement element, long atUs, List<ValidationError> errors) {
         int zone = zone(file, element, "zone", errors);
         if (element.name().equals("loseZone") && (firstLossS == NO_LOSS || element.decimal("atS") < firstLossS)) {
             firstLossS = (int) element.decimal("atS");
@@ -129,14 +129,14 @@
         };
     }
 
-    private void readCheck(String file, XmlElement element, List<Fault> errors) {
+    private void readCheck(String file, XmlElement element, List<ValidationError> errors) {
         PolicyMetric metric = PolicyMetric.of(element.name());
         if (metric == PolicyMetric.VIOLATIONS) {
             checks.add(new Check(metric, null, RunStatistics.ALL_ZONES, Threshold.atMost(0)));
             return;
         }
         if (!policies.containsKey(element.text("policy"))) {
-            errors.add(element.fault(file, "policy", "there is no policy '" + element.text("policy") + "'"));
+            errors.add(element.error(file, "policy", "there is no policy '" + element.text("policy") + "'"));
         }
         checks.add(new Check(
                 metric,
--- a/lab/src/main/java/frostreel/lab/processes/FaultElement.java
+++ b/lab/src/main/java/frostreel/lab/processes/FaultElement.java
@@ -1,6 +1,6 @@
 package frostreel.lab.processes;
 
-import frostreel.settings.Fault;
+import frostreel.settings.ValidationError;
 import frostreel.settings.XmlElement;
 import java.util.Arrays;
 import java.util.List;
@@ -14,12 +14,12 @@
     private final XmlElement xml;
     private final String file;
     private final ProcessExperiment experiment;
-    private final List<Fault> errors;
+    private final List<ValidationError> errors;
     private final long atUs;
     private final long untilUs;
 
     /** Reads when the fault begins and ends; {@code errors} takes what is wrong with the element. */
-    FaultElement(XmlElement xml, String file, ProcessExperiment experiment, List<Fault> errors) {
+    FaultElement(XmlElement xml, String file, ProcessExperiment experiment, List<ValidationError> errors) {
         this.xml = xml;
         this.file = file;
         this.experiment = experiment;
@@ -90,11 +90,11 @@
 
     /** Reports that the element does not fit the experiment. */
     void reject(String reason) {
-        errors.add(xml.fault(file, reason));
+        errors.add(xml.error(file, reason));
     }
 
     /** Reports that an attribute does not fit the experiment. */
     void reject(String attribute, String reason) {
-        errors.add(xml.fault(file, attribute, reason));
+        errors.add(xml.error(file, attribute, reason));
     }
 }
--- a/lab/src/main/java/frostreel/lab/processes/ProcessCheck.java
+++ b/lab/src/main/java/frostreel/lab/processes/ProcessCheck.java
@@ -1,7 +1,7 @@
 package frostreel.lab.processes;
 
 import frostreel.lab.report.Threshold;
-import frostreel.settings.Fault;
+import frostreel.settings.ValidationError;
 import frostreel.settings.XmlElement;
 import java.util.List;
 
@@ -13,7 +13,7 @@
  */
 record ProcessCheck(ProcessMetric metric, int fromS, int toS, Threshold threshold) {
     /** Reads a check; {@code errors} takes what makes no sense in a run of {@code durationS}. */
-    static ProcessCheck read(XmlElement element, String file, int durationS, List<Fault> errors) {
+    static ProcessCheck read(XmlElement element, String file, int durationS, List<ValidationError> errors) {
         ProcessMetric metric = ProcessMetric.of(element.name());
         return switch (metric) {
             case VIOLATIONS -> new ProcessCheck(metric, 0, 0, Threshold.atMost(0));
@@ -21,7 +21,7 @@
                 int fromS = (int) element.integer("fromS");
                 int toS = (int) element.integer("toS");
                 if (toS <= fromS || toS > durationS) {
-                    errors.add(element.fault(file, "toS", "is not after fromS and within the run"));
+                    errors.add(element.error(file, "toS", "is not after fromS and within the run"));
                 }
                 yield new ProcessCheck(metric, fromS, toS, Threshold.read(element));
             }
--- a/lab/src/main/java/frostreel/lab/processes/ProcessExperiment.java
+++ b/lab/src/main/java/frostreel/lab/processes/ProcessExperiment.java
@@ -1,8 +1,8 @@
 package frostreel.lab.processes;
 
 import frostreel.lab.virtual.SimulationPlan;
-import frostreel.settings.Fault;
-import frostreel.settings.FaultyFileException;
+import frostreel.settings.InvalidFileException;
+import frostreel.settings.ValidationError;
 import frostreel.settings.XmlElement;
 import frostreel.settings.XmlFile;
 import java.net.URL;
@@ -26,7 +26,7 @@
     private final List<ProcessCheck> checks;
     private final long slackUs;
 
-    private ProcessExperiment(String file, XmlElement root, List<Fault> errors) {
+    private ProcessExperiment(String file, XmlElement root, List<ValidationError> errors) {
         name = root.text("name");
         seed = root.integer("seed");
         durationS = (int) root.integer("durationS");
@@ -34,7 +34,7 @@
         clientSettings = root.child("clients");
         if (silentAfterMs() > 0 && (silentAfterMs() < MIN_SILENT_MS || silentAfterMs() > MAX_SILENT_MS)) {
             errors.add(
-                    fleetSettings.fault(file, "silentAfterMs", "is 0, or " + MIN_SILENT_MS + " to " + MAX_SILENT_MS));
+                    fleetSettings.error(file, "silentAfterMs", "is 0, or " + MIN_SILENT_MS + " to " + MAX_SILENT_MS));
         }
         faults = new ProcessFaultReader(file, this, errors)
                 .read(root.child("faults").children());
@@ -49,11 +49,11 @@
     }
 
     /** Reads a file; all that is wrong with it is in the exception. */
-    public static ProcessExperiment read(Path file) throws FaultyFileException {
-        List<Fault> errors = new ArrayList<>();
+    public static ProcessExperiment read(Path file) throws InvalidFileException {
+        List<ValidationError> errors = new ArrayList<>();
         ProcessExperiment read = new ProcessExperiment(file.toString(), XmlFile.read(file, SCHEMA), errors);
         if (!errors.isEmpty()) {
-            throw new FaultyFileException(errors);
+            throw new InvalidFileException(errors);
         }
         return read;
     }
--- a/lab/src/main/java/frostreel/lab/processes/ProcessFaultReader.java
+++ b/lab/src/main/java/frostreel/lab/processes/ProcessFaultReader.java
@@ -1,6 +1,6 @@
 package frostreel.lab.processes;
 
-import frostreel.settings.Fault;
+import frostreel.settings.ValidationError;
 import frostreel.settings.XmlElement;
 import java.util.ArrayList;
 import java.util.List;
@@ -31,10 +31,10 @@
 
     private final String file;
     private final ProcessExperiment experiment;
-    private final List<Fault> errors;
+    private final List<ValidationError> errors;
 
     /** {@code errors} takes what is wrong with the file. */
-    ProcessFaultReader(String file, ProcessExperiment experiment, List<Fault> errors) {
+    ProcessFaultReader(String file, ProcessExperiment experiment, List<ValidationError> errors) {
         this.file = file;
         this.experiment = experiment;
         this.errors = errors;
--- a/pooler/src/main/java/frostreel/cli/Check.java
+++ b/pooler/src/main/java/frostreel/cli/Check.java
@@ -1,6 +1,6 @@
 package frostreel.cli;
 
-import frostreel.settings.FaultyFileException;
+import frostreel.settings.InvalidFileException;
 import frostreel.settings.OperatorSettings;
 import java.nio.file.Path;
 import java.util.List;
@@ -29,7 +29,7 @@
             try {
                 OperatorSettings.read(file);
                 spec.commandLine().getOut().println(file + ": good");
-            } catch (FaultyFileException e) {
+            } catch (InvalidFileException e) {
                 spec.commandLine().getErr().println(e.getMessage());
                 exitCode = Main.EXIT_FAULTY_INPUT;
             }
--- a/pooler/src/main/java/frostreel/cli/Serve.java
+++ b/pooler/src/main/java/frostreel/cli/Serve.java
@@ -4,7 +4,7 @@
 import frostreel.config.Config;
 import frostreel.config.ConfigException;
 import frostreel.log.Logging;
-import frostreel.settings.FaultyFileException;
+import frostreel.settings.InvalidFileException;
 import frostreel.settings.OperatorSettings;
 import java.io.IOException;
 import java.io.PrintStream;
@@ -50,8 +50,8 @@
                 LOG.warning("SIGHUP was ignored at the start and will not arrive: new settings need a restart");
             }
             return KEEP_RUNNING;
-        } catch (ConfigException | FaultyFileException fault) {
-            System.err.println("frostreel: " + fault.getMessage());
+        } catch (ConfigException | InvalidFileException e) {
+            System.err.println("frostreel: " + e.getMessage());
             return Main.EXIT_FAULTY_INPUT;
         }
     }
@@ -65,8 +65,8 @@
                 reloadSettings(pooler, config);
             }
             pooler.reload(config);
-        } catch (ConfigException fault) {
-            LOG.warning(fault.getMessage() + "; the configuration in force is kept");
+        } catch (ConfigException e) {
+            LOG.warning(e.getMessage() + "; the configuration in force is kept");
         } catch (RejectedExecutionException loopEnded) {
             LOG.info("stopping: the new configuration is not applied");
         }
@@ -78,8 +78,8 @@
             Logging.configure(operators.logFormat(), operators.logLevel());
             pooler.reload(config, operators);
             LOG.info("settings reloaded from " + settings);
-        } catch (FaultyFileException fault) {
-            LOG.warning(fault.getMessage() + "; the settings in force are kept");
+        } catch (InvalidFileException e) {
+            LOG.warning(e.getMessage() + "; the settings in force are kept");
         }
     }
 
--- a/pooler/src/main/java/frostreel/settings/OperatorSettings.java
+++ b/pooler/src/main/java/frostreel/settings/OperatorSettings.java
@@ -62,18 +62,18 @@
     /**
      * Reads a file without applying it to a pooler. Blocks.
      *
-     * @throws FaultyFileException with all faults of the file
+     * @throws InvalidFileException with all faults of the file
      */
-    public static OperatorSettings read(Path file) throws FaultyFileException {
+    public static OperatorSettings read(Path file) throws InvalidFileException {
         return new OperatorSettingsReader(file).read();
     }
 
     /**
      * Reads a file for the pooler of a name, which must be a member of the cluster if one is stated. Blocks.
      *
-     * @throws FaultyFileException with all faults of the file
+     * @throws InvalidFileException with all faults of the file
      */
-    public static OperatorSettings read(Path file, String self) throws FaultyFileException {
+    public static OperatorSettings read(Path file, String self) throws InvalidFileException {
         return new OperatorSettingsReader(file, self).read();
     }
 
--- a/pooler/src/main/java/frostreel/settings/OperatorSettingsReader.java
+++ b/pooler/src/main/java/frostreel/settings/OperatorSettingsReader.java
@@ -25,7 +25,7 @@
     private final Path path;
     private final String file;
     private final Optional<String> self;
-    private final List<Fault> faults = new ArrayList<>();
+    private final List<ValidationError> errors = new ArrayList<>();
 
     OperatorSettingsReader(Path path) {
         this(path, Optional.empty());
@@ -42,7 +42,7 @@
         file = path.toString();
     }
 
-    OperatorSettings read() throws FaultyFileException {
+    OperatorSettings read() throws InvalidFileException {
         XmlElement root = XmlFile.read(path, OperatorSettings.SCHEMA);
         Optional<XmlElement> log = root.optionalChild("log");
         OperatorSettings settings = new OperatorSettings(
@@ -52,8 +52,8 @@
                         .orElse(OperatorSettings.DEFAULT.logLevel()),
                 root.optionalChild("zones").map(this::readZones),
                 root.optionalChild("cluster").map(this::readCluster));
-        if (!faults.isEmpty()) {
-            throw new FaultyFileException(faults);
+        if (!errors.isEmpty()) {
+            throw new InvalidFileException(errors);
         }
         return settings;
     }
@@ -71,7 +71,7 @@
             List<String> names = zoneNames(element);
             boolean isLast = number == elements.size();
             if (names.isEmpty() && !isLast) {
-                faults.add(element.fault(file, "zones", "only the last tier may stand for all other zones"));
+                errors.add(element.error(file, "zones", "only the last tier may stand for all other zones"));
             }
             reportOverlaps(element, names, number, tierByZone);
             tiers.add(new OperatorSettings.Tier(names, element.decimal("spill")));
@@ -84,7 +84,7 @@
         for (String name : names) {
             Integer other = tierByZone.putIfAbsent(name, number);
             if (other != null) {
-                faults.add(tier.fault(file, "zones", "zone '" + name + "' stands in tier " + other + " too"));
+                errors.add(tier.error(file, "zones", "zone '" + name + "' stands in tier " + other + " too"));
             }
         }
     }
@@ -102,11 +102,11 @@
             // A member left out here has a fault, with which the settings are dropped.
             readMemberAddress(pooler, taken).ifPresent(address -> members.put(name, address));
             if (!names.add(name)) {
-                faults.add(pooler.fault(file, "name", "'" + name + "' is named twice"));
+                errors.add(pooler.error(file, "name", "'" + name + "' is named twice"));
             }
         }
         if (self.isPresent() && !names.contains(self.get())) {
-            faults.add(cluster.fault(file, "this pooler, '" + self.get() + "', is not among them"));
+            errors.add(cluster.error(file, "this pooler, '" + self.get() + "', is not among them"));
         }
         return new OperatorSettings.Cluster(cluster.text("group"), cluster.integer("silentAfterMs"), members);
     }
@@ -117,7 +117,7 @@
         Optional<InetSocketAddress> advertised = readAddress(pooler, "at");
         Optional<InetSocketAddress> bind = pooler.has("bind") ? readAddress(pooler, "bind") : advertised;
         if (advertised.isPresent() && !taken.add(advertised.get())) {
-            faults.add(pooler.fault(file, "at", "another pooler is at " + pooler.text("at")));
+            errors.add(pooler.error(file, "at", "another pooler is at " + pooler.text("at")));
         }
         return advertised.flatMap(at -> bind.map(listen -> new OperatorSettings.MemberAddress(at, listen)));
     }
@@ -133,9 +133,9 @@
             if (port > 0 && port <= MAX_PORT && !host.isAnyLocalAddress()) {
                 return Optional.of(new InetSocketAddress(host, port));
             }
-            faults.add(pooler.fault(file, attribute, "not the address of one machine: " + pooler.text(attribute)));
+            errors.add(pooler.error(file, attribute, "not the address of one machine: " + pooler.text(attribute)));
         } catch (UnknownHostException e) {
-            faults.add(pooler.fault(file, attribute, e.getMessage()));
+            errors.add(pooler.error(file, attribute, e.getMessage()));
         }
         return Optional.empty();
     }
--- a/pooler/src/main/java/frostreel/settings/Fault.java
+++ b/pooler/src/main/java/frostreel/settings/ValidationError.java
@@ -8,15 +8,15 @@
  * @param column from 1; 0 where the file as a whole is meant
  * @param key the path of element names to the faulty element, and {@code @} with the attribute's name if it
  *     is one; empty where the file as a whole is meant
- * @param text what is wrong, for operators
+ * @param message what is wrong, for operators
  */
-public record Fault(String file, int line, int column, String key, String text) {
+public record ValidationError(String file, int line, int column, String key, String message) {
     /** A fault of the file as a whole. */
-    static Fault ofWholeFile(String file, String text) {
-        return new Fault(file, 0, 0, "", text);
+    static ValidationError forWholeFile(String file, String message) {
+        return new ValidationError(file, 0, 0, "", message);
     }
 
-    boolean isAtSamePlace(Fault other) {
+    boolean hasSamePosition(ValidationError other) {
         return line == other.line && column == other.column;
     }
 
@@ -27,6 +27,6 @@
     @Override
     public String toString() {
         String place = line > 0 ? ":" + line + ":" + column : "";
-        return file + place + ": " + (key.isEmpty() ? "" : key + ": ") + text;
+        return file + place + ": " + (key.isEmpty() ? "" : key + ": ") + message;
     }
 }
--- a/pooler/src/main/java/frostreel/settings/XmlElement.java
+++ b/pooler/src/main/java/frostreel/settings/XmlElement.java
@@ -116,12 +116,12 @@
     }
 
     /** A fault of this element that a schema cannot express. */
-    public Fault fault(String file, String text) {
-        return new Fault(file, line, column, path(), text);
+    public ValidationError error(String file, String message) {
+        return new ValidationError(file, line, column, path(), message);
     }
 
     /** A fault of an attribute that a schema cannot express. */
-    public Fault fault(String file, String attribute, String text) {
-        return new Fault(file, line, column, path() + "@" + attribute, text);
+    public ValidationError error(String file, String attribute, String message) {
+        return new ValidationError(file, line, column, path() + "@" + attribute, message);
     }
 }
--- a/pooler/src/main/java/frostreel/settings/XmlElementHandler.java
+++ b/pooler/src/main/java/frostreel/settings/XmlElementHandler.java
@@ -15,7 +15,7 @@
 /** Builds the tree of elements from parser events, and turns the validator's errors into faults with keys. */
 final class XmlElementHandler extends DefaultHandler {
     /** A file's faults beyond this number are not reported. */
-    static final int MAX_FAULTS = 100;
+    static final int MAX_ERRORS = 100;
 
     /** The validator's messages begin with the name of the schema rule, which does not help operators. */
     private static final String SCHEMA_RULE = "^cvc-[\\w.-]+: ";
@@ -24,7 +24,7 @@
     private static final Pattern ELEMENT = Pattern.compile("element '(?:\\{\"[^\"]*\":)?(\\w+)\\}?'");
 
     private final String file;
-    private final List<Fault> faults = new ArrayList<>();
+    private final List<ValidationError> errors = new ArrayList<>();
     private XmlElement root;
     private XmlElement current;
     private Locator locator;
@@ -37,8 +37,8 @@
         return root;
     }
 
-    List<Fault> faults() {
-        return faults;
+    List<ValidationError> errors() {
+        return errors;
     }
 
     @Override
@@ -69,7 +69,7 @@
     @Override
     public void error(SAXParseException exception) {
         String text = exception.getMessage().replaceFirst(SCHEMA_RULE, "");
-        add(new Fault(file, exception.getLineNumber(), exception.getColumnNumber(), key(text), text));
+        add(new ValidationError(file, exception.getLineNumber(), exception.getColumnNumber(), key(text), text));
     }
 
     /**
@@ -90,17 +90,18 @@
      * Adds a fault. The validator reports a wrong value twice: first by its type, with the better text, then by
      * its attribute, with the key. The two become one.
      */
-    private void add(Fault fault) {
-        int last = faults.size() - 1;
-        if (last >= 0 && faults.get(last).isAtSamePlace(fault)) {
-            Fault before = faults.get(last);
-            if (!before.namesAttribute() && fault.namesAttribute()) {
-                faults.set(last, new Fault(file, before.line(), before.column(), fault.key(), before.text()));
+    private void add(ValidationError error) {
+        int last = errors.size() - 1;
+        if (last >= 0 && errors.get(last).hasSamePosition(error)) {
+            ValidationError before = errors.get(last);
+            if (!before.namesAttribute() && error.namesAttribute()) {
+                errors.set(
+                        last, new ValidationError(file, before.line(), before.column(), error.key(), before.message()));
                 return;
             }
         }
-        if (faults.size() < MAX_FAULTS) {
-            faults.add(fault);
+        if (errors.size() < MAX_ERRORS) {
+            errors.add(error);
         }
     }
 }
--- a/pooler/src/main/java/frostreel/settings/XmlFile.java
+++ b/pooler/src/main/java/frostreel/settings/XmlFile.java
@@ -31,10 +31,10 @@
      * Reads a file. Blocks.
      *
      * @return the root element
-     * @throws FaultyFileException with the faults found, {@value XmlElementHandler#MAX_FAULTS} of them at
+     * @throws InvalidFileException with the faults found, {@value XmlElementHandler#MAX_ERRORS} of them at
      *     most
      */
-    public static XmlElement read(Path file, URL schema) throws FaultyFileException {
+    public static XmlElement read(Path file, URL schema) throws InvalidFileException {
         String name = file.toString();
         try (InputStream in = Files.newInputStream(file)) {
             byte[] bytes = in.readNBytes(MAX_BYTES + 1);
@@ -47,11 +47,11 @@
         }
     }
 
-    private static FaultyFileException unreadable(String file, String text) {
-        return new FaultyFileException(List.of(Fault.ofWholeFile(file, text)));
+    private static InvalidFileException unreadable(String file, String text) {
+        return new InvalidFileException(List.of(ValidationError.forWholeFile(file, text)));
     }
 
-    private static XmlElement parse(String name, byte[] bytes, URL schema) throws FaultyFileException {
+    private static XmlElement parse(String name, byte[] bytes, URL schema) throws InvalidFileException {
         XmlElementHandler handler = new XmlElementHandler(name);
         try {
             parser(schema).parse(new InputSource(new ByteArrayInputStream(bytes)), handler);
@@ -60,8 +60,8 @@
         } catch (SAXException | ParserConfigurationException | IOException e) {
             throw new IllegalStateException("the schema " + schema + " cannot be used", e);
         }
-        if (!handler.faults().isEmpty()) {
-            throw new FaultyFileException(handler.faults());
+        if (!handler.errors().isEmpty()) {
+            throw new InvalidFileException(handler.errors());
         }
         return handler.root();
     }
--- a/pooler/src/test/java/frostreel/settings/OperatorSettingsTest.java
+++ b/pooler/src/test/java/frostreel/settings/OperatorSettingsTest.java
@@ -26,13 +26,13 @@
         return Files.writeString(folder.resolve("f.xml"), text);
     }
 
-    private List<Fault> faultsOf(String text) throws IOException {
+    private List<ValidationError> errorsOf(String text) throws IOException {
         Path file = write(text);
         return assertThatThrownBy(() -> OperatorSettings.read(file))
-                .isInstanceOf(FaultyFileException.class)
-                .asInstanceOf(InstanceOfAssertFactories.type(FaultyFileException.class))
+                .isInstanceOf(InvalidFileException.class)
+                .asInstanceOf(InstanceOfAssertFactories.type(InvalidFileException.class))
                 .actual()
-                .faults();
+                .errors();
     }
 
     private static String document(String content) {
@@ -40,9 +40,9 @@
     }
 
     /** The faults of a document with this content, as line and key; the content begins in line 2. */
-    private List<String> linesAndKeysOfFaults(String content) throws IOException {
-        return faultsOf(document(content)).stream()
-                .map(fault -> fault.line() + " " + fault.key())
+    private List<String> linesAndKeysOfErrors(String content) throws IOException {
+        return errorsOf(document(content)).stream()
+                .map(error -> error.line() + " " + error.key())
                 .toList();
     }
 
@@ -59,16 +59,16 @@
     }
 
     @Test
-    void allFaultsAreReportedAtOnceWithLineAndKey() throws Exception {
-        List<Fault> faults =
-                faultsOf(HEAD + "<log format=\"yaml\"\n level=\"loud\" colour=\"red\"/>\n<pool/>\n" + "</frostreel>");
-        assertThat(faults).extracting(Fault::line).containsExactly(3, 3, 3, 4);
-        assertThat(faults)
-                .extracting(Fault::key)
+    void allErrorsAreReportedAtOnceWithLineAndKey() throws Exception {
+        List<ValidationError> errors =
+                errorsOf(HEAD + "<log format=\"yaml\"\n level=\"loud\" colour=\"red\"/>\n<pool/>\n" + "</frostreel>");
+        assertThat(errors).extracting(ValidationError::line).containsExactly(3, 3, 3, 4);
+        assertThat(errors)
+                .extracting(ValidationError::key)
                 .containsExactlyInAnyOrder(
                         "frostreel/log@format", "frostreel/log@level", "frostreel/log@colour", "frostreel/pool");
-        assertThat(faults).allSatisfy(fault -> assertThat(fault.file()).endsWith("f.xml"));
-        assertThat(faults.get(0).toString()).containsPattern("f\\.xml:3:\\d+: frostreel/log@\\w+: .+");
+        assertThat(errors).allSatisfy(error -> assertThat(error.file()).endsWith("f.xml"));
+        assertThat(errors.get(0).toString()).containsPattern("f\\.xml:3:\\d+: frostreel/log@\\w+: .+");
     }
 
     @Test
@@ -86,7 +86,7 @@
 
     @Test
     void reportsTiersThatOverlap() throws Exception {
-        assertThat(linesAndKeysOfFaults("""
+        assertThat(linesAndKeysOfErrors("""
                 <zones poolers='6'>
                 <tier spill='1'/>
                 <tier zones='b b' spill='1'/>
@@ -96,7 +96,7 @@
 
     @Test
     void reportsNumbersOfZonesOutOfRange() throws Exception {
-        assertThat(linesAndKeysOfFaults("""
+        assertThat(linesAndKeysOfErrors("""
                 <zones poolers='0'>
                 <tier spill='-1'/></zones>"""))
                 .containsExactly("2 frostreel/zones@poolers", "3 frostreel/zones/tier@spill");
@@ -134,7 +134,7 @@
 
     @Test
     void reportsClusterMembersWithoutANameAndAddressOfTheirOwn() throws Exception {
-        assertThat(linesAndKeysOfFaults("""
+        assertThat(linesAndKeysOfErrors("""
                 <cluster>
                 <pooler name='a' at='10.0.0.1:7800'/>
                 <pooler name='a' at='10.0.0.2:7800'/>
@@ -152,7 +152,7 @@
 
     @Test
     void reportsClusterValuesThatTheSchemaRejects() throws Exception {
-        assertThat(linesAndKeysOfFaults("""
+        assertThat(linesAndKeysOfErrors("""
                 <cluster silentAfterMs='100'>
                 <pooler name='a' at='localhost:1'/></cluster>"""))
                 .containsExactly("2 frostreel/cluster@silentAfterMs", "3 frostreel/cluster/pooler@at");
@@ -160,27 +160,27 @@
 
     @Test
     void fileThatIsNotWellFormedIsReportedByLine() throws Exception {
-        assertThat(faultsOf(HEAD + "<log>\n</frostreel>"))
+        assertThat(errorsOf(HEAD + "<log>\n</frostreel>"))
                 .singleElement()
-                .satisfies(fault -> assertThat(fault.line()).isEqualTo(3));
-        assertThat(faultsOf("")).singleElement();
+                .satisfies(error -> assertThat(error.line()).isEqualTo(3));
+        assertThat(errorsOf("")).singleElement();
     }
 
     @Test
     void documentTypesAndExternalEntitiesAreRejected() throws Exception {
         Path secret = Files.writeString(folder.resolve("secret"), "json");
-        List<Fault> faults = faultsOf("<!DOCTYPE frostreel [<!ENTITY x SYSTEM \"" + secret.toUri() + "\">]>\n" + HEAD
-                + "<log format=\"&x;\"/></frostreel>");
-        assertThat(faults)
+        List<ValidationError> errors = errorsOf("<!DOCTYPE frostreel [<!ENTITY x SYSTEM \"" + secret.toUri() + "\">]>\n"
+                + HEAD + "<log format=\"&x;\"/></frostreel>");
+        assertThat(errors)
                 .singleElement()
-                .satisfies(fault -> assertThat(fault.text()).contains("DOCTYPE"));
+                .satisfies(error -> assertThat(error.message()).contains("DOCTYPE"));
     }
 
     @Test
     void oversizedAndMissingFilesAreRejected() throws Exception {
-        assertThat(faultsOf(HEAD + " ".repeat(XmlFile.MAX_BYTES)))
+        assertThat(errorsOf(HEAD + " ".repeat(XmlFile.MAX_BYTES)))
                 .singleElement()
-                .satisfies(fault -> assertThat(fault.text()).contains("larger"));
+                .satisfies(error -> assertThat(error.message()).contains("larger"));
         assertThatThrownBy(() -> OperatorSettings.read(folder.resolve("none"))).hasMessageContaining("cannot be read");
     }
 }
