--- a/pooler/src/test/java/frostreel/AbstractPoolerTest.java
+++ b/pooler/src/test/java/frostreel/AbstractPoolerTest.java
@@ -53,7 +53,7 @@
     }
 
     /** Makes both members leave the requests that arrive from now on without a response. */
-    void leaveRequestsUnanswered() {
+    void withholdResponses() {
         replica.script = (text, link) -> {};
         primary.script = replica.script;
     }
--- a/pooler/src/test/java/frostreel/ClientCapacityTest.java
+++ b/pooler/src/test/java/frostreel/ClientCapacityTest.java
@@ -14,9 +14,9 @@
 /** The limits on client connections: which clients are closed to make room, and which requests are rejected. */
 class ClientCapacityTest extends AbstractPoolerTest {
     /** Idle clients beyond this number are closed while most connections are in use. */
-    private static final int IDLE_LIMIT = PoolerHarness.USUAL_CLIENTS / 3;
+    private static final int IDLE_LIMIT = PoolerHarness.EXPECTED_CLIENTS / 3;
     /** Up to this number of clients, none is closed however many are idle. */
-    private static final int ACTIVE_LIMIT = PoolerHarness.USUAL_CLIENTS * 3 / 4;
+    private static final int ACTIVE_LIMIT = PoolerHarness.EXPECTED_CLIENTS * 3 / 4;
 
     /** A client that ends its connection; it must not count as an idle one afterwards. */
     private void connectAndTerminate() throws Exception {
@@ -32,7 +32,7 @@
         start();
         connectAndTerminate();
         List<WireConnection> idle = idleClients(IDLE_LIMIT - 1);
-        leaveRequestsUnanswered();
+        withholdResponses();
         busyClients(PoolerHarness.BUSY_LIMIT - idle.size());
         try (WireConnection late = harness.client()) { // Admitted once the first has been idle for long enough.
             assertThat(late.execute("")).containsExactly("I");
@@ -47,7 +47,7 @@
         connectAndTerminate(); // The client that awaited readiness has gone as well.
         List<WireConnection> clients = new ArrayList<>(idleClients(ACTIVE_LIMIT));
         assertThat(harness.pooler.counters()).contains(" clients_spared=0 ");
-        int excess = PoolerHarness.USUAL_CLIENTS - ACTIVE_LIMIT;
+        int excess = PoolerHarness.EXPECTED_CLIENTS - ACTIVE_LIMIT;
         clients.addAll(idleClients(excess));
         harness.awaitCounter("clients_spared=" + excess); // The last response is sent before the next client is closed.
         for (WireConnection longestIdle : clients.subList(0, excess)) {
@@ -112,7 +112,7 @@
     @Test
     void rejectsRequestAtOnceNearTheConnectionLimit() throws Exception {
         harness.unlimitedConcurrency = true;
-        leaveRequestsUnanswered();
+        withholdResponses();
         start();
         busyClients(PoolerHarness.BUSY_LIMIT);
         harness.awaitCounter("requests=" + PoolerHarness.BUSY_LIMIT);
--- a/pooler/src/test/java/frostreel/ConnectionCloseTest.java
+++ b/pooler/src/test/java/frostreel/ConnectionCloseTest.java
@@ -38,7 +38,7 @@
     void bytesSentWhileIdleClientIsClosedDoNotResetIt() throws Exception {
         lingerWithoutLimit();
         start();
-        WireConnection longestIdle = idleClients(PoolerHarness.USUAL_CLIENTS).get(0);
+        WireConnection longestIdle = idleClients(PoolerHarness.EXPECTED_CLIENTS).get(0);
         assertBytesAfterCloseAreDroppedWithoutReset(longestIdle);
     }
 
--- a/pooler/src/test/java/frostreel/PoolerHarness.java
+++ b/pooler/src/test/java/frostreel/PoolerHarness.java
@@ -34,9 +34,9 @@
     /** While this many clients have requests in flight, further requests are rejected. */
     static final int BUSY_LIMIT = MAX_CLIENTS - 16;
     /** The number of clients that the pooler expects: a third of all descriptors. */
-    static final int USUAL_CLIENTS = 42;
+    static final int EXPECTED_CLIENTS = 42;
     /** If more requests than this wait unsent, some are rejected: three eighths of the usual clients. */
-    static final int MAX_WAITING_REQUESTS = USUAL_CLIENTS * 3 / 8;
+    static final int MAX_WAITING_REQUESTS = EXPECTED_CLIENTS * 3 / 8;
     /** The pooler's limit on connections to servers, see {@link #MAX_CLIENTS}. */
     static final int MAX_SERVERS = 16;
 
@@ -71,7 +71,7 @@
     /** The pooler under test; null before the start, and once a test has ended it. */
     Pooler pooler;
 
-    OperatorSettings operators = OperatorSettings.DEFAULT;
+    OperatorSettings operatorSettings = OperatorSettings.DEFAULT;
     /** For how long discovery is awaited before the configured list is used; endless in a test of that wait. */
     long configuredListPatienceUs = EndpointSource.CONFIGURED_LIST_PATIENCE_US;
     /** How long a closed client may take to close its side; endless in a test of that wait. */
@@ -179,7 +179,7 @@
         Config config = Config.load(environment(configured(discovery.address(), hosts)));
         pooler = new Pooler(
                 unlimitedConcurrency ? config.withSettings(config.settings().onSockets(0)) : config,
-                operators,
+                operatorSettings,
                 configuredListPatienceUs,
                 lingerUs);
     }
--- a/pooler/src/test/java/frostreel/RetryAfterTest.java
+++ b/pooler/src/test/java/frostreel/RetryAfterTest.java
@@ -12,7 +12,7 @@
     /** Starts the pooler, occupies clients up to the busy limit, and returns the error that the next request gets. */
     private String rejection() throws Exception {
         harness.unlimitedConcurrency = true;
-        leaveRequestsUnanswered();
+        withholdResponses();
         start();
         busyClients(PoolerHarness.BUSY_LIMIT);
         harness.awaitCounter("requests=" + PoolerHarness.BUSY_LIMIT);
--- a/pooler/src/test/java/frostreel/StatusPagesTest.java
+++ b/pooler/src/test/java/frostreel/StatusPagesTest.java
@@ -27,7 +27,7 @@
 
     @Test
     void readsFollowZoneTiersAndShowZonesReportsThem() throws Exception {
-        harness.operators = new OperatorSettings(
+        harness.operatorSettings = new OperatorSettings(
                 Logging.Format.TEXT,
                 Level.INFO,
                 Optional.of(new OperatorSettings.Zones(List.of(new OperatorSettings.Tier(List.of(), 1)), 2)),
@@ -40,7 +40,7 @@
                     .contains("replicas={0={UP=1}}");
             harness.pooler.reload(
                     Config.load(PoolerHarness.environment(PoolerHarness.configuration(harness.discovery.address()))),
-                    harness.operators);
+                    harness.operatorSettings);
             while (!value(client.execute("SHOW zones")).contains("sent_by_tier=[0, 0]")) {
                 Thread.onSpinWait(); // The reload is queued on the I/O thread.
             }
