--- a/pooler/src/main/java/frostreel/ConfigReloader.java
+++ b/pooler/src/main/java/frostreel/ConfigReloader.java
@@ -27,7 +27,7 @@
     private final ServingLifecycle lifecycle;
     private final RequestClassRegistry classes;
     private final EndpointSource endpoints;
-    private final Optional<OperatorSettings.Cluster> cluster;
+    private final Optional<OperatorSettings.Cluster> clusterAtStart;
     /** Null if no zone tiers were configured at the start. */
     private final ZoneFailoverPolicy zonePolicy;
 
@@ -35,7 +35,7 @@
     /** How many attempts a request that arrives now may have. */
     private int maxAttempts;
     /** When clients may no longer follow the settings before the last change; null before the first change. */
-    private Deadlines.Deadline endOfTransition;
+    private Deadlines.Deadline transitionEnd;
 
     ConfigReloader(
             EventLoop loop,
@@ -46,7 +46,7 @@
             EndpointSource endpoints,
             ZoneFailoverPolicy zonePolicy,
             Config config,
-            OperatorSettings operators) {
+            OperatorSettings operatorSettings) {
         this.loop = loop;
         this.pool = pool;
         this.broker = broker;
@@ -54,7 +54,7 @@
         this.classes = classes;
         this.endpoints = endpoints;
         this.zonePolicy = zonePolicy;
-        cluster = operators.cluster();
+        clusterAtStart = operatorSettings.cluster();
         inForce = config;
         maxAttempts = config.settings().limits().maxAttempts();
     }
@@ -68,7 +68,7 @@
             loop.counters().configReloads++;
             apply(config.settings());
             if (!config.hasSameDiscovery(inForce)) {
-                endpoints.moveTo(config);
+                endpoints.switchTo(config);
             }
             inForce = config;
             LOG.info("configuration reloaded");
@@ -89,8 +89,8 @@
         broker.updateSettings(duringTransition);
         lifecycle.setLongestDeadlineUs(longestDeadlineUs(settings));
         loop.setStopSendingUs(settings.rules().stopSendingUs());
-        loop.deadlines().cancel(endOfTransition);
-        endOfTransition =
+        loop.deadlines().cancel(transitionEnd);
+        transitionEnd =
                 loop.deadlines().after(RequestClassRegistry.TRANSITION_US, () -> endTransition(afterTransition));
     }
 
@@ -111,13 +111,14 @@
      * Applies the zone tiers of the operators' settings; from any thread. Whether there are tiers at all, and
      * which poolers form the cluster, is fixed at the start.
      */
-    void reload(Config config, OperatorSettings operators) {
-        if (!cluster.equals(operators.cluster())) {
+    void reload(Config config, OperatorSettings operatorSettings) {
+        if (!clusterAtStart.equals(operatorSettings.cluster())) {
             LOG.warning("the poolers of the cluster changed: applied at the next start");
         }
-        int ownZone = config.settings().zone();
+        int localZone = config.settings().zone();
         loop.thread()
-                .execute(() -> operators.zoneSettings(ownZone, config.zones()).ifPresent(this::apply));
+                .execute(() ->
+                        operatorSettings.zoneSettings(localZone, config.zones()).ifPresent(this::apply));
     }
 
     private void apply(ZoneSettings zones) {
--- a/pooler/src/main/java/frostreel/EndpointSource.java
+++ b/pooler/src/main/java/frostreel/EndpointSource.java
@@ -20,17 +20,17 @@
      * sending of the first request. An agent that has changes to report responds within a tenth of this. A longer
      * silence means that discovery is overloaded or down, and waiting would only keep a pooler out of service.
      */
-    static final long CONFIGURED_LIST_PATIENCE_US = 100_000;
+    static final long CONFIGURED_LIST_WAIT_US = 100_000;
 
     /** How long a pooler with no configured list waits for the first list before it serves without servers. */
-    static final long FIRST_LIST_PATIENCE_US = 2_000_000;
+    static final long FIRST_LIST_WAIT_US = 2_000_000;
     /** How many times longer the wait is, counted from the start, if no connection to discovery is established. */
-    static final int UNREACHABLE_PATIENCE_FACTOR = 3;
+    static final int UNREACHABLE_WAIT_FACTOR = 3;
 
     private static final Logger LOG = Logger.getLogger(EndpointSource.class.getName());
 
     private final EventLoop loop;
-    private final long configuredListPatienceUs;
+    private final long configuredListWaitUs;
     private final BiConsumer<EndpointList, Router.ListKind> receiver;
     private final Runnable onServersKnown;
     private DiscoveryWatch watch;
@@ -42,31 +42,31 @@
     /**
      * Creates a source that reports nothing yet.
      *
-     * @param configuredListPatienceUs in place of {@link #CONFIGURED_LIST_PATIENCE_US}
+     * @param configuredListWaitUs in place of {@link #CONFIGURED_LIST_WAIT_US}
      * @param receiver receives each list, on the I/O thread
      * @param onServersKnown runs there at each list, and when the wait for the first one is over
      */
     EndpointSource(
             EventLoop loop,
             Config config,
-            long configuredListPatienceUs,
+            long configuredListWaitUs,
             BiConsumer<EndpointList, Router.ListKind> receiver,
             Runnable onServersKnown) {
         this.loop = loop;
-        this.configuredListPatienceUs = configuredListPatienceUs;
+        this.configuredListWaitUs = configuredListWaitUs;
         this.receiver = receiver;
         this.onServersKnown = onServersKnown;
         configured = config.initialEndpoints();
-        watch = newWatch(config, heldVersion(configured));
+        watch = newWatch(config, initialVersion(configured));
     }
 
-    private static long heldVersion(EndpointList held) {
-        return held.endpoints().isEmpty() ? DiscoveryWatch.NO_VERSION : held.version();
+    private static long initialVersion(EndpointList configured) {
+        return configured.endpoints().isEmpty() ? DiscoveryWatch.NO_VERSION : configured.version();
     }
 
     private DiscoveryWatch newWatch(Config config, long version) {
         return new DiscoveryWatch(
-                loop, config.discoveryAddress(), config.zones(), config.machineTypes(), version, this::received);
+                loop, config.discoveryAddress(), config.zones(), config.machineTypes(), version, this::onList);
     }
 
     /** Starts to watch the discovery agent. */
@@ -77,18 +77,18 @@
     /** Bounds the time for which the start waits for the first list. */
     void limitWaitForFirstList() {
         if (configured.endpoints().isEmpty()) {
-            loop.deadlines().after(FIRST_LIST_PATIENCE_US, onServersKnown);
+            loop.deadlines().after(FIRST_LIST_WAIT_US, onServersKnown);
         } else {
-            limitWaitOfConfiguredList();
+            limitWaitForDiscovery();
         }
     }
 
-    private void limitWaitOfConfiguredList() {
+    private void limitWaitForDiscovery() {
         Deadlines.Deadline unreachable =
-                loop.deadlines().after(UNREACHABLE_PATIENCE_FACTOR * configuredListPatienceUs, onServersKnown);
+                loop.deadlines().after(UNREACHABLE_WAIT_FACTOR * configuredListWaitUs, onServersKnown);
         watch.onFirstRequest(() -> {
             loop.deadlines().cancel(unreachable);
-            loop.deadlines().after(configuredListPatienceUs, onServersKnown);
+            loop.deadlines().after(configuredListWaitUs, onServersKnown);
         });
     }
 
@@ -104,7 +104,7 @@
      * Switches to the agent that {@code config} names, once that has responded. It is asked for the complete list,
      * as versions of one agent's lists are not comparable with another's.
      */
-    void moveTo(Config config) {
+    void switchTo(Config config) {
         if (replacement != null) {
             replacement.stop();
         }
@@ -119,7 +119,7 @@
         named.start();
     }
 
-    private void received(EndpointList list) {
+    private void onList(EndpointList list) {
         applyConfigured();
         receiver.accept(list, list.complete() ? Router.ListKind.FULL : Router.ListKind.CHANGES);
         onServersKnown.run();
--- a/pooler/src/main/java/frostreel/Pooler.java
+++ b/pooler/src/main/java/frostreel/Pooler.java
@@ -41,22 +41,23 @@
     private final ZoneFailoverPolicy zonePolicy;
 
     /** Creates a pooler and starts it: it serves as soon as it is ready, see {@link Readiness}. */
-    public Pooler(Config config, OperatorSettings operators) throws IOException {
-        this(config, operators, EndpointSource.CONFIGURED_LIST_PATIENCE_US, ServingLifecycle.LINGER_US);
+    public Pooler(Config config, OperatorSettings operatorSettings) throws IOException {
+        this(config, operatorSettings, EndpointSource.CONFIGURED_LIST_WAIT_US, ServingLifecycle.LINGER_US);
     }
 
     /**
      * As the other constructor, with times of the caller's.
      *
-     * @param configuredListPatienceUs how long the list in the configuration waits for discovery
+     * @param configuredListWaitUs how long the list in the configuration waits for discovery
      * @param lingerUs how long a client whose connection was ended may take to end its side
      */
-    Pooler(Config config, OperatorSettings operators, long configuredListPatienceUs, long lingerUs) throws IOException {
+    Pooler(Config config, OperatorSettings operatorSettings, long configuredListWaitUs, long lingerUs)
+            throws IOException {
         loop = new EventLoop(ClockAnchor.clock(config.commandFolder().orElse(null)));
         PeerProcessCommits peer = PeerProcessCommits.open(config, loop.clock().now());
         loop.onHeartbeat(peer.writeObserver()::onHeartbeat);
         ServerPool pool = new ServerPool(loop, config.settings(), config.maxServerConnections());
-        zonePolicy = zonePolicy(config, operators);
+        zonePolicy = zonePolicy(config, operatorSettings);
         broker = broker(config, pool, peer);
         RequestClassRegistry classes =
                 new RequestClassRegistry(config.settings().classes());
@@ -64,28 +65,29 @@
         listener = listener(config, classes);
         commands = commands(config, pool);
         AdminListener admin = config.adminAddress().isPresent() ? new AdminListener(loop, commands) : null;
-        ClusterMember clusterMember = clusterMember(config, operators);
+        ClusterMember clusterMember = clusterMember(config, operatorSettings);
         readiness = new Readiness(lifecycle, listener::applyLifecycle);
         endpoints = new EndpointSource(
-                loop, config, configuredListPatienceUs, commands::onEndpointList, readiness::serversKnown);
+                loop, config, configuredListWaitUs, commands::onEndpointList, readiness::serversKnown);
         readiness.beforeServing(endpoints::applyConfigured);
         sockets = new ServingSockets(loop, config, listener, admin, readiness);
-        reloader = new ConfigReloader(loop, pool, broker, lifecycle, classes, endpoints, zonePolicy, config, operators);
-        shutdown = new ShutdownSequence(loop, lifecycle, new OpenWork(), clusterOf(clusterMember));
-        addPages(admin, clusterMember);
+        reloader = new ConfigReloader(
+                loop, pool, broker, lifecycle, classes, endpoints, zonePolicy, config, operatorSettings);
+        shutdown = new ShutdownSequence(loop, lifecycle, new ClientWorkload(), clusterMembership(clusterMember));
+        addStatusPages(admin, clusterMember);
         loop.onWatchEventPoll(endpoints::readNow);
         loop.setStopSendingUs(config.settings().rules().stopSendingUs());
         loop.thread().execute(this::start);
     }
 
-    private static ZoneFailoverPolicy zonePolicy(Config config, OperatorSettings operators) {
-        if (operators.zones().isEmpty()) {
+    private static ZoneFailoverPolicy zonePolicy(Config config, OperatorSettings operatorSettings) {
+        if (operatorSettings.zones().isEmpty()) {
             return null;
         }
         Router.Settings settings = config.settings();
         return new ZoneFailoverPolicy(
                 settings,
-                operators.zoneSettings(settings.zone(), config.zones()).orElseThrow(),
+                operatorSettings.zoneSettings(settings.zone(), config.zones()).orElseThrow(),
                 new SplittableRandom(settings.seed()).nextDouble());
     }
 
@@ -135,9 +137,9 @@
     }
 
     /** Returns null if the poolers form no cluster. */
-    private ClusterMember clusterMember(Config config, OperatorSettings operators) {
-        return operators.cluster().isPresent()
-                ? new ClusterMember(operators.cluster().get(), config.name(), loop)
+    private ClusterMember clusterMember(Config config, OperatorSettings operatorSettings) {
+        return operatorSettings.cluster().isPresent()
+                ? new ClusterMember(operatorSettings.cluster().get(), config.name(), loop)
                 : null;
     }
 
@@ -147,12 +149,12 @@
                 + Long.toHexString(loop.clock().now());
     }
 
-    private ShutdownSequence.Cluster clusterOf(ClusterMember member) {
-        return member == null ? ShutdownSequence.Cluster.NONE : timeoutMs -> member.leave(loop, timeoutMs);
+    private ShutdownSequence.ClusterMembership clusterMembership(ClusterMember member) {
+        return member == null ? ShutdownSequence.ClusterMembership.NONE : timeoutMs -> member.leave(loop, timeoutMs);
     }
 
     /** What a shutdown drains: this pooler's clients and their requests. */
-    private final class OpenWork implements ShutdownSequence.Workload {
+    private final class ClientWorkload implements ShutdownSequence.Workload {
         @Override
         public void applyLifecycle() {
             listener.applyLifecycle();
@@ -169,7 +171,7 @@
         }
     }
 
-    private void addPages(AdminListener admin, ClusterMember clusterMember) {
+    private void addStatusPages(AdminListener admin, ClusterMember clusterMember) {
         listener.addPage("stats", () -> loop.counters().toString());
         listener.addPage("health", this::health);
         if (admin != null) {
@@ -208,8 +210,8 @@
     }
 
     /** Applies new settings of the operators, see {@link ConfigReloader}; from any thread. */
-    public void reload(Config config, OperatorSettings operators) {
-        reloader.reload(config, operators);
+    public void reload(Config config, OperatorSettings operatorSettings) {
+        reloader.reload(config, operatorSettings);
     }
 
     /** Waits until this process listens, and returns the address for clients; not for the I/O thread. */
--- a/pooler/src/main/java/frostreel/Readiness.java
+++ b/pooler/src/main/java/frostreel/Readiness.java
@@ -20,10 +20,10 @@
         COMMANDS("orders"),
         SOCKETS("sockets");
 
-        private final String pageWord;
+        private final String statusName;
 
-        Prerequisite(String pageWord) {
-            this.pageWord = pageWord;
+        Prerequisite(String statusName) {
+            this.statusName = statusName;
         }
     }
 
@@ -47,20 +47,20 @@
 
     /** Reports that servers are known, or have been waited for long enough. */
     void serversKnown() {
-        fulfil(Prerequisite.SERVERS);
+        markFulfilled(Prerequisite.SERVERS);
     }
 
     /** Reports that the operators' commands that earlier incarnations stored are in force. */
     void commandsRestored() {
-        fulfil(Prerequisite.COMMANDS);
+        markFulfilled(Prerequisite.COMMANDS);
     }
 
     /** Reports that all sockets listen. */
     void socketsOpen() {
-        fulfil(Prerequisite.SOCKETS);
+        markFulfilled(Prerequisite.SOCKETS);
     }
 
-    private void fulfil(Prerequisite prerequisite) {
+    private void markFulfilled(Prerequisite prerequisite) {
         missing.remove(prerequisite);
         if (missing.isEmpty() && lifecycle.status() == ReadinessStatus.STARTING) {
             beginServing();
@@ -76,6 +76,6 @@
 
     /** Returns the first prerequisite that is missing, in the words of {@code SHOW health}. */
     String missing() {
-        return missing.isEmpty() ? NOTHING_MISSING : missing.iterator().next().pageWord;
+        return missing.isEmpty() ? NOTHING_MISSING : missing.iterator().next().statusName;
     }
 }
--- a/pooler/src/main/java/frostreel/ServingSockets.java
+++ b/pooler/src/main/java/frostreel/ServingSockets.java
@@ -17,44 +17,45 @@
  * Confined to the event loop, but for the methods that wait for the sockets.
  */
 final class ServingSockets {
-    private static final long RETRY_FOR_US = 20_000_000;
+    private static final long RETRY_TIMEOUT_US = 20_000_000;
     private static final long RETRY_INTERVAL_US = 50_000;
     private static final int EXIT_CANNOT_LISTEN = 1;
     private static final Logger LOG = Logger.getLogger(ServingSockets.class.getName());
 
     private final EventLoop loop;
     private final Config config;
-    private final Listener clients;
+    private final Listener clientListener;
     /** Null if the configuration has no admin endpoint. */
-    private final AdminListener admin;
+    private final AdminListener adminListener;
 
     private final Readiness readiness;
-    private final CountDownLatch open = new CountDownLatch(1);
+    private final CountDownLatch opened = new CountDownLatch(1);
     /** Whether the socket for clients is open, so that a retry need not open it again. */
-    private boolean clientsOpen;
+    private boolean clientListenerOpen;
 
-    ServingSockets(EventLoop loop, Config config, Listener clients, AdminListener admin, Readiness readiness) {
+    ServingSockets(
+            EventLoop loop, Config config, Listener clientListener, AdminListener adminListener, Readiness readiness) {
         this.loop = loop;
         this.config = config;
-        this.clients = clients;
-        this.admin = admin;
+        this.clientListener = clientListener;
+        this.adminListener = adminListener;
         this.readiness = readiness;
     }
 
     /** Opens all sockets, at once or by retries; on the I/O thread. */
     void open() {
-        open(loop.clock().now() + RETRY_FOR_US);
+        open(loop.clock().now() + RETRY_TIMEOUT_US);
     }
 
     private void open(long retryUntilUs) {
         try {
-            openClients();
-            openAdmin();
+            openClientListener();
+            openAdminListener();
         } catch (IOException e) {
             onFailure(e, retryUntilUs);
             return;
         }
-        open.countDown();
+        opened.countDown();
         readiness.socketsOpen();
     }
 
@@ -69,35 +70,35 @@
         }
     }
 
-    private void openClients() throws IOException {
-        if (!clientsOpen) {
-            clients.open(config.listenAddress(), config.inheritsListener());
-            clientsOpen = true;
-            LOG.info("listening on " + clients.address() + " as " + config.name());
+    private void openClientListener() throws IOException {
+        if (!clientListenerOpen) {
+            clientListener.open(config.listenAddress(), config.inheritsListener());
+            clientListenerOpen = true;
+            LOG.info("listening on " + clientListener.address() + " as " + config.name());
         }
     }
 
-    private void openAdmin() throws IOException {
-        if (admin != null) {
-            admin.open(config.adminAddress().orElseThrow());
-            LOG.info("admin endpoint listening on " + admin.address());
+    private void openAdminListener() throws IOException {
+        if (adminListener != null) {
+            adminListener.open(config.adminAddress().orElseThrow());
+            LOG.info("admin endpoint listening on " + adminListener.address());
         }
     }
 
     private String addresses() {
         return config.listenAddress()
-                + (admin == null ? "" : " and " + config.adminAddress().orElseThrow());
+                + (adminListener == null ? "" : " and " + config.adminAddress().orElseThrow());
     }
 
     /** Waits until the sockets are open, and returns the address for clients; not for the I/O thread. */
     InetSocketAddress clientAddress() throws InterruptedException {
-        open.await();
-        return clients.address();
+        opened.await();
+        return clientListener.address();
     }
 
     /** Waits until the sockets are open, and returns the admin endpoint, null for none; not for the I/O thread. */
     InetSocketAddress adminAddress() throws InterruptedException {
-        open.await();
-        return admin == null ? null : admin.address();
+        opened.await();
+        return adminListener == null ? null : adminListener.address();
     }
 }
--- a/pooler/src/main/java/frostreel/ShutdownSequence.java
+++ b/pooler/src/main/java/frostreel/ShutdownSequence.java
@@ -27,9 +27,9 @@
     }
 
     /** The cluster that this process leaves at its end. */
-    interface Cluster {
+    interface ClusterMembership {
         /** For a process that is a member of no cluster. */
-        Cluster NONE = timeoutMs -> {};
+        ClusterMembership NONE = timeoutMs -> {};
 
         /** Leaves the cluster, and waits for that at most for the timeout; not for the I/O thread. */
         void leave(long timeoutMs) throws InterruptedException;
@@ -38,10 +38,10 @@
     private final EventLoop loop;
     private final ServingLifecycle lifecycle;
     private final Workload workload;
-    private final Cluster cluster;
+    private final ClusterMembership cluster;
     private final CountDownLatch drained = new CountDownLatch(1);
 
-    ShutdownSequence(EventLoop loop, ServingLifecycle lifecycle, Workload workload, Cluster cluster) {
+    ShutdownSequence(EventLoop loop, ServingLifecycle lifecycle, Workload workload, ClusterMembership cluster) {
         this.loop = loop;
         this.lifecycle = lifecycle;
         this.workload = workload;
@@ -55,9 +55,9 @@
     boolean run() throws InterruptedException {
         loop.thread().execute(this::begin);
         // A client that neither completes a message nor disconnects must not keep the process until SIGKILL.
-        boolean clean = drained.await(lifecycle.shutdownTimeoutUs(), TimeUnit.MICROSECONDS);
+        boolean drainedInTime = drained.await(lifecycle.shutdownTimeoutUs(), TimeUnit.MICROSECONDS);
         cluster.leave(LEAVE_CLUSTER_TIMEOUT_MS);
-        return clean;
+        return drainedInTime;
     }
 
     private void begin() {
--- a/pooler/src/main/java/frostreel/cli/Check.java
+++ b/pooler/src/main/java/frostreel/cli/Check.java
@@ -31,7 +31,7 @@
                 spec.commandLine().getOut().println(file + ": good");
             } catch (InvalidFileException e) {
                 spec.commandLine().getErr().println(e.getMessage());
-                exitCode = Main.EXIT_FAULTY_INPUT;
+                exitCode = Main.EXIT_INVALID_INPUT;
             }
         }
         return exitCode;
--- a/pooler/src/main/java/frostreel/cli/Main.java
+++ b/pooler/src/main/java/frostreel/cli/Main.java
@@ -12,10 +12,10 @@
         mixinStandardHelpOptions = true,
         versionProvider = Main.Version.class,
         synopsisSubcommandLabel = "COMMAND",
-        subcommands = {Serve.class, SimulatorHost.class, TrainArchive.class, Check.class})
+        subcommands = {Serve.class, SimulatorAdapter.class, TrainArchive.class, Check.class})
 public final class Main {
     /** The exit code for a faulty command line, configuration or settings file. */
-    static final int EXIT_FAULTY_INPUT = 2;
+    static final int EXIT_INVALID_INPUT = 2;
 
     /** The version in the manifest of the jar. */
     static final class Version implements CommandLine.IVersionProvider {
--- a/pooler/src/main/java/frostreel/cli/Serve.java
+++ b/pooler/src/main/java/frostreel/cli/Serve.java
@@ -32,7 +32,7 @@
             names = "--settings",
             paramLabel = "FILE",
             description = "The operators' settings, as deploy/frostreel.xml; read again at SIGHUP.")
-    private Path settings;
+    private Path settingsFile;
     /** After the start, read and replaced by {@link #reload} alone. */
     private volatile Config configInForce;
 
@@ -40,11 +40,12 @@
     public Integer call() throws IOException {
         try {
             Config config = Config.load(System.getenv());
-            OperatorSettings operators =
-                    settings == null ? OperatorSettings.DEFAULT : OperatorSettings.read(settings, config.name());
-            Logging.configure(operators.logFormat(), operators.logLevel());
+            OperatorSettings operatorSettings = settingsFile == null
+                    ? OperatorSettings.DEFAULT
+                    : OperatorSettings.read(settingsFile, config.name());
+            Logging.configure(operatorSettings.logFormat(), operatorSettings.logLevel());
             configInForce = config;
-            Pooler pooler = new Pooler(config, operators);
+            Pooler pooler = new Pooler(config, operatorSettings);
             Runtime.getRuntime().addShutdownHook(new Thread(() -> shutDown(pooler), "stop"));
             if (!SighupHandler.handle(() -> reload(pooler))) {
                 LOG.warning("SIGHUP was ignored at the start and will not arrive: new settings need a restart");
@@ -52,7 +53,7 @@
             return KEEP_RUNNING;
         } catch (ConfigException | InvalidFileException e) {
             System.err.println("frostreel: " + e.getMessage());
-            return Main.EXIT_FAULTY_INPUT;
+            return Main.EXIT_INVALID_INPUT;
         }
     }
 
@@ -61,7 +62,7 @@
         try {
             Config config = Config.reload(System.getenv(), configInForce);
             configInForce = config;
-            if (settings != null) {
+            if (settingsFile != null) {
                 reloadSettings(pooler, config);
             }
             pooler.reload(config);
@@ -74,10 +75,10 @@
 
     private void reloadSettings(Pooler pooler, Config config) {
         try {
-            OperatorSettings operators = OperatorSettings.read(settings, config.name());
-            Logging.configure(operators.logFormat(), operators.logLevel());
-            pooler.reload(config, operators);
-            LOG.info("settings reloaded from " + settings);
+            OperatorSettings operatorSettings = OperatorSettings.read(settingsFile, config.name());
+            Logging.configure(operatorSettings.logFormat(), operatorSettings.logLevel());
+            pooler.reload(config, operatorSettings);
+            LOG.info("settings reloaded from " + settingsFile);
         } catch (InvalidFileException e) {
             LOG.warning(e.getMessage() + "; the settings in force are kept");
         }
--- a/pooler/src/main/java/frostreel/cli/SimulatorHost.java
+++ b/pooler/src/main/java/frostreel/cli/SimulatorAdapter.java
@@ -10,7 +10,7 @@
         name = "simulator",
         description = "Plays the decisions on the simulator's wire, by standard input and output.",
         mixinStandardHelpOptions = true)
-final class SimulatorHost implements Callable<Integer> {
+final class SimulatorAdapter implements Callable<Integer> {
     @Override
     public Integer call() throws IOException {
         return WireAdapter.run(System.in, System.out, System.err);
--- a/pooler/src/main/java/frostreel/config/Config.java
+++ b/pooler/src/main/java/frostreel/config/Config.java
@@ -89,7 +89,7 @@
     public static Config reload(Map<String, String> environment, Config inForce) throws ConfigException {
         Map<String, String> current = new HashMap<>(environment);
         current.remove("GW_DISCOVERY");
-        return load(current).replacing(inForce);
+        return load(current).requireKeysOf(inForce);
     }
 
     /**
@@ -97,7 +97,7 @@
      *
      * @throws ConfigException naming the first key that it lacks
      */
-    public Config replacing(Config inForce) throws ConfigException {
+    public Config requireKeysOf(Config inForce) throws ConfigException {
         Optional<String> missing = ReloadCompatibility.firstMissingKey(inForce.source, source);
         if (missing.isPresent()) {
             throw new ConfigException(
--- a/pooler/src/main/java/frostreel/config/ConfigReader.java
+++ b/pooler/src/main/java/frostreel/config/ConfigReader.java
@@ -21,7 +21,7 @@
     /** Within {@code TMPDIR}. */
     private static final String COMMAND_FOLDER = "frostreel-orders";
 
-    private static final int HEXADECIMAL = 16;
+    private static final int HEX_RADIX = 16;
 
     private final JSONObject source;
     private final MessageFields file;
@@ -80,8 +80,8 @@
     }
 
     private static int maxOpenRequests(MessageFields caps) throws MalformedMessageException {
-        long stated = caps.integer("maxOpen", 1, Integer.MAX_VALUE, MAX_OPEN_REQUESTS);
-        return (int) Math.min(stated, MAX_OPEN_REQUESTS);
+        long configured = caps.integer("maxOpen", 1, Integer.MAX_VALUE, MAX_OPEN_REQUESTS);
+        return (int) Math.min(configured, MAX_OPEN_REQUESTS);
     }
 
     private boolean inheritsListener() throws MalformedMessageException {
@@ -92,13 +92,13 @@
     }
 
     private Optional<Path> commandFolder() {
-        String temporary = environment.get("TMPDIR");
-        return temporary == null ? Optional.empty() : Optional.of(Path.of(temporary, COMMAND_FOLDER));
+        String temporaryFolder = environment.get("TMPDIR");
+        return temporaryFolder == null ? Optional.empty() : Optional.of(Path.of(temporaryFolder, COMMAND_FOLDER));
     }
 
     private long seed() throws MalformedMessageException {
         try {
-            return file.has("seed") ? Long.parseUnsignedLong(file.text("seed"), HEXADECIMAL) : 0;
+            return file.has("seed") ? Long.parseUnsignedLong(file.text("seed"), HEX_RADIX) : 0;
         } catch (NumberFormatException e) {
             throw new MalformedMessageException("field 'seed' is not hexadecimal");
         }
--- a/pooler/src/main/java/frostreel/config/DescriptorBudget.java
+++ b/pooler/src/main/java/frostreel/config/DescriptorBudget.java
@@ -11,9 +11,9 @@
     /** Where the configuration names no limit: the lowest that the platform grants. */
     static final int DEFAULT_DESCRIPTORS = 1024;
     /** Descriptors for the program itself: its jar, selectors, the listener, discovery, a margin. */
-    private static final int RESERVED = 64;
+    private static final int RESERVED_DESCRIPTORS = 64;
 
-    static final int MIN_DESCRIPTORS = 2 * RESERVED;
+    static final int MIN_DESCRIPTORS = 2 * RESERVED_DESCRIPTORS;
     static final int MAX_DESCRIPTORS = 1 << 20;
     /** The platform states that clients that send requests hold at most a third of all descriptors. */
     private static final int EXPECTED_CLIENTS_DIVISOR = 3;
@@ -29,12 +29,12 @@
      * servers, as it shares them with the process that it replaces.
      */
     static DescriptorBudget of(int descriptors, boolean inheritsListener) {
-        int available = descriptors - RESERVED;
+        int available = descriptors - RESERVED_DESCRIPTORS;
         int expectedClients = descriptors / EXPECTED_CLIENTS_DIVISOR;
         int spare = available / SPARE_DIVISOR;
         int maxServers = Math.max(spare, available - expectedClients - spare);
         if (inheritsListener) {
-            maxServers = Math.min(maxServers, Math.max(1, (available - expectedClients - RESERVED) / 2));
+            maxServers = Math.min(maxServers, Math.max(1, (available - expectedClients - RESERVED_DESCRIPTORS) / 2));
         }
         return new DescriptorBudget(available - maxServers, expectedClients, maxServers);
     }
--- a/pooler/src/main/java/frostreel/config/EndpointList.java
+++ b/pooler/src/main/java/frostreel/config/EndpointList.java
@@ -29,9 +29,8 @@
     /** A start time in milliseconds may not exceed what fits in microseconds. */
     private static final long MAX_STARTED_MS = Long.MAX_VALUE / MICROS_PER_MILLI;
 
-    private static final List<NamedValue<Boolean>> IS_PRIMARY =
-            List.of(named("primary", true), named("replica", false));
-    private static final List<NamedValue<Router.State>> STATE = List.of(
+    private static final List<NamedValue<Boolean>> ROLES = List.of(named("primary", true), named("replica", false));
+    private static final List<NamedValue<Router.State>> STATES = List.of(
             named("Ready", Router.State.UP),
             named("Terminating", Router.State.DRAINING),
             named("Gone", Router.State.GONE));
@@ -60,13 +59,13 @@
             throw new MalformedMessageException("field 'hosts' is not a list of objects");
         }
         MessageFields host = new MessageFields((Map<String, Object>) json);
-        Router.State state = host.oneOf("health", STATE);
+        Router.State state = host.oneOf("health", STATES);
         Router.Member member = new Router.Member(
                 host.text("host"),
                 indexOfName(zones, host, "site"),
                 indexOfName(machineTypes, host, "class"),
                 (int) host.integer("block", 0, Integer.MAX_VALUE, 0),
-                host.oneOf("role", IS_PRIMARY, false),
+                host.oneOf("role", ROLES, false),
                 state,
                 host.number("share", 1),
                 host.integer("born_ms", 0, MAX_STARTED_MS, 0) * MICROS_PER_MILLI);
--- a/pooler/src/main/java/frostreel/settings/OperatorSettings.java
+++ b/pooler/src/main/java/frostreel/settings/OperatorSettings.java
@@ -80,18 +80,20 @@
     /**
      * The preferences among zones by the zones' numbers, where any are stated.
      *
-     * @param own number of the pooler's own zone
+     * @param localZone number of the pooler's own zone
      * @param zoneNames names of the zones, in the order of their numbers; tiers' names that are not among
      *     them are left out
      */
-    public Optional<ZoneSettings> zoneSettings(int own, List<String> zoneNames) {
-        return zones.map(stated -> new ZoneSettings(
-                own,
-                stated.tiers.stream().map(tier -> tierByNumber(tier, zoneNames)).toList(),
-                stated.poolers));
+    public Optional<ZoneSettings> zoneSettings(int localZone, List<String> zoneNames) {
+        return zones.map(preferences -> new ZoneSettings(
+                localZone,
+                preferences.tiers.stream()
+                        .map(tier -> tierWithZoneNumbers(tier, zoneNames))
+                        .toList(),
+                preferences.poolers));
     }
 
-    private static ZoneSettings.Tier tierByNumber(Tier tier, List<String> zoneNames) {
+    private static ZoneSettings.Tier tierWithZoneNumbers(Tier tier, List<String> zoneNames) {
         List<Integer> numbers = tier.zones.stream()
                 .map(zoneNames::indexOf)
                 .filter(number -> number >= 0)
--- a/pooler/src/main/java/frostreel/settings/OperatorSettingsReader.java
+++ b/pooler/src/main/java/frostreel/settings/OperatorSettingsReader.java
@@ -20,7 +20,7 @@
 /** Reads {@link OperatorSettings}, and collects the faults that the schema cannot express. */
 final class OperatorSettingsReader {
     private static final int MAX_PORT = 65_535;
-    private static final String BLANKS = "\\s+";
+    private static final String WHITESPACE = "\\s+";
 
     private final Path path;
     private final String file;
@@ -90,17 +90,17 @@
     }
 
     private static List<String> zoneNames(XmlElement tier) {
-        return tier.has("zones") ? Arrays.asList(tier.text("zones").split(BLANKS)) : List.of();
+        return tier.has("zones") ? Arrays.asList(tier.text("zones").split(WHITESPACE)) : List.of();
     }
 
     private OperatorSettings.Cluster readCluster(XmlElement cluster) {
         Map<String, OperatorSettings.MemberAddress> members = new TreeMap<>();
         Set<String> names = new HashSet<>();
-        Set<InetSocketAddress> taken = new HashSet<>();
+        Set<InetSocketAddress> usedAddresses = new HashSet<>();
         for (XmlElement pooler : cluster.children("pooler").toList()) {
             String name = pooler.text("name");
             // A member left out here has a fault, with which the settings are dropped.
-            readMemberAddress(pooler, taken).ifPresent(address -> members.put(name, address));
+            readMemberAddress(pooler, usedAddresses).ifPresent(address -> members.put(name, address));
             if (!names.add(name)) {
                 errors.add(pooler.error(file, "name", "'" + name + "' is named twice"));
             }
@@ -113,10 +113,10 @@
 
     /** The addresses of a member; empty, with a fault added, where one of them is faulty. */
     private Optional<OperatorSettings.MemberAddress> readMemberAddress(
-            XmlElement pooler, Set<InetSocketAddress> taken) {
+            XmlElement pooler, Set<InetSocketAddress> usedAddresses) {
         Optional<InetSocketAddress> advertised = readAddress(pooler, "at");
         Optional<InetSocketAddress> bind = pooler.has("bind") ? readAddress(pooler, "bind") : advertised;
-        if (advertised.isPresent() && !taken.add(advertised.get())) {
+        if (advertised.isPresent() && !usedAddresses.add(advertised.get())) {
             errors.add(pooler.error(file, "at", "another pooler is at " + pooler.text("at")));
         }
         return advertised.flatMap(at -> bind.map(listen -> new OperatorSettings.MemberAddress(at, listen)));
--- a/pooler/src/main/java/frostreel/settings/XmlElementHandler.java
+++ b/pooler/src/main/java/frostreel/settings/XmlElementHandler.java
@@ -93,10 +93,11 @@
     private void add(ValidationError error) {
         int last = errors.size() - 1;
         if (last >= 0 && errors.get(last).hasSamePosition(error)) {
-            ValidationError before = errors.get(last);
-            if (!before.namesAttribute() && error.namesAttribute()) {
+            ValidationError previous = errors.get(last);
+            if (!previous.namesAttribute() && error.namesAttribute()) {
                 errors.set(
-                        last, new ValidationError(file, before.line(), before.column(), error.key(), before.message()));
+                        last,
+                        new ValidationError(file, previous.line(), previous.column(), error.key(), previous.message()));
                 return;
             }
         }
--- a/pooler/src/test/java/frostreel/ConfigTest.java
+++ b/pooler/src/test/java/frostreel/ConfigTest.java
@@ -33,7 +33,7 @@
     /** Reloads a configuration in place of the one in force. */
     private static void reload(String replacement) throws Exception {
         Config inForce = Config.parse(configuration(), Map.of());
-        Config.parse(replacement, Map.of()).replacing(inForce);
+        Config.parse(replacement, Map.of()).requireKeysOf(inForce);
     }
 
     /** With too few descriptors for servers, every other request has to open a connection. */
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void namesTheVariableOfTheFileWhereItIsNotSet() {
+    void reportsThatGwConfigIsNotSet() {
         assertThatThrownBy(() -> Config.load(Map.of()))
                 .isInstanceOf(ConfigException.class)
                 .hasMessageContaining("GW_CONFIG");
@@ -69,12 +69,12 @@
                 "settings | {\"classes\":[]} | familyInfo",
                 "known | {\"seq\":1,\"hosts\":[{\"host\":\"a\",\"health\":\"Odd\"}]} | health"
             })
-    void namesTheKeyOfAFaultyValue(String key, String value, String namedKey) {
-        String faulty = new JSONObject(configuration())
+    void namesTheKeyOfAnInvalidValue(String key, String value, String namedKey) {
+        String invalid = new JSONObject(configuration())
                 .put(key, new JSONTokener(value).nextValue())
                 .toString();
 
-        assertThatThrownBy(() -> load(faulty))
+        assertThatThrownBy(() -> load(invalid))
                 .isInstanceOf(ConfigException.class)
                 .hasMessageContaining(namedKey);
     }
@@ -149,8 +149,8 @@
     }
 
     private static void assertRejected(String entry, String key, String value) {
-        String faulty = changedConfiguration().replaceFirst(entry, "\"" + key + "\":" + value);
-        assertThatThrownBy(() -> reload(faulty))
+        String invalid = changedConfiguration().replaceFirst(entry, "\"" + key + "\":" + value);
+        assertThatThrownBy(() -> reload(invalid))
                 .isInstanceOf(ConfigException.class)
                 .hasMessageContaining(key);
     }
--- a/pooler/src/test/java/frostreel/EndpointListTest.java
+++ b/pooler/src/test/java/frostreel/EndpointListTest.java
@@ -12,7 +12,7 @@
 /** Changes of the endpoint list while requests are served. */
 class EndpointListTest extends AbstractPoolerTest {
     @Test
-    void listWhoseVersionWentBackIsRequestedInFull() throws Exception {
+    void completeListIsRequestedAfterTheVersionDecreased() throws Exception {
         harness.startSilent(host("a", primary, "primary", "Ready"));
         harness.lists.add(list(9, false));
         harness.lists.add(list(3, false));
@@ -39,7 +39,7 @@
 
     /** The handshake may last longer than the limit on sends to a draining server, and be followed by the request. */
     @Test
-    void requestWaitingForConnectionMovesWhenItsServerDrainsOrMoves() throws Exception {
+    void requestWaitingForConnectionIsReroutedWhenItsServerDrainsOrMoves() throws Exception {
         ScriptedPeer moved = harness.server(rows("from-moved", "replica"));
         replica.handshake = (text, link) -> replica.received.add("a handshake that does not end");
         start();
--- a/pooler/src/test/java/frostreel/EndpointSourceTest.java
+++ b/pooler/src/test/java/frostreel/EndpointSourceTest.java
@@ -14,7 +14,7 @@
 
 /** The wait for the first list, without a discovery agent; what an agent reports is in {@link DiscoveryTest}. */
 class EndpointSourceTest {
-    private static final long PATIENCE_US = EndpointSource.CONFIGURED_LIST_PATIENCE_US;
+    private static final long CONFIGURED_LIST_WAIT_US = EndpointSource.CONFIGURED_LIST_WAIT_US;
     private static final String SERVER = "{\"host\":\"a\",\"dial\":\"127.0.0.1:1\",\"site\":\"dc\",\"class\":\"m\","
             + "\"block\":2,\"health\":\"Ready\",\"share\":1.0,\"born_ms\":0,\"role\":\"primary\"}";
 
@@ -39,7 +39,7 @@
         return new EndpointSource(
                 manual.loop,
                 config,
-                PATIENCE_US,
+                CONFIGURED_LIST_WAIT_US,
                 (list, kind) -> received.add(new Received(list, kind)),
                 () -> serversKnown = true);
     }
@@ -60,7 +60,7 @@
     @Test
     void waitsTwoSecondsForTheFirstListIfNoneIsConfigured() throws Exception {
         manual.run(source()::limitWaitForFirstList);
-        manual.advance(EndpointSource.FIRST_LIST_PATIENCE_US - 1);
+        manual.advance(EndpointSource.FIRST_LIST_WAIT_US - 1);
         assertThat(serversKnown).isFalse();
 
         manual.advance(1);
@@ -71,7 +71,7 @@
     @Test
     void waitsLongerWithConfiguredListWhileDiscoveryIsUnreachable() throws Exception {
         manual.run(source(SERVER)::limitWaitForFirstList);
-        manual.advance(EndpointSource.UNREACHABLE_PATIENCE_FACTOR * PATIENCE_US - 1);
+        manual.advance(EndpointSource.UNREACHABLE_WAIT_FACTOR * CONFIGURED_LIST_WAIT_US - 1);
         assertThat(serversKnown).isFalse();
 
         manual.advance(1);
--- a/pooler/src/test/java/frostreel/HandoverTest.java
+++ b/pooler/src/test/java/frostreel/HandoverTest.java
@@ -52,7 +52,7 @@
         return process.peerCommits().requiredPositionUs(NOW_US + 50_000, SESSION);
     }
 
-    private void assertBlind(PeerProcessCommits process) {
+    private void assertPeersUnknown(PeerProcessCommits process) {
         assertThat(requiredPositionUs(process)).as("all that counts as known").isEqualTo(NOW_US - 50_000);
     }
 
@@ -99,34 +99,34 @@
 
     @ParameterizedTest
     @EnumSource
-    void damagedFileBlindsOneProcessAndIsReplacedForTheNext(Damage damage) throws Exception {
+    void damagedFileHidesPeersFromOneProcessAndIsReplacedForTheNext(Damage damage) throws Exception {
         open();
         damage(damage);
 
         PeerProcessCommits first = open();
-        assertBlind(first);
+        assertPeersUnknown(first);
         write(first, NOW_US + 2_000);
-        assertBlind(first);
+        assertPeersUnknown(first);
 
         PeerProcessCommits second = open();
         assertThat(requiredPositionUs(second)).isEqualTo(NOW_US + 3_000);
         write(second, NOW_US + 60_000);
-        assertBlind(first);
+        assertPeersUnknown(first);
         try (Stream<Path> left = Files.list(folder())) {
             assertThat(left).as("no unfinished file is left").hasSize(1);
         }
     }
 
     @Test
-    void servesBlindWhereTheFileCannotBeCreated() throws Exception {
+    void servesWithUnknownPeersIfTheFileCannotBeCreated() throws Exception {
         Files.createDirectories(folder().resolve("commits")); // A directory, as permissions do not bind root.
         PeerProcessCommits before = open();
         write(before, NOW_US);
-        assertBlind(before);
+        assertPeersUnknown(before);
         Files.delete(folder().resolve("commits"));
         Files.delete(folder());
         Files.createFile(folder());
-        assertBlind(open());
-        assertBlind(PeerProcessCommits.open(Config.parse(REMEMBERED, Map.of("GW_FD", "0")), NOW_US));
+        assertPeersUnknown(open());
+        assertPeersUnknown(PeerProcessCommits.open(Config.parse(REMEMBERED, Map.of("GW_FD", "0")), NOW_US));
     }
 }
--- a/pooler/src/test/java/frostreel/PoolerHarness.java
+++ b/pooler/src/test/java/frostreel/PoolerHarness.java
@@ -73,7 +73,7 @@
 
     OperatorSettings operatorSettings = OperatorSettings.DEFAULT;
     /** For how long discovery is awaited before the configured list is used; endless in a test of that wait. */
-    long configuredListPatienceUs = EndpointSource.CONFIGURED_LIST_PATIENCE_US;
+    long configuredListWaitUs = EndpointSource.CONFIGURED_LIST_WAIT_US;
     /** How long a closed client may take to close its side; endless in a test of that wait. */
     long lingerUs = ServingLifecycle.LINGER_US;
     /** The settings of the pooler that is started. */
@@ -180,7 +180,7 @@
         pooler = new Pooler(
                 unlimitedConcurrency ? config.withSettings(config.settings().onSockets(0)) : config,
                 operatorSettings,
-                configuredListPatienceUs,
+                configuredListWaitUs,
                 lingerUs);
     }
 
--- a/pooler/src/test/java/frostreel/ShutdownTest.java
+++ b/pooler/src/test/java/frostreel/ShutdownTest.java
@@ -50,12 +50,12 @@
     }
 
     /** Sends requests until the connection ends; one that was sent while it was closed stays unanswered. */
-    private static void sendUntilClosed(int port, String name, Set<String> answered) throws IOException {
+    private static void sendUntilClosed(int port, String name, Set<String> completed) throws IOException {
         try (WireConnection client = PoolerHarness.client(port)) {
             for (int i = 0; true; i++) {
                 client.send(query(readSql(name + "x" + i, 300)));
                 client.readResponse();
-                answered.add(name + "x" + i);
+                completed.add(name + "x" + i);
             }
         } catch (EOFException | SocketException end) {
             return; // The connection has ended.
@@ -64,7 +64,7 @@
 
     @ParameterizedTest
     @EnumSource
-    void everyRequestThatReachedAServerIsAnsweredBeforeOrderlyExit(Situation situation) throws Exception {
+    void everyRequestThatReachedAServerGetsItsResponseBeforeExit(Situation situation) throws Exception {
         boolean ready = situation != Situation.NOT_READY;
         try (ServeProcess process = ServeProcess.start(environment())) {
             if (ready) {
@@ -75,9 +75,9 @@
             if (ready) {
                 process.awaitReady();
             }
-            Set<String> answered = ConcurrentHashMap.newKeySet();
-            List<Thread> clients = startClients(port, answered);
-            while (ready && answered.size() < CLIENTS) {
+            Set<String> completed = ConcurrentHashMap.newKeySet();
+            List<Thread> clients = startClients(port, completed);
+            while (ready && completed.size() < CLIENTS) {
                 Thread.onSpinWait();
             }
             if (situation == Situation.PAUSED) {
@@ -93,15 +93,15 @@
             for (Thread client : clients) {
                 client.join();
             }
-            assertThat(requestsThatReachedServers()).isSubsetOf(answered);
+            assertThat(requestsThatReachedServers()).isSubsetOf(completed);
         }
     }
 
-    private static List<Thread> startClients(int port, Set<String> answered) {
+    private static List<Thread> startClients(int port, Set<String> completed) {
         List<Thread> clients = new ArrayList<>();
         for (int i = 0; i < CLIENTS; i++) {
             String name = "c" + i;
-            clients.add(PoolerHarness.spawn(() -> sendUntilClosed(port, name, answered)));
+            clients.add(PoolerHarness.spawn(() -> sendUntilClosed(port, name, completed)));
         }
         return clients;
     }
@@ -109,8 +109,8 @@
     private static void pause(int adminPort) throws IOException {
         try (Socket caller = new Socket("127.0.0.1", adminPort)) {
             caller.getOutputStream().write("PAUSE\n".getBytes(StandardCharsets.US_ASCII));
-            String reply = new String(caller.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
-            assertThat(reply).startsWith("OK");
+            String response = new String(caller.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
+            assertThat(response).startsWith("OK");
         }
     }
 
@@ -163,15 +163,15 @@
     }
 
     @Test
-    void shutdownAnswersRequestsInFlightThenClosesClients() throws Exception {
-        List<String> faults = new CopyOnWriteArrayList<>();
-        Handler handler = warningsTo(faults);
+    void shutdownCompletesRequestsInFlightThenClosesClients() throws Exception {
+        List<String> warnings = new CopyOnWriteArrayList<>();
+        Handler handler = warningsTo(warnings);
         Logger root = Logger.getLogger("");
         root.addHandler(handler);
-        CountDownLatch asked = new CountDownLatch(1);
+        CountDownLatch requestArrived = new CountDownLatch(1);
         CountDownLatch mayRespond = new CountDownLatch(1);
         replica.script = (text, link) -> {
-            asked.countDown();
+            requestArrived.countDown();
             PoolerHarness.await(mayRespond);
             link.send(row("late", "replica"), TestMessages.READY);
         };
@@ -179,7 +179,7 @@
         try (WireConnection client = harness.client();
                 WireConnection idle = harness.client()) {
             client.send(query(readSql("1", 9000)));
-            asked.await();
+            requestArrived.await();
             Thread stop = stopPooler();
             String last = "";
             // Deadlines of 9 s are cut to the time that is left until SIGKILL.
@@ -197,15 +197,15 @@
         } finally {
             root.removeHandler(handler);
         }
-        assertThat(faults).isEmpty(); // A timer that is set while the thread ends must not fail.
+        assertThat(warnings).isEmpty(); // A timer that is set while the thread ends must not fail.
     }
 
-    private static Handler warningsTo(List<String> faults) {
+    private static Handler warningsTo(List<String> warnings) {
         return new StreamHandler() {
             @Override
             public void publish(LogRecord entry) {
                 if (entry.getLevel().intValue() >= Level.WARNING.intValue()) {
-                    faults.add(entry.getLevel() + " " + entry.getMessage());
+                    warnings.add(entry.getLevel() + " " + entry.getMessage());
                 }
             }
         };
--- a/pooler/src/test/java/frostreel/SighupTest.java
+++ b/pooler/src/test/java/frostreel/SighupTest.java
@@ -56,21 +56,21 @@
     }
 
     @Test
-    void sighupAppliesNewSettingsAndRejectsFaultyFile() throws Exception {
+    void sighupAppliesNewSettingsAndRejectsInvalidFile() throws Exception {
         Path settings = Files.createTempFile("settings", ".xml");
-        String good = "<frostreel xmlns=\"urn:frostreel:settings:1\"><log format=\"json\"/></frostreel>";
-        Files.writeString(settings, good);
+        String valid = "<frostreel xmlns=\"urn:frostreel:settings:1\"><log format=\"json\"/></frostreel>";
+        Files.writeString(settings, valid);
         Map<String, String> environment =
                 PoolerHarness.environment(PoolerHarness.configuration(harness.discovery.address()));
         try (ServeProcess process = ServeProcess.start(environment, "--settings", settings.toString())) {
             harness.lists.add(list(7, true));
             process.awaitLog("\"message\":\"ready\"");
 
-            Files.writeString(settings, good.replace("json", "xml"));
+            Files.writeString(settings, valid.replace("json", "xml"));
             process.signal("HUP");
             process.awaitLog("frostreel/log@format"); // Logged as JSON still.
 
-            Files.writeString(settings, good.replace("json", "text"));
+            Files.writeString(settings, valid.replace("json", "text"));
             process.signal("HUP");
             process.awaitLog("INFO frostreel.cli.Serve: settings reloaded from");
         }
--- a/pooler/src/test/java/frostreel/StartupReadinessTest.java
+++ b/pooler/src/test/java/frostreel/StartupReadinessTest.java
@@ -49,7 +49,7 @@
     /** A start may take longer than the limit on sends to a server that drains meanwhile. */
     @Test
     void configuredListIsNotUsedBeforeDiscoveryReportedChanges() throws Exception {
-        harness.configuredListPatienceUs = ENDLESS_US;
+        harness.configuredListWaitUs = ENDLESS_US;
         harness.startSilent(host("a", primary, "primary", "Ready"), host("b", replica, "replica", "Ready"));
         try (WireConnection client = harness.client()) {
             assertThat(client.execute("")).singleElement().asString().contains("|C57P03|");
--- a/pooler/src/test/java/frostreel/cli/MainTest.java
+++ b/pooler/src/test/java/frostreel/cli/MainTest.java
@@ -17,7 +17,7 @@
             Main.commandLine().setOut(new PrintWriter(out)).setErr(new PrintWriter(err));
 
     @Test
-    void rejectsInvalidUsageAndNamesTheFault() {
+    void rejectsInvalidUsageAndNamesTheError() {
         assertThat(line.execute()).isEqualTo(2);
         assertThat(line.execute("sevre")).isEqualTo(2);
         assertThat(err.toString()).contains("Missing required subcommand").contains("sevre");
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void checkReportsEveryFaultOfEveryFile(@TempDir Path folder) throws Exception {
+    void checkReportsEveryErrorOfEveryFile(@TempDir Path folder) throws Exception {
         String head = "<frostreel xmlns='urn:frostreel:settings:1'>";
         Path good = Files.writeString(folder.resolve("good.xml"), head + "</frostreel>");
         Path bad = Files.writeString(folder.resolve("bad.xml"), head + "<log level='x'/><y/></frostreel>");
--- a/pooler/src/test/java/frostreel/settings/OperatorSettingsTest.java
+++ b/pooler/src/test/java/frostreel/settings/OperatorSettingsTest.java
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void shippedFileIsValidAndStatesTheDefaults() throws Exception {
+    void shippedFileIsValidAndHasTheDefaults() throws Exception {
         assertThat(OperatorSettings.read(Path.of("../deploy/frostreel.xml"))).isEqualTo(OperatorSettings.DEFAULT);
     }
 
