--- a/pooler/src/test/java/frostreel/ConfigTest.java
+++ b/pooler/src/test/java/frostreel/ConfigTest.java
@@ -86,11 +86,11 @@
 
     @Test
     void rejectsAConfigurationTruncatedAnywhere() throws Exception {
-        String whole = changedConfiguration();
-        reload(whole);
-        for (int i = 0; i < whole.length(); i++) {
-            String cut = whole.substring(0, i);
-            assertThatThrownBy(() -> reload(cut)).as("cut at %d", i).isInstanceOf(ConfigException.class);
+        String complete = changedConfiguration();
+        reload(complete);
+        for (int i = 0; i < complete.length(); i++) {
+            String truncated = complete.substring(0, i);
+            assertThatThrownBy(() -> reload(truncated)).as("cut at %d", i).isInstanceOf(ConfigException.class);
         }
     }
 
--- a/pooler/src/test/java/frostreel/EndpointSourceTest.java
+++ b/pooler/src/test/java/frostreel/EndpointSourceTest.java
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void passesTheConfiguredListOnOnceAsCached() throws Exception {
+    void deliversTheConfiguredListOnceAsCached() throws Exception {
         EndpointSource source = source(SERVER);
 
         source.applyConfigured();
@@ -80,7 +80,7 @@
     }
 
     @Test
-    void showsThatNoOtherDiscoveryIsAwaited() throws Exception {
+    void showsThatNoOtherDiscoveryAgentIsAwaited() throws Exception {
         assertThat(source()).asString().endsWith(" next_discovery=none");
     }
 }
--- a/pooler/src/test/java/frostreel/HandoverTest.java
+++ b/pooler/src/test/java/frostreel/HandoverTest.java
@@ -83,7 +83,7 @@
         EMPTY,
         CUT_SHORT,
         LONGER,
-        OF_ANOTHER_VERSION
+        OTHER_VERSION
     }
 
     private void damage(Damage damage) throws IOException {
@@ -92,7 +92,7 @@
                 case EMPTY -> channel.truncate(0);
                 case CUT_SHORT -> channel.truncate(channel.size() - 1);
                 case LONGER -> channel.write(ByteBuffer.allocate(Long.BYTES), channel.size());
-                case OF_ANOTHER_VERSION -> channel.write(ByteBuffer.wrap(new byte[] {2}), 0);
+                case OTHER_VERSION -> channel.write(ByteBuffer.wrap(new byte[] {2}), 0);
             }
         }
     }
@@ -112,8 +112,8 @@
         assertThat(requiredPositionUs(second)).isEqualTo(NOW_US + 3_000);
         write(second, NOW_US + 60_000);
         assertPeersUnknown(first);
-        try (Stream<Path> left = Files.list(folder())) {
-            assertThat(left).as("no unfinished file is left").hasSize(1);
+        try (Stream<Path> remaining = Files.list(folder())) {
+            assertThat(remaining).as("no unfinished file is left").hasSize(1);
         }
     }
 
--- a/pooler/src/test/java/frostreel/ShutdownSequenceTest.java
+++ b/pooler/src/test/java/frostreel/ShutdownSequenceTest.java
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void staysForTheGracePeriodWithoutSuccessor() throws Exception {
+    void runsForTheGracePeriodWithoutSuccessor() throws Exception {
         FutureTask<Boolean> result = shutDown(new ServingLifecycle(false, LONGEST_DEADLINE_US));
         manual.advance(ServingLifecycle.SHUTDOWN_GRACE_US - 1);
         assertThat(result.isDone()).isFalse();
@@ -112,11 +112,11 @@
     }
 
     @Test
-    void givesUpOnClientsThatNeverLeaveAndLeavesTheCluster() throws Exception {
+    void leavesTheClusterAfterTheTimeoutIfClientsNeverDisconnect() throws Exception {
         workload.openClients = 1;
-        ServingLifecycle withoutRequests = new ServingLifecycle(true, 0); // The wait is as short as it can be.
+        ServingLifecycle lifecycle = new ServingLifecycle(true, 0); // The wait is as short as it can be.
 
-        FutureTask<Boolean> result = shutDown(withoutRequests);
+        FutureTask<Boolean> result = shutDown(lifecycle);
 
         assertThat(result.get()).isFalse();
         assertThat(leftCluster).isTrue();
--- a/pooler/src/test/java/frostreel/cli/MainTest.java
+++ b/pooler/src/test/java/frostreel/cli/MainTest.java
@@ -29,13 +29,13 @@
     @Test
     void checkReportsEveryErrorOfEveryFile(@TempDir Path folder) throws Exception {
         String head = "<frostreel xmlns='urn:frostreel:settings:1'>";
-        Path good = Files.writeString(folder.resolve("good.xml"), head + "</frostreel>");
-        Path bad = Files.writeString(folder.resolve("bad.xml"), head + "<log level='x'/><y/></frostreel>");
-        assertThat(line.execute("check", good.toString())).isZero();
+        Path valid = Files.writeString(folder.resolve("good.xml"), head + "</frostreel>");
+        Path invalid = Files.writeString(folder.resolve("bad.xml"), head + "<log level='x'/><y/></frostreel>");
+        assertThat(line.execute("check", valid.toString())).isZero();
         assertThat(line.execute(
                         "check",
-                        good.toString(),
-                        bad.toString(),
+                        valid.toString(),
+                        invalid.toString(),
                         folder.resolve("no").toString()))
                 .isEqualTo(2);
         assertThat(out.toString()).contains("good.xml: good").doesNotContain("bad.xml");
--- a/pooler/src/test/java/frostreel/settings/OperatorSettingsTest.java
+++ b/pooler/src/test/java/frostreel/settings/OperatorSettingsTest.java
@@ -72,7 +72,7 @@
     }
 
     @Test
-    void readsTiersByTheNumbersOfTheirZones() throws Exception {
+    void convertsZoneNamesInTiersToNumbers() throws Exception {
         OperatorSettings read = OperatorSettings.read(
                 write(document("<zones poolers='6'><tier zones='b c' spill='0.5'/><tier spill='0.2'/></zones>")));
 
@@ -85,7 +85,7 @@
     }
 
     @Test
-    void reportsTiersThatOverlap() throws Exception {
+    void reportsOverlappingTiers() throws Exception {
         assertThat(linesAndKeysOfErrors("""
                 <zones poolers='6'>
                 <tier spill='1'/>
@@ -95,7 +95,7 @@
     }
 
     @Test
-    void reportsNumbersOfZonesOutOfRange() throws Exception {
+    void reportsZoneValuesOutOfRange() throws Exception {
         assertThat(linesAndKeysOfErrors("""
                 <zones poolers='0'>
                 <tier spill='-1'/></zones>"""))
@@ -133,7 +133,7 @@
     }
 
     @Test
-    void reportsClusterMembersWithoutANameAndAddressOfTheirOwn() throws Exception {
+    void reportsClusterMembersWithDuplicateOrInvalidNamesAndAddresses() throws Exception {
         assertThat(linesAndKeysOfErrors("""
                 <cluster>
                 <pooler name='a' at='10.0.0.1:7800'/>
