--- a/pooler/src/main/java/frostreel/ConfigReloader.java
+++ b/pooler/src/main/java/frostreel/ConfigReloader.java
@@ -15,8 +15,8 @@
 import java.util.logging.Logger;
 
 /**
- * Applies a reloaded configuration to the running process, each in one turn of the event loop. Its state is
- * confined to the loop; its methods may be called from any thread.
+ * Applies reloaded configurations and operators' settings to the running process. Each one is applied in a single
+ * turn of the event loop. The state is confined to the loop; the methods may be called from any thread.
  */
 final class ConfigReloader {
     private static final Logger LOG = Logger.getLogger(ConfigReloader.class.getName());
@@ -28,13 +28,13 @@
     private final RequestClassRegistry classes;
     private final EndpointSource endpoints;
     private final Optional<OperatorSettings.Cluster> clusterAtStart;
-    /** Null if no zone tiers were configured at the start. */
+    /** Null if the operators' settings had no zone tiers at the start. */
     private final ZoneFailoverPolicy zonePolicy;
 
     private Config inForce;
-    /** How many attempts a request that arrives now may have. */
+    /** The limit on attempts for a request that arrives now. */
     private int maxAttempts;
-    /** When clients may no longer follow the settings before the last change; null before the first change. */
+    /** The end of the time in which clients may still follow the previous settings; null before the first change. */
     private Deadlines.Deadline transitionEnd;
 
     ConfigReloader(
@@ -60,8 +60,8 @@
     }
 
     /**
-     * Applies the settings of {@code config} and switches to the discovery agent that it names; from any thread.
-     * Names, addresses, descriptors and the limit on open requests are applied at the next start.
+     * Applies the settings of {@code config} and switches to its discovery agent; from any thread. Changes of this
+     * pooler's name, its addresses, the descriptor limit and the limit on open requests take effect at the next start.
      */
     void reload(Config config) {
         loop.thread().execute(() -> {
@@ -76,8 +76,8 @@
     }
 
     /**
-     * Applies settings at once, but for a higher limit on attempts: that takes effect once no client can still
-     * send requests by the previous settings.
+     * Applies settings at once, except for a higher limit on attempts, which takes effect once no client follows the
+     * previous settings any more.
      */
     private void apply(Router.Settings settings) {
         classes.change(loop.clock().now(), settings.classes());
@@ -108,8 +108,8 @@
     }
 
     /**
-     * Applies the zone tiers of the operators' settings; from any thread. Whether there are tiers at all, and
-     * which poolers form the cluster, is fixed at the start.
+     * Applies the zone tiers of the operators' settings; from any thread. Adding tiers to settings that had none at
+     * the start, and any change of the cluster's members, takes effect at the next start.
      */
     void reload(Config config, OperatorSettings operatorSettings) {
         if (!clusterAtStart.equals(operatorSettings.cluster())) {
--- a/pooler/src/main/java/frostreel/EndpointSource.java
+++ b/pooler/src/main/java/frostreel/EndpointSource.java
@@ -10,21 +10,21 @@
 import java.util.logging.Logger;
 
 /**
- * Passes on endpoint lists: first the one in the configuration, then what the discovery agent reports. When a
- * reload names another agent, the previous one stays in use until the new one has responded. Confined to the
+ * The source of endpoint lists: delivers the list in the configuration first, then what the discovery agent reports.
+ * If a reload names another agent, the previous one stays in use until the new one has responded. Confined to the
  * event loop.
  */
 final class EndpointSource {
     /**
-     * How long the list in the configuration is held back for the first response of discovery, counted from the
-     * sending of the first request. An agent that has changes to report responds within a tenth of this. A longer
-     * silence means that discovery is overloaded or down, and waiting would only keep a pooler out of service.
+     * How long the pooler waits for the first response of discovery before it uses the list in the configuration,
+     * from the moment the first request is sent. An agent with changes to report responds within a tenth of this. A
+     * slower response means that discovery is overloaded or down, and waiting would only delay the start of service.
      */
     static final long CONFIGURED_LIST_WAIT_US = 100_000;
 
-    /** How long a pooler with no configured list waits for the first list before it serves without servers. */
+    /** How long a pooler without a configured list waits for the first list before it serves without servers. */
     static final long FIRST_LIST_WAIT_US = 2_000_000;
-    /** How many times longer the wait is, counted from the start, if no connection to discovery is established. */
+    /** Multiplies the wait, which then counts from the start, if no connection to discovery is established. */
     static final int UNREACHABLE_WAIT_FACTOR = 3;
 
     private static final Logger LOG = Logger.getLogger(EndpointSource.class.getName());
@@ -34,17 +34,17 @@
     private final BiConsumer<EndpointList, Router.ListKind> receiver;
     private final Runnable onServersKnown;
     private DiscoveryWatch watch;
-    /** The watch on the agent that a reload named, until it has responded; null for none. */
+    /** The watch on the agent of a reloaded configuration, until that agent has responded; null if there is none. */
     private DiscoveryWatch replacement;
     /** The list in the configuration; null once it has been applied. */
     private EndpointList configured;
 
     /**
-     * Creates a source that reports nothing yet.
+     * Creates a source, which delivers no list before {@link #start} or {@link #applyConfigured}.
      *
-     * @param configuredListWaitUs in place of {@link #CONFIGURED_LIST_WAIT_US}
+     * @param configuredListWaitUs used in place of {@link #CONFIGURED_LIST_WAIT_US}
      * @param receiver receives each list, on the I/O thread
-     * @param onServersKnown runs there at each list, and when the wait for the first one is over
+     * @param onServersKnown runs on the I/O thread after each list, and when the wait for the first one times out
      */
     EndpointSource(
             EventLoop loop,
@@ -69,12 +69,12 @@
                 loop, config.discoveryAddress(), config.zones(), config.machineTypes(), version, this::onList);
     }
 
-    /** Starts to watch the discovery agent. */
+    /** Starts watching the discovery agent. */
     void start() {
         watch.start();
     }
 
-    /** Bounds the time for which the start waits for the first list. */
+    /** Sets the timeout of the wait for the first list. */
     void limitWaitForFirstList() {
         if (configured.endpoints().isEmpty()) {
             loop.deadlines().after(FIRST_LIST_WAIT_US, onServersKnown);
@@ -92,7 +92,7 @@
         });
     }
 
-    /** Applies the watch events that have arrived, so that nothing else that has arrived is handled before them. */
+    /** Processes the responses of discovery that have arrived, so that they precede all other input of this turn. */
     void readNow() {
         watch.readNow();
         if (replacement != null) {
@@ -101,8 +101,8 @@
     }
 
     /**
-     * Switches to the agent that {@code config} names, once that has responded. It is asked for the complete list,
-     * as versions of one agent's lists are not comparable with another's.
+     * Switches to the agent that {@code config} names, once that agent has responded. Its complete list is requested,
+     * as list versions are not comparable between agents.
      */
     void switchTo(Config config) {
         if (replacement != null) {
@@ -126,9 +126,10 @@
     }
 
     /**
-     * Applies the list in the configuration, at the first call. It is applied only together with the changes
-     * since, or if discovery stays silent: a drain that was published while this process started counts as known
-     * to it from its first moment, and a start may take longer than the limit on sends to a draining server.
+     * Delivers the list in the configuration; only the first call has an effect. The list is delivered together with
+     * the changes since, or after the wait for discovery has timed out. Any earlier, requests could be sent to a server
+     * whose drain was published during the start: the platform counts such a drain as known from the start of this
+     * process, and a start may take longer than sends to a draining server are allowed.
      */
     void applyConfigured() {
         if (configured == null) {
@@ -139,7 +140,7 @@
         receiver.accept(list, Router.ListKind.CACHED);
     }
 
-    /** Returns the part of {@code SHOW health} on discovery. */
+    /** Returns the fields of {@code SHOW health} on discovery. */
     @Override
     public String toString() {
         return watch + " next_discovery=" + (replacement == null ? "none" : "unanswered");
--- a/pooler/src/main/java/frostreel/Pooler.java
+++ b/pooler/src/main/java/frostreel/Pooler.java
@@ -23,7 +23,7 @@
 import java.net.InetSocketAddress;
 import java.util.SplittableRandom;
 
-/** One pooler: creates its parts, connects them, and starts and ends them. */
+/** One pooler: creates its components, connects them, and starts and stops them. */
 public final class Pooler {
     private static final long MICROS_PER_MILLI = 1_000;
 
@@ -37,19 +37,19 @@
     private final ServingSockets sockets;
     private final ConfigReloader reloader;
     private final ShutdownSequence shutdown;
-    /** Null if no zone tiers are configured: then none of their classes is loaded. */
+    /** Null if no zone tiers are configured; the classes for zone tiers are not loaded then. */
     private final ZoneFailoverPolicy zonePolicy;
 
-    /** Creates a pooler and starts it: it serves as soon as it is ready, see {@link Readiness}. */
+    /** Creates and starts a pooler, which serves as soon as it is ready, see {@link Readiness}. */
     public Pooler(Config config, OperatorSettings operatorSettings) throws IOException {
         this(config, operatorSettings, EndpointSource.CONFIGURED_LIST_WAIT_US, ServingLifecycle.LINGER_US);
     }
 
     /**
-     * As the other constructor, with times of the caller's.
+     * As {@link #Pooler(Config, OperatorSettings)}, with other times than the defaults.
      *
-     * @param configuredListWaitUs how long the list in the configuration waits for discovery
-     * @param lingerUs how long a client whose connection was ended may take to end its side
+     * @param configuredListWaitUs replaces {@link EndpointSource#CONFIGURED_LIST_WAIT_US}
+     * @param lingerUs replaces {@link ServingLifecycle#LINGER_US}
      */
     Pooler(Config config, OperatorSettings operatorSettings, long configuredListWaitUs, long lingerUs)
             throws IOException {
@@ -143,7 +143,7 @@
                 : null;
     }
 
-    /** The name of this process, unique among all that store operators' commands in one folder. */
+    /** Returns an id of this process that is unique among all processes that store commands in the same folder. */
     private String incarnation(Config config) {
         return Long.toHexString(config.settings().seed()) + "x"
                 + Long.toHexString(loop.clock().now());
@@ -153,7 +153,7 @@
         return member == null ? ShutdownSequence.ClusterMembership.NONE : timeoutMs -> member.leave(loop, timeoutMs);
     }
 
-    /** What a shutdown drains: this pooler's clients and their requests. */
+    /** The clients of this pooler and their requests, which a shutdown drains. */
     private final class ClientWorkload implements ShutdownSequence.Workload {
         @Override
         public void applyLifecycle() {
@@ -185,7 +185,7 @@
         }
     }
 
-    /** The page {@code SHOW health}: whether this process serves, what it waits for, how old its endpoint list is. */
+    /** Returns the page {@code SHOW health}: readiness, what is missing for it, the state of discovery, and load. */
     private String health() {
         return "clients=" + lifecycle.status().wireName()
                 + " missing=" + readiness.missing()
@@ -209,27 +209,27 @@
         reloader.reload(config);
     }
 
-    /** Applies new settings of the operators, see {@link ConfigReloader}; from any thread. */
+    /** Applies new operators' settings, see {@link ConfigReloader}; from any thread. */
     public void reload(Config config, OperatorSettings operatorSettings) {
         reloader.reload(config, operatorSettings);
     }
 
-    /** Waits until this process listens, and returns the address for clients; not for the I/O thread. */
+    /** Waits until the sockets are open, and returns the address for clients; not for the I/O thread. */
     public InetSocketAddress address() throws InterruptedException {
         return sockets.clientAddress();
     }
 
-    /** Waits until this process listens; returns its admin endpoint, null for none; not for the I/O thread. */
+    /** Waits until the sockets are open, and returns the admin endpoint or null; not for the I/O thread. */
     public InetSocketAddress adminAddress() throws InterruptedException {
         return sockets.adminAddress();
     }
 
-    /** Shuts down gracefully and returns whether all clients had ended, see {@link ShutdownSequence}. */
+    /** Shuts down gracefully; returns whether all clients and requests ended in time, see {@link ShutdownSequence}. */
     public boolean stop() throws InterruptedException {
         return shutdown.run();
     }
 
-    /** Ends the loop and closes every socket; with an inherited one, standard output and error too. */
+    /** Stops the event loop and closes all sockets; with an inherited listener, standard output and error too. */
     public void close() throws InterruptedException {
         loop.end();
     }
--- a/pooler/src/main/java/frostreel/Readiness.java
+++ b/pooler/src/main/java/frostreel/Readiness.java
@@ -7,14 +7,14 @@
 import java.util.logging.Logger;
 
 /**
- * Decides when this process begins to serve: once servers are known, the operators' commands of earlier
- * incarnations are restored, and its sockets listen. Confined to the event loop.
+ * Decides when this process begins to serve: once servers are known, the operators' commands that earlier
+ * processes stored are restored, and the sockets are open. Confined to the event loop.
  */
 final class Readiness {
     private static final Logger LOG = Logger.getLogger(Readiness.class.getName());
     private static final String NOTHING_MISSING = "nothing";
 
-    /** What serving needs, in the order in which {@link #missing} reports it. */
+    /** The prerequisites of serving, in the order in which {@link #missing} reports them. */
     private enum Prerequisite {
         SERVERS("servers"),
         COMMANDS("orders"),
@@ -33,29 +33,29 @@
     private Runnable beforeServing = () -> {};
 
     /**
-     * @param admitClients runs once the lifecycle is ready, and lets clients in as it permits then
+     * @param admitClients runs once the lifecycle is ready, and admits clients as far as the lifecycle permits
      */
     Readiness(ServingLifecycle lifecycle, Runnable admitClients) {
         this.lifecycle = lifecycle;
         this.admitClients = admitClients;
     }
 
-    /** Sets what runs right before clients are admitted for the first time. */
+    /** Sets an action that runs right before clients are admitted for the first time. */
     void beforeServing(Runnable action) {
         beforeServing = action;
     }
 
-    /** Reports that servers are known, or have been waited for long enough. */
+    /** Reports that servers are known, or that the wait for them has timed out. */
     void serversKnown() {
         markFulfilled(Prerequisite.SERVERS);
     }
 
-    /** Reports that the operators' commands that earlier incarnations stored are in force. */
+    /** Reports that the operators' commands that earlier processes stored are in force again. */
     void commandsRestored() {
         markFulfilled(Prerequisite.COMMANDS);
     }
 
-    /** Reports that all sockets listen. */
+    /** Reports that all listening sockets are open. */
     void socketsOpen() {
         markFulfilled(Prerequisite.SOCKETS);
     }
@@ -74,7 +74,7 @@
         LOG.info("ready");
     }
 
-    /** Returns the first prerequisite that is missing, in the words of {@code SHOW health}. */
+    /** Returns the first missing prerequisite, as {@code SHOW health} names it. */
     String missing() {
         return missing.isEmpty() ? NOTHING_MISSING : missing.iterator().next().statusName;
     }
--- a/pooler/src/main/java/frostreel/ServingSockets.java
+++ b/pooler/src/main/java/frostreel/ServingSockets.java
@@ -12,9 +12,9 @@
 import java.util.logging.Logger;
 
 /**
- * Opens the listening sockets at the start, that for clients first. An address that is in use or not local ends
- * the process; opening a socket for which the system lacks descriptors or buffers is retried for a while.
- * Confined to the event loop, but for the methods that wait for the sockets.
+ * Opens the listening sockets at the start, the one for clients first. The process exits if an address is in use or
+ * not local. Other failures, such as a lack of descriptors or buffers, are retried for a limited time before it exits.
+ * Confined to the event loop, except for the methods that wait for the sockets.
  */
 final class ServingSockets {
     private static final long RETRY_TIMEOUT_US = 20_000_000;
@@ -30,7 +30,7 @@
 
     private final Readiness readiness;
     private final CountDownLatch opened = new CountDownLatch(1);
-    /** Whether the socket for clients is open, so that a retry need not open it again. */
+    /** Whether the socket for clients is open, in which case a retry must not open it again. */
     private boolean clientListenerOpen;
 
     ServingSockets(
@@ -42,7 +42,7 @@
         this.readiness = readiness;
     }
 
-    /** Opens all sockets, at once or by retries; on the I/O thread. */
+    /** Opens all sockets, with retries if necessary; on the I/O thread. */
     void open() {
         open(loop.clock().now() + RETRY_TIMEOUT_US);
     }
@@ -62,7 +62,7 @@
     private void onFailure(IOException failure, long retryUntilUs) {
         if (failure instanceof BindException || loop.clock().now() >= retryUntilUs) {
             LOG.log(Level.SEVERE, "GW_LISTEN, GW_CONTROL: cannot listen on " + addresses(), failure);
-            // On a thread of its own, as the exit waits for the shutdown hook, and that for the I/O thread.
+            // On a separate thread: exit waits for the shutdown hook, which waits for the I/O thread.
             new Thread(() -> System.exit(EXIT_CANNOT_LISTEN), "exit").start();
         } else {
             LOG.warning("cannot listen yet: " + failure + "; retrying");
@@ -96,7 +96,7 @@
         return clientListener.address();
     }
 
-    /** Waits until the sockets are open, and returns the admin endpoint, null for none; not for the I/O thread. */
+    /** Waits until the sockets are open, and returns the admin endpoint or null; not for the I/O thread. */
     InetSocketAddress adminAddress() throws InterruptedException {
         opened.await();
         return adminListener == null ? null : adminListener.address();
--- a/pooler/src/main/java/frostreel/ShutdownSequence.java
+++ b/pooler/src/main/java/frostreel/ShutdownSequence.java
@@ -6,32 +6,33 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The graceful shutdown after SIGTERM: clients keep their connections and are served until shortly before SIGKILL
- * is due, as no other process would serve them better; then idle connections are closed, and the others after
- * their responses. {@link ServingLifecycle} holds the times.
+ * The graceful shutdown after SIGTERM. Without a successor, clients are served until shortly before SIGKILL is due,
+ * as no other process would serve them better; then idle connections are closed, and the others after their responses.
+ * With a successor, connections are closed earlier, so that clients reconnect to it. {@link ServingLifecycle}
+ * determines the times.
  */
 final class ShutdownSequence {
     private static final long CHECK_INTERVAL_US = 20_000;
     private static final long LEAVE_CLUSTER_TIMEOUT_MS = 300;
 
-    /** The clients and requests that are drained. Called on the I/O thread. */
+    /** The clients and requests to drain. Called on the I/O thread. */
     interface Workload {
-        /** Closes the connections that must be closed by the lifecycle now. */
+        /** Closes the connections that the lifecycle no longer permits. */
         void applyLifecycle();
 
-        /** How many clients are connected. */
+        /** Returns the number of connected clients. */
         int openClients();
 
-        /** How many requests have no final response yet. */
+        /** Returns the number of requests without a final response. */
         int openRequests();
     }
 
-    /** The cluster that this process leaves at its end. */
+    /** The membership in a cluster, which this process gives up at its end. */
     interface ClusterMembership {
-        /** For a process that is a member of no cluster. */
+        /** Used by a process that is not a member of a cluster. */
         ClusterMembership NONE = timeoutMs -> {};
 
-        /** Leaves the cluster, and waits for that at most for the timeout; not for the I/O thread. */
+        /** Leaves the cluster and waits until that is done or the timeout has passed; not for the I/O thread. */
         void leave(long timeoutMs) throws InterruptedException;
     }
 
@@ -49,12 +50,14 @@
     }
 
     /**
-     * Drains this process, waits for that for a bounded time, and leaves the cluster; not for the I/O thread.
-     * Returns whether all clients and requests have ended.
+     * Drains this process with a timeout, then leaves the cluster; not for the I/O thread.
+     *
+     * @return whether all clients and requests ended in time
      */
     boolean run() throws InterruptedException {
         loop.thread().execute(this::begin);
-        // A client that neither completes a message nor disconnects must not keep the process until SIGKILL.
+        // Without the timeout, a client that neither completes a message nor disconnects would delay the exit
+        // until SIGKILL.
         boolean drainedInTime = drained.await(lifecycle.shutdownTimeoutUs(), TimeUnit.MICROSECONDS);
         cluster.leave(LEAVE_CLUSTER_TIMEOUT_MS);
         return drainedInTime;
--- a/pooler/src/main/java/frostreel/cli/Check.java
+++ b/pooler/src/main/java/frostreel/cli/Check.java
@@ -10,13 +10,13 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** The command {@code check}: reports all faults of operators' settings files before a pooler uses them. */
+/** The command {@code check}: validates operators' settings files before a pooler uses them. */
 @Command(
         name = "check",
-        description = "Says what is wrong in settings files; exit code 2 where anything is.",
+        description = "Reports the errors in settings files; exits with code 2 if there are any.",
         mixinStandardHelpOptions = true)
 final class Check implements Callable<Integer> {
-    @Parameters(arity = "1..*", paramLabel = "FILE", description = "Operators' settings, as deploy/frostreel.xml.")
+    @Parameters(arity = "1..*", paramLabel = "FILE", description = "Operators' settings, see deploy/frostreel.xml.")
     private List<Path> files;
 
     @Spec
@@ -28,7 +28,7 @@
         for (Path file : files) {
             try {
                 OperatorSettings.read(file);
-                spec.commandLine().getOut().println(file + ": good");
+                spec.commandLine().getOut().println(file + ": valid");
             } catch (InvalidFileException e) {
                 spec.commandLine().getErr().println(e.getMessage());
                 exitCode = Main.EXIT_INVALID_INPUT;
--- a/pooler/src/main/java/frostreel/cli/ClassArchiveTraining.java
+++ b/pooler/src/main/java/frostreel/cli/ClassArchiveTraining.java
@@ -20,9 +20,10 @@
 import org.json.JSONObject;
 
 /**
- * Serves a few requests, so that the JVM can archive the loaded classes at its exit: loading them from the jar
- * takes most of a second of a whole core, and a pooler has only part of one. The pooler is its own server: it
- * receives the statement that it sent, takes it for a duplicate of a request in flight, and rejects it.
+ * The training run for the JVM's class archive: serves a few requests, so that the JVM can archive the loaded classes
+ * at its exit. Loading them from the jar takes most of a second of CPU time, and a pooler has only part of a core. The
+ * pooler is its own server: it receives the statement that it sent, and rejects it as a duplicate of a request in
+ * flight.
  */
 final class ClassArchiveTraining {
     private static final int READY_FOR_QUERY = 'Z';
@@ -54,7 +55,7 @@
         }
     }
 
-    /** Writes a configuration in which the listener, the discovery agent and the only server are this process. */
+    /** Writes a configuration in which this process is the pooler, the discovery agent and the only server. */
     private static Path writeConfiguration(String address) throws IOException {
         JSONObject configuration =
                 readTemplate().put("listen", address).put("discovery", address).put("known", endpointList(address));
--- a/pooler/src/main/java/frostreel/cli/Serve.java
+++ b/pooler/src/main/java/frostreel/cli/Serve.java
@@ -15,15 +15,15 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** The command {@code serve}: runs a pooler until SIGTERM, configured by the environment; SIGHUP reloads. */
+/** The command {@code serve}: runs a pooler, configured by the environment, until SIGTERM; SIGHUP reloads. */
 @Command(
         name = "serve",
-        description = "Runs the pooler in the foreground; GW_CONFIG names its configuration.",
+        description = "Runs the pooler in the foreground; GW_CONFIG names its configuration file.",
         mixinStandardHelpOptions = true)
 final class Serve implements Callable<Integer> {
     /** Returned in place of an exit code: the process keeps running on the pooler's threads. */
     static final int KEEP_RUNNING = -1;
-    /** How long printing a line during shutdown may block. */
+    /** The timeout for printing a line during shutdown. */
     private static final long PRINT_TIMEOUT_MS = 200;
 
     private static final Logger LOG = Logger.getLogger(Serve.class.getName());
@@ -31,9 +31,9 @@
     @Option(
             names = "--settings",
             paramLabel = "FILE",
-            description = "The operators' settings, as deploy/frostreel.xml; read again at SIGHUP.")
+            description = "The operators' settings, see deploy/frostreel.xml; SIGHUP reloads them.")
     private Path settingsFile;
-    /** After the start, read and replaced by {@link #reload} alone. */
+    /** The configuration in force; after the start, read and replaced only by {@link #reload}. */
     private volatile Config configInForce;
 
     @Override
@@ -57,7 +57,7 @@
         }
     }
 
-    /** Runs on the signal's thread, as reading files may block; synchronized, so that the file read last wins. */
+    /** Runs on the signal's thread, as reading files blocks; synchronized, so that the latest read is applied last. */
     private synchronized void reload(Pooler pooler) {
         try {
             Config config = Config.reload(System.getenv(), configInForce);
@@ -84,7 +84,7 @@
         }
     }
 
-    /** Prints a line, and waits a bounded time for that: a reader that stopped reading must not block the shutdown. */
+    /** Prints a line with a timeout, so that a reader that has stopped reading cannot block the shutdown. */
     private static void print(PrintStream stream, String text) throws InterruptedException {
         Thread writer = new Thread(() -> stream.println("frostreel: " + text), "shutdown output");
         writer.setDaemon(true);
@@ -93,7 +93,7 @@
     }
 
     private static void shutDown(Pooler pooler) {
-        // Not logged, as the log manager shuts down at the same time.
+        // Printed rather than logged, as the log manager shuts down at the same time.
         try {
             print(System.err, "stopping: clients are served for a little longer");
             if (!pooler.stop()) {
--- a/pooler/src/main/java/frostreel/cli/SighupHandler.java
+++ b/pooler/src/main/java/frostreel/cli/SighupHandler.java
@@ -3,16 +3,16 @@
 import java.lang.reflect.Proxy;
 
 /**
- * Runs a task at each SIGHUP, on a thread that the JVM starts for the signal; without a handler SIGHUP ends the
- * JVM. The JDK's class for signals is used by reflection, as the compiler warns of direct use and warnings fail
- * the build.
+ * Runs a task at each SIGHUP, on a thread that the JVM starts for the signal. Without a handler, SIGHUP would end the
+ * JVM. The JDK's signal class is used by reflection, as the compiler warns about direct use and warnings fail the
+ * build.
  */
 final class SighupHandler {
     private SighupHandler() {}
 
     /**
-     * Installs the handler and returns whether the signal will arrive: a process that was started with SIGHUP
-     * ignored, as nohup does, never receives it.
+     * Installs the handler and returns whether the signal will be received: a process that was started with SIGHUP
+     * ignored, for example by nohup, never receives it.
      */
     static boolean handle(Runnable task) {
         try {
@@ -27,7 +27,7 @@
                     .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), handlerProxy);
             return previous != handler.getField("SIG_IGN").get(null);
         } catch (ReflectiveOperationException e) {
-            throw new IllegalStateException("SIGHUP cannot be handled here", e);
+            throw new IllegalStateException("cannot install a SIGHUP handler on this JVM", e);
         }
     }
 }
--- a/pooler/src/main/java/frostreel/cli/SimulatorAdapter.java
+++ b/pooler/src/main/java/frostreel/cli/SimulatorAdapter.java
@@ -5,10 +5,10 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 
-/** The command {@code simulator}: runs the routing decisions alone, on the simulator's wire protocol. */
+/** The command {@code simulator}: runs the routing decisions alone, behind the simulator's wire protocol. */
 @Command(
         name = "simulator",
-        description = "Plays the decisions on the simulator's wire, by standard input and output.",
+        description = "Runs the routing decisions for the simulator, over standard input and output.",
         mixinStandardHelpOptions = true)
 final class SimulatorAdapter implements Callable<Integer> {
     @Override
--- a/pooler/src/main/java/frostreel/cli/TrainArchive.java
+++ b/pooler/src/main/java/frostreel/cli/TrainArchive.java
@@ -5,10 +5,10 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 
-/** The command {@code train-archive}: loads the classes that serving needs, for the build's class archive. */
+/** The command {@code train-archive}: the training run with which the build creates the JVM's class archive. */
 @Command(
         name = "train-archive",
-        description = "Goes through serving once, against itself, and ends.",
+        description = "Serves a few requests against itself and exits, so that the JVM can archive the loaded classes.",
         mixinStandardHelpOptions = true)
 final class TrainArchive implements Callable<Integer> {
     private static final int EXIT_FAILED = 1;
--- a/pooler/src/main/java/frostreel/config/Config.java
+++ b/pooler/src/main/java/frostreel/config/Config.java
@@ -14,24 +14,23 @@
 import org.json.JSONObject;
 
 /**
- * The platform's configuration of this process, checked as a whole. A limit that the file leaves out has the
- * lowest value that the platform grants.
+ * The platform's configuration of this process, validated as a whole.
  *
- * @param name of this pooler
- * @param listenAddress for clients
- * @param adminAddress of the admin endpoint, empty for none
- * @param inheritsListener whether the clients' listening socket is inherited as descriptor 0
- * @param commandFolder where operators' commands outlast the process, empty where they do not
- * @param discoveryAddress of the discovery agent
- * @param maxClients limit on client connections
- * @param expectedClients how many client connections the platform expects at most
- * @param maxServerConnections limit on connections to servers
- * @param maxOpenRequests limit on requests being processed
- * @param initialEndpoints the servers known from the start, possibly none
+ * @param name the name of this pooler
+ * @param listenAddress the address on which clients are accepted
+ * @param adminAddress the address of the admin endpoint, empty if there is none
+ * @param inheritsListener whether the listening socket for clients is inherited as descriptor 0
+ * @param commandFolder the folder in which operators' commands are stored across restarts, empty if they are not
+ * @param discoveryAddress the address of the discovery agent
+ * @param maxClients the limit on client connections
+ * @param expectedClients the highest number of client connections that the platform expects
+ * @param maxServerConnections the limit on connections to servers
+ * @param maxOpenRequests the limit on requests without a final response
+ * @param initialEndpoints the servers known at the start, possibly none
  * @param zones names of the zones, in the order of their numbers
  * @param machineTypes names of the machine types, in the order of their numbers
- * @param settings of the routing decisions
- * @param source the file as it was read
+ * @param settings the settings of the routing decisions
+ * @param source the JSON object in the file
  */
 public record Config(
         String name,
@@ -51,11 +50,10 @@
         JSONObject source) {
 
     /**
-     * Reads the file that {@code GW_CONFIG} names. {@code GW_NAME}, {@code GW_LISTEN}, {@code GW_DISCOVERY}
-     * and {@code GW_CONTROL} take precedence over it where they are set; {@code GW_FD} says that the listener
-     * is inherited. Blocks.
+     * Reads the file that {@code GW_CONFIG} names. If set, {@code GW_NAME}, {@code GW_LISTEN}, {@code GW_DISCOVERY}
+     * and {@code GW_CONTROL} take precedence over the file. If {@code GW_FD} is set, the listener is inherited. Blocks.
      *
-     * @throws ConfigException naming the key that is missing or wrong
+     * @throws ConfigException naming the key that is missing or invalid
      */
     public static Config load(Map<String, String> environment) throws ConfigException {
         String file = environment.get("GW_CONFIG");
@@ -69,7 +67,7 @@
         }
     }
 
-    /** As {@link #load}, from the text of the file. */
+    /** As {@link #load}, from the content of the file. */
     public static Config parse(String text, Map<String, String> environment) throws ConfigException {
         try {
             return new ConfigReader(new JSONObject(text), environment).read();
@@ -82,9 +80,9 @@
 
     /**
      * Reads the file again, which must have every key of the configuration in force. {@code GW_DISCOVERY} is
-     * ignored: it is as old as the process, and would name the agent that is being replaced.
+     * ignored, as the environment does not change after the start and would name the previous agent.
      *
-     * @throws ConfigException naming the key that is missing or wrong
+     * @throws ConfigException naming the key that is missing or invalid
      */
     public static Config reload(Map<String, String> environment, Config inForce) throws ConfigException {
         Map<String, String> current = new HashMap<>(environment);
@@ -93,20 +91,20 @@
     }
 
     /**
-     * This configuration, if it may replace the one in force.
+     * Returns this configuration if it has every key of the one in force, which it may then replace.
      *
-     * @throws ConfigException naming the first key that it lacks
+     * @throws ConfigException naming the first missing key
      */
     public Config requireKeysOf(Config inForce) throws ConfigException {
         Optional<String> missing = ReloadCompatibility.firstMissingKey(inForce.source, source);
         if (missing.isPresent()) {
             throw new ConfigException(
-                    "GW_CONFIG: field '" + missing.get() + "' is missing, which the file in force has");
+                    "GW_CONFIG: field '" + missing.get() + "' is missing, but the configuration in force has it");
         }
         return this;
     }
 
-    /** This configuration with other settings of the routing decisions. */
+    /** Returns a copy with other settings of the routing decisions. */
     public Config withSettings(Router.Settings replacement) {
         return new Config(
                 name,
@@ -126,7 +124,7 @@
                 source);
     }
 
-    /** Whether endpoint lists come from the same agent and are read the same way. */
+    /** Returns whether endpoint lists come from the same agent and are decoded with the same names. */
     public boolean hasSameDiscovery(Config other) {
         return discoveryAddress.equals(other.discoveryAddress)
                 && zones.equals(other.zones)
--- a/pooler/src/main/java/frostreel/config/ConfigReader.java
+++ b/pooler/src/main/java/frostreel/config/ConfigReader.java
@@ -11,14 +11,14 @@
 import java.util.Optional;
 import org.json.JSONObject;
 
-/** Reads a {@link Config} from the decoded file and the environment, which takes precedence. */
+/** Reads a {@link Config} from the decoded file and the environment, which takes precedence over the file. */
 final class ConfigReader {
-    /** The default of the limit on open requests, and the highest that a file can set. */
+    /** The default limit on open requests; higher values in a file are reduced to it. */
     private static final int MAX_OPEN_REQUESTS = 4096;
 
-    /** The only value of {@code GW_FD}. */
+    /** The only valid value of {@code GW_FD}. */
     private static final String INHERITED_DESCRIPTOR = "0";
-    /** Within {@code TMPDIR}. */
+    /** The name of the folder for operators' commands in {@code TMPDIR}. */
     private static final String COMMAND_FOLDER = "frostreel-orders";
 
     private static final int HEX_RADIX = 16;
@@ -33,7 +33,7 @@
         file = new MessageFields(source.toMap());
     }
 
-    /** Stops at the first fault. Where there are several, the order of the reads decides which one is reported. */
+    /** Stops at the first validation error; if there are several, the order of the reads decides which one is reported. */
     Config read() throws MalformedMessageException {
         int descriptors = descriptors();
         MessageFields options = file.object("settings");
@@ -74,7 +74,7 @@
                         DescriptorBudget.DEFAULT_DESCRIPTORS);
     }
 
-    /** The names of a list that may be left out. A name that is written as a number is read as its digits. */
+    /** Returns a list of names, empty if the key is missing. A number is accepted as the name of its digits. */
     private static List<String> names(MessageFields options, String key) throws MalformedMessageException {
         return options.listOrEmpty(key).stream().map(String::valueOf).toList();
     }
@@ -86,7 +86,7 @@
 
     private boolean inheritsListener() throws MalformedMessageException {
         if (isSet("GW_FD") && !environment.get("GW_FD").equals(INHERITED_DESCRIPTOR)) {
-            throw new MalformedMessageException("GW_FD is not 0, the one descriptor by which a socket is taken over");
+            throw new MalformedMessageException("GW_FD must be 0: the listener can only be inherited as descriptor 0");
         }
         return isSet("GW_FD");
     }
--- a/pooler/src/main/java/frostreel/config/EndpointList.java
+++ b/pooler/src/main/java/frostreel/config/EndpointList.java
@@ -12,21 +12,21 @@
 import java.util.Map;
 
 /**
- * A list of servers in discovery's JSON form.
+ * An endpoint list, or an update of one, as discovery reports it in JSON.
  *
- * @param version grows with each change; comparable only among lists of the same agent
- * @param complete whether it replaces the list held; otherwise it holds only the servers that have changed
+ * @param version increases with each change; comparable only between lists of the same agent
+ * @param complete whether it replaces the previous list; otherwise it contains only the servers that have changed
  * @param endpoints the servers, including those marked as gone
  */
 public record EndpointList(long version, boolean complete, List<Endpoint> endpoints) {
-    /** A server as the routing decisions know it, and the address at which this machine reaches it. */
+    /** A server: the member that routing decisions refer to, and the address to connect to. */
     public record Endpoint(Router.Member member, InetSocketAddress address) {}
 
-    /** Complete and without servers, for a configuration that has no list. */
+    /** A complete list without servers, used if the configuration has no list. */
     static final EndpointList EMPTY = new EndpointList(0, true, List.of());
 
     private static final long MICROS_PER_MILLI = 1000;
-    /** A start time in milliseconds may not exceed what fits in microseconds. */
+    /** The latest start time in milliseconds that can be converted to microseconds without overflow. */
     private static final long MAX_STARTED_MS = Long.MAX_VALUE / MICROS_PER_MILLI;
 
     private static final List<NamedValue<Boolean>> ROLES = List.of(named("primary", true), named("replica", false));
@@ -36,10 +36,10 @@
             named("Gone", Router.State.GONE));
 
     /**
-     * Reads a decoded list. It states zones and machine types by name; the routing decisions know them by the
-     * index among the configured names. A name that is not configured has the index of the first one.
+     * Reads a decoded list. Zones and machine types, which the list contains by name, are converted to the index of
+     * the name in the configuration. A name that is not configured is given index 0, as the first one is.
      *
-     * @throws MalformedMessageException naming the field that is missing or out of range
+     * @throws MalformedMessageException naming the field that is missing or invalid
      */
     public static EndpointList read(Map<String, Object> json, List<String> zones, List<String> machineTypes)
             throws MalformedMessageException {
@@ -72,7 +72,7 @@
         return new Endpoint(member, NumericAddress.parse(host.text("dial"), "dial"));
     }
 
-    /** The index among {@code names} of the field's value, 0 where it is missing or not configured. */
+    /** Returns the index of the field's value in {@code names}, 0 if the field is missing or its value not in them. */
     private static int indexOfName(List<String> names, MessageFields host, String key) {
         return host.has(key) ? Math.max(0, names.indexOf(host.map().get(key).toString())) : 0;
     }
--- a/pooler/src/main/java/frostreel/config/NumericAddress.java
+++ b/pooler/src/main/java/frostreel/config/NumericAddress.java
@@ -6,7 +6,7 @@
 import java.net.UnknownHostException;
 
 /**
- * Parses {@code address:port} without name resolution, which would block the I/O thread that reads endpoint
+ * Parses {@code address:port} without name resolution, which would block the I/O thread when it reads endpoint
  * lists.
  */
 final class NumericAddress {
@@ -19,8 +19,8 @@
     /**
      * Parses the value of a field.
      *
-     * @throws MalformedMessageException naming the field, where the host is not numeric or the port is
-     *     out of range
+     * @throws MalformedMessageException naming the field, if the host is not a numeric address or the port is out of
+     *     range
      */
     static InetSocketAddress parse(String text, String field) throws MalformedMessageException {
         int colon = text.lastIndexOf(':');
@@ -30,12 +30,12 @@
                 return new InetSocketAddress(parseHost(text.substring(0, colon)), port);
             }
         } catch (NumberFormatException | UnknownHostException e) {
-            // Reported below, as a port out of range is.
+            // Reported below, like a port out of range.
         }
-        throw new MalformedMessageException("field '" + field + "' is not address:port");
+        throw new MalformedMessageException("field '" + field + "' is not a numeric address:port");
     }
 
-    /** Four decimal octets, or an IPv6 literal, which the JDK parses without a look-up if it is in brackets. */
+    /** Parses four decimal octets, or an IPv6 literal, which the JDK parses without a lookup if it is in brackets. */
     private static InetAddress parseHost(String text) throws UnknownHostException {
         if (text.indexOf(':') >= 0) {
             return InetAddress.getByName(text.startsWith("[") ? text : "[" + text + "]");
--- a/pooler/src/main/java/frostreel/config/ReloadCompatibility.java
+++ b/pooler/src/main/java/frostreel/config/ReloadCompatibility.java
@@ -7,14 +7,14 @@
 import org.json.JSONObject;
 
 /**
- * Checks that a configuration file read by a reload has every key of the file in force: a key left out would
- * fall back to a default that nobody chose. Lists may change in length; each object of the new list must have
- * the keys that all objects of the old one have.
+ * Checks that a reloaded configuration file has every key of the file in force: an omitted key would silently fall
+ * back to a default. Lists may change in length; each object of the new list must have the keys that all objects of
+ * the old list have in common.
  */
 final class ReloadCompatibility {
     private ReloadCompatibility() {}
 
-    /** The first key that the new file lacks, as a path from the root; empty where it lacks none. */
+    /** Returns the first key missing in the new file, as a path from the root; empty if none is missing. */
     static Optional<String> firstMissingKey(JSONObject inForce, JSONObject replacement) {
         return missingInObject("", inForce, replacement);
     }
@@ -56,7 +56,7 @@
         return Optional.empty();
     }
 
-    /** The keys that all objects of a list have; none where an element is not an object. */
+    /** Returns the keys that all objects of a list have in common; none if an element is not an object. */
     private static Set<String> sharedKeys(JSONArray list) {
         Set<String> shared = new TreeSet<>();
         for (int i = 0; i < list.length(); i++) {
--- a/pooler/src/main/java/frostreel/settings/OperatorSettings.java
+++ b/pooler/src/main/java/frostreel/settings/OperatorSettings.java
@@ -11,78 +11,79 @@
 import java.util.logging.Level;
 
 /**
- * The settings in the operators' file, which is applied as a whole or not at all.
+ * The settings in the operators' file. A file with any validation error is rejected as a whole.
  *
- * @param logFormat of the lines on standard error
+ * @param logFormat the format of log lines on standard error
  * @param logLevel the lowest level that is logged
- * @param zones preferences among zones, if any are stated
- * @param cluster the cluster of poolers, if one is stated
+ * @param zones the preferences among zones, empty if not configured
+ * @param cluster the cluster of poolers, empty if not configured
  */
 public record OperatorSettings(
         Logging.Format logFormat, Level logLevel, Optional<Zones> zones, Optional<Cluster> cluster) {
     /**
      * Zones of equal preference.
      *
-     * @param zones their names; empty for all that no other tier names
-     * @param spill the load that may spill over to them, as a share of what the nearest tier usually serves
+     * @param zones names of the zones; empty for all zones that no other tier names
+     * @param spill the load that may spill over to these zones, as a share of the load that the nearest tier usually
+     *     serves
      */
     public record Tier(List<String> zones, double spill) {}
 
     /**
      * Preferences among zones.
      *
-     * @param tiers the zones other than the pooler's own, nearest first
-     * @param poolers how many there are in all zones together
+     * @param tiers the zones other than the local one, nearest tier first
+     * @param poolers the number of poolers in all zones together
      */
     public record Zones(List<Tier> tiers, int poolers) {}
 
     /**
      * The addresses of a cluster member.
      *
-     * @param advertised where the other members reach it
-     * @param bind where it listens for them
+     * @param advertised the address that the other members connect to
+     * @param bind the address that the member listens on
      */
     public record MemberAddress(InetSocketAddress advertised, InetSocketAddress bind) {}
 
     /**
      * The cluster of poolers.
      *
-     * @param group poolers of other groups are ignored
-     * @param silentAfterMs a member without a heartbeat for this time is suspected
+     * @param group the name of the cluster; poolers of other groups are ignored
+     * @param silentAfterMs the time without a heartbeat after which a member is suspected
      * @param members addresses by pooler name
      */
     public record Cluster(String group, long silentAfterMs, Map<String, MemberAddress> members) {}
 
-    /** In force where there is no file. */
+    /** The settings of a pooler without a file. */
     public static final OperatorSettings DEFAULT =
             new OperatorSettings(Logging.Format.TEXT, Level.INFO, Optional.empty(), Optional.empty());
-    /** The schema of the file. */
+    /** The XML schema of the file. */
     public static final URL SCHEMA = OperatorSettings.class.getResource("frostreel.xsd");
 
     /**
-     * Reads a file without applying it to a pooler. Blocks.
+     * Reads and validates a file on its own, without the name of a pooler. Blocks.
      *
-     * @throws InvalidFileException with all faults of the file
+     * @throws InvalidFileException with the validation errors; those that the schema cannot express are only found in a
+     *     file that conforms to it
      */
     public static OperatorSettings read(Path file) throws InvalidFileException {
         return new OperatorSettingsReader(file).read();
     }
 
     /**
-     * Reads a file for the pooler of a name, which must be a member of the cluster if one is stated. Blocks.
+     * Reads a file for the pooler named {@code self}, which must be a member of the cluster if there is one. Blocks.
      *
-     * @throws InvalidFileException with all faults of the file
+     * @throws InvalidFileException as {@link #read(Path)} does
      */
     public static OperatorSettings read(Path file, String self) throws InvalidFileException {
         return new OperatorSettingsReader(file, self).read();
     }
 
     /**
-     * The preferences among zones by the zones' numbers, where any are stated.
+     * Returns the preferences among zones with the zones' numbers in place of their names; empty if not configured.
      *
-     * @param localZone number of the pooler's own zone
-     * @param zoneNames names of the zones, in the order of their numbers; tiers' names that are not among
-     *     them are left out
+     * @param localZone the number of this pooler's zone
+     * @param zoneNames names of the zones, in the order of their numbers; other names in the tiers are ignored
      */
     public Optional<ZoneSettings> zoneSettings(int localZone, List<String> zoneNames) {
         return zones.map(preferences -> new ZoneSettings(
--- a/pooler/src/main/java/frostreel/settings/OperatorSettingsReader.java
+++ b/pooler/src/main/java/frostreel/settings/OperatorSettingsReader.java
@@ -17,7 +17,7 @@
 import java.util.TreeMap;
 import java.util.logging.Level;
 
-/** Reads {@link OperatorSettings}, and collects the faults that the schema cannot express. */
+/** Reads {@link OperatorSettings}, and collects the validation errors that the schema cannot express. */
 final class OperatorSettingsReader {
     private static final int MAX_PORT = 65_535;
     private static final String WHITESPACE = "\\s+";
@@ -31,7 +31,7 @@
         this(path, Optional.empty());
     }
 
-    /** {@code self}: the name of the pooler for which the file is read. */
+    /** {@code self}: the name of the pooler that uses the settings. */
     OperatorSettingsReader(Path path, String self) {
         this(path, Optional.of(self));
     }
@@ -71,7 +71,7 @@
             List<String> names = zoneNames(element);
             boolean isLast = number == elements.size();
             if (names.isEmpty() && !isLast) {
-                errors.add(element.error(file, "zones", "only the last tier may stand for all other zones"));
+                errors.add(element.error(file, "zones", "only the last tier may omit its zones"));
             }
             reportOverlaps(element, names, number, tierByZone);
             tiers.add(new OperatorSettings.Tier(names, element.decimal("spill")));
@@ -79,12 +79,12 @@
         return new OperatorSettings.Zones(tiers, (int) zones.integer("poolers"));
     }
 
-    /** Adds a fault for each zone that an earlier tier, or this one, has named already. */
+    /** Adds an error for each zone that is already in an earlier tier or in this one. */
     private void reportOverlaps(XmlElement tier, List<String> names, int number, Map<String, Integer> tierByZone) {
         for (String name : names) {
             Integer other = tierByZone.putIfAbsent(name, number);
             if (other != null) {
-                errors.add(tier.error(file, "zones", "zone '" + name + "' stands in tier " + other + " too"));
+                errors.add(tier.error(file, "zones", "zone '" + name + "' is already in tier " + other));
             }
         }
     }
@@ -99,41 +99,42 @@
         Set<InetSocketAddress> usedAddresses = new HashSet<>();
         for (XmlElement pooler : cluster.children("pooler").toList()) {
             String name = pooler.text("name");
-            // A member left out here has a fault, with which the settings are dropped.
+            // A member without a valid address is omitted; the error rejects the settings as a whole.
             readMemberAddress(pooler, usedAddresses).ifPresent(address -> members.put(name, address));
             if (!names.add(name)) {
-                errors.add(pooler.error(file, "name", "'" + name + "' is named twice"));
+                errors.add(pooler.error(file, "name", "duplicate pooler name '" + name + "'"));
             }
         }
         if (self.isPresent() && !names.contains(self.get())) {
-            errors.add(cluster.error(file, "this pooler, '" + self.get() + "', is not among them"));
+            errors.add(cluster.error(file, "this pooler, '" + self.get() + "', is not a member of the cluster"));
         }
         return new OperatorSettings.Cluster(cluster.text("group"), cluster.integer("silentAfterMs"), members);
     }
 
-    /** The addresses of a member; empty, with a fault added, where one of them is faulty. */
+    /** Returns the addresses of a member; empty, with an error added, if one of them is invalid. */
     private Optional<OperatorSettings.MemberAddress> readMemberAddress(
             XmlElement pooler, Set<InetSocketAddress> usedAddresses) {
         Optional<InetSocketAddress> advertised = readAddress(pooler, "at");
         Optional<InetSocketAddress> bind = pooler.has("bind") ? readAddress(pooler, "bind") : advertised;
         if (advertised.isPresent() && !usedAddresses.add(advertised.get())) {
-            errors.add(pooler.error(file, "at", "another pooler is at " + pooler.text("at")));
+            errors.add(pooler.error(file, "at", "address of another pooler: " + pooler.text("at")));
         }
         return advertised.flatMap(at -> bind.map(listen -> new OperatorSettings.MemberAddress(at, listen)));
     }
 
-    /** The address of one machine; empty, with a fault added, for anything else. */
+    /** Returns the address of one machine; empty, with an error added, for any other value. */
     @SuppressWarnings("StringSplitter") // The schema admits one colon only.
     private Optional<InetSocketAddress> readAddress(XmlElement pooler, String attribute) {
         String[] hostAndPort = pooler.text(attribute).split(":");
         try {
-            // The schema admits no names; only an octet over 255 is looked up, and not found.
+            // The schema admits no host names. Only an address with an octet over 255 is looked up, which fails.
             InetAddress host = InetAddress.getByName(hostAndPort[0]);
             int port = Integer.parseInt(hostAndPort[1]);
             if (port > 0 && port <= MAX_PORT && !host.isAnyLocalAddress()) {
                 return Optional.of(new InetSocketAddress(host, port));
             }
-            errors.add(pooler.error(file, attribute, "not the address of one machine: " + pooler.text(attribute)));
+            errors.add(pooler.error(
+                    file, attribute, "not the address and port of one machine: " + pooler.text(attribute)));
         } catch (UnknownHostException e) {
             errors.add(pooler.error(file, attribute, e.getMessage()));
         }
--- a/pooler/src/main/java/frostreel/settings/ValidationError.java
+++ b/pooler/src/main/java/frostreel/settings/ValidationError.java
@@ -1,17 +1,17 @@
 package frostreel.settings;
 
 /**
- * One error in a file.
+ * One validation error in a file.
  *
- * @param file its path as it was given
- * @param line from 1; 0 where the file as a whole is meant
- * @param column from 1; 0 where the file as a whole is meant
- * @param key the path of element names to the faulty element, and {@code @} with the attribute's name if it
- *     is one; empty where the file as a whole is meant
+ * @param file the path of the file, as given to the reader
+ * @param line from 1; 0 if the error concerns the file as a whole
+ * @param column from 1; 0 if the error concerns the file as a whole
+ * @param key the path of element names to the invalid element, followed by {@code @} and a name for an invalid
+ *     attribute; empty if the error concerns the file as a whole
  * @param message what is wrong, for operators
  */
 public record ValidationError(String file, int line, int column, String key, String message) {
-    /** A fault of the file as a whole. */
+    /** Creates an error that concerns the file as a whole. */
     static ValidationError forWholeFile(String file, String message) {
         return new ValidationError(file, 0, 0, "", message);
     }
--- a/pooler/src/main/java/frostreel/settings/XmlElement.java
+++ b/pooler/src/main/java/frostreel/settings/XmlElement.java
@@ -7,8 +7,8 @@
 import java.util.stream.Stream;
 
 /**
- * One element of a file that conforms to its schema: defaults are filled in and values have the types that
- * the schema gives them, so that the accessors do not fail on what a user wrote.
+ * One element of a file. If the file conforms to its schema, defaults are filled in and values have the schema's types,
+ * so that the accessors do not fail on user input.
  */
 public final class XmlElement {
     private static final double MICROS_PER_MILLI = 1e3;
@@ -32,95 +32,97 @@
         }
     }
 
-    /** The element's name without its namespace. */
+    /** Returns the element's name without its namespace. */
     public String name() {
         return name;
     }
 
-    /** Null for the root. */
+    /** Returns the parent element, null for the root. */
     XmlElement parent() {
         return parent;
     }
 
-    /** Whether the attribute is stated, or has a default. */
+    /** Returns whether the attribute is present or has a default. */
     public boolean has(String attribute) {
         return attributes.containsKey(attribute);
     }
 
     /**
-     * The value of an attribute that the schema requires or gives a default, without surrounding blanks.
+     * Returns the value, without surrounding whitespace, of an attribute that the schema requires or gives a default.
      *
-     * @throws IllegalStateException where the schema does neither
+     * @throws IllegalStateException if the attribute is absent, as the schema neither requires it nor gives a default
      */
     public String text(String attribute) {
         String value = attributes.get(attribute);
         if (value == null) {
-            throw new IllegalStateException("the schema leaves out " + path() + "@" + attribute);
+            throw new IllegalStateException(
+                    "the schema neither requires " + path() + "@" + attribute + " nor gives a default");
         }
         return value.strip();
     }
 
-    /** The value of a decimal attribute. */
+    /** Returns the value of a decimal attribute. */
     public double decimal(String attribute) {
         return Double.parseDouble(text(attribute));
     }
 
-    /** The value of an integer attribute. */
+    /** Returns the value of an integer attribute. */
     public long integer(String attribute) {
         return Long.parseLong(text(attribute));
     }
 
-    /** Whether a boolean attribute is set, in either of the schema's two forms. */
+    /** Returns the value of a boolean attribute, in either of the two forms of XML schema. */
     public boolean isTrue(String attribute) {
         return text(attribute).equals("true") || text(attribute).equals("1");
     }
 
-    /** The value in microseconds of an attribute in milliseconds. */
+    /** Returns the value of an attribute in milliseconds, converted to microseconds. */
     public long microsFromMillis(String attribute) {
         return Math.round(decimal(attribute) * MICROS_PER_MILLI);
     }
 
-    /** The value in microseconds of an attribute in seconds. */
+    /** Returns the value of an attribute in seconds, converted to microseconds. */
     public long microsFromSeconds(String attribute) {
         return Math.round(decimal(attribute) * MICROS_PER_SECOND);
     }
 
-    /** The child elements of a name, in the order of the file. */
+    /** Returns the child elements with this name, in the order of the file. */
     public Stream<XmlElement> children(String childName) {
         return children.stream().filter(child -> child.name.equals(childName));
     }
 
-    /** All child elements, in the order of the file. */
+    /** Returns all child elements, in the order of the file. */
     public List<XmlElement> children() {
         return children;
     }
 
     /**
-     * The child element of a name that the schema requires.
+     * Returns the first child element with this name, which the schema must require.
      *
-     * @throws IllegalStateException where the schema does not
+     * @throws IllegalStateException if there is none, as the schema does not require it
      */
     public XmlElement child(String childName) {
         return optionalChild(childName)
-                .orElseThrow(() -> new IllegalStateException("the schema leaves out " + path() + "/" + childName));
+                .orElseThrow(
+                        () -> new IllegalStateException("the schema does not require " + path() + "/" + childName));
     }
 
-    /** The child element of a name that the schema permits at most once. */
+    /** Returns the child element with this name, which the schema must permit at most once. */
     Optional<XmlElement> optionalChild(String childName) {
         return children(childName).findFirst();
     }
 
-    /** The names of the elements from the root to this one, separated by slashes. */
+    /** Returns the names of the elements from the root to this one, separated by slashes. */
     String path() {
         return parent == null ? name : parent.path() + "/" + name;
     }
 
-    /** A fault of this element that a schema cannot express. */
+    /** Creates a validation error of this element, for a rule that the schema cannot express. */
     public ValidationError error(String file, String message) {
         return new ValidationError(file, line, column, path(), message);
     }
 
-    /** A fault of an attribute that a schema cannot express. */
+    /** Creates a validation error of an attribute, for a rule that the schema cannot express. */
     public ValidationError error(String file, String attribute, String message) {
         return new ValidationError(file, line, column, path() + "@" + attribute, message);
     }
--- a/pooler/src/main/java/frostreel/settings/XmlElementHandler.java
+++ b/pooler/src/main/java/frostreel/settings/XmlElementHandler.java
@@ -12,12 +12,12 @@
 import org.xml.sax.SAXParseException;
 import org.xml.sax.helpers.DefaultHandler;
 
-/** Builds the tree of elements from parser events, and turns the validator's errors into faults with keys. */
+/** Builds the element tree from parser events, and converts the parser's errors to validation errors with keys. */
 final class XmlElementHandler extends DefaultHandler {
-    /** A file's faults beyond this number are not reported. */
+    /** The limit on the errors reported for a file. */
     static final int MAX_ERRORS = 100;
 
-    /** The validator's messages begin with the name of the schema rule, which does not help operators. */
+    /** The prefix of the parser's messages that names the schema rule; removed, as it does not help operators. */
     private static final String SCHEMA_RULE = "^cvc-[\\w.-]+: ";
 
     private static final Pattern ATTRIBUTE = Pattern.compile("ttribute '([\\w:]+)'");
@@ -73,8 +73,8 @@
     }
 
     /**
-     * The key that a message is about. The validator reports an element before {@link #startElement} is called
-     * for it, so that its name is taken from the message.
+     * Returns the key that a message is about. The parser reports the errors of an element before it calls
+     * {@link #startElement} for it, so the element's name is taken from the message.
      */
     private String key(String message) {
         Matcher element = ELEMENT.matcher(message);
@@ -87,8 +87,8 @@
     }
 
     /**
-     * Adds a fault. The validator reports a wrong value twice: first by its type, with the better text, then by
-     * its attribute, with the key. The two become one.
+     * Adds an error. The parser reports an invalid value twice: first for its type, with the clearer message, then for
+     * its attribute, with the key. The two are merged into one.
      */
     private void add(ValidationError error) {
         int last = errors.size() - 1;
--- a/pooler/src/main/java/frostreel/settings/XmlFile.java
+++ b/pooler/src/main/java/frostreel/settings/XmlFile.java
@@ -18,11 +18,11 @@
 import org.xml.sax.SAXParseException;
 
 /**
- * Reads an XML file and validates it against a schema, in one pass. Document types and external entities are
- * rejected and the size is bounded, so that a hostile file costs no more than a valid one.
+ * Reads an XML file and validates it against a schema in one pass. Document type declarations and external entities
+ * are rejected and the size is limited, so that a malicious file costs no more than a valid one.
  */
 public final class XmlFile {
-    /** The largest file that is read, in bytes. */
+    /** The size limit of a file. */
     public static final int MAX_BYTES = 1 << 20;
 
     private XmlFile() {}
@@ -31,8 +31,7 @@
      * Reads a file. Blocks.
      *
      * @return the root element
-     * @throws InvalidFileException with the faults found, {@value XmlElementHandler#MAX_ERRORS} of them at
-     *     most
+     * @throws InvalidFileException with at most {@value XmlElementHandler#MAX_ERRORS} validation errors
      */
     public static XmlElement read(Path file, URL schema) throws InvalidFileException {
         String name = file.toString();
@@ -56,9 +55,9 @@
         try {
             parser(schema).parse(new InputSource(new ByteArrayInputStream(bytes)), handler);
         } catch (SAXParseException e) {
-            handler.error(e); // Not well-formed, so that the rest cannot be read.
+            handler.error(e); // Not well-formed: the rest of the file cannot be parsed.
         } catch (SAXException | ParserConfigurationException | IOException e) {
-            throw new IllegalStateException("the schema " + schema + " cannot be used", e);
+            throw new IllegalStateException("cannot validate against schema " + schema, e);
         }
         if (!handler.errors().isEmpty()) {
             throw new InvalidFileException(handler.errors());
--- a/pooler/src/test/java/frostreel/cli/MainTest.java
+++ b/pooler/src/test/java/frostreel/cli/MainTest.java
@@ -29,8 +29,8 @@
     @Test
     void checkReportsEveryErrorOfEveryFile(@TempDir Path folder) throws Exception {
         String head = "<frostreel xmlns='urn:frostreel:settings:1'>";
-        Path valid = Files.writeString(folder.resolve("good.xml"), head + "</frostreel>");
-        Path invalid = Files.writeString(folder.resolve("bad.xml"), head + "<log level='x'/><y/></frostreel>");
+        Path valid = Files.writeString(folder.resolve("valid.xml"), head + "</frostreel>");
+        Path invalid = Files.writeString(folder.resolve("wrong.xml"), head + "<log level='x'/><y/></frostreel>");
         assertThat(line.execute("check", valid.toString())).isZero();
         assertThat(line.execute(
                         "check",
@@ -38,8 +38,8 @@
                         invalid.toString(),
                         folder.resolve("no").toString()))
                 .isEqualTo(2);
-        assertThat(out.toString()).contains("good.xml: good").doesNotContain("bad.xml");
-        assertThat(err.toString()).contains("bad.xml:1:", "frostreel/log@level", "frostreel/y", "cannot be read");
+        assertThat(out.toString()).contains("valid.xml: valid").doesNotContain("wrong.xml");
+        assertThat(err.toString()).contains("wrong.xml:1:", "frostreel/log@level", "frostreel/y", "cannot be read");
     }
 
     @Test
