--- a/pooler/src/test/java/frostreel/AbstractPoolerTest.java
+++ b/pooler/src/test/java/frostreel/AbstractPoolerTest.java
@@ -16,9 +16,9 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Base of tests on a replica group of a primary and a replica, with a harness of its own for each test.
+ * Base class of tests with a replica group of a primary and one replica; each test has a new harness.
  *
- * <p>A socket read ignores interrupts, so a test must not run on the thread that enforces its timeout.
+ * <p>Socket reads ignore interrupts, so a test runs on another thread than the one that enforces its timeout.
  */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 abstract class AbstractPoolerTest {
@@ -46,19 +46,19 @@
         harness.start(host("a", primary, "primary", "Ready"), host("b", replica, "replica", "Ready"));
     }
 
-    /** Returns a read whose id no other request of this test has. */
+    /** Returns a read with an id that is unique within the test. */
     String nextReadSql() {
         requestCount++;
         return readSql("read" + requestCount, 9000);
     }
 
-    /** Makes both members leave the requests that arrive from now on without a response. */
+    /** Makes both members send no response to the requests that arrive from now on. */
     void withholdResponses() {
         replica.script = (text, link) -> {};
         primary.script = replica.script;
     }
 
-    /** Connects clients that are idle after a read each; the first has been idle for longest. */
+    /** Connects clients and completes one read on each; the first client has been idle the longest. */
     List<WireConnection> idleClients(int count) throws Exception {
         List<WireConnection> clients = new ArrayList<>();
         for (int i = 0; i < count; i++) {
@@ -69,7 +69,7 @@
         return clients;
     }
 
-    /** Connects clients that have a read in flight each. */
+    /** Connects clients and sends one read on each, without waiting for the response. */
     List<WireConnection> busyClients(int count) throws Exception {
         List<WireConnection> clients = new ArrayList<>();
         for (int i = 0; i < count; i++) {
@@ -87,25 +87,25 @@
         }
     }
 
-    /** Checks that the next responses are one row each, with this value. */
+    /** Checks that each of the next responses is one row with this value. */
     static void assertNextValues(WireConnection client, int count, String value) throws IOException {
         for (int i = 0; i < count; i++) {
             assertThat(value(client.readResponse())).isEqualTo(value);
         }
     }
 
-    /** Checks that a response is one error, with this SQLSTATE. */
+    /** Checks that a response is one error with this SQLSTATE. */
     static void assertError(List<String> response, String sqlState) {
         assertThat(response).singleElement().asString().startsWith("E").contains("|C" + sqlState + "|");
     }
 
-    /** Checks that the next message is an error with this SQLSTATE, and the connection is closed behind it. */
+    /** Checks that the next message is an error with this SQLSTATE, after which the connection is closed. */
     static void assertClosedWithError(WireConnection client, String sqlState) throws IOException {
         assertThat(client.take()).startsWith("E").contains("|C" + sqlState + "|");
         assertThat(client.closedByPeer()).isTrue();
     }
 
-    /** The configuration of a pooler that knows both members from the start. */
+    /** Returns a configuration whose endpoint list contains both members. */
     String configuration() {
         return PoolerHarness.configuration(
                 harness.discovery.address(),
@@ -113,7 +113,10 @@
                 host("b", replica, "replica", "Ready"));
     }
 
-    /** Stops the pooler on a thread of its own; the I/O thread begins with that before any task submitted later. */
+    /**
+     * Stops the pooler on a separate thread, and returns once the shutdown has been submitted to the I/O thread, ahead
+     * of any later task.
+     */
     Thread stopPooler() {
         Thread stop = new Thread(() -> {
             try {
@@ -138,7 +141,7 @@
         return response.get(1).substring(7);
     }
 
-    /** A client that keeps its BackendKeyData, so that it can cancel its requests. */
+    /** A client that stores its BackendKeyData, so that it can cancel its requests. */
     final class CancellableClient implements AutoCloseable {
         final WireConnection link;
         int process;
@@ -159,7 +162,7 @@
             assertThat(process + secret).isNotZero();
         }
 
-        /** Sends a CancelRequest and waits until the pooler has handled it, which ends its connection. */
+        /** Sends a CancelRequest on a new connection, and waits until the pooler has processed it and closes that. */
         void cancel(int withSecret) throws Exception {
             try (WireConnection other = harness.connectWithoutStartup()) {
                 other.send(ByteBuffer.allocate(CANCEL_REQUEST_BYTES)
@@ -168,7 +171,7 @@
                         .putInt(process)
                         .putInt(withSecret)
                         .array());
-                other.socket.shutdownOutput(); // The end may be read together with the message.
+                other.socket.shutdownOutput(); // The pooler may read the message and the end of input together.
                 assertThat(other.closedByPeer()).isTrue();
             }
         }
--- a/pooler/src/test/java/frostreel/ConfigReloaderTest.java
+++ b/pooler/src/test/java/frostreel/ConfigReloaderTest.java
@@ -22,7 +22,7 @@
     private static final String FOUR_ATTEMPTS = "\"maxAttempts\":4";
     private static final long HALF_TRANSITION_US = RequestClassRegistry.TRANSITION_US / 2;
 
-    /** The settings that the router was given, in their order. */
+    /** The settings that the router received, in order. */
     private final List<Router.Settings> applied = new ArrayList<>();
 
     private ManualLoop manual;
@@ -62,7 +62,7 @@
         manual.end();
     }
 
-    /** A router that records its settings and decides nothing. */
+    /** Returns a router that only records its settings. */
     private Router recordingRouter() {
         return (Router) Proxy.newProxyInstance(
                 Router.class.getClassLoader(), new Class<?>[] {Router.class}, (proxy, method, arguments) -> {
@@ -114,10 +114,12 @@
         reloadWithMaxAttempts(5);
 
         manual.advance(HALF_TRANSITION_US);
-        assertThat(maxAttempts()).as("when the first one's was due").isEqualTo(4);
+        assertThat(maxAttempts())
+                .as("when the first transition would have ended")
+                .isEqualTo(4);
 
         manual.advance(HALF_TRANSITION_US);
-        assertThat(maxAttempts()).as("after the second one's").isEqualTo(5);
+        assertThat(maxAttempts()).as("after the second transition").isEqualTo(5);
     }
 
     @Test
--- a/pooler/src/test/java/frostreel/ConfigTest.java
+++ b/pooler/src/test/java/frostreel/ConfigTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Reading, checking and reloading the configuration. */
+/** Reads, validates and reloads configurations. */
 class ConfigTest {
     private static final String SERVER = "{\"host\":\"a\",\"dial\":\"127.0.0.1:9\",\"site\":\"dc\","
             + "\"class\":\"m\",\"block\":2,\"health\":\"Ready\",\"share\":1.0,\"born_ms\":0,"
@@ -30,13 +30,13 @@
         return Config.load(PoolerHarness.environment(text));
     }
 
-    /** Reloads a configuration in place of the one in force. */
+    /** Validates a configuration as a reload of {@link #configuration}. */
     private static void reload(String replacement) throws Exception {
         Config inForce = Config.parse(configuration(), Map.of());
         Config.parse(replacement, Map.of()).requireKeysOf(inForce);
     }
 
-    /** With too few descriptors for servers, every other request has to open a connection. */
+    /** With too few descriptors for servers, every other request would have to open a connection. */
     @ParameterizedTest
     @ValueSource(ints = {128, 256, 384, 1024})
     void sharesDescriptorsBetweenClientsAndServers(int descriptors) throws Exception {
@@ -79,7 +79,7 @@
                 .hasMessageContaining(namedKey);
     }
 
-    /** Differs from the one in force by the discovery agent. */
+    /** Returns {@link #configuration} with another discovery agent. */
     private static String changedConfiguration() {
         return PoolerHarness.configuration("127.0.0.1:2", SERVER);
     }
@@ -90,7 +90,7 @@
         reload(complete);
         for (int i = 0; i < complete.length(); i++) {
             String truncated = complete.substring(0, i);
-            assertThatThrownBy(() -> reload(truncated)).as("cut at %d", i).isInstanceOf(ConfigException.class);
+            assertThatThrownBy(() -> reload(truncated)).as("truncated at %d", i).isInstanceOf(ConfigException.class);
         }
     }
 
@@ -110,7 +110,7 @@
         }
     }
 
-    /** The configuration without the key at a path of keys and indices. */
+    /** Removes the key at a path of keys and indices, and returns the configuration as text. */
     private static String without(String path, JSONObject configuration) {
         String[] steps = path.split("/");
         Object parent = configuration;
@@ -123,7 +123,7 @@
         return configuration.toString();
     }
 
-    /** Collects the paths of all keys but those that only some request classes have. */
+    /** Collects the paths of all keys, except for keys that only some request classes have. */
     private static void collectKeys(Object value, String prefix, List<String> keys) {
         if (value instanceof JSONObject object) {
             for (String key : object.keySet()) {
--- a/pooler/src/test/java/frostreel/EndpointListTest.java
+++ b/pooler/src/test/java/frostreel/EndpointListTest.java
@@ -9,7 +9,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Changes of the endpoint list while requests are served. */
+/** Endpoint list updates while requests are served. */
 class EndpointListTest extends AbstractPoolerTest {
     @Test
     void completeListIsRequestedAfterTheVersionDecreased() throws Exception {
@@ -37,17 +37,20 @@
         }
     }
 
-    /** The handshake may last longer than the limit on sends to a draining server, and be followed by the request. */
+    /**
+     * Guards against a request that is sent to a draining server too late, because it waited for a connection whose
+     * handshake took longer than sends to a draining server are allowed.
+     */
     @Test
     void requestWaitingForConnectionIsReroutedWhenItsServerDrainsOrMoves() throws Exception {
         ScriptedPeer moved = harness.server(rows("from-moved", "replica"));
-        replica.handshake = (text, link) -> replica.received.add("a handshake that does not end");
+        replica.handshake = (text, link) -> replica.received.add("handshake without a response");
         start();
         harness.discovery.next();
         harness.discovery.next();
         try (WireConnection client = harness.client()) {
             client.send(query(readSql("1", 9000)));
-            assertThat(replica.next()).isEqualTo("a handshake that does not end");
+            assertThat(replica.next()).isEqualTo("handshake without a response");
             harness.lists.add(list(2, false, host("b", replica, "replica", "Terminating")));
             assertThat(value(client.readResponse())).isEqualTo("from-primary");
             assertThat(replica.closedConnections.take()).isEqualTo("closed");
@@ -56,7 +59,7 @@
             assertThat(harness.discovery.next()).contains("index=2&");
             assertThat(harness.discovery.next()).contains("index=3&");
             client.send(query(readSql("2", 9000)));
-            assertThat(replica.next()).isEqualTo("a handshake that does not end");
+            assertThat(replica.next()).isEqualTo("handshake without a response");
             harness.lists.add(list(4, false, host("b", moved, "replica", "Ready")));
             assertThat(value(client.readResponse())).isEqualTo("from-primary");
             assertThat(replica.closedConnections.take()).isEqualTo("closed");
--- a/pooler/src/test/java/frostreel/EndpointSourceTest.java
+++ b/pooler/src/test/java/frostreel/EndpointSourceTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The wait for the first list, without a discovery agent; what an agent reports is in {@link DiscoveryTest}. */
+/** The wait for the first list without a discovery agent; {@link DiscoveryTest} covers the agent's reports. */
 class EndpointSourceTest {
     private static final long CONFIGURED_LIST_WAIT_US = EndpointSource.CONFIGURED_LIST_WAIT_US;
     private static final String SERVER = "{\"host\":\"a\",\"dial\":\"127.0.0.1:1\",\"site\":\"dc\",\"class\":\"m\","
--- a/pooler/src/test/java/frostreel/HandoverTest.java
+++ b/pooler/src/test/java/frostreel/HandoverTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** The table of recent commits that two processes of one pooler share, each with a mapping of its own. */
+/** The table of recent commits that two processes of one pooler share by mapping the same file. */
 class HandoverTest {
     private static final long NOW_US = 1_000_000_000;
     private static final long SESSION = 7;
@@ -47,13 +47,14 @@
         writer.writeObserver().onEnded(NOW_US, SESSION, NOW_US + 1_000_000, Outcome.OK, commitUs);
     }
 
-    /** Returns the commit that a read of the session must see. */
+    /** Returns the position in microseconds that a read of the session requires because of other processes' commits. */
     private static long requiredPositionUs(PeerProcessCommits process) {
         return process.peerCommits().requiredPositionUs(NOW_US + 50_000, SESSION);
     }
 
+    /** Checks that reads require every commit of other processes that may count as known. */
     private void assertPeersUnknown(PeerProcessCommits process) {
-        assertThat(requiredPositionUs(process)).as("all that counts as known").isEqualTo(NOW_US - 50_000);
+        assertThat(requiredPositionUs(process)).as("required position").isEqualTo(NOW_US - 50_000);
     }
 
     @Test
@@ -67,7 +68,9 @@
         assertThat(requiredPositionUs(before)).isZero();
         write(after, NOW_US + 5_000);
         assertThat(requiredPositionUs(before)).isEqualTo(NOW_US + 6_000);
-        assertThat(requiredPositionUs(open())).as("a third").isEqualTo(NOW_US + 6_000);
+        assertThat(requiredPositionUs(open()))
+                .as("required position of a third process")
+                .isEqualTo(NOW_US + 6_000);
     }
 
     @Test
@@ -113,13 +116,13 @@
         write(second, NOW_US + 60_000);
         assertPeersUnknown(first);
         try (Stream<Path> remaining = Files.list(folder())) {
-            assertThat(remaining).as("no unfinished file is left").hasSize(1);
+            assertThat(remaining).as("files, of which none is incomplete").hasSize(1);
         }
     }
 
     @Test
     void servesWithUnknownPeersIfTheFileCannotBeCreated() throws Exception {
-        Files.createDirectories(folder().resolve("commits")); // A directory, as permissions do not bind root.
+        Files.createDirectories(folder().resolve("commits")); // A directory, as root ignores permissions.
         PeerProcessCommits before = open();
         write(before, NOW_US);
         assertPeersUnknown(before);
--- a/pooler/src/test/java/frostreel/ManualLoop.java
+++ b/pooler/src/test/java/frostreel/ManualLoop.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** An event loop whose clock stands still until a test advances it. */
+/** An event loop whose clock advances only when a test calls {@link #advance} or {@link #advanceTo}. */
 final class ManualLoop {
     private static final long START_US = 1_000_000_000;
 
@@ -15,23 +15,23 @@
 
     ManualLoop() throws IOException {}
 
-    /** Runs a task on the loop, after all that was handed to it before, and waits for its end. */
+    /** Runs a task on the loop, after all tasks submitted earlier, and waits until it has run. */
     void run(Runnable task) throws ExecutionException, InterruptedException {
         CompletableFuture.runAsync(task, loop.thread()).get();
     }
 
-    /** Advances the clock and runs the deadlines that are due then. */
+    /** Advances the clock by this time and runs the deadlines that are due. */
     void advance(long byUs) throws ExecutionException, InterruptedException {
         advanceTo(nowUs.get() + byUs);
     }
 
-    /** Advances the clock to this time and runs the deadlines that are due then. */
+    /** Advances the clock to this time and runs the deadlines that are due. */
     void advanceTo(long atUs) throws ExecutionException, InterruptedException {
         nowUs.set(atUs);
         run(loop.deadlines()::runDue);
     }
 
-    /** Ends the loop's thread. */
+    /** Stops the loop and its thread. */
     void end() throws InterruptedException {
         loop.end();
     }
--- a/pooler/src/test/java/frostreel/PoolerHarness.java
+++ b/pooler/src/test/java/frostreel/PoolerHarness.java
@@ -23,19 +23,19 @@
 import java.util.logging.StreamHandler;
 
 /**
- * A pooler between scripted clients, servers and discovery agents, all on loopback. Tests wait for events, never for a
- * time to pass.
+ * A pooler with scripted clients, servers and discovery agents, all on loopback. Tests wait for events rather than for
+ * a fixed time.
  */
 final class PoolerHarness {
-    /** The timeout of every wait, so that a hang fails its test. */
+    /** The timeout of single waits, so that a hang fails the test. */
     static final int TIMEOUT_S = 20;
-    /** The pooler's limit on clients: of 128 descriptors 64 are reserved, and servers have a quarter of the rest. */
+    /** The pooler's limit on clients: of 128 descriptors, 64 are reserved, and servers have a quarter of the rest. */
     static final int MAX_CLIENTS = 48;
-    /** While this many clients have requests in flight, further requests are rejected. */
+    /** If this many clients have requests in flight, further requests are rejected. */
     static final int BUSY_LIMIT = MAX_CLIENTS - 16;
-    /** The number of clients that the pooler expects: a third of all descriptors. */
+    /** The number of clients that the pooler expects: a third of all 128 descriptors. */
     static final int EXPECTED_CLIENTS = 42;
-    /** If more requests than this wait unsent, some are rejected: three eighths of the usual clients. */
+    /** If more unsent requests than this wait, some are rejected: three eighths of the expected clients. */
     static final int MAX_WAITING_REQUESTS = EXPECTED_CLIENTS * 3 / 8;
     /** The pooler's limit on connections to servers, see {@link #MAX_CLIENTS}. */
     static final int MAX_SERVERS = 16;
@@ -62,30 +62,30 @@
 
     private final List<ScriptedPeer> peers = new ArrayList<>();
     private final List<WireConnection> clients = new ArrayList<>();
-    /** The endpoint lists with which {@link #discovery} responds, one a request. */
+    /** The endpoint lists with which {@link #discovery} responds, one for each request. */
     final BlockingQueue<String> lists = new LinkedBlockingQueue<>();
     /** One entry for each list that a discovery agent has sent. */
     final BlockingQueue<String> sentLists = new LinkedBlockingQueue<>();
 
     final ScriptedPeer discovery;
-    /** The pooler under test; null before the start, and once a test has ended it. */
+    /** The pooler under test; null before the start and after a test has stopped it. */
     Pooler pooler;
 
     OperatorSettings operatorSettings = OperatorSettings.DEFAULT;
-    /** For how long discovery is awaited before the configured list is used; endless in a test of that wait. */
+    /** How long the pooler waits for discovery before it uses the configured list. */
     long configuredListWaitUs = EndpointSource.CONFIGURED_LIST_WAIT_US;
-    /** How long a closed client may take to close its side; endless in a test of that wait. */
+    /** How long a client may take to close its side of a connection that the pooler has closed. */
     long lingerUs = ServingLifecycle.LINGER_US;
-    /** The settings of the pooler that is started. */
+    /** The settings object in the configuration of the pooler. */
     String settings = SETTINGS;
-    /** Lifts the limit on concurrent requests to servers, so that clients can occupy all connections. */
+    /** Whether the limit on concurrent requests to servers is removed, so that clients can occupy all connections. */
     boolean unlimitedConcurrency;
 
     PoolerHarness() throws IOException {
         discovery = discovery(lists);
     }
 
-    /** Adds a discovery agent that responds to each request with the next of {@code lists}, and waits for one. */
+    /** Adds a discovery agent that responds to each request with the next of {@code lists} as soon as there is one. */
     ScriptedPeer discovery(BlockingQueue<String> lists) throws IOException {
         ScriptedPeer peer = new ScriptedPeer(ScriptedPeer.Protocol.HTTP, (text, link) -> {
             try {
@@ -99,13 +99,13 @@
         return peer;
     }
 
-    /** Runs a task on a daemon thread; its failure ends that thread alone. */
+    /** Runs a task on a daemon thread; a failure of the task is ignored. */
     static Thread spawn(Task task) {
         Thread thread = new Thread(() -> {
             try {
                 task.run();
             } catch (Exception e) {
-                return; // The other end was closed, or the test is over.
+                return; // The other side closed the connection, or the test has ended.
             }
         });
         thread.setDaemon(true);
@@ -113,7 +113,7 @@
         return thread;
     }
 
-    /** Waits for a latch within the script of a peer. */
+    /** Waits for a latch in the script of a peer. */
     static void await(CountDownLatch latch) throws IOException {
         try {
             latch.await();
@@ -136,26 +136,26 @@
         return peer;
     }
 
-    /** Returns the value of a counter of {@code SHOW stats}. */
+    /** Returns the value of a counter in {@code SHOW stats}. */
     long counter(String name) {
         return Long.parseLong(pooler.counters().replaceAll(".* " + name + "=(\\d+) .*", "$1"));
     }
 
-    /** Waits until the counters contain this pair of name and value. */
+    /** Waits until the counters contain this {@code name=value}. */
     void awaitCounter(String counter) {
         while (!pooler.counters().contains(" " + counter + " ")) {
             Thread.onSpinWait();
         }
     }
 
-    /** Returns an endpoint of a list, as JSON. */
+    /** Returns an endpoint as JSON. */
     static String host(String id, ScriptedPeer server, String role, String health) {
         return "{\"host\":\"" + id + "\",\"dial\":\"" + server.address()
                 + "\",\"site\":\"dc\",\"class\":\"m\",\"block\":2,"
                 + "\"health\":\"" + health + "\",\"share\":1.0,\"born_ms\":0,\"role\":\"" + role + "\"}";
     }
 
-    /** Returns an endpoint list as JSON, complete or with changes alone. */
+    /** Returns an endpoint list as JSON, complete or with changes only. */
     static String list(int seq, boolean whole, String... hosts) {
         return "{\"seq\":" + seq + ",\"whole\":" + whole + ",\"hosts\":[" + String.join(",", hosts) + "]}";
     }
@@ -167,14 +167,14 @@
         return Map.of("GW_CONFIG", Files.writeString(file, json).toString());
     }
 
-    /** Starts the pooler with these endpoints, configured and in discovery's first list, and awaits readiness. */
+    /** Starts the pooler with these endpoints in the configuration and in discovery's list, and waits until ready. */
     void start(String... hosts) throws Exception {
         lists.add(list(1, true, hosts));
         startSilent(hosts);
         awaitReady();
     }
 
-    /** Starts the pooler with these endpoints configured; discovery stays silent, and nothing is waited for. */
+    /** Starts the pooler with these endpoints in the configuration and no list from discovery; does not wait. */
     void startSilent(String... hosts) throws Exception {
         Config config = Config.load(environment(configured(discovery.address(), hosts)));
         pooler = new Pooler(
@@ -184,7 +184,7 @@
                 lingerUs);
     }
 
-    /** Reloads the current settings with this discovery agent, as SIGHUP would. */
+    /** Reloads the configuration with the current settings and this discovery agent, as SIGHUP would. */
     void reload(ScriptedPeer discovery) throws Exception {
         pooler.reload(Config.load(environment(configured(discovery.address()))));
     }
@@ -194,14 +194,14 @@
     }
 
     /**
-     * Runs a task while the I/O thread is blocked in the middle of a turn: all that arrives or falls due
-     * meanwhile is found by it in one turn afterwards.
+     * Runs a task while the I/O thread is blocked within a turn of the event loop. Everything that arrives or is due in
+     * that time is handled in one turn afterwards.
      */
     void whileLoopIsBlocked(Task task) throws Exception {
-        whileLoopIsBlocked(CommandExecutor.class, () -> spawn(() -> command("STATUS")), task); // Commands are logged.
+        whileLoopIsBlocked(CommandExecutor.class, () -> spawn(() -> command("STATUS")), task); // Logs a line.
     }
 
-    /** As above, but blocks at the next line that {@code logger} writes; {@code trigger} makes it write one. */
+    /** As above, but blocks at the next log line of {@code logger}, which {@code trigger} causes. */
     void whileLoopIsBlocked(Class<?> logger, Task trigger, Task task) throws Exception {
         CountDownLatch blocked = new CountDownLatch(1);
         CountDownLatch release = new CountDownLatch(1);
@@ -228,7 +228,7 @@
         }
     }
 
-    /** Returns once at least this time has passed since an instant of {@link System#nanoTime}. */
+    /** Waits until this time has passed since {@code sinceNs}, a value of {@link System#nanoTime}. */
     static void awaitElapsed(long sinceNs, long elapsedMs) {
         while (System.nanoTime() - sinceNs < TimeUnit.MILLISECONDS.toNanos(elapsedMs)) {
             Thread.onSpinWait();
@@ -251,7 +251,7 @@
         }
     }
 
-    /** Connects a client to the pooler and completes its startup; it is closed with the harness at the latest. */
+    /** Connects a client to the pooler and completes its startup; closing the harness closes it too. */
     WireConnection client() throws Exception {
         WireConnection client = connectWithoutStartup();
         clients.add(client);
@@ -260,12 +260,12 @@
         return client;
     }
 
-    /** Connects to a process that listens at this port, without a startup message. */
+    /** Connects to the process that listens on this port, without a startup message. */
     static WireConnection connect(int port) throws IOException {
         return new WireConnection(new Socket("127.0.0.1", port));
     }
 
-    /** Connects a client to a process that listens at this port, and completes its startup. */
+    /** Connects a client to the process that listens on this port, and completes its startup. */
     static WireConnection client(int port) throws IOException {
         WireConnection client = connect(port);
         client.send(TestMessages.startup());
@@ -289,12 +289,12 @@
         }
     }
 
-    /** Responds with one row. */
+    /** Returns a script that responds with one row. */
     static ScriptedPeer.Script rows(String value, String role) {
         return (text, link) -> link.send(TestMessages.row(value, role), TestMessages.READY);
     }
 
-    /** Responds with an error. */
+    /** Returns a script that responds with an error. */
     static ScriptedPeer.Script errors(String code, String role) {
         return (text, link) ->
                 link.send(TestMessages.error(code), TestMessages.bytes('S', "role|" + role + "|"), TestMessages.READY);
--- a/pooler/src/test/java/frostreel/ServeProcess.java
+++ b/pooler/src/test/java/frostreel/ServeProcess.java
@@ -9,9 +9,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** The command {@code serve} in a process of its own, controlled by signals and observed by its log. */
+/** The command {@code serve} in a separate process, controlled by signals and observed through its log. */
 final class ServeProcess implements AutoCloseable {
-    /** The exit code after a graceful shutdown by SIGTERM: 128 and the number of the signal. */
+    /** The exit code after a graceful shutdown by SIGTERM: 128 plus the number of the signal. */
     static final int EXIT_BY_SIGTERM = 143;
 
     private final Process process;
@@ -29,13 +29,13 @@
         return new ServeProcess(command(List.of(), options), environment);
     }
 
-    /** Starts the process in a JVM with options of its own. */
+    /** Starts the process in a JVM with these options. */
     static ServeProcess startWithJvmOptions(List<String> jvmOptions, Map<String, String> environment)
             throws IOException {
         return new ServeProcess(command(jvmOptions), environment);
     }
 
-    /** Starts the process with SIGHUP ignored, as nohup does. */
+    /** Starts the process with SIGHUP ignored, as by nohup. */
     static ServeProcess startWithSighupIgnored(Map<String, String> environment) throws IOException {
         List<String> command = new ArrayList<>(List.of("/bin/sh", "-c", "trap '' HUP; exec \"$@\"", "sh"));
         command.addAll(command(List.of()));
@@ -51,7 +51,7 @@
         return command;
     }
 
-    /** Reads the log up to the next line that contains this text, and returns that line. */
+    /** Reads the log up to the next line that contains this text, and returns the line. */
     String awaitLog(String text) throws IOException {
         for (String line = log.readLine(); line != null; line = log.readLine()) {
             if (line.contains(text)) {
@@ -61,12 +61,12 @@
         throw new EOFException("the log ended without a line with: " + text);
     }
 
-    /** Returns the port for clients, once the log names it. */
+    /** Waits for the log line with the port for clients, and returns the port. */
     int awaitPort() throws IOException {
         return port(awaitLog(": listening on /127.0.0.1:"));
     }
 
-    /** Returns the port of the admin endpoint, once the log names it. */
+    /** Waits for the log line with the port of the admin endpoint, and returns the port. */
     int awaitAdminPort() throws IOException {
         return port(awaitLog("admin endpoint listening on /127.0.0.1:"));
     }
@@ -87,7 +87,7 @@
         new ProcessBuilder("kill", "-" + name, Long.toString(pid())).start().waitFor();
     }
 
-    /** Suspends the process, and returns once none of its threads runs. */
+    /** Suspends the process and waits until none of its threads runs. */
     void suspend() throws IOException, InterruptedException {
         signal("STOP");
         while (!Files.readString(Path.of("/proc/" + pid() + "/stat")).contains(") T ")) {
--- a/pooler/src/test/java/frostreel/ShutdownSequenceTest.java
+++ b/pooler/src/test/java/frostreel/ShutdownSequenceTest.java
@@ -12,7 +12,7 @@
 
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class ShutdownSequenceTest {
-    /** Longer than the interval at which the sequence looks whether all have left. */
+    /** Longer than the interval at which the sequence checks whether clients and requests have ended. */
     private static final long STEP_US = 50_000;
 
     private static final long LONGEST_DEADLINE_US = 3_000_000;
@@ -21,7 +21,7 @@
     private ManualLoop manual;
     private volatile boolean leftCluster;
 
-    /** Clients and requests that are open for as long as a test says so. */
+    /** A workload whose open clients and requests are set by the test. */
     private static final class FakeWorkload implements ShutdownSequence.Workload {
         private final CountDownLatch begun = new CountDownLatch(1);
         private volatile int openClients;
@@ -98,13 +98,13 @@
         ServingLifecycle lifecycle = new ServingLifecycle(true, LONGEST_DEADLINE_US);
         FutureTask<Boolean> result = shutDown(lifecycle);
         manual.run(() -> {});
-        assertThat(workload.lifecycleApplied).as("at the begin").isEqualTo(1);
+        assertThat(workload.lifecycleApplied).as("at SIGTERM").isEqualTo(1);
 
         manual.advanceTo(lifecycle.closeIdleAtUs());
-        assertThat(workload.lifecycleApplied).as("idle ones close").isEqualTo(2);
+        assertThat(workload.lifecycleApplied).as("when idle connections close").isEqualTo(2);
 
         manual.advanceTo(lifecycle.lastResponseUs());
-        assertThat(workload.lifecycleApplied).as("all close").isEqualTo(3);
+        assertThat(workload.lifecycleApplied).as("when all connections close").isEqualTo(3);
 
         workload.openClients = 0;
         manual.advance(STEP_US);
@@ -114,7 +114,7 @@
     @Test
     void leavesTheClusterAfterTheTimeoutIfClientsNeverDisconnect() throws Exception {
         workload.openClients = 1;
-        ServingLifecycle lifecycle = new ServingLifecycle(true, 0); // The wait is as short as it can be.
+        ServingLifecycle lifecycle = new ServingLifecycle(true, 0); // The shortest possible timeout.
 
         FutureTask<Boolean> result = shutDown(lifecycle);
 
--- a/pooler/src/test/java/frostreel/ShutdownTest.java
+++ b/pooler/src/test/java/frostreel/ShutdownTest.java
@@ -30,14 +30,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Graceful shutdown, under clients that send for as long as their connections stay open. */
+/** Graceful shutdown while clients send requests for as long as their connections stay open. */
 class ShutdownTest extends AbstractPoolerTest {
     private static final String SHORT_DEADLINES = PoolerHarness.SETTINGS
             .replace("\"deadlineS\":10", "\"deadlineS\":0.3")
             .replace("\"onTimeS\":5", "\"onTimeS\":0.2");
     private static final int CLIENTS = 8;
 
-    /** The circumstances of a SIGTERM. */
+    /** The state of the process at SIGTERM, or how often the signal is sent. */
     enum Situation {
         SERVING,
         SIGTERM_TWICE,
@@ -49,7 +49,7 @@
         return PoolerHarness.environment(configuration().replace(PoolerHarness.SETTINGS, SHORT_DEADLINES));
     }
 
-    /** Sends requests until the connection ends; one that was sent while it was closed stays unanswered. */
+    /** Sends requests until the connection ends; a request sent while it is being closed gets no response. */
     private static void sendUntilClosed(int port, String name, Set<String> completed) throws IOException {
         try (WireConnection client = PoolerHarness.client(port)) {
             for (int i = 0; true; i++) {
@@ -122,7 +122,10 @@
         return reached;
     }
 
-    /** Idle clients hold all connections that are allowed to clients; discovery goes away and comes back. */
+    /**
+     * Guards against idle clients that use up all descriptors, so that the process can no longer reach discovery after
+     * an outage, connect to servers or accept clients.
+     */
     @Test
     void idleClientsDoNotStarveDiscoveryServersOrNewClients() throws Exception {
         int many = 3 * PoolerHarness.MAX_CLIENTS;
@@ -132,7 +135,7 @@
             int port = process.awaitPort();
             process.awaitReady();
             limitDescriptors(process, 128);
-            harness.discovery.script = (text, link) -> {}; // Silent from the next poll on.
+            harness.discovery.script = (text, link) -> {}; // No response from the next poll on.
             harness.lists.add("no list");
             process.awaitLog("keeping the last endpoint list");
             for (int i = 0; i < many; i++) {
@@ -173,7 +176,7 @@
         replica.script = (text, link) -> {
             requestArrived.countDown();
             PoolerHarness.await(mayRespond);
-            link.send(row("late", "replica"), TestMessages.READY);
+            link.send(row("after-sigterm", "replica"), TestMessages.READY);
         };
         start();
         try (WireConnection client = harness.client();
@@ -182,22 +185,22 @@
             requestArrived.await();
             Thread stop = stopPooler();
             String last = "";
-            // Deadlines of 9 s are cut to the time that is left until SIGKILL.
+            // Until deadlines of 9 s are reduced to the time that remains before SIGKILL.
             for (int i = 0; !last.matches(".*d=(3[0-2]|[12]?.)..,.*"); i++) {
                 assertThat(value(idle.execute(writeSql("s" + i, 9000)))).isEqualTo("from-primary");
                 last = primary.next();
             }
-            // An idle client is closed while the other is still served.
+            // The idle client's connection is closed while the other client is still served.
             assertThat(idle.closedByPeer()).isTrue();
             mayRespond.countDown();
-            assertThat(value(client.readResponse())).isEqualTo("late");
+            assertThat(value(client.readResponse())).isEqualTo("after-sigterm");
             assertThat(client.closedByPeer()).isTrue();
             stop.join();
             harness.pooler = null;
         } finally {
             root.removeHandler(handler);
         }
-        assertThat(warnings).isEmpty(); // A timer that is set while the thread ends must not fail.
+        assertThat(warnings).isEmpty(); // Setting a timer while the I/O thread ends must not fail.
     }
 
     private static Handler warningsTo(List<String> warnings) {
--- a/pooler/src/test/java/frostreel/SighupTest.java
+++ b/pooler/src/test/java/frostreel/SighupTest.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import org.junit.jupiter.api.Test;
 
-/** Configuration reload by SIGHUP, in a process of its own. */
+/** Configuration reload by SIGHUP, in a separate process. */
 class SighupTest extends AbstractPoolerTest {
     @Test
     void sighupSwitchesDiscoveryAndNeverEndsTheProcess() throws Exception {
@@ -35,7 +35,7 @@
             assertThat(newDiscovery.next()).startsWith("GET /discovery/hosts HTTP"); // The complete list.
             newLists.add(list(3, true));
             assertThat(newDiscovery.next()).contains("index=3&");
-            harness.lists.add(list(8, true)); // A watch that is still active would poll again.
+            harness.lists.add(list(8, true)); // If the previous watch were still active, it would poll again.
             harness.discovery.closedConnections.take(); // The previous watch has stopped.
 
             process.signal("HUP");
@@ -68,7 +68,7 @@
 
             Files.writeString(settings, valid.replace("json", "xml"));
             process.signal("HUP");
-            process.awaitLog("frostreel/log@format"); // Logged as JSON still.
+            process.awaitLog("frostreel/log@format");
 
             Files.writeString(settings, valid.replace("json", "text"));
             process.signal("HUP");
--- a/pooler/src/test/java/frostreel/StartupReadinessTest.java
+++ b/pooler/src/test/java/frostreel/StartupReadinessTest.java
@@ -9,9 +9,9 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Readiness at the start, with and without a list of endpoints in the configuration. */
+/** Readiness at the start, with and without an endpoint list in the configuration. */
 class StartupReadinessTest extends AbstractPoolerTest {
-    /** Longer than any test, and no overflow where it is multiplied or added to the time. */
+    /** Longer than any test; does not overflow if multiplied by a small factor or added to the time. */
     private static final long ENDLESS_US = Long.MAX_VALUE / 8;
 
     @Test
@@ -20,7 +20,7 @@
         try (WireConnection client = harness.client()) {
             assertThat(client.execute("")).singleElement().asString().contains("|C57P03|");
             harness.lists.add(list(1, true, host("a", primary, "primary", "Ready")));
-            // The next poll is sent once the list was applied.
+            // The next poll is sent after the list has been applied.
             assertThat(harness.discovery.next()).startsWith("GET /discovery/hosts HTTP");
             assertThat(harness.discovery.next()).startsWith("GET /discovery/hosts?index=1&wait=");
             List<String> response = client.execute("");
@@ -31,7 +31,7 @@
         }
     }
 
-    /** Many poolers that start at once and request complete lists would overload discovery. */
+    /** Guards against complete lists requested by many poolers that start at once, which would overload discovery. */
     @Test
     void configuredListServesWithoutDiscoveryAndOnlyChangesAreRequested() throws Exception {
         harness.startSilent(host("a", primary, "primary", "Ready"), host("b", replica, "replica", "Ready"));
@@ -46,7 +46,7 @@
         }
     }
 
-    /** A start may take longer than the limit on sends to a server that drains meanwhile. */
+    /** Guards against sends to a server that began to drain during the start: they may come later than allowed. */
     @Test
     void configuredListIsNotUsedBeforeDiscoveryReportedChanges() throws Exception {
         harness.configuredListWaitUs = ENDLESS_US;
--- a/pooler/src/test/java/frostreel/settings/OperatorSettingsTest.java
+++ b/pooler/src/test/java/frostreel/settings/OperatorSettingsTest.java
@@ -39,7 +39,7 @@
         return HEAD + content + "</frostreel>";
     }
 
-    /** The faults of a document with this content, as line and key; the content begins in line 2. */
+    /** Returns the errors of a document with this content as line and key; the content begins in line 2. */
     private List<String> linesAndKeysOfErrors(String content) throws IOException {
         return errorsOf(document(content)).stream()
                 .map(error -> error.line() + " " + error.key())
