--- a/pooler/src/test/java/frostreel/ConfigReloaderTest.java
+++ b/pooler/src/test/java/frostreel/ConfigReloaderTest.java
@@ -30,7 +30,7 @@
     private ConfigReloader reloader;
 
     @BeforeEach
-    void begin() throws Exception {
+    void setUp() throws Exception {
         manual = new ManualLoop();
         Config config = Config.parse(CONFIGURATION, Map.of());
         Router.Settings settings = config.settings();
@@ -58,7 +58,7 @@
     }
 
     @AfterEach
-    void end() throws Exception {
+    void tearDown() throws Exception {
         manual.end();
     }
 
--- a/pooler/src/test/java/frostreel/EndpointSourceTest.java
+++ b/pooler/src/test/java/frostreel/EndpointSourceTest.java
@@ -25,12 +25,12 @@
     private boolean serversKnown;
 
     @BeforeEach
-    void begin() throws Exception {
+    void setUp() throws Exception {
         manual = new ManualLoop();
     }
 
     @AfterEach
-    void end() throws Exception {
+    void tearDown() throws Exception {
         manual.end();
     }
 
--- a/pooler/src/test/java/frostreel/ReadinessTest.java
+++ b/pooler/src/test/java/frostreel/ReadinessTest.java
@@ -17,7 +17,7 @@
     private ServingLifecycle lifecycle;
     private Readiness readiness;
 
-    private void begin(boolean hasSuccessor) {
+    private void createReadiness(boolean hasSuccessor) {
         lifecycle = new ServingLifecycle(hasSuccessor, LONGEST_DEADLINE_US);
         readiness = new Readiness(lifecycle, () -> events.add("admits clients: " + lifecycle.status()));
         readiness.beforeServing(() -> events.add("before serving: " + lifecycle.status()));
@@ -42,7 +42,7 @@
         "sockets,commands,servers"
     })
     void servesOnceAllPrerequisitesAreReported(String first, String second, String third) {
-        begin(false);
+        createReadiness(false);
         report(first);
         report(second);
         assertThat(events).isEmpty();
@@ -55,7 +55,7 @@
 
     @Test
     void beginsToServeOnlyOnce() {
-        begin(false);
+        createReadiness(false);
         List.of("servers", "commands", "sockets", "servers").forEach(this::report);
 
         assertThat(events).hasSize(2);
@@ -63,7 +63,7 @@
 
     @Test
     void showsTheFirstMissingPrerequisite() {
-        begin(false);
+        createReadiness(false);
         assertThat(readiness.missing()).isEqualTo("servers");
         report("commands");
         assertThat(readiness.missing()).isEqualTo("servers");
@@ -75,7 +75,7 @@
 
     @Test
     void showsMissingCommandsBeforeMissingSockets() {
-        begin(false);
+        createReadiness(false);
         report("servers");
 
         assertThat(readiness.missing()).isEqualTo("orders");
@@ -83,7 +83,7 @@
 
     @Test
     void doesNotServeOnceASuccessorTookOver() {
-        begin(true);
+        createReadiness(true);
         lifecycle.terminate(0);
 
         List.of("servers", "commands", "sockets").forEach(this::report);
--- a/pooler/src/test/java/frostreel/ShutdownSequenceTest.java
+++ b/pooler/src/test/java/frostreel/ShutdownSequenceTest.java
@@ -23,7 +23,7 @@
 
     /** A workload whose open clients and requests are set by the test. */
     private static final class FakeWorkload implements ShutdownSequence.Workload {
-        private final CountDownLatch begun = new CountDownLatch(1);
+        private final CountDownLatch started = new CountDownLatch(1);
         private volatile int openClients;
         private volatile int openRequests;
         private volatile int lifecycleApplied;
@@ -31,7 +31,7 @@
         @Override
         public void applyLifecycle() {
             lifecycleApplied++; // Written on the loop alone.
-            begun.countDown();
+            started.countDown();
         }
 
         @Override
@@ -46,12 +46,12 @@
     }
 
     @BeforeEach
-    void begin() throws Exception {
+    void setUp() throws Exception {
         manual = new ManualLoop();
     }
 
     @AfterEach
-    void end() throws Exception {
+    void tearDown() throws Exception {
         manual.end();
     }
 
@@ -60,7 +60,7 @@
                 new ShutdownSequence(manual.loop, lifecycle, workload, timeoutMs -> leftCluster = true);
         FutureTask<Boolean> result = new FutureTask<>(sequence::run);
         new Thread(result).start();
-        workload.begun.await();
+        workload.started.await();
         return result;
     }
 
