--- a/pooler/src/main/java/frostreel/Pooler.java
+++ b/pooler/src/main/java/frostreel/Pooler.java
@@ -23,7 +23,7 @@
 import java.net.InetSocketAddress;
 import java.util.SplittableRandom;
 
-/** One pooler: creates its parts, connects them, and starts and ends them. */
+/** One pooler: creates its components, connects them, and starts and stops them. */
 public final class Pooler {
     private static final long MICROS_PER_MILLI = 1_000;
 
@@ -37,26 +37,27 @@
     private final ServingSockets sockets;
     private final ConfigReloader reloader;
     private final ShutdownSequence shutdown;
-    /** Null if no zone tiers are configured: then none of their classes is loaded. */
+    /** Null if no zone tiers are configured; the classes for zone tiers are not loaded then. */
     private final ZoneFailoverPolicy zonePolicy;
 
-    /** Creates a pooler and starts it: it serves as soon as it is ready, see {@link Readiness}. */
-    public Pooler(Config config, OperatorSettings operators) throws IOException {
-        this(config, operators, EndpointSource.CONFIGURED_LIST_PATIENCE_US, ServingLifecycle.LINGER_US);
+    /** Creates and starts a pooler, which serves as soon as it is ready, see {@link Readiness}. */
+    public Pooler(Config config, OperatorSettings operatorSettings) throws IOException {
+        this(config, operatorSettings, EndpointSource.CONFIGURED_LIST_WAIT_US, ServingLifecycle.LINGER_US);
     }
 
     /**
-     * As the other constructor, with times of the caller's.
+     * As {@link #Pooler(Config, OperatorSettings)}, with other times than the defaults.
      *
-     * @param configuredListPatienceUs how long the list in the configuration waits for discovery
-     * @param lingerUs how long a client whose connection was ended may take to end its side
+     * @param configuredListWaitUs replaces {@link EndpointSource#CONFIGURED_LIST_WAIT_US}
+     * @param lingerUs replaces {@link ServingLifecycle#LINGER_US}
      */
-    Pooler(Config config, OperatorSettings operators, long configuredListPatienceUs, long lingerUs) throws IOException {
+    Pooler(Config config, OperatorSettings operatorSettings, long configuredListWaitUs, long lingerUs)
+            throws IOException {
         loop = new EventLoop(ClockAnchor.clock(config.commandFolder().orElse(null)));
         PeerProcessCommits peer = PeerProcessCommits.open(config, loop.clock().now());
         loop.onHeartbeat(peer.writeObserver()::onHeartbeat);
         ServerPool pool = new ServerPool(loop, config.settings(), config.maxServerConnections());
-        zonePolicy = zonePolicy(config, operators);
+        zonePolicy = zonePolicy(config, operatorSettings);
         broker = broker(config, pool, peer);
         RequestClassRegistry classes =
                 new RequestClassRegistry(config.settings().classes());
@@ -64,28 +65,29 @@
         listener = listener(config, classes);
         commands = commands(config, pool);
         AdminListener admin = config.adminAddress().isPresent() ? new AdminListener(loop, commands) : null;
-        ClusterMember clusterMember = clusterMember(config, operators);
+        ClusterMember clusterMember = clusterMember(config, operatorSettings);
         readiness = new Readiness(lifecycle, listener::applyLifecycle);
         endpoints = new EndpointSource(
-                loop, config, configuredListPatienceUs, commands::onEndpointList, readiness::serversKnown);
+                loop, config, configuredListWaitUs, commands::onEndpointList, readiness::serversKnown);
         readiness.beforeServing(endpoints::applyConfigured);
         sockets = new ServingSockets(loop, config, listener, admin, readiness);
-        reloader = new ConfigReloader(loop, pool, broker, lifecycle, classes, endpoints, zonePolicy, config, operators);
-        shutdown = new ShutdownSequence(loop, lifecycle, new OpenWork(), clusterOf(clusterMember));
-        addPages(admin, clusterMember);
+        reloader = new ConfigReloader(
+                loop, pool, broker, lifecycle, classes, endpoints, zonePolicy, config, operatorSettings);
+        shutdown = new ShutdownSequence(loop, lifecycle, new ClientWorkload(), clusterMembership(clusterMember));
+        addStatusPages(admin, clusterMember);
         loop.onWatchEventPoll(endpoints::readNow);
         loop.setStopSendingUs(config.settings().rules().stopSendingUs());
         loop.thread().execute(this::start);
     }
 
-    private static ZoneFailoverPolicy zonePolicy(Config config, OperatorSettings operators) {
-        if (operators.zones().isEmpty()) {
+    private static ZoneFailoverPolicy zonePolicy(Config config, OperatorSettings operatorSettings) {
+        if (operatorSettings.zones().isEmpty()) {
             return null;
         }
         Router.Settings settings = config.settings();
         return new ZoneFailoverPolicy(
                 settings,
-                operators.zoneSettings(settings.zone(), config.zones()).orElseThrow(),
+                operatorSettings.zoneSettings(settings.zone(), config.zones()).orElseThrow(),
                 new SplittableRandom(settings.seed()).nextDouble());
     }
 
@@ -135,24 +137,24 @@
     }
 
     /** Returns null if the poolers form no cluster. */
-    private ClusterMember clusterMember(Config config, OperatorSettings operators) {
-        return operators.cluster().isPresent()
-                ? new ClusterMember(operators.cluster().get(), config.name(), loop)
+    private ClusterMember clusterMember(Config config, OperatorSettings operatorSettings) {
+        return operatorSettings.cluster().isPresent()
+                ? new ClusterMember(operatorSettings.cluster().get(), config.name(), loop)
                 : null;
     }
 
-    /** The name of this process, unique among all that store operators' commands in one folder. */
+    /** Returns an id of this process that is unique among all processes that store commands in the same folder. */
     private String incarnation(Config config) {
         return Long.toHexString(config.settings().seed()) + "x"
                 + Long.toHexString(loop.clock().now());
     }
 
-    private ShutdownSequence.Cluster clusterOf(ClusterMember member) {
-        return member == null ? ShutdownSequence.Cluster.NONE : timeoutMs -> member.leave(loop, timeoutMs);
+    private ShutdownSequence.ClusterMembership clusterMembership(ClusterMember member) {
+        return member == null ? ShutdownSequence.ClusterMembership.NONE : timeoutMs -> member.leave(loop, timeoutMs);
     }
 
-    /** What a shutdown drains: this pooler's clients and their requests. */
-    private final class OpenWork implements ShutdownSequence.Workload {
+    /** The clients of this pooler and their requests, which a shutdown drains. */
+    private final class ClientWorkload implements ShutdownSequence.Workload {
         @Override
         public void applyLifecycle() {
             listener.applyLifecycle();
@@ -169,7 +171,7 @@
         }
     }
 
-    private void addPages(AdminListener admin, ClusterMember clusterMember) {
+    private void addStatusPages(AdminListener admin, ClusterMember clusterMember) {
         listener.addPage("stats", () -> loop.counters().toString());
         listener.addPage("health", this::health);
         if (admin != null) {
@@ -183,7 +185,7 @@
         }
     }
 
-    /** The page {@code SHOW health}: whether this process serves, what it waits for, how old its endpoint list is. */
+    /** Returns the page {@code SHOW health}: readiness, what is missing for it, the state of discovery, and load. */
     private String health() {
         return "clients=" + lifecycle.status().wireName()
                 + " missing=" + readiness.missing()
@@ -207,27 +209,27 @@
         reloader.reload(config);
     }
 
-    /** Applies new settings of the operators, see {@link ConfigReloader}; from any thread. */
-    public void reload(Config config, OperatorSettings operators) {
-        reloader.reload(config, operators);
+    /** Applies new operators' settings, see {@link ConfigReloader}; from any thread. */
+    public void reload(Config config, OperatorSettings operatorSettings) {
+        reloader.reload(config, operatorSettings);
     }
 
-    /** Waits until this process listens, and returns the address for clients; not for the I/O thread. */
+    /** Waits until the sockets are open, and returns the address for clients; not for the I/O thread. */
     public InetSocketAddress address() throws InterruptedException {
         return sockets.clientAddress();
     }
 
-    /** Waits until this process listens; returns its admin endpoint, null for none; not for the I/O thread. */
+    /** Waits until the sockets are open, and returns the admin endpoint or null; not for the I/O thread. */
     public InetSocketAddress adminAddress() throws InterruptedException {
         return sockets.adminAddress();
     }
 
-    /** Shuts down gracefully and returns whether all clients had ended, see {@link ShutdownSequence}. */
+    /** Shuts down gracefully; returns whether all clients and requests ended in time, see {@link ShutdownSequence}. */
     public boolean stop() throws InterruptedException {
         return shutdown.run();
     }
 
-    /** Ends the loop and closes every socket; with an inherited one, standard output and error too. */
+    /** Stops the event loop and closes all sockets; with an inherited listener, standard output and error too. */
     public void close() throws InterruptedException {
         loop.end();
     }
--- a/pooler/src/main/java/frostreel/cli/Serve.java
+++ b/pooler/src/main/java/frostreel/cli/Serve.java
@@ -4,7 +4,7 @@
 import frostreel.config.Config;
 import frostreel.config.ConfigException;
 import frostreel.log.Logging;
-import frostreel.settings.FaultyFileException;
+import frostreel.settings.InvalidFileException;
 import frostreel.settings.OperatorSettings;
 import java.io.IOException;
 import java.io.PrintStream;
@@ -15,15 +15,15 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** The command {@code serve}: runs a pooler until SIGTERM, configured by the environment; SIGHUP reloads. */
+/** The command {@code serve}: runs a pooler, configured by the environment, until SIGTERM; SIGHUP reloads. */
 @Command(
         name = "serve",
-        description = "Runs the pooler in the foreground; GW_CONFIG names its configuration.",
+        description = "Runs the pooler in the foreground; GW_CONFIG names its configuration file.",
         mixinStandardHelpOptions = true)
 final class Serve implements Callable<Integer> {
     /** Returned in place of an exit code: the process keeps running on the pooler's threads. */
     static final int KEEP_RUNNING = -1;
-    /** How long printing a line during shutdown may block. */
+    /** The timeout for printing a line during shutdown. */
     private static final long PRINT_TIMEOUT_MS = 200;
 
     private static final Logger LOG = Logger.getLogger(Serve.class.getName());
@@ -31,42 +31,43 @@
     @Option(
             names = "--settings",
             paramLabel = "FILE",
-            description = "The operators' settings, as deploy/frostreel.xml; read again at SIGHUP.")
-    private Path settings;
-    /** After the start, read and replaced by {@link #reload} alone. */
+            description = "The operators' settings, see deploy/frostreel.xml; SIGHUP reloads them.")
+    private Path settingsFile;
+    /** The configuration in force; after the start, read and replaced only by {@link #reload}. */
     private volatile Config configInForce;
 
     @Override
     public Integer call() throws IOException {
         try {
             Config config = Config.load(System.getenv());
-            OperatorSettings operators =
-                    settings == null ? OperatorSettings.DEFAULT : OperatorSettings.read(settings, config.name());
-            Logging.configure(operators.logFormat(), operators.logLevel());
+            OperatorSettings operatorSettings = settingsFile == null
+                    ? OperatorSettings.DEFAULT
+                    : OperatorSettings.read(settingsFile, config.name());
+            Logging.configure(operatorSettings.logFormat(), operatorSettings.logLevel());
             configInForce = config;
-            Pooler pooler = new Pooler(config, operators);
+            Pooler pooler = new Pooler(config, operatorSettings);
             Runtime.getRuntime().addShutdownHook(new Thread(() -> shutDown(pooler), "stop"));
             if (!SighupHandler.handle(() -> reload(pooler))) {
                 LOG.warning("SIGHUP was ignored at the start and will not arrive: new settings need a restart");
             }
             return KEEP_RUNNING;
-        } catch (ConfigException | FaultyFileException fault) {
-            System.err.println("frostreel: " + fault.getMessage());
-            return Main.EXIT_FAULTY_INPUT;
+        } catch (ConfigException | InvalidFileException e) {
+            System.err.println("frostreel: " + e.getMessage());
+            return Main.EXIT_INVALID_INPUT;
         }
     }
 
-    /** Runs on the signal's thread, as reading files may block; synchronized, so that the file read last wins. */
+    /** Runs on the signal's thread, as reading files blocks; synchronized, so that the latest read is applied last. */
     private synchronized void reload(Pooler pooler) {
         try {
             Config config = Config.reload(System.getenv(), configInForce);
             configInForce = config;
-            if (settings != null) {
+            if (settingsFile != null) {
                 reloadSettings(pooler, config);
             }
             pooler.reload(config);
-        } catch (ConfigException fault) {
-            LOG.warning(fault.getMessage() + "; the configuration in force is kept");
+        } catch (ConfigException e) {
+            LOG.warning(e.getMessage() + "; the configuration in force is kept");
         } catch (RejectedExecutionException loopEnded) {
             LOG.info("stopping: the new configuration is not applied");
         }
@@ -74,16 +75,16 @@
 
     private void reloadSettings(Pooler pooler, Config config) {
         try {
-            OperatorSettings operators = OperatorSettings.read(settings, config.name());
-            Logging.configure(operators.logFormat(), operators.logLevel());
-            pooler.reload(config, operators);
-            LOG.info("settings reloaded from " + settings);
-        } catch (FaultyFileException fault) {
-            LOG.warning(fault.getMessage() + "; the settings in force are kept");
+            OperatorSettings operatorSettings = OperatorSettings.read(settingsFile, config.name());
+            Logging.configure(operatorSettings.logFormat(), operatorSettings.logLevel());
+            pooler.reload(config, operatorSettings);
+            LOG.info("settings reloaded from " + settingsFile);
+        } catch (InvalidFileException e) {
+            LOG.warning(e.getMessage() + "; the settings in force are kept");
         }
     }
 
-    /** Prints a line, and waits a bounded time for that: a reader that stopped reading must not block the shutdown. */
+    /** Prints a line with a timeout, so that a reader that has stopped reading cannot block the shutdown. */
     private static void print(PrintStream stream, String text) throws InterruptedException {
         Thread writer = new Thread(() -> stream.println("frostreel: " + text), "shutdown output");
         writer.setDaemon(true);
@@ -92,7 +93,7 @@
     }
 
     private static void shutDown(Pooler pooler) {
-        // Not logged, as the log manager shuts down at the same time.
+        // Printed rather than logged, as the log manager shuts down at the same time.
         try {
             print(System.err, "stopping: clients are served for a little longer");
             if (!pooler.stop()) {
--- a/pooler/src/main/java/frostreel/settings/XmlElementHandler.java
+++ b/pooler/src/main/java/frostreel/settings/XmlElementHandler.java
@@ -12,19 +12,19 @@
 import org.xml.sax.SAXParseException;
 import org.xml.sax.helpers.DefaultHandler;
 
-/** Builds the tree of elements from parser events, and turns the validator's errors into faults with keys. */
+/** Builds the element tree from parser events, and converts the parser's errors to validation errors with keys. */
 final class XmlElementHandler extends DefaultHandler {
-    /** A file's faults beyond this number are not reported. */
-    static final int MAX_FAULTS = 100;
+    /** The limit on the errors reported for a file. */
+    static final int MAX_ERRORS = 100;
 
-    /** The validator's messages begin with the name of the schema rule, which does not help operators. */
+    /** The prefix of the parser's messages that names the schema rule; removed, as it does not help operators. */
     private static final String SCHEMA_RULE = "^cvc-[\\w.-]+: ";
 
     private static final Pattern ATTRIBUTE = Pattern.compile("ttribute '([\\w:]+)'");
     private static final Pattern ELEMENT = Pattern.compile("element '(?:\\{\"[^\"]*\":)?(\\w+)\\}?'");
 
     private final String file;
-    private final List<Fault> faults = new ArrayList<>();
+    private final List<ValidationError> errors = new ArrayList<>();
     private XmlElement root;
     private XmlElement current;
     private Locator locator;
@@ -37,8 +37,8 @@
         return root;
     }
 
-    List<Fault> faults() {
-        return faults;
+    List<ValidationError> errors() {
+        return errors;
     }
 
     @Override
@@ -69,12 +69,12 @@
     @Override
     public void error(SAXParseException exception) {
         String text = exception.getMessage().replaceFirst(SCHEMA_RULE, "");
-        add(new Fault(file, exception.getLineNumber(), exception.getColumnNumber(), key(text), text));
+        add(new ValidationError(file, exception.getLineNumber(), exception.getColumnNumber(), key(text), text));
     }
 
     /**
-     * The key that a message is about. The validator reports an element before {@link #startElement} is called
-     * for it, so that its name is taken from the message.
+     * Returns the key that a message is about. The parser reports the errors of an element before it calls
+     * {@link #startElement} for it, so the element's name is taken from the message.
      */
     private String key(String message) {
         Matcher element = ELEMENT.matcher(message);
@@ -87,20 +87,22 @@
     }
 
     /**
-     * Adds a fault. The validator reports a wrong value twice: first by its type, with the better text, then by
-     * its attribute, with the key. The two become one.
+     * Adds an error. The parser reports an invalid value twice: first for its type, with the clearer message, then for
+     * its attribute, with the key. The two are merged into one.
      */
-    private void add(Fault fault) {
-        int last = faults.size() - 1;
-        if (last >= 0 && faults.get(last).isAtSamePlace(fault)) {
-            Fault before = faults.get(last);
-            if (!before.namesAttribute() && fault.namesAttribute()) {
-                faults.set(last, new Fault(file, before.line(), before.column(), fault.key(), before.text()));
+    private void add(ValidationError error) {
+        int last = errors.size() - 1;
+        if (last >= 0 && errors.get(last).hasSamePosition(error)) {
+            ValidationError previous = errors.get(last);
+            if (!previous.namesAttribute() && error.namesAttribute()) {
+                errors.set(
+                        last,
+                        new ValidationError(file, previous.line(), previous.column(), error.key(), previous.message()));
                 return;
             }
         }
-        if (faults.size() < MAX_FAULTS) {
-            faults.add(fault);
+        if (errors.size() < MAX_ERRORS) {
+            errors.add(error);
         }
     }
 }
--- a/pooler/src/main/java/frostreel/settings/XmlFile.java
+++ b/pooler/src/main/java/frostreel/settings/XmlFile.java
@@ -18,11 +18,11 @@
 import org.xml.sax.SAXParseException;
 
 /**
- * Reads an XML file and validates it against a schema, in one pass. Document types and external entities are
- * rejected and the size is bounded, so that a hostile file costs no more than a valid one.
+ * Reads an XML file and validates it against a schema in one pass. Document type declarations and external entities
+ * are rejected and the size is limited, so that a malicious file costs no more than a valid one.
  */
 public final class XmlFile {
-    /** The largest file that is read, in bytes. */
+    /** The size limit of a file. */
     public static final int MAX_BYTES = 1 << 20;
 
     private XmlFile() {}
@@ -31,10 +31,9 @@
      * Reads a file. Blocks.
      *
      * @return the root element
-     * @throws FaultyFileException with the faults found, {@value XmlElementHandler#MAX_FAULTS} of them at
-     *     most
+     * @throws InvalidFileException with at most {@value XmlElementHandler#MAX_ERRORS} validation errors
      */
-    public static XmlElement read(Path file, URL schema) throws FaultyFileException {
+    public static XmlElement read(Path file, URL schema) throws InvalidFileException {
         String name = file.toString();
         try (InputStream in = Files.newInputStream(file)) {
             byte[] bytes = in.readNBytes(MAX_BYTES + 1);
@@ -47,21 +46,21 @@
         }
     }
 
-    private static FaultyFileException unreadable(String file, String text) {
-        return new FaultyFileException(List.of(Fault.ofWholeFile(file, text)));
+    private static InvalidFileException unreadable(String file, String text) {
+        return new InvalidFileException(List.of(ValidationError.forWholeFile(file, text)));
     }
 
-    private static XmlElement parse(String name, byte[] bytes, URL schema) throws FaultyFileException {
+    private static XmlElement parse(String name, byte[] bytes, URL schema) throws InvalidFileException {
         XmlElementHandler handler = new XmlElementHandler(name);
         try {
             parser(schema).parse(new InputSource(new ByteArrayInputStream(bytes)), handler);
         } catch (SAXParseException e) {
-            handler.error(e); // Not well-formed, so that the rest cannot be read.
+            handler.error(e); // Not well-formed: the rest of the file cannot be parsed.
         } catch (SAXException | ParserConfigurationException | IOException e) {
-            throw new IllegalStateException("the schema " + schema + " cannot be used", e);
+            throw new IllegalStateException("cannot validate against schema " + schema, e);
         }
-        if (!handler.faults().isEmpty()) {
-            throw new FaultyFileException(handler.faults());
+        if (!handler.errors().isEmpty()) {
+            throw new InvalidFileException(handler.errors());
         }
         return handler.root();
     }
--- a/pooler/src/test/java/frostreel/ConfigTest.java
+++ b/pooler/src/test/java/frostreel/ConfigTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Reading, checking and reloading the configuration. */
+/** Reads, validates and reloads configurations. */
 class ConfigTest {
     private static final String SERVER = "{\"host\":\"a\",\"dial\":\"127.0.0.1:9\",\"site\":\"dc\","
             + "\"class\":\"m\",\"block\":2,\"health\":\"Ready\",\"share\":1.0,\"born_ms\":0,"
@@ -30,13 +30,13 @@
         return Config.load(PoolerHarness.environment(text));
     }
 
-    /** Reloads a configuration in place of the one in force. */
+    /** Validates a configuration as a reload of {@link #configuration}. */
     private static void reload(String replacement) throws Exception {
         Config inForce = Config.parse(configuration(), Map.of());
-        Config.parse(replacement, Map.of()).replacing(inForce);
+        Config.parse(replacement, Map.of()).requireKeysOf(inForce);
     }
 
-    /** With too few descriptors for servers, every other request has to open a connection. */
+    /** With too few descriptors for servers, every other request would have to open a connection. */
     @ParameterizedTest
     @ValueSource(ints = {128, 256, 384, 1024})
     void sharesDescriptorsBetweenClientsAndServers(int descriptors) throws Exception {
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void namesTheVariableOfTheFileWhereItIsNotSet() {
+    void reportsThatGwConfigIsNotSet() {
         assertThatThrownBy(() -> Config.load(Map.of()))
                 .isInstanceOf(ConfigException.class)
                 .hasMessageContaining("GW_CONFIG");
@@ -69,28 +69,28 @@
                 "settings | {\"classes\":[]} | familyInfo",
                 "known | {\"seq\":1,\"hosts\":[{\"host\":\"a\",\"health\":\"Odd\"}]} | health"
             })
-    void namesTheKeyOfAFaultyValue(String key, String value, String namedKey) {
-        String faulty = new JSONObject(configuration())
+    void namesTheKeyOfAnInvalidValue(String key, String value, String namedKey) {
+        String invalid = new JSONObject(configuration())
                 .put(key, new JSONTokener(value).nextValue())
                 .toString();
 
-        assertThatThrownBy(() -> load(faulty))
+        assertThatThrownBy(() -> load(invalid))
                 .isInstanceOf(ConfigException.class)
                 .hasMessageContaining(namedKey);
     }
 
-    /** Differs from the one in force by the discovery agent. */
+    /** Returns {@link #configuration} with another discovery agent. */
     private static String changedConfiguration() {
         return PoolerHarness.configuration("127.0.0.1:2", SERVER);
     }
 
     @Test
     void rejectsAConfigurationTruncatedAnywhere() throws Exception {
-        String whole = changedConfiguration();
-        reload(whole);
-        for (int i = 0; i < whole.length(); i++) {
-            String cut = whole.substring(0, i);
-            assertThatThrownBy(() -> reload(cut)).as("cut at %d", i).isInstanceOf(ConfigException.class);
+        String complete = changedConfiguration();
+        reload(complete);
+        for (int i = 0; i < complete.length(); i++) {
+            String truncated = complete.substring(0, i);
+            assertThatThrownBy(() -> reload(truncated)).as("truncated at %d", i).isInstanceOf(ConfigException.class);
         }
     }
 
@@ -110,7 +110,7 @@
         }
     }
 
-    /** The configuration without the key at a path of keys and indices. */
+    /** Removes the key at a path of keys and indices, and returns the configuration as text. */
     private static String without(String path, JSONObject configuration) {
         String[] steps = path.split("/");
         Object parent = configuration;
@@ -123,7 +123,7 @@
         return configuration.toString();
     }
 
-    /** Collects the paths of all keys but those that only some request classes have. */
+    /** Collects the paths of all keys, except for keys that only some request classes have. */
     private static void collectKeys(Object value, String prefix, List<String> keys) {
         if (value instanceof JSONObject object) {
             for (String key : object.keySet()) {
@@ -149,8 +149,8 @@
     }
 
     private static void assertRejected(String entry, String key, String value) {
-        String faulty = changedConfiguration().replaceFirst(entry, "\"" + key + "\":" + value);
-        assertThatThrownBy(() -> reload(faulty))
+        String invalid = changedConfiguration().replaceFirst(entry, "\"" + key + "\":" + value);
+        assertThatThrownBy(() -> reload(invalid))
                 .isInstanceOf(ConfigException.class)
                 .hasMessageContaining(key);
     }
--- a/pooler/src/test/java/frostreel/EndpointSourceTest.java
+++ b/pooler/src/test/java/frostreel/EndpointSourceTest.java
@@ -12,9 +12,9 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The wait for the first list, without a discovery agent; what an agent reports is in {@link DiscoveryTest}. */
+/** The wait for the first list without a discovery agent; {@link DiscoveryTest} covers the agent's reports. */
 class EndpointSourceTest {
-    private static final long PATIENCE_US = EndpointSource.CONFIGURED_LIST_PATIENCE_US;
+    private static final long CONFIGURED_LIST_WAIT_US = EndpointSource.CONFIGURED_LIST_WAIT_US;
     private static final String SERVER = "{\"host\":\"a\",\"dial\":\"127.0.0.1:1\",\"site\":\"dc\",\"class\":\"m\","
             + "\"block\":2,\"health\":\"Ready\",\"share\":1.0,\"born_ms\":0,\"role\":\"primary\"}";
 
@@ -25,12 +25,12 @@
     private boolean serversKnown;
 
     @BeforeEach
-    void begin() throws Exception {
+    void setUp() throws Exception {
         manual = new ManualLoop();
     }
 
     @AfterEach
-    void end() throws Exception {
+    void tearDown() throws Exception {
         manual.end();
     }
 
@@ -39,13 +39,13 @@
         return new EndpointSource(
                 manual.loop,
                 config,
-                PATIENCE_US,
+                CONFIGURED_LIST_WAIT_US,
                 (list, kind) -> received.add(new Received(list, kind)),
                 () -> serversKnown = true);
     }
 
     @Test
-    void passesTheConfiguredListOnOnceAsCached() throws Exception {
+    void deliversTheConfiguredListOnceAsCached() throws Exception {
         EndpointSource source = source(SERVER);
 
         source.applyConfigured();
@@ -60,7 +60,7 @@
     @Test
     void waitsTwoSecondsForTheFirstListIfNoneIsConfigured() throws Exception {
         manual.run(source()::limitWaitForFirstList);
-        manual.advance(EndpointSource.FIRST_LIST_PATIENCE_US - 1);
+        manual.advance(EndpointSource.FIRST_LIST_WAIT_US - 1);
         assertThat(serversKnown).isFalse();
 
         manual.advance(1);
@@ -71,7 +71,7 @@
     @Test
     void waitsLongerWithConfiguredListWhileDiscoveryIsUnreachable() throws Exception {
         manual.run(source(SERVER)::limitWaitForFirstList);
-        manual.advance(EndpointSource.UNREACHABLE_PATIENCE_FACTOR * PATIENCE_US - 1);
+        manual.advance(EndpointSource.UNREACHABLE_WAIT_FACTOR * CONFIGURED_LIST_WAIT_US - 1);
         assertThat(serversKnown).isFalse();
 
         manual.advance(1);
@@ -80,7 +80,7 @@
     }
 
     @Test
-    void showsThatNoOtherDiscoveryIsAwaited() throws Exception {
+    void showsThatNoOtherDiscoveryAgentIsAwaited() throws Exception {
         assertThat(source()).asString().endsWith(" next_discovery=none");
     }
 }
--- a/pooler/src/test/java/frostreel/HandoverTest.java
+++ b/pooler/src/test/java/frostreel/HandoverTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** The table of recent commits that two processes of one pooler share, each with a mapping of its own. */
+/** The table of recent commits that two processes of one pooler share by mapping the same file. */
 class HandoverTest {
     private static final long NOW_US = 1_000_000_000;
     private static final long SESSION = 7;
@@ -47,13 +47,14 @@
         writer.writeObserver().onEnded(NOW_US, SESSION, NOW_US + 1_000_000, Outcome.OK, commitUs);
     }
 
-    /** Returns the commit that a read of the session must see. */
+    /** Returns the position in microseconds that a read of the session requires because of other processes' commits. */
     private static long requiredPositionUs(PeerProcessCommits process) {
         return process.peerCommits().requiredPositionUs(NOW_US + 50_000, SESSION);
     }
 
-    private void assertBlind(PeerProcessCommits process) {
-        assertThat(requiredPositionUs(process)).as("all that counts as known").isEqualTo(NOW_US - 50_000);
+    /** Checks that reads require every commit of other processes that may count as known. */
+    private void assertPeersUnknown(PeerProcessCommits process) {
+        assertThat(requiredPositionUs(process)).as("required position").isEqualTo(NOW_US - 50_000);
     }
 
     @Test
@@ -67,7 +68,9 @@
         assertThat(requiredPositionUs(before)).isZero();
         write(after, NOW_US + 5_000);
         assertThat(requiredPositionUs(before)).isEqualTo(NOW_US + 6_000);
-        assertThat(requiredPositionUs(open())).as("a third").isEqualTo(NOW_US + 6_000);
+        assertThat(requiredPositionUs(open()))
+                .as("required position of a third process")
+                .isEqualTo(NOW_US + 6_000);
     }
 
     @Test
@@ -83,7 +86,7 @@
         EMPTY,
         CUT_SHORT,
         LONGER,
-        OF_ANOTHER_VERSION
+        OTHER_VERSION
     }
 
     private void damage(Damage damage) throws IOException {
@@ -92,41 +95,41 @@
                 case EMPTY -> channel.truncate(0);
                 case CUT_SHORT -> channel.truncate(channel.size() - 1);
                 case LONGER -> channel.write(ByteBuffer.allocate(Long.BYTES), channel.size());
-                case OF_ANOTHER_VERSION -> channel.write(ByteBuffer.wrap(new byte[] {2}), 0);
+                case OTHER_VERSION -> channel.write(ByteBuffer.wrap(new byte[] {2}), 0);
             }
         }
     }
 
     @ParameterizedTest
     @EnumSource
-    void damagedFileBlindsOneProcessAndIsReplacedForTheNext(Damage damage) throws Exception {
+    void damagedFileHidesPeersFromOneProcessAndIsReplacedForTheNext(Damage damage) throws Exception {
         open();
         damage(damage);
 
         PeerProcessCommits first = open();
-        assertBlind(first);
+        assertPeersUnknown(first);
         write(first, NOW_US + 2_000);
-        assertBlind(first);
+        assertPeersUnknown(first);
 
         PeerProcessCommits second = open();
         assertThat(requiredPositionUs(second)).isEqualTo(NOW_US + 3_000);
         write(second, NOW_US + 60_000);
-        assertBlind(first);
-        try (Stream<Path> left = Files.list(folder())) {
-            assertThat(left).as("no unfinished file is left").hasSize(1);
+        assertPeersUnknown(first);
+        try (Stream<Path> remaining = Files.list(folder())) {
+            assertThat(remaining).as("files, of which none is incomplete").hasSize(1);
         }
     }
 
     @Test
-    void servesBlindWhereTheFileCannotBeCreated() throws Exception {
-        Files.createDirectories(folder().resolve("commits")); // A directory, as permissions do not bind root.
+    void servesWithUnknownPeersIfTheFileCannotBeCreated() throws Exception {
+        Files.createDirectories(folder().resolve("commits")); // A directory, as root ignores permissions.
         PeerProcessCommits before = open();
         write(before, NOW_US);
-        assertBlind(before);
+        assertPeersUnknown(before);
         Files.delete(folder().resolve("commits"));
         Files.delete(folder());
         Files.createFile(folder());
-        assertBlind(open());
-        assertBlind(PeerProcessCommits.open(Config.parse(REMEMBERED, Map.of("GW_FD", "0")), NOW_US));
+        assertPeersUnknown(open());
+        assertPeersUnknown(PeerProcessCommits.open(Config.parse(REMEMBERED, Map.of("GW_FD", "0")), NOW_US));
     }
 }
--- a/pooler/src/test/java/frostreel/ShutdownSequenceTest.java
+++ b/pooler/src/test/java/frostreel/ShutdownSequenceTest.java
@@ -12,7 +12,7 @@
 
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class ShutdownSequenceTest {
-    /** Longer than the interval at which the sequence looks whether all have left. */
+    /** Longer than the interval at which the sequence checks whether clients and requests have ended. */
     private static final long STEP_US = 50_000;
 
     private static final long LONGEST_DEADLINE_US = 3_000_000;
@@ -21,9 +21,9 @@
     private ManualLoop manual;
     private volatile boolean leftCluster;
 
-    /** Clients and requests that are open for as long as a test says so. */
+    /** A workload whose open clients and requests are set by the test. */
     private static final class FakeWorkload implements ShutdownSequence.Workload {
-        private final CountDownLatch begun = new CountDownLatch(1);
+        private final CountDownLatch started = new CountDownLatch(1);
         private volatile int openClients;
         private volatile int openRequests;
         private volatile int lifecycleApplied;
@@ -31,7 +31,7 @@
         @Override
         public void applyLifecycle() {
             lifecycleApplied++; // Written on the loop alone.
-            begun.countDown();
+            started.countDown();
         }
 
         @Override
@@ -46,12 +46,12 @@
     }
 
     @BeforeEach
-    void begin() throws Exception {
+    void setUp() throws Exception {
         manual = new ManualLoop();
     }
 
     @AfterEach
-    void end() throws Exception {
+    void tearDown() throws Exception {
         manual.end();
     }
 
@@ -60,7 +60,7 @@
                 new ShutdownSequence(manual.loop, lifecycle, workload, timeoutMs -> leftCluster = true);
         FutureTask<Boolean> result = new FutureTask<>(sequence::run);
         new Thread(result).start();
-        workload.begun.await();
+        workload.started.await();
         return result;
     }
 
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void staysForTheGracePeriodWithoutSuccessor() throws Exception {
+    void runsForTheGracePeriodWithoutSuccessor() throws Exception {
         FutureTask<Boolean> result = shutDown(new ServingLifecycle(false, LONGEST_DEADLINE_US));
         manual.advance(ServingLifecycle.SHUTDOWN_GRACE_US - 1);
         assertThat(result.isDone()).isFalse();
@@ -98,13 +98,13 @@
         ServingLifecycle lifecycle = new ServingLifecycle(true, LONGEST_DEADLINE_US);
         FutureTask<Boolean> result = shutDown(lifecycle);
         manual.run(() -> {});
-        assertThat(workload.lifecycleApplied).as("at the begin").isEqualTo(1);
+        assertThat(workload.lifecycleApplied).as("at SIGTERM").isEqualTo(1);
 
         manual.advanceTo(lifecycle.closeIdleAtUs());
-        assertThat(workload.lifecycleApplied).as("idle ones close").isEqualTo(2);
+        assertThat(workload.lifecycleApplied).as("when idle connections close").isEqualTo(2);
 
         manual.advanceTo(lifecycle.lastResponseUs());
-        assertThat(workload.lifecycleApplied).as("all close").isEqualTo(3);
+        assertThat(workload.lifecycleApplied).as("when all connections close").isEqualTo(3);
 
         workload.openClients = 0;
         manual.advance(STEP_US);
@@ -112,11 +112,11 @@
     }
 
     @Test
-    void givesUpOnClientsThatNeverLeaveAndLeavesTheCluster() throws Exception {
+    void leavesTheClusterAfterTheTimeoutIfClientsNeverDisconnect() throws Exception {
         workload.openClients = 1;
-        ServingLifecycle withoutRequests = new ServingLifecycle(true, 0); // The wait is as short as it can be.
+        ServingLifecycle lifecycle = new ServingLifecycle(true, 0); // The shortest possible timeout.
 
-        FutureTask<Boolean> result = shutDown(withoutRequests);
+        FutureTask<Boolean> result = shutDown(lifecycle);
 
         assertThat(result.get()).isFalse();
         assertThat(leftCluster).isTrue();
--- a/pooler/src/test/java/frostreel/ShutdownTest.java
+++ b/pooler/src/test/java/frostreel/ShutdownTest.java
@@ -30,14 +30,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Graceful shutdown, under clients that send for as long as their connections stay open. */
+/** Graceful shutdown while clients send requests for as long as their connections stay open. */
 class ShutdownTest extends AbstractPoolerTest {
     private static final String SHORT_DEADLINES = PoolerHarness.SETTINGS
             .replace("\"deadlineS\":10", "\"deadlineS\":0.3")
             .replace("\"onTimeS\":5", "\"onTimeS\":0.2");
     private static final int CLIENTS = 8;
 
-    /** The circumstances of a SIGTERM. */
+    /** The state of the process at SIGTERM, or how often the signal is sent. */
     enum Situation {
         SERVING,
         SIGTERM_TWICE,
@@ -49,13 +49,13 @@
         return PoolerHarness.environment(configuration().replace(PoolerHarness.SETTINGS, SHORT_DEADLINES));
     }
 
-    /** Sends requests until the connection ends; one that was sent while it was closed stays unanswered. */
-    private static void sendUntilClosed(int port, String name, Set<String> answered) throws IOException {
+    /** Sends requests until the connection ends; a request sent while it is being closed gets no response. */
+    private static void sendUntilClosed(int port, String name, Set<String> completed) throws IOException {
         try (WireConnection client = PoolerHarness.client(port)) {
             for (int i = 0; true; i++) {
                 client.send(query(readSql(name + "x" + i, 300)));
                 client.readResponse();
-                answered.add(name + "x" + i);
+                completed.add(name + "x" + i);
             }
         } catch (EOFException | SocketException end) {
             return; // The connection has ended.
@@ -64,7 +64,7 @@
 
     @ParameterizedTest
     @EnumSource
-    void everyRequestThatReachedAServerIsAnsweredBeforeOrderlyExit(Situation situation) throws Exception {
+    void everyRequestThatReachedAServerGetsItsResponseBeforeExit(Situation situation) throws Exception {
         boolean ready = situation != Situation.NOT_READY;
         try (ServeProcess process = ServeProcess.start(environment())) {
             if (ready) {
@@ -75,9 +75,9 @@
             if (ready) {
                 process.awaitReady();
             }
-            Set<String> answered = ConcurrentHashMap.newKeySet();
-            List<Thread> clients = startClients(port, answered);
-            while (ready && answered.size() < CLIENTS) {
+            Set<String> completed = ConcurrentHashMap.newKeySet();
+            List<Thread> clients = startClients(port, completed);
+            while (ready && completed.size() < CLIENTS) {
                 Thread.onSpinWait();
             }
             if (situation == Situation.PAUSED) {
@@ -93,15 +93,15 @@
             for (Thread client : clients) {
                 client.join();
             }
-            assertThat(requestsThatReachedServers()).isSubsetOf(answered);
+            assertThat(requestsThatReachedServers()).isSubsetOf(completed);
         }
     }
 
-    private static List<Thread> startClients(int port, Set<String> answered) {
+    private static List<Thread> startClients(int port, Set<String> completed) {
         List<Thread> clients = new ArrayList<>();
         for (int i = 0; i < CLIENTS; i++) {
             String name = "c" + i;
-            clients.add(PoolerHarness.spawn(() -> sendUntilClosed(port, name, answered)));
+            clients.add(PoolerHarness.spawn(() -> sendUntilClosed(port, name, completed)));
         }
         return clients;
     }
@@ -109,8 +109,8 @@
     private static void pause(int adminPort) throws IOException {
         try (Socket caller = new Socket("127.0.0.1", adminPort)) {
             caller.getOutputStream().write("PAUSE\n".getBytes(StandardCharsets.US_ASCII));
-            String reply = new String(caller.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
-            assertThat(reply).startsWith("OK");
+            String response = new String(caller.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
+            assertThat(response).startsWith("OK");
         }
     }
 
@@ -122,7 +122,10 @@
         return reached;
     }
 
-    /** Idle clients hold all connections that are allowed to clients; discovery goes away and comes back. */
+    /**
+     * Guards against idle clients that use up all descriptors, so that the process can no longer reach discovery after
+     * an outage, connect to servers or accept clients.
+     */
     @Test
     void idleClientsDoNotStarveDiscoveryServersOrNewClients() throws Exception {
         int many = 3 * PoolerHarness.MAX_CLIENTS;
@@ -132,7 +135,7 @@
             int port = process.awaitPort();
             process.awaitReady();
             limitDescriptors(process, 128);
-            harness.discovery.script = (text, link) -> {}; // Silent from the next poll on.
+            harness.discovery.script = (text, link) -> {}; // No response from the next poll on.
             harness.lists.add("no list");
             process.awaitLog("keeping the last endpoint list");
             for (int i = 0; i < many; i++) {
@@ -163,49 +166,49 @@
     }
 
     @Test
-    void shutdownAnswersRequestsInFlightThenClosesClients() throws Exception {
-        List<String> faults = new CopyOnWriteArrayList<>();
-        Handler handler = warningsTo(faults);
+    void shutdownCompletesRequestsInFlightThenClosesClients() throws Exception {
+        List<String> warnings = new CopyOnWriteArrayList<>();
+        Handler handler = warningsTo(warnings);
         Logger root = Logger.getLogger("");
         root.addHandler(handler);
-        CountDownLatch asked = new CountDownLatch(1);
+        CountDownLatch requestArrived = new CountDownLatch(1);
         CountDownLatch mayRespond = new CountDownLatch(1);
         replica.script = (text, link) -> {
-            asked.countDown();
+            requestArrived.countDown();
             PoolerHarness.await(mayRespond);
-            link.send(row("late", "replica"), TestMessages.READY);
+            link.send(row("after-sigterm", "replica"), TestMessages.READY);
         };
         start();
         try (WireConnection client = harness.client();
                 WireConnection idle = harness.client()) {
             client.send(query(readSql("1", 9000)));
-            asked.await();
+            requestArrived.await();
             Thread stop = stopPooler();
             String last = "";
-            // Deadlines of 9 s are cut to the time that is left until SIGKILL.
+            // Until deadlines of 9 s are reduced to the time that remains before SIGKILL.
             for (int i = 0; !last.matches(".*d=(3[0-2]|[12]?.)..,.*"); i++) {
                 assertThat(value(idle.execute(writeSql("s" + i, 9000)))).isEqualTo("from-primary");
                 last = primary.next();
             }
-            // An idle client is closed while the other is still served.
+            // The idle client's connection is closed while the other client is still served.
             assertThat(idle.closedByPeer()).isTrue();
             mayRespond.countDown();
-            assertThat(value(client.readResponse())).isEqualTo("late");
+            assertThat(value(client.readResponse())).isEqualTo("after-sigterm");
             assertThat(client.closedByPeer()).isTrue();
             stop.join();
             harness.pooler = null;
         } finally {
             root.removeHandler(handler);
         }
-        assertThat(faults).isEmpty(); // A timer that is set while the thread ends must not fail.
+        assertThat(warnings).isEmpty(); // Setting a timer while the I/O thread ends must not fail.
     }
 
-    private static Handler warningsTo(List<String> faults) {
+    private static Handler warningsTo(List<String> warnings) {
         return new StreamHandler() {
             @Override
             public void publish(LogRecord entry) {
                 if (entry.getLevel().intValue() >= Level.WARNING.intValue()) {
-                    faults.add(entry.getLevel() + " " + entry.getMessage());
+                    warnings.add(entry.getLevel() + " " + entry.getMessage());
                 }
             }
         };
--- a/pooler/src/test/java/frostreel/SighupTest.java
+++ b/pooler/src/test/java/frostreel/SighupTest.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import org.junit.jupiter.api.Test;
 
-/** Configuration reload by SIGHUP, in a process of its own. */
+/** Configuration reload by SIGHUP, in a separate process. */
 class SighupTest extends AbstractPoolerTest {
     @Test
     void sighupSwitchesDiscoveryAndNeverEndsTheProcess() throws Exception {
@@ -35,7 +35,7 @@
             assertThat(newDiscovery.next()).startsWith("GET /discovery/hosts HTTP"); // The complete list.
             newLists.add(list(3, true));
             assertThat(newDiscovery.next()).contains("index=3&");
-            harness.lists.add(list(8, true)); // A watch that is still active would poll again.
+            harness.lists.add(list(8, true)); // If the previous watch were still active, it would poll again.
             harness.discovery.closedConnections.take(); // The previous watch has stopped.
 
             process.signal("HUP");
@@ -56,21 +56,21 @@
     }
 
     @Test
-    void sighupAppliesNewSettingsAndRejectsFaultyFile() throws Exception {
+    void sighupAppliesNewSettingsAndRejectsInvalidFile() throws Exception {
         Path settings = Files.createTempFile("settings", ".xml");
-        String good = "<frostreel xmlns=\"urn:frostreel:settings:1\"><log format=\"json\"/></frostreel>";
-        Files.writeString(settings, good);
+        String valid = "<frostreel xmlns=\"urn:frostreel:settings:1\"><log format=\"json\"/></frostreel>";
+        Files.writeString(settings, valid);
         Map<String, String> environment =
                 PoolerHarness.environment(PoolerHarness.configuration(harness.discovery.address()));
         try (ServeProcess process = ServeProcess.start(environment, "--settings", settings.toString())) {
             harness.lists.add(list(7, true));
             process.awaitLog("\"message\":\"ready\"");
 
-            Files.writeString(settings, good.replace("json", "xml"));
+            Files.writeString(settings, valid.replace("json", "xml"));
             process.signal("HUP");
-            process.awaitLog("frostreel/log@format"); // Logged as JSON still.
+            process.awaitLog("frostreel/log@format");
 
-            Files.writeString(settings, good.replace("json", "text"));
+            Files.writeString(settings, valid.replace("json", "text"));
             process.signal("HUP");
             process.awaitLog("INFO frostreel.cli.Serve: settings reloaded from");
         }
--- a/pooler/src/test/java/frostreel/cli/MainTest.java
+++ b/pooler/src/test/java/frostreel/cli/MainTest.java
@@ -17,7 +17,7 @@
             Main.commandLine().setOut(new PrintWriter(out)).setErr(new PrintWriter(err));
 
     @Test
-    void rejectsInvalidUsageAndNamesTheFault() {
+    void rejectsInvalidUsageAndNamesTheError() {
         assertThat(line.execute()).isEqualTo(2);
         assertThat(line.execute("sevre")).isEqualTo(2);
         assertThat(err.toString()).contains("Missing required subcommand").contains("sevre");
@@ -27,19 +27,19 @@
     }
 
     @Test
-    void checkReportsEveryFaultOfEveryFile(@TempDir Path folder) throws Exception {
+    void checkReportsEveryErrorOfEveryFile(@TempDir Path folder) throws Exception {
         String head = "<frostreel xmlns='urn:frostreel:settings:1'>";
-        Path good = Files.writeString(folder.resolve("good.xml"), head + "</frostreel>");
-        Path bad = Files.writeString(folder.resolve("bad.xml"), head + "<log level='x'/><y/></frostreel>");
-        assertThat(line.execute("check", good.toString())).isZero();
+        Path valid = Files.writeString(folder.resolve("valid.xml"), head + "</frostreel>");
+        Path invalid = Files.writeString(folder.resolve("wrong.xml"), head + "<log level='x'/><y/></frostreel>");
+        assertThat(line.execute("check", valid.toString())).isZero();
         assertThat(line.execute(
                         "check",
-                        good.toString(),
-                        bad.toString(),
+                        valid.toString(),
+                        invalid.toString(),
                         folder.resolve("no").toString()))
                 .isEqualTo(2);
-        assertThat(out.toString()).contains("good.xml: good").doesNotContain("bad.xml");
-        assertThat(err.toString()).contains("bad.xml:1:", "frostreel/log@level", "frostreel/y", "cannot be read");
+        assertThat(out.toString()).contains("valid.xml: valid").doesNotContain("wrong.xml");
+        assertThat(err.toString()).contains("wrong.xml:1:", "frostreel/log@level", "frostreel/y", "cannot be read");
     }
 
     @Test
