--- a/pooler/src/main/java/frostreel/cli/Check.java
+++ b/pooler/src/main/java/frostreel/cli/Check.java
@@ -28,7 +28,7 @@
         for (Path file : files) {
             try {
                 OperatorSettings.read(file);
-                spec.commandLine().getOut().println(file + ": valid");
+                spec.commandLine().getOut().println(file + ": good");
             } catch (InvalidFileException e) {
                 spec.commandLine().getErr().println(e.getMessage());
                 exitCode = Main.EXIT_INVALID_INPUT;
--- a/pooler/src/main/java/frostreel/config/ConfigReader.java
+++ b/pooler/src/main/java/frostreel/config/ConfigReader.java
@@ -33,7 +33,7 @@
         file = new MessageFields(source.toMap());
     }
 
-    /** Stops at the first validation error; if there are several, the order of the reads decides which one is reported. */
+    /** Reads the configuration, and reports only the first validation error in the order of the reads. */
     Config read() throws MalformedMessageException {
         int descriptors = descriptors();
         MessageFields options = file.object("settings");
--- a/pooler/src/main/java/frostreel/config/EndpointList.java
+++ b/pooler/src/main/java/frostreel/config/EndpointList.java
@@ -72,7 +72,7 @@
         return new Endpoint(member, NumericAddress.parse(host.text("dial"), "dial"));
     }
 
-    /** Returns the index of the field's value in {@code names}, 0 if the field is missing or its value not in them. */
+    /** Returns the index of the field's value in {@code names}; 0 if the field is missing or the value is not in it. */
     private static int indexOfName(List<String> names, MessageFields host, String key) {
         return host.has(key) ? Math.max(0, names.indexOf(host.map().get(key).toString())) : 0;
     }
--- a/pooler/src/test/java/frostreel/ConfigReloaderTest.java
+++ b/pooler/src/test/java/frostreel/ConfigReloaderTest.java
@@ -17,6 +17,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
+/** When each part of a reloaded configuration takes effect, with a manual clock. */
 class ConfigReloaderTest {
     private static final String CONFIGURATION = PoolerHarness.configuration("127.0.0.1:1");
     private static final String FOUR_ATTEMPTS = "\"maxAttempts\":4";
--- a/pooler/src/test/java/frostreel/ReadinessTest.java
+++ b/pooler/src/test/java/frostreel/ReadinessTest.java
@@ -10,6 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/** The prerequisites of serving, reported in any order. */
 class ReadinessTest {
     private static final long LONGEST_DEADLINE_US = 3_000_000;
 
--- a/pooler/src/test/java/frostreel/ShutdownSequenceTest.java
+++ b/pooler/src/test/java/frostreel/ShutdownSequenceTest.java
@@ -10,6 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
+/** The steps of a graceful shutdown, with a manual clock and a fake workload. */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class ShutdownSequenceTest {
     /** Longer than the interval at which the sequence checks whether clients and requests have ended. */
--- a/pooler/src/test/java/frostreel/StartupReadinessTest.java
+++ b/pooler/src/test/java/frostreel/StartupReadinessTest.java
@@ -46,7 +46,11 @@
         }
     }
 
-    /** Guards against sends to a server that began to drain during the start: they may come later than allowed. */
+    /**
+     * Requests may be sent to a draining server only for a limited time after its drain is known, and a drain that is
+     * published during the start counts as known from the start of the process. Guards against a request to such a
+     * server after that time, which the configured list alone would allow, as it does not contain the drain.
+     */
     @Test
     void configuredListIsNotUsedBeforeDiscoveryReportedChanges() throws Exception {
         harness.configuredListWaitUs = ENDLESS_US;
--- a/pooler/src/test/java/frostreel/cli/MainTest.java
+++ b/pooler/src/test/java/frostreel/cli/MainTest.java
@@ -10,6 +10,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import picocli.CommandLine;
 
+/** The command line: invalid usage, help, version and the command {@code check}. */
 class MainTest {
     private final StringWriter out = new StringWriter();
     private final StringWriter err = new StringWriter();
@@ -38,7 +39,7 @@
                         invalid.toString(),
                         folder.resolve("no").toString()))
                 .isEqualTo(2);
-        assertThat(out.toString()).contains("valid.xml: valid").doesNotContain("wrong.xml");
+        assertThat(out.toString()).contains("valid.xml: good").doesNotContain("wrong.xml");
         assertThat(err.toString()).contains("wrong.xml:1:", "frostreel/log@level", "frostreel/y", "cannot be read");
     }
 
--- a/pooler/src/test/java/frostreel/settings/OperatorSettingsTest.java
+++ b/pooler/src/test/java/frostreel/settings/OperatorSettingsTest.java
@@ -16,6 +16,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
+/** Reads and validates operators' settings files. */
 class OperatorSettingsTest {
     private static final String HEAD = "<frostreel xmlns=\"urn:frostreel:settings:1\">\n";
 
