--- a/lab/src/main/java/frostreel/lab/processes/StatementRecorder.java
+++ b/lab/src/main/java/frostreel/lab/processes/StatementRecorder.java
@@ -3,7 +3,7 @@
 import frostreel.lab.rules.RunListener;
 import frostreel.pg.MessageReader;
 import frostreel.pg.PgException;
-import frostreel.pg.Reply;
+import frostreel.pg.ServerResponse;
 import frostreel.pg.Statement;
 import frostreel.request.BackEnd;
 import frostreel.routing.Router;
@@ -23,9 +23,9 @@
     private final RunListener listener;
     private final AttemptOrder order;
     private final MessageReader toServer = new MessageReader(type -> MAX_MESSAGE_BYTES);
-    private final MessageReader fromServer = new MessageReader(Reply::maxLength);
+    private final MessageReader fromServer = new MessageReader(ServerResponse::maxLength);
     private boolean started;
-    private Reply reply = Reply.toStartup();
+    private ServerResponse reply = ServerResponse.toStartup();
     /** The statement that is in flight; null for none, or for a health check. */
     private Statement inFlight;
 
@@ -55,7 +55,7 @@
         try {
             while (started ? toServer.next() : toServer.nextStartup()) {
                 if (started && toServer.type() == 'Q') {
-                    reply = Reply.toQuery();
+                    reply = ServerResponse.toQuery();
                     begin(toServer.body());
                 }
                 started = true;
--- a/lab/src/test/java/frostreel/lab/standin/StandInsTest.java
+++ b/lab/src/test/java/frostreel/lab/standin/StandInsTest.java
@@ -8,7 +8,7 @@
 import frostreel.net.EventLoop;
 import frostreel.pg.MessageReader;
 import frostreel.pg.Messages;
-import frostreel.pg.Reply;
+import frostreel.pg.ServerResponse;
 import frostreel.pg.Statement;
 import frostreel.routing.Router.Outcome;
 import frostreel.routing.Router.Role;
@@ -106,9 +106,9 @@
         return new Socket(at.getAddress(), at.getPort());
     }
 
-    private static Reply answer(Socket socket, byte[] query, Reply reply) throws Exception {
+    private static ServerResponse answer(Socket socket, byte[] query, ServerResponse reply) throws Exception {
         socket.getOutputStream().write(query);
-        MessageReader reader = new MessageReader(Reply::maxLength);
+        MessageReader reader = new MessageReader(ServerResponse::maxLength);
         byte[] buffer = new byte[4096];
         while (!reply.ended()) {
             int length = socket.getInputStream().read(buffer);
@@ -126,13 +126,15 @@
     /** A connection on which the startup has completed. */
     private static Socket welcomed(StandInDatabase at) throws Exception {
         Socket socket = connect(at.address());
-        assertThat(answer(socket, Messages.startup(), Reply.toStartup()).ready())
+        assertThat(answer(socket, Messages.startup(), ServerResponse.toStartup())
+                        .ready())
                 .isTrue();
         return socket;
     }
 
-    private static Reply ask(Socket socket, String sql) throws Exception {
-        return answer(socket, Messages.query((sql + "\0").getBytes(StandardCharsets.US_ASCII)), Reply.toQuery());
+    private static ServerResponse ask(Socket socket, String sql) throws Exception {
+        return answer(
+                socket, Messages.query((sql + "\0").getBytes(StandardCharsets.US_ASCII)), ServerResponse.toQuery());
     }
 
     private static String read(String attributes) {
@@ -146,13 +148,13 @@
     void answersAreReadableByTheProgramsOwnParser() throws Exception {
         try (Socket primary = welcomed(first);
                 Socket replica = welcomed(second)) {
-            Reply written = ask(primary, WRITE);
+            ServerResponse written = ask(primary, WRITE);
             assertThat(written.result().outcome()).isEqualTo(Outcome.OK);
             assertThat(written.result().role()).isEqualTo(Role.PRIMARY);
             assertThat(new String(written.result().answer(), StandardCharsets.US_ASCII))
                     .contains("w");
             assertThat(ask(replica, WRITE).errorCode()).isEqualTo("25006");
-            Reply served = ask(replica, read(""));
+            ServerResponse served = ask(replica, read(""));
             assertThat(served.result().role()).isEqualTo(Role.REPLICA);
             assertThat(served.result().positionUs()).isPositive();
             assertThat(ask(replica, read(",after=" + (System.currentTimeMillis() + 60_000)))
@@ -177,7 +179,7 @@
             byte[] query =
                     Messages.query((read("").replace("id=r", "id=long") + "\0").getBytes(StandardCharsets.US_ASCII));
             one.getOutputStream().write(query);
-            assertThat(answer(other, query, Reply.toQuery()).ready()).isFalse();
+            assertThat(answer(other, query, ServerResponse.toQuery()).ready()).isFalse();
             assertThat(one.getInputStream().read()).isNegative();
         }
         overloaded.await();
--- a/pooler/src/main/java/frostreel/backend/ServerConnection.java
+++ b/pooler/src/main/java/frostreel/backend/ServerConnection.java
@@ -6,7 +6,7 @@
 import frostreel.pg.MessageReader;
 import frostreel.pg.Messages;
 import frostreel.pg.PgException;
-import frostreel.pg.Reply;
+import frostreel.pg.ServerResponse;
 import frostreel.request.BackEnd;
 import frostreel.routing.Router.Outcome;
 import frostreel.time.Deadlines;
@@ -40,12 +40,12 @@
 
     private final EventLoop loop;
     private final ServerPool pool;
-    private final MessageReader reader = new MessageReader(Reply::maxLength);
+    private final MessageReader reader = new MessageReader(ServerResponse::maxLength);
     private final LongRowForwarder longRow;
     private Phase phase = Phase.CONNECTING;
     private IoFuture<StreamConnection> connecting;
     private SocketStream stream;
-    private Reply reply = Reply.toStartup();
+    private ServerResponse reply = ServerResponse.toStartup();
     /** The attempt that it is busy with, null for none. */
     private Attempt attempt;
     /** When it has to be open while it opens, and when it is closed while it is idle. */
@@ -138,7 +138,7 @@
         phase = Phase.BUSY;
         attempt = newAttempt;
         newAttempt.connection = this;
-        reply = Reply.toQuery();
+        reply = ServerResponse.toQuery();
         stream.write(newAttempt.query(loop.clock().now()));
         return true;
     }
@@ -187,7 +187,7 @@
     /** Whether the next bytes belong to a long row; forwarding begins here where such a row is next. */
     private boolean forwardsLongRow() throws PgException {
         if (!longRow.isActive()) {
-            int length = reader.longRowLength(Reply.MAX_BUFFERED_ROW);
+            int length = reader.longRowLength(ServerResponse.MAX_BUFFERED_ROW);
             if (length > 0 && !beginLongRow(length + MessageReader.HEADER_BYTES)) {
                 return true;
             }
--- a/pooler/src/main/java/frostreel/pg/Reply.java
+++ b/pooler/src/main/java/frostreel/pg/ServerResponse.java
@@ -11,7 +11,7 @@
  * Messages are accepted in the protocol's order and in their exact form alone: a corrupt reply may closely resemble a
  * valid one, and only what the server sent for this request may be forwarded.
  */
-public final class Reply {
+public final class ServerResponse {
     /** How far the reply has come, by its last message. */
     private enum State {
         STARTUP_SENT,
@@ -48,18 +48,18 @@
     /** Whether the error came in place of a result, not within one. */
     private boolean errorIsWholeReply;
 
-    private Reply(State first) {
+    private ServerResponse(State first) {
         state = first;
     }
 
     /** The reply to the startup message, of which nothing has come. */
-    public static Reply toStartup() {
-        return new Reply(State.STARTUP_SENT);
+    public static ServerResponse toStartup() {
+        return new ServerResponse(State.STARTUP_SENT);
     }
 
     /** The reply to a query, of which nothing has come. */
-    public static Reply toQuery() {
-        return new Reply(State.QUERY_SENT);
+    public static ServerResponse toQuery() {
+        return new ServerResponse(State.QUERY_SENT);
     }
 
     /** The longest body of a server's message of this type, as a {@link MessageReader.LengthLimit}. */
