--- a/lab/src/test/java/frostreel/lab/standin/StandInsTest.java
+++ b/lab/src/test/java/frostreel/lab/standin/StandInsTest.java
@@ -151,7 +151,7 @@
             ServerResponse written = ask(primary, WRITE);
             assertThat(written.result().outcome()).isEqualTo(Outcome.OK);
             assertThat(written.result().role()).isEqualTo(Role.PRIMARY);
-            assertThat(new String(written.result().answer(), StandardCharsets.US_ASCII))
+            assertThat(new String(written.result().response(), StandardCharsets.US_ASCII))
                     .contains("w");
             assertThat(ask(replica, WRITE).errorCode()).isEqualTo("25006");
             ServerResponse served = ask(replica, read(""));
--- a/pooler/src/main/java/frostreel/broker/AttemptRunner.java
+++ b/pooler/src/main/java/frostreel/broker/AttemptRunner.java
@@ -163,7 +163,7 @@
         if (result.outcome() == Outcome.OK && !request.answered) {
             request.markAnswered(deadlines);
             counters.requestsServed++;
-            request.handler.served(result.answer());
+            request.handler.served(result.response());
         }
         router.onOutcome(
                 now,
@@ -245,7 +245,7 @@
 
     private void endStream(ActiveRequest request, BackEnd.Result result) {
         if (result.outcome() == Outcome.OK) {
-            request.handler.served(result.answer());
+            request.handler.served(result.response());
         } else {
             counters.streamedResponsesBroken++;
             request.handler.responseBroken();
--- a/pooler/src/main/java/frostreel/request/BackEnd.java
+++ b/pooler/src/main/java/frostreel/request/BackEnd.java
@@ -12,10 +12,10 @@
      *
      * @param positionUs the commit position that the server reported, 0 for none
      * @param report the server's load report, null for none
-     * @param answer the bytes of the response, set for {@link Router.Outcome#OK} alone
+     * @param response the bytes of the response, set for {@link Router.Outcome#OK} alone
      */
     @SuppressWarnings("ArrayRecordComponent") // Never compared; the bytes are passed on.
-    record Result(Router.Outcome outcome, Router.Role role, long positionUs, Router.Report report, byte[] answer) {
+    record Result(Router.Outcome outcome, Router.Role role, long positionUs, Router.Report report, byte[] response) {
         /** A result without a response, from which nothing is known of the server. */
         public static Result of(Router.Outcome outcome) {
             return new Result(outcome, Router.Role.UNKNOWN, 0, null, null);
