--- a/lab/src/main/java/frostreel/lab/standin/StandInDatabase.java
+++ b/lab/src/main/java/frostreel/lab/standin/StandInDatabase.java
@@ -115,7 +115,7 @@
                 while (job == null && (welcomed ? reader.next() : reader.nextStartup())) {
                     if (!welcomed) {
                         welcomed = true;
-                        stream.write(Messages.welcome(1, 1));
+                        stream.write(Messages.startupResponse(1, 1));
                     } else if (reader.type() == 'Q') {
                         query(reader.body());
                     } else {
--- a/lab/src/test/java/frostreel/lab/processes/HandoverTest.java
+++ b/lab/src/test/java/frostreel/lab/processes/HandoverTest.java
@@ -99,7 +99,7 @@
         DataInputStream in = new DataInputStream(connection.getInputStream());
         OutputStream out = connection.getOutputStream();
         in.skipNBytes(in.readInt() - Integer.BYTES);
-        out.write(Messages.welcome(1, 1));
+        out.write(Messages.startupResponse(1, 1));
         while (true) {
             in.readUnsignedByte();
             byte[] sql = in.readNBytes(in.readInt() - Integer.BYTES);
--- a/lab/src/test/java/frostreel/lab/processes/RecordersTest.java
+++ b/lab/src/test/java/frostreel/lab/processes/RecordersTest.java
@@ -34,7 +34,7 @@
     private StatementRecorder server(String id, AttemptOrder order) {
         StatementRecorder recorder = new StatementRecorder(() -> nowUs, 0, id, CLASSES, checker, order);
         recorder.poolerSent(Messages.startup());
-        recorder.poolerReceived(Messages.welcome(1, 1));
+        recorder.poolerReceived(Messages.startupResponse(1, 1));
         return recorder;
     }
 
@@ -83,7 +83,7 @@
 
     private void takeRequest(byte[] query) {
         client.poolerReceived(Messages.startup());
-        client.poolerSent(Messages.welcome(1, 1));
+        client.poolerSent(Messages.startupResponse(1, 1));
         client.poolerReceived(query);
     }
 
@@ -126,7 +126,7 @@
         second.connectionEnded(true);
         ClientRecorder third = new ClientRecorder(() -> nowUs, 2, CLASSES, checker, false);
         third.poolerReceived(Messages.startup());
-        third.poolerSent(Messages.welcome(1, 1));
+        third.poolerSent(Messages.startupResponse(1, 1));
         third.poolerReceived(read("3", "account-view", ""));
         checker.poolerPaused(nowUs, 2, true);
         nowUs += 9_000_000;
@@ -140,7 +140,7 @@
         for (boolean mayCrossEnd : new boolean[] {true, false}) {
             ClientRecorder recorder = new ClientRecorder(() -> nowUs, 0, CLASSES, checker, mayCrossEnd);
             recorder.poolerReceived(Messages.startup());
-            recorder.poolerSent(Messages.welcome(1, 1));
+            recorder.poolerSent(Messages.startupResponse(1, 1));
             recorder.poolerReceived(read("used" + mayCrossEnd, "account-view", ""));
             recorder.poolerSent(REJECTION);
             recorder.poolerReceived(read("crossing" + mayCrossEnd, "account-view", ""));
@@ -150,7 +150,7 @@
         }
         ClientRecorder fresh = new ClientRecorder(() -> nowUs, 0, CLASSES, checker, true);
         fresh.poolerReceived(Messages.startup());
-        fresh.poolerSent(Messages.welcome(1, 1));
+        fresh.poolerSent(Messages.startupResponse(1, 1));
         fresh.poolerReceived(read("first", "account-view", ""));
         fresh.connectionEnded(true);
         long before = checker.broken();
--- a/pooler/src/main/java/frostreel/frontend/ClientConnection.java
+++ b/pooler/src/main/java/frostreel/frontend/ClientConnection.java
@@ -128,7 +128,7 @@
     /** The startup message was accepted. */
     void onStarted() {
         phase = Phase.RUNNING;
-        stream.write(Messages.welcome(cancelKey.process(), cancelKey.secret()));
+        stream.write(Messages.startupResponse(cancelKey.process(), cancelKey.secret()));
     }
 
     /** Cancels the active request, if the key is that of this client. */
--- a/pooler/src/main/java/frostreel/pg/Messages.java
+++ b/pooler/src/main/java/frostreel/pg/Messages.java
@@ -49,7 +49,7 @@
      * The response to a client's startup message: AuthenticationOk, the usual parameters, the key by which it may
      * cancel a request, and ReadyForQuery.
      */
-    public static byte[] welcome(int process, int secret) {
+    public static byte[] startupResponse(int process, int secret) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         out.writeBytes(authenticationOk());
         for (String[] parameter : PARAMETERS) {
