--- a/lab/src/main/java/frostreel/lab/processes/StatementCosts.java
+++ b/lab/src/main/java/frostreel/lab/processes/StatementCosts.java
@@ -36,6 +36,6 @@
         RequestClass requestClass = classes.get(statement.requestClass());
         return requestClass.stalenessBoundUs() > 0
                 ? nowUs - requestClass.stalenessBoundUs()
-                : statement.afterMs() * 1000;
+                : statement.requiredPositionMs() * 1000;
     }
 }
--- a/lab/src/main/java/frostreel/lab/processes/StatementRecorder.java
+++ b/lab/src/main/java/frostreel/lab/processes/StatementRecorder.java
@@ -117,7 +117,7 @@
     private long requiredUs(Statement statement, Router.RequestClass requestClass) {
         return switch (requestClass.access()) {
             case BOUNDED -> lastByteUs - requestClass.stalenessBoundUs();
-            case SESSION -> statement.afterMs() * 1000;
+            case SESSION -> statement.requiredPositionMs() * 1000;
             default -> 0;
         };
     }
--- a/lab/src/test/java/frostreel/lab/standin/StandInsTest.java
+++ b/lab/src/test/java/frostreel/lab/standin/StandInsTest.java
@@ -83,7 +83,7 @@
 
                     @Override
                     public long requiredPositionUs(Statement statement, long nowUs) {
-                        return statement.afterMs() * 1000;
+                        return statement.requiredPositionMs() * 1000;
                     }
                 },
                 overloaded::countDown,
--- a/pooler/src/main/java/frostreel/frontend/ClientRequest.java
+++ b/pooler/src/main/java/frostreel/frontend/ClientRequest.java
@@ -49,7 +49,8 @@
     void submit(Statement statement, int requestClass, long arrivedUs) {
         long now = loop.clock().now();
         // Relative to now, when the router receives the request, however long that has waited here.
-        long sinceWriteUs = statement.afterMs() == 0 ? 0 : Math.max(1, now - statement.afterMs() * US_PER_MS);
+        long sinceWriteUs =
+                statement.requiredPositionMs() == 0 ? 0 : Math.max(1, now - statement.requiredPositionMs() * US_PER_MS);
         long timeoutAtUs = arrivedUs + statement.timeoutMs() * US_PER_MS - TRANSIT_US;
         RequestAttributes attributes = new RequestAttributes(
                 statement.id(),
--- a/pooler/src/main/java/frostreel/pg/Statement.java
+++ b/pooler/src/main/java/frostreel/pg/Statement.java
@@ -44,7 +44,7 @@
     private String requestClass;
     private long timeoutMs;
     private int group;
-    private long afterMs;
+    private long requiredPositionMs;
     private boolean repeated;
 
     private Statement(byte[] sql) throws PgException {
@@ -176,7 +176,7 @@
                 timeoutTo = to;
             }
             case "cluster" -> group = (int) parseNumber(name, value, Integer.MAX_VALUE);
-            case "after" -> afterMs = parseNumber(name, value, Long.MAX_VALUE / US_PER_MS);
+            case "after" -> requiredPositionMs = parseNumber(name, value, Long.MAX_VALUE / US_PER_MS);
             case "k" -> keyed = !value.isEmpty();
             case "r" -> repeated = value.equals("1");
             default -> {}
@@ -226,8 +226,8 @@
     }
 
     /** The commit position that a read must reflect at least, in Unix milliseconds; 0 for none. */
-    public long afterMs() {
-        return afterMs;
+    public long requiredPositionMs() {
+        return requiredPositionMs;
     }
 
     /** Whether it is a retry by its client. */
