--- a/pooler/src/main/java/frostreel/broker/ActiveRequest.java
+++ b/pooler/src/main/java/frostreel/broker/ActiveRequest.java
@@ -32,7 +32,7 @@
     String routerId;
 
     /** It has its response, or needs none any more. */
-    boolean answered;
+    boolean closed;
     /** A long response has begun, and its bytes are forwarded as they arrive. */
     boolean streaming;
 
@@ -66,8 +66,8 @@
     }
 
     /** Marks it as answered, also where it needs no response any more. */
-    void markAnswered(Deadlines deadlines) {
-        answered = true;
+    void markClosed(Deadlines deadlines) {
+        closed = true;
         deadlines.cancel(overdueTimeout);
     }
 
@@ -84,7 +84,7 @@
     }
 
     /** From when on no attempt may begin: the deadline, or the end of the time in which a retry is safe. */
-    long beginByUs() {
+    long latestBeginUs() {
         long deadlineUs = attributes.deadlineUs();
         if (firstMaybeExecutedUs == NOT_EXECUTED) {
             return deadlineUs;
--- a/pooler/src/main/java/frostreel/broker/AttemptRunner.java
+++ b/pooler/src/main/java/frostreel/broker/AttemptRunner.java
@@ -28,9 +28,9 @@
     private final WriteObserver writeObserver;
     private final RequestTable requests;
     private final EventQueue events;
-    private final Consumer<ActiveRequest> onClientGone;
+    private final Consumer<ActiveRequest> onDisconnect;
 
-    /** {@code onClientGone}: withdraws a request whose client turns out to have disconnected. */
+    /** {@code onDisconnect}: withdraws a request whose client turns out to have disconnected. */
     AttemptRunner(
             Clock clock,
             Deadlines deadlines,
@@ -41,7 +41,7 @@
             WriteObserver writeObserver,
             RequestTable requests,
             EventQueue events,
-            Consumer<ActiveRequest> onClientGone) {
+            Consumer<ActiveRequest> onDisconnect) {
         this.clock = clock;
         this.deadlines = deadlines;
         this.counters = counters;
@@ -51,7 +51,7 @@
         this.writeObserver = writeObserver;
         this.requests = requests;
         this.events = events;
-        this.onClientGone = onClientGone;
+        this.onDisconnect = onDisconnect;
     }
 
     /** Passes the events of one attempt on. */
@@ -108,19 +108,19 @@
 
     /** Asked right before an attempt's first byte: the client may have disconnected without this being read yet. */
     private boolean requestAllowsAttempt(ActiveRequest request) {
-        if (request.answered || clock.now() >= request.beginByUs()) {
+        if (request.closed || clock.now() >= request.latestBeginUs()) {
             return false;
         }
         boolean connected = request.handler.isClientConnected();
         if (!connected) {
-            events.run(() -> onClientGone.accept(request));
+            events.run(() -> onDisconnect.accept(request));
         }
-        return connected && !request.answered;
+        return connected && !request.closed;
     }
 
     /** An attempt that has not begun when it no longer may ends then; one that has begun, after all its time. */
     private void startTimeout(ActiveRequest request, int attempt, long nowUs, long leftUs) {
-        long beginWithinUs = Math.min(leftUs, request.beginByUs() - nowUs);
+        long beginWithinUs = Math.min(leftUs, request.latestBeginUs() - nowUs);
         request.attemptTimeout = deadlines.after(
                 beginWithinUs,
                 () -> events.run(() -> {
@@ -160,8 +160,8 @@
             return;
         }
         reportWriteEnded(now, request, result.outcome(), result.positionUs());
-        if (result.outcome() == Outcome.OK && !request.answered) {
-            request.markAnswered(deadlines);
+        if (result.outcome() == Outcome.OK && !request.closed) {
+            request.markClosed(deadlines);
             counters.requestsServed++;
             request.handler.served(result.response());
         }
@@ -171,7 +171,7 @@
                 attempt,
                 request.lastMemberId,
                 result.outcome(),
-                request.answered,
+                request.closed,
                 now - request.lastSentUs,
                 result.role(),
                 result.positionUs(),
@@ -207,7 +207,7 @@
                 attempt,
                 memberId,
                 Outcome.NOT_SENT,
-                request.answered,
+                request.closed,
                 0,
                 Router.Role.UNKNOWN,
                 NO_POSITION,
@@ -218,11 +218,11 @@
 
     /** A long response that has begun is final; the router is notified of the time to its first bytes. */
     private BackEnd.ResponseStream onLongResponse(ActiveRequest request, int attempt, BackEnd.ResponseSource source) {
-        if (request.answered || !request.isLatestAttempt(attempt)) {
+        if (request.closed || !request.isLatestAttempt(attempt)) {
             return null;
         }
         long now = clock.now();
-        request.markAnswered(deadlines);
+        request.markClosed(deadlines);
         deadlines.cancel(request.attemptTimeout);
         request.streaming = true;
         counters.requestsServed++;
--- a/pooler/src/main/java/frostreel/broker/Broker.java
+++ b/pooler/src/main/java/frostreel/broker/Broker.java
@@ -100,7 +100,7 @@
                 writeObserver,
                 requests,
                 events,
-                this::withdrawForGoneClient);
+                this::withdrawAfterDisconnect);
     }
 
     // ---- Events from the front end and from discovery. ----
@@ -118,8 +118,8 @@
     }
 
     /** Whether a request to which its sender gave this id is active; one with the same id would be a hedged request. */
-    public boolean isActive(String senderId) {
-        return requests.containsSenderId(senderId);
+    public boolean isActive(String clientRequestId) {
+        return requests.containsClientRequestId(clientRequestId);
     }
 
     /**
@@ -171,7 +171,7 @@
             if (request.streaming) {
                 abortStream(request);
             } else {
-                withdrawForGoneClient(request);
+                withdrawAfterDisconnect(request);
             }
         });
     }
@@ -183,8 +183,8 @@
         requests.removeIfDone(request);
     }
 
-    private void withdrawForGoneClient(ActiveRequest request) {
-        if (!request.answered) {
+    private void withdrawAfterDisconnect(ActiveRequest request) {
+        if (!request.closed) {
             counters.requestsAbandoned++;
             log.record(EventLog.Kind.REQUEST_CANCELLED, () -> describe(request) + ": client disconnected");
             withdraw(request);
@@ -198,7 +198,7 @@
     public void onClientCancelled(long handle) {
         events.run(() -> {
             ActiveRequest request = requests.get(handle);
-            if (request != null && !request.answered) {
+            if (request != null && !request.closed) {
                 counters.requestsCancelled++;
                 log.record(EventLog.Kind.REQUEST_CANCELLED, () -> describe(request) + ": cancelled by client");
                 withdraw(request);
@@ -209,7 +209,7 @@
 
     /** Stops an attempt that has not begun, whether or not the settings let attempts be cancelled. */
     private void withdraw(ActiveRequest request) {
-        request.markAnswered(deadlines);
+        request.markClosed(deadlines);
         router.onClientDisconnected(clock.now(), request.routerId);
         if (request.hasAttemptInFlight() && !backEnd.hasBegun(request.attemptHandle)) {
             attempts.stopLatest(request, Outcome.CANCELLED);
@@ -225,7 +225,7 @@
 
     /** How many requests are active and not yet answered. */
     public int openRequests() {
-        return requests.countUnanswered();
+        return requests.countOpen();
     }
 
     private String describe(ActiveRequest request) {
@@ -235,10 +235,10 @@
     // ---- Requests that the router left unanswered. ----
 
     private void onOverdue(ActiveRequest request) {
-        if (!request.answered) {
+        if (!request.closed) {
             counters.requestsOverdue++;
             log.record(EventLog.Kind.REQUEST_OVERDUE, () -> describe(request) + ": not answered by the router");
-            request.markAnswered(deadlines);
+            request.markClosed(deadlines);
             request.handler.failed();
             router.onClientDisconnected(clock.now(), request.routerId);
             requests.removeIfDone(request);
@@ -250,7 +250,7 @@
     @Override
     public void send(String requestId, String memberId, long timeoutUs) {
         ActiveRequest request = requests.byRouterId(requestId);
-        if (request != null && !request.answered) {
+        if (request != null && !request.closed) {
             attempts.start(request, memberId, timeoutUs);
         }
     }
@@ -266,8 +266,8 @@
     @Override
     public void reject(String requestId, long retryAfterUs) {
         ActiveRequest request = requests.byRouterId(requestId);
-        if (request != null && !request.answered) {
-            request.markAnswered(deadlines);
+        if (request != null && !request.closed) {
+            request.markClosed(deadlines);
             log.record(
                     EventLog.Kind.REQUEST_REJECTED,
                     () -> describe(request) + ": retry after " + retryAfterUs / 1000 + " ms");
@@ -280,8 +280,8 @@
     @Override
     public void fail(String requestId) {
         ActiveRequest request = requests.byRouterId(requestId);
-        if (request != null && !request.answered) {
-            request.markAnswered(deadlines);
+        if (request != null && !request.closed) {
+            request.markClosed(deadlines);
             log.record(EventLog.Kind.REQUEST_FAILED, () -> describe(request));
             counters.requestsFailed++;
             request.handler.failed();
--- a/pooler/src/main/java/frostreel/broker/RequestTable.java
+++ b/pooler/src/main/java/frostreel/broker/RequestTable.java
@@ -7,7 +7,7 @@
 /** The active requests, by handle, and the ids that their senders gave them. Used on the I/O thread alone. */
 final class RequestTable {
     private final SlotTable<ActiveRequest> slots;
-    private final Set<String> senderIds = new HashSet<>();
+    private final Set<String> clientRequestIds = new HashSet<>();
 
     RequestTable(int capacity) {
         slots = new SlotTable<>(capacity);
@@ -26,7 +26,7 @@
 
     /** Makes the request known by its sender's id and by the router's. */
     void open(ActiveRequest request) {
-        senderIds.add(request.attributes.id());
+        clientRequestIds.add(request.attributes.id());
         request.routerId = Long.toString(request.handle);
     }
 
@@ -40,21 +40,21 @@
         return slots.get(Long.parseLong(routerId));
     }
 
-    boolean containsSenderId(String senderId) {
-        return senderIds.contains(senderId);
+    boolean containsClientRequestId(String clientRequestId) {
+        return clientRequestIds.contains(clientRequestId);
     }
 
     /** Removes an answered request; it keeps its slot while it has an attempt in flight. */
     void removeIfDone(ActiveRequest request) {
-        if (request.answered && !request.hasAttemptInFlight()) {
+        if (request.closed && !request.hasAttemptInFlight()) {
             slots.remove(request.handle);
-            senderIds.remove(request.attributes.id());
+            clientRequestIds.remove(request.attributes.id());
         }
     }
 
-    int countUnanswered() {
+    int countOpen() {
         int[] count = {0};
-        slots.forEach(request -> count[0] += request.answered ? 0 : 1);
+        slots.forEach(request -> count[0] += request.closed ? 0 : 1);
         return count[0];
     }
 }
--- a/pooler/src/main/java/frostreel/pg/BodyText.java
+++ b/pooler/src/main/java/frostreel/pg/CStrings.java
@@ -3,15 +3,15 @@
 import java.nio.charset.StandardCharsets;
 
 /** Reads the strings in the bodies of messages, each of which ends with a zero byte. */
-final class BodyText {
-    private BodyText() {}
+final class CStrings {
+    private CStrings() {}
 
     /**
      * Returns the offset of the zero byte that ends the string at {@code from}.
      *
      * @throws PgException where the body ends before the string does
      */
-    static int end(byte[] body, int from) throws PgException {
+    static int terminatorIndex(byte[] body, int from) throws PgException {
         for (int i = from; i < body.length; i++) {
             if (body[i] == 0) {
                 return i;
@@ -21,7 +21,7 @@
     }
 
     /** Returns the string from an offset up to its zero byte at {@code end}. */
-    static String between(byte[] body, int from, int end) {
+    static String decode(byte[] body, int from, int end) {
         return new String(body, from, end - from, StandardCharsets.UTF_8);
     }
 }
--- a/pooler/src/main/java/frostreel/pg/ErrorResponse.java
+++ b/pooler/src/main/java/frostreel/pg/ErrorResponse.java
@@ -17,8 +17,8 @@
         boolean fatal = false;
         int at = 0;
         while (at < body.length && body[at] != 0) {
-            int end = BodyText.end(body, at);
-            String value = BodyText.between(body, at + 1, end);
+            int end = CStrings.terminatorIndex(body, at);
+            String value = CStrings.decode(body, at + 1, end);
             switch (body[at]) {
                 case ErrorField.SQLSTATE -> sqlState = value;
                 case ErrorField.SEVERITY, ErrorField.SEVERITY_NONLOCALIZED ->
--- a/pooler/src/main/java/frostreel/pg/ServerResponse.java
+++ b/pooler/src/main/java/frostreel/pg/ServerResponse.java
@@ -27,12 +27,12 @@
     /** The longest row that is buffered until it is complete: a value of 64 KiB with its header. */
     public static final int MAX_BUFFERED_ROW = (1 << 16) + MessageReader.ROW_HEADER_BYTES;
     /** The longest row that is streamed; the length of a longer one is taken for corrupt. */
-    private static final int MAX_ROW = 1 << 24;
+    private static final int MAX_ROW_BYTES = 1 << 24;
 
-    private static final int MAX_OTHER_MESSAGE = 1 << 13;
+    private static final int MAX_OTHER_MESSAGE_BYTES = 1 << 13;
     private static final int READY_FOR_QUERY_BYTES = 1;
     /** Bounds all messages of one reply together, as notices could otherwise go on without end. */
-    private static final int MAX_REPLY = MAX_BUFFERED_ROW + (1 << 16);
+    private static final int MAX_RESPONSE_BYTES = MAX_BUFFERED_ROW + (1 << 16);
     /** What follows the name of a described column: table, number, type, length, modifier, format. */
     private static final int COLUMN_DESCRIPTION_BYTES = 18;
 
@@ -46,7 +46,7 @@
     /** The error, null while none has come. */
     private ErrorResponse error;
     /** Whether the error came in place of a result, not within one. */
-    private boolean errorIsWholeReply;
+    private boolean errorIsWholeResponse;
 
     private ServerResponse(State first) {
         state = first;
@@ -65,7 +65,7 @@
     /** The longest body of a server's message of this type, as a {@link MessageReader.LengthLimit}. */
     public static int maxLength(byte type) {
         return switch (type) {
-            case MessageType.DATA_ROW -> MAX_ROW;
+            case MessageType.DATA_ROW -> MAX_ROW_BYTES;
             case MessageType.READY_FOR_QUERY -> READY_FOR_QUERY_BYTES;
             case MessageType.AUTHENTICATION,
                     MessageType.BACKEND_KEY_DATA,
@@ -74,7 +74,7 @@
                     MessageType.COMMAND_COMPLETE,
                     MessageType.ERROR_RESPONSE,
                     MessageType.NOTICE_RESPONSE,
-                    MessageType.NOTIFICATION_RESPONSE -> MAX_OTHER_MESSAGE;
+                    MessageType.NOTIFICATION_RESPONSE -> MAX_OTHER_MESSAGE_BYTES;
             default -> MessageReader.LengthLimit.NOT_ACCEPTED;
         };
     }
@@ -88,8 +88,8 @@
      */
     public void accept(MessageReader message) throws PgException {
         receivedBytes += message.length();
-        if (receivedBytes > MAX_REPLY) {
-            throw new PgException("a reply of over " + MAX_REPLY + " bytes");
+        if (receivedBytes > MAX_RESPONSE_BYTES) {
+            throw new PgException("a reply of over " + MAX_RESPONSE_BYTES + " bytes");
         }
         switch (message.type()) {
             case MessageType.AUTHENTICATION -> onAuthentication(message);
@@ -127,7 +127,7 @@
     }
 
     private void onError(MessageReader message) throws PgException {
-        errorIsWholeReply = state == State.QUERY_SENT || state == State.STARTUP_SENT || state == State.AUTHENTICATED;
+        errorIsWholeResponse = state == State.QUERY_SENT || state == State.STARTUP_SENT || state == State.AUTHENTICATED;
         advance(state != State.COMMAND_COMPLETE && state != State.ERROR_RECEIVED, State.ERROR_RECEIVED);
         error = ErrorResponse.parse(message.body());
     }
@@ -164,7 +164,7 @@
         return body.length > 2
                 && body[0] == 0
                 && body[1] == 1
-                && BodyText.end(body, 2) + 1 + COLUMN_DESCRIPTION_BYTES == body.length;
+                && CStrings.terminatorIndex(body, 2) + 1 + COLUMN_DESCRIPTION_BYTES == body.length;
     }
 
     private static boolean holdsOneValue(byte[] body) {
@@ -176,7 +176,7 @@
 
     /** Whether the body is one string, and not an empty one. */
     private static boolean isOneText(byte[] body) throws PgException {
-        return body.length > 1 && BodyText.end(body, 0) == body.length - 1;
+        return body.length > 1 && CStrings.terminatorIndex(body, 0) == body.length - 1;
     }
 
     // ---- The result. ----
@@ -229,7 +229,7 @@
 
     /** An error within a result proves nothing of the request, whatever its code says. */
     private Outcome errorOutcome() {
-        if (!errorIsWholeReply) {
+        if (!errorIsWholeResponse) {
             return Outcome.ERROR;
         }
         return switch (error.sqlState()) {
--- a/pooler/src/main/java/frostreel/pg/ServerStatus.java
+++ b/pooler/src/main/java/frostreel/pg/ServerStatus.java
@@ -17,10 +17,10 @@
     /** Takes the body of a ParameterStatus message, which holds a name and a value. */
     void acceptParameter(byte[] body) {
         try {
-            int nameEnd = BodyText.end(body, 0);
+            int nameEnd = CStrings.terminatorIndex(body, 0);
             int valueFrom = nameEnd + 1;
-            String name = BodyText.between(body, 0, nameEnd);
-            String value = BodyText.between(body, valueFrom, BodyText.end(body, valueFrom));
+            String name = CStrings.decode(body, 0, nameEnd);
+            String value = CStrings.decode(body, valueFrom, CStrings.terminatorIndex(body, valueFrom));
             switch (name) {
                 case "role" -> role = parseRole(value);
                 case "applied_ms" -> positionUs = (long) (LoadReport.parseNumber(value) * US_PER_MS);
--- a/pooler/src/main/java/frostreel/pg/Statement.java
+++ b/pooler/src/main/java/frostreel/pg/Statement.java
@@ -22,7 +22,7 @@
     private static final int HEXADECIMAL = 16;
     private static final int US_PER_MS = 1000;
     private static final long MIN_TIMEOUT_MS = 1;
-    private static final String NOT_NAMES_AND_VALUES = "a comment of more than names and values";
+    private static final String INVALID_COMMENT_TEXT = "a comment of more than names and values";
     private static final byte[] READ_PREFIX = ascii("SELECT v FROM records WHERE k = '");
     private static final byte[] READ_COMMENT_START = ascii("' /* ");
     private static final byte[] WRITE_PREFIX = ascii("INSERT INTO records (k, v) VALUES ('");
@@ -50,16 +50,16 @@
     private Statement(byte[] sql) throws PgException {
         this.sql = sql;
         write = startsWith(WRITE_PREFIX);
-        take(write ? WRITE_PREFIX : READ_PREFIX);
+        expect(write ? WRITE_PREFIX : READ_PREFIX);
         readKey();
         if (write) {
-            take(WRITE_VALUE_START);
+            expect(WRITE_VALUE_START);
             skipValue();
         }
-        take(write ? WRITE_COMMENT_START : READ_COMMENT_START);
+        expect(write ? WRITE_COMMENT_START : READ_COMMENT_START);
         readComment(position, sql.length - COMMENT_END.length);
         position = sql.length - COMMENT_END.length;
-        take(COMMENT_END);
+        expect(COMMENT_END);
         if (requestClass == null || timeoutFrom == UNSET || id == null) {
             throw new PgException("a comment without id, c or d");
         }
@@ -83,7 +83,7 @@
                 && Arrays.equals(sql, position, position + text.length, text, 0, text.length);
     }
 
-    private void take(byte[] text) throws PgException {
+    private void expect(byte[] text) throws PgException {
         if (position < 0 || !startsWith(text)) {
             throw new PgException("a statement in neither of the two forms served here");
         }
@@ -132,7 +132,7 @@
             int end = fieldEnd(start, to);
             int equals = indexOf('=', start, end);
             if (equals <= start) {
-                throw new PgException(NOT_NAMES_AND_VALUES);
+                throw new PgException(INVALID_COMMENT_TEXT);
             }
             readField(new String(sql, start, equals - start, StandardCharsets.US_ASCII), equals + 1, end);
             start = end + 1;
@@ -143,7 +143,7 @@
         int end = start;
         while (end < to && sql[end] != ',') {
             if (sql[end] <= ' ' || sql[end] == '*') {
-                throw new PgException(NOT_NAMES_AND_VALUES);
+                throw new PgException(INVALID_COMMENT_TEXT);
             }
             end++;
         }
--- a/pooler/src/main/java/frostreel/request/ResponseHandler.java
+++ b/pooler/src/main/java/frostreel/request/ResponseHandler.java
@@ -7,7 +7,7 @@
  */
 public interface ResponseHandler {
     /** The request was served; {@code answer}: the bytes that the back end received for it. */
-    void served(byte[] answer);
+    void served(byte[] response);
 
     /**
      * The request was rejected before it had any effect, so that a retry is harmless; {@code retryAfterUs}: how long
--- a/pooler/src/test/java/frostreel/FailoverTest.java
+++ b/pooler/src/test/java/frostreel/FailoverTest.java
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void retriesReadWhenItsConnectionBreaksWithinTheRow() throws Exception {
+    void retriesReadIfItsConnectionBreaksWithinTheRow() throws Exception {
         replica.script = (text, link) -> {
             link.send(Arrays.copyOf(row("half", "replica"), 30));
             link.close();
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void statesRetryAfterInRejection() throws Exception {
+    void advisesRetryAfterInRejection() throws Exception {
         replica.script = errors("53300", "replica");
         primary.script = errors("53300", "primary");
         start();
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void closesServerConnectionAtTimeoutAndAnswersTheClientOnce() throws Exception {
+    void closesServerConnectionAtTimeoutAndRespondsToTheClientOnce() throws Exception {
         ScriptedPeer.Script silence = (text, link) -> {};
         replica.script = silence;
         primary.script = silence;
@@ -96,7 +96,7 @@
     }
 
     @Test
-    void retriesReadOnThePrimaryWhenItsReplicaIsTooStale() throws Exception {
+    void retriesReadOnThePrimaryIfTheReplicaIsTooStale() throws Exception {
         replica.script = errors("72000", "replica");
         start();
         assertReadServedByPrimary();
--- a/pooler/src/test/java/frostreel/RetryAfterTest.java
+++ b/pooler/src/test/java/frostreel/RetryAfterTest.java
@@ -27,18 +27,18 @@
     }
 
     @Test
-    void statesTheDefaultRetryAfterWhereAllowed() throws Exception {
+    void advisesTheDefaultRetryAfterIfAllowed() throws Exception {
         assertThat(rejection()).contains("|D200|");
     }
 
     @Test
-    void capsRetryAfterByTheSettings() throws Exception {
+    void capsRetryAfterAtTheMaximumOfTheSettings() throws Exception {
         harness.settings = PoolerHarness.SETTINGS.replace("\"maxRetryAfterS\":2", "\"maxRetryAfterS\":0.12");
         assertThat(rejection()).contains("|D120|");
     }
 
     @Test
-    void statesNoRetryAfterWhereDisabledUntilReload() throws Exception {
+    void advisesNoRetryAfterUntilReloadEnablesIt() throws Exception {
         harness.settings = PoolerHarness.SETTINGS.replace("\"retryAfter\":true", "\"retryAfter\":false");
         assertThat(rejection()).doesNotContain("|D");
         harness.settings = PoolerHarness.SETTINGS;
--- a/pooler/src/test/java/frostreel/ServerProtocolTest.java
+++ b/pooler/src/test/java/frostreel/ServerProtocolTest.java
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void neverTakesSurplusBytesForTheNextResponse() throws Exception {
+    void discardsSurplusBytesInsteadOfServingThemAsTheNextResponse() throws Exception {
         replica.script = (text, link) -> {
             byte[] row = row(TestMessages.requestId(text), "replica");
             link.send(row, TestMessages.READY, row, TestMessages.READY);
@@ -41,13 +41,13 @@
         byte[] valid = row("corrupt", "replica");
         byte[] twoColumns = valid.clone();
         twoColumns[6] = 2;
-        byte[] valueBeyondItsRow = new String(valid, StandardCharsets.ISO_8859_1)
+        byte[] valueBeyondEndOfRow = new String(valid, StandardCharsets.ISO_8859_1)
                 .replace("\7corrupt", "\10corrupt")
                 .getBytes(StandardCharsets.ISO_8859_1);
-        assertThat(valueBeyondItsRow).isNotEqualTo(valid);
+        assertThat(valueBeyondEndOfRow).isNotEqualTo(valid);
         List<Map.Entry<String, byte[]>> corruptResponses = List.of(
                 Map.entry("two columns", twoColumns),
-                Map.entry("value beyond its row", valueBeyondItsRow),
+                Map.entry("value beyond its row", valueBeyondEndOfRow),
                 Map.entry("row of 2 GiB", new byte[] {'D', 127, -1, -1, -1}),
                 Map.entry("unknown type", new byte[] {'%', 0, 0, 1, 0}),
                 Map.entry("completion without row", TestMessages.bytes('C', "SELECT 1|")),
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void servesTheValueWhoseLoadReportIsMalformed() throws Exception {
+    void servesTheValueIfTheLoadReportIsMalformed() throws Exception {
         replica.script = (text, link) -> link.send(
                 row("good", "replica"),
                 TestMessages.bytes('S', "load|x0=,util=?|"),
--- a/pooler/src/test/java/frostreel/TestMessages.java
+++ b/pooler/src/test/java/frostreel/TestMessages.java
@@ -32,10 +32,10 @@
 
     /** Returns a StartupMessage. */
     static byte[] startup() {
-        byte[] words = "\0\3\0\0user\0svc\0database\0main\0\0".getBytes(StandardCharsets.ISO_8859_1);
-        byte[] out = new byte[words.length + 4];
+        byte[] parameters = "\0\3\0\0user\0svc\0database\0main\0\0".getBytes(StandardCharsets.ISO_8859_1);
+        byte[] out = new byte[parameters.length + 4];
         out[3] = (byte) out.length;
-        System.arraycopy(words, 0, out, 4, words.length);
+        System.arraycopy(parameters, 0, out, 4, parameters.length);
         return out;
     }
 
--- a/pooler/src/test/java/frostreel/broker/BrokerTest.java
+++ b/pooler/src/test/java/frostreel/broker/BrokerTest.java
@@ -21,7 +21,7 @@
     private final Deadlines deadlines = new Deadlines(() -> nowUs, us -> {});
     private final List<String> failed = new ArrayList<>();
 
-    private static Router.Settings settings(long answerSlackUs) {
+    private static Router.Settings settings(long responseSlackUs) {
         Router.RequestClass readClass = new Router.RequestClass(
                 "look",
                 Router.Access.ANY,
@@ -48,7 +48,7 @@
                         .cancel(true)
                         .retryAfterAllowed(true)
                         .build(),
-                new Router.Rules(answerSlackUs, 1_000_000, false, 1, 0, 1, 0));
+                new Router.Rules(responseSlackUs, 1_000_000, false, 1, 0, 1, 0));
     }
 
     /** A broker whose router leaves every request unanswered. */
@@ -74,7 +74,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {0, 4_000, 20_000, 100_000})
-    void failsUnansweredRequestWithinTheSlackOfTheSettings(long slackUs) {
+    void failsOpenRequestWithinTheSlackOfTheSettings(long slackUs) {
         submit(broker(settings(slackUs)), "1");
         long dueUs = DEADLINE_US + slackUs * 3 / 4;
         advanceTo(dueUs - 1);
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void appliesNewSlackToLaterRequestsAlone() {
+    void appliesNewSlackOnlyToLaterRequests() {
         Broker broker = broker(settings(20_000));
         submit(broker, "before");
         broker.updateSettings(settings(4_000));
@@ -105,7 +105,7 @@
         }
 
         @Override
-        public void served(byte[] answer) {
+        public void served(byte[] response) {
             throw new AssertionError(id);
         }
 
--- a/pooler/src/test/java/frostreel/broker/RequestTableTest.java
+++ b/pooler/src/test/java/frostreel/broker/RequestTableTest.java
@@ -11,13 +11,13 @@
     private static final long ATTEMPT = 7;
     private final RequestTable requests = new RequestTable(1);
 
-    private static ActiveRequest request(String senderId) {
-        RequestAttributes attributes = new RequestAttributes(senderId, 0, 0, 0, 0, 0, false);
+    private static ActiveRequest request(String clientRequestId) {
+        RequestAttributes attributes = new RequestAttributes(clientRequestId, 0, 0, 0, 0, 0, false);
         return new ActiveRequest(attributes, null, null, null, 1);
     }
 
-    private ActiveRequest opened(String senderId) {
-        ActiveRequest request = request(senderId);
+    private ActiveRequest opened(String clientRequestId) {
+        ActiveRequest request = request(clientRequestId);
         assertThat(requests.reserveSlot(request)).isTrue();
         requests.open(request);
         return request;
@@ -28,8 +28,8 @@
         ActiveRequest request = opened("a");
         assertThat(requests.get(request.handle)).isSameAs(request);
         assertThat(requests.byRouterId(request.routerId)).isSameAs(request);
-        assertThat(requests.containsSenderId("a")).isTrue();
-        assertThat(requests.countUnanswered()).isEqualTo(1);
+        assertThat(requests.containsClientRequestId("a")).isTrue();
+        assertThat(requests.countOpen()).isEqualTo(1);
     }
 
     @Test
@@ -42,23 +42,23 @@
     }
 
     @Test
-    void keepsAnsweredRequestUntilItsAttemptEnds() {
+    void keepsClosedRequestUntilItsAttemptEnds() {
         ActiveRequest request = opened("a");
-        request.answered = true;
+        request.closed = true;
         request.attemptHandle = ATTEMPT;
         requests.removeIfDone(request);
-        assertThat(requests.containsSenderId("a")).isTrue();
-        assertThat(requests.countUnanswered()).isZero();
+        assertThat(requests.containsClientRequestId("a")).isTrue();
+        assertThat(requests.countOpen()).isZero();
         request.attemptHandle = SlotTable.NONE;
         requests.removeIfDone(request);
         assertThat(requests.get(request.handle)).isNull();
-        assertThat(requests.containsSenderId("a")).isFalse();
+        assertThat(requests.containsClientRequestId("a")).isFalse();
     }
 
     @Test
-    void doesNotFindTheNextRequestInSlotByTheIdOfTheFormer() {
+    void doesNotFindNewRequestByTheStaleIdOfItsSlot() {
         ActiveRequest first = opened("a");
-        first.answered = true;
+        first.closed = true;
         requests.removeIfDone(first);
         ActiveRequest second = opened("b");
         assertThat(requests.byRouterId(first.routerId)).isNull();
