--- a/pooler/src/main/java/frostreel/backend/ServerConnection.java
+++ b/pooler/src/main/java/frostreel/backend/ServerConnection.java
@@ -187,7 +187,7 @@
     /** Whether the next bytes belong to a long row; forwarding begins here where such a row is next. */
     private boolean forwardsLongRow() throws PgException {
         if (!longRow.isActive()) {
-            int length = reader.longRowLength(ServerResponse.MAX_BUFFERED_ROW);
+            int length = reader.longRowLength(ServerResponse.MAX_BUFFERED_ROW_BYTES);
             if (length > 0 && !beginLongRow(length + MessageReader.HEADER_BYTES)) {
                 return true;
             }
--- a/pooler/src/main/java/frostreel/pg/ServerResponse.java
+++ b/pooler/src/main/java/frostreel/pg/ServerResponse.java
@@ -25,14 +25,14 @@
     }
 
     /** The longest row that is buffered until it is complete: a value of 64 KiB with its header. */
-    public static final int MAX_BUFFERED_ROW = (1 << 16) + MessageReader.ROW_HEADER_BYTES;
+    public static final int MAX_BUFFERED_ROW_BYTES = (1 << 16) + MessageReader.ROW_HEADER_BYTES;
     /** The longest row that is streamed; the length of a longer one is taken for corrupt. */
     private static final int MAX_ROW_BYTES = 1 << 24;
 
     private static final int MAX_OTHER_MESSAGE_BYTES = 1 << 13;
     private static final int READY_FOR_QUERY_BYTES = 1;
     /** Bounds all messages of one reply together, as notices could otherwise go on without end. */
-    private static final int MAX_RESPONSE_BYTES = MAX_BUFFERED_ROW + (1 << 16);
+    private static final int MAX_RESPONSE_BYTES = MAX_BUFFERED_ROW_BYTES + (1 << 16);
     /** What follows the name of a described column: table, number, type, length, modifier, format. */
     private static final int COLUMN_DESCRIPTION_BYTES = 18;
 
