--- a/pooler/src/main/java/frostreel/pg/CStrings.java
+++ b/pooler/src/main/java/frostreel/pg/CStrings.java
@@ -2,14 +2,14 @@
 
 import java.nio.charset.StandardCharsets;
 
-/** Reads the strings in the bodies of messages, each of which ends with a zero byte. */
+/** Reads null-terminated strings from message bodies. */
 final class CStrings {
     private CStrings() {}
 
     /**
-     * Returns the offset of the zero byte that ends the string at {@code from}.
+     * Returns the index of the zero byte that terminates the string at {@code from}.
      *
-     * @throws PgException where the body ends before the string does
+     * @throws PgException if the body ends before the string does
      */
     static int terminatorIndex(byte[] body, int from) throws PgException {
         for (int i = from; i < body.length; i++) {
@@ -17,10 +17,10 @@
                 return i;
             }
         }
-        throw new PgException("a text without its end mark");
+        throw new PgException("string is not null-terminated");
     }
 
-    /** Returns the string from an offset up to its zero byte at {@code end}. */
+    /** Decodes the string from {@code from} to its terminator at {@code end}, as UTF-8. */
     static String decode(byte[] body, int from, int end) {
         return new String(body, from, end - from, StandardCharsets.UTF_8);
     }
--- a/pooler/src/main/java/frostreel/pg/ErrorField.java
+++ b/pooler/src/main/java/frostreel/pg/ErrorField.java
@@ -1,12 +1,12 @@
 package frostreel.pg;
 
-/** The types of fields in an ErrorResponse that are written or read here. */
+/** Field types of an ErrorResponse that the pooler writes or reads. */
 final class ErrorField {
-    /** The severity, in the server's language. */
+    /** Severity, localized by the server. */
     static final byte SEVERITY = 'S';
-    /** The severity, in English. */
+    /** Severity, always in English. */
     static final byte SEVERITY_NONLOCALIZED = 'V';
-    /** One of {@link SqlState}. */
+    /** SQLSTATE code, see {@link SqlState}. */
     static final byte SQLSTATE = 'C';
 
     static final byte MESSAGE = 'M';
--- a/pooler/src/main/java/frostreel/pg/ErrorResponse.java
+++ b/pooler/src/main/java/frostreel/pg/ErrorResponse.java
@@ -1,16 +1,16 @@
 package frostreel.pg;
 
 /**
- * An error that a server responded with.
+ * Error response of a server.
  *
- * @param sqlState its code, which may be one of {@link SqlState}
- * @param fatal whether the server ends the connection with it
+ * @param sqlState its SQLSTATE code; {@link SqlState} lists those that the pooler understands
+ * @param fatal whether the server closes the connection after it
  */
 record ErrorResponse(String sqlState, boolean fatal) {
     /**
-     * Parses the body of the message: fields of a type and a string each, and a zero byte.
+     * Parses the body of an ErrorResponse: fields, each a type byte and a string, and a terminating zero byte.
      *
-     * @throws PgException where it is truncated, goes on behind its end, or has no code
+     * @throws PgException if it is truncated, has bytes after its terminator, or has no SQLSTATE
      */
     static ErrorResponse parse(byte[] body) throws PgException {
         String sqlState = null;
@@ -28,7 +28,7 @@
             at = end + 1;
         }
         if (sqlState == null || at != body.length - 1) {
-            throw new PgException("an error that is not whole");
+            throw new PgException("ErrorResponse is truncated, too long, or has no SQLSTATE");
         }
         return new ErrorResponse(sqlState, fatal);
     }
--- a/pooler/src/main/java/frostreel/pg/LoadReport.java
+++ b/pooler/src/main/java/frostreel/pg/LoadReport.java
@@ -2,17 +2,17 @@
 
 import frostreel.routing.Router;
 
-/** Parses a server's load report, as {@code inflight=7,util=0.61}. */
+/** Parser of servers' load reports, such as {@code inflight=7,util=0.61}. */
 final class LoadReport {
-    /** Numbers of this size and beyond are taken for corrupt. */
+    /** Absolute values from here on are treated as corrupt. */
     private static final double MAX_NUMBER = 1e15;
 
     private static final double US_PER_SECOND = 1e6;
 
     private LoadReport() {}
 
-    /** Parses a report; unknown fields are skipped, and missing ones are NaN, UNKNOWN or 0. */
-    @SuppressWarnings("StringSplitter") // Empty words at the end are meant to drop out.
+    /** Parses a report. Unknown fields are ignored; missing ones are NaN, UNKNOWN or 0. */
+    @SuppressWarnings("StringSplitter") // Trailing empty fields are to be dropped.
     static Router.Report parse(String text) throws PgException {
         long positionUs = 0;
         Router.Role role = Router.Role.UNKNOWN;
@@ -21,12 +21,12 @@
         double inFlight = Double.NaN;
         for (String field : text.split(",")) {
             int equals = field.indexOf('=');
-            if (equals < 0) { // Not a name and a value.
+            if (equals < 0) { // Not a name=value pair.
                 continue;
             }
             double value = parseNumber(field.substring(equals + 1));
             switch (field.substring(0, equals).trim()) {
-                // The servers' names: x0 is the commit position in seconds, x1 is 1 at a primary.
+                // x0 is the commit position in seconds, x1 is 1 on a primary.
                 case "x0" -> positionUs = (long) Math.floor(value * US_PER_SECOND);
                 case "x1" -> role = value == 1 ? Router.Role.PRIMARY : Router.Role.REPLICA;
                 case "util", "load_share" -> utilization = value;
@@ -38,7 +38,11 @@
         return new Router.Report(positionUs, role, utilization, queued, inFlight);
     }
 
-    /** Parses a decimal number, of either sign. */
+    /**
+     * Parses a decimal number, which may be negative.
+     *
+     * @throws PgException if it is malformed, or its absolute value is {@link #MAX_NUMBER} or more
+     */
     static double parseNumber(String text) throws PgException {
         try {
             double number = Double.parseDouble(text.trim());
@@ -46,8 +50,8 @@
                 return number;
             }
         } catch (NumberFormatException e) {
-            // Thrown below, as for a number out of range.
+            // Reported below, like a number outside the range.
         }
-        throw new PgException("a figure that is no number");
+        throw new PgException("malformed or out-of-range number in a server's report");
     }
 }
--- a/pooler/src/main/java/frostreel/pg/MessageReader.java
+++ b/pooler/src/main/java/frostreel/pg/MessageReader.java
@@ -5,23 +5,23 @@
 import java.util.Arrays;
 
 /**
- * Splits a byte stream, which may arrive in pieces of any size, into messages; owns the bytes not yet consumed. Used by
- * one connection, on the I/O thread.
+ * Splits the byte stream of a connection, which arrives in pieces of any size, into messages. It buffers the bytes that
+ * are not yet consumed. Each connection has its own; used only on the I/O thread.
  */
 public final class MessageReader {
-    /** Limits the length of messages. */
+    /** Maximum message length by type. */
     public interface LengthLimit {
-        /** The limit of a type of which no message is accepted. */
+        /** Value for a type that is not accepted at all. */
         int NOT_ACCEPTED = -1;
 
-        /** The longest body accepted of a message of this type, or {@link #NOT_ACCEPTED}. */
+        /** Returns the maximum body length of a message of this type, in bytes, or {@link #NOT_ACCEPTED}. */
         int maxLength(byte type);
     }
 
     private static final int INITIAL_BUFFER_BYTES = 2048;
-    /** The type and the length, before the body of a message. */
+    /** Size of the type and the length that precede the body of a message. */
     public static final int HEADER_BYTES = 5;
-    /** The number of columns and the length of the first, at the beginning of a row. */
+    /** Size of the column count and the first column's length at the beginning of a row. */
     static final int ROW_HEADER_BYTES = 6;
 
     private static final int MAX_STARTUP_BYTES = 10_000;
@@ -33,18 +33,18 @@
     private int bodyFrom;
     private int bodyTo;
 
-    /** A reader that accepts messages within the limits alone. */
+    /** Creates a reader that accepts only messages within the limits. */
     public MessageReader(LengthLimit limit) {
         this.limit = limit;
     }
 
-    /** Adds all bytes of the buffer. */
+    /** Appends all remaining bytes of {@code in} to the buffer. */
     public void feed(ByteBuffer in) {
         if (from == to) {
             from = 0;
             to = 0;
             if (buffer.length > INITIAL_BUFFER_BYTES && in.remaining() <= INITIAL_BUFFER_BYTES) {
-                // A long message must not leave a long buffer behind on every connection.
+                // A connection must not keep the large buffer of a long message.
                 buffer = new byte[INITIAL_BUFFER_BYTES];
             }
         }
@@ -63,26 +63,26 @@
         to += added;
     }
 
-    /** How many bytes are not yet consumed. */
+    /** Number of bytes that are not yet consumed. */
     public int buffered() {
         return to - from;
     }
 
-    /** The size of its buffer, which may be twice what is buffered. */
+    /** Size of the buffer, which may be more than twice the number of buffered bytes. */
     public int memoryBytes() {
         return buffer.length;
     }
 
     /**
-     * Moves to the next message; false where more bytes are needed for it.
+     * Advances to the next message. Returns false if that is not yet complete.
      *
-     * @throws PgException where no such message is accepted
+     * @throws PgException if its type is not accepted or its length is outside the limits
      */
     public boolean next() throws PgException {
         if (buffered() < HEADER_BYTES) {
             return false;
         }
-        // Checked as soon as the type has arrived: corrupt bytes must not make the reader wait for a message's rest.
+        // Checked before the body arrives: corrupt bytes must not make the reader wait for the rest of a message.
         int maxLength = limit.maxLength(buffer[from]);
         if (maxLength == LengthLimit.NOT_ACCEPTED) {
             throw new PgException("a message of unknown type");
@@ -91,8 +91,8 @@
     }
 
     /**
-     * The length of the next message's body if that is a row longer than {@code maxBuffered} whose header is buffered,
-     * else 0. The bytes of such a row are to be taken as they come, by {@link #takeBuffered}.
+     * Body length of the next message if it is a row longer than {@code maxBuffered} whose headers have arrived, else
+     * 0. The caller consumes the bytes of such a row as they arrive, with {@link #takeBuffered}.
      */
     public int longRowLength(int maxBuffered) {
         int headers = HEADER_BYTES + ROW_HEADER_BYTES;
@@ -100,28 +100,28 @@
         return length > maxBuffered ? length : 0;
     }
 
-    /** Whether the next message, a row, has one column, whose length agrees with that of the row. */
+    /** Whether the next message, which must be a row, has exactly one column that fills the row. */
     public boolean rowHoldsOneValue() {
         return buffer[from + HEADER_BYTES] == 0
                 && buffer[from + HEADER_BYTES + 1] == 1
                 && intAt(from + HEADER_BYTES + 2) == intAt(from + 1) - Integer.BYTES - ROW_HEADER_BYTES;
     }
 
-    /** Consumes and returns what is buffered, up to {@code maxBytes}. */
+    /** Consumes and returns up to {@code maxBytes} buffered bytes. */
     public byte[] takeBuffered(int maxBytes) {
         byte[] taken = Arrays.copyOfRange(buffer, from, Math.min(to, from + maxBytes));
         from += taken.length;
         return taken;
     }
 
-    /** Moves to a startup message, which has no type; false where more bytes are needed for it. */
+    /** Advances to a startup message, which has no type. Returns false if that is not yet complete. */
     public boolean nextStartup() throws PgException {
         return buffered() >= Integer.BYTES && take(0, MAX_STARTUP_BYTES);
     }
 
     private boolean take(int typeBytes, int maxLength) throws PgException {
         int length = intAt(from + typeBytes);
-        // Checked before the body is waited for, so that no message makes the buffer grow beyond the limit.
+        // Checked before the body arrives, so that no message makes the buffer grow beyond the limit.
         if (length < Integer.BYTES || length - Integer.BYTES > maxLength) {
             throw new PgException("a message of length " + length);
         }
@@ -135,17 +135,17 @@
         return true;
     }
 
-    /** The type of the current message; 0 for a startup message. */
+    /** Type of the current message; 0 for a startup message. */
     public byte type() {
         return type;
     }
 
-    /** The length of its body. */
+    /** Body length of the current message. */
     public int length() {
         return bodyTo - bodyFrom;
     }
 
-    /** The four bytes of its body at {@code 4 * index}, as a number. */
+    /** Big-endian 32-bit integer at byte offset {@code 4 * index} of the current body. */
     public int bodyInt(int index) throws PgException {
         if (length() < (index + 1) * Integer.BYTES) {
             throw new PgException("a body of " + length() + " bytes");
@@ -153,7 +153,7 @@
         return intAt(bodyFrom + index * Integer.BYTES);
     }
 
-    /** The byte of its body at this index, which must be less than its length. */
+    /** Byte of the current body at this index, which must be less than {@link #length}. */
     byte bodyByte(int index) {
         return buffer[bodyFrom + index];
     }
@@ -162,12 +162,12 @@
         return buffer[at] << 24 | (buffer[at + 1] & 255) << 16 | (buffer[at + 2] & 255) << 8 | (buffer[at + 3] & 255);
     }
 
-    /** A copy of its body. */
+    /** Copy of the current body. */
     public byte[] body() {
         return Arrays.copyOfRange(buffer, bodyFrom, bodyTo);
     }
 
-    /** Appends the message, as it came, to {@code out}. */
+    /** Appends the current message with its header, unchanged, to {@code out}. */
     void copyTo(ByteArrayOutputStream out) {
         out.write(buffer, bodyFrom - HEADER_BYTES, bodyTo - bodyFrom + HEADER_BYTES);
     }
--- a/pooler/src/main/java/frostreel/pg/MessageType.java
+++ b/pooler/src/main/java/frostreel/pg/MessageType.java
@@ -1,13 +1,13 @@
 package frostreel.pg;
 
 /**
- * The types of messages in version 3 of PostgreSQL's protocol, by their names there. The same byte may stand for one
- * message from a server and for another from a client.
+ * Message types of version 3 of the PostgreSQL protocol, named as in its specification. A byte may denote one message
+ * from a server and another from a client.
  */
 public final class MessageType {
     // ---- From servers. ----
 
-    /** A step of authentication; AuthenticationOk where its code is {@link #AUTHENTICATION_OK}. */
+    /** An authentication message; AuthenticationOk if its code is {@link #AUTHENTICATION_OK}. */
     public static final byte AUTHENTICATION = 'R';
 
     public static final byte BACKEND_KEY_DATA = 'K';
@@ -30,9 +30,9 @@
 
     // ---- Codes in the bodies of messages. ----
 
-    /** The code in an {@link #AUTHENTICATION} message that ends authentication. */
+    /** Code of the {@link #AUTHENTICATION} message that completes authentication. */
     static final int AUTHENTICATION_OK = 0;
-    /** The transaction status in {@link #READY_FOR_QUERY} outside of a transaction block. */
+    /** Transaction status in {@link #READY_FOR_QUERY} outside a transaction block. */
     static final byte NOT_IN_TRANSACTION = 'I';
 
     private MessageType() {}
--- a/pooler/src/main/java/frostreel/pg/Messages.java
+++ b/pooler/src/main/java/frostreel/pg/Messages.java
@@ -3,9 +3,9 @@
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
 
-/** Makes the messages that the pooler itself sends, to clients and to servers. */
+/** Encodes the messages that the pooler itself sends to clients and servers. */
 public final class Messages {
-    /** Names and values of the ParameterStatus messages that a client gets. */
+    /** Names and values of the ParameterStatus messages sent to a client. */
     private static final String[][] PARAMETERS = {
         {"server_version", "15.0"},
         {"server_encoding", "UTF8"},
@@ -18,7 +18,7 @@
     };
 
     private static final byte[] ONE_COLUMN = {0, 1};
-    /** Behind a column's name: no table (6 bytes), type 25 (text), of any length, no modifier, in text format. */
+    /** What follows a column's name: no table (6 bytes), type 25 (text), variable length, no modifier, text format. */
     private static final byte[] TEXT_COLUMN = {0, 0, 0, 0, 0, 0, 0, 0, 0, 25, -1, -1, -1, -1, -1, -1, 0, 0};
 
     private static final byte[] EMPTY = {};
@@ -46,8 +46,8 @@
     }
 
     /**
-     * The response to a client's startup message: AuthenticationOk, the usual parameters, the key by which it may
-     * cancel a request, and ReadyForQuery.
+     * Response to a client's startup message: AuthenticationOk, the parameters, BackendKeyData with the key for
+     * cancelling requests, and ReadyForQuery.
      */
     public static byte[] startupResponse(int process, int secret) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
@@ -80,12 +80,12 @@
         return message(MessageType.BACKEND_KEY_DATA, body.toByteArray());
     }
 
-    /** ReadyForQuery, outside of any transaction. */
+    /** ReadyForQuery outside a transaction block. */
     public static byte[] readyForQuery() {
         return message(MessageType.READY_FOR_QUERY, new byte[] {MessageType.NOT_IN_TRANSACTION});
     }
 
-    /** The response to an empty query. */
+    /** EmptyQueryResponse, without the ReadyForQuery that follows it. */
     public static byte[] emptyQueryResponse() {
         return message(MessageType.EMPTY_QUERY_RESPONSE, EMPTY);
     }
@@ -93,9 +93,9 @@
     /**
      * An ErrorResponse.
      *
-     * @param fatal whether the connection ends with it
-     * @param code one of {@link SqlState}
-     * @param detail the detail field, null for none
+     * @param fatal whether the sender closes the connection after it
+     * @param code SQLSTATE, usually one of {@link SqlState}
+     * @param detail the detail field, or null for none
      */
     public static byte[] error(boolean fatal, String code, String text, String detail) {
         ByteArrayOutputStream body = new ByteArrayOutputStream();
@@ -116,7 +116,7 @@
         writeText(out, value);
     }
 
-    /** The startup message to a server. */
+    /** Startup message to a server. */
     public static byte[] startup() {
         ByteArrayOutputStream body = new ByteArrayOutputStream();
         writeInt(body, StartupCode.PROTOCOL_3_0);
@@ -130,12 +130,12 @@
         return out.toByteArray();
     }
 
-    /** A simple query; {@code sql}: the statement and its terminating zero byte. */
+    /** Query message of the simple protocol; {@code sql} is the statement with its terminating zero byte. */
     public static byte[] query(byte[] sql) {
         return message(MessageType.QUERY, sql);
     }
 
-    /** A response of one row with one column of text: RowDescription, DataRow and CommandComplete. */
+    /** Result with one row of one text column: RowDescription, DataRow and CommandComplete. */
     public static byte[] row(String column, String value) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         out.writeBytes(rowDescription(column));
--- a/pooler/src/main/java/frostreel/pg/PgException.java
+++ b/pooler/src/main/java/frostreel/pg/PgException.java
@@ -1,6 +1,6 @@
 package frostreel.pg;
 
-/** The bytes received violate the protocol, or exceed a limit. Only the connection that they came on is affected. */
+/** Signals bytes that violate the protocol or exceed a limit. Only the connection that received them is affected. */
 public final class PgException extends Exception {
     PgException(String text) {
         super(text);
--- a/pooler/src/main/java/frostreel/pg/ServerResponse.java
+++ b/pooler/src/main/java/frostreel/pg/ServerResponse.java
@@ -7,12 +7,12 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * A server's reply to one query, or to the startup message, as far as it has come; owns its bytes until it is complete.
- * Messages are accepted in the protocol's order and in their exact form alone: a corrupt reply may closely resemble a
- * valid one, and only what the server sent for this request may be forwarded.
+ * A server's response to one query or to the startup message, as far as it has arrived. It buffers the bytes until the
+ * response is complete. Messages are accepted only in the protocol's order and in their exact form: a corrupt response
+ * may closely resemble a valid one, and only what the server sent for this request may be forwarded.
  */
 public final class ServerResponse {
-    /** How far the reply has come, by its last message. */
+    /** Progress of the response, named after the last message. */
     private enum State {
         STARTUP_SENT,
         AUTHENTICATED,
@@ -24,16 +24,16 @@
         READY
     }
 
-    /** The longest row that is buffered until it is complete: a value of 64 KiB with its header. */
+    /** Longest row that is buffered until it is complete: a 64 KiB value with its header. */
     public static final int MAX_BUFFERED_ROW_BYTES = (1 << 16) + MessageReader.ROW_HEADER_BYTES;
-    /** The longest row that is streamed; the length of a longer one is taken for corrupt. */
+    /** Longest row that is streamed; a greater length is treated as corrupt. */
     private static final int MAX_ROW_BYTES = 1 << 24;
 
     private static final int MAX_OTHER_MESSAGE_BYTES = 1 << 13;
     private static final int READY_FOR_QUERY_BYTES = 1;
-    /** Bounds all messages of one reply together, as notices could otherwise go on without end. */
+    /** Limit for all messages of a response together except a streamed row: notices alone could go on without end. */
     private static final int MAX_RESPONSE_BYTES = MAX_BUFFERED_ROW_BYTES + (1 << 16);
-    /** What follows the name of a described column: table, number, type, length, modifier, format. */
+    /** Size of what follows a column's name in RowDescription: table, number, type, length, modifier, format. */
     private static final int COLUMN_DESCRIPTION_BYTES = 18;
 
     private static final int INITIAL_BUFFER_BYTES = 256;
@@ -41,28 +41,28 @@
     private final ServerStatus status = new ServerStatus();
     private State state;
     private int receivedBytes;
-    /** The body of the row; null until it has come, and for one that is streamed. */
+    /** Body of the row; null until it arrives, and for a row that is streamed. */
     private byte[] row;
-    /** The error, null while none has come. */
+    /** The error, or null if none has arrived. */
     private ErrorResponse error;
-    /** Whether the error came in place of a result, not within one. */
+    /** Whether the error arrived in place of a result, not within one. */
     private boolean errorIsWholeResponse;
 
     private ServerResponse(State first) {
         state = first;
     }
 
-    /** The reply to the startup message, of which nothing has come. */
+    /** Creates the response to a startup message, before its first byte. */
     public static ServerResponse toStartup() {
         return new ServerResponse(State.STARTUP_SENT);
     }
 
-    /** The reply to a query, of which nothing has come. */
+    /** Creates the response to a query, before its first byte. */
     public static ServerResponse toQuery() {
         return new ServerResponse(State.QUERY_SENT);
     }
 
-    /** The longest body of a server's message of this type, as a {@link MessageReader.LengthLimit}. */
+    /** Implements {@link MessageReader.LengthLimit} for messages from servers. */
     public static int maxLength(byte type) {
         return switch (type) {
             case MessageType.DATA_ROW -> MAX_ROW_BYTES;
@@ -79,17 +79,17 @@
         };
     }
 
-    // ---- The messages, in their order. ----
+    // ---- Messages. ----
 
     /**
      * Accepts the current message of the reader.
      *
-     * @throws PgException where it is malformed, or may not follow what came before
+     * @throws PgException if it is malformed, or is not allowed after the messages before it
      */
     public void accept(MessageReader message) throws PgException {
         receivedBytes += message.length();
         if (receivedBytes > MAX_RESPONSE_BYTES) {
-            throw new PgException("a reply of over " + MAX_RESPONSE_BYTES + " bytes");
+            throw new PgException("response exceeds " + MAX_RESPONSE_BYTES + " bytes");
         }
         switch (message.type()) {
             case MessageType.AUTHENTICATION -> onAuthentication(message);
@@ -100,7 +100,7 @@
             case MessageType.ERROR_RESPONSE -> onError(message);
             case MessageType.READY_FOR_QUERY -> onReadyForQuery(message);
             case MessageType.PARAMETER_STATUS -> status.acceptParameter(message.body());
-            default -> {} // Notices and notifications may come at any time.
+            default -> {} // Notices and notifications may arrive at any time.
         }
     }
 
@@ -144,7 +144,7 @@
      * Begins to stream a row that is too long to be buffered.
      *
      * @param holdsOneValue whether the row has the one column that was described
-     * @return what came before it; only what comes after it will be in the result
+     * @return the buffered bytes before the row; the result will contain only the bytes after the row
      */
     public byte[] beginLongRow(boolean holdsOneValue) throws PgException {
         advance(state == State.ROW_DESCRIBED && holdsOneValue, State.ROW_RECEIVED);
@@ -155,7 +155,7 @@
 
     private void advance(boolean valid, State next) throws PgException {
         if (!valid) {
-            throw new PgException("a message that is malformed or does not fit after " + state);
+            throw new PgException("malformed or unexpected message after " + state);
         }
         state = next;
     }
@@ -174,40 +174,40 @@
                 && row.getInt() == row.remaining();
     }
 
-    /** Whether the body is one string, and not an empty one. */
+    /** Whether the body is a single string that is not empty. */
     private static boolean isOneText(byte[] body) throws PgException {
         return body.length > 1 && CStrings.terminatorIndex(body, 0) == body.length - 1;
     }
 
     // ---- The result. ----
 
-    /** Whether ReadyForQuery has come, so that the connection may be used again. */
+    /** Whether ReadyForQuery has arrived, so that the connection can be reused. */
     public boolean ready() {
         return state == State.READY;
     }
 
-    /** Whether nothing more is to come of this reply. */
+    /** Whether the response is complete. */
     public boolean ended() {
         return ready() || (error != null && error.fatal());
     }
 
-    /** The SQLSTATE of an error, null while none has come. */
+    /** SQLSTATE of the error, or null if none has arrived. */
     public String errorCode() {
         return error == null ? null : error.sqlState();
     }
 
-    /** How many of the reports in it could not be parsed. */
+    /** Number of reports in the response that could not be parsed. */
     public int malformedReports() {
         return status.malformedReports();
     }
 
-    /** How the attempt ended, where nothing more is to come: with this reply, or with its connection within it. */
+    /** Result of the attempt, once the response is complete or its connection has closed. */
     public BackEnd.Result result() {
         Outcome outcome = outcome();
         return result(outcome, outcome == Outcome.OK ? buffer.toByteArray() : null);
     }
 
-    /** The same for a health check, whose row holds the load report. */
+    /** Result of a health check, whose row contains the load report; see {@link #result()}. */
     public BackEnd.Result healthCheckResult() {
         Outcome outcome = outcome();
         if (outcome == Outcome.OK) {
@@ -227,7 +227,7 @@
         return ready() ? Outcome.OK : Outcome.RESET;
     }
 
-    /** An error within a result proves nothing of the request, whatever its code says. */
+    /** An error code proves nothing about the request's execution if the error interrupts a result. */
     private Outcome errorOutcome() {
         if (!errorIsWholeResponse) {
             return Outcome.ERROR;
--- a/pooler/src/main/java/frostreel/pg/ServerStatus.java
+++ b/pooler/src/main/java/frostreel/pg/ServerStatus.java
@@ -3,8 +3,8 @@
 import frostreel.routing.Router;
 
 /**
- * What a server reports of itself beside its response: its role, its commit position and its load. A report that cannot
- * be parsed is counted and otherwise ignored, as the value that comes with it is valid all the same.
+ * Role, commit position and load that a server reports along with a response. A report that cannot be parsed is counted
+ * and otherwise ignored, as the value in the response may still be valid.
  */
 final class ServerStatus {
     private static final int US_PER_MS = 1000;
@@ -14,7 +14,7 @@
     private Router.Report loadReport;
     private int malformedReports;
 
-    /** Takes the body of a ParameterStatus message, which holds a name and a value. */
+    /** Reads the body of a ParameterStatus message, which consists of a name and a value. */
     void acceptParameter(byte[] body) {
         try {
             int nameEnd = CStrings.terminatorIndex(body, 0);
@@ -32,7 +32,7 @@
         }
     }
 
-    /** Takes the text of a load report that is the value of a response. */
+    /** Reads a load report that is the value of a response. */
     void acceptLoadReport(String text) {
         try {
             loadReport = LoadReport.parse(text);
@@ -53,12 +53,12 @@
         return role;
     }
 
-    /** The commit position, 0 where none was reported. */
+    /** Commit position, or 0 if none was reported. */
     long positionUs() {
         return positionUs;
     }
 
-    /** The load report, null where none was sent. */
+    /** Load report, or null if none was sent. */
     Router.Report loadReport() {
         return loadReport;
     }
--- a/pooler/src/main/java/frostreel/pg/SqlState.java
+++ b/pooler/src/main/java/frostreel/pg/SqlState.java
@@ -1,17 +1,17 @@
 package frostreel.pg;
 
-/** The SQLSTATE codes of errors that the pooler sends or understands. */
+/** SQLSTATE codes of errors that the pooler sends or understands. */
 public final class SqlState {
     /** The request was rejected before it had any effect. */
     public static final String TOO_MANY_CONNECTIONS = "53300";
 
-    /** The process accepts no clients, as it is starting or draining. */
+    /** The process accepts no clients because it is starting or draining. */
     public static final String CANNOT_CONNECT_NOW = "57P03";
 
     public static final String PROTOCOL_VIOLATION = "08P01";
     public static final String FEATURE_NOT_SUPPORTED = "0A000";
 
-    /** The statement is not one that is served here. */
+    /** The pooler does not serve the statement. */
     public static final String INVALID_PARAMETER_VALUE = "22023";
 
     /** It is unknown whether the request took effect. */
--- a/pooler/src/main/java/frostreel/pg/Statement.java
+++ b/pooler/src/main/java/frostreel/pg/Statement.java
@@ -5,13 +5,13 @@
 import java.util.Arrays;
 
 /**
- * A statement in one of the two forms that are served, a read and a write, with its comment of names and values. Its
- * bytes are forwarded unchanged but for the value of {@code d}, the client's timeout, which is replaced for each server
- * by the time that is left. No other statement is forwarded: a server may close its connection over one that it cannot
+ * A statement in one of the two supported forms, a read and a write, with a comment of {@code name=value} fields. It is
+ * forwarded unchanged except for the field {@code d}, the client's timeout, which is replaced in each attempt by the
+ * remaining time. No other statement is forwarded: a server may close its connection on a statement that it cannot
  * parse, and the failure would be attributed to the server.
  */
 public final class Statement implements Payload {
-    /** Sessions are numbers that a JSON number holds exactly. */
+    /** Limits session numbers to 53 bits, which a JSON number represents exactly. */
     private static final long SESSION_MASK = (1L << 53) - 1;
 
     private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
@@ -29,13 +29,13 @@
     private static final byte[] WRITE_VALUE_START = ascii("', '\\x");
     private static final byte[] WRITE_COMMENT_START = ascii("') RETURNING v /* ");
     private static final byte[] COMMENT_END = ascii(" */\0");
-    /** The text and its terminating zero byte. */
+    /** Text of the statement with its terminating zero byte. */
     private final byte[] sql;
 
     private final boolean write;
     private int position;
     private long sessionHash = FNV_OFFSET_BASIS;
-    /** Where the value of the timeout begins and ends in {@link #sql}. */
+    /** Start index of the timeout's value in {@link #sql}, or {@link #UNSET}; {@link #timeoutTo} is the end. */
     private int timeoutFrom = UNSET;
 
     private int timeoutTo;
@@ -66,9 +66,9 @@
     }
 
     /**
-     * Parses the body of a Query message: the statement and its terminating zero byte.
+     * Parses the body of a Query message: a statement and its terminating zero byte.
      *
-     * @throws PgException where it has neither of the two forms
+     * @throws PgException if it has neither of the two forms
      */
     public static Statement parse(byte[] body) throws PgException {
         return new Statement(body);
@@ -90,7 +90,7 @@
         position += text.length;
     }
 
-    /** Reads the quoted key, and hashes it by FNV-1a into the number of the session. */
+    /** Parses the quoted key and computes its FNV-1a hash, which identifies the session. */
     private void readKey() throws PgException {
         int from = position;
         for (; position < sql.length && sql[position] != '\''; position++) {
@@ -101,7 +101,7 @@
         }
     }
 
-    /** Skips the hexadecimal digits of a written value. */
+    /** Skips the value of a write, which is hexadecimal. */
     private void skipValue() throws PgException {
         int from = position;
         while (position < sql.length && Character.digit(sql[position], HEXADECIMAL) >= 0) {
@@ -112,7 +112,7 @@
         }
     }
 
-    /** Whether the body of a Query message holds nothing but blanks. */
+    /** Whether the body of a Query message contains only spaces, semicolons and newlines. */
     public static boolean isEmpty(byte[] body) throws PgException {
         if (body.length == 0 || body[body.length - 1] != 0) {
             throw new PgException("a query without its end mark");
@@ -125,7 +125,7 @@
         return true;
     }
 
-    /** Reads the fields of the comment, {@code name=value}, between commas. */
+    /** Parses the fields of the comment, {@code name=value} separated by commas. */
     private void readComment(int from, int to) throws PgException {
         int start = from;
         while (start < to) {
@@ -150,7 +150,7 @@
         return end;
     }
 
-    /** The first offset of the character in this range, {@link #UNSET} where there is none. */
+    /** First index of the character in this range, or {@link #UNSET}. */
     private int indexOf(char character, int from, int to) {
         for (int i = from; i < to; i++) {
             if (sql[i] == character) {
@@ -190,52 +190,51 @@
                 return number;
             }
         } catch (NumberFormatException e) {
-            // Thrown below, as for a number out of range.
+            // Reported below, like a number outside the range.
         }
         throw new PgException("a comment whose " + name + " is no number in range");
     }
 
-    /** The id of the request, unique to it. */
+    /** Unique id of the request, chosen by the client. */
     public String id() {
         return id;
     }
 
-    /** Whether it is a write. */
     public boolean write() {
         return write;
     }
 
-    /** Whether it carries an idempotency key. */
+    /** Whether it has an idempotency key. */
     public boolean keyed() {
         return keyed;
     }
 
-    /** The name of its class. */
+    /** Name of its request class. */
     public String requestClass() {
         return requestClass;
     }
 
-    /** How long its client waits for the response. */
+    /** The client's timeout for the response. */
     public long timeoutMs() {
         return timeoutMs;
     }
 
-    /** The replica group that it is for. */
+    /** Number of its replica group. */
     public int group() {
         return group;
     }
 
-    /** The commit position that a read must reflect at least, in Unix milliseconds; 0 for none. */
+    /** Minimum commit position that a read must reflect, in Unix milliseconds; 0 for none. */
     public long requiredPositionMs() {
         return requiredPositionMs;
     }
 
-    /** Whether it is a retry by its client. */
+    /** Whether the client marked it as a retry. */
     public boolean repeated() {
         return repeated;
     }
 
-    /** The number of its session: a hash of the key. */
+    /** Number of its session, a hash of the key. */
     public long session() {
         return (sessionHash ^ sessionHash >>> 32) & SESSION_MASK;
     }
