--- a/pooler/src/main/java/frostreel/broker/ActiveRequest.java
+++ b/pooler/src/main/java/frostreel/broker/ActiveRequest.java
@@ -9,11 +9,11 @@
 import frostreel.util.SlotTable;
 
 /**
- * The state of one request from its submission until it is answered and its last attempt has ended. Owned by the
- * {@link Broker}, on the I/O thread.
+ * State of one request, from its submission until it is closed and its last attempt has ended. Owned by the {@link
+ * Broker} and used only on the I/O thread.
  */
 final class ActiveRequest {
-    /** {@link #firstMaybeExecutedUs} while no attempt can have been executed. */
+    /** Value of {@link #firstMaybeExecutedUs} while no attempt can have been executed. */
     static final long NOT_EXECUTED = Long.MAX_VALUE;
 
     private static final int US_PER_MS = 1000;
@@ -21,32 +21,32 @@
     final RequestAttributes attributes;
     final Payload payload;
     final ResponseHandler handler;
-    /** The rules of its class, from the settings at its submission. */
+    /** Its class in the settings that were in effect at its submission. */
     final Router.RequestClass requestClass;
 
     final int maxAttempts;
 
-    /** Its slot in the {@link RequestTable}. */
+    /** Its handle in the {@link RequestTable}. */
     long handle;
-    /** The name by which the router knows it, made of the handle. */
+    /** Its id in calls to and from the router, derived from the handle. */
     String routerId;
 
-    /** It has its response, or needs none any more. */
+    /** Whether it has its final response or no longer needs one. */
     boolean closed;
-    /** A long response has begun, and its bytes are forwarded as they arrive. */
+    /** Whether a long response has begun, whose bytes are forwarded as they arrive. */
     boolean streaming;
 
-    /** How many attempts the router has asked for, including those that were not sent. */
+    /** Number of attempts that the router has requested, including those that were not sent. */
     int attemptCount;
-    /** The back end's handle of the attempt in flight, {@link SlotTable#NONE} for none. */
+    /** The back end's handle of the attempt in flight, or {@link SlotTable#NONE}. */
     long attemptHandle = SlotTable.NONE;
-    /** Where the last attempt was sent, null while none was. */
+    /** Member to which the last attempt was sent, or null if none was. */
     String lastMemberId;
 
     long lastSentUs;
-    /** How the last attempt ended, null while none has. */
+    /** Outcome of the last attempt that ended, or null. */
     Outcome lastOutcome;
-    /** When the first attempt was sent that may have been executed. */
+    /** Time at which the first attempt that may have been executed was sent. */
     long firstMaybeExecutedUs = NOT_EXECUTED;
 
     Deadlines.Deadline attemptTimeout;
@@ -65,7 +65,7 @@
         this.maxAttempts = maxAttempts;
     }
 
-    /** Marks it as answered, also where it needs no response any more. */
+    /** Closes it and cancels its overdue timeout. */
     void markClosed(Deadlines deadlines) {
         closed = true;
         deadlines.cancel(overdueTimeout);
@@ -83,7 +83,7 @@
         return requestClass.access() == Router.Access.WRITE;
     }
 
-    /** From when on no attempt may begin: the deadline, or the end of the time in which a retry is safe. */
+    /** Time from which no attempt may begin: the deadline, or the end of the period in which a retry is safe. */
     long latestBeginUs() {
         long deadlineUs = attributes.deadlineUs();
         if (firstMaybeExecutedUs == NOT_EXECUTED) {
@@ -96,7 +96,7 @@
         };
     }
 
-    /** Describes it for the log: its sender's id, its attempts and the time left. */
+    /** Describes it for the log: the client's id for it, its attempts and the remaining time. */
     String describe(long nowUs) {
         return "request " + attributes.id() + " of class " + requestClass.name()
                 + ", attempts " + attemptCount + describeLastAttempt()
--- a/pooler/src/main/java/frostreel/broker/AttemptRunner.java
+++ b/pooler/src/main/java/frostreel/broker/AttemptRunner.java
@@ -12,11 +12,11 @@
 import java.util.function.Consumer;
 
 /**
- * Runs the attempts of requests on the back end, ends them in time, and reports each one's outcome to the router.
- * Used on the I/O thread alone.
+ * Runs attempts on the back end, applies their timeouts, and reports the outcome of each to the router. Used only on
+ * the I/O thread.
  */
 final class AttemptRunner {
-    /** The position of an attempt that told none. */
+    /** Commit position of an attempt for which the server reported none. */
     private static final long NO_POSITION = 0;
 
     private final Clock clock;
@@ -30,7 +30,7 @@
     private final EventQueue events;
     private final Consumer<ActiveRequest> onDisconnect;
 
-    /** {@code onDisconnect}: withdraws a request whose client turns out to have disconnected. */
+    /** {@code onDisconnect} withdraws a request whose client has disconnected. */
     AttemptRunner(
             Clock clock,
             Deadlines deadlines,
@@ -54,7 +54,7 @@
         this.onDisconnect = onDisconnect;
     }
 
-    /** Passes the events of one attempt on. */
+    /** Forwards the events of one attempt. */
     private final class RunningAttempt implements BackEnd.AttemptListener {
         private final ActiveRequest request;
         private final int attempt;
@@ -80,12 +80,12 @@
         }
     }
 
-    // ---- The begin of an attempt. ----
+    // ---- Start of an attempt. ----
 
     /**
-     * Starts the next attempt of an unanswered request. Whatever the router asks for, there are never two attempts in
-     * flight, none past the limit, the deadline or the time in which a retry is safe, and none for a client that has
-     * disconnected: such an attempt is reported as not sent.
+     * Starts the next attempt of an open request. An attempt is not sent, and is reported to the router as such, if
+     * another attempt of the request is in flight, the limit on attempts is reached, the deadline or the period in
+     * which a retry is safe is over, or the client has disconnected.
      */
     void start(ActiveRequest request, String memberId, long timeoutUs) {
         int attempt = request.attemptCount++;
@@ -106,7 +106,7 @@
         startTimeout(request, attempt, now, leftUs);
     }
 
-    /** Asked right before an attempt's first byte: the client may have disconnected without this being read yet. */
+    /** Whether an attempt may begin now. Also detects a disconnect of the client that no event has reported yet. */
     private boolean requestAllowsAttempt(ActiveRequest request) {
         if (request.closed || clock.now() >= request.latestBeginUs()) {
             return false;
@@ -118,7 +118,7 @@
         return connected && !request.closed;
     }
 
-    /** An attempt that has not begun when it no longer may ends then; one that has begun, after all its time. */
+    /** Stops the attempt at its timeout, or at the latest time to begin if it has not begun by then. */
     private void startTimeout(ActiveRequest request, int attempt, long nowUs, long leftUs) {
         long beginWithinUs = Math.min(leftUs, request.latestBeginUs() - nowUs);
         request.attemptTimeout = deadlines.after(
@@ -134,7 +134,7 @@
                 }));
     }
 
-    // ---- The end of an attempt. ----
+    // ---- End of an attempt. ----
 
     /** Stops the latest attempt, if it is in flight and no long response has begun. */
     void stopLatest(ActiveRequest request, Outcome outcome) {
@@ -142,8 +142,8 @@
     }
 
     /**
-     * Stops this attempt, if it is in flight and no long response has begun. One that never reached its server counts
-     * as not sent, which proves that it was not executed.
+     * Stops this attempt, if it is in flight and no long response has begun. If it cannot have reached its server, it
+     * ends as not sent, which proves that it was not executed.
      */
     void stop(ActiveRequest request, int attempt, Outcome outcome) {
         if (request.hasAttemptInFlight() && request.isLatestAttempt(attempt) && !request.streaming) {
@@ -192,7 +192,7 @@
         }
     }
 
-    /** Called before the response: once its client has that, it may read through another process. */
+    /** Called before the response is passed on, as its client may then read through another process. */
     private void reportWriteEnded(long nowUs, ActiveRequest request, Outcome outcome, long positionUs) {
         if (request.isWrite()) {
             writeObserver.onEnded(
@@ -216,7 +216,7 @@
 
     // ---- Long responses. ----
 
-    /** A long response that has begun is final; the router is notified of the time to its first bytes. */
+    /** Closes the request, as a response that has begun is final; the router gets the time to the first bytes. */
     private BackEnd.ResponseStream onLongResponse(ActiveRequest request, int attempt, BackEnd.ResponseSource source) {
         if (request.closed || !request.isLatestAttempt(attempt)) {
             return null;
--- a/pooler/src/main/java/frostreel/broker/Broker.java
+++ b/pooler/src/main/java/frostreel/broker/Broker.java
@@ -20,14 +20,14 @@
 import java.util.logging.Logger;
 
 /**
- * Owns the requests: passes events to the {@link Router}, which decides, and carries its actions out. It knows no
- * protocol: a front end submits opaque payloads, a {@link BackEnd} reports outcomes. It runs on the I/O thread
- * alone.
+ * Owns the active requests. It passes events to the {@link Router}, which makes the decisions, and executes its
+ * actions. It is independent of the protocol: a front end submits opaque payloads, and a {@link BackEnd} reports
+ * outcomes. Used only on the I/O thread.
  */
 public final class Broker implements Router.Actions {
     /**
-     * The share of the settings' slack after a deadline at which a request that the router left unanswered is failed
-     * here; the rest of the slack is for the response's way to the client.
+     * Fraction of the settings' response slack after which the broker fails a request that the router left open past
+     * its deadline. The rest of the slack is for sending the response to the client.
      */
     private static final double OVERDUE_SHARE = 0.75;
 
@@ -44,7 +44,7 @@
     private final Set<Integer> knownGroups = new HashSet<>();
     private Router.Settings settings;
 
-    /** A broker that logs no single requests, and notifies no other process of its writes. */
+    /** Creates a broker that does not log individual requests and does not report writes to other processes. */
     public Broker(
             Clock clock,
             Deadlines deadlines,
@@ -66,10 +66,10 @@
     }
 
     /**
-     * Makes a broker and, by the factory, its router.
+     * Creates a broker and, with the factory, its router.
      *
-     * @param maxRequests how many requests may be active at once; further ones are rejected
-     * @param writeObserver is notified of the attempts of writes, for the processes that serve beside this one
+     * @param maxRequests the maximum number of active requests; more are rejected
+     * @param writeObserver observes write attempts on behalf of the pooler's other processes
      */
     public Broker(
             Clock clock,
@@ -105,27 +105,28 @@
 
     // ---- Events from the front end and from discovery. ----
 
-    /** Applies new settings to requests submitted from now on; active ones keep theirs. */
+    /** Applies new settings to future requests; active requests keep theirs. */
     public void updateSettings(Router.Settings settings) {
         this.settings = settings;
         events.run(() -> router.onSettings(settings));
     }
 
-    /** The wait that a rejection may advise: at most the settings' maximum, 0 where they allow no advice. */
+    /** Limits a Retry-After to the maximum of the settings; 0 if they disable Retry-After. */
     public long retryAfterUs(long wantedUs) {
         Limits limits = settings.limits();
         return limits.retryAfterAllowed() ? Math.min(wantedUs, limits.maxRetryAfterUs()) : 0;
     }
 
-    /** Whether a request to which its sender gave this id is active; one with the same id would be a hedged request. */
+    /** Whether a request with this id of a client is active; a second one would be a hedged request. */
     public boolean isActive(String clientRequestId) {
         return requests.containsClientRequestId(clientRequestId);
     }
 
     /**
-     * Takes a request; its handler may be called before this returns.
+     * Accepts or rejects a request. Its handler may be called before this method returns.
      *
-     * @return the handle by which its sender may withdraw it; {@link SlotTable#NONE} where it was rejected at once
+     * @return the handle for {@link #onClientDisconnected} and {@link #onClientCancelled}, or {@link SlotTable#NONE} if
+     *     the request was rejected immediately
      */
     public long submit(RequestAttributes attributes, Payload payload, ResponseHandler handler) {
         counters.requestsSubmitted++;
@@ -161,7 +162,7 @@
         return deadlineUs + (long) (settings.rules().responseSlackUs() * OVERDUE_SHARE);
     }
 
-    /** The client has disconnected; its handler is not called any more. A stale handle does nothing. */
+    /** The client has disconnected; its handler is no longer called. A stale handle is ignored. */
     public void onClientDisconnected(long handle) {
         events.run(() -> {
             ActiveRequest request = requests.get(handle);
@@ -192,8 +193,8 @@
     }
 
     /**
-     * The client cancels its request, which is answered as cancelled; nothing is done where it was answered, or
-     * its response has begun. A stale handle does nothing.
+     * The client cancels its request, which ends as cancelled. Ignored if the request is closed, which includes a long
+     * response that has begun, or if the handle is stale.
      */
     public void onClientCancelled(long handle) {
         events.run(() -> {
@@ -207,7 +208,7 @@
         });
     }
 
-    /** Stops an attempt that has not begun, whether or not the settings let attempts be cancelled. */
+    /** Closes the request and stops its attempt if that has not begun, even if the settings disable cancelling. */
     private void withdraw(ActiveRequest request) {
         request.markClosed(deadlines);
         router.onClientDisconnected(clock.now(), request.routerId);
@@ -217,13 +218,13 @@
         requests.removeIfDone(request);
     }
 
-    /** Takes a complete endpoint list, or changes to it. */
+    /** Passes an endpoint list, an endpoint list update, or its failure, to the router. */
     public void updateMembers(Router.ListKind kind, List<Router.Member> members) {
         members.forEach(member -> knownGroups.add(member.group()));
         events.run(() -> router.onMembers(clock.now(), kind, members));
     }
 
-    /** How many requests are active and not yet answered. */
+    /** Number of requests that are not yet closed. */
     public int openRequests() {
         return requests.countOpen();
     }
@@ -232,7 +233,7 @@
         return request.describe(clock.now());
     }
 
-    // ---- Requests that the router left unanswered. ----
+    // ---- Overdue requests. ----
 
     private void onOverdue(ActiveRequest request) {
         if (!request.closed) {
@@ -245,7 +246,7 @@
         }
     }
 
-    // ---- The router's actions; those on requests that are no longer active do nothing. ----
+    // ---- Actions of the router; ignored for requests that are no longer active. ----
 
     @Override
     public void send(String requestId, String memberId, long timeoutUs) {
@@ -311,7 +312,7 @@
         LOG.info(text);
     }
 
-    /** Discovery is watched from the start, whether or not the router asks. */
+    /** Does nothing, as the pooler subscribes to discovery by itself at startup. */
     @Override
     public void subscribe() {}
 }
--- a/pooler/src/main/java/frostreel/broker/EventQueue.java
+++ b/pooler/src/main/java/frostreel/broker/EventQueue.java
@@ -6,8 +6,8 @@
 import java.util.logging.Logger;
 
 /**
- * Runs events one after another: an action taken during one event may cause another, which must not reach the router
- * before the first has returned. Used on the I/O thread alone.
+ * Runs events one at a time, in order: an action during one event may cause another, which must not reach the router
+ * before the first has returned. Used only on the I/O thread.
  */
 final class EventQueue {
     private static final Logger LOG = Logger.getLogger(EventQueue.class.getName());
@@ -19,7 +19,7 @@
         this.counters = counters;
     }
 
-    /** Runs the event at once, or, while another is running, after all that are queued. */
+    /** Runs the event immediately or, if another is running, after that and all queued events. */
     void run(Runnable event) {
         events.add(event);
         if (running) {
@@ -35,7 +35,7 @@
         }
     }
 
-    /** An exception in one event must not end the process; its request is answered when it is overdue. */
+    /** Logs an exception, which must not end the process; the affected request fails when it is overdue. */
     private void runGuarded(Runnable event) {
         try {
             event.run();
--- a/pooler/src/main/java/frostreel/broker/RequestTable.java
+++ b/pooler/src/main/java/frostreel/broker/RequestTable.java
@@ -4,7 +4,7 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** The active requests, by handle, and the ids that their senders gave them. Used on the I/O thread alone. */
+/** Active requests by handle, and the ids that clients chose for them. Used only on the I/O thread. */
 final class RequestTable {
     private final SlotTable<ActiveRequest> slots;
     private final Set<String> clientRequestIds = new HashSet<>();
@@ -13,29 +13,29 @@
         slots = new SlotTable<>(capacity);
     }
 
-    /** Gives the request a slot, and its handle; false where the table is full. */
+    /** Reserves a slot for the request and sets its handle. Returns false if the table is full. */
     boolean reserveSlot(ActiveRequest request) {
         request.handle = slots.add(request);
         return request.handle != SlotTable.NONE;
     }
 
-    /** Frees the slot of a request that was not opened. */
+    /** Frees the slot of a request that was rejected before {@link #open}. */
     void freeSlot(ActiveRequest request) {
         slots.remove(request.handle);
     }
 
-    /** Makes the request known by its sender's id and by the router's. */
+    /** Registers the client's id of the request and sets the router's. */
     void open(ActiveRequest request) {
         clientRequestIds.add(request.attributes.id());
         request.routerId = Long.toString(request.handle);
     }
 
-    /** The request, or null where the handle is stale. */
+    /** Returns the request, or null if the handle is stale. */
     ActiveRequest get(long handle) {
         return slots.get(handle);
     }
 
-    /** The request that the router knows by this id, or null where its slot was freed or used again. */
+    /** Returns the request with this id of the router, or null if its slot was freed or reused. */
     ActiveRequest byRouterId(String routerId) {
         return slots.get(Long.parseLong(routerId));
     }
@@ -44,7 +44,7 @@
         return clientRequestIds.contains(clientRequestId);
     }
 
-    /** Removes an answered request; it keeps its slot while it has an attempt in flight. */
+    /** Removes the request if it is closed and has no attempt in flight. */
     void removeIfDone(ActiveRequest request) {
         if (request.closed && !request.hasAttemptInFlight()) {
             slots.remove(request.handle);
--- a/pooler/src/main/java/frostreel/request/BackEnd.java
+++ b/pooler/src/main/java/frostreel/request/BackEnd.java
@@ -3,57 +3,58 @@
 import frostreel.routing.Router;
 
 /**
- * Carries attempts and health checks to servers, and reports the end of each once, at the earliest within the call
- * that began it. Used on the I/O thread alone.
+ * Sends attempts and health checks to servers and reports the end of each exactly once, unless it was abandoned. It may
+ * report the end before the call that started it returns. Used only on the I/O thread.
  */
 public interface BackEnd {
     /**
-     * How an attempt ended, with what the response reported of its server.
+     * Result of an attempt or a health check, with what the response reported about its server.
      *
-     * @param positionUs the commit position that the server reported, 0 for none
-     * @param report the server's load report, null for none
-     * @param response the bytes of the response, set for {@link Router.Outcome#OK} alone
+     * @param positionUs the commit position that the server reported, or 0 for none
+     * @param report the server's load report, or null for none
+     * @param response the bytes of an attempt's response if the outcome is {@link Router.Outcome#OK}, else null
      */
-    @SuppressWarnings("ArrayRecordComponent") // Never compared; the bytes are passed on.
+    @SuppressWarnings("ArrayRecordComponent") // Results are never compared.
     record Result(Router.Outcome outcome, Router.Role role, long positionUs, Router.Report report, byte[] response) {
-        /** A result without a response, from which nothing is known of the server. */
+        /** Creates a result that contains nothing but the outcome. */
         public static Result of(Router.Outcome outcome) {
             return new Result(outcome, Router.Role.UNKNOWN, 0, null, null);
         }
     }
 
-    /** The source of a long response, which can be paused for a slow reader. */
+    /** Source of a long response, which can be paused while its receiver is slow. */
     interface ResponseSource {
-        /** Delivers nothing more until {@link #resume}, except what was read already. */
+        /** Stops delivery until {@link #resume}; bytes that were read before are still delivered. */
         void pause();
 
-        /** Delivers again. */
+        /** Resumes delivery. */
         void resume();
     }
 
-    /** Receives a long response piece by piece. */
+    /** Receiver of a long response, piece by piece. */
     interface ResponseStream {
-        /** Takes the next bytes, which are not changed afterwards. */
+        /** Receives the next bytes. The caller does not modify the array afterwards. */
         void write(byte[] bytes);
     }
 
-    /** Is notified of the progress of one attempt or health check. */
+    /** Listener for one attempt or health check. */
     interface AttemptListener {
-        /** It has ended; for a long response, {@code result} holds the part of it that follows the pieces. */
+        /** Called when it has ended. For a long response, {@code result} contains what follows the streamed pieces. */
         void ended(Result result);
 
         /**
-         * A response too long to be buffered begins; it is delivered as it arrives, and has no timeout from now on.
+         * Called when a response begins that is too long to be buffered. It is delivered as it arrives, and the
+         * attempt's timeout no longer applies.
          *
-         * @return the receiver of the response, null where it is no longer wanted
+         * @return the receiver of the response, or null if it is no longer needed
          */
         default ResponseStream longResponseBegins(ResponseSource source) {
             return null;
         }
 
         /**
-         * Asked right before the first byte is written of an attempt that had to wait for its connection. If it
-         * may not begin any more, it ends as {@link Router.Outcome#NOT_SENT}.
+         * Whether an attempt that waited for a connection may still begin. Called immediately before its first byte is
+         * written. If not, the attempt ends as {@link Router.Outcome#NOT_SENT}.
          */
         default boolean mayBegin() {
             return true;
@@ -63,17 +64,17 @@
     /**
      * Starts an attempt.
      *
-     * @param timeoutUs how long its sender will wait for the response
+     * @param timeoutUs the remaining time for the response
      * @return the handle of the attempt
      */
     long start(String memberId, Payload payload, long timeoutUs, AttemptListener listener);
 
-    /** Whether a byte of the attempt may have been written; true for an attempt that has ended. */
+    /** Whether any byte of the attempt may have been sent; also true for an attempt that has ended. */
     boolean hasBegun(long attemptHandle);
 
-    /** Abandons an attempt; its listener is not called any more. True where the request may have reached the server. */
+    /** Abandons an attempt, whose listener is no longer called. Returns whether it may have reached the server. */
     boolean abandon(long attemptHandle);
 
-    /** Asks a server for its load report. */
+    /** Requests a server's load report. */
     void checkHealth(String memberId, AttemptListener listener);
 }
--- a/pooler/src/main/java/frostreel/request/Payload.java
+++ b/pooler/src/main/java/frostreel/request/Payload.java
@@ -1,7 +1,7 @@
 package frostreel.request;
 
-/** The bytes of a request, opaque to the broker. */
+/** Content of a request, opaque to the broker. */
 public interface Payload {
-    /** The bytes to send to a server; {@code timeoutUs}: how long the sender will wait for the response. */
+    /** Returns the bytes to send to a server; {@code timeoutUs} is the remaining time for the response. */
     byte[] forServer(long timeoutUs);
 }
--- a/pooler/src/main/java/frostreel/request/RequestAttributes.java
+++ b/pooler/src/main/java/frostreel/request/RequestAttributes.java
@@ -1,15 +1,15 @@
 package frostreel.request;
 
 /**
- * What the router needs to know of a request.
+ * Attributes of a request that the router needs.
  *
- * @param id the id that its sender gave it
+ * @param id the id that the client chose
  * @param classIndex the index of its class in the settings
  * @param session the number of its session
- * @param group the number of the replica group that it is for
- * @param deadlineUs when its response is due
- * @param sinceWriteUs the commit position that a read must reflect at least, 0 for any
- * @param repeated whether it is a retry by its sender
+ * @param group the number of its replica group
+ * @param deadlineUs the time at which its response is due, on the pooler's clock
+ * @param sinceWriteUs the age of its session's last write, or {@link frostreel.routing.Router#NO_WRITE}
+ * @param repeated whether the client marked it as a retry
  */
 public record RequestAttributes(
         String id, int classIndex, long session, int group, long deadlineUs, long sinceWriteUs, boolean repeated) {}
