--- a/pooler/src/test/java/frostreel/FailoverTest.java
+++ b/pooler/src/test/java/frostreel/FailoverTest.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Retries on other members after errors, wrong roles, timeouts and broken connections. */
+/** Retries on other members after errors, wrong roles, timeouts and connection failures. */
 class FailoverTest extends AbstractPoolerTest {
     @Test
     void retriesWriteOnTheNextMemberAfterWrongRoleAndRemembersThePrimary() throws Exception {
@@ -26,7 +26,7 @@
         }
     }
 
-    /** Checks that a read which the replica fails is served by the primary. */
+    /** Asserts that the primary serves a read whose attempt on the replica fails. */
     private void assertReadServedByPrimary() throws Exception {
         try (WireConnection client = harness.client()) {
             assertThat(value(client.execute(readSql("1", 9000)))).isEqualTo("from-primary");
@@ -88,7 +88,8 @@
             replica.script = rows("back", "replica");
             primary.script = rows("back", "primary");
             List<String> response = client.execute(readSql("2", 9000));
-            while (response.get(0).startsWith("E")) { // Requests may be shed while the server is suspected.
+            while (response.get(0)
+                    .startsWith("E")) { // Requests may be rejected while the server is suspected to be down.
                 response = client.execute(readSql("2", 9000));
             }
             assertThat(value(response)).isEqualTo("back");
--- a/pooler/src/test/java/frostreel/RetryAfterTest.java
+++ b/pooler/src/test/java/frostreel/RetryAfterTest.java
@@ -5,11 +5,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The Retry-After of requests that are rejected near the limit on connections. */
+/** Retry-After of requests that are rejected near the limit on client connections. */
 class RetryAfterTest extends AbstractPoolerTest {
     private WireConnection lastClient;
 
-    /** Starts the pooler, occupies clients up to the busy limit, and returns the error that the next request gets. */
+    /** Starts the pooler, keeps as many clients busy as the limit allows, and returns the next request's error. */
     private String rejection() throws Exception {
         harness.unlimitedConcurrency = true;
         leaveRequestsUnanswered();
--- a/pooler/src/test/java/frostreel/ScriptedPeer.java
+++ b/pooler/src/test/java/frostreel/ScriptedPeer.java
@@ -10,15 +10,15 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** A database server or an HTTP agent that responds by a script. */
+/** A database server or discovery agent that responds as a script defines. */
 final class ScriptedPeer {
-    /** What the peer speaks. */
+    /** Protocol of the peer. */
     enum Protocol {
         POSTGRESQL,
         HTTP
     }
 
-    /** How the peer responds to one message, on the connection that it arrived by. */
+    /** Sends the response to one message on the connection that received it. */
     interface Script {
         void respond(String text, WireConnection link) throws IOException;
     }
@@ -28,20 +28,20 @@
     private static final String HEALTH_CHECK = "QSHOW load|";
 
     final ServerSocket listener;
-    /** The messages that arrived, without health checks. */
+    /** Messages that arrived, except health checks. */
     final BlockingQueue<String> received = new LinkedBlockingQueue<>();
     /** One entry for each connection that has ended. */
     final BlockingQueue<String> closedConnections = new LinkedBlockingQueue<>();
-    /** How many connections were accepted. */
+    /** Number of connections accepted. */
     final AtomicInteger connections = new AtomicInteger();
 
     volatile Script script;
-    /** How a server responds to the startup message. */
+    /** Response of a server to the startup message. */
     volatile Script handshake = (text, link) -> link.completeHandshake();
 
     private final Thread acceptor;
 
-    /** Listens on a free port of loopback. */
+    /** Listens on a free port of the loopback address. */
     ScriptedPeer(Protocol protocol, Script script) throws IOException {
         this.script = script;
         listener = new ServerSocket(ANY_PORT, BACKLOG, InetAddress.getLoopbackAddress());
@@ -97,7 +97,7 @@
         return "127.0.0.1:" + listener.getLocalPort();
     }
 
-    /** Once this returns, connections are refused; while the acceptor runs, the port stays open. */
+    /** Stops listening. Waits for the acceptor, because the port stays open until its call of accept returns. */
     void close() throws Exception {
         listener.close();
         acceptor.join();
--- a/pooler/src/test/java/frostreel/ServerProtocolTest.java
+++ b/pooler/src/test/java/frostreel/ServerProtocolTest.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Malformed, surplus and unreadable bytes from servers. */
+/** Malformed responses, surplus bytes and malformed reports from servers. */
 class ServerProtocolTest extends AbstractPoolerTest {
     @Test
     void retriesAfterMalformedResponse() throws Exception {
@@ -47,7 +47,7 @@
         assertThat(valueBeyondEndOfRow).isNotEqualTo(valid);
         List<Map.Entry<String, byte[]>> corruptResponses = List.of(
                 Map.entry("two columns", twoColumns),
-                Map.entry("value beyond its row", valueBeyondEndOfRow),
+                Map.entry("value beyond end of row", valueBeyondEndOfRow),
                 Map.entry("row of 2 GiB", new byte[] {'D', 127, -1, -1, -1}),
                 Map.entry("unknown type", new byte[] {'%', 0, 0, 1, 0}),
                 Map.entry("completion without row", TestMessages.bytes('C', "SELECT 1|")),
--- a/pooler/src/test/java/frostreel/TestMessages.java
+++ b/pooler/src/test/java/frostreel/TestMessages.java
@@ -3,29 +3,29 @@
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
 
-/** Builds and reads the messages of clients, servers and discovery agents. */
+/** Encoding and parsing of the messages of clients, servers and discovery agents. */
 final class TestMessages {
-    /** ReadyForQuery, outside of a transaction. */
+    /** ReadyForQuery outside a transaction block. */
     static final byte[] READY = bytes('Z', new byte[] {'I'});
 
     private TestMessages() {}
 
-    /** Returns an HTTP response with these further header lines. */
+    /** Returns an HTTP response with these header lines, each of which ends with CRLF. */
     static byte[] http(String head, String body) {
         return ("HTTP/1.1 200 OK\r\n" + head + "\r\n" + body).getBytes(StandardCharsets.UTF_8);
     }
 
-    /** Returns an HTTP response with a length. */
+    /** Returns an HTTP response with Content-Length. */
     static byte[] http(String body) {
         return http("Content-Length: " + body.length() + "\r\n", body);
     }
 
-    /** Returns the id of the request that a peer received; a text without one stands for itself. */
+    /** Returns the id of a request that a peer received, or the text itself if it contains none. */
     static String requestId(String received) {
         return received.replaceAll(".*id=(\\w+),.*", "$1").replace("|", "");
     }
 
-    /** Returns the time left that a request which a peer received states. */
+    /** Returns the remaining time in a request that a peer received, in milliseconds. */
     static int remainingMs(String received) {
         return Integer.parseInt(received.replaceAll(".*,d=(\\d+),.*", "$1").replace("|", ""));
     }
@@ -39,7 +39,7 @@
         return out;
     }
 
-    /** Returns a message of this type. */
+    /** Returns a message with this body. */
     static byte[] bytes(char type, byte[] body) {
         int length = body.length + 4;
         byte[] out = new byte[length + 1];
@@ -49,12 +49,12 @@
         return out;
     }
 
-    /** Returns a message of this type with fields separated by '|'. */
+    /** Returns a message whose body is the text, with a zero byte in place of each '|'. */
     static byte[] bytes(char type, String text) {
         return bytes(type, text.replace('|', '\0').getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    /** Returns a Query. */
+    /** Returns a Query message. */
     static byte[] query(String sql) {
         return bytes('Q', sql + "|");
     }
@@ -64,13 +64,13 @@
         return "SELECT v FROM records WHERE k = '7f3a' /* id=" + id + ",c=look,d=" + deadlineMs + ",cluster=2 */";
     }
 
-    /** Returns a keyed write of the class "post". */
+    /** Returns a write of the class "post" with an idempotency key. */
     static String writeSql(String id, int deadlineMs) {
         return "INSERT INTO records (k, v) VALUES ('7f3a', '\\x9f03') RETURNING v /* id=" + id + ",c=post,d="
                 + deadlineMs + ",k=5c0f,cluster=2 */";
     }
 
-    /** Returns a server's response of one row with its role, without ReadyForQuery. */
+    /** Returns a server's response of one row with its role and current commit position, without ReadyForQuery. */
     static byte[] row(String value, String role) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         out.writeBytes(bytes('T', "\0\1v|" + "|".repeat(18)));
--- a/pooler/src/test/java/frostreel/WireConnection.java
+++ b/pooler/src/test/java/frostreel/WireConnection.java
@@ -10,7 +10,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A connection by PostgreSQL's protocol, as a client or a scripted server uses it. */
+/** PostgreSQL protocol connection of a test client or a scripted server. */
 final class WireConnection implements AutoCloseable {
     final Socket socket;
     final DataInputStream in;
@@ -32,7 +32,7 @@
         out.write(all.toByteArray());
     }
 
-    /** Responds to a startup message as a server that accepts it. */
+    /** Responds to a startup message as a server that accepts the client. */
     void completeHandshake() throws IOException {
         send(TestMessages.bytes('R', new byte[4]), TestMessages.READY);
     }
@@ -44,7 +44,7 @@
         return type + new String(body, StandardCharsets.ISO_8859_1).replace('\0', '|');
     }
 
-    /** Reads a response up to ReadyForQuery, and returns its messages without that. */
+    /** Reads a response up to ReadyForQuery and returns its messages without ReadyForQuery. */
     List<String> readResponse() throws IOException {
         List<String> messages = new ArrayList<>();
         for (String message = take(); !message.startsWith("Z"); message = take()) {
@@ -59,7 +59,7 @@
         return readResponse();
     }
 
-    /** Returns whether the next event is the end of the connection. */
+    /** Returns whether the peer closed the connection; waits for a byte or the close. */
     boolean closedByPeer() throws IOException {
         try {
             return in.read() < 0;
--- a/pooler/src/test/java/frostreel/broker/BrokerTest.java
+++ b/pooler/src/test/java/frostreel/broker/BrokerTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What the broker ensures by itself where the router does nothing, on a clock that tests advance. */
+/** Overdue requests: the broker fails a request that the router leaves open. The tests advance the clock. */
 class BrokerTest {
     private static final long DEADLINE_US = 1_000_000;
     private long nowUs;
@@ -51,7 +51,7 @@
                 new Router.Rules(responseSlackUs, 1_000_000, false, 1, 0, 1, 0));
     }
 
-    /** A broker whose router leaves every request unanswered. */
+    /** Creates a broker whose router leaves every request open. */
     private Broker broker(Router.Settings settings) {
         Broker broker = new Broker(
                 () -> nowUs, deadlines, new Counters(), null, settings, 16, (given, actions) -> new IdleRouter());
--- a/pooler/src/test/java/frostreel/broker/EventQueueTest.java
+++ b/pooler/src/test/java/frostreel/broker/EventQueueTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The order of events, and that an exception in one of them does not affect the others. */
+/** Order of events, and isolation of the others from an exception in one. */
 class EventQueueTest {
     private final Counters counters = new Counters();
     private final EventQueue events = new EventQueue(counters);
--- a/pooler/src/test/java/frostreel/broker/RequestTableTest.java
+++ b/pooler/src/test/java/frostreel/broker/RequestTableTest.java
@@ -6,7 +6,7 @@
 import frostreel.util.SlotTable;
 import org.junit.jupiter.api.Test;
 
-/** By which of its ids a request is found, and until when. */
+/** Lookup of requests by handle and id, and the lifetime of their slots. */
 class RequestTableTest {
     private static final long ATTEMPT = 7;
     private final RequestTable requests = new RequestTable(1);
