--- a/pooler/src/main/java/frostreel/pg/Statement.java
+++ b/pooler/src/main/java/frostreel/pg/Statement.java
@@ -5,13 +5,13 @@
 import java.util.Arrays;
 
 /**
- * A statement in one of the two forms that are served, a read and a write, with its comment of names and values. Its
- * bytes are forwarded unchanged but for the value of {@code d}, the client's timeout, which is replaced for each server
- * by the time that is left. No other statement is forwarded: a server may close its connection over one that it cannot
+ * A statement in one of the two supported forms, a read and a write, with a comment of {@code name=value} fields. It is
+ * forwarded unchanged except for the field {@code d}, the client's timeout, which is replaced in each attempt by the
+ * remaining time. No other statement is forwarded: a server may close its connection on a statement that it cannot
  * parse, and the failure would be attributed to the server.
  */
 public final class Statement implements Payload {
-    /** Sessions are numbers that a JSON number holds exactly. */
+    /** Limits session numbers to 53 bits, which a JSON number represents exactly. */
     private static final long SESSION_MASK = (1L << 53) - 1;
 
     private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
@@ -22,20 +22,20 @@
     private static final int HEXADECIMAL = 16;
     private static final int US_PER_MS = 1000;
     private static final long MIN_TIMEOUT_MS = 1;
-    private static final String NOT_NAMES_AND_VALUES = "a comment of more than names and values";
+    private static final String INVALID_COMMENT_TEXT = "a comment of more than names and values";
     private static final byte[] READ_PREFIX = ascii("SELECT v FROM records WHERE k = '");
     private static final byte[] READ_COMMENT_START = ascii("' /* ");
     private static final byte[] WRITE_PREFIX = ascii("INSERT INTO records (k, v) VALUES ('");
     private static final byte[] WRITE_VALUE_START = ascii("', '\\x");
     private static final byte[] WRITE_COMMENT_START = ascii("') RETURNING v /* ");
     private static final byte[] COMMENT_END = ascii(" */\0");
-    /** The text and its terminating zero byte. */
+    /** Text of the statement with its terminating zero byte. */
     private final byte[] sql;
 
     private final boolean write;
     private int position;
     private long sessionHash = FNV_OFFSET_BASIS;
-    /** Where the value of the timeout begins and ends in {@link #sql}. */
+    /** Start index of the timeout's value in {@link #sql}, or {@link #UNSET}; {@link #timeoutTo} is the end. */
     private int timeoutFrom = UNSET;
 
     private int timeoutTo;
@@ -44,31 +44,31 @@
     private String requestClass;
     private long timeoutMs;
     private int group;
-    private long afterMs;
+    private long requiredPositionMs;
     private boolean repeated;
 
     private Statement(byte[] sql) throws PgException {
         this.sql = sql;
         write = startsWith(WRITE_PREFIX);
-        take(write ? WRITE_PREFIX : READ_PREFIX);
+        expect(write ? WRITE_PREFIX : READ_PREFIX);
         readKey();
         if (write) {
-            take(WRITE_VALUE_START);
+            expect(WRITE_VALUE_START);
             skipValue();
         }
-        take(write ? WRITE_COMMENT_START : READ_COMMENT_START);
+        expect(write ? WRITE_COMMENT_START : READ_COMMENT_START);
         readComment(position, sql.length - COMMENT_END.length);
         position = sql.length - COMMENT_END.length;
-        take(COMMENT_END);
+        expect(COMMENT_END);
         if (requestClass == null || timeoutFrom == UNSET || id == null) {
             throw new PgException("a comment without id, c or d");
         }
     }
 
     /**
-     * Parses the body of a Query message: the statement and its terminating zero byte.
+     * Parses the body of a Query message: a statement and its terminating zero byte.
      *
-     * @throws PgException where it has neither of the two forms
+     * @throws PgException if it has neither of the two forms
      */
     public static Statement parse(byte[] body) throws PgException {
         return new Statement(body);
@@ -83,14 +83,14 @@
                 && Arrays.equals(sql, position, position + text.length, text, 0, text.length);
     }
 
-    private void take(byte[] text) throws PgException {
+    private void expect(byte[] text) throws PgException {
         if (position < 0 || !startsWith(text)) {
             throw new PgException("a statement in neither of the two forms served here");
         }
         position += text.length;
     }
 
-    /** Reads the quoted key, and hashes it by FNV-1a into the number of the session. */
+    /** Parses the quoted key and computes its FNV-1a hash, which identifies the session. */
     private void readKey() throws PgException {
         int from = position;
         for (; position < sql.length && sql[position] != '\''; position++) {
@@ -101,7 +101,7 @@
         }
     }
 
-    /** Skips the hexadecimal digits of a written value. */
+    /** Skips the value of a write, which is hexadecimal. */
     private void skipValue() throws PgException {
         int from = position;
         while (position < sql.length && Character.digit(sql[position], HEXADECIMAL) >= 0) {
@@ -112,7 +112,7 @@
         }
     }
 
-    /** Whether the body of a Query message holds nothing but blanks. */
+    /** Whether the body of a Query message contains only spaces, semicolons and newlines. */
     public static boolean isEmpty(byte[] body) throws PgException {
         if (body.length == 0 || body[body.length - 1] != 0) {
             throw new PgException("a query without its end mark");
@@ -125,14 +125,14 @@
         return true;
     }
 
-    /** Reads the fields of the comment, {@code name=value}, between commas. */
+    /** Parses the fields of the comment, {@code name=value} separated by commas. */
     private void readComment(int from, int to) throws PgException {
         int start = from;
         while (start < to) {
             int end = fieldEnd(start, to);
             int equals = indexOf('=', start, end);
             if (equals <= start) {
-                throw new PgException(NOT_NAMES_AND_VALUES);
+                throw new PgException(INVALID_COMMENT_TEXT);
             }
             readField(new String(sql, start, equals - start, StandardCharsets.US_ASCII), equals + 1, end);
             start = end + 1;
@@ -143,14 +143,14 @@
         int end = start;
         while (end < to && sql[end] != ',') {
             if (sql[end] <= ' ' || sql[end] == '*') {
-                throw new PgException(NOT_NAMES_AND_VALUES);
+                throw new PgException(INVALID_COMMENT_TEXT);
             }
             end++;
         }
         return end;
     }
 
-    /** The first offset of the character in this range, {@link #UNSET} where there is none. */
+    /** First index of the character in this range, or {@link #UNSET}. */
     private int indexOf(char character, int from, int to) {
         for (int i = from; i < to; i++) {
             if (sql[i] == character) {
@@ -176,7 +176,7 @@
                 timeoutTo = to;
             }
             case "cluster" -> group = (int) parseNumber(name, value, Integer.MAX_VALUE);
-            case "after" -> afterMs = parseNumber(name, value, Long.MAX_VALUE / US_PER_MS);
+            case "after" -> requiredPositionMs = parseNumber(name, value, Long.MAX_VALUE / US_PER_MS);
             case "k" -> keyed = !value.isEmpty();
             case "r" -> repeated = value.equals("1");
             default -> {}
@@ -190,52 +190,51 @@
                 return number;
             }
         } catch (NumberFormatException e) {
-            // Thrown below, as for a number out of range.
+            // Reported below, like a number outside the range.
         }
         throw new PgException("a comment whose " + name + " is no number in range");
     }
 
-    /** The id of the request, unique to it. */
+    /** Unique id of the request, chosen by the client. */
     public String id() {
         return id;
     }
 
-    /** Whether it is a write. */
     public boolean write() {
         return write;
     }
 
-    /** Whether it carries an idempotency key. */
+    /** Whether it has an idempotency key. */
     public boolean keyed() {
         return keyed;
     }
 
-    /** The name of its class. */
+    /** Name of its request class. */
     public String requestClass() {
         return requestClass;
     }
 
-    /** How long its client waits for the response. */
+    /** The client's timeout for the response. */
     public long timeoutMs() {
         return timeoutMs;
     }
 
-    /** The replica group that it is for. */
+    /** Number of its replica group. */
     public int group() {
         return group;
     }
 
-    /** The commit position that a read must reflect at least, in Unix milliseconds; 0 for none. */
-    public long afterMs() {
-        return afterMs;
+    /** Minimum commit position that a read must reflect, in Unix milliseconds; 0 for none. */
+    public long requiredPositionMs() {
+        return requiredPositionMs;
     }
 
-    /** Whether it is a retry by its client. */
+    /** Whether the client marked it as a retry. */
     public boolean repeated() {
         return repeated;
     }
 
-    /** The number of its session: a hash of the key. */
+    /** Number of its session, a hash of the key. */
     public long session() {
         return (sessionHash ^ sessionHash >>> 32) & SESSION_MASK;
     }
--- a/pooler/src/test/java/frostreel/RetryAfterTest.java
+++ b/pooler/src/test/java/frostreel/RetryAfterTest.java
@@ -5,11 +5,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The Retry-After of requests that are rejected near the limit on connections. */
+/** Retry-After of requests that are rejected near the limit on client connections. */
 class RetryAfterTest extends AbstractPoolerTest {
     private WireConnection lastClient;
 
-    /** Starts the pooler, occupies clients up to the busy limit, and returns the error that the next request gets. */
+    /** Starts the pooler, keeps as many clients busy as the limit allows, and returns the next request's error. */
     private String rejection() throws Exception {
         harness.unlimitedConcurrency = true;
         withholdResponses();
@@ -27,18 +27,18 @@
     }
 
     @Test
-    void statesTheDefaultRetryAfterWhereAllowed() throws Exception {
+    void advisesTheDefaultRetryAfterIfAllowed() throws Exception {
         assertThat(rejection()).contains("|D200|");
     }
 
     @Test
-    void capsRetryAfterByTheSettings() throws Exception {
+    void capsRetryAfterAtTheMaximumOfTheSettings() throws Exception {
         harness.settings = PoolerHarness.SETTINGS.replace("\"maxRetryAfterS\":2", "\"maxRetryAfterS\":0.12");
         assertThat(rejection()).contains("|D120|");
     }
 
     @Test
-    void statesNoRetryAfterWhereDisabledUntilReload() throws Exception {
+    void advisesNoRetryAfterUntilReloadEnablesIt() throws Exception {
         harness.settings = PoolerHarness.SETTINGS.replace("\"retryAfter\":true", "\"retryAfter\":false");
         assertThat(rejection()).doesNotContain("|D");
         harness.settings = PoolerHarness.SETTINGS;
