--- a/decisions/src/main/java/frostreel/routing/ChainRouter.java
+++ b/decisions/src/main/java/frostreel/routing/ChainRouter.java
@@ -154,7 +154,10 @@
         }
     }
 
-    /** Sends as many of a group's queued requests as possible: first writes, then reads, each newest first. */
+    /**
+     * Sends as many of a group's queued requests as possible: first writes, then reads. Both begin with the most
+     * recently queued; reads that clients marked as retries come last.
+     */
     private void releaseWaiting(long nowUs, GroupState group) {
         components.primaryTracker.suspectIfSilent(nowUs, group);
         WaitingRequests.Queues queues = waiting.of(group);
--- a/decisions/src/main/java/frostreel/routing/RetryPolicy.java
+++ b/decisions/src/main/java/frostreel/routing/RetryPolicy.java
@@ -15,8 +15,8 @@
     /** Capacity of the token bucket. */
     private static final double MAX_TOKENS = 10;
     /**
-     * Backoff of a write, in microseconds, before it is doubled once per attempt made so far. A primary that is merely
-     * full accepts a write within that time.
+     * Base of the exponential backoff of a write, in microseconds, within which a primary that is merely full accepts a
+     * write. It is doubled once per attempt made so far, so that the backoff after the first attempt is twice the base.
      */
     private static final long BACKOFF_BASE_US = 25_000;
     /** Maximum number of times that the backoff doubles. */
@@ -117,7 +117,10 @@
         return outcome.provesNotRun || takeToken(request);
     }
 
-    /** Takes a token, or what is left of one for keyed writes, which are retried even if the bucket is empty. */
+    /**
+     * Takes a token; returns whether the request may be retried. An idempotent request needs a whole token. A keyed one
+     * may always be retried: it takes a token, or empties the bucket if less than a token is left.
+     */
     private boolean takeToken(PendingRequest request) {
         if (tokens < 1 && request.requestClass.idempotency() == Idempotency.IDEMPOTENT) {
             return false;
@@ -179,9 +182,9 @@
     }
 
     /**
-     * Timeout of a read attempt: such that a retry at another member can still be on time if that is possible and a
-     * token is left for it, else the time to the deadline. If the member's window is the smallest, a read is not left
-     * there until its deadline but only while a response has value, as nothing else bounds the member's queue.
+     * Timeout of a read attempt. It is at most the time to the deadline or, at a member whose concurrency window has
+     * its minimum size, the time in which a response has value, as nothing else bounds that member's queue. It is
+     * shortened to leave time for a retry at another member if that can be on time and a token for it is available.
      */
     long readTimeoutUs(long nowUs, PendingRequest request, MemberState member) {
         long untilUs = member.window.isAtMinimum() ? usefulUntilUs(request) : request.original.deadlineUs();
--- a/decisions/src/test/java/frostreel/routing/PrimaryTrackerTest.java
+++ b/decisions/src/test/java/frostreel/routing/PrimaryTrackerTest.java
@@ -60,13 +60,13 @@
     void primaryThatReportsThatItIsAReplicaIsNoLongerKnownAsPrimary() {
         recordPrimary(first, RoleEvidence.RESPONSE, NOW_US);
         tracker.recordRole(group, first, Role.REPLICA, NOW_US, RoleEvidence.RESPONSE);
-        assertThat(group.primary).as("not later").isSameAs(first);
+        assertThat(group.primary).as("evidence as old as that for the primary").isSameAs(first);
         tracker.recordRole(group, first, Role.REPLICA, NOW_US + 1, RoleEvidence.REPORT);
         assertThat(group.primary).isNull();
     }
 
     @Test
-    void memberThatMayNotBeSentToDoesNotBecomePrimary() {
+    void unusableMemberDoesNotBecomePrimary() {
         first.state = State.DRAINING;
         recordPrimary(first, RoleEvidence.RESPONSE, NOW_US);
         assertThat(group.primary).isNull();
