--- a/lab/src/test/java/frostreel/lab/Packages.java
+++ b/lab/src/test/java/frostreel/lab/Packages.java
@@ -6,7 +6,7 @@
 final class Packages {
     /** The packages of which the program loads no class where the configuration does not ask for them. */
     static final List<String> OPTIONAL =
-            List.of("frostreel.cluster", "frostreel.cluster.jgroups", "frostreel.fleet", "frostreel.zones");
+            List.of("frostreel.cluster", "frostreel.cluster.jgroups", "frostreel.membership", "frostreel.zones");
 
     static final List<String> SERVING = List.of(
             "frostreel",
--- a/pooler/src/main/java/frostreel/fleet/ClusterMember.java
+++ b/pooler/src/main/java/frostreel/membership/ClusterMember.java
@@ -1,4 +1,4 @@
-package frostreel.fleet;
+package frostreel.membership;
 
 import frostreel.cluster.ClusterSettings;
 import frostreel.cluster.Membership;
--- a/pooler/src/main/java/frostreel/fleet/package-info.java
+++ b/pooler/src/main/java/frostreel/membership/package-info.java
@@ -5,4 +5,4 @@
  * <p>Confined to the I/O thread, to which the cluster's own threads hand their events. Depends on {@code
  * frostreel.cluster}. Nothing that is served depends on what is known here.
  */
-package frostreel.fleet;
+package frostreel.membership;
