--- a/pooler/src/main/java/frostreel/Pooler.java
+++ b/pooler/src/main/java/frostreel/Pooler.java
@@ -4,9 +4,9 @@
 import frostreel.broker.Broker;
 import frostreel.config.Config;
 import frostreel.control.AdminListener;
-import frostreel.control.ClockAnchor;
 import frostreel.control.CommandExecutor;
 import frostreel.control.PeerProcessCommits;
+import frostreel.control.SharedClock;
 import frostreel.frontend.Listener;
 import frostreel.log.Logging;
 import frostreel.membership.ClusterMember;
@@ -52,7 +52,7 @@
      * @param lingerUs how long a client whose connection was ended may take to end its side
      */
     Pooler(Config config, OperatorSettings operators, long configuredListPatienceUs, long lingerUs) throws IOException {
-        loop = new EventLoop(ClockAnchor.clock(config.commandFolder().orElse(null)));
+        loop = new EventLoop(SharedClock.open(config.commandFolder().orElse(null)));
         PeerProcessCommits peer = PeerProcessCommits.open(config, loop.clock().now());
         loop.onHeartbeat(peer.writeObserver()::onHeartbeat);
         ServerPool pool = new ServerPool(loop, config.settings(), config.maxServerConnections());
--- a/pooler/src/main/java/frostreel/control/ClockAnchor.java
+++ b/pooler/src/main/java/frostreel/control/SharedClock.java
@@ -17,14 +17,14 @@
  * clock between two starts would make their times differ, and the times of commits and commands that they
  * exchange would appear to lie in the future or long ago.
  */
-public final class ClockAnchor {
+public final class SharedClock {
     private static final String FILE_NAME = "clock";
     private static final String UNFINISHED_SUFFIX = ".new";
     private static final Path BOOT_ID_FILE = Path.of("/proc/sys/kernel/random/boot_id");
     private static final long NANOS_PER_MICRO = 1_000;
-    private static final Logger LOG = Logger.getLogger(ClockAnchor.class.getName());
+    private static final Logger LOG = Logger.getLogger(SharedClock.class.getName());
 
-    private ClockAnchor() {}
+    private SharedClock() {}
 
     /**
      * Returns the clock of this process. Reads and may write a small file, so call it before the event loop has
@@ -32,7 +32,7 @@
      *
      * @param folder the folder that the processes of this pooler share, null if there are no others
      */
-    public static Clock clock(Path folder) {
+    public static Clock open(Path folder) {
         Clock own = Clock.system();
         if (folder == null) {
             return own;
--- a/pooler/src/test/java/frostreel/control/ClockAnchorTest.java
+++ b/pooler/src/test/java/frostreel/control/SharedClockTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Processes of one pooler share one clock even if the wall clock is stepped between their starts. */
-class ClockAnchorTest {
+class SharedClockTest {
     private static final long MINUTE_US = 60_000_000;
     private static final long HOUR_US = 60 * MINUTE_US;
     /** By how much a shared clock may be behind the system's, as its offset is taken between two readings. */
@@ -22,13 +22,13 @@
 
     /** How far this process's clock in that folder is ahead of what another clock showed earlier. */
     private static long aheadUs(Path folder, long earlierUs) {
-        return ClockAnchor.clock(folder).now() - earlierUs;
+        return SharedClock.open(folder).now() - earlierUs;
     }
 
     @Test
     void keepsTheFirstOffsetAfterAStepOfTheWallClock() throws Exception {
         long earlierUs = Clock.system().now();
-        ClockAnchor.clock(dir);
+        SharedClock.open(dir);
         String[] words = Files.readString(dir.resolve("clock")).strip().split(" ");
         // As if the first process had started with a wall clock that was an hour ahead.
         Files.writeString(dir.resolve("clock"), words[0] + " " + (Long.parseLong(words[1]) + HOUR_US));
--- a/pooler/src/test/java/frostreel/control/StoredFilesOf223cd4eTest.java
+++ b/pooler/src/test/java/frostreel/control/StoredFilesOf223cd4eTest.java
@@ -177,7 +177,7 @@
         for (String[] row : expected("clock")) {
             String content = whole.substring(0, Integer.parseInt(row[0]));
             Files.writeString(file, content, StandardCharsets.US_ASCII);
-            Clock clock = ClockAnchor.clock(folder);
+            Clock clock = SharedClock.open(folder);
             long earliestUs = System.nanoTime() / 1_000;
             long nowUs = clock.now();
             long latestUs = System.nanoTime() / 1_000;
@@ -199,7 +199,7 @@
         String ofAnotherBoot = "0".repeat(written.indexOf(' ')) + written.substring(written.indexOf(' '));
         Files.writeString(folder.resolve("clock"), ofAnotherBoot, StandardCharsets.US_ASCII);
         long beforeUs = Clock.system().now();
-        assertThat(ClockAnchor.clock(folder).now() - beforeUs).isBetween(-1_000L, 60 * SECOND_US);
+        assertThat(SharedClock.open(folder).now() - beforeUs).isBetween(-1_000L, 60 * SECOND_US);
         assertThat(Files.readString(folder.resolve("clock"))).isNotEqualTo(ofAnotherBoot);
     }
 }
