--- a/pooler/src/main/java/frostreel/control/AdminConnection.java
+++ b/pooler/src/main/java/frostreel/control/AdminConnection.java
@@ -38,12 +38,12 @@
 
     /** Starts to read. */
     void begin() {
-        timeout = loop.deadlines().after(REQUEST_TIMEOUT_US, this::closeSilent);
+        timeout = loop.deadlines().after(REQUEST_TIMEOUT_US, this::abort);
         stream.resumeReads();
     }
 
     /** Closes a connection that sent no whole line in time, or whose place another caller needs. */
-    void closeSilent() {
+    void abort() {
         if (state == State.READING_REQUEST) {
             loop.counters().adminClientsTimedOut++;
         }
@@ -70,17 +70,17 @@
     private void executeRequest() {
         state = State.REQUEST_READ;
         String request = new String(line, 0, lineLength, StandardCharsets.US_ASCII);
-        listener.commands().execute(request, this::reply);
+        listener.commands().execute(request, this::respond);
     }
 
     private void rejectRequest() {
         state = State.REQUEST_READ;
         loop.counters().adminCommandsRejected++;
-        reply(AdminReply.LINE_TOO_LONG);
+        respond(AdminResponse.LINE_TOO_LONG);
     }
 
-    private void reply(AdminReply reply) {
-        stream.write((reply.line() + "\n").getBytes(StandardCharsets.US_ASCII));
+    private void respond(AdminResponse response) {
+        stream.write((response.line() + "\n").getBytes(StandardCharsets.US_ASCII));
         stream.end();
         if (state != State.CLOSED) {
             loop.deadlines().cancel(timeout);
--- a/pooler/src/main/java/frostreel/control/AdminListener.java
+++ b/pooler/src/main/java/frostreel/control/AdminListener.java
@@ -12,12 +12,12 @@
 
 /**
  * The admin endpoint: owns the socket to which operators connect, and their connections. These have a limit of
- * their own and use descriptors reserved for the program itself, so that neither clients nor silent callers can
+ * their own and use descriptors reserved for the program itself, so that neither clients nor silent connections can
  * keep an operator out. Confined to the event loop.
  */
 public final class AdminListener {
-    /** The most callers at once; one more closes the oldest connection. */
-    private static final int MAX_CALLERS = 24;
+    /** The most connections at once; one more closes the oldest connection. */
+    private static final int MAX_CONNECTIONS = 24;
 
     /** How many connections may wait to be accepted. */
     private static final int BACKLOG = 256;
@@ -25,7 +25,7 @@
     private final EventLoop loop;
     private final CommandExecutor commands;
     /** In the order in which they connected. */
-    private final Set<AdminConnection> callers = new LinkedHashSet<>();
+    private final Set<AdminConnection> connections = new LinkedHashSet<>();
 
     private final Acceptor acceptor;
 
@@ -52,20 +52,20 @@
         return acceptor.address();
     }
 
-    private void onAccepted(StreamConnection connection) {
-        if (callers.size() >= MAX_CALLERS) {
-            callers.iterator().next().closeSilent();
+    private void onAccepted(StreamConnection accepted) {
+        if (connections.size() >= MAX_CONNECTIONS) {
+            connections.iterator().next().abort();
         }
-        AdminConnection caller = new AdminConnection(loop, this, connection);
-        callers.add(caller);
-        caller.begin();
+        AdminConnection connection = new AdminConnection(loop, this, accepted);
+        connections.add(connection);
+        connection.begin();
     }
 
     CommandExecutor commands() {
         return commands;
     }
 
-    void onClosed(AdminConnection caller) {
-        callers.remove(caller);
+    void onClosed(AdminConnection connection) {
+        connections.remove(connection);
     }
 }
--- a/pooler/src/main/java/frostreel/control/AdminReply.java
+++ b/pooler/src/main/java/frostreel/control/AdminResponse.java
@@ -3,7 +3,7 @@
 import frostreel.operation.ReadinessStatus;
 
 /** The replies of the operators' protocol. */
-enum AdminReply {
+enum AdminResponse {
     DONE(true, "OK"),
     /** The command is in force here, but is not stored yet, so a successor of this process would not find it. */
     DONE_NOT_DURABLE(true, "OK but cannot be kept for a successor"),
@@ -17,7 +17,7 @@
     private final boolean success;
     private final String line;
 
-    AdminReply(boolean success, String line) {
+    AdminResponse(boolean success, String line) {
         this.success = success;
         this.line = line;
     }
@@ -33,7 +33,7 @@
     }
 
     /** The reply to {@link AdminRequest.Verb#STATUS}. */
-    static AdminReply of(ReadinessStatus status) {
+    static AdminResponse of(ReadinessStatus status) {
         return switch (status) {
             case READY -> DONE;
             case STARTING -> STARTING;
--- a/pooler/src/main/java/frostreel/control/CommandExecutor.java
+++ b/pooler/src/main/java/frostreel/control/CommandExecutor.java
@@ -56,16 +56,16 @@
     /**
      * Restores the commands of earlier processes, then watches for those of other processes.
      *
-     * @param whenRestored runs once commands are restored, within seconds even if the disk fails; no client may
+     * @param onRestored runs once commands are restored, within seconds even if the disk fails; no client may
      *     be served before that
      */
-    public void start(Runnable whenRestored) {
+    public void start(Runnable onRestored) {
         replicator.restore(this::merge, () -> {
             if (!commands.all().isEmpty()) { // Files of old incarnations are removed at some time: keep a copy.
                 replicator.publish(snapshot(), durability -> {});
             }
             replicator.watch(this::merge);
-            whenRestored.run();
+            onRestored.run();
         });
     }
 
@@ -80,66 +80,68 @@
     }
 
     /** Executes one line of the operators' protocol; replies once its effect is complete and stored. */
-    void execute(String line, Consumer<AdminReply> replyTo) {
+    void execute(String line, Consumer<AdminResponse> onResponse) {
         Effect effect = apply(AdminRequestParser.parse(line));
         if (!effect.changedCommands()) {
-            complete(line, effect.reply(), replyTo);
+            complete(line, effect.response(), onResponse);
             return;
         }
         replicator.publish(snapshot(), durability -> {
             boolean durable = durability == Durability.DURABLE;
-            complete(line, durable ? effect.reply() : AdminReply.DONE_NOT_DURABLE, replyTo);
+            complete(line, durable ? effect.response() : AdminResponse.DONE_NOT_DURABLE, onResponse);
         });
     }
 
     /** What a request did: its reply if storing succeeds, and whether there is anything new to store. */
-    private record Effect(AdminReply reply, boolean changedCommands) {
-        static Effect none(AdminReply reply) {
-            return new Effect(reply, false);
+    private record Effect(AdminResponse response, boolean changedCommands) {
+        static Effect none(AdminResponse response) {
+            return new Effect(response, false);
         }
     }
 
     private Effect apply(AdminRequest request) {
         return switch (request.verb()) {
-            case STATUS -> Effect.none(AdminReply.of(lifecycle.status()));
+            case STATUS -> Effect.none(AdminResponse.of(lifecycle.status()));
             case PAUSE -> issue(CommandTarget.CLIENTS);
             case RESUME -> resume();
             case SUSPEND -> suspend(request.serverId());
             case RESTORE -> restore(request.serverId());
-            case UNKNOWN -> Effect.none(AdminReply.UNKNOWN_COMMAND);
+            case UNKNOWN -> Effect.none(AdminResponse.UNKNOWN_COMMAND);
         };
     }
 
     private Effect resume() {
         if (lifecycle.status() == ReadinessStatus.STOPPING) {
-            return Effect.none(AdminReply.STOPPING);
+            return Effect.none(AdminResponse.STOPPING);
         }
         return revoke(CommandTarget.CLIENTS);
     }
 
     private Effect suspend(String serverId) {
-        return overlay.knows(serverId) ? issue(CommandTarget.server(serverId)) : Effect.none(AdminReply.UNKNOWN_SERVER);
+        return overlay.knows(serverId)
+                ? issue(CommandTarget.server(serverId))
+                : Effect.none(AdminResponse.UNKNOWN_SERVER);
     }
 
     private Effect restore(String serverId) {
         return overlay.knows(serverId)
                 ? revoke(CommandTarget.server(serverId))
-                : Effect.none(AdminReply.UNKNOWN_SERVER);
+                : Effect.none(AdminResponse.UNKNOWN_SERVER);
     }
 
     private Effect issue(CommandTarget target) {
-        return takeEffectIf(commands.issue(loop.clock().now(), target), target);
+        return applyIfChanged(commands.issue(loop.clock().now(), target), target);
     }
 
     private Effect revoke(CommandTarget target) {
-        return takeEffectIf(commands.revoke(loop.clock().now(), target), target);
+        return applyIfChanged(commands.revoke(loop.clock().now(), target), target);
     }
 
-    private Effect takeEffectIf(boolean changed, CommandTarget target) {
+    private Effect applyIfChanged(boolean changed, CommandTarget target) {
         if (changed) {
-            takeEffect(target);
+            applyCommand(target);
         }
-        return new Effect(AdminReply.DONE, changed);
+        return new Effect(AdminResponse.DONE, changed);
     }
 
     private void merge(Map<CommandTarget, CommandState> recorded) {
@@ -147,13 +149,13 @@
             if (commands.merge(target, state)) {
                 LOG.info("operator command from another process: " + target
                         + (state.inForce() ? " in force" : " ended"));
-                takeEffect(target);
+                applyCommand(target);
             }
         });
     }
 
     /** Puts the target into the state that follows from the last command on it. */
-    private void takeEffect(CommandTarget target) {
+    private void applyCommand(CommandTarget target) {
         if (!target.equals(CommandTarget.CLIENTS)) {
             target.serverId().ifPresent(endpoints::republish);
         } else if (commands.isInForce(target)) {
@@ -168,13 +170,13 @@
         return Map.copyOf(commands.all());
     }
 
-    private void complete(String line, AdminReply reply, Consumer<AdminReply> replyTo) {
-        if (reply.isSuccess()) {
+    private void complete(String line, AdminResponse response, Consumer<AdminResponse> onResponse) {
+        if (response.isSuccess()) {
             loop.counters().adminCommandsAccepted++;
         } else {
             loop.counters().adminCommandsRejected++;
         }
-        LOG.info("operator command: " + line.replaceAll(UNPRINTABLE, PLACEHOLDER) + ": " + reply.line());
-        replyTo.accept(reply);
+        LOG.info("operator command: " + line.replaceAll(UNPRINTABLE, PLACEHOLDER) + ": " + response.line());
+        onResponse.accept(response);
     }
 }
--- a/pooler/src/main/java/frostreel/control/CommandReplicator.java
+++ b/pooler/src/main/java/frostreel/control/CommandReplicator.java
@@ -16,25 +16,25 @@
     /** Replicates nothing, for a process that shares commands with no other. */
     CommandReplicator NONE = new CommandReplicator() {
         @Override
-        public void restore(Receiver receiver, Runnable whenRestored) {
-            whenRestored.run();
+        public void restore(Receiver receiver, Runnable onRestored) {
+            onRestored.run();
         }
 
         @Override
         public void watch(Receiver receiver) {}
 
         @Override
-        public void publish(Map<CommandTarget, CommandState> commands, Consumer<Durability> whenWritten) {
-            whenWritten.accept(Durability.DURABLE);
+        public void publish(Map<CommandTarget, CommandState> commands, Consumer<Durability> onWritten) {
+            onWritten.accept(Durability.DURABLE);
         }
     };
 
     /**
      * Reads what earlier processes recorded.
      *
-     * @param whenRestored runs once everything was read, or after a few seconds if reading fails
+     * @param onRestored runs once everything was read, or after a few seconds if reading fails
      */
-    void restore(Receiver receiver, Runnable whenRestored);
+    void restore(Receiver receiver, Runnable onRestored);
 
     /** Passes on what other processes record from now on. */
     void watch(Receiver receiver);
@@ -44,7 +44,7 @@
      * are published.
      *
      * @param commands all commands, immutable
-     * @param whenWritten receives the result of the first attempt
+     * @param onWritten receives the result of the first attempt
      */
-    void publish(Map<CommandTarget, CommandState> commands, Consumer<Durability> whenWritten);
+    void publish(Map<CommandTarget, CommandState> commands, Consumer<Durability> onWritten);
 }
--- a/pooler/src/main/java/frostreel/control/CommandStore.java
+++ b/pooler/src/main/java/frostreel/control/CommandStore.java
@@ -26,7 +26,7 @@
  */
 final class CommandStore {
     private static final String SUFFIX = ".orders";
-    private static final String UNFINISHED_SUFFIX = ".new";
+    private static final String TEMPORARY_SUFFIX = ".new";
     /** How many incarnations' files are kept; later incarnations have merged the commands of older ones. */
     private static final int MAX_INCARNATIONS = 16;
     /** Longer than any write takes: an unfinished file of that age was left by a process that was killed. */
@@ -64,16 +64,16 @@
     /** Replaces what this incarnation wrote before. On return the commands are on the disk. */
     void write(Map<CommandTarget, CommandState> commands) throws IOException {
         Files.createDirectories(folder);
-        Path unfinished = folder.resolve(incarnation + UNFINISHED_SUFFIX);
+        Path temporary = folder.resolve(incarnation + TEMPORARY_SUFFIX);
         try {
-            writeAndSync(unfinished, CommandFileFormat.encode(incarnation, commands));
+            writeAndSync(temporary, CommandFileFormat.encode(incarnation, commands));
         } catch (IOException failure) {
-            Files.deleteIfExists(unfinished); // It takes up space that the next attempt may need.
+            Files.deleteIfExists(temporary); // It takes up space that the next attempt may need.
             throw failure;
         }
         // The number is used up even if a later step fails, as readers identify files by their names alone.
         String name = fileName(++lastWritten);
-        Files.move(unfinished, folder.resolve(name), StandardCopyOption.ATOMIC_MOVE);
+        Files.move(temporary, folder.resolve(name), StandardCopyOption.ATOMIC_MOVE);
         processed.add(name);
         syncFolder();
         deleteOlderThan(lastWritten);
@@ -157,7 +157,7 @@
 
     /** Deletes the files of the oldest incarnations, and what killed processes left unfinished. */
     void removeStale() throws IOException {
-        removeUnfinished();
+        removeTemporaryFiles();
         removeOldestIncarnations();
     }
 
@@ -176,8 +176,8 @@
     }
 
     /** Keeps recent unfinished files, as another process may be writing them. */
-    private void removeUnfinished() throws IOException {
-        try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, "*" + UNFINISHED_SUFFIX)) {
+    private void removeTemporaryFiles() throws IOException {
+        try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, "*" + TEMPORARY_SUFFIX)) {
             for (Path file : files) {
                 long ageMs = System.currentTimeMillis()
                         - Files.getLastModifiedTime(file).toMillis();
--- a/pooler/src/main/java/frostreel/control/CommitTableFile.java
+++ b/pooler/src/main/java/frostreel/control/CommitTableFile.java
@@ -21,7 +21,7 @@
  */
 final class CommitTableFile implements SharedMemoryLongs {
     static final String NAME = "commits";
-    private static final String UNFINISHED_SUFFIX = ".new";
+    private static final String TEMPORARY_SUFFIX = ".new";
     /** The header: "frostre" in ASCII and the version of the layout, which changes whenever the layout does. */
     private static final long LAYOUT = 0x66726f7374726501L;
 
@@ -68,7 +68,7 @@
 
     /** Writes every block, as a full disk would otherwise show only at a write to the mapping. */
     private static Path writeEmpty(Path folder) throws IOException {
-        Path file = Files.createTempFile(folder, NAME, UNFINISHED_SUFFIX);
+        Path file = Files.createTempFile(folder, NAME, TEMPORARY_SUFFIX);
         try (FileChannel out = FileChannel.open(file, StandardOpenOption.WRITE)) {
             ByteBuffer content =
                     ByteBuffer.allocate(BYTES).order(ByteOrder.nativeOrder()).putLong(0, LAYOUT);
--- a/pooler/src/main/java/frostreel/control/FileCommandReplicator.java
+++ b/pooler/src/main/java/frostreel/control/FileCommandReplicator.java
@@ -39,26 +39,25 @@
     }
 
     @Override
-    public void restore(Receiver receiver, Runnable whenRestored) {
+    public void restore(Receiver receiver, Runnable onRestored) {
         Supplier<CommandStore.ReadResult> firstRead = () -> {
             removeStale();
             return read();
         };
         runTask(firstRead, result -> {
             long giveUpAtUs = loop.clock().now() + RESTORE_TIMEOUT_US;
-            continueRestore(result, receiver, whenRestored, giveUpAtUs);
+            continueRestore(result, receiver, onRestored, giveUpAtUs);
         });
     }
 
     private void continueRestore(
-            CommandStore.ReadResult result, Receiver receiver, Runnable whenRestored, long giveUpAtUs) {
+            CommandStore.ReadResult result, Receiver receiver, Runnable onRestored, long giveUpAtUs) {
         receiver.accept(result.commands());
         if (result.complete() || loop.clock().now() >= giveUpAtUs) {
-            whenRestored.run(); // What could not be read yet is received while watching.
+            onRestored.run(); // What could not be read yet is received while watching.
             return;
         }
-        Runnable readAgain =
-                () -> runTask(this::read, next -> continueRestore(next, receiver, whenRestored, giveUpAtUs));
+        Runnable readAgain = () -> runTask(this::read, next -> continueRestore(next, receiver, onRestored, giveUpAtUs));
         loop.deadlines().after(POLL_INTERVAL_US, readAgain);
     }
 
@@ -77,13 +76,13 @@
     }
 
     @Override
-    public void publish(Map<CommandTarget, CommandState> commands, Consumer<Durability> whenWritten) {
+    public void publish(Map<CommandTarget, CommandState> commands, Consumer<Durability> onWritten) {
         unwritten = commands;
         runTask(() -> write(commands), durability -> {
             if (unwritten == commands) {
                 retryOrForget(commands, durability);
             }
-            whenWritten.accept(durability);
+            onWritten.accept(durability);
         });
     }
 
--- a/pooler/src/main/java/frostreel/control/SharedClock.java
+++ b/pooler/src/main/java/frostreel/control/SharedClock.java
@@ -19,7 +19,7 @@
  */
 public final class SharedClock {
     private static final String FILE_NAME = "clock";
-    private static final String UNFINISHED_SUFFIX = ".new";
+    private static final String TEMPORARY_SUFFIX = ".new";
     private static final Path BOOT_ID_FILE = Path.of("/proc/sys/kernel/random/boot_id");
     private static final long NANOS_PER_MICRO = 1_000;
     private static final Logger LOG = Logger.getLogger(SharedClock.class.getName());
@@ -61,16 +61,16 @@
 
     /** Stores an offset and returns it, or returns the one that another process stored at the same time. */
     private static long store(Path file, String bootId, long ownOffsetUs) throws IOException {
-        Path unfinished = Files.createTempFile(file.getParent(), FILE_NAME, UNFINISHED_SUFFIX);
+        Path temporary = Files.createTempFile(file.getParent(), FILE_NAME, TEMPORARY_SUFFIX);
         try {
-            Files.writeString(unfinished, bootId + " " + ownOffsetUs + "\n", StandardCharsets.US_ASCII);
+            Files.writeString(temporary, bootId + " " + ownOffsetUs + "\n", StandardCharsets.US_ASCII);
             Files.deleteIfExists(file); // It is damaged, or from before the last reboot.
-            Files.createLink(file, unfinished);
+            Files.createLink(file, temporary);
             return ownOffsetUs;
         } catch (FileAlreadyExistsException e) {
             return storedOffsetUs(file, bootId).orElse(ownOffsetUs);
         } finally {
-            Files.deleteIfExists(unfinished);
+            Files.deleteIfExists(temporary);
         }
     }
 
--- a/pooler/src/main/java/frostreel/control/package-info.java
+++ b/pooler/src/main/java/frostreel/control/package-info.java
@@ -4,7 +4,7 @@
  * <p>The path of a command: {@link frostreel.control.AdminListener} and {@link frostreel.control.AdminConnection}
  * read a line, {@link frostreel.control.AdminRequestParser} parses it, {@link frostreel.control.CommandExecutor}
  * applies it, {@link frostreel.control.CommandReplicator} passes it to the other processes of this pooler through
- * a {@link frostreel.control.CommandStore}, and an {@link frostreel.control.AdminReply} answers it.
+ * a {@link frostreel.control.CommandStore}, and an {@link frostreel.control.AdminResponse} answers it.
  *
  * <p>Owns the admin socket, the commands and the files under the command folder. Everything runs on the event loop
  * but the {@code CommandStore}, which blocks and runs on the worker's task thread; {@code SharedClock} and
--- a/pooler/src/main/java/frostreel/discovery/DiscoveryStatus.java
+++ b/pooler/src/main/java/frostreel/discovery/DiscoveryStatus.java
@@ -15,48 +15,48 @@
     /** Shown for the time since the last answer where there has been none. */
     private static final long NO_AGE = -1;
 
-    private boolean answering;
-    private long lastAnsweredUs = NEVER;
+    private boolean responding;
+    private long lastResponseUs = NEVER;
     /** When the present outage was detected; {@link #NEVER} where there is none. */
-    private long silentSinceUs = NEVER;
+    private long outageStartUs = NEVER;
 
     /** Records that a request was answered. */
-    void answered(long nowUs) {
-        answering = true;
-        lastAnsweredUs = nowUs;
-        if (silentSinceUs != NEVER) {
-            LOG.info("discovery recovered after " + toMs(nowUs - silentSinceUs) + " ms");
-            silentSinceUs = NEVER;
+    void recordResponse(long nowUs) {
+        responding = true;
+        lastResponseUs = nowUs;
+        if (outageStartUs != NEVER) {
+            LOG.info("discovery recovered after " + toMs(nowUs - outageStartUs) + " ms");
+            outageStartUs = NEVER;
         }
     }
 
     /** Records that a request failed or is overdue. */
-    void failed(long nowUs, String reason) {
-        if (silentSinceUs == NEVER) {
-            silentSinceUs = nowUs;
+    void recordFailure(long nowUs, String reason) {
+        if (outageStartUs == NEVER) {
+            outageStartUs = nowUs;
             LOG.warning("discovery: " + reason + "; keeping the last endpoint list");
         }
-        answering = false;
+        responding = false;
     }
 
     /** Whether the latest request with a result was answered, rather than failed or overdue. */
-    boolean isAnswering() {
-        return answering;
+    boolean isResponding() {
+        return responding;
     }
 
     /** The fields of {@code SHOW health} on discovery, with the version of the list held. */
     String describe(long nowUs, long version) {
         return "discovery=" + state()
                 + " discovery_version=" + version
-                + " discovery_answered_ms_ago=" + (lastAnsweredUs == NEVER ? NO_AGE : toMs(nowUs - lastAnsweredUs))
-                + " discovery_silent_ms=" + (silentSinceUs == NEVER ? 0 : toMs(nowUs - silentSinceUs));
+                + " discovery_answered_ms_ago=" + (lastResponseUs == NEVER ? NO_AGE : toMs(nowUs - lastResponseUs))
+                + " discovery_silent_ms=" + (outageStartUs == NEVER ? 0 : toMs(nowUs - outageStartUs));
     }
 
     private String state() {
-        if (silentSinceUs != NEVER) {
+        if (outageStartUs != NEVER) {
             return "silent";
         }
-        return lastAnsweredUs == NEVER ? "asked" : "answering";
+        return lastResponseUs == NEVER ? "asked" : "answering";
     }
 
     private static long toMs(long us) {
--- a/pooler/src/main/java/frostreel/discovery/DiscoveryWatch.java
+++ b/pooler/src/main/java/frostreel/discovery/DiscoveryWatch.java
@@ -53,7 +53,7 @@
     private final DiscoveryStatus status = new DiscoveryStatus();
     private final Backoff backoff = new Backoff();
     private final AgentConnections connections = new AgentConnections();
-    private final ListVersion held;
+    private final ListVersion listVersion;
     /** The pending reconnect after a failure; null before the first one. */
     private Deadlines.Deadline reconnect;
     /** Whether the first request was written. */
@@ -78,7 +78,7 @@
             List<String> machineTypes,
             long version,
             Consumer<EndpointList> listener) {
-        held = new ListVersion(version);
+        listVersion = new ListVersion(version);
         this.loop = loop;
         this.address = address;
         this.zones = zones;
@@ -130,12 +130,12 @@
         loop.counters().discoveryPolls++;
         boolean first = !requested;
         requested = true;
-        if (held.isNone()) {
-            connection.request(PATH, held.value(), TIMEOUT_US);
+        if (listVersion.isNone()) {
+            connection.request(PATH, listVersion.value(), TIMEOUT_US);
         } else {
-            long waitMs = status.isAnswering() ? LONG_POLL_MS : PROBE_POLL_MS;
-            String query = "?index=" + held.value() + "&wait=" + waitMs;
-            connection.request(PATH + query, held.value(), waitMs * MICROS_PER_MILLI + TIMEOUT_US);
+            long waitMs = status.isResponding() ? LONG_POLL_MS : PROBE_POLL_MS;
+            String query = "?index=" + listVersion.value() + "&wait=" + waitMs;
+            connection.request(PATH + query, listVersion.value(), waitMs * MICROS_PER_MILLI + TIMEOUT_US);
         }
         if (first) {
             onFirstRequest.run();
@@ -153,13 +153,13 @@
             return;
         }
         loop.counters().endpointListsReceived++;
-        boolean relevant = held.isRelevant(list, connection.fromVersion());
+        boolean relevant = listVersion.isRelevant(list, connection.fromVersion());
         if (relevant) {
-            held.advanceTo(list);
+            listVersion.advanceTo(list);
         }
-        status.answered(loop.clock().now());
+        status.recordResponse(loop.clock().now());
         backoff.reset();
-        continueOn(connection, response.keepAlive());
+        pollNext(connection, response.keepAlive());
         if (relevant) {
             deliver(list);
         }
@@ -181,7 +181,7 @@
     }
 
     /** Sends the next request, on the connection that was answered if it can carry one. */
-    private void continueOn(AgentConnection connection, boolean keepAlive) {
+    private void pollNext(AgentConnection connection, boolean keepAlive) {
         loop.deadlines().cancel(reconnect);
         connections.keepOnly(connection);
         if (keepAlive) {
@@ -212,7 +212,7 @@
     /** Reconnects after the backoff; the list held stays in use. */
     private void retry(String reason) {
         loop.counters().discoveryFailures++;
-        status.failed(loop.clock().now(), reason);
+        status.recordFailure(loop.clock().now(), reason);
         if (stopped || connections.hasCurrent()) {
             return;
         }
@@ -223,6 +223,6 @@
     /** The fields of {@code SHOW health} on discovery. */
     @Override
     public String toString() {
-        return status.describe(loop.clock().now(), held.value());
+        return status.describe(loop.clock().now(), listVersion.value());
     }
 }
--- a/pooler/src/main/java/frostreel/time/Deadlines.java
+++ b/pooler/src/main/java/frostreel/time/Deadlines.java
@@ -69,9 +69,9 @@
     /** Runs the tasks that are due; what they add runs at the next call at the earliest. */
     public void runDue() {
         wakeAtUs = NO_WAKE_UP;
-        long now = clock.now();
+        long nowUs = clock.now();
         long firstAdded = nextSequence;
-        while (!pending.isEmpty() && pending.first().atUs <= now && pending.first().sequence < firstAdded) {
+        while (!pending.isEmpty() && pending.first().atUs <= nowUs && pending.first().sequence < firstAdded) {
             Deadline due = pending.pollFirst();
             try {
                 due.task.run();
--- a/pooler/src/test/java/frostreel/OperatorCommandsTest.java
+++ b/pooler/src/test/java/frostreel/OperatorCommandsTest.java
@@ -19,7 +19,7 @@
 
 /** Operators' commands by the admin endpoint, and their effect on requests. */
 class OperatorCommandsTest extends AbstractPoolerTest {
-    private static final int MORE_THAN_MAX_CALLERS = 60;
+    private static final int MORE_THAN_MAX_CONNECTIONS = 60;
 
     @BeforeEach
     void startPooler() throws Exception {
@@ -77,7 +77,7 @@
     void silentCallersAndLongLinesBlockNobody() throws Exception {
         InetSocketAddress address = harness.pooler.adminAddress();
         List<Socket> silent = new ArrayList<>();
-        for (int i = 0; i < MORE_THAN_MAX_CALLERS; i++) {
+        for (int i = 0; i < MORE_THAN_MAX_CONNECTIONS; i++) {
             Socket caller = new Socket(address.getAddress(), address.getPort());
             caller.getOutputStream().write("STAT".getBytes(StandardCharsets.US_ASCII));
             silent.add(caller);
--- a/pooler/src/test/java/frostreel/control/AdminRequestParserTest.java
+++ b/pooler/src/test/java/frostreel/control/AdminRequestParserTest.java
@@ -29,7 +29,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"", " ", "SUSPEND", "RESTORE", "STATUS a", "PAUSE a b", "status", "UNKNOWN", "SUSPEND\ta"})
-    void parsesAllElseAsUnknown(String line) {
+    void parsesAnythingElseAsUnknown(String line) {
         assertThat(AdminRequestParser.parse(line).verb()).isEqualTo(Verb.UNKNOWN);
     }
 }
--- a/pooler/src/test/java/frostreel/control/AdminReplyTest.java
+++ b/pooler/src/test/java/frostreel/control/AdminResponseTest.java
@@ -8,11 +8,11 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /** Operators' tools rely on the replies' text. */
-class AdminReplyTest {
+class AdminResponseTest {
     @Test
     void keepsTheTextOnWhichOperatorsToolsRely() {
-        assertThat(AdminReply.values())
-                .extracting(AdminReply::line)
+        assertThat(AdminResponse.values())
+                .extracting(AdminResponse::line)
                 .containsExactly(
                         "OK",
                         "OK but cannot be kept for a successor",
@@ -26,18 +26,18 @@
 
     @ParameterizedTest
     @EnumSource
-    void onlyRepliesThatBeginWithOkAreSuccesses(AdminReply reply) {
-        assertThat(reply.isSuccess()).isEqualTo(reply.line().startsWith("OK"));
+    void onlyResponsesThatBeginWithOkAreSuccesses(AdminResponse response) {
+        assertThat(response.isSuccess()).isEqualTo(response.line().startsWith("OK"));
     }
 
     @Test
-    void answersReadyWithoutAWireName() {
-        assertThat(AdminReply.of(ReadinessStatus.READY)).isEqualTo(AdminReply.DONE);
+    void mapsReadyToOkWithoutItsWireName() {
+        assertThat(AdminResponse.of(ReadinessStatus.READY)).isEqualTo(AdminResponse.DONE);
     }
 
     @ParameterizedTest
     @EnumSource(mode = EnumSource.Mode.EXCLUDE, names = "READY")
-    void answersOtherStatusesWithTheirWireNames(ReadinessStatus status) {
-        assertThat(AdminReply.of(status).line()).isEqualTo("ERR " + status.wireName());
+    void mapsOtherStatusesToTheirWireNames(ReadinessStatus status) {
+        assertThat(AdminResponse.of(status).line()).isEqualTo("ERR " + status.wireName());
     }
 }
--- a/pooler/src/test/java/frostreel/control/CommandStoreTest.java
+++ b/pooler/src/test/java/frostreel/control/CommandStoreTest.java
@@ -58,19 +58,19 @@
     }
 
     @Test
-    void skipsFilesCutOrChangedAnywhere() throws Exception {
+    void skipsFilesTruncatedOrChangedAnywhere() throws Exception {
         store("one").write(SUSPENDED);
         Path file = files().get(0);
-        byte[] whole = Files.readAllBytes(file);
-        for (int i = 0; i < whole.length; i += 1 + i / 16) { // Every byte of its head, and some of the rest.
-            Files.write(file, Arrays.copyOf(whole, i));
-            assertThat(readBy("two")).as("cut at %d", i).isEmpty();
-            byte[] changed = whole.clone();
+        byte[] complete = Files.readAllBytes(file);
+        for (int i = 0; i < complete.length; i += 1 + i / 16) { // Every byte of its head, and some of the rest.
+            Files.write(file, Arrays.copyOf(complete, i));
+            assertThat(readBy("two")).as("truncated at %d", i).isEmpty();
+            byte[] changed = complete.clone();
             changed[i] ^= 4;
             Files.write(file, changed);
             assertThat(readBy("two")).as("changed at %d", i).isEmpty();
         }
-        Files.write(file, whole);
+        Files.write(file, complete);
         assertThat(readBy("two")).isEqualTo(SUSPENDED);
     }
 
@@ -87,22 +87,22 @@
         CommandStore one = store("one");
         one.write(SUSPENDED);
 
-        Path unfinished = Files.createSymbolicLink(dir.resolve("orders/one.new"), Path.of("/dev/full"));
+        Path temporary = Files.createSymbolicLink(dir.resolve("orders/one.new"), Path.of("/dev/full"));
         assertThatThrownBy(() -> one.write(Map.of()))
                 .isInstanceOf(IOException.class)
                 .hasMessageContaining("No space left");
         assertThat(readBy("two")).isEqualTo(SUSPENDED);
-        assertThat(unfinished).as("the unfinished file takes no space").doesNotExist();
+        assertThat(temporary).as("the unfinished file takes no space").doesNotExist();
 
         one.write(Map.of());
-        assertThat(readBy("three")).as("space again").isEmpty();
+        assertThat(readBy("three")).as("after the disk has space again").isEmpty();
     }
 
     @Test
     void removesFilesOfOldIncarnations() throws Exception {
         for (int i = 0; i < 40; i++) {
-            store("life" + i).write(SUSPENDED);
-            Files.setLastModifiedTime(dir.resolve("orders/life" + i + "-00000001.orders"), FileTime.fromMillis(i));
+            store("process" + i).write(SUSPENDED);
+            Files.setLastModifiedTime(dir.resolve("orders/process" + i + "-00000001.orders"), FileTime.fromMillis(i));
         }
 
         store("last").removeStale();
@@ -115,14 +115,14 @@
     void retriesUnreadableFiles() throws Exception {
         store("one").write(SUSPENDED);
         Path file = files().get(0);
-        byte[] whole = Files.readAllBytes(file);
+        byte[] complete = Files.readAllBytes(file);
         Files.delete(file);
         Files.createDirectory(file); // Reading it fails, and not for what it holds.
         CommandStore two = store("two");
         assertThat(two.readOthers().complete()).isFalse();
 
         Files.delete(file);
-        Files.write(file, whole);
+        Files.write(file, complete);
         CommandStore.ReadResult found = two.readOthers();
         assertThat(found.commands()).isEqualTo(SUSPENDED);
         assertThat(found.complete()).isTrue();
@@ -131,8 +131,8 @@
     @Test
     void removesUnfinishedFilesOnceTheyAreOld() throws Exception {
         store("one").write(SUSPENDED);
-        Path stale = Files.writeString(dir.resolve("orders/dead.new"), "half");
-        Path recent = Files.writeString(dir.resolve("orders/living.new"), "half");
+        Path stale = Files.writeString(dir.resolve("orders/killed.new"), "half");
+        Path recent = Files.writeString(dir.resolve("orders/running.new"), "half");
         Files.setLastModifiedTime(stale, FileTime.fromMillis(System.currentTimeMillis() - 120_000));
 
         store("two").removeStale();
--- a/pooler/src/test/java/frostreel/control/FileCommandReplicatorTest.java
+++ b/pooler/src/test/java/frostreel/control/FileCommandReplicatorTest.java
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void receivesEarlierCommandsBeforeTheyCountAsRestored() throws Exception {
+    void receivesEarlierCommandsBeforeRestoreCompletes() throws Exception {
         new CommandStore(folder, "earlier1").write(SUSPENDED);
         new CommandStore(folder, "earlier2").write(PAUSED);
         Map<CommandTarget, CommandState> received = new HashMap<>();
@@ -83,12 +83,12 @@
 
     /** Commands that were answered while the disk failed are not lost to a successor. */
     @Test
-    void retriesFailedWritesUntilTheDiskTakesThem() throws Exception {
-        Path inItsPlace = Files.writeString(folder, "a file in its place");
+    void retriesFailedWritesUntilTheySucceed() throws Exception {
+        Path obstacle = Files.writeString(folder, "a file in its place");
         CompletableFuture<Durability> durability = new CompletableFuture<>();
         loop.thread().execute(() -> replicator.publish(SUSPENDED, durability::complete));
         assertThat(durability.get()).isEqualTo(Durability.NOT_DURABLE);
-        Files.delete(inItsPlace);
+        Files.delete(obstacle);
         CommandStore successor = new CommandStore(folder, "successor");
         Map<CommandTarget, CommandState> found = successor.readOthers().commands();
         while (found.isEmpty()) {
--- a/pooler/src/test/java/frostreel/control/ProcessWithoutCommitTableTest.java
+++ b/pooler/src/test/java/frostreel/control/ProcessWithoutCommitTableTest.java
@@ -44,7 +44,7 @@
         newStore.write(RESTORED);
         assertThat(oldStore.readOthers().commands()).isEqualTo(RESTORED);
         for (int i = 0; i < 40; i++) {
-            new CommandStore(dir, "life" + i).write(SUSPENDED);
+            new CommandStore(dir, "process" + i).write(SUSPENDED);
         }
         successor.onSent(NOW_US, 7, NOW_US + 1_000_000);
         successor.onEnded(NOW_US, 7, NOW_US + 1_000_000, Outcome.OK, NOW_US);
--- a/pooler/src/test/java/frostreel/control/StoredFilesOf223cd4eTest.java
+++ b/pooler/src/test/java/frostreel/control/StoredFileCompatibilityTest.java
@@ -28,7 +28,7 @@
  * Files that the build of 223cd4e wrote are read as that build reads them, whole and cut short. They stand in the
  * test resources as it wrote them, with {@code expected.tsv}: what its own classes read from them.
  */
-class StoredFilesOf223cd4eTest {
+class StoredFileCompatibilityTest {
     private static final String RESOURCES = "stored-by-223cd4e";
     private static final String TAB = "\t";
     /** The instants that the old build was given when it wrote and read the table of commits. */
@@ -43,7 +43,8 @@
 
     private static Path stored() {
         try {
-            return Path.of(StoredFilesOf223cd4eTest.class.getResource(RESOURCES).toURI());
+            return Path.of(
+                    StoredFileCompatibilityTest.class.getResource(RESOURCES).toURI());
         } catch (URISyntaxException e) {
             throw new IllegalStateException(e);
         }
@@ -75,7 +76,7 @@
     }
 
     @Test
-    void readsCommandsAlike() throws Exception {
+    void readsTheSameCommands() throws Exception {
         for (Path file : storedCommandFiles()) {
             copyOfStored(file);
         }
@@ -94,26 +95,26 @@
     @Test
     void writesCommandsToTheSameBytes() throws Exception {
         for (Path file : storedCommandFiles()) {
-            byte[] whole = Files.readAllBytes(file);
+            byte[] complete = Files.readAllBytes(file);
             String name = file.getFileName().toString();
             String incarnation = name.substring(0, name.indexOf('-'));
-            assertThat(CommandFileFormat.encode(incarnation, CommandFileFormat.decode(whole)))
+            assertThat(CommandFileFormat.encode(incarnation, CommandFileFormat.decode(complete)))
                     .as(name)
-                    .isEqualTo(whole);
+                    .isEqualTo(complete);
         }
     }
 
     @Test
-    void readsCommandsCutShortAlike() throws Exception {
+    void readsTheSameFromTruncatedCommandFiles() throws Exception {
         List<String[]> expected = expected("cut-commands");
         assertThat(expected).hasSameSizeAs(storedCommandFiles());
         for (String[] row : expected) {
-            byte[] whole = Files.readAllBytes(stored().resolve(row[0]));
-            assertThat(whole).hasSize(Integer.parseInt(row[1]));
+            byte[] complete = Files.readAllBytes(stored().resolve(row[0]));
+            assertThat(complete).hasSize(Integer.parseInt(row[1]));
             int nonEmpty = 0;
             int incomplete = 0;
-            for (int length = 0; length < whole.length; length++) {
-                Files.write(folder.resolve(row[0]), Arrays.copyOf(whole, length));
+            for (int length = 0; length < complete.length; length++) {
+                Files.write(folder.resolve(row[0]), Arrays.copyOf(complete, length));
                 CommandStore.ReadResult result = new CommandStore(folder, "reader").readOthers();
                 nonEmpty += result.commands().isEmpty() ? 0 : 1;
                 incomplete += result.complete() ? 0 : 1;
@@ -125,7 +126,7 @@
     }
 
     @Test
-    void readsAndWritesCommitsAlike() throws Exception {
+    void readsAndWritesTheSameCommits() throws Exception {
         copyOfStored(stored().resolve("commits"));
         CommitTableFile file = CommitTableFile.open(folder);
         assertThat(file.replacementReason().isPresent())
@@ -155,11 +156,11 @@
     }
 
     @Test
-    void replacesCommitsCutShortAlike() throws Exception {
-        byte[] whole = Files.readAllBytes(stored().resolve("commits"));
+    void replacesTheSameTruncatedCommitFiles() throws Exception {
+        byte[] complete = Files.readAllBytes(stored().resolve("commits"));
         Path file = folder.resolve("commits");
         for (String[] row : expected("cut-commits")) {
-            Files.write(file, Arrays.copyOf(whole, Integer.parseInt(row[0])));
+            Files.write(file, Arrays.copyOf(complete, Integer.parseInt(row[0])));
             boolean replaced = CommitTableFile.open(folder).replacementReason().isPresent();
             assertThat(replaced).as("cut to %s", row[0]).isEqualTo(Boolean.parseBoolean(row[1]));
             assertThat(sha256(file)).as("cut to %s", row[0]).isEqualTo(row[2]);
@@ -168,14 +169,14 @@
 
     /** The boot id in the file is that of the machine that wrote it; this machine's is put in its place. */
     @Test
-    void readsTheClockWholeAndCutShortAlike() throws Exception {
+    void readsTheSameFromCompleteAndTruncatedClockFiles() throws Exception {
         String written = Files.readString(stored().resolve("clock"), StandardCharsets.US_ASCII);
         String bootId =
                 Files.readString(Path.of("/proc/sys/kernel/random/boot_id")).strip();
-        String whole = bootId + written.substring(bootId.length());
+        String complete = bootId + written.substring(bootId.length());
         Path file = folder.resolve("clock");
         for (String[] row : expected("clock")) {
-            String content = whole.substring(0, Integer.parseInt(row[0]));
+            String content = complete.substring(0, Integer.parseInt(row[0]));
             Files.writeString(file, content, StandardCharsets.US_ASCII);
             Clock clock = SharedClock.open(folder);
             long earliestUs = System.nanoTime() / 1_000;
--- a/pooler/src/test/java/frostreel/discovery/EndpointListLayoutTest.java
+++ b/pooler/src/test/java/frostreel/discovery/EndpointListLayoutTest.java
@@ -30,13 +30,13 @@
 
     @Test
     void listDoesNotDependOnIndentationAndFragmentation() throws Exception {
-        EndpointList plain = readByteByByte(LIST.toString());
+        EndpointList compact = readByteByByte(LIST.toString());
 
-        assertThat(plain.endpoints()).singleElement().satisfies(endpoint -> {
+        assertThat(compact.endpoints()).singleElement().satisfies(endpoint -> {
             assertThat(endpoint.member().id()).isEqualTo("a");
             assertThat(endpoint.member().primary()).isTrue();
         });
-        assertThat(readByteByByte(LIST.toString(1))).isEqualTo(plain);
-        assertThat(readByteByByte(LIST.toString(8).replace("\n", "\r\n\t"))).isEqualTo(plain);
+        assertThat(readByteByByte(LIST.toString(1))).isEqualTo(compact);
+        assertThat(readByteByByte(LIST.toString(8).replace("\n", "\r\n\t"))).isEqualTo(compact);
     }
 }
--- a/pooler/src/test/java/frostreel/discovery/HttpResponseParserTest.java
+++ b/pooler/src/test/java/frostreel/discovery/HttpResponseParserTest.java
@@ -101,9 +101,9 @@
     void linesAndBodiesAreBounded() throws Exception {
         assertThatThrownBy(() -> accept("x".repeat(8193))).hasMessage("a line of over 8192 bytes");
 
-        HttpResponseParser unbounded = new HttpResponseParser();
-        unbounded.accept(ByteBuffer.wrap((STATUS_LINE + "\r\n").getBytes(StandardCharsets.US_ASCII)));
-        unbounded.accept(ByteBuffer.allocate(1 << 22));
-        assertThatThrownBy(() -> unbounded.accept(ByteBuffer.allocate(1))).hasMessage("a body of over 4194304 bytes");
+        HttpResponseParser untilClose = new HttpResponseParser();
+        untilClose.accept(ByteBuffer.wrap((STATUS_LINE + "\r\n").getBytes(StandardCharsets.US_ASCII)));
+        untilClose.accept(ByteBuffer.allocate(1 << 22));
+        assertThatThrownBy(() -> untilClose.accept(ByteBuffer.allocate(1))).hasMessage("a body of over 4194304 bytes");
     }
 }
--- a/pooler/src/test/java/frostreel/log/LogQueueTest.java
+++ b/pooler/src/test/java/frostreel/log/LogQueueTest.java
@@ -22,18 +22,18 @@
     private static final long SECOND_NS = 1_000_000_000;
 
     private final BlockingQueue<String> written = new LinkedBlockingQueue<>();
-    private final CountDownLatch targetWorks = new CountDownLatch(1);
+    private final CountDownLatch targetUnblocked = new CountDownLatch(1);
     private final AtomicLong nowNs = new AtomicLong();
     private final Handler target = new StreamHandler() {
         @Override
         public void publish(LogRecord entry) {
             try {
-                targetWorks.await();
+                targetUnblocked.await();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
             written.add(entry.getMessage());
-            if (entry.getMessage().equals("faulty")) {
+            if (entry.getMessage().equals("unwritable")) {
                 throw new IllegalStateException("on purpose");
             }
         }
@@ -60,7 +60,7 @@
 
     @Test
     void acceptsTwoHundredRecordsASecondAndReportsTheDroppedOnes() throws Exception {
-        targetWorks.countDown();
+        targetUnblocked.countDown();
         publish(LogQueue.MAX_RECORDS_PER_SECOND);
         assertThat(takeWritten(LogQueue.MAX_RECORDS_PER_SECOND))
                 .startsWith("line 0")
@@ -82,7 +82,7 @@
         }
         int dropped = (int) queue.dropped();
         assertThat(dropped).isBetween(1, 2);
-        targetWorks.countDown();
+        targetUnblocked.countDown();
         assertThat(takeWritten(published - dropped + 1))
                 .filteredOn(line -> !line.equals("line"))
                 .containsExactly(dropped + " log lines were dropped: over 200 a second, or written too slowly");
@@ -94,9 +94,9 @@
             @Override
             public void error(String message, Exception cause, int code) {}
         });
-        targetWorks.countDown();
-        publish("faulty");
+        targetUnblocked.countDown();
+        publish("unwritable");
         publish("good");
-        assertThat(takeWritten(2)).containsExactly("faulty", "good");
+        assertThat(takeWritten(2)).containsExactly("unwritable", "good");
     }
 }
