--- a/pooler/src/main/java/frostreel/control/AdminConnection.java
+++ b/pooler/src/main/java/frostreel/control/AdminConnection.java
@@ -7,13 +7,18 @@
 import java.nio.charset.StandardCharsets;
 import org.xnio.StreamConnection;
 
-/** One operator's connection: reads one line of bounded length, replies with one line, and closes. */
+/**
+ * A connection to the admin endpoint: reads one request line of bounded length, responds with one line, and closes.
+ */
 final class AdminConnection implements SocketStream.Handler {
-    /** The longest line that is accepted, without its line feed. */
+    /** Maximum length of a request line, without its line feed. */
     static final int MAX_LINE_BYTES = 512;
-    /** How long after connecting a whole line must have arrived; some callers need four seconds and more. */
+    /** Time from connecting until a complete line must have arrived; some callers take 4 s or more. */
     private static final long REQUEST_TIMEOUT_US = 10_000_000;
-    /** How long the caller may take to close after its reply: closing with unread bytes could lose the reply. */
+    /**
+     * Time that the peer has to close its side after the response: closing with unread bytes could lose the
+     * response.
+     */
     private static final long LINGER_US = 500_000;
 
     private enum State {
@@ -36,13 +41,13 @@
         stream = new SocketStream(loop, connection, this);
     }
 
-    /** Starts to read. */
+    /** Starts reading and the request timeout. */
     void begin() {
         timeout = loop.deadlines().after(REQUEST_TIMEOUT_US, this::abort);
         stream.resumeReads();
     }
 
-    /** Closes a connection that sent no whole line in time, or whose place another caller needs. */
+    /** Closes the connection because the request timed out, or to make room for another connection. */
     void abort() {
         if (state == State.READING_REQUEST) {
             loop.counters().adminClientsTimedOut++;
--- a/pooler/src/main/java/frostreel/control/AdminListener.java
+++ b/pooler/src/main/java/frostreel/control/AdminListener.java
@@ -11,25 +11,25 @@
 import org.xnio.StreamConnection;
 
 /**
- * The admin endpoint: owns the socket to which operators connect, and their connections. These have a limit of
- * their own and use descriptors reserved for the program itself, so that neither clients nor silent connections can
- * keep an operator out. Confined to the event loop.
+ * The admin endpoint: owns the listening socket for operators, and their connections. These have a separate limit
+ * and use descriptors reserved for the program itself, so that neither clients nor idle admin connections can lock
+ * an operator out. Confined to the event loop.
  */
 public final class AdminListener {
-    /** The most connections at once; one more closes the oldest connection. */
+    /** Maximum number of open connections; accepting another one closes the oldest. */
     private static final int MAX_CONNECTIONS = 24;
 
-    /** How many connections may wait to be accepted. */
+    /** Maximum length of the queue of connections that wait to be accepted. */
     private static final int BACKLOG = 256;
 
     private final EventLoop loop;
     private final CommandExecutor commands;
-    /** In the order in which they connected. */
+    /** The open connections, oldest first. */
     private final Set<AdminConnection> connections = new LinkedHashSet<>();
 
     private final Acceptor acceptor;
 
-    /** Passes all commands to the executor; call {@link #open} to listen. */
+    /** Creates an endpoint that passes all commands to the executor; it does not listen until {@link #open}. */
     public AdminListener(EventLoop loop, CommandExecutor commands) {
         this.loop = loop;
         this.commands = commands;
@@ -47,7 +47,7 @@
         acceptor.resume();
     }
 
-    /** The address at which it listens. */
+    /** Returns the address of the listening socket. */
     public InetSocketAddress address() {
         return acceptor.address();
     }
--- a/pooler/src/main/java/frostreel/control/AdminRequest.java
+++ b/pooler/src/main/java/frostreel/control/AdminRequest.java
@@ -1,23 +1,23 @@
 package frostreel.control;
 
 /**
- * One line of the operators' protocol.
+ * One request line of the admin protocol.
  *
- * @param serverId the server that {@link Verb#SUSPEND} and {@link Verb#RESTORE} are about, else empty
+ * @param serverId the id of the server for {@link Verb#SUSPEND} and {@link Verb#RESTORE}, else empty
  */
 record AdminRequest(Verb verb, String serverId) {
     enum Verb {
-        /** Asks whether this process takes clients. */
+        /** Queries whether this process is ready for clients. */
         STATUS,
-        /** Asks clients to leave. */
+        /** Drains the clients of this pooler. */
         PAUSE,
-        /** Ends a pause. */
+        /** Ends a pause, so that clients are served again. */
         RESUME,
         /** Takes a server out of service. */
         SUSPEND,
         /** Puts a server back into service. */
         RESTORE,
-        /** A line that is none of the above. */
+        /** Any other line. */
         UNKNOWN
     }
 }
--- a/pooler/src/main/java/frostreel/control/AdminRequestParser.java
+++ b/pooler/src/main/java/frostreel/control/AdminRequestParser.java
@@ -2,13 +2,13 @@
 
 import frostreel.control.AdminRequest.Verb;
 
-/** Parses lines of the operators' protocol: a verb in capitals, for some followed by a server's id. */
+/** Parses request lines of the admin protocol: an upper-case verb, followed by a server id for some verbs. */
 final class AdminRequestParser {
     private static final String SEPARATOR = " +";
 
     private AdminRequestParser() {}
 
-    @SuppressWarnings("StringSplitter") // Empty words at the end are meant to drop out.
+    @SuppressWarnings("StringSplitter") // Trailing empty words are to be dropped.
     static AdminRequest parse(String line) {
         String[] words = line.trim().split(SEPARATOR);
         return switch (words.length) {
--- a/pooler/src/main/java/frostreel/control/AdminResponse.java
+++ b/pooler/src/main/java/frostreel/control/AdminResponse.java
@@ -2,10 +2,10 @@
 
 import frostreel.operation.ReadinessStatus;
 
-/** The replies of the operators' protocol. */
+/** The responses of the admin protocol. */
 enum AdminResponse {
     DONE(true, "OK"),
-    /** The command is in force here, but is not stored yet, so a successor of this process would not find it. */
+    /** The command is in force in this process, but not stored yet: a successor process would not find it. */
     DONE_NOT_DURABLE(true, "OK but cannot be kept for a successor"),
     STARTING(false, "ERR starting"),
     DRAINING(false, "ERR emptied"),
@@ -22,17 +22,17 @@
         this.line = line;
     }
 
-    /** Whether the request was carried out. */
+    /** Whether the request was executed. */
     boolean isSuccess() {
         return success;
     }
 
-    /** The reply as it is sent, without its line feed. */
+    /** The response line as it is sent, without its line feed. */
     String line() {
         return line;
     }
 
-    /** The reply to {@link AdminRequest.Verb#STATUS}. */
+    /** Returns the response to {@link AdminRequest.Verb#STATUS}. */
     static AdminResponse of(ReadinessStatus status) {
         return switch (status) {
             case READY -> DONE;
--- a/pooler/src/main/java/frostreel/control/CommandExecutor.java
+++ b/pooler/src/main/java/frostreel/control/CommandExecutor.java
@@ -17,8 +17,9 @@
 import java.util.logging.Logger;
 
 /**
- * Executes operators' commands, given to this process or replicated from another one: applies them to the serving
- * lifecycle and to the endpoints. A command takes effect before it is answered. Confined to the event loop.
+ * Executes operators' commands, whether sent to this process or replicated from another one: applies them to the
+ * serving lifecycle and to the endpoints. A command takes effect before the response is sent. Confined to the event
+ * loop.
  */
 public final class CommandExecutor {
     private static final Logger LOG = Logger.getLogger(CommandExecutor.class.getName());
@@ -34,9 +35,9 @@
     private final CommandReplicator replicator;
 
     /**
-     * @param closeIdleClients closes the idle clients that must leave by the lifecycle
-     * @param folder where commands are stored for other processes, null if there are no others
-     * @param incarnation the name of this process, unique among all that use the folder
+     * @param closeIdleClients closes the idle clients that the lifecycle requires to be closed
+     * @param folder where commands are stored for other processes, null if this is the only process
+     * @param incarnation identifier of this process, unique among all processes that use the folder
      */
     public CommandExecutor(
             EventLoop loop,
@@ -54,14 +55,14 @@
     }
 
     /**
-     * Restores the commands of earlier processes, then watches for those of other processes.
+     * Restores the commands of earlier processes, then watches for commands of other processes.
      *
-     * @param onRestored runs once commands are restored, within seconds even if the disk fails; no client may
-     *     be served before that
+     * @param onRestored runs once commands are restored, within seconds even if the disk fails; no client may be
+     *     served earlier
      */
     public void start(Runnable onRestored) {
         replicator.restore(this::merge, () -> {
-            if (!commands.all().isEmpty()) { // Files of old incarnations are removed at some time: keep a copy.
+            if (!commands.all().isEmpty()) { // The files of old incarnations will be removed, so store a copy.
                 replicator.publish(snapshot(), durability -> {});
             }
             replicator.watch(this::merge);
@@ -74,12 +75,15 @@
         endpoints.publish(list, kind);
     }
 
-    /** The page {@code SHOW operation}: the commands in force. */
+    /** Returns the page {@code SHOW operation}: the commands in force. */
     public String statusPage() {
         return "clients=" + lifecycle.status().wireName() + " out=" + overlay.outOfService();
     }
 
-    /** Executes one line of the operators' protocol; replies once its effect is complete and stored. */
+    /**
+     * Executes one request line of the admin protocol; responds once its effect is complete and the write has
+     * succeeded or failed.
+     */
     void execute(String line, Consumer<AdminResponse> onResponse) {
         Effect effect = apply(AdminRequestParser.parse(line));
         if (!effect.changedCommands()) {
@@ -92,7 +96,10 @@
         });
     }
 
-    /** What a request did: its reply if storing succeeds, and whether there is anything new to store. */
+    /**
+     * The result of a request: the response if storing succeeds, and whether commands have changed and must be
+     * stored.
+     */
     private record Effect(AdminResponse response, boolean changedCommands) {
         static Effect none(AdminResponse response) {
             return new Effect(response, false);
@@ -154,7 +161,7 @@
         });
     }
 
-    /** Puts the target into the state that follows from the last command on it. */
+    /** Brings the target into the state that the last command on it requires. */
     private void applyCommand(CommandTarget target) {
         if (!target.equals(CommandTarget.CLIENTS)) {
             target.serverId().ifPresent(endpoints::republish);
--- a/pooler/src/main/java/frostreel/control/CommandFileFormat.java
+++ b/pooler/src/main/java/frostreel/control/CommandFileFormat.java
@@ -12,15 +12,15 @@
 import org.json.JSONObject;
 
 /**
- * The format of a file of operators' commands: a line with the checksum of the rest in hexadecimal, then a JSON
- * object. Processes of older and newer versions read these files, so the format and its keys are fixed.
+ * The format of a file of operators' commands: a line with the hexadecimal checksum of the rest, then a JSON object.
+ * Processes of older and newer versions read these files, so the format and its keys must not change.
  */
 final class CommandFileFormat {
     private static final int VERSION = 1;
     private static final int CHECKSUM_CHARS = 8;
-    /** The checksum and its line feed. */
+    /** Length of the checksum with its line feed. */
     private static final int HEADER_BYTES = CHECKSUM_CHARS + 1;
-    /** Far more than all commands that operators have in force take: a longer file is not of this format. */
+    /** Maximum length of a file, far more than the commands of operators need; a longer file is corrupt. */
     private static final int MAX_BYTES = 1 << 18;
 
     private static final String KEY_VERSION = "version";
@@ -32,7 +32,7 @@
 
     private CommandFileFormat() {}
 
-    /** Encodes a file with these commands. */
+    /** Encodes commands as the content of a file. */
     static byte[] encode(String incarnation, Map<CommandTarget, CommandState> commands) {
         JSONObject states = new JSONObject();
         commands.forEach((target, state) -> states.put(target.key(), encode(state)));
@@ -56,7 +56,7 @@
                 .put(KEY_CHANGED_AT_US, state.changedAtUs());
     }
 
-    /** Decodes the commands in a file. */
+    /** Decodes the content of a file. */
     static Map<CommandTarget, CommandState> decode(byte[] file) throws CorruptCommandFileException {
         byte[] body = verifiedBody(file);
         try {
@@ -68,12 +68,12 @@
 
     private static byte[] verifiedBody(byte[] file) throws CorruptCommandFileException {
         if (file.length > MAX_BYTES || file.length < HEADER_BYTES || file[CHECKSUM_CHARS] != '\n') {
-            throw new CorruptCommandFileException("a file of " + file.length + " bytes without its checksum");
+            throw new CorruptCommandFileException("invalid length of " + file.length + " bytes, or no checksum");
         }
         byte[] body = Arrays.copyOfRange(file, HEADER_BYTES, file.length);
         String expected = new String(file, 0, CHECKSUM_CHARS, StandardCharsets.US_ASCII);
         if (!checksum(body).equals(expected)) {
-            throw new CorruptCommandFileException("its checksum does not fit");
+            throw new CorruptCommandFileException("checksum mismatch");
         }
         return body;
     }
@@ -87,7 +87,7 @@
     private static Map<CommandTarget, CommandState> decode(JSONObject json) throws CorruptCommandFileException {
         int version = json.getInt(KEY_VERSION);
         if (version != VERSION) {
-            throw new CorruptCommandFileException("version " + version + " is not known here");
+            throw new CorruptCommandFileException("unsupported version " + version);
         }
         Map<CommandTarget, CommandState> commands = new HashMap<>();
         JSONObject states = json.getJSONObject(KEY_COMMANDS);
--- a/pooler/src/main/java/frostreel/control/CommandReplicator.java
+++ b/pooler/src/main/java/frostreel/control/CommandReplicator.java
@@ -6,14 +6,14 @@
 import java.util.function.Consumer;
 
 /**
- * Exchanges operators' commands with the other processes of this pooler: earlier ones, concurrent ones and later
- * ones. Called on the event loop, which it does not block; callbacks run there.
+ * Exchanges operators' commands with the earlier, concurrent and later processes of this pooler. Called on the event
+ * loop, which it does not block; callbacks run there.
  */
 interface CommandReplicator {
-    /** Receives commands that other processes recorded. */
+    /** Receives commands that other processes have stored. */
     interface Receiver extends Consumer<Map<CommandTarget, CommandState>> {}
 
-    /** Replicates nothing, for a process that shares commands with no other. */
+    /** Replicates nothing, for a process that does not share commands. */
     CommandReplicator NONE = new CommandReplicator() {
         @Override
         public void restore(Receiver receiver, Runnable onRestored) {
@@ -30,17 +30,17 @@
     };
 
     /**
-     * Reads what earlier processes recorded.
+     * Reads the commands that earlier processes have stored.
      *
-     * @param onRestored runs once everything was read, or after a few seconds if reading fails
+     * @param onRestored runs once all commands are read, or after a few seconds if reading fails
      */
     void restore(Receiver receiver, Runnable onRestored);
 
-    /** Passes on what other processes record from now on. */
+    /** Starts passing the commands that other processes store from now on to the receiver. */
     void watch(Receiver receiver);
 
     /**
-     * Makes commands available to the other processes. A failure is retried until it succeeds or newer commands
+     * Makes commands available to the other processes. A failed write is retried until it succeeds or newer commands
      * are published.
      *
      * @param commands all commands, immutable
--- a/pooler/src/main/java/frostreel/control/CommandStore.java
+++ b/pooler/src/main/java/frostreel/control/CommandStore.java
@@ -21,21 +21,21 @@
 
 /**
  * The folder in which the processes of one pooler store the operators' commands. Each incarnation has one file,
- * which only it writes, so that processes never overwrite each other's commands; the file gets a new name with
- * each write, so that readers need to look at names only. Blocks; used by one thread at a time.
+ * written by it alone, so that processes never overwrite each other's commands. The file gets a new name with each
+ * write, so that readers detect changes by the name. Methods block; used by one thread at a time.
  */
 final class CommandStore {
     private static final String SUFFIX = ".orders";
     private static final String TEMPORARY_SUFFIX = ".new";
-    /** How many incarnations' files are kept; later incarnations have merged the commands of older ones. */
+    /** Number of incarnations whose files are kept; later incarnations have merged the commands of older ones. */
     private static final int MAX_INCARNATIONS = 16;
-    /** Longer than any write takes: an unfinished file of that age was left by a process that was killed. */
+    /** Longer than any write takes: a temporary file of this age was left by a killed process. */
     private static final long MAX_WRITE_MS = 60_000;
 
     private static final Logger LOG = Logger.getLogger(CommandStore.class.getName());
 
     /**
-     * The commands that a read found.
+     * The result of a read.
      *
      * @param complete whether every file could be read
      */
@@ -46,7 +46,7 @@
 
     private final Path folder;
     private final String incarnation;
-    /** Names of the files that need no further reading: those read, written here or found corrupt. */
+    /** Names of the files that need not be read again: read, written by this process, or found corrupt. */
     private final Set<String> processed = new HashSet<>();
     /** The number in the name of this incarnation's newest file. */
     private int lastWritten;
@@ -54,14 +54,15 @@
     private int lastDeleted;
 
     /**
-     * @param incarnation the name of this process, unique among all that use the folder; letters and digits only
+     * @param incarnation identifier of this process, unique among all processes that use the folder; letters and
+     *     digits only
      */
     CommandStore(Path folder, String incarnation) {
         this.folder = folder;
         this.incarnation = incarnation;
     }
 
-    /** Replaces what this incarnation wrote before. On return the commands are on the disk. */
+    /** Stores commands in place of those that this incarnation stored before. On return they are synced to disk. */
     void write(Map<CommandTarget, CommandState> commands) throws IOException {
         Files.createDirectories(folder);
         Path temporary = folder.resolve(incarnation + TEMPORARY_SUFFIX);
@@ -71,7 +72,7 @@
             Files.deleteIfExists(temporary); // It takes up space that the next attempt may need.
             throw failure;
         }
-        // The number is used up even if a later step fails, as readers identify files by their names alone.
+        // The number is not reused even if a later step fails, as readers identify files by their names.
         String name = fileName(++lastWritten);
         Files.move(temporary, folder.resolve(name), StandardCopyOption.ATOMIC_MOVE);
         processed.add(name);
@@ -108,9 +109,8 @@
     }
 
     /**
-     * Reads what other incarnations have written since the last call; of several commands on a target the last
-     * one is returned. A corrupt file is logged once and skipped; one that cannot be read now is retried at the
-     * next call.
+     * Reads the commands that other incarnations have written since the last call, and returns the last one for each
+     * target. A corrupt file is logged once and skipped; a file that cannot be read is retried at the next call.
      */
     ReadResult readOthers() throws IOException {
         Set<String> present;
@@ -144,7 +144,7 @@
             CommandFileFormat.decode(Files.readAllBytes(folder.resolve(name))).forEach(merged::merge);
             return true;
         } catch (NoSuchFileException replaced) {
-            processed.remove(name); // Its writer has replaced it by a newer one, which the next call reads.
+            processed.remove(name); // Its writer has replaced it by a newer file, which the next call reads.
             return true;
         } catch (CorruptCommandFileException corruption) {
             LOG.warning("skipping command file " + name + ": " + corruption.getMessage());
@@ -155,7 +155,7 @@
         }
     }
 
-    /** Deletes the files of the oldest incarnations, and what killed processes left unfinished. */
+    /** Deletes the files of the oldest incarnations, and temporary files of killed processes. */
     void removeStale() throws IOException {
         removeTemporaryFiles();
         removeOldestIncarnations();
@@ -175,7 +175,7 @@
         }
     }
 
-    /** Keeps recent unfinished files, as another process may be writing them. */
+    /** Deletes old temporary files; another process may still be writing recent ones. */
     private void removeTemporaryFiles() throws IOException {
         try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, "*" + TEMPORARY_SUFFIX)) {
             for (Path file : files) {
--- a/pooler/src/main/java/frostreel/control/CommitTableFile.java
+++ b/pooler/src/main/java/frostreel/control/CommitTableFile.java
@@ -16,13 +16,14 @@
 import java.util.Optional;
 
 /**
- * The memory of a {@link SharedCommitTable}: a small file that all processes of one pooler map. A header that names
- * the layout is followed by the table. Its content is not needed after a reboot, so it is never synced to the disk.
+ * The memory-mapped file that holds a {@link SharedCommitTable} and is shared by all processes of one pooler. A
+ * header that identifies the layout is followed by the table. The content is not needed after a reboot, so it is
+ * never synced to disk.
  */
 final class CommitTableFile implements SharedMemoryLongs {
     static final String NAME = "commits";
     private static final String TEMPORARY_SUFFIX = ".new";
-    /** The header: "frostre" in ASCII and the version of the layout, which changes whenever the layout does. */
+    /** The header: "frostre" in ASCII, then the version of the layout, to be changed with the layout. */
     private static final long LAYOUT = 0x66726f7374726501L;
 
     private static final int HEADER_LONGS = 1;
@@ -37,9 +38,9 @@
     }
 
     /**
-     * Maps the folder's file, which is created if missing. A file that is damaged or of another layout is
-     * replaced, for later processes; a process that still maps the old file and those that map the new one do
-     * not see each other's commits.
+     * Maps the file in the folder, and creates it if missing. A file that is corrupt or of another layout is
+     * replaced. A process that still maps the old file and the processes that map the new one do not see each
+     * other's commits.
      */
     static CommitTableFile open(Path folder) throws IOException {
         Files.createDirectories(folder);
@@ -51,22 +52,28 @@
         if (!usable) {
             Files.move(writeEmpty(folder), file, StandardCopyOption.ATOMIC_MOVE);
         }
-        return new CommitTableFile(map(file), usable ? null : file + " is damaged or of another version, and replaced");
+        return new CommitTableFile(map(file), usable ? null : file + " was corrupt or of another version; replaced");
     }
 
-    /** Gives the file its name only once it is complete, so that no other process maps part of one. */
+    /**
+     * Creates the file under a temporary name and links it once it is complete, so that no process maps an
+     * incomplete one.
+     */
     private static void createUnlessPresent(Path folder, Path file) throws IOException {
         Path complete = writeEmpty(folder);
         try {
             Files.createLink(file, complete);
         } catch (FileAlreadyExistsException e) {
-            // Another process has created the file meanwhile: use that.
+            // Another process has created the file concurrently; that one is used.
         } finally {
             Files.delete(complete);
         }
     }
 
-    /** Writes every block, as a full disk would otherwise show only at a write to the mapping. */
+    /**
+     * Writes an empty table to a temporary file. All blocks are written, as a full disk would otherwise be detected
+     * only when the mapping is written to.
+     */
     private static Path writeEmpty(Path folder) throws IOException {
         Path file = Files.createTempFile(folder, NAME, TEMPORARY_SUFFIX);
         try (FileChannel out = FileChannel.open(file, StandardOpenOption.WRITE)) {
@@ -82,7 +89,7 @@
         return file;
     }
 
-    /** Whether the file has the present layout. A shorter one must not be mapped: access past its end is fatal. */
+    /** Whether the file has the current layout. A shorter file must not be mapped: access past its end is fatal. */
     private static boolean isUsable(Path file) throws IOException {
         try (FileChannel in = FileChannel.open(file, StandardOpenOption.READ)) {
             ByteBuffer header = ByteBuffer.allocate(HEADER_LONGS * Long.BYTES).order(ByteOrder.nativeOrder());
@@ -97,7 +104,10 @@
         }
     }
 
-    /** Why this file replaced another one, whose content is lost to this process; empty if it did not. */
+    /**
+     * The reason why an existing file was replaced, so that its content is lost to this process; empty if it was
+     * not.
+     */
     Optional<String> replacementReason() {
         return Optional.ofNullable(replacementReason);
     }
--- a/pooler/src/main/java/frostreel/control/CorruptCommandFileException.java
+++ b/pooler/src/main/java/frostreel/control/CorruptCommandFileException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** Thrown for a file of commands that is damaged or of another version, so that reading it again is useless. */
+/** Thrown if a command file is corrupt or of another version, so that a retry would fail too. */
 final class CorruptCommandFileException extends IOException {
     private static final long serialVersionUID = 1;
 
--- a/pooler/src/main/java/frostreel/control/Durability.java
+++ b/pooler/src/main/java/frostreel/control/Durability.java
@@ -1,8 +1,8 @@
 package frostreel.control;
 
-/** Whether commands that took effect in this process are also stored, so that they outlast it. */
+/** Whether commands that are in force in this process are also stored, so that they survive its end. */
 enum Durability {
     DURABLE,
-    /** Writing them failed, and is retried. */
+    /** The write failed and will be retried. */
     NOT_DURABLE
 }
--- a/pooler/src/main/java/frostreel/control/EndpointPublisher.java
+++ b/pooler/src/main/java/frostreel/control/EndpointPublisher.java
@@ -9,8 +9,8 @@
 import java.util.List;
 
 /**
- * Publishes discovered servers to the server pool and the router, after the operators' commands were overlaid on
- * them. Every endpoint list passes through here. Confined to the event loop.
+ * Publishes endpoint lists to the server pool and the router, with the operators' commands applied to the servers.
+ * Every endpoint list is published here. Confined to the event loop.
  */
 final class EndpointPublisher {
     private final MaintenanceOverlay overlay;
@@ -43,7 +43,10 @@
         return endpoints;
     }
 
-    /** Publishes one server again, after a command on it; does nothing if discovery has not listed it. */
+    /**
+     * Publishes the new state of a server after a command on it; does nothing if discovery has not listed the
+     * server.
+     */
     void republish(String serverId) {
         overlay.effective(serverId).ifPresent(member -> {
             pool.updateState(serverId, member.state());
--- a/pooler/src/main/java/frostreel/control/FileCommandReplicator.java
+++ b/pooler/src/main/java/frostreel/control/FileCommandReplicator.java
@@ -12,25 +12,25 @@
 import java.util.logging.Logger;
 
 /**
- * Replicates through files: a process writes its commands to a {@link CommandStore} and polls it for those of the
- * others. The store is used on the worker's task thread only, one task after another; results are passed to the
- * event loop.
+ * Replicates commands through files: each process writes its commands to a {@link CommandStore} and polls it for
+ * commands of the others. The store is confined to the worker's single task thread; results are passed to the event
+ * loop.
  */
 final class FileCommandReplicator implements CommandReplicator {
-    /** A fraction of the second within which a command must be in force in all processes. */
+    /** A fraction of the 1 s within which a command must be in force in all processes. */
     private static final long POLL_INTERVAL_US = 150_000;
 
     private static final long WRITE_RETRY_DELAY_US = 500_000;
-    /** How long to wait for a disk from which not all commands of earlier processes can be read. */
+    /** Time after which a restore completes even if some commands of earlier processes cannot be read. */
     private static final long RESTORE_TIMEOUT_US = 3_000_000;
 
     private static final Logger LOG = Logger.getLogger(FileCommandReplicator.class.getName());
 
     private final EventLoop loop;
     private final CommandStore store;
-    /** Used on the task thread: whether the last read failed. A failure is logged once. */
+    /** Whether the last read failed, so that an outage is logged once; confined to the task thread. */
     private boolean readFailing;
-    /** Used on the event loop: the commands published last, null once they are written. */
+    /** The commands published last, null once they are written; confined to the event loop. */
     private Map<CommandTarget, CommandState> unwritten;
 
     FileCommandReplicator(EventLoop loop, Path folder, String incarnation) {
@@ -54,7 +54,7 @@
             CommandStore.ReadResult result, Receiver receiver, Runnable onRestored, long giveUpAtUs) {
         receiver.accept(result.commands());
         if (result.complete() || loop.clock().now() >= giveUpAtUs) {
-            onRestored.run(); // What could not be read yet is received while watching.
+            onRestored.run(); // Commands that could not be read yet are received while watching.
             return;
         }
         Runnable readAgain = () -> runTask(this::read, next -> continueRestore(next, receiver, onRestored, giveUpAtUs));
@@ -105,7 +105,7 @@
         });
     }
 
-    /** Runs on the task thread what may block, and passes its result to the event loop. */
+    /** Runs a task that may block on the task thread, and passes its result to the event loop. */
     private <T> void runTask(Supplier<T> task, Consumer<T> onResult) {
         try {
             loop.worker().execute(() -> {
@@ -113,11 +113,11 @@
                 try {
                     loop.thread().execute(() -> onResult.accept(result));
                 } catch (RejectedExecutionException loopEnded) {
-                    LOG.fine("the event loop has ended and takes no results");
+                    LOG.fine("the event loop has ended; dropped the result of a command task");
                 }
             });
         } catch (RejectedExecutionException workerEnded) {
-            LOG.fine("the worker has ended and takes no tasks");
+            LOG.fine("the worker has ended; dropped a command task");
         }
     }
 
--- a/pooler/src/main/java/frostreel/control/PeerProcessCommits.java
+++ b/pooler/src/main/java/frostreel/control/PeerProcessCommits.java
@@ -11,18 +11,18 @@
 import java.util.logging.Logger;
 
 /**
- * The exchange of sessions' commits with the other processes of the same pooler, through a file that all of them
- * map. It takes place only if a second process may serve beside this one and the settings track sessions by
- * remembering their commits. If the file cannot be used, reads are bound to every commit of the others that may
- * count as known.
+ * Shares sessions' commits with the other processes of the same pooler through a memory-mapped file. Enabled only if
+ * another process may serve concurrently and the settings track sessions by remembering their commits. If the file
+ * cannot be used, the commits of the others are unknown, and each session read must see all commits whose responses
+ * clients may already have.
  *
- * @param writeObserver records the writes of this process, for the others
- * @param peerCommits answers what the others have committed
+ * @param writeObserver records the writes of this process for the others
+ * @param peerCommits returns the position that a read must see because of commits through other processes
  */
 public record PeerProcessCommits(WriteObserver writeObserver, PeerCommits peerCommits) {
     private static final Logger LOG = Logger.getLogger(PeerProcessCommits.class.getName());
 
-    /** Opens the file if one is needed. Blocks, so call it before the event loop has work to do. */
+    /** Opens the file if commits are shared. Blocks, so it must be called before the event loop starts. */
     public static PeerProcessCommits open(Config config, long nowUs) {
         if (!config.inheritsListener() || config.settings().sessionTracking() != Router.SessionTracking.REMEMBERED) {
             return new PeerProcessCommits(WriteObserver.NONE, PeerCommits.NONE);
@@ -30,23 +30,23 @@
         return SharedFile.open(config, nowUs);
     }
 
-    /** A class of its own, so that a process without peers does not load what it uses. */
+    /** A separate class, so that a process without peers does not load the classes that it uses. */
     private static final class SharedFile {
         static PeerProcessCommits open(Config config, long nowUs) {
             try {
-                Path folder = config.commandFolder().orElseThrow(() -> new IOException("there is no folder for it"));
+                Path folder = config.commandFolder().orElseThrow(() -> new IOException("no folder for shared files"));
                 CommitTableFile file = CommitTableFile.open(folder);
                 SharedCommitTable table = new SharedCommitTable(file, newIncarnation(), nowUs);
                 file.replacementReason().ifPresent(SharedFile::warn);
                 boolean peersKnown = file.replacementReason().isEmpty();
                 return new PeerProcessCommits(table, peersKnown ? table : SharedCommitTable.UNKNOWN_PEERS);
-            } catch (IOException | UnsupportedOperationException e) { // The latter on a file system without links.
+            } catch (IOException | UnsupportedOperationException e) { // The latter without hard links.
                 warn(e.toString());
                 return new PeerProcessCommits(WriteObserver.NONE, SharedCommitTable.UNKNOWN_PEERS);
             }
         }
 
-        /** A random number, so that no other process has it, and odd, so that it is not 0. */
+        /** Returns a random number, to be unique among the processes; odd, so that it is not 0. */
         private static long newIncarnation() {
             return new SplittableRandom().nextLong() | 1;
         }
--- a/pooler/src/main/java/frostreel/control/SharedClock.java
+++ b/pooler/src/main/java/frostreel/control/SharedClock.java
@@ -11,11 +11,11 @@
 import java.util.logging.Logger;
 
 /**
- * Makes the clock that all processes of one pooler share: the machine's monotonic clock plus an offset that turns
- * it into Unix time. The first process stores its offset in the shared folder, and later ones use the stored one
- * until the machine reboots. If each took the offset from the wall clock at its start instead, a step of the wall
- * clock between two starts would make their times differ, and the times of commits and commands that they
- * exchange would appear to lie in the future or long ago.
+ * Creates the clock that all processes of one pooler share: the machine's monotonic clock plus an offset that
+ * converts it to Unix time. The first process stores its offset in the shared folder, and later processes use the
+ * stored offset until the machine reboots. If each process computed its own offset at its start, a step of the wall
+ * clock between two starts would make their clocks differ, and the timestamps of commits and commands that they
+ * exchange would appear to be in the future or long past.
  */
 public final class SharedClock {
     private static final String FILE_NAME = "clock";
@@ -27,10 +27,9 @@
     private SharedClock() {}
 
     /**
-     * Returns the clock of this process. Reads and may write a small file, so call it before the event loop has
-     * work to do.
+     * Returns the clock of this process. Blocks on a small file, so it must be called before the event loop starts.
      *
-     * @param folder the folder that the processes of this pooler share, null if there are no others
+     * @param folder the folder that the processes of this pooler share, null if this is the only process
      */
     public static Clock open(Path folder) {
         Clock own = Clock.system();
@@ -51,7 +50,9 @@
         return System.nanoTime() / NANOS_PER_MICRO;
     }
 
-    /** The offset that the first process since the boot stored; stores this process's own if it is the first. */
+    /**
+     * Returns the offset stored by the first process since the boot; stores this process's own if it is the first.
+     */
     private static long sharedOffsetUs(Path folder, String bootId, long ownOffsetUs) throws IOException {
         Files.createDirectories(folder);
         Path file = folder.resolve(FILE_NAME);
@@ -59,12 +60,12 @@
         return stored.isPresent() ? stored.getAsLong() : store(file, bootId, ownOffsetUs);
     }
 
-    /** Stores an offset and returns it, or returns the one that another process stored at the same time. */
+    /** Stores an offset and returns it, or returns the one that another process has stored concurrently. */
     private static long store(Path file, String bootId, long ownOffsetUs) throws IOException {
         Path temporary = Files.createTempFile(file.getParent(), FILE_NAME, TEMPORARY_SUFFIX);
         try {
             Files.writeString(temporary, bootId + " " + ownOffsetUs + "\n", StandardCharsets.US_ASCII);
-            Files.deleteIfExists(file); // It is damaged, or from before the last reboot.
+            Files.deleteIfExists(file); // The file is corrupt, or from before the last reboot.
             Files.createLink(file, temporary);
             return ownOffsetUs;
         } catch (FileAlreadyExistsException e) {
@@ -74,8 +75,8 @@
         }
     }
 
-    /** The offset in the file, empty if it holds none since this boot. */
-    @SuppressWarnings("StringSplitter") // Empty words at the end are meant to drop out.
+    /** Returns the offset in the file, empty if it contains none for the current boot. */
+    @SuppressWarnings("StringSplitter") // Trailing empty words are to be dropped.
     private static OptionalLong storedOffsetUs(Path file, String bootId) throws IOException {
         try {
             String[] words =
--- a/pooler/src/main/java/frostreel/discovery/AgentConnection.java
+++ b/pooler/src/main/java/frostreel/discovery/AgentConnection.java
@@ -14,11 +14,11 @@
 import org.xnio.StreamConnection;
 
 /**
- * One connection to the discovery agent, with at most one request in flight. Its listener is notified on the
- * I/O thread, of each kind of event at most once for a request, and of none after {@link #close}.
+ * A connection to the discovery agent, with at most one request in flight. The listener is notified on the I/O
+ * thread: of each kind of event at most once per request, and of nothing after {@link #close}.
  */
 final class AgentConnection implements SocketStream.Handler {
-    /** Notified of the events of connections; each call names the connection. */
+    /** Receives the events of connections. */
     interface Listener {
         /** The connection is established and can carry a request. */
         void onConnected(AgentConnection connection);
@@ -27,8 +27,7 @@
         void onResponse(AgentConnection connection, HttpResponseParser response);
 
         /**
-         * Connecting or the response has exceeded its timeout. The connection stays open, and both may still
-         * succeed.
+         * The connect or the response has exceeded its timeout. The connection stays open, and may still succeed.
          */
         void onOverdue(AgentConnection connection, String reason);
 
@@ -36,9 +35,9 @@
         void onFailed(AgentConnection connection, String reason);
     }
 
-    /** A response of which bytes have arrived within this time is still arriving, and not overdue. */
+    /** A response is still arriving, and not overdue, if bytes of it have arrived within this time. */
     private static final long ARRIVAL_GAP_US = 500_000;
-    /** After this time a response is overdue even if it is still arriving. */
+    /** Time after which a response is overdue even if it is still arriving. */
     private static final long MAX_ARRIVAL_US = 20_000_000;
 
     private final EventLoop loop;
@@ -55,19 +54,19 @@
     private long requestedUs;
     private boolean closed;
 
-    /** Begins to connect, and notifies the listener if that takes longer than {@code timeoutUs}. */
+    /** Starts connecting; the listener is notified if that takes longer than {@code timeoutUs}. */
     AgentConnection(EventLoop loop, InetSocketAddress address, long timeoutUs, Listener listener) {
         this.loop = loop;
         this.listener = listener;
         this.address = address;
         requestedUs = loop.clock().now();
         lastReceivedUs = requestedUs;
-        timeout = loop.deadlines().after(timeoutUs, () -> listener.onOverdue(this, "no connection in time"));
+        timeout = loop.deadlines().after(timeoutUs, () -> listener.onOverdue(this, "connect timed out"));
         connecting = loop.thread().openStreamConnection(address, null, OptionMap.create(Options.TCP_NODELAY, true));
     }
 
     /**
-     * Starts the notifications; separate from the constructor, so that the listener can store this object
+     * Starts notifying the listener; separate from the constructor, so that the listener can store this object
      * first.
      */
     void begin() {
@@ -80,7 +79,7 @@
 
                     @Override
                     public void handleFailed(IOException failure, Void none) {
-                        fail("the connection failed: " + failure.getMessage());
+                        fail("connect failed: " + failure.getMessage());
                     }
                 },
                 null);
@@ -88,7 +87,7 @@
 
     private void connected(StreamConnection connection) {
         if (closed) {
-            IoUtils.safeClose(connection); // Closed while it was being established.
+            IoUtils.safeClose(connection); // Closed while connecting.
             return;
         }
         stream = new SocketStream(loop, connection, this);
@@ -99,9 +98,9 @@
     /**
      * Sends a request.
      *
-     * @param fromVersion the version of the list since which changes are requested; {@link #fromVersion()}
-     *     returns it from then on
-     * @param timeoutUs after this time the response is overdue
+     * @param fromVersion the version of the endpoint list since which updates are requested; returned by {@link
+     *     #fromVersion()}
+     * @param timeoutUs time after which the response is overdue
      */
     void request(String pathAndQuery, long fromVersion, long timeoutUs) {
         this.fromVersion = fromVersion;
@@ -115,34 +114,36 @@
         stream.write(request.getBytes(StandardCharsets.US_ASCII));
     }
 
-    /** A long list that is still arriving is waited for: requesting it again would take longer. */
+    /**
+     * Reports the request as overdue, unless a long list is still arriving: requesting it again would take longer.
+     */
     private void reportOverdueUnlessArriving() {
         long nowUs = loop.clock().now();
         boolean arriving = lastReceivedUs > requestedUs && nowUs - lastReceivedUs < ARRIVAL_GAP_US;
         if (arriving && nowUs - requestedUs < MAX_ARRIVAL_US) {
             timeout = loop.deadlines().after(ARRIVAL_GAP_US, this::reportOverdueUnlessArriving);
         } else {
-            listener.onOverdue(this, "no answer in time");
+            listener.onOverdue(this, "response timed out");
         }
     }
 
-    /** The version since which the latest request asks for changes. */
+    /** Returns the version since which the latest request asks for updates. */
     long fromVersion() {
         return fromVersion;
     }
 
-    /** When the last byte arrived; if none has since the request, when that was sent. */
+    /** Returns when the last byte arrived, or when the latest request was sent if none has arrived since. */
     long lastReceivedUs() {
         return lastReceivedUs;
     }
 
-    /** When the latest request was sent; before the first one, when connecting began. */
+    /** Returns when the latest request was sent, or when connecting began if none was. */
     long requestedUs() {
         return requestedUs;
     }
 
     /**
-     * Processes the bytes that have arrived by now, without waiting for the loop to select this connection.
+     * Processes the bytes that have already arrived, without waiting for the event loop to select this connection.
      */
     void readNow() {
         if (stream != null) {
@@ -169,7 +170,7 @@
         if (!stream.wasReset() && response.isDelimitedByClose()) {
             reportResponse();
         } else {
-            fail("the connection ended");
+            fail("connection closed before a complete response");
         }
     }
 
@@ -185,7 +186,7 @@
         }
     }
 
-    /** Closes the connection in any state; the listener is not notified of it again. */
+    /** Closes the connection in any state; the listener is not notified again. */
     void close() {
         if (closed) {
             return;
--- a/pooler/src/main/java/frostreel/discovery/AgentConnections.java
+++ b/pooler/src/main/java/frostreel/discovery/AgentConnections.java
@@ -1,16 +1,16 @@
 package frostreel.discovery;
 
 /**
- * The connections of a watch to the agent, two at most: the one with the current request, or being established
- * for it, and one whose request is overdue and may still be answered.
+ * The connections of a watch to the agent, at most two: the current one, which carries the current request or is
+ * being established for it, and an overdue one, which has exceeded its timeout and may still deliver a response.
  */
 final class AgentConnections {
-    /** An overdue request is abandoned after this time without any bytes. */
+    /** Time without received bytes after which an overdue request is abandoned. */
     private static final long OVERDUE_SILENCE_US = 15_000_000;
-    /** An overdue request is abandoned after this time in all. */
+    /** Total time after which an overdue request is abandoned. */
     private static final long MAX_OVERDUE_US = 60_000_000;
 
-    /** Null between two requests. */
+    /** Null between requests. */
     private AgentConnection current;
     /** Null while no request is overdue. */
     private AgentConnection overdue;
@@ -27,14 +27,15 @@
         return connection == overdue;
     }
 
-    /** Sets the current connection, where there is none. */
+    /** Sets the current connection; there must be none. */
     void setCurrent(AgentConnection connection) {
         current = connection;
     }
 
     /**
-     * Makes the current request overdue, so that another one can be sent. If one is overdue already, the newer
-     * of the two is abandoned, as the older is nearer to its response, unless that has expired.
+     * Makes the current request overdue, so that another one can be sent. If another request is already overdue, the
+     * newer of the two is abandoned, as the agent will respond to the older one first; the older one is abandoned
+     * only if it has expired.
      */
     void moveCurrentToOverdue(long nowUs) {
         AgentConnection connection = current;
@@ -54,14 +55,14 @@
                 || nowUs - connection.requestedUs() > MAX_OVERDUE_US;
     }
 
-    /** Makes one of the two the current connection and closes the other, whose request has become useless. */
+    /** Makes one of the two the current connection and closes the other, whose request is no longer needed. */
     void keepOnly(AgentConnection connection) {
         close(connection == current ? overdue : current);
         overdue = null;
         current = connection;
     }
 
-    /** Closes a connection and forgets it; without effect for null. */
+    /** Closes a connection and removes it; does nothing for null. */
     void close(AgentConnection connection) {
         if (connection != null) {
             connection.close();
@@ -75,9 +76,9 @@
         close(overdue);
     }
 
-    /** Processes what has arrived on both connections by now. */
+    /** Processes the bytes that have already arrived on both connections. */
     void readNow() {
-        AgentConnection second = overdue; // Reading from the current one may close it, or make it current.
+        AgentConnection second = overdue; // Reading from the current connection may close this one or make it current.
         if (current != null) {
             current.readNow();
         }
--- a/pooler/src/main/java/frostreel/discovery/DiscoveryStatus.java
+++ b/pooler/src/main/java/frostreel/discovery/DiscoveryStatus.java
@@ -3,24 +3,24 @@
 import java.util.logging.Logger;
 
 /**
- * Whether the agent answers, for the log and for operators. An outage is logged once at its start and once at
- * its end.
+ * Tracks whether the agent responds, for the log and for operators. An outage is logged once at its start and once
+ * at its end.
  */
 final class DiscoveryStatus {
-    /** Operators know the lines by the name of the watch. */
+    /** Logs under the name of the watch, by which operators know these lines. */
     private static final Logger LOG = Logger.getLogger(DiscoveryWatch.class.getName());
 
     private static final long MICROS_PER_MILLI = 1000;
     private static final long NEVER = 0;
-    /** Shown for the time since the last answer where there has been none. */
+    /** Reported as the time since the last response if there has been none. */
     private static final long NO_AGE = -1;
 
     private boolean responding;
     private long lastResponseUs = NEVER;
-    /** When the present outage was detected; {@link #NEVER} where there is none. */
+    /** When the current outage was detected, {@link #NEVER} if there is none. */
     private long outageStartUs = NEVER;
 
-    /** Records that a request was answered. */
+    /** Records a response. */
     void recordResponse(long nowUs) {
         responding = true;
         lastResponseUs = nowUs;
@@ -39,12 +39,12 @@
         responding = false;
     }
 
-    /** Whether the latest request with a result was answered, rather than failed or overdue. */
+    /** Whether the latest result of a request was a response, rather than a failure or a timeout. */
     boolean isResponding() {
         return responding;
     }
 
-    /** The fields of {@code SHOW health} on discovery, with the version of the list held. */
+    /** Returns the discovery fields of {@code SHOW health}, with the version of the current endpoint list. */
     String describe(long nowUs, long version) {
         return "discovery=" + state()
                 + " discovery_version=" + version
--- a/pooler/src/main/java/frostreel/discovery/DiscoveryWatch.java
+++ b/pooler/src/main/java/frostreel/discovery/DiscoveryWatch.java
@@ -11,34 +11,34 @@
 import org.json.JSONObject;
 
 /**
- * Long-polls the discovery agent for changes of the endpoint list, each request sent right after the last
- * response. The complete list is requested only where none is held: it costs the agent a line for each
- * server, and when all poolers start at once such requests queue at the agent until they time out and are
- * retried, while no pooler learns of any change. While the agent does not answer, the list held stays in use
- * and connecting is retried with backoff.
+ * Long-polls the discovery agent for updates of the endpoint list; each request is sent right after the previous
+ * response. The complete list is requested only if there is no current one: it costs the agent a line per server,
+ * and when all poolers start at once, such requests queue at the agent until they time out and are retried, while no
+ * pooler gets an update. While the agent does not respond, the current list stays in use and connecting is retried
+ * with backoff.
  *
- * <p>The platform counts a change as delivered 6 s after the agent could first deliver it. The constants fit
- * into that whatever happened before: one long poll with its timeout, the backoff, one more unanswered request
- * and an answered one.
+ * <p>The platform counts an endpoint list update as delivered 6 s after the agent could first deliver it. In the
+ * worst case that time covers a long poll with its timeout, the backoff, another request without a response, and a
+ * request with one; the constants are chosen so that all of these fit.
  *
- * <p>An overdue request is not abandoned: a second one is sent on another connection, and the first response
- * of the two is used. A slow or overloaded agent answers the oldest request first, so that abandoning it would
- * send this pooler to the end of the agent's queue each time. At most two requests are in flight.
+ * <p>An overdue request is not abandoned: a second one is sent on another connection, and whichever response arrives
+ * first is used. A slow or overloaded agent responds to the oldest request first, so abandoning it would move this
+ * pooler to the end of the agent's queue each time. At most two requests are in flight.
  */
 public final class DiscoveryWatch implements AgentConnection.Listener {
-    /** How long the agent may hold a request back while there is no change. */
+    /** Time for which the agent may delay its response while there is no update. */
     static final long LONG_POLL_MS = 2_500;
     /**
-     * How long the agent may hold back the first request, and the first after a failure. It is as short as
-     * possible, so that the response confirms the list held, and a missing response is noticed, at once.
+     * Time for which the agent may delay the first response, and the first one after a failure. It is as short as
+     * possible, so that the response confirms the current list at once, and a missing response is detected early.
      */
     private static final long PROBE_POLL_MS = 1;
     /**
-     * A response is overdue after this time beyond that for which the agent may hold the request back. The
-     * agent usually answers at once.
+     * Timeout for connecting, and for a response in addition to the time for which the agent may delay it. The agent
+     * usually responds at once.
      */
     static final long TIMEOUT_US = 1_500_000;
-    /** The version of a watch that holds no list; the complete one is requested. */
+    /** The version to pass if there is no current list, so that the complete one is requested. */
     public static final long NO_VERSION = ListVersion.NONE;
 
     private static final String PATH = "/discovery/hosts";
@@ -54,9 +54,9 @@
     private final Backoff backoff = new Backoff();
     private final AgentConnections connections = new AgentConnections();
     private final ListVersion listVersion;
-    /** The pending reconnect after a failure; null before the first one. */
+    /** The latest reconnect scheduled after a failure; null before the first failure. */
     private Deadlines.Deadline reconnect;
-    /** Whether the first request was written. */
+    /** Whether the first request has been written. */
     private boolean requested;
 
     private boolean stopped;
@@ -64,12 +64,12 @@
     private Runnable onFirstList = () -> {};
 
     /**
-     * A watch that has not begun.
+     * Creates a watch that is not started.
      *
-     * @param zones names of the zones, in the order of their numbers
-     * @param machineTypes names of the machine types, in the order of their numbers
-     * @param version of the list held, {@link #NO_VERSION} for none
-     * @param listener receives each list, complete or of changes, on the I/O thread
+     * @param zones names of the zones, ordered by index
+     * @param machineTypes names of the machine types, ordered by index
+     * @param version version of the current endpoint list, {@link #NO_VERSION} for none
+     * @param listener receives each complete endpoint list and each update, on the I/O thread
      */
     public DiscoveryWatch(
             EventLoop loop,
@@ -86,7 +86,7 @@
         this.listener = listener;
     }
 
-    /** Sets what runs once the first request is written; at once if it has been. */
+    /** Sets an action that runs once the first request is written, or now if it has been. */
     public void onFirstRequest(Runnable action) {
         onFirstRequest = action;
         if (requested) {
@@ -94,12 +94,12 @@
         }
     }
 
-    /** Sets what runs right before the listener receives the first list. */
+    /** Sets an action that runs right before the listener receives the first list. */
     public void onFirstList(Runnable action) {
         onFirstList = action;
     }
 
-    /** Begins to watch, or reconnects; without effect while a connection is current. */
+    /** Starts to watch, or reconnects; does nothing while there is a current connection. */
     public void start() {
         if (stopped || connections.hasCurrent()) {
             return;
@@ -109,14 +109,14 @@
         connection.begin();
     }
 
-    /** Stops for good: no request, retry or list follows. */
+    /** Stops permanently: no request is sent and no list is delivered after this. */
     public void stop() {
         stopped = true;
         loop.deadlines().cancel(reconnect);
         connections.closeAll();
     }
 
-    /** Processes what the agent has sent by now, before the loop acts on other events. */
+    /** Processes the responses that have already arrived, before the event loop handles other events. */
     public void readNow() {
         connections.readNow();
     }
@@ -180,7 +180,7 @@
         listener.accept(list);
     }
 
-    /** Sends the next request, on the connection that was answered if it can carry one. */
+    /** Sends the next request, on the same connection if it is kept alive. */
     private void pollNext(AgentConnection connection, boolean keepAlive) {
         loop.deadlines().cancel(reconnect);
         connections.keepOnly(connection);
@@ -209,7 +209,7 @@
         }
     }
 
-    /** Reconnects after the backoff; the list held stays in use. */
+    /** Records the failure and reconnects after the backoff; the current list stays in use. */
     private void retry(String reason) {
         loop.counters().discoveryFailures++;
         status.recordFailure(loop.clock().now(), reason);
@@ -220,7 +220,7 @@
         reconnect = loop.deadlines().after(backoff.nextUs(), this::start);
     }
 
-    /** The fields of {@code SHOW health} on discovery. */
+    /** Returns the discovery fields of {@code SHOW health}. */
     @Override
     public String toString() {
         return status.describe(loop.clock().now(), listVersion.value());
--- a/pooler/src/main/java/frostreel/discovery/HttpResponseParser.java
+++ b/pooler/src/main/java/frostreel/discovery/HttpResponseParser.java
@@ -6,8 +6,8 @@
 import java.util.Locale;
 
 /**
- * Incremental parser of one HTTP/1.1 response, with a bound on every length. A body that has neither a length
- * nor chunks is delimited by the orderly end of its connection; after a reset it may be truncated.
+ * Incremental parser of one HTTP/1.1 response, with a limit on every length. A body with neither a length nor chunks
+ * is delimited by the orderly end of its connection; after a reset it may be truncated.
  */
 final class HttpResponseParser {
     private static final int MAX_BODY_BYTES = 1 << 22;
@@ -21,9 +21,9 @@
     private enum State {
         STATUS_LINE,
         HEADERS,
-        /** A known number of body bytes: the whole body, or one chunk. */
+        /** A known number of body bytes: the complete body, or one chunk. */
         BODY,
-        /** All further bytes up to the end of the connection. */
+        /** All bytes up to the end of the connection. */
         BODY_UNTIL_CLOSE,
         CHUNK_SIZE,
         TRAILERS,
@@ -37,10 +37,10 @@
     private int contentLength = UNKNOWN_LENGTH;
     private boolean chunked;
     private boolean keepAlive = true;
-    /** Missing bytes of the body, or of its current chunk. */
+    /** Number of bytes of the body, or of its current chunk, that have not arrived yet. */
     private int remaining;
 
-    /** Consumes bytes up to the end of the response; those after it stay in the buffer. */
+    /** Consumes bytes up to the end of the response; later bytes stay in the buffer. */
     void accept(ByteBuffer in) throws MalformedResponseException {
         while (in.hasRemaining() && state != State.COMPLETE) {
             switch (state) {
@@ -92,7 +92,7 @@
         }
     }
 
-    @SuppressWarnings("StringSplitter") // Empty words at the end are meant to drop out.
+    @SuppressWarnings("StringSplitter") // Trailing empty words are to be dropped.
     private void acceptStatusLine(String text) throws MalformedResponseException {
         String[] words = text.split(" ");
         if (words.length < 2 || !words[0].startsWith("HTTP/1.")) {
@@ -130,8 +130,8 @@
         }
     }
 
-    /** Skips the empty line that ends the previous chunk. */
-    @SuppressWarnings("StringSplitter") // Empty words at the end are meant to drop out.
+    /** Parses the size of a chunk, and skips the empty line that ends the previous chunk. */
+    @SuppressWarnings("StringSplitter") // Trailing empty words are to be dropped.
     private void acceptChunkSize(String text) throws MalformedResponseException {
         if (text.isEmpty()) {
             return;
@@ -148,9 +148,9 @@
                 return number;
             }
         } catch (NumberFormatException e) {
-            // Reported below, as a number out of range is.
+            // Reported below, in the same way as a number out of range.
         }
-        throw new MalformedResponseException("a length out of range");
+        throw new MalformedResponseException("invalid status or length");
     }
 
     boolean isComplete() {
--- a/pooler/src/main/java/frostreel/discovery/ListVersion.java
+++ b/pooler/src/main/java/frostreel/discovery/ListVersion.java
@@ -3,16 +3,16 @@
 import frostreel.config.EndpointList;
 
 /**
- * The version of the endpoint list held. Versions grow within the count of one agent; a restarted agent may
- * count anew.
+ * The version of the current endpoint list. Versions increase while an agent runs; a restarted agent may start a new
+ * numbering.
  */
 final class ListVersion {
-    /** No list is held. */
+    /** There is no current list. */
     static final long NONE = -1;
 
     private long version;
 
-    /** {@code version}: of the list held, {@link #NONE} for none. */
+    /** {@code version}: of the current list, {@link #NONE} for none. */
     ListVersion(long version) {
         this.version = version;
     }
@@ -21,24 +21,23 @@
         return version;
     }
 
-    /** Whether no list is held, so that changes cannot be applied and the complete one is needed. */
+    /** Whether there is no current list, so that updates cannot be applied and the complete list is needed. */
     boolean isNone() {
         return version == NONE;
     }
 
     /**
-     * Whether a list adds to the one held. A response to an overdue request may be older than that.
+     * Whether a received list is to be applied. A response to an overdue request may be older than the current list.
      *
-     * @param fromVersion the version from which the list was requested
+     * @param fromVersion the version since which updates were requested
      */
     boolean isRelevant(EndpointList list, long fromVersion) {
         return fromVersion == version || list.version() >= version;
     }
 
     /**
-     * Moves to the version of a list that was received. A list of changes whose version is lower than the one
-     * held belongs to another count: the changes made before that count began are missing, so that no version
-     * is held from then on.
+     * Sets the version to that of a received list. An update with a lower version than the current list comes from a
+     * new numbering: the updates before that numbering are missing, so the version becomes {@link #NONE}.
      */
     void advanceTo(EndpointList list) {
         version = list.complete() || list.version() >= version ? list.version() : NONE;
--- a/pooler/src/main/java/frostreel/discovery/MalformedResponseException.java
+++ b/pooler/src/main/java/frostreel/discovery/MalformedResponseException.java
@@ -1,6 +1,6 @@
 package frostreel.discovery;
 
-/** The agent sent something other than an HTTP response that this program accepts. */
+/** Thrown if the agent's response is not a valid HTTP response or not the expected one. */
 final class MalformedResponseException extends Exception {
     MalformedResponseException(String message) {
         super(message);
