--- a/pooler/src/main/java/frostreel/log/EventLog.java
+++ b/pooler/src/main/java/frostreel/log/EventLog.java
@@ -7,18 +7,18 @@
 import java.util.logging.Logger;
 
 /**
- * Logs single requests and connections that did not end as intended, with the reason. At most
- * {@link #MAX_LINES_PER_SECOND} lines of each kind are written a second; the next line of that kind says how
- * many were left out. Owned by the I/O thread.
+ * Logs individual requests and connections that failed or were ended early, with the reason. At most {@link
+ * #MAX_LINES_PER_SECOND} lines of each kind are written per second; the next line of that kind reports how many were
+ * suppressed. Confined to the I/O thread.
  */
 public final class EventLog {
-    /** What happened; the name is the first word of the line. */
+    /** Kind of an event; its name is the first word of the line. */
     public enum Kind {
-        /** A request was rejected without a server's answer. */
+        /** A request was rejected without a server's response. */
         REQUEST_REJECTED,
         /** A request failed at a server. */
         REQUEST_FAILED,
-        /** The router left a request unanswered until its deadline. */
+        /** The router did not complete a request before its deadline. */
         REQUEST_OVERDUE,
         /** The client cancelled its request or disconnected. */
         REQUEST_CANCELLED,
@@ -39,7 +39,7 @@
     private static final class Window {
         private long startUs;
         private int lines;
-        /** Lines left out since the last one that was written. */
+        /** Number of lines suppressed since the last one that was written. */
         private long suppressed;
 
         boolean admits(long nowUs) {
@@ -65,7 +65,7 @@
     private final LongSupplier nowUs;
     private final Map<Kind, Window> windows = new EnumMap<>(Kind.class);
 
-    /** {@code nowUs}: microseconds on a monotonic clock. */
+    /** {@code nowUs}: returns microseconds of a monotonic clock. */
     public EventLog(LongSupplier nowUs) {
         this.nowUs = nowUs;
         for (Kind kind : Kind.values()) {
@@ -80,7 +80,7 @@
         return log;
     }
 
-    /** Writes a line unless the second has had enough of its kind; {@code text} is built only if it is written. */
+    /** Writes a line unless the limit of its kind is reached; {@code text} is built only if the line is written. */
     public void record(Kind kind, Supplier<String> text) {
         Window window = windows.get(kind);
         if (!window.admits(nowUs.getAsLong())) {
--- a/pooler/src/main/java/frostreel/log/LogQueue.java
+++ b/pooler/src/main/java/frostreel/log/LogQueue.java
@@ -12,14 +12,14 @@
 import java.util.logging.LogRecord;
 
 /**
- * Hands records to another handler on a thread of its own, so that logging never blocks on a slow reader or
- * disk. Bounded both in queued records and in records a second, so that a flood fills neither the memory nor a
- * disk. Records beyond that are dropped and counted, and a later line says how many.
+ * Passes records to another handler on a dedicated thread, so that logging never blocks on a slow reader or disk.
+ * Both the queued records and the records per second are limited, so that a flood of records fills neither the
+ * memory nor a disk. Records beyond the limits are dropped and counted, and a later line reports how many.
  */
 public final class LogQueue extends Handler {
-    /** How many records may be queued. */
+    /** Maximum number of queued records. */
     static final int CAPACITY = 1_024;
-    /** How many records are accepted a second. */
+    /** Maximum number of records accepted per second. */
     static final int MAX_RECORDS_PER_SECOND = 200;
 
     private static final long WINDOW_NS = TimeUnit.SECONDS.toNanos(1);
@@ -29,21 +29,21 @@
     private final LongSupplier nanoTime;
     private final BlockingQueue<LogRecord> queue = new ArrayBlockingQueue<>(CAPACITY);
     private final AtomicLong dropped = new AtomicLong();
-    /** Records accepted and not yet written. */
+    /** Number of records accepted but not yet written. */
     private final AtomicLong unwritten = new AtomicLong();
-    /** How many dropped records were reported; used by the writer thread alone. */
+    /** Number of dropped records that were reported; confined to the writer thread. */
     private long reportedDropped;
     /** When the current second of the rate limit began; guarded by this. */
     private long windowStartNs;
-    /** How many records that second has had; guarded by this. */
+    /** Number of records in the current second of the rate limit; guarded by this. */
     private int recordsInWindow;
 
-    /** Writes to {@code target} on a daemon thread that runs as long as the process. */
+    /** Creates a queue that writes to {@code target} on a daemon thread, which runs until the process ends. */
     LogQueue(Handler target) {
         this(target, System::nanoTime);
     }
 
-    /** The same, with the rate limit on a clock of the caller's. */
+    /** The same, with the rate limit measured by the given clock. */
     LogQueue(Handler target, LongSupplier nanoTime) {
         this.target = target;
         this.nanoTime = nanoTime;
@@ -73,7 +73,7 @@
         return ++recordsInWindow <= MAX_RECORDS_PER_SECOND;
     }
 
-    /** Returns how many records were dropped since the start; from any thread. */
+    /** Returns the number of records dropped since the start; may be called from any thread. */
     public long dropped() {
         return dropped.get();
     }
@@ -105,11 +105,11 @@
         try {
             target.publish(entry);
         } catch (RuntimeException e) {
-            reportError(null, e, ErrorManager.WRITE_FAILURE); // One bad line must not end the log.
+            reportError(null, e, ErrorManager.WRITE_FAILURE); // A failure to write one line must not end the log.
         }
     }
 
-    /** Waits until all accepted records are written, for 200 ms at most. */
+    /** Waits until all accepted records are written, for at most 200 ms. */
     @Override
     public void flush() {
         long deadlineNs = System.nanoTime() + FLUSH_TIMEOUT_NS;
--- a/pooler/src/main/java/frostreel/log/Logging.java
+++ b/pooler/src/main/java/frostreel/log/Logging.java
@@ -13,33 +13,35 @@
 import org.jboss.logmanager.handlers.ConsoleHandler;
 
 /**
- * Configures the log of this process: one line an event on standard error, as text or as JSON. Logging blocks
- * neither on a name server nor on the log's reader.
+ * Configures the log of this process: one line per event on standard error, as text or as JSON. Logging blocks
+ * neither on a name server nor on the reader of the log.
  */
 public final class Logging {
-    /** How a line is written. */
+    /** Format of a line. */
     public enum Format {
-        /** Level, logger and message, followed by a stack trace where there is one. */
+        /** Level, logger and message, followed by a stack trace if there is one. */
         TEXT,
-        /** One JSON object a line. */
+        /** One JSON object per line. */
         JSON
     }
 
     private static final String TEXT_PATTERN = "%p %c: %s%e%n";
 
-    /** Where the log manager looks for the host's name; without it, it asks the resolver. */
+    /**
+     * The system property from which the log manager takes the host name; if it is unset, it queries the resolver.
+     */
     private static final String HOST_PROPERTY = "jboss.host.name";
 
     private static final Path KERNEL_HOST_NAME = Path.of("/proc/sys/kernel/hostname");
     private static final String UNKNOWN_HOST = "localhost";
-    /** XNIO's line for each failed accept; the acceptor logs the first failure and the recovery instead. */
+    /** Id of XNIO's line for each failed accept; the acceptor logs the first failure and the recovery instead. */
     private static final String XNIO_ACCEPT_FAILED = "XNIO008001";
 
     private static LogQueue queue;
 
     private Logging() {}
 
-    /** Sets up the log; must run before anything logs, as the JDK chooses its log manager once. */
+    /** Sets up the log; must be called before anything is logged, as the JDK chooses its log manager only once. */
     public static void install() {
         System.setProperty("java.util.logging.manager", "org.jboss.logmanager.LogManager");
         if (System.getProperty(HOST_PROPERTY) == null) {
@@ -52,7 +54,7 @@
         queue = new LogQueue(new ConsoleHandler(ConsoleHandler.Target.SYSTEM_ERR, formatter(Format.TEXT)));
         root.addHandler(queue);
         root.setLevel(Level.INFO);
-        // Lines of the libraries about their start and end add nothing to this program's own.
+        // The startup and shutdown messages of the libraries add nothing to those of this program.
         LogContext.getLogContext().getLogger("org.xnio").setLevel(Level.WARNING);
         LogContext.getLogContext().getLogger("org.jboss.threads").setLevel(Level.WARNING);
         LogContext.getLogContext()
@@ -61,8 +63,8 @@
     }
 
     /**
-     * Returns the host's name as the kernel has it. Every record holds the name, and the first record would
-     * otherwise ask the resolver for it: without a name server that blocks the logging thread for 10 s.
+     * Returns the host name from the kernel. Each record contains it, and the first record would otherwise query the
+     * resolver, which blocks the logging thread for 10 s without a name server.
      */
     private static String hostName() {
         try {
@@ -72,19 +74,22 @@
         }
     }
 
-    /** Returns how many lines were dropped as there were too many, 0 before {@link #install}; from any thread. */
+    /**
+     * Returns the number of lines dropped by {@link LogQueue}, 0 before {@link #install}; may be called from any
+     * thread.
+     */
     public static long dropped() {
         return queue == null ? 0 : queue.dropped();
     }
 
-    /** Waits until all that was logged is written, for a short time at most. */
+    /** Waits until all logged lines are written, for at most 200 ms. */
     public static void flush() {
         if (queue != null) {
             queue.flush();
         }
     }
 
-    /** Changes format and level for all lines from now on. */
+    /** Changes the format and level of all later lines. */
     public static void configure(Format format, Level level) {
         Logger root = LogContext.getLogContext().getLogger("");
         for (Handler handler : root.getHandlers()) {
--- a/pooler/src/main/java/frostreel/membership/ClusterMember.java
+++ b/pooler/src/main/java/frostreel/membership/ClusterMember.java
@@ -17,8 +17,8 @@
 import java.util.stream.Collectors;
 
 /**
- * This process as a member of the cluster: owns its membership, logs who joins and leaves, and shows it to
- * operators. Confined to the I/O thread, but for {@link #leave}. Nothing that is served depends on it.
+ * This process as a member of the cluster: owns its membership, logs which members join and leave, and reports it to
+ * operators. Confined to the I/O thread, except for {@link #leave}. Serving does not depend on it.
  */
 public final class ClusterMember implements Membership.Listener {
     private static final long MICROS_PER_MILLI = 1000;
@@ -27,10 +27,10 @@
     private final Set<String> configured;
     private final Set<Peer> suspected = new TreeSet<>();
     private final GroupMembership membership;
-    /** Why joining failed for good, if it did. */
+    /** The reason why joining failed permanently, if it did. */
     private Optional<String> joinFailure = Optional.empty();
 
-    /** Joins the cluster as {@code self}; its incarnation is the present time in Unix milliseconds. */
+    /** Joins the cluster as {@code self}; the incarnation is the current time in Unix milliseconds. */
     public ClusterMember(OperatorSettings.Cluster cluster, String self, EventLoop loop) {
         configured = cluster.members().keySet();
         long incarnation = loop.clock().now() / MICROS_PER_MILLI;
@@ -75,13 +75,16 @@
         joinFailure = Optional.of(reason);
     }
 
-    /** Leaves the cluster, so that the other members know at once. Blocks until it has left or the timeout is over. */
+    /**
+     * Leaves the cluster, so that the other members are notified at once. Blocks until it has left or the timeout
+     * has expired.
+     */
     public void leave(EventLoop loop, long timeoutMs) throws InterruptedException {
         loop.thread().execute(membership::leave);
         membership.awaitTermination(timeoutMs);
     }
 
-    /** The page {@code SHOW fleet}: a line on this member's view, and one for each configured pooler. */
+    /** Returns the page {@code SHOW fleet}: a line on this member's view, and one for each configured pooler. */
     public String statusPage() {
         MembershipView view = membership.view();
         Map<String, Long> incarnations =
--- a/pooler/src/main/java/frostreel/membership/package-info.java
+++ b/pooler/src/main/java/frostreel/membership/package-info.java
@@ -1,8 +1,8 @@
 /**
- * This process as a member of the cluster, where the operators' file names one: owns the membership, logs its
- * changes, and writes the page {@code SHOW fleet}.
+ * This process as a member of the cluster, if the operators' file configures one: owns the membership, logs its
+ * changes, and provides the page {@code SHOW fleet}.
  *
- * <p>Confined to the I/O thread, to which the cluster's own threads hand their events. Depends on {@code
- * frostreel.cluster}. Nothing that is served depends on what is known here.
+ * <p>Confined to the I/O thread, to which the threads of the cluster pass their events. Depends on {@code
+ * frostreel.cluster}. Serving does not depend on this package.
  */
 package frostreel.membership;
--- a/pooler/src/main/java/frostreel/stats/Counters.java
+++ b/pooler/src/main/java/frostreel/stats/Counters.java
@@ -6,12 +6,12 @@
 
 /**
  * Counts events since the start of the process. {@link #toString} maps each field to its key in {@code SHOW stats};
- * docs/ONCALL.md describes the keys. Written by the I/O thread alone.
+ * docs/ONCALL.md describes the keys. Written only on the I/O thread.
  */
 public final class Counters {
     public long clientsAccepted;
     public long clientsClosed;
-    /** Failures of {@code accept}, on the clients' socket and on the admin endpoint. */
+    /** Failures of {@code accept} on the client socket and on the admin endpoint. */
     public long acceptFailures;
     /** Clients closed because no complete message arrived from them in time. */
     public long clientsTimedOut;
@@ -22,7 +22,7 @@
     /** Messages, statements and comments that could not be parsed. */
     public long malformedMessages;
 
-    /** Requests handed to the broker. */
+    /** Requests submitted to the broker. */
     public long requestsSubmitted;
 
     public long requestsServed;
@@ -32,9 +32,9 @@
     public long requestsAbandoned;
     /** Requests that were cancelled by CancelRequest. */
     public long requestsCancelled;
-    /** Requests that the router left unanswered at their deadlines. */
+    /** Requests that the router had not completed at their deadlines. */
     public long requestsOverdue;
-    /** Requests rejected because requests in flight held nearly all client connections. */
+    /** Requests rejected because requests in flight occupied nearly all client connections. */
     public long requestsRejectedForOverload;
 
     public long responsesStreamed;
@@ -60,23 +60,26 @@
     /** Exceptions caught in handlers, timers and events. */
     public long unexpectedExceptions;
 
-    /** Operators' commands answered {@code OK}. */
+    /** Operators' commands with the response {@code OK}. */
     public long adminCommandsAccepted;
-    /** Operators' commands answered {@code ERR}. */
+    /** Operators' commands with the response {@code ERR}. */
     public long adminCommandsRejected;
-    /** Clients of the admin endpoint closed because no complete command arrived from them in time. */
+    /**
+     * Admin connections that were closed, by a timeout or to make room for another, before a complete command
+     * arrived.
+     */
     public long adminClientsTimedOut;
 
     private final Map<Outcome, Long> outcomes = new EnumMap<>(Outcome.class);
 
-    /** Counts how an attempt ended. */
+    /** Counts the outcome of an attempt. */
     public void countOutcome(Outcome outcome) {
         outcomes.merge(outcome, 1L, Long::sum);
     }
 
     /**
-     * Returns one line of keys and values, the response to {@code SHOW stats}. Operators' tools read the keys and their
-     * order, so neither follows a renamed field.
+     * Returns the response to {@code SHOW stats}: one line of keys and values. Operators' tools depend on the keys
+     * and their order, so neither changes when a field is renamed.
      */
     @Override
     public String toString() {
--- a/pooler/src/main/java/frostreel/time/Clock.java
+++ b/pooler/src/main/java/frostreel/time/Clock.java
@@ -3,12 +3,12 @@
 import java.time.Instant;
 import java.time.temporal.ChronoUnit;
 
-/** The one clock that all parts of a pooler read: Unix microseconds that never decrease. */
+/** The clock that all parts of a pooler share: Unix time in microseconds that never decreases. */
 public interface Clock {
-    /** The time now, in Unix microseconds. */
+    /** Returns the current time in Unix microseconds. */
     long now();
 
-    /** A clock that starts at the system clock's time and advances by the monotonic timer. */
+    /** Returns a clock that starts at the system clock's time and advances with the monotonic timer. */
     static Clock system() {
         long startUs = ChronoUnit.MICROS.between(Instant.EPOCH, Instant.now());
         long startNs = System.nanoTime();
--- a/pooler/src/main/java/frostreel/time/Deadlines.java
+++ b/pooler/src/main/java/frostreel/time/Deadlines.java
@@ -4,15 +4,15 @@
 import java.util.logging.Level;
 import java.util.logging.Logger;
 
-/** Owns every deadline and timer of the program, ordered by time. Used on the I/O thread alone. */
+/** Owns every deadline and timer of the program, ordered by time. Confined to the I/O thread. */
 public final class Deadlines {
     /** Wakes the I/O thread, which then calls {@link #runDue}. */
     public interface Alarm {
-        /** Wakes it after this delay; replaces any wake-up scheduled before. */
+        /** Schedules a wake-up after this delay; it replaces any wake-up scheduled before. */
         void wakeAfter(long delayUs);
     }
 
-    /** A task that is due at a moment. */
+    /** A task scheduled for a point in time. */
     public static final class Deadline implements Comparable<Deadline> {
         private final long atUs;
         private final long sequence;
@@ -30,7 +30,7 @@
         }
     }
 
-    /** {@link #wakeAtUs} while no wake-up is scheduled. */
+    /** The value of {@link #wakeAtUs} while no wake-up is scheduled. */
     private static final long NO_WAKE_UP = Long.MAX_VALUE;
 
     private static final Logger LOG = Logger.getLogger(Deadlines.class.getName());
@@ -40,18 +40,18 @@
     private long nextSequence;
     private long wakeAtUs = NO_WAKE_UP;
 
-    /** Deadlines on this clock; the alarm has to lead to {@link #runDue}. */
+    /** Creates deadlines on this clock; the alarm must lead to a call of {@link #runDue}. */
     public Deadlines(Clock clock, Alarm alarm) {
         this.clock = clock;
         this.alarm = alarm;
     }
 
-    /** Runs the task after this delay, unless it is cancelled before. */
+    /** Schedules the task after this delay. */
     public Deadline after(long delayUs, Runnable task) {
         return at(clock.now() + delayUs, task);
     }
 
-    /** Runs the task at this time, or soon if it is past, but never within this call. */
+    /** Schedules the task at this time, or soon if that has passed; never runs it within this call. */
     public Deadline at(long atUs, Runnable task) {
         Deadline deadline = new Deadline(atUs, nextSequence++, task);
         pending.add(deadline);
@@ -66,7 +66,7 @@
         }
     }
 
-    /** Runs the tasks that are due; what they add runs at the next call at the earliest. */
+    /** Runs the tasks that are due; tasks that they add run in a later call. */
     public void runDue() {
         wakeAtUs = NO_WAKE_UP;
         long nowUs = clock.now();
--- a/pooler/src/main/java/frostreel/time/package-info.java
+++ b/pooler/src/main/java/frostreel/time/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The program's one clock and the deadlines kept on it. The package depends on no other; deadlines are used on the I/O
- * thread alone, while any thread may read the clock.
+ * The clock of the program and the deadlines on it. The package depends on no other; deadlines are confined to the
+ * I/O thread, while any thread may read the clock.
  */
 package frostreel.time;
