--- a/pooler/src/test/java/frostreel/DiscoveryTest.java
+++ b/pooler/src/test/java/frostreel/DiscoveryTest.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import org.junit.jupiter.api.Test;
 
-/** The watch on discovery: failures at each point of a request, and changes of the agent. */
+/** The watch on discovery: failures at each stage of a request, and switches to another agent. */
 class DiscoveryTest extends AbstractPoolerTest {
     private static final ScriptedPeer.Script SILENCE = (text, link) -> {};
     private static final ScriptedPeer.Script CLOSE = (text, link) -> link.close();
@@ -52,7 +52,7 @@
         return list(seq, false, host("b", replica, "replica", health));
     }
 
-    /** A silence may last no more than 6 s in all, which a second long poll after a failure would exceed. */
+    /** A long poll right after a failure could exceed the 6 s in which an endpoint list update must be delivered. */
     @Test
     void afterAnyFailureTheNextPollDoesNotWaitAndItsListIsApplied() throws Exception {
         startWatch();
@@ -70,7 +70,9 @@
         assertRecoversFrom(2, CLOSE, SILENCE);
     }
 
-    /** Plays failures in a row to a watch that holds a list's version, and then the changes of the next version. */
+    /**
+     * Makes the agent fail successive requests of a watch at this list version, then respond with the next update.
+     */
     private void assertRecoversFrom(int version, ScriptedPeer.Script... failures) throws Exception {
         for (ScriptedPeer.Script failure : failures) {
             responses.add(failure);
@@ -105,7 +107,7 @@
         assertThat(harness.pooler.counters()).contains(" discovery_failures=1 ");
     }
 
-    /** A cancelled connect must not come back as a second watch. */
+    /** A cancelled connect must not complete or be retried later as a second watch. */
     @Test
     void watchStoppedWhileConnectingMakesNoFurtherConnection() throws Exception {
         startWatch();
@@ -124,18 +126,18 @@
         assertPreviousWatchHasEnded();
         long failures = harness.counter("discovery_failures");
         newResponses.add(respondWith(list(6, false)));
-        assertThat(answeringAgent.next()).contains("index=6&"); // The watch in force goes on alone.
+        assertThat(answeringAgent.next()).contains("index=6&"); // Only the current watch continues.
         assertThat(harness.counter("discovery_failures")).isEqualTo(failures);
         assertThat(answeringAgent.connections.get()).isEqualTo(1);
     }
 
-    /** A response would bring the next poll of a watch that is still active; a stopped one closes its connection. */
+    /** Responds to the previous watch: an active one would poll again, a stopped one has closed its connection. */
     private void assertPreviousWatchHasEnded() throws Exception {
         responses.add(respondWith(list(99, false)));
         assertThat(harness.discovery.closedConnections.take()).isEqualTo("closed");
     }
 
-    /** The list in use must not become stale while the agent that a reload names is silent. */
+    /** The current list must not become stale while the agent named by a reload does not respond. */
     @Test
     void previousDiscoveryStaysInUseUntilTheNewOneAnswers() throws Exception {
         startWatch();
@@ -170,7 +172,7 @@
     private static final String SHORT_DRAIN_LIMIT =
             PoolerHarness.SETTINGS.replace("\"stopSendingWithinS\":1", "\"stopSendingWithinS\":0.25");
 
-    /** The requests of many clients and the watch event are found in one turn, in arbitrary order. */
+    /** The event loop finds the clients' requests and the endpoint list update in one turn, in arbitrary order. */
     private void assertWatchEventsAreAppliedFirstAfterAShortPause() throws Exception {
         CountDownLatch written = new CountDownLatch(1);
         List<WireConnection> clients = new ArrayList<>();
@@ -214,7 +216,7 @@
         assertWatchEventsAreAppliedFirstAfterAShortPause();
     }
 
-    /** The responses of an agent that always exceeds the timeout are applied all the same. */
+    /** An agent that always exceeds the timeout must still be able to deliver updates. */
     @Test
     void lateResponseIsAppliedAndTheSecondPollCancelled() throws Exception {
         startWatch();
@@ -224,15 +226,15 @@
         assertThat(harness.discovery.closedConnections.take()).isEqualTo("closed");
         responses.add((text, link) -> late.add(link));
         WireConnection first = late.take();
-        assertThat(harness.discovery.next()).as("beside the late one").contains("index=1&wait=1 ");
+        assertThat(harness.discovery.next()).as("in addition to the late one").contains("index=1&wait=1 ");
         responses.add(SILENCE);
         first.send(http(changes(2, "Terminating")));
         assertThat(harness.discovery.next())
-                .as("on the connection that was answered")
+                .as("on the connection of the response")
                 .contains("index=2&")
                 .doesNotContain("wait=1 ");
         assertThat(harness.discovery.closedConnections.take())
-                .as("the second call is given up")
+                .as("the second poll is cancelled")
                 .isEqualTo("closed");
         try (WireConnection client = harness.client()) {
             assertThat(value(client.execute(readSql("1", 9000)))).isEqualTo("from-primary");
--- a/pooler/src/test/java/frostreel/OperatorCommandsTest.java
+++ b/pooler/src/test/java/frostreel/OperatorCommandsTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Operators' commands by the admin endpoint, and their effect on requests. */
+/** Operators' commands through the admin endpoint, and their effect on requests. */
 class OperatorCommandsTest extends AbstractPoolerTest {
     private static final int MORE_THAN_MAX_CONNECTIONS = 60;
 
@@ -43,7 +43,7 @@
             assertThat(value(client.execute("SHOW operation"))).contains("out=[b]");
             assertThat(harness.command("RESTORE b")).isEqualTo("OK\n");
             assertThat(value(client.execute("SHOW operation"))).contains("out=[]");
-            for (int i = 4; replica.received.size() < 2; i++) { // It is in slow start, and gets its share gradually.
+            for (int i = 4; replica.received.size() < 2; i++) { // In slow start its share grows gradually.
                 client.execute(readSql(Integer.toString(i), 9000));
             }
         }
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void silentCallersAndLongLinesBlockNobody() throws Exception {
+    void silentConnectionsAndLongLinesBlockNoOperator() throws Exception {
         InetSocketAddress address = harness.pooler.adminAddress();
         List<Socket> silent = new ArrayList<>();
         for (int i = 0; i < MORE_THAN_MAX_CONNECTIONS; i++) {
@@ -184,7 +184,7 @@
         }
     }
 
-    /** The attempt waits for a connection that is never established, and the command must not wait for that. */
+    /** The request waits for a connection that is never established; the suspension must not wait for that. */
     @Test
     void requestWaitingForSuspendedServerMovesAtOnce() throws Exception {
         CountDownLatch connecting = new CountDownLatch(1);
--- a/pooler/src/test/java/frostreel/PausedProcessTest.java
+++ b/pooler/src/test/java/frostreel/PausedProcessTest.java
@@ -9,12 +9,15 @@
 
 import org.junit.jupiter.api.Test;
 
-/** A process that was suspended by SIGSTOP while lists and requests arrived. */
+/** A process that is suspended by SIGSTOP while endpoint lists and requests arrive. */
 class PausedProcessTest extends AbstractPoolerTest {
-    /** After it, watch events are polled for before anything else is handled. */
+    /** After a pause of this length, watch events are polled before other events are handled. */
     private static final long LONGER_THAN_A_POLL_INTERVAL_MS = 300;
 
-    /** The request arrives before the list: in that order it would still be sent to the draining server. */
+    /**
+     * The request arrives before the endpoint list update; handled in that order, it would be sent to the draining
+     * server.
+     */
     @Test
     void resumedProcessAppliesWatchEventsBeforeItSends() throws Exception {
         try (ServeProcess process = ServeProcess.start(PoolerHarness.environment(configuration()))) {
@@ -39,7 +42,7 @@
         }
     }
 
-    /** The deadline of a request counts from its sending, also while the process is suspended. */
+    /** The deadline of a request counts from its sending, even if the process is suspended at that time. */
     @Test
     void timeSpentInPausedProcessCountsAgainstTheDeadline() throws Exception {
         long pausedMs = 600;
--- a/pooler/src/test/java/frostreel/control/AdminResponseTest.java
+++ b/pooler/src/test/java/frostreel/control/AdminResponseTest.java
@@ -7,10 +7,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Operators' tools rely on the replies' text. */
+/** The texts of the responses, on which operators' tools depend. */
 class AdminResponseTest {
     @Test
-    void keepsTheTextOnWhichOperatorsToolsRely() {
+    void keepsTheTextsOnWhichOperatorsToolsDepend() {
         assertThat(AdminResponse.values())
                 .extracting(AdminResponse::line)
                 .containsExactly(
--- a/pooler/src/test/java/frostreel/control/CommandStoreTest.java
+++ b/pooler/src/test/java/frostreel/control/CommandStoreTest.java
@@ -62,7 +62,7 @@
         store("one").write(SUSPENDED);
         Path file = files().get(0);
         byte[] complete = Files.readAllBytes(file);
-        for (int i = 0; i < complete.length; i += 1 + i / 16) { // Every byte of its head, and some of the rest.
+        for (int i = 0; i < complete.length; i += 1 + i / 16) { // Every early offset, some later ones.
             Files.write(file, Arrays.copyOf(complete, i));
             assertThat(readBy("two")).as("truncated at %d", i).isEmpty();
             byte[] changed = complete.clone();
@@ -81,7 +81,7 @@
         assertThatThrownBy(() -> store("one").readOthers()).isInstanceOf(IOException.class);
     }
 
-    /** A link to the device that takes no byte, where the file is written before it has its name. */
+    /** A full disk is simulated by a link to /dev/full in place of the temporary file. */
     @Test
     void fullDiskFailsTheWriteAndKeepsStoredCommands() throws Exception {
         CommandStore one = store("one");
@@ -92,7 +92,7 @@
                 .isInstanceOf(IOException.class)
                 .hasMessageContaining("No space left");
         assertThat(readBy("two")).isEqualTo(SUSPENDED);
-        assertThat(temporary).as("the unfinished file takes no space").doesNotExist();
+        assertThat(temporary).as("the temporary file is deleted").doesNotExist();
 
         one.write(Map.of());
         assertThat(readBy("three")).as("after the disk has space again").isEmpty();
@@ -117,7 +117,7 @@
         Path file = files().get(0);
         byte[] complete = Files.readAllBytes(file);
         Files.delete(file);
-        Files.createDirectory(file); // Reading it fails, and not for what it holds.
+        Files.createDirectory(file); // Reading it fails for a reason other than its content.
         CommandStore two = store("two");
         assertThat(two.readOthers().complete()).isFalse();
 
--- a/pooler/src/test/java/frostreel/control/FileCommandReplicatorTest.java
+++ b/pooler/src/test/java/frostreel/control/FileCommandReplicatorTest.java
@@ -81,7 +81,7 @@
                 .isEqualTo(SUSPENDED);
     }
 
-    /** Commands that were answered while the disk failed are not lost to a successor. */
+    /** Commands acknowledged during a failure of the disk must still reach a successor. */
     @Test
     void retriesFailedWritesUntilTheySucceed() throws Exception {
         Path obstacle = Files.writeString(folder, "a file in its place");
--- a/pooler/src/test/java/frostreel/control/ProcessWithoutCommitTableTest.java
+++ b/pooler/src/test/java/frostreel/control/ProcessWithoutCommitTableTest.java
@@ -14,9 +14,9 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A process from before there was the table of commits serves in the same folder. Commands go both ways as they
- * always did, and from its successor on each process knows the commits of the others. Commits through the old
- * process itself are not known (docs/REMAINS.md).
+ * A process of a version without the commit table shares the folder with newer processes. Commands are exchanged in
+ * both directions, and the newer processes know each other's commits. Commits through the old process are not known
+ * to them (docs/REMAINS.md).
  */
 class ProcessWithoutCommitTableTest {
     private static final long NOW_US = 1_000_000_000;
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void processesFromTheSuccessorOnKnowEachOthersCommits() throws Exception {
+    void newerProcessesKnowEachOthersCommits() throws Exception {
         new CommandStore(dir, "old").write(SUSPENDED);
         SharedCommitTable successor = table(1);
         successor.onSent(NOW_US, 7, NOW_US + 1_000_000);
--- a/pooler/src/test/java/frostreel/control/SharedClockTest.java
+++ b/pooler/src/test/java/frostreel/control/SharedClockTest.java
@@ -10,17 +10,19 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Processes of one pooler share one clock even if the wall clock is stepped between their starts. */
+/** The processes of one pooler share one clock, even if the wall clock is stepped between their starts. */
 class SharedClockTest {
     private static final long MINUTE_US = 60_000_000;
     private static final long HOUR_US = 60 * MINUTE_US;
-    /** By how much a shared clock may be behind the system's, as its offset is taken between two readings. */
+    /**
+     * How far a shared clock may be behind the system clock, as its offset is computed from two successive readings.
+     */
     private static final long ROUNDING_US = 1_000;
 
     @TempDir
     Path dir;
 
-    /** How far this process's clock in that folder is ahead of what another clock showed earlier. */
+    /** Returns how far this process's clock in the folder is ahead of an earlier reading of another clock. */
     private static long aheadUs(Path folder, long earlierUs) {
         return SharedClock.open(folder).now() - earlierUs;
     }
@@ -30,7 +32,7 @@
         long earlierUs = Clock.system().now();
         SharedClock.open(dir);
         String[] words = Files.readString(dir.resolve("clock")).strip().split(" ");
-        // As if the first process had started with a wall clock that was an hour ahead.
+        // Simulates a first process that started while the wall clock was an hour ahead.
         Files.writeString(dir.resolve("clock"), words[0] + " " + (Long.parseLong(words[1]) + HOUR_US));
 
         assertThat(aheadUs(dir, earlierUs)).isBetween(HOUR_US, HOUR_US + MINUTE_US);
--- a/pooler/src/test/java/frostreel/control/StoredFileCompatibilityTest.java
+++ b/pooler/src/test/java/frostreel/control/StoredFileCompatibilityTest.java
@@ -25,17 +25,20 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Files that the build of 223cd4e wrote are read as that build reads them, whole and cut short. They stand in the
- * test resources as it wrote them, with {@code expected.tsv}: what its own classes read from them.
+ * Stored files of an earlier build, from commit 223cd4e, are read with the same results as by that build, both
+ * complete and truncated. The test resources contain the files as it wrote them, and in {@code expected.tsv} what
+ * its own classes read from them.
  */
 class StoredFileCompatibilityTest {
     private static final String RESOURCES = "stored-by-223cd4e";
     private static final String TAB = "\t";
-    /** The instants that the old build was given when it wrote and read the table of commits. */
+    /** The time at which the earlier build wrote the commit table. */
     private static final long WRITTEN_US = 1_764_682_200_000_000L;
 
     private static final long SECOND_US = 1_000_000;
+    /** The time at which the earlier build read the commit table. */
     private static final long READ_US = WRITTEN_US + 5 * SECOND_US;
+
     private static final long READER_INCARNATION = 0x0123_4567_89ab_cdefL;
 
     @TempDir
@@ -56,7 +59,7 @@
         }
     }
 
-    /** The rows of what the old build read that begin with that word, each without it. */
+    /** Returns the rows of this kind in {@code expected.tsv}, without the kind. */
     private static List<String[]> expected(String kind) throws IOException {
         List<String[]> rows = Files.readAllLines(stored().resolve("expected.tsv"), StandardCharsets.UTF_8).stream()
                 .filter(line -> line.startsWith(kind + TAB))
@@ -162,12 +165,12 @@
         for (String[] row : expected("cut-commits")) {
             Files.write(file, Arrays.copyOf(complete, Integer.parseInt(row[0])));
             boolean replaced = CommitTableFile.open(folder).replacementReason().isPresent();
-            assertThat(replaced).as("cut to %s", row[0]).isEqualTo(Boolean.parseBoolean(row[1]));
-            assertThat(sha256(file)).as("cut to %s", row[0]).isEqualTo(row[2]);
+            assertThat(replaced).as("truncated to %s", row[0]).isEqualTo(Boolean.parseBoolean(row[1]));
+            assertThat(sha256(file)).as("truncated to %s", row[0]).isEqualTo(row[2]);
         }
     }
 
-    /** The boot id in the file is that of the machine that wrote it; this machine's is put in its place. */
+    /** The stored boot id is that of the machine that wrote the file; the test replaces it by this machine's. */
     @Test
     void readsTheSameFromCompleteAndTruncatedClockFiles() throws Exception {
         String written = Files.readString(stored().resolve("clock"), StandardCharsets.US_ASCII);
--- a/pooler/src/test/java/frostreel/discovery/DiscoveryWatchTimeoutsTest.java
+++ b/pooler/src/test/java/frostreel/discovery/DiscoveryWatchTimeoutsTest.java
@@ -4,7 +4,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The platform counts a change as delivered 6 s after the agent had it and could be reached. */
+/**
+ * The platform counts an endpoint list update as delivered 6 s after the agent could first deliver it, so the
+ * watch's timeouts and retries must fit into that time.
+ */
 class DiscoveryWatchTimeoutsTest {
     private static final long DELIVERY_LIMIT_US = 6_000_000;
 
--- a/pooler/src/test/java/frostreel/discovery/EndpointListLayoutTest.java
+++ b/pooler/src/test/java/frostreel/discovery/EndpointListLayoutTest.java
@@ -9,7 +9,7 @@
 import org.json.JSONObject;
 import org.junit.jupiter.api.Test;
 
-/** Endpoint lists in the layouts that agents write. */
+/** Endpoint lists with the indentation that agents may use, received byte by byte. */
 class EndpointListLayoutTest {
     private static final JSONObject LIST = new JSONObject("""
             {"seq":41,"whole":true,"hosts":[{"host":"a","dial":"127.0.0.1:9","site":"dc","class":"m",
--- a/pooler/src/test/java/frostreel/log/EventLogTest.java
+++ b/pooler/src/test/java/frostreel/log/EventLogTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The rate limit of lines on single requests and connections, on a clock that tests move. */
+/** The rate limit of log lines, with a manual clock. */
 class EventLogTest {
     private static final long SECOND_US = 1_000_000;
 
--- a/pooler/src/test/java/frostreel/log/LogQueueTest.java
+++ b/pooler/src/test/java/frostreel/log/LogQueueTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The bounds on what is logged, on a clock that tests move, with a target that they may block. */
+/** The limits on queued records and on records per second, with a manual clock and a target that can be blocked. */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class LogQueueTest {
     private static final long SECOND_NS = 1_000_000_000;
--- a/pooler/src/test/java/frostreel/time/DeadlinesTest.java
+++ b/pooler/src/test/java/frostreel/time/DeadlinesTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The order in which deadlines run, and the wake-ups asked for. */
+/** The order in which deadlines run, and the wake-ups that they schedule. */
 class DeadlinesTest {
     @Test
     void runsDeadlinesInOrderAlsoAfterOneFails() {
