--- a/pooler/src/main/java/frostreel/Pooler.java
+++ b/pooler/src/main/java/frostreel/Pooler.java
@@ -4,12 +4,12 @@
 import frostreel.broker.Broker;
 import frostreel.config.Config;
 import frostreel.control.AdminListener;
-import frostreel.control.ClockAnchor;
 import frostreel.control.CommandExecutor;
 import frostreel.control.PeerProcessCommits;
-import frostreel.fleet.ClusterMember;
+import frostreel.control.SharedClock;
 import frostreel.frontend.Listener;
 import frostreel.log.Logging;
+import frostreel.membership.ClusterMember;
 import frostreel.net.EventLoop;
 import frostreel.operation.RequestClassRegistry;
 import frostreel.operation.ServingLifecycle;
@@ -53,7 +53,7 @@
      */
     Pooler(Config config, OperatorSettings operatorSettings, long configuredListWaitUs, long lingerUs)
             throws IOException {
-        loop = new EventLoop(ClockAnchor.clock(config.commandFolder().orElse(null)));
+        loop = new EventLoop(SharedClock.open(config.commandFolder().orElse(null)));
         PeerProcessCommits peer = PeerProcessCommits.open(config, loop.clock().now());
         loop.onHeartbeat(peer.writeObserver()::onHeartbeat);
         ServerPool pool = new ServerPool(loop, config.settings(), config.maxServerConnections());
--- a/pooler/src/main/java/frostreel/discovery/DiscoveryStatus.java
+++ b/pooler/src/main/java/frostreel/discovery/DiscoveryStatus.java
@@ -3,60 +3,60 @@
 import java.util.logging.Logger;
 
 /**
- * Whether the agent answers, for the log and for operators. An outage is logged once at its start and once at
- * its end.
+ * Tracks whether the agent responds, for the log and for operators. An outage is logged once at its start and once
+ * at its end.
  */
 final class DiscoveryStatus {
-    /** Operators know the lines by the name of the watch. */
+    /** Logs under the name of the watch, by which operators know these lines. */
     private static final Logger LOG = Logger.getLogger(DiscoveryWatch.class.getName());
 
     private static final long MICROS_PER_MILLI = 1000;
     private static final long NEVER = 0;
-    /** Shown for the time since the last answer where there has been none. */
+    /** Reported as the time since the last response if there has been none. */
     private static final long NO_AGE = -1;
 
-    private boolean answering;
-    private long lastAnsweredUs = NEVER;
-    /** When the present outage was detected; {@link #NEVER} where there is none. */
-    private long silentSinceUs = NEVER;
+    private boolean responding;
+    private long lastResponseUs = NEVER;
+    /** When the current outage was detected, {@link #NEVER} if there is none. */
+    private long outageStartUs = NEVER;
 
-    /** Records that a request was answered. */
-    void answered(long nowUs) {
-        answering = true;
-        lastAnsweredUs = nowUs;
-        if (silentSinceUs != NEVER) {
-            LOG.info("discovery recovered after " + toMs(nowUs - silentSinceUs) + " ms");
-            silentSinceUs = NEVER;
+    /** Records a response. */
+    void recordResponse(long nowUs) {
+        responding = true;
+        lastResponseUs = nowUs;
+        if (outageStartUs != NEVER) {
+            LOG.info("discovery recovered after " + toMs(nowUs - outageStartUs) + " ms");
+            outageStartUs = NEVER;
         }
     }
 
     /** Records that a request failed or is overdue. */
-    void failed(long nowUs, String reason) {
-        if (silentSinceUs == NEVER) {
-            silentSinceUs = nowUs;
+    void recordFailure(long nowUs, String reason) {
+        if (outageStartUs == NEVER) {
+            outageStartUs = nowUs;
             LOG.warning("discovery: " + reason + "; keeping the last endpoint list");
         }
-        answering = false;
+        responding = false;
     }
 
-    /** Whether the latest request with a result was answered, rather than failed or overdue. */
-    boolean isAnswering() {
-        return answering;
+    /** Whether the latest result of a request was a response, rather than a failure or a timeout. */
+    boolean isResponding() {
+        return responding;
     }
 
-    /** The fields of {@code SHOW health} on discovery, with the version of the list held. */
+    /** Returns the discovery fields of {@code SHOW health}, with the version of the current endpoint list. */
     String describe(long nowUs, long version) {
         return "discovery=" + state()
                 + " discovery_version=" + version
-                + " discovery_answered_ms_ago=" + (lastAnsweredUs == NEVER ? NO_AGE : toMs(nowUs - lastAnsweredUs))
-                + " discovery_silent_ms=" + (silentSinceUs == NEVER ? 0 : toMs(nowUs - silentSinceUs));
+                + " discovery_answered_ms_ago=" + (lastResponseUs == NEVER ? NO_AGE : toMs(nowUs - lastResponseUs))
+                + " discovery_silent_ms=" + (outageStartUs == NEVER ? 0 : toMs(nowUs - outageStartUs));
     }
 
     private String state() {
-        if (silentSinceUs != NEVER) {
+        if (outageStartUs != NEVER) {
             return "silent";
         }
-        return lastAnsweredUs == NEVER ? "asked" : "answering";
+        return lastResponseUs == NEVER ? "asked" : "answering";
     }
 
     private static long toMs(long us) {
--- a/pooler/src/test/java/frostreel/discovery/EndpointListLayoutTest.java
+++ b/pooler/src/test/java/frostreel/discovery/EndpointListLayoutTest.java
@@ -9,7 +9,7 @@
 import org.json.JSONObject;
 import org.junit.jupiter.api.Test;
 
-/** Endpoint lists in the layouts that agents write. */
+/** Endpoint lists with the indentation that agents may use, received byte by byte. */
 class EndpointListLayoutTest {
     private static final JSONObject LIST = new JSONObject("""
             {"seq":41,"whole":true,"hosts":[{"host":"a","dial":"127.0.0.1:9","site":"dc","class":"m",
@@ -30,13 +30,13 @@
 
     @Test
     void listDoesNotDependOnIndentationAndFragmentation() throws Exception {
-        EndpointList plain = readByteByByte(LIST.toString());
+        EndpointList compact = readByteByByte(LIST.toString());
 
-        assertThat(plain.endpoints()).singleElement().satisfies(endpoint -> {
+        assertThat(compact.endpoints()).singleElement().satisfies(endpoint -> {
             assertThat(endpoint.member().id()).isEqualTo("a");
             assertThat(endpoint.member().primary()).isTrue();
         });
-        assertThat(readByteByByte(LIST.toString(1))).isEqualTo(plain);
-        assertThat(readByteByByte(LIST.toString(8).replace("\n", "\r\n\t"))).isEqualTo(plain);
+        assertThat(readByteByByte(LIST.toString(1))).isEqualTo(compact);
+        assertThat(readByteByByte(LIST.toString(8).replace("\n", "\r\n\t"))).isEqualTo(compact);
     }
 }
