--- a/pooler/src/main/java/frostreel/broker/ActiveRequest.java
+++ b/pooler/src/main/java/frostreel/broker/ActiveRequest.java
@@ -84,7 +84,7 @@
     }
 
     /** Time from which no attempt may begin: the deadline, or the end of the period in which a retry is safe. */
-    long latestBeginUs() {
+    long noAttemptFromUs() {
         long deadlineUs = attributes.deadlineUs();
         if (firstMaybeExecutedUs == NOT_EXECUTED) {
             return deadlineUs;
--- a/pooler/src/main/java/frostreel/broker/AttemptRunner.java
+++ b/pooler/src/main/java/frostreel/broker/AttemptRunner.java
@@ -108,7 +108,7 @@
 
     /** Whether an attempt may begin now. Also detects a disconnect of the client that no event has reported yet. */
     private boolean requestAllowsAttempt(ActiveRequest request) {
-        if (request.closed || clock.now() >= request.latestBeginUs()) {
+        if (request.closed || clock.now() >= request.noAttemptFromUs()) {
             return false;
         }
         boolean connected = request.handler.isClientConnected();
@@ -120,7 +120,7 @@
 
     /** Stops the attempt at its timeout, or at the latest time to begin if it has not begun by then. */
     private void startTimeout(ActiveRequest request, int attempt, long nowUs, long leftUs) {
-        long beginWithinUs = Math.min(leftUs, request.latestBeginUs() - nowUs);
+        long beginWithinUs = Math.min(leftUs, request.noAttemptFromUs() - nowUs);
         request.attemptTimeout = deadlines.after(
                 beginWithinUs,
                 () -> events.run(() -> {
--- a/pooler/src/test/java/frostreel/ServerProtocolTest.java
+++ b/pooler/src/test/java/frostreel/ServerProtocolTest.java
@@ -12,7 +12,7 @@
 /** Malformed responses, surplus bytes and malformed reports from servers. */
 class ServerProtocolTest extends AbstractPoolerTest {
     @Test
-    void retriesAfterMalformedResponse() throws Exception {
+    void retriesAfterNegativeLength() throws Exception {
         replica.script = (text, link) -> link.send(new byte[] {'T', -1, 0, 0, 0});
         start();
         try (WireConnection client = harness.client()) {
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void retriesAtOnceAfterCorruptResponse() throws Exception {
+    void retriesAfterCorruptResponseAndClosesTheConnection() throws Exception {
         byte[] valid = row("corrupt", "replica");
         byte[] twoColumns = valid.clone();
         twoColumns[6] = 2;
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void servesTheValueIfTheLoadReportIsMalformed() throws Exception {
+    void servesTheValueIfReportsAreMalformed() throws Exception {
         replica.script = (text, link) -> link.send(
                 row("good", "replica"),
                 TestMessages.bytes('S', "load|x0=,util=?|"),
