--- a/pooler/src/main/java/frostreel/broker/ActiveRequest.java
+++ b/pooler/src/main/java/frostreel/broker/ActiveRequest.java
@@ -31,7 +31,7 @@
     /** Its id in calls to and from the router, derived from the handle. */
     String routerId;
 
-    /** Whether it has its final response or no longer needs one. */
+    /** Whether it has its final response, or the beginning of a long one, or no longer needs one. */
     boolean closed;
     /** Whether a long response has begun, whose bytes are forwarded as they arrive. */
     boolean streaming;
@@ -92,7 +92,7 @@
         return switch (requestClass.idempotency()) {
             case IDEMPOTENT -> deadlineUs;
             case KEYED -> Math.min(deadlineUs, firstMaybeExecutedUs + requestClass.deduplicationWindowUs());
-            case NON_IDEMPOTENT -> firstMaybeExecutedUs;
+            case NON_IDEMPOTENT -> firstMaybeExecutedUs; // In the past: there is no retry.
         };
     }
 
--- a/pooler/src/main/java/frostreel/broker/AttemptRunner.java
+++ b/pooler/src/main/java/frostreel/broker/AttemptRunner.java
@@ -118,7 +118,7 @@
         return connected && !request.closed;
     }
 
-    /** Stops the attempt at its timeout, or at the latest time to begin if it has not begun by then. */
+    /** Schedules the end of the attempt: at its timeout, or when it may no longer begin if it has not begun by then. */
     private void startTimeout(ActiveRequest request, int attempt, long nowUs, long leftUs) {
         long beginWithinUs = Math.min(leftUs, request.noAttemptFromUs() - nowUs);
         request.attemptTimeout = deadlines.after(
--- a/pooler/src/main/java/frostreel/broker/Broker.java
+++ b/pooler/src/main/java/frostreel/broker/Broker.java
@@ -117,7 +117,7 @@
         return limits.retryAfterAllowed() ? Math.min(wantedUs, limits.maxRetryAfterUs()) : 0;
     }
 
-    /** Whether a request with this id of a client is active; a second one would be a hedged request. */
+    /** Whether a request to which a client gave this id is active; a second one would be a hedged request. */
     public boolean isActive(String clientRequestId) {
         return requests.containsClientRequestId(clientRequestId);
     }
@@ -125,8 +125,9 @@
     /**
      * Accepts or rejects a request. Its handler may be called before this method returns.
      *
-     * @return the handle for {@link #onClientDisconnected} and {@link #onClientCancelled}, or {@link SlotTable#NONE} if
-     *     the request was rejected immediately
+     * @return the handle for {@link #onClientDisconnected} and {@link #onClientCancelled}; {@link SlotTable#NONE} if
+     *     the broker itself rejected the request, because it is full or the replica group is unknown. If the router
+     *     rejected the request during this call, the handle is already stale.
      */
     public long submit(RequestAttributes attributes, Payload payload, ResponseHandler handler) {
         counters.requestsSubmitted++;
@@ -193,8 +194,8 @@
     }
 
     /**
-     * The client cancels its request, which ends as cancelled. Ignored if the request is closed, which includes a long
-     * response that has begun, or if the handle is stale.
+     * The client cancels its request, which ends as cancelled. Ignored if the request is closed, as it also is once a
+     * long response has begun, or if the handle is stale.
      */
     public void onClientCancelled(long handle) {
         events.run(() -> {
@@ -211,6 +212,7 @@
     /** Closes the request and stops its attempt if that has not begun, even if the settings disable cancelling. */
     private void withdraw(ActiveRequest request) {
         request.markClosed(deadlines);
+        // Cancelled or disconnected, the router needs to know only that no response is wanted.
         router.onClientDisconnected(clock.now(), request.routerId);
         if (request.hasAttemptInFlight() && !backEnd.hasBegun(request.attemptHandle)) {
             attempts.stopLatest(request, Outcome.CANCELLED);
@@ -218,7 +220,7 @@
         requests.removeIfDone(request);
     }
 
-    /** Passes an endpoint list, an endpoint list update, or its failure, to the router. */
+    /** Passes an endpoint list or an endpoint list update to the router, or reports that discovery failed. */
     public void updateMembers(Router.ListKind kind, List<Router.Member> members) {
         members.forEach(member -> knownGroups.add(member.group()));
         events.run(() -> router.onMembers(clock.now(), kind, members));
@@ -241,12 +243,13 @@
             log.record(EventLog.Kind.REQUEST_OVERDUE, () -> describe(request) + ": not answered by the router");
             request.markClosed(deadlines);
             request.handler.failed();
+            // The router needs to know only that no response is wanted any longer.
             router.onClientDisconnected(clock.now(), request.routerId);
             requests.removeIfDone(request);
         }
     }
 
-    // ---- Actions of the router; ignored for requests that are no longer active. ----
+    // ---- Actions of the router; ignored for requests that were removed, and all but cancel also for closed ones. ----
 
     @Override
     public void send(String requestId, String memberId, long timeoutUs) {
--- a/pooler/src/main/java/frostreel/broker/EventQueue.java
+++ b/pooler/src/main/java/frostreel/broker/EventQueue.java
@@ -35,7 +35,10 @@
         }
     }
 
-    /** Logs an exception, which must not end the process; the affected request fails when it is overdue. */
+    /**
+     * Runs an event and logs its exception, which must not end the process; the affected request fails when it is
+     * overdue.
+     */
     private void runGuarded(Runnable event) {
         try {
             event.run();
--- a/pooler/src/main/java/frostreel/pg/LoadReport.java
+++ b/pooler/src/main/java/frostreel/pg/LoadReport.java
@@ -11,7 +11,12 @@
 
     private LoadReport() {}
 
-    /** Parses a report. Unknown fields are ignored; missing ones are NaN, UNKNOWN or 0. */
+    /**
+     * Parses a report. Unknown fields have no effect, but the value of every {@code name=value} pair must be a number.
+     * Without its field, a load is NaN, the role UNKNOWN and the position 0.
+     *
+     * @throws PgException if a value is not a number
+     */
     @SuppressWarnings("StringSplitter") // Trailing empty fields are to be dropped.
     static Router.Report parse(String text) throws PgException {
         long positionUs = 0;
--- a/pooler/src/main/java/frostreel/pg/ServerStatus.java
+++ b/pooler/src/main/java/frostreel/pg/ServerStatus.java
@@ -3,8 +3,9 @@
 import frostreel.routing.Router;
 
 /**
- * Role, commit position and load that a server reports along with a response. A report that cannot be parsed is counted
- * and otherwise ignored, as the value in the response may still be valid.
+ * Role, commit position and load that a server reports along with a response. A position or load report that cannot be
+ * parsed is counted and otherwise ignored, as the value in the response may still be valid; an unknown role is not
+ * counted. The load report has a role and a position of its own.
  */
 final class ServerStatus {
     private static final int US_PER_MS = 1000;
@@ -53,12 +54,12 @@
         return role;
     }
 
-    /** Commit position, or 0 if none was reported. */
+    /** Commit position from {@code applied_ms}, apart from that in the load report; 0 if none was reported. */
     long positionUs() {
         return positionUs;
     }
 
-    /** Load report, or null if none was sent. */
+    /** Load report, or null if no valid one was sent. */
     Router.Report loadReport() {
         return loadReport;
     }
--- a/pooler/src/main/java/frostreel/pg/StartupCode.java
+++ b/pooler/src/main/java/frostreel/pg/StartupCode.java
@@ -1,6 +1,6 @@
 package frostreel.pg;
 
-/** Codes at the beginning of a startup message: a protocol version, or a special request in its place. */
+/** Codes that begin a client's first messages, and the response to an encryption request. */
 public final class StartupCode {
     /** Protocol version 3.0: the major version in the upper 16 bits, the minor version in the lower. */
     public static final int PROTOCOL_3_0 = 3 << 16;
--- a/pooler/src/main/java/frostreel/pg/Statement.java
+++ b/pooler/src/main/java/frostreel/pg/Statement.java
@@ -200,6 +200,7 @@
         return id;
     }
 
+    /** Whether it is a write; otherwise it is a read. */
     public boolean write() {
         return write;
     }
