--- a/pooler/src/main/java/frostreel/broker/AttemptRunner.java
+++ b/pooler/src/main/java/frostreel/broker/AttemptRunner.java
@@ -108,7 +108,7 @@
 
     /** Whether an attempt may begin now. Also detects a disconnect of the client that no event has reported yet. */
     private boolean requestAllowsAttempt(ActiveRequest request) {
-        if (request.closed || clock.now() >= request.latestBeginUs()) {
+        if (request.closed || clock.now() >= request.noAttemptFromUs()) {
             return false;
         }
         boolean connected = request.handler.isClientConnected();
@@ -118,9 +118,9 @@
         return connected && !request.closed;
     }
 
-    /** Stops the attempt at its timeout, or at the latest time to begin if it has not begun by then. */
+    /** Schedules the end of the attempt: at its timeout, or when it may no longer begin if it has not begun by then. */
     private void startTimeout(ActiveRequest request, int attempt, long nowUs, long leftUs) {
-        long beginWithinUs = Math.min(leftUs, request.latestBeginUs() - nowUs);
+        long beginWithinUs = Math.min(leftUs, request.noAttemptFromUs() - nowUs);
         request.attemptTimeout = deadlines.after(
                 beginWithinUs,
                 () -> events.run(() -> {
