--- a/pooler/src/main/java/frostreel/backend/ServerConnection.java
+++ b/pooler/src/main/java/frostreel/backend/ServerConnection.java
@@ -130,7 +130,7 @@
      * reply belongs to no request, and would be read as the beginning of this one's reply.
      */
     boolean tryRun(Attempt newAttempt) {
-        if (!stream.isQuiet()) {
+        if (!stream.isOpenWithoutInput()) {
             closeOutOfSync();
             return false;
         }
--- a/pooler/src/main/java/frostreel/frontend/ClientConnection.java
+++ b/pooler/src/main/java/frostreel/frontend/ClientConnection.java
@@ -98,12 +98,12 @@
     }
 
     @Override
-    public void caughtUp() {
+    public void readCompleted() {
         input.onCaughtUp();
     }
 
     @Override
-    public void drained() {
+    public void outputFlushed() {
         request.onDrained();
         input.takeMessages();
     }
--- a/pooler/src/main/java/frostreel/net/SocketStream.java
+++ b/pooler/src/main/java/frostreel/net/SocketStream.java
@@ -24,10 +24,10 @@
          * Called after {@link #received} once the socket has no more input, or as much was read as is read in one turn.
          * The peer had not ended its output behind that, as far as it was read.
          */
-        default void caughtUp() {}
+        default void readCompleted() {}
 
         /** The socket has accepted all output. */
-        default void drained() {}
+        default void outputFlushed() {}
 
         /** The peer has ended its output, or the connection broke; called once, and not after {@link #close}. */
         void ended();
@@ -135,7 +135,7 @@
             }
         }
         if (!closed && successfulReads != readsBefore) {
-            handler.caughtUp();
+            handler.readCompleted();
         }
     }
 
@@ -150,7 +150,7 @@
     }
 
     /** Whether there is nothing to read, and the peer has not ended its output; what is read here is lost. */
-    public boolean isQuiet() {
+    public boolean isOpenWithoutInput() {
         try {
             return !closed && source.read(loop.readBuffer()) == 0;
         } catch (IOException e) {
@@ -193,7 +193,7 @@
         if (flush() && !closed) {
             sink.suspendWrites();
             shutDownIfFlushed();
-            handler.drained();
+            handler.outputFlushed();
         }
     }
 
