--- a/lab/src/main/java/frostreel/lab/processes/Fleet.java
+++ b/lab/src/main/java/frostreel/lab/processes/Fleet.java
@@ -262,6 +262,6 @@
             }
             return null;
         });
-        loop.end();
+        loop.shutDown();
     }
 }
--- a/lab/src/test/java/frostreel/lab/processes/GroupRig.java
+++ b/lab/src/test/java/frostreel/lab/processes/GroupRig.java
@@ -177,6 +177,6 @@
                 return null;
             });
         }
-        loop.end();
+        loop.shutDown();
     }
 }
--- a/lab/src/test/java/frostreel/lab/standin/StandInsTest.java
+++ b/lab/src/test/java/frostreel/lab/standin/StandInsTest.java
@@ -63,7 +63,7 @@
             agent.close();
             return null;
         });
-        loop.end();
+        loop.shutDown();
     }
 
     private void publish(Server changed) {
--- a/pooler/src/main/java/frostreel/Pooler.java
+++ b/pooler/src/main/java/frostreel/Pooler.java
@@ -195,7 +195,7 @@
     }
 
     private void start() {
-        loop.begin();
+        loop.start();
         commands.start(readiness::commandsRestored);
         endpoints.start();
         sockets.open();
@@ -229,7 +229,7 @@
 
     /** Ends the loop and closes every socket; with an inherited one, standard output and error too. */
     public void close() throws InterruptedException {
-        loop.end();
+        loop.shutDown();
     }
 
     /** Returns the counters of {@code SHOW stats} on one line; from any thread. */
--- a/pooler/src/main/java/frostreel/net/EventLoop.java
+++ b/pooler/src/main/java/frostreel/net/EventLoop.java
@@ -108,7 +108,7 @@
     }
 
     /** Starts the heartbeat and the watchdog; called before anything comes from outside. */
-    public void begin() {
+    public void start() {
         watchdog.start();
         heartbeat.start(watchdog);
     }
@@ -127,7 +127,7 @@
     }
 
     /** Ends the thread, and waits until it has ended, for a second at most. From any other thread. */
-    public void end() throws InterruptedException {
+    public void shutDown() throws InterruptedException {
         watchdog.end();
         thread.execute(() -> {
             ending = true;
--- a/pooler/src/test/java/frostreel/ManualLoop.java
+++ b/pooler/src/test/java/frostreel/ManualLoop.java
@@ -33,6 +33,6 @@
 
     /** Ends the loop's thread. */
     void end() throws InterruptedException {
-        loop.end();
+        loop.shutDown();
     }
 }
--- a/pooler/src/test/java/frostreel/PausedResponseTest.java
+++ b/pooler/src/test/java/frostreel/PausedResponseTest.java
@@ -39,7 +39,7 @@
 
     @AfterEach
     void tearDown() throws Exception {
-        loop.end();
+        loop.shutDown();
         harness.close();
     }
 
--- a/pooler/src/test/java/frostreel/control/FileCommandReplicatorTest.java
+++ b/pooler/src/test/java/frostreel/control/FileCommandReplicatorTest.java
@@ -39,7 +39,7 @@
 
     @AfterEach
     void end() throws Exception {
-        loop.end();
+        loop.shutDown();
     }
 
     @Test
--- a/pooler/src/test/java/frostreel/frontend/ClientBacklogTest.java
+++ b/pooler/src/test/java/frostreel/frontend/ClientBacklogTest.java
@@ -28,7 +28,7 @@
 
     @AfterEach
     void end() throws Exception {
-        loop.end();
+        loop.shutDown();
     }
 
     private static byte[] query(String text) {
--- a/pooler/src/test/java/frostreel/net/EventLoopTest.java
+++ b/pooler/src/test/java/frostreel/net/EventLoopTest.java
@@ -26,7 +26,7 @@
 
     @AfterEach
     void end() throws Exception {
-        loop.end();
+        loop.shutDown();
     }
 
     private boolean pollsAfter(long us) {
--- a/pooler/src/test/java/frostreel/net/EventLoopTimersTest.java
+++ b/pooler/src/test/java/frostreel/net/EventLoopTimersTest.java
@@ -67,7 +67,7 @@
             server.resumeAccepts();
             assertThat(readInTime.get()).isTrue();
         } finally {
-            loop.end();
+            loop.shutDown();
         }
     }
 }
