--- a/pooler/src/main/java/frostreel/backend/Server.java
+++ b/pooler/src/main/java/frostreel/backend/Server.java
@@ -46,11 +46,11 @@
     }
 
     /** The connections, idle or being opened, on which attempts may no longer run. */
-    List<ServerConnection> unwantedConnections() {
-        List<ServerConnection> unwanted = new ArrayList<>(idle);
-        unwanted.addAll(opening);
-        unwanted.removeIf(this::mayUse);
-        return unwanted;
+    List<ServerConnection> unusableConnections() {
+        List<ServerConnection> unusable = new ArrayList<>(idle);
+        unusable.addAll(opening);
+        unusable.removeIf(this::mayUse);
+        return unusable;
     }
 
     /** How many attempts wait beyond the connections being opened; negative where fewer wait. */
--- a/pooler/src/main/java/frostreel/backend/ServerPool.java
+++ b/pooler/src/main/java/frostreel/backend/ServerPool.java
@@ -43,7 +43,7 @@
     }
 
     /**
-     * Takes the addresses and states of an endpoint list; {@link #closeUnwanted} has to follow.
+     * Takes the addresses and states of an endpoint list; {@link #closeUnusableConnections} has to follow.
      *
      * @param complete whether the list names all endpoints, so that one that is not on it is gone
      */
@@ -51,7 +51,7 @@
         servers.update(endpoints, complete);
     }
 
-    /** Takes a new state of one server, at the same address; {@link #closeUnwanted} has to follow. */
+    /** Takes a new state of one server, at the same address; {@link #closeUnusableConnections} has to follow. */
     public void updateState(String memberId, Router.State state) {
         servers.updateState(memberId, state);
     }
@@ -62,9 +62,9 @@
      * sent requests, and its attempt would follow it. The router must have the list already, as it retries these at
      * once.
      */
-    public void closeUnwanted() {
+    public void closeUnusableConnections() {
         for (Server server : List.copyOf(servers.all())) {
-            server.unwantedConnections().forEach(ServerConnection::close);
+            server.unusableConnections().forEach(ServerConnection::close);
             for (int unserved = server.unservedAttempts(); unserved > 0; unserved--) {
                 finish(server.waiting.pollFirst(), Result.of(Outcome.NOT_SENT));
             }
--- a/pooler/src/main/java/frostreel/control/EndpointPublisher.java
+++ b/pooler/src/main/java/frostreel/control/EndpointPublisher.java
@@ -31,7 +31,7 @@
         List<Router.Member> effective = complete ? overlay.applyComplete(listed) : overlay.applyChanges(listed);
         pool.updateEndpoints(withAddressesOf(list, effective), complete);
         broker.updateMembers(kind, effective);
-        pool.closeUnwanted();
+        pool.closeUnusableConnections();
     }
 
     private static List<EndpointList.Endpoint> withAddressesOf(EndpointList list, List<Router.Member> members) {
@@ -48,7 +48,7 @@
         overlay.effectiveMember(serverId).ifPresent(member -> {
             pool.updateState(serverId, member.state());
             broker.updateMembers(Router.ListKind.CHANGES, List.of(member));
-            pool.closeUnwanted();
+            pool.closeUnusableConnections();
         });
     }
 }
