--- a/pooler/src/main/java/frostreel/backend/ConnectionTable.java
+++ b/pooler/src/main/java/frostreel/backend/ConnectionTable.java
@@ -49,8 +49,8 @@
 
     /** The longest idle connection, to whichever server; null where none is idle. */
     ServerConnection longestIdle() {
-        Iterator<ServerConnection> longestFirst = byIdleTime.iterator();
-        return longestFirst.hasNext() ? longestFirst.next() : null;
+        Iterator<ServerConnection> iterator = byIdleTime.iterator();
+        return iterator.hasNext() ? iterator.next() : null;
     }
 
     /** Removes a connection that was closed. */
--- a/pooler/src/main/java/frostreel/backend/Server.java
+++ b/pooler/src/main/java/frostreel/backend/Server.java
@@ -14,7 +14,7 @@
     /** Whether it may be sent new attempts. */
     private boolean usable;
     /** Whether it has ever been draining. */
-    private boolean hasDrained;
+    private boolean wasDraining;
 
     final Set<ServerConnection> opening = new LinkedHashSet<>();
     /** The most recently used first. */
@@ -30,10 +30,10 @@
         this.address = address;
     }
 
-    /** {@code onlyDrainingStopsSends}: a server that is gone may be sent attempts unless it has ever been draining. */
-    void setState(Router.State state, boolean onlyDrainingStopsSends) {
-        hasDrained |= state == Router.State.DRAINING;
-        usable = state == Router.State.UP || (state == Router.State.GONE && onlyDrainingStopsSends && !hasDrained);
+    /** {@code goneServersUsable}: a server that is gone may be sent attempts unless it has ever been draining. */
+    void setState(Router.State state, boolean goneServersUsable) {
+        wasDraining |= state == Router.State.DRAINING;
+        usable = state == Router.State.UP || (state == Router.State.GONE && goneServersUsable && !wasDraining);
     }
 
     boolean isUsable() {
@@ -54,7 +54,7 @@
     }
 
     /** How many attempts wait beyond the connections being opened; negative where fewer wait. */
-    int unservedAttempts() {
+    int attemptsWithoutConnection() {
         return waiting.size() - opening.size();
     }
 }
--- a/pooler/src/main/java/frostreel/backend/ServerConnection.java
+++ b/pooler/src/main/java/frostreel/backend/ServerConnection.java
@@ -45,7 +45,7 @@
     private Phase phase = Phase.CONNECTING;
     private IoFuture<StreamConnection> connecting;
     private SocketStream stream;
-    private Reply reply = Reply.toStartup();
+    private Reply response = Reply.toStartup();
     /** The attempt that it is busy with, null for none. */
     private Attempt attempt;
     /** When it has to be open while it opens, and when it is closed while it is idle. */
@@ -105,13 +105,13 @@
         stream.resumeReads();
     }
 
-    private void onStartupReply(boolean clean) {
-        if (clean && reply.errorCode() == null) {
+    private void onStartupResponse(boolean clean) {
+        if (clean && response.errorCode() == null) {
             loop.deadlines().cancel(deadline);
             phase = Phase.IDLE;
             pool.onOpened(this);
         } else {
-            boolean rejected = reply.result().outcome() == Outcome.REJECTED;
+            boolean rejected = response.result().outcome() == Outcome.REJECTED;
             failOpening(rejected ? Outcome.REJECTED : Outcome.CONNECT_FAILED);
         }
     }
@@ -127,7 +127,7 @@
 
     /**
      * Runs an attempt if the connection is clean, and closes it otherwise: a byte that came since the end of the last
-     * reply belongs to no request, and would be read as the beginning of this one's reply.
+     * reply belongs to no request, and would be read as the beginning of this one's response.
      */
     boolean tryRun(Attempt newAttempt) {
         if (!stream.isOpenWithoutInput()) {
@@ -138,7 +138,7 @@
         phase = Phase.BUSY;
         attempt = newAttempt;
         newAttempt.connection = this;
-        reply = Reply.toQuery();
+        response = Reply.toQuery();
         stream.write(newAttempt.query(loop.clock().now()));
         return true;
     }
@@ -165,7 +165,7 @@
         reader.feed(in);
         try {
             if (acceptMessages()) {
-                onReplyEnded();
+                onResponseCompleted();
             }
         } catch (PgException e) {
             loop.counters().malformedMessages++;
@@ -175,9 +175,9 @@
 
     /** Accepts what is buffered of the reply; true where the reply has ended with it. */
     private boolean acceptMessages() throws PgException {
-        while (!forwardsLongRow() && reader.next()) {
-            reply.accept(reader);
-            if (reply.ended()) {
+        while (!continueOrBeginLongRow() && reader.next()) {
+            response.accept(reader);
+            if (response.ended()) {
                 return true;
             }
         }
@@ -185,7 +185,7 @@
     }
 
     /** Whether the next bytes belong to a long row; forwarding begins here where such a row is next. */
-    private boolean forwardsLongRow() throws PgException {
+    private boolean continueOrBeginLongRow() throws PgException {
         if (!longRow.isActive()) {
             int length = reader.longRowLength(Reply.MAX_BUFFERED_ROW);
             if (length > 0 && !beginLongRow(length + MessageReader.HEADER_BYTES)) {
@@ -198,7 +198,7 @@
     /** False where nobody wants the row any more, and the connection was closed for it. */
     private boolean beginLongRow(int rowBytes) throws PgException {
         boolean forRequest = attempt != null && !attempt.isHealthCheck();
-        byte[] head = reply.beginLongRow(forRequest && reader.rowHoldsOneValue());
+        byte[] head = response.beginLongRow(forRequest && reader.rowHoldsOneValue());
         BackEnd.ResponseStream target = attempt.listener.longResponseBegins(this);
         if (target == null) {
             end(BackEnd.Result.of(Outcome.CANCELLED));
@@ -221,23 +221,23 @@
     }
 
     /** The reply is complete; where more bytes came behind it, the connection is not used again. */
-    private void onReplyEnded() {
-        boolean surplus = reader.buffered() > 0;
-        if (reply.ready() && surplus) {
+    private void onResponseCompleted() {
+        boolean hasExcessBytes = reader.buffered() > 0;
+        if (response.ready() && hasExcessBytes) {
             loop.counters().serverConnectionsOutOfSync++;
         }
-        boolean clean = reply.ready() && !surplus;
+        boolean clean = response.ready() && !hasExcessBytes;
         if (phase == Phase.STARTUP) {
-            onStartupReply(clean);
+            onStartupResponse(clean);
         } else {
-            onQueryReply(clean);
+            onQueryResponse(clean);
         }
     }
 
-    private void onQueryReply(boolean clean) {
-        Attempt done = attempt;
-        BackEnd.Result result = done.isHealthCheck() ? reply.healthCheckResult() : reply.result();
-        loop.counters().malformedLoadReports += reply.malformedReports();
+    private void onQueryResponse(boolean clean) {
+        Attempt endedAttempt = attempt;
+        BackEnd.Result result = endedAttempt.isHealthCheck() ? response.healthCheckResult() : response.result();
+        loop.counters().malformedLoadReports += response.malformedReports();
         if (!clean) {
             end(result);
             return;
@@ -248,7 +248,7 @@
         attempt = null;
         phase = Phase.IDLE;
         pool.onFree(this);
-        pool.finish(done, result);
+        pool.finish(endedAttempt, result);
     }
 
     // ---- The end of the connection. ----
@@ -258,15 +258,15 @@
         if (phase == Phase.STARTUP) {
             failOpening(Outcome.CONNECT_FAILED);
         } else if (phase == Phase.BUSY) {
-            end(brokenResult());
+            end(resultOfBrokenConnection());
         } else {
             close();
         }
     }
 
     /** A request of which the last byte was not written was not executed. */
-    private BackEnd.Result brokenResult() {
-        BackEnd.Result result = reply.result();
+    private BackEnd.Result resultOfBrokenConnection() {
+        BackEnd.Result result = response.result();
         boolean notSent = result.outcome() == Outcome.RESET && !hasWrittenAll();
         return notSent ? BackEnd.Result.of(Outcome.CONNECT_FAILED) : result;
     }
@@ -282,10 +282,10 @@
             failOpening(Outcome.CONNECT_FAILED);
             return;
         }
-        Attempt done = attempt;
+        Attempt endedAttempt = attempt;
         close();
-        if (done != null) {
-            pool.finish(done, result);
+        if (endedAttempt != null) {
+            pool.finish(endedAttempt, result);
         }
     }
 
--- a/pooler/src/main/java/frostreel/backend/ServerDirectory.java
+++ b/pooler/src/main/java/frostreel/backend/ServerDirectory.java
@@ -11,12 +11,12 @@
 
 /** The servers by the names of their members, with the addresses and states of the latest endpoint lists. */
 final class ServerDirectory {
-    private final boolean onlyDrainingStopsSends;
+    private final boolean goneServersUsable;
     private final Map<String, Server> servers = new HashMap<>();
 
-    /** {@code onlyDrainingStopsSends}: whether servers that are gone may still be sent attempts. */
-    ServerDirectory(boolean onlyDrainingStopsSends) {
-        this.onlyDrainingStopsSends = onlyDrainingStopsSends;
+    /** {@code goneServersUsable}: whether servers that are gone may still be sent attempts. */
+    ServerDirectory(boolean goneServersUsable) {
+        this.goneServersUsable = goneServersUsable;
     }
 
     /** The server, null where no list has named it. */
@@ -35,12 +35,12 @@
             Server server = servers.computeIfAbsent(endpoint.member().id(), id -> new Server());
             listed.add(server);
             server.setAddress(endpoint.address());
-            server.setState(endpoint.member().state(), onlyDrainingStopsSends);
+            server.setState(endpoint.member().state(), goneServersUsable);
         }
         if (complete) {
             servers.values().stream()
                     .filter(server -> !listed.contains(server))
-                    .forEach(server -> server.setState(Router.State.GONE, onlyDrainingStopsSends));
+                    .forEach(server -> server.setState(Router.State.GONE, goneServersUsable));
         }
     }
 
@@ -48,7 +48,7 @@
     void updateState(String memberId, Router.State state) {
         Server server = servers.get(memberId);
         if (server != null) {
-            server.setState(state, onlyDrainingStopsSends);
+            server.setState(state, goneServersUsable);
         }
     }
 }
--- a/pooler/src/main/java/frostreel/backend/ServerPool.java
+++ b/pooler/src/main/java/frostreel/backend/ServerPool.java
@@ -65,7 +65,7 @@
     public void closeUnusableConnections() {
         for (Server server : List.copyOf(servers.all())) {
             server.unusableConnections().forEach(ServerConnection::close);
-            for (int unserved = server.unservedAttempts(); unserved > 0; unserved--) {
+            for (int excess = server.attemptsWithoutConnection(); excess > 0; excess--) {
                 finish(server.waiting.pollFirst(), Result.of(Outcome.NOT_SENT));
             }
         }
@@ -164,9 +164,9 @@
             attempt.server.waiting.remove(attempt); // The connection opened for it serves the next.
             return false;
         }
-        boolean reached = attempt.connection.hasWrittenAll();
+        boolean mayHaveReachedServer = attempt.connection.hasWrittenAll();
         attempt.connection.close();
-        return reached;
+        return mayHaveReachedServer;
     }
 
     /** Ends an attempt, unless it has ended, and notifies its listener. */
@@ -188,7 +188,7 @@
     /** A connection could not be opened. */
     void onOpenFailed(ServerConnection connection, Outcome outcome) {
         loop.counters().serverConnectionsFailed++;
-        failUnserved(connection.server, outcome);
+        failFirstWithoutConnection(connection.server, outcome);
     }
 
     /**
@@ -200,14 +200,14 @@
         Attempt next = nextToBegin(server);
         if (!server.mayUse(connection)) {
             connection.close();
-            failUnserved(server, Outcome.CONNECT_FAILED);
+            failFirstWithoutConnection(server, Outcome.CONNECT_FAILED);
         } else if (next == null) {
             connections.addIdle(connection);
             connection.onIdle(idleCloseUs);
         } else if (connection.tryRun(next)) {
             server.waiting.remove(next);
         } else {
-            failUnserved(server, Outcome.CONNECT_FAILED);
+            failFirstWithoutConnection(server, Outcome.CONNECT_FAILED);
         }
     }
 
@@ -223,8 +223,8 @@
     }
 
     /** Fails the attempt that has waited longest, where more wait than connections are being opened. */
-    private void failUnserved(Server server, Outcome outcome) {
-        if (server.unservedAttempts() > 0) {
+    private void failFirstWithoutConnection(Server server, Outcome outcome) {
+        if (server.attemptsWithoutConnection() > 0) {
             finish(server.waiting.pollFirst(), Result.of(outcome));
         }
     }
--- a/pooler/src/main/java/frostreel/net/Acceptor.java
+++ b/pooler/src/main/java/frostreel/net/Acceptor.java
@@ -18,13 +18,13 @@
  * Owns one listening socket. It accepts on XNIO's accept thread and hands each connection to the I/O thread: the JDK
  * retries an aborted accept again and again before it returns, which must not block the I/O thread.
  *
- * <p>If an accept fails, because the system has no descriptor or buffer left, it is retried every {@link #RETRY_MS}
+ * <p>If an accept fails, because the system has no descriptor or buffer left, it is retried every {@link #RETRY_INTERVAL_MS}
  * until it succeeds: the kernel has accepted the connections in the backlog already, so their clients wait for an
  * answer. Public methods are called on the I/O thread.
  */
 public final class Acceptor {
     /** The time from a failed accept to the next one; constant, without backoff. */
-    static final long RETRY_MS = 20;
+    static final long RETRY_INTERVAL_MS = 20;
 
     /** {@link #failingSinceUs} while accepts succeed. */
     private static final long NOT_FAILING = 0;
@@ -40,7 +40,7 @@
     private volatile boolean accepting;
     // ---- State of the accept thread, used on that thread alone. ----
     private long failingSinceUs = NOT_FAILING;
-    private long failures;
+    private long failureCount;
     private boolean retryScheduled;
 
     /**
@@ -103,7 +103,7 @@
 
     private void onAcceptThread(Runnable task) {
         try {
-            AcceptBackOff.thread(channel).execute(task);
+            AcceptBackOff.acceptThread(channel).execute(task);
         } catch (RejectedExecutionException e) {
             LOG.fine("the process is shutting down; nothing more is accepted");
         }
@@ -116,7 +116,8 @@
         if (failingSinceUs == NOT_FAILING) {
             IoUtils.safeClose(channel);
         } else {
-            AcceptBackOff.thread(channel).executeAfter(this::acceptAllAndClose, RETRY_MS, TimeUnit.MILLISECONDS);
+            AcceptBackOff.acceptThread(channel)
+                    .executeAfter(this::acceptAllAndClose, RETRY_INTERVAL_MS, TimeUnit.MILLISECONDS);
         }
     }
 
@@ -126,7 +127,7 @@
                 onAccepted();
                 handOver(connection);
             }
-            if (AcceptBackOff.isOn(channel)) {
+            if (AcceptBackOff.isActive(channel)) {
                 onFailed();
             }
         } catch (ClosedChannelException e) {
@@ -145,16 +146,16 @@
     }
 
     private void onFailed() {
-        failures++;
+        failureCount++;
         if (failingSinceUs == NOT_FAILING) {
             failingSinceUs = loop.clock().now();
-            LOG.warning("accept failed; retrying every " + RETRY_MS + " ms (" + peerName + ")");
+            LOG.warning("accept failed; retrying every " + RETRY_INTERVAL_MS + " ms (" + peerName + ")");
         }
         loop.thread().execute(() -> loop.counters().acceptFailures++);
         if (!retryScheduled) {
             retryScheduled = true;
             channel.suspendAccepts(); // Otherwise XNIO's own timers, one for each failure, would retry in between.
-            AcceptBackOff.thread(channel).executeAfter(this::retry, RETRY_MS, TimeUnit.MILLISECONDS);
+            AcceptBackOff.acceptThread(channel).executeAfter(this::retry, RETRY_INTERVAL_MS, TimeUnit.MILLISECONDS);
         }
     }
 
@@ -171,9 +172,9 @@
     private void onAccepted() {
         if (failingSinceUs != NOT_FAILING) {
             long failedForMs = (loop.clock().now() - failingSinceUs) / US_PER_MS;
-            LOG.info("accept recovered after " + failedForMs + " ms, " + failures + " failures (" + peerName + ")");
+            LOG.info("accept recovered after " + failedForMs + " ms, " + failureCount + " failures (" + peerName + ")");
             failingSinceUs = NOT_FAILING;
-            failures = 0;
+            failureCount = 0;
         }
     }
 }
--- a/pooler/src/main/java/frostreel/net/EventLoop.java
+++ b/pooler/src/main/java/frostreel/net/EventLoop.java
@@ -38,9 +38,9 @@
     private final Counters counters = new Counters();
     private final ByteBuffer readBuffer = ByteBuffer.allocateDirect(READ_BUFFER_BYTES);
     /** XNIO's timer for the first deadline, null where none is set. */
-    private XnioExecutor.Key alarm;
+    private XnioExecutor.Key wakeTimer;
 
-    private boolean ending;
+    private boolean shuttingDown;
     private long bufferedBytes;
 
     /** A loop on the system's clock. */
@@ -67,19 +67,19 @@
     }
 
     private void wakeAfter(long delayUs) {
-        if (ending) {
+        if (shuttingDown) {
             return; // A thread that terminates takes no more timers, and none is wanted.
         }
-        if (alarm != null) {
-            alarm.remove();
+        if (wakeTimer != null) {
+            wakeTimer.remove();
         }
-        alarm = thread.executeAfter(
+        wakeTimer = thread.executeAfter(
                 () -> {
-                    alarm = null;
+                    wakeTimer = null;
                     pollWatchEventsIfDue();
                     deadlines.runDue();
                 },
-                roundedUpToMs(delayUs),
+                toMsRoundedUp(delayUs),
                 TimeUnit.MILLISECONDS);
     }
 
@@ -88,7 +88,7 @@
      * timer that is due in less than one at once. It would find nothing due and be set again, over and over, and keep
      * the thread from its sockets meanwhile.
      */
-    private static long roundedUpToMs(long us) {
+    private static long toMsRoundedUp(long us) {
         return (us + US_PER_MS - 1) / US_PER_MS;
     }
 
@@ -130,7 +130,7 @@
     public void shutDown() throws InterruptedException {
         watchdog.end();
         thread.execute(() -> {
-            ending = true;
+            shuttingDown = true;
             worker.shutdownNow();
         });
         worker.awaitTermination(SHUTDOWN_WAIT_S, TimeUnit.SECONDS);
--- a/pooler/src/main/java/frostreel/net/SocketStream.java
+++ b/pooler/src/main/java/frostreel/net/SocketStream.java
@@ -48,7 +48,7 @@
     /** How many reads have returned bytes so far. */
     private long successfulReads;
     /** Our output ends behind what is pending. */
-    private boolean outputEnding;
+    private boolean endsOutputWhenFlushed;
 
     private boolean reset;
     private boolean closed;
@@ -101,9 +101,9 @@
      * @return whether there was anything to read, or the connection has ended
      */
     public boolean readNow() {
-        long readsBefore = successfulReads;
+        long previousReads = successfulReads;
         runGuarded(this::readEvenIfSuspended);
-        return closed || successfulReads != readsBefore;
+        return closed || successfulReads != previousReads;
     }
 
     private void onReadable() {
@@ -116,7 +116,7 @@
 
     /** Reads for one turn, and passes on what was read; stops where the handler suspends reading, or closes. */
     private void read(boolean evenIfSuspended) {
-        long readsBefore = successfulReads;
+        long previousReads = successfulReads;
         boolean more = true;
         for (int i = 0; i < MAX_READS_PER_TURN && more; i++) {
             if (closed || !(evenIfSuspended || source.isReadResumed())) {
@@ -134,7 +134,7 @@
                 handler.received(in.flip());
             }
         }
-        if (!closed && successfulReads != readsBefore) {
+        if (!closed && successfulReads != previousReads) {
             handler.readCompleted();
         }
     }
@@ -185,7 +185,7 @@
 
     /** Ends our output once the socket has accepted all of it; the peer may still send. */
     public void end() {
-        outputEnding = true;
+        endsOutputWhenFlushed = true;
         shutDownIfFlushed();
     }
 
@@ -198,7 +198,7 @@
     }
 
     private void shutDownIfFlushed() {
-        if (outputEnding && !closed && flushed()) {
+        if (endsOutputWhenFlushed && !closed && flushed()) {
             try {
                 sink.shutdownWrites();
                 sink.flush();
--- a/pooler/src/main/java/org/xnio/nio/AcceptBackOff.java
+++ b/pooler/src/main/java/org/xnio/nio/AcceptBackOff.java
@@ -13,12 +13,12 @@
     private AcceptBackOff() {}
 
     /** The thread on which the channel accepts; from any thread. */
-    public static XnioIoThread thread(AcceptingChannel<StreamConnection> channel) {
+    public static XnioIoThread acceptThread(AcceptingChannel<StreamConnection> channel) {
         return handle(channel).getWorkerThread();
     }
 
     /** Whether the last accept failed, so that nothing is accepted until {@link #end} or until the backoff is over. */
-    public static boolean isOn(AcceptingChannel<StreamConnection> channel) {
+    public static boolean isActive(AcceptingChannel<StreamConnection> channel) {
         return handle(channel).getBackOffTime() > 0;
     }
 
--- a/pooler/src/main/java/org/xnio/nio/TcpServers.java
+++ b/pooler/src/main/java/org/xnio/nio/TcpServers.java
@@ -38,7 +38,7 @@
         try {
             channel.socket().setReuseAddress(true);
             channel.bind(address, options.get(Options.BACKLOG, DEFAULT_BACKLOG));
-            return accepting(worker, channel, listener, options);
+            return createServer(worker, channel, listener, options);
         } catch (IOException | RuntimeException e) {
             channel.close();
             throw e;
@@ -58,10 +58,10 @@
         if (!(inherited instanceof ServerSocketChannel channel)) {
             throw new IOException("descriptor 0 is no listening socket");
         }
-        return accepting(worker, channel, listener, options);
+        return createServer(worker, channel, listener, options);
     }
 
-    private static AcceptingChannel<StreamConnection> accepting(
+    private static AcceptingChannel<StreamConnection> createServer(
             XnioWorker worker,
             ServerSocketChannel channel,
             ChannelListener<? super AcceptingChannel<StreamConnection>> listener,
--- a/pooler/src/test/java/frostreel/LateConnectionsTest.java
+++ b/pooler/src/test/java/frostreel/LateConnectionsTest.java
@@ -79,15 +79,15 @@
     void sendsNoRequestToTheOldAddressOfServerThatMoved() throws Exception {
         ScriptedPeer moved = harness.server(rows("from-moved", "replica"));
         moved.handshake = (text, link) -> handshakes.add(link);
-        BlockingQueue<WireConnection> held = new LinkedBlockingQueue<>();
-        replica.script = (text, link) -> held.add(link);
+        BlockingQueue<WireConnection> pendingLinks = new LinkedBlockingQueue<>();
+        replica.script = (text, link) -> pendingLinks.add(link);
         start();
         harness.discovery.next();
         harness.discovery.next();
         try (WireConnection first = harness.client();
                 WireConnection second = harness.client()) {
             first.send(query(readSql("1", 9000)));
-            WireConnection oldConnection = held.take();
+            WireConnection oldConnection = pendingLinks.take();
             harness.lists.add(list(2, false, host("b", moved, "replica", "Ready")));
             assertThat(harness.discovery.next()).contains("index=2&");
             second.send(query(readSql("2", 9000)));
@@ -103,7 +103,7 @@
 
     /** The handshake takes part of the time until the client's deadline. */
     @Test
-    void statesTheTimeLeftWhenTheAttemptIsSent() throws Exception {
+    void sendsTheRemainingTimeAsOfWhenTheAttemptIsSent() throws Exception {
         replica.handshake = (text, link) -> handshakes.add(link);
         start();
         try (WireConnection client = harness.client()) {
@@ -113,8 +113,8 @@
             PoolerHarness.awaitElapsed(sent, 600);
             late.completeHandshake();
             assertThat(value(client.readResponse())).isEqualTo("from-replica");
-            int stated = TestMessages.remainingMs(replica.next());
-            assertThat(stated).isPositive().isLessThanOrEqualTo(8400);
+            int remainingMs = TestMessages.remainingMs(replica.next());
+            assertThat(remainingMs).isPositive().isLessThanOrEqualTo(8400);
         }
     }
 }
