--- a/pooler/src/main/java/frostreel/backend/Attempt.java
+++ b/pooler/src/main/java/frostreel/backend/Attempt.java
@@ -6,24 +6,24 @@
 import frostreel.time.Deadlines;
 import java.nio.charset.StandardCharsets;
 
-/** An attempt or a health check that runs on a connection, or waits for one. */
+/** An attempt or a health check, either running on a connection or waiting for one. */
 final class Attempt {
     private static final byte[] HEALTH_CHECK_QUERY = Messages.query("SHOW load\0".getBytes(StandardCharsets.US_ASCII));
 
-    /** The server that it is for; null where no server has the name that the router gave. */
+    /** The target server; null if no server is known by the member name that the router chose. */
     final Server server;
 
     final BackEnd.AttemptListener listener;
     /** The request, null for a health check. */
     private final Payload payload;
-    /** Until when the sender waits for the response; not used by a health check. */
+    /** Time at which the sender stops waiting for the response; unused for a health check. */
     private final long timeoutAtUs;
 
-    /** Its slot in the pool's table of attempts. */
+    /** Handle of its slot in the pool's table of attempts. */
     long handle;
-    /** The connection that it runs on, null while it waits for one. */
+    /** The connection on which it runs, null while it waits for one. */
     ServerConnection connection;
-    /** Ends a health check; null for an attempt, whose sender keeps its timeout. */
+    /** Timeout of a health check; null for an attempt, whose timeout is kept by its sender. */
     Deadlines.Deadline timeout;
 
     private Attempt(Server server, Payload payload, long timeoutAtUs, BackEnd.AttemptListener listener) {
@@ -45,7 +45,7 @@
         return payload == null;
     }
 
-    /** The message to send if it begins now, which states the time that is left from now on. */
+    /** The query message to send at this time; that of a request carries the time that remains until its timeout. */
     byte[] query(long nowUs) {
         return isHealthCheck() ? HEALTH_CHECK_QUERY : payload.forServer(timeoutAtUs - nowUs);
     }
--- a/pooler/src/main/java/frostreel/backend/ConnectionTable.java
+++ b/pooler/src/main/java/frostreel/backend/ConnectionTable.java
@@ -6,12 +6,12 @@
 import java.util.Set;
 
 /**
- * All connections to servers, up to a limit, and which of them are idle. A server's most recently used connection is
- * used again first; the longest idle one of all servers is evicted first.
+ * All connections to servers, up to a limit, with an index of the idle ones. Of a server's idle connections the most
+ * recently used is reused first; of all idle connections the longest idle is evicted first.
  */
 final class ConnectionTable {
     private final SlotTable<ServerConnection> connections;
-    /** The idle connections of all servers, the longest idle first. */
+    /** The idle connections of all servers, ordered from the longest idle to the most recently used. */
     private final Set<ServerConnection> byIdleTime = new LinkedHashSet<>();
 
     ConnectionTable(int maxConnections) {
@@ -28,7 +28,7 @@
         connection.server.opening.add(connection);
     }
 
-    /** The connection is open, and neither idle nor being opened from now on. */
+    /** Marks a connection as open; it is not idle until {@link #addIdle}. */
     void onOpened(ServerConnection connection) {
         connection.server.opening.remove(connection);
     }
@@ -38,7 +38,7 @@
         byIdleTime.add(connection);
     }
 
-    /** Takes the server's most recently used idle connection; null where none is idle. */
+    /** Removes and returns the server's most recently used idle connection, null if it has none. */
     ServerConnection takeIdle(Server server) {
         ServerConnection connection = server.idle.pollFirst();
         if (connection != null) {
@@ -47,13 +47,13 @@
         return connection;
     }
 
-    /** The longest idle connection, to whichever server; null where none is idle. */
+    /** The longest idle connection to any server, null if none is idle. */
     ServerConnection longestIdle() {
         Iterator<ServerConnection> iterator = byIdleTime.iterator();
         return iterator.hasNext() ? iterator.next() : null;
     }
 
-    /** Removes a connection that was closed. */
+    /** Removes a closed connection. */
     void remove(ServerConnection connection) {
         connections.remove(connection.handle);
         connection.server.idle.remove(connection);
--- a/pooler/src/main/java/frostreel/backend/LongRowForwarder.java
+++ b/pooler/src/main/java/frostreel/backend/LongRowForwarder.java
@@ -5,12 +5,12 @@
 import java.nio.ByteBuffer;
 
 /**
- * Forwards a row that is too long to be buffered piece by piece, as it arrives, and gives it up where nothing arrives
- * for too long: it would hold connections on both sides for nothing. One per server connection, used again for each
- * long row.
+ * Forwards a row that is too long to be buffered, piece by piece as it arrives. Reports the row as stalled if no data
+ * arrives between two checks {@link #STALL_TIMEOUT_US} apart, as it would otherwise occupy a client connection and a
+ * server connection indefinitely. Each server connection has one forwarder, which is reused for every long row.
  */
 final class LongRowForwarder {
-    /** Slow peers take seconds to read or write; a row of which nothing arrives for this time has stalled. */
+    /** Well above the seconds that slow but healthy peers take to read or write. */
     private static final long STALL_TIMEOUT_US = 30_000_000;
 
     private final Deadlines deadlines;
@@ -20,22 +20,22 @@
     private boolean receivedSinceCheck;
     private Deadlines.Deadline nextCheck;
 
-    /** {@code onStalled}: is called where a row has stalled, and has to {@link #stop} it. */
+    /** {@code onStalled}: called if a row has stalled; has to call {@link #stop}. */
     LongRowForwarder(Deadlines deadlines, Runnable onStalled) {
         this.deadlines = deadlines;
         this.onStalled = onStalled;
     }
 
-    /** Whether bytes of a row are still to come. */
+    /** Whether a row has begun and part of it has not arrived yet. */
     boolean isActive() {
         return remainingBytes > 0;
     }
 
     /**
-     * Begins a row.
+     * Begins to forward a row.
      *
-     * @param head the messages before it
-     * @param received as much of the row as has arrived
+     * @param head the messages that precede the row
+     * @param received the part of the row that has arrived already
      * @param totalBytes the length of the whole row
      */
     void begin(BackEnd.ResponseStream newTarget, byte[] head, byte[] received, int totalBytes) {
@@ -49,7 +49,7 @@
         newTarget.write(received);
     }
 
-    /** Forwards as much of the buffer as belongs to the row. */
+    /** Consumes and forwards the part of the buffer that belongs to the row. */
     void forward(ByteBuffer in) {
         if (!isActive() || !in.hasRemaining()) {
             return;
@@ -64,7 +64,7 @@
         target.write(piece);
     }
 
-    /** Forwards nothing more. */
+    /** Stops forwarding the current row, if there is one. */
     void stop() {
         remainingBytes = 0;
         deadlines.cancel(nextCheck);
--- a/pooler/src/main/java/frostreel/backend/Server.java
+++ b/pooler/src/main/java/frostreel/backend/Server.java
@@ -8,18 +8,18 @@
 import java.util.List;
 import java.util.Set;
 
-/** A server, its connections that are idle or being opened, and the attempts that wait for one of them. */
+/** A server with its idle connections, its connections being opened, and the attempts that wait for a connection. */
 final class Server {
     private InetSocketAddress address;
-    /** Whether it may be sent new attempts. */
+    /** Whether new attempts may be sent to it. */
     private boolean usable;
-    /** Whether it has ever been draining. */
+    /** Whether it has been draining at any time. */
     private boolean wasDraining;
 
     final Set<ServerConnection> opening = new LinkedHashSet<>();
-    /** The most recently used first. */
+    /** The idle connections, the most recently used first. */
     final ArrayDeque<ServerConnection> idle = new ArrayDeque<>();
-    /** The longest waiting first. */
+    /** The attempts that wait for a connection, the longest waiting first. */
     final ArrayDeque<Attempt> waiting = new ArrayDeque<>();
 
     InetSocketAddress address() {
@@ -30,7 +30,7 @@
         this.address = address;
     }
 
-    /** {@code goneServersUsable}: a server that is gone may be sent attempts unless it has ever been draining. */
+    /** {@code goneServersUsable}: whether a server that is gone stays usable unless it has been draining before. */
     void setState(Router.State state, boolean goneServersUsable) {
         wasDraining |= state == Router.State.DRAINING;
         usable = state == Router.State.UP || (state == Router.State.GONE && goneServersUsable && !wasDraining);
@@ -40,12 +40,12 @@
         return usable;
     }
 
-    /** Whether attempts may run on the connection: not where it leads to a former address. */
+    /** Whether attempts may run on the connection: the server is usable, and still has the connection's address. */
     boolean mayUse(ServerConnection connection) {
         return usable && connection.address.equals(address);
     }
 
-    /** The connections, idle or being opened, on which attempts may no longer run. */
+    /** The connections, idle or being opened, for which {@link #mayUse} is false. */
     List<ServerConnection> unusableConnections() {
         List<ServerConnection> unusable = new ArrayList<>(idle);
         unusable.addAll(opening);
@@ -53,7 +53,7 @@
         return unusable;
     }
 
-    /** How many attempts wait beyond the connections being opened; negative where fewer wait. */
+    /** Number of waiting attempts minus number of connections being opened; negative if fewer attempts wait. */
     int attemptsWithoutConnection() {
         return waiting.size() - opening.size();
     }
--- a/pooler/src/main/java/frostreel/backend/ServerConnection.java
+++ b/pooler/src/main/java/frostreel/backend/ServerConnection.java
@@ -20,8 +20,8 @@
 import org.xnio.StreamConnection;
 
 /**
- * One connection to a server, with at most one attempt on it. It opens, is idle and busy in turn, and is closed at the
- * first byte that it cannot assign to an attempt. Used on the I/O thread.
+ * One connection to a server, which runs at most one attempt at a time. Once open, it alternates between idle and busy;
+ * it is closed at the first byte that belongs to no attempt. Used on the I/O thread.
  */
 final class ServerConnection implements SocketStream.Handler, BackEnd.ResponseSource {
     private enum Phase {
@@ -33,9 +33,10 @@
     }
 
     private static final OptionMap OPTIONS = OptionMap.create(Options.TCP_NODELAY, true);
+
     final Server server;
     final InetSocketAddress address;
-    /** Its slot in the pool's table of connections. */
+    /** Handle of its slot in the pool's table of connections. */
     long handle;
 
     private final EventLoop loop;
@@ -46,11 +47,11 @@
     private IoFuture<StreamConnection> connecting;
     private SocketStream stream;
     private Reply response = Reply.toStartup();
-    /** The attempt that it is busy with, null for none. */
+    /** The attempt that runs on it, null for none. */
     private Attempt attempt;
-    /** When it has to be open while it opens, and when it is closed while it is idle. */
+    /** The connect timeout while it opens, and the idle timeout while it is idle. */
     private Deadlines.Deadline deadline;
-    /** Whether the reader of a long response has suspended the reads. */
+    /** Whether the receiver of a long response has paused reading. */
     private boolean paused;
 
     ServerConnection(EventLoop loop, ServerPool pool, Server server) {
@@ -61,9 +62,9 @@
         longRow = new LongRowForwarder(loop.deadlines(), () -> end(BackEnd.Result.of(Outcome.RESET)));
     }
 
-    // ---- Opening. ----
+    // ---- Connect and startup. ----
 
-    /** Connects; where that takes too long, or fails, the pool is notified. */
+    /** Connects and sends the startup message; the pool is notified when this succeeds, fails or times out. */
     void open(long timeoutUs) {
         deadline = loop.deadlines()
                 .after(
@@ -71,7 +72,7 @@
                         () -> onConnectFailed("not open within " + timeoutUs / 1000 + " ms, in phase " + phase));
         try {
             connecting = loop.thread().openStreamConnection(address, null, OPTIONS);
-        } catch (RuntimeException e) { // For an address of a family that this process does not speak.
+        } catch (RuntimeException e) { // The address family is not supported.
             connecting = new FailedIoFuture<>(new IOException(e));
         }
         connecting.addNotifier(
@@ -96,7 +97,7 @@
 
     private void onConnected(StreamConnection connection) {
         stream = new SocketStream(loop, connection, this);
-        if (phase == Phase.CLOSED) { // By the timeout, while the socket was connecting.
+        if (phase == Phase.CLOSED) { // The timeout closed it while the socket was connecting.
             stream.close();
             return;
         }
@@ -126,8 +127,10 @@
     // ---- Attempts. ----
 
     /**
-     * Runs an attempt if the connection is clean, and closes it otherwise: a byte that came since the end of the last
-     * reply belongs to no request, and would be read as the beginning of this one's response.
+     * Runs an attempt if the connection has no unread input, and closes the connection otherwise: bytes that arrived
+     * after the end of the last response belong to no request, and would be read as the start of the next response.
+     *
+     * @return whether the attempt was started
      */
     boolean tryRun(Attempt newAttempt) {
         if (!stream.isOpenWithoutInput()) {
@@ -143,12 +146,12 @@
         return true;
     }
 
-    /** The connection is idle, and is closed after this time. */
+    /** Starts the idle timeout, after which the connection is closed. */
     void onIdle(long idleCloseUs) {
         deadline = loop.deadlines().after(idleCloseUs, this::close);
     }
 
-    /** Whether the last byte of the attempt was written. */
+    /** Whether the last byte of the attempt has been written. */
     boolean hasWrittenAll() {
         return stream.flushed();
     }
@@ -173,7 +176,7 @@
         }
     }
 
-    /** Accepts what is buffered of the reply; true where the reply has ended with it. */
+    /** Processes the buffered messages of the response; returns whether the response is complete. */
     private boolean acceptMessages() throws PgException {
         while (!continueOrBeginLongRow() && reader.next()) {
             response.accept(reader);
@@ -184,7 +187,7 @@
         return false;
     }
 
-    /** Whether the next bytes belong to a long row; forwarding begins here where such a row is next. */
+    /** Begins to forward a long row if one is next; returns whether message processing has to stop for a long row. */
     private boolean continueOrBeginLongRow() throws PgException {
         if (!longRow.isActive()) {
             int length = reader.longRowLength(Reply.MAX_BUFFERED_ROW);
@@ -195,7 +198,7 @@
         return longRow.isActive();
     }
 
-    /** False where nobody wants the row any more, and the connection was closed for it. */
+    /** Returns false if the row is no longer wanted; the connection has been closed then. */
     private boolean beginLongRow(int rowBytes) throws PgException {
         boolean forRequest = attempt != null && !attempt.isHealthCheck();
         byte[] head = response.beginLongRow(forRequest && reader.rowHoldsOneValue());
@@ -220,7 +223,7 @@
         stream.resumeReads();
     }
 
-    /** The reply is complete; where more bytes came behind it, the connection is not used again. */
+    /** Handles the end of the response; the connection is not reused if further bytes follow the response. */
     private void onResponseCompleted() {
         boolean hasExcessBytes = reader.buffered() > 0;
         if (response.ready() && hasExcessBytes) {
@@ -243,7 +246,7 @@
             return;
         }
         if (paused) {
-            resume(); // Whoever paused a long response with its last piece does not resume it: it is complete.
+            resume(); // The receiver does not resume a response that it paused at its last piece.
         }
         attempt = null;
         phase = Phase.IDLE;
@@ -251,7 +254,7 @@
         pool.finish(endedAttempt, result);
     }
 
-    // ---- The end of the connection. ----
+    // ---- End of the connection. ----
 
     @Override
     public void ended() {
@@ -264,7 +267,7 @@
         }
     }
 
-    /** A request of which the last byte was not written was not executed. */
+    /** Result of an attempt whose connection broke; a request that was not written in full was not executed. */
     private BackEnd.Result resultOfBrokenConnection() {
         BackEnd.Result result = response.result();
         boolean notSent = result.outcome() == Outcome.RESET && !hasWrittenAll();
@@ -276,7 +279,7 @@
         close();
     }
 
-    /** Ends the connection with its attempt. */
+    /** Closes the connection, and finishes its attempt with this result. */
     private void end(BackEnd.Result result) {
         if (phase == Phase.STARTUP) {
             failOpening(Outcome.CONNECT_FAILED);
@@ -289,7 +292,7 @@
         }
     }
 
-    /** Closes the connection; the end of an attempt on it is not reported from here. */
+    /** Closes the connection without finishing its attempt. */
     void close() {
         if (phase == Phase.CLOSED) {
             return;
--- a/pooler/src/main/java/frostreel/backend/ServerDirectory.java
+++ b/pooler/src/main/java/frostreel/backend/ServerDirectory.java
@@ -9,17 +9,17 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The servers by the names of their members, with the addresses and states of the latest endpoint lists. */
+/** The servers by member name, with their addresses and states from the latest endpoint lists. */
 final class ServerDirectory {
     private final boolean goneServersUsable;
     private final Map<String, Server> servers = new HashMap<>();
 
-    /** {@code goneServersUsable}: whether servers that are gone may still be sent attempts. */
+    /** {@code goneServersUsable}: whether servers that are gone stay usable unless they were draining before. */
     ServerDirectory(boolean goneServersUsable) {
         this.goneServersUsable = goneServersUsable;
     }
 
-    /** The server, null where no list has named it. */
+    /** The server, null if it was on no endpoint list so far. */
     Server get(String memberId) {
         return servers.get(memberId);
     }
@@ -28,7 +28,7 @@
         return servers.values();
     }
 
-    /** {@code complete}: whether the list names all endpoints, so that one that is not on it is gone. */
+    /** {@code complete}: whether the list contains all endpoints, so that servers missing from it are gone. */
     void update(List<EndpointList.Endpoint> endpoints, boolean complete) {
         Set<Server> listed = new HashSet<>();
         for (EndpointList.Endpoint endpoint : endpoints) {
@@ -44,7 +44,7 @@
         }
     }
 
-    /** Takes a new state of one server, at the same address. */
+    /** Applies a new state of one server; its address is unchanged. */
     void updateState(String memberId, Router.State state) {
         Server server = servers.get(memberId);
         if (server != null) {
--- a/pooler/src/main/java/frostreel/backend/ServerPool.java
+++ b/pooler/src/main/java/frostreel/backend/ServerPool.java
@@ -10,15 +10,16 @@
 import java.util.List;
 
 /**
- * Runs attempts on pooled connections to servers. An attempt takes a clean idle connection, or waits for the one opened
- * for it or for whichever becomes free first; at least as many connections are being opened to a server as attempts
- * wait for it. Used on the I/O thread.
+ * Runs attempts on pooled connections to servers. An attempt takes an idle connection without unread input. If there is
+ * none, a connection is opened for it, and it runs on that one or on another that becomes free earlier. For each
+ * server, at least as many connections are being opened as attempts wait. Used on the I/O thread.
  */
 public final class ServerPool implements BackEnd {
-    /** An idle connection is closed after this share of the time after which its server would close it. */
+    /** Share of the server's idle timeout after which an idle connection is closed, before its server closes it. */
     private static final double IDLE_CLOSE_SHARE = 0.8;
 
     private static final int MAX_ATTEMPTS = 1 << 16;
+
     private final EventLoop loop;
     private final ServerDirectory servers;
     private final ConnectionTable connections;
@@ -26,7 +27,7 @@
     private long connectTimeoutUs;
     private long idleCloseUs;
 
-    /** An empty pool for at most {@code maxConnections} connections. */
+    /** Creates an empty pool of at most {@code maxConnections} connections. */
     public ServerPool(EventLoop loop, Router.Settings settings, int maxConnections) {
         this.loop = loop;
         servers = new ServerDirectory(settings.rules().goneMembersUsable());
@@ -36,31 +37,35 @@
 
     // ---- Settings and endpoint lists. ----
 
-    /** Applies the timeouts of new settings to what begins from now on. */
+    /** Applies new timeouts; those that are already running are unchanged. */
     public void updateSettings(Router.Settings settings) {
         connectTimeoutUs = settings.limits().connectTimeoutUs();
         idleCloseUs = (long) (settings.limits().idleTimeoutUs() * IDLE_CLOSE_SHARE);
     }
 
     /**
-     * Takes the addresses and states of an endpoint list; {@link #closeUnusableConnections} has to follow.
+     * Applies the addresses and states of an endpoint list; {@link #closeUnusableConnections} has to be called
+     * afterwards.
      *
-     * @param complete whether the list names all endpoints, so that one that is not on it is gone
+     * @param complete whether the list contains all endpoints, so that servers missing from it are gone
      */
     public void updateEndpoints(List<EndpointList.Endpoint> endpoints, boolean complete) {
         servers.update(endpoints, complete);
     }
 
-    /** Takes a new state of one server, at the same address; {@link #closeUnusableConnections} has to follow. */
+    /**
+     * Applies a new state of one server, whose address is unchanged; {@link #closeUnusableConnections} has to be called
+     * afterwards.
+     */
     public void updateState(String memberId, Router.State state) {
         servers.updateState(memberId, state);
     }
 
     /**
-     * Closes connections, idle or being opened, to servers that accept no new attempts or have another address now, and
-     * ends the attempts that wait for them: a handshake may outlast the time in which a draining server may still be
-     * sent requests, and its attempt would follow it. The router must have the list already, as it retries these at
-     * once.
+     * Closes connections, idle or being opened, to servers that accept no new attempts or whose address has changed,
+     * and ends the attempts that wait for them as {@link Outcome#NOT_SENT}: a handshake may take longer than the time
+     * in which requests may still be sent to a draining server, and the attempt would be sent after it. The router has
+     * to know the endpoint list before this call, as it retries these attempts at once.
      */
     public void closeUnusableConnections() {
         for (Server server : List.copyOf(servers.all())) {
@@ -71,7 +76,7 @@
         }
     }
 
-    // ---- Attempts, from the broker. ----
+    // ---- Attempts (calls of the broker). ----
 
     @Override
     public long start(String memberId, Payload payload, long timeoutUs, AttemptListener listener) {
@@ -120,7 +125,7 @@
             evictLongestIdle();
         }
         if (connections.isFull()) {
-            // At our own limit of connections: as for a server at its limit, the router backs off a little.
+            // The pooler has reached its own connection limit; the router backs off as for a server at its limit.
             server.waiting.remove(attempt);
             finish(attempt, Result.of(Outcome.REJECTED));
         } else {
@@ -136,8 +141,9 @@
     }
 
     /**
-     * Closes the longest idle connection, to whichever server: to close one that is needed again at once would cost its
-     * server a handshake each time, and, where many poolers do so to the same server, most of its capacity.
+     * Closes the longest idle connection to any server, as that one is the least likely to be needed again soon.
+     * Evicting connections that are needed at once costs the server a handshake each time; if many poolers do so to the
+     * same server, the handshakes take most of its capacity.
      */
     private void evictLongestIdle() {
         ServerConnection longestIdle = connections.longestIdle();
@@ -161,7 +167,7 @@
         }
         loop.deadlines().cancel(attempt.timeout);
         if (attempt.connection == null) {
-            attempt.server.waiting.remove(attempt); // The connection opened for it serves the next.
+            attempt.server.waiting.remove(attempt); // The connection opened for it serves a later attempt.
             return false;
         }
         boolean mayHaveReachedServer = attempt.connection.hasWrittenAll();
@@ -169,7 +175,7 @@
         return mayHaveReachedServer;
     }
 
-    /** Ends an attempt, unless it has ended, and notifies its listener. */
+    /** Ends an attempt and notifies its listener, unless the attempt has ended already. */
     void finish(Attempt attempt, Result result) {
         if (attempts.remove(attempt.handle) != null) {
             loop.deadlines().cancel(attempt.timeout);
@@ -177,23 +183,23 @@
         }
     }
 
-    // ---- Events of the connections. ----
+    // ---- Connection events. ----
 
-    /** A connection is open, and its server has accepted the startup message. */
+    /** Called when a connection is open and its server has accepted the startup message. */
     void onOpened(ServerConnection connection) {
         connections.onOpened(connection);
         onFree(connection);
     }
 
-    /** A connection could not be opened. */
+    /** Called when a connection could not be opened. */
     void onOpenFailed(ServerConnection connection, Outcome outcome) {
         loop.counters().serverConnectionsFailed++;
         failFirstWithoutConnection(connection.server, outcome);
     }
 
     /**
-     * A connection is clean and free: it takes the attempt that has waited longest and may still begin, or becomes
-     * idle. One to a former address of its server takes nothing more.
+     * Called when a connection is free and was left clean by its last response: it runs the longest waiting attempt
+     * that may still begin, or becomes idle. A connection that may no longer be used is closed.
      */
     void onFree(ServerConnection connection) {
         Server server = connection.server;
@@ -211,10 +217,10 @@
         }
     }
 
-    /** The attempt that has waited longest and may still begin, null for none; ends those before it that may not. */
+    /** The longest waiting attempt that may still begin, null for none; ends the attempts before it. */
     private Attempt nextToBegin(Server server) {
         Attempt next = server.waiting.peekFirst();
-        while (next != null && !next.listener.mayBegin()) { // Which may end other attempts that wait.
+        while (next != null && !next.listener.mayBegin()) { // mayBegin() may end other waiting attempts.
             server.waiting.remove(next);
             finish(next, Result.of(Outcome.NOT_SENT));
             next = server.waiting.peekFirst();
@@ -222,14 +228,14 @@
         return next;
     }
 
-    /** Fails the attempt that has waited longest, where more wait than connections are being opened. */
+    /** Fails the longest waiting attempt if more attempts wait than connections are being opened. */
     private void failFirstWithoutConnection(Server server, Outcome outcome) {
         if (server.attemptsWithoutConnection() > 0) {
             finish(server.waiting.pollFirst(), Result.of(outcome));
         }
     }
 
-    /** A connection is closed. */
+    /** Called when a connection has been closed, for whatever reason. */
     void onClosed(ServerConnection connection) {
         connections.remove(connection);
     }
--- a/pooler/src/main/java/frostreel/backend/package-info.java
+++ b/pooler/src/main/java/frostreel/backend/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The servers' side of a pooler: its connections to servers, and the attempts on them. {@link
- * frostreel.backend.ServerPool} is the entry point, as the {@link frostreel.request.BackEnd} of the broker. All of it
- * is used on the I/O thread alone.
+ * The server side of the pooler: the connection pool, and the attempts that run on its connections.
+ * {@link frostreel.backend.ServerPool} is the entry point; it implements the broker's
+ * {@link frostreel.request.BackEnd}. All classes are used on the I/O thread only.
  */
 package frostreel.backend;
--- a/pooler/src/main/java/frostreel/net/Acceptor.java
+++ b/pooler/src/main/java/frostreel/net/Acceptor.java
@@ -16,17 +16,17 @@
 
 /**
  * Owns one listening socket. It accepts on XNIO's accept thread and hands each connection to the I/O thread: the JDK
- * retries an aborted accept again and again before it returns, which must not block the I/O thread.
+ * retries an aborted accept in a loop before it returns, which must not block the I/O thread.
  *
- * <p>If an accept fails, because the system has no descriptor or buffer left, it is retried every {@link #RETRY_INTERVAL_MS}
- * until it succeeds: the kernel has accepted the connections in the backlog already, so their clients wait for an
- * answer. Public methods are called on the I/O thread.
+ * <p>If an accept fails because the system is out of descriptors or buffers, it is retried every {@link
+ * #RETRY_INTERVAL_MS} until it succeeds: for the clients in the backlog the connection is established already, and they
+ * wait for a response. Public methods are called on the I/O thread.
  */
 public final class Acceptor {
-    /** The time from a failed accept to the next one; constant, without backoff. */
+    /** Time from a failed accept to the next attempt; constant, without exponential backoff. */
     static final long RETRY_INTERVAL_MS = 20;
 
-    /** {@link #failingSinceUs} while accepts succeed. */
+    /** Value of {@link #failingSinceUs} while accepts succeed. */
     private static final long NOT_FAILING = 0;
 
     private static final long US_PER_MS = 1_000;
@@ -36,18 +36,19 @@
     private final String peerName;
     private final Consumer<StreamConnection> connectionHandler;
     private AcceptingChannel<StreamConnection> channel;
-    /** Whether accepting is resumed; written on the I/O thread, and read on the accept thread. */
+    /** Whether connections are to be accepted; written on the I/O thread, read on both threads. */
     private volatile boolean accepting;
-    // ---- State of the accept thread, used on that thread alone. ----
+
+    // ---- State that is used on the accept thread only. ----
     private long failingSinceUs = NOT_FAILING;
     private long failureCount;
     private boolean retryScheduled;
 
     /**
-     * Makes an acceptor that does not listen yet.
+     * Creates an acceptor that does not listen yet.
      *
-     * @param peerName what connects, for the log
-     * @param connectionHandler owns each connection from its acceptance on; called on the I/O thread
+     * @param peerName kind of the connecting peer, for the log
+     * @param connectionHandler takes ownership of each accepted connection; called on the I/O thread
      */
     public Acceptor(EventLoop loop, String peerName, Consumer<StreamConnection> connectionHandler) {
         this.loop = loop;
@@ -56,10 +57,10 @@
     }
 
     /**
-     * Listens, with accepting suspended.
+     * Opens the listening socket, with accepting suspended.
      *
-     * @param inherited whether the socket is descriptor 0, in place of a new one at {@code address}
-     * @throws IOException where the address is taken or not ours, or the system gives no socket
+     * @param inherited whether to use descriptor 0 as the socket, instead of binding a new one to {@code address}
+     * @throws IOException if the address is in use or not local, or if no socket can be opened
      */
     public void open(InetSocketAddress address, boolean inherited, OptionMap options) throws IOException {
         channel = inherited
@@ -67,12 +68,12 @@
                 : TcpServers.bind(loop.worker(), address, ready -> acceptAll(), options);
     }
 
-    /** Where it listens. */
+    /** The local address of the listening socket. */
     public InetSocketAddress address() {
         return channel.getLocalAddress(InetSocketAddress.class);
     }
 
-    /** Accepts from now on. */
+    /** Starts or resumes accepting. */
     public void resume() {
         if (!accepting) {
             accepting = true;
@@ -84,15 +85,15 @@
         }
     }
 
-    /** Stops accepting for now; an accept in progress may still complete, the rest stays in the backlog. */
+    /** Suspends accepting; an accept in progress may still complete, other connections stay in the backlog. */
     public void suspend() {
         accepting = false;
         channel.suspendAccepts();
     }
 
     /**
-     * Accepts all connections in the backlog, as a close would reset them, then closes the listening socket. While
-     * accepts fail, the close is delayed.
+     * Accepts all connections in the backlog, which would be reset otherwise, then closes the listening socket. The
+     * close is delayed while accepts fail.
      */
     public void close() {
         accepting = false;
@@ -109,7 +110,7 @@
         }
     }
 
-    // ---- On the accept thread. ----
+    // ---- Called on the accept thread. ----
 
     private void acceptAllAndClose() {
         acceptAll();
@@ -154,7 +155,7 @@
         loop.thread().execute(() -> loop.counters().acceptFailures++);
         if (!retryScheduled) {
             retryScheduled = true;
-            channel.suspendAccepts(); // Otherwise XNIO's own timers, one for each failure, would retry in between.
+            channel.suspendAccepts(); // XNIO's own timers, one per failure, would otherwise retry in between.
             AcceptBackOff.acceptThread(channel).executeAfter(this::retry, RETRY_INTERVAL_MS, TimeUnit.MILLISECONDS);
         }
     }
--- a/pooler/src/main/java/frostreel/net/EventLoop.java
+++ b/pooler/src/main/java/frostreel/net/EventLoop.java
@@ -16,12 +16,12 @@
 import org.xnio.XnioWorker;
 
 /**
- * Owns the one I/O thread on which all else runs, its clock, its deadlines and the buffer it reads into. Unless said
- * otherwise, methods are called on that thread.
+ * Owns the single I/O thread of a pooler, with its clock, its timers and its read buffer. Methods are called on that
+ * thread unless their comment allows others.
  */
 public final class EventLoop {
     private static final int READ_BUFFER_BYTES = 1 << 16;
-    /** A fourth of the heap: the rest is for statements, short answers, tables, and the collector. */
+    /** A quarter of the heap; the rest is left to statements, short responses, tables and the garbage collector. */
     private static final long MAX_BUFFERED_BYTES = Runtime.getRuntime().maxMemory() / 4;
 
     private static final long SHUTDOWN_WAIT_S = 1;
@@ -37,18 +37,18 @@
     private final EventLog events;
     private final Counters counters = new Counters();
     private final ByteBuffer readBuffer = ByteBuffer.allocateDirect(READ_BUFFER_BYTES);
-    /** XNIO's timer for the first deadline, null where none is set. */
+    /** XNIO's timer for the earliest deadline, null if none is set. */
     private XnioExecutor.Key wakeTimer;
 
     private boolean shuttingDown;
     private long bufferedBytes;
 
-    /** A loop on the system's clock. */
+    /** Creates an event loop that uses the system clock. */
     public EventLoop() throws IOException {
         this(Clock.system());
     }
 
-    /** A loop on a clock of the caller's. */
+    /** Creates an event loop that uses the given clock. */
     public EventLoop(Clock clock) throws IOException {
         this.clock = clock;
         deadlines = new Deadlines(clock, this::wakeAfter);
@@ -68,7 +68,7 @@
 
     private void wakeAfter(long delayUs) {
         if (shuttingDown) {
-            return; // A thread that terminates takes no more timers, and none is wanted.
+            return; // A terminating thread accepts no more timers, and none is needed.
         }
         if (wakeTimer != null) {
             wakeTimer.remove();
@@ -84,49 +84,50 @@
     }
 
     /**
-     * Rounded up, so that a timer never runs before its deadline: XNIO cuts delays to whole milliseconds, and runs a
-     * timer that is due in less than one at once. It would find nothing due and be set again, over and over, and keep
-     * the thread from its sockets meanwhile.
+     * Converts to milliseconds, rounded up so that a timer never runs before its deadline. XNIO truncates delays to
+     * whole milliseconds and runs a timer with a delay below one at once; the timer would find no deadline due and be
+     * set again in a busy loop, during which the thread serves no sockets.
      */
     private static long toMsRoundedUp(long us) {
         return (us + US_PER_MS - 1) / US_PER_MS;
     }
 
-    /** Sets what reads the watch events that discovery has sent and that are still unread. */
+    /** Sets the task that reads the unread watch events of discovery. */
     public void onWatchEventPoll(Runnable poll) {
         watchEventPoll.setPoll(poll);
     }
 
-    /** Sets how soon sends to a server have to stop once discovery has reported that it is draining. */
+    /** Sets the time within which sends to a server have to stop after discovery has reported that it is draining. */
     public void setStopSendingUs(long stopSendingUs) {
         watchEventPoll.setStopSendingUs(stopSendingUs);
     }
 
-    /** Polls for watch events where that is due; called before whatever comes from outside is handled. */
+    /** Polls for watch events if a poll is due; called before any external event is handled. */
     void pollWatchEventsIfDue() {
         watchEventPoll.runIfDue();
     }
 
-    /** Starts the heartbeat and the watchdog; called before anything comes from outside. */
+    /** Starts the heartbeat and the watchdog; called before any external event is handled. */
     public void start() {
         watchdog.start();
         heartbeat.start(watchdog);
     }
 
-    /** Sets what is called with the time at each heartbeat, five times a second. */
+    /** Sets the listener that is called with the current time at each heartbeat, five times a second. */
     public void onHeartbeat(LongConsumer listener) {
         heartbeat.setListener(listener);
     }
 
     /**
-     * The earliest time at which what is read now may have arrived. That is now, unless the loop is late: data that
-     * waited while this process was paused, had no core, or was busy with one long task, must not have that time again.
+     * The earliest time at which data that is read now may have arrived: the current time, unless the loop is late.
+     * Timeouts of data that waited in the socket while the process was paused, got no CPU time or ran a long task start
+     * at that time, as the wait would extend them otherwise.
      */
     public long earliestArrivalUs() {
         return heartbeat.earliestArrivalUs();
     }
 
-    /** Ends the thread, and waits until it has ended, for a second at most. From any other thread. */
+    /** Terminates the I/O thread, and waits for its end for at most one second. Called on any other thread. */
     public void shutDown() throws InterruptedException {
         watchdog.end();
         thread.execute(() -> {
@@ -136,17 +137,17 @@
         worker.awaitTermination(SHUTDOWN_WAIT_S, TimeUnit.SECONDS);
     }
 
-    /** XNIO's worker, which has the accept thread. */
+    /** XNIO's worker, which owns the I/O thread and the accept thread. */
     public XnioWorker worker() {
         return worker;
     }
 
-    /** The I/O thread; tasks may be handed to it from any thread. */
+    /** The I/O thread; any thread may submit tasks to it. */
     public XnioIoThread thread() {
         return thread;
     }
 
-    /** The clock that all on this loop read; from any thread. */
+    /** The clock of this loop; called on any thread. */
     public Clock clock() {
         return clock;
     }
@@ -156,32 +157,32 @@
         return deadlines;
     }
 
-    /** The counters of all that runs on this loop. */
+    /** The counters of everything that runs on this loop. */
     public Counters counters() {
         return counters;
     }
 
-    /** The log of single requests and connections. */
+    /** The log of events of single requests and connections. */
     public EventLog events() {
         return events;
     }
 
-    /** How long ago the last heartbeat was. */
+    /** Time since the last heartbeat. */
     public long sinceHeartbeatUs() {
         return heartbeat.sinceLastUs();
     }
 
-    /** Adds to the count of bytes that are buffered for slow clients and servers; {@code change} may be negative. */
+    /** Changes the count of bytes that are buffered for slow clients and servers; a negative change reduces it. */
     public void addBufferedBytes(int change) {
         bufferedBytes += change;
     }
 
-    /** Whether more bytes are buffered than their part of the memory. */
+    /** Whether the buffered bytes exceed their share of the heap. */
     public boolean buffersAreFull() {
         return bufferedBytes > MAX_BUFFERED_BYTES;
     }
 
-    /** The buffer for one read, emptied; its content lasts only until the next. */
+    /** The cleared read buffer; its content is valid until the next call. */
     ByteBuffer readBuffer() {
         return readBuffer.clear();
     }
--- a/pooler/src/main/java/frostreel/net/EventLoopWatchdog.java
+++ b/pooler/src/main/java/frostreel/net/EventLoopWatchdog.java
@@ -4,17 +4,17 @@
 import java.util.logging.Logger;
 
 /**
- * Watches the heartbeat of the I/O thread from a thread of its own. A stall is logged once with the stack of the I/O
- * thread, and again when the heartbeat recovers. If the I/O thread has terminated, the watchdog exits the process,
- * which would otherwise accept clients and never serve them.
+ * Monitors the heartbeat of the I/O thread from a separate thread. A stall is logged once, with the stack trace of the
+ * I/O thread, and so is the recovery from it. If the I/O thread has terminated, the watchdog exits the process, which
+ * would otherwise accept clients and never serve them.
  */
 final class EventLoopWatchdog implements Runnable {
-    /** The I/O thread has stalled if it had no heartbeat for this time; it has five a second. */
+    /** Time without a heartbeat after which the I/O thread is stalled; there are five heartbeats a second. */
     static final long STALLED_AFTER_NS = TimeUnit.MILLISECONDS.toNanos(1_500);
 
     private static final long CHECK_INTERVAL_MS = 500;
     private static final long CHECK_INTERVAL_NS = TimeUnit.MILLISECONDS.toNanos(CHECK_INTERVAL_MS);
-    /** If the watchdog's own sleep takes longer by this, the whole process was paused, not only the I/O thread. */
+    /** If the watchdog's own sleep takes this much too long, the whole process was paused, not only the I/O thread. */
     private static final long PROCESS_PAUSED_NS = TimeUnit.MILLISECONDS.toNanos(500);
 
     private static final int MAX_LOGGED_FRAMES = 12;
@@ -43,7 +43,7 @@
         lastHeartbeatNs = System.nanoTime();
     }
 
-    /** Ends the watchdog, as the I/O thread is about to be terminated on purpose; from any thread. */
+    /** Stops the watchdog before the I/O thread is terminated on purpose; called on any thread. */
     void end() {
         ended = true;
     }
@@ -61,7 +61,7 @@
                 }
             }
         } catch (InterruptedException e) {
-            Thread.currentThread().interrupt(); // Only the end of the process interrupts this thread.
+            Thread.currentThread().interrupt(); // Only the shutdown of the process interrupts this thread.
         }
     }
 
--- a/pooler/src/main/java/frostreel/net/LoopHeartbeat.java
+++ b/pooler/src/main/java/frostreel/net/LoopHeartbeat.java
@@ -5,19 +5,18 @@
 import java.util.function.LongConsumer;
 
 /**
- * The heartbeat of an event loop. It also tells whether the loop is late, so that what it reads may have waited for a
- * while: because the process was paused, had no core, or was busy with one long task. Used on the I/O thread.
+ * The heartbeat of an event loop. It detects that the loop is late, because the process was paused, got no CPU time or
+ * ran a long task; data that the loop reads then may have waited in the socket. Used on the I/O thread.
  */
 final class LoopHeartbeat {
+    private static final long INTERVAL_US = 200_000;
     /**
-     * The interval of the heartbeat. The loop is late where it has missed one: a little less than the half second by
-     * which an answer may be late. A process that has part of a core is often kept waiting for less, and its clients'
-     * times must not be cut for each of these.
+     * Time since the last heartbeat after which the loop is late. It is a little less than the half second by which a
+     * response may be late. A process with less than one core is often delayed by less than this, and such delays must
+     * not shorten the timeouts of its clients.
      */
-    private static final long INTERVAL_US = 200_000;
-
     private static final long LATE_AFTER_US = 2 * INTERVAL_US;
-    /** {@link #lateSinceUs} while the loop is not late. */
+    /** Value of {@link #lateSinceUs} while the loop is not late. */
     private static final long NOT_LATE = Long.MAX_VALUE;
 
     private final Clock clock;
@@ -25,7 +24,7 @@
     private EventLoopWatchdog watchdog;
     private LongConsumer listener = nowUs -> {};
     private long lastUs;
-    /** While the loop catches up: since when what it reads may have waited. */
+    /** While the loop is late: the last heartbeat before the delay, the earliest arrival of unread data. */
     private long lateSinceUs = NOT_LATE;
 
     LoopHeartbeat(Clock clock, Deadlines deadlines) {
@@ -34,12 +33,12 @@
         lastUs = clock.now();
     }
 
-    /** Sets what is called with the time at each heartbeat. */
+    /** Sets the listener that is called with the current time at each heartbeat. */
     void setListener(LongConsumer listener) {
         this.listener = listener;
     }
 
-    /** Starts the heartbeat, with the first one now; the watchdog is notified of each. */
+    /** Starts the heartbeat with a first one at once; the watchdog is notified of each. */
     void start(EventLoopWatchdog watchdog) {
         this.watchdog = watchdog;
         beat();
@@ -53,12 +52,12 @@
         listener.accept(lastUs);
     }
 
-    /** How long ago the last heartbeat was. */
+    /** Time since the last heartbeat. */
     long sinceLastUs() {
         return clock.now() - lastUs;
     }
 
-    /** The earliest time at which what is read now may have arrived; now, unless the loop is late. */
+    /** The earliest time at which data that is read now may have arrived; the current time unless the loop is late. */
     long earliestArrivalUs() {
         long now = clock.now();
         if (now - lastUs > LATE_AFTER_US) {
--- a/pooler/src/main/java/frostreel/net/SocketStream.java
+++ b/pooler/src/main/java/frostreel/net/SocketStream.java
@@ -11,29 +11,29 @@
 import org.xnio.conduits.ConduitStreamSourceChannel;
 
 /**
- * The bytes of one connection in both directions. Owns the output that the socket has not accepted yet. An exception of
- * its handler ends this connection alone. Used on the I/O thread.
+ * Byte stream of one connection, in both directions. Buffers the output that the socket has not accepted yet. An
+ * exception of its handler closes this connection only. Used on the I/O thread.
  */
 public final class SocketStream {
-    /** Handles the input of a connection, and its end. */
+    /** Receives the input and the events of a connection. */
     public interface Handler {
-        /** Bytes have arrived; the handler has to consume all of them. */
+        /** Called with bytes that have arrived; the handler has to consume all of them. */
         void received(ByteBuffer in);
 
         /**
-         * Called after {@link #received} once the socket has no more input, or as much was read as is read in one turn.
-         * The peer had not ended its output behind that, as far as it was read.
+         * Called after one or more calls of {@link #received}, when the socket has no more input, reading has been
+         * suspended or the limit of reads per turn is reached. The end of the peer's output has not been read by then.
          */
         default void readCompleted() {}
 
-        /** The socket has accepted all output. */
+        /** Called when the socket has accepted output that had to wait, and none is pending. */
         default void outputFlushed() {}
 
-        /** The peer has ended its output, or the connection broke; called once, and not after {@link #close}. */
+        /** Called once when the peer has ended its output or the connection broke; not called after {@link #close}. */
         void ended();
     }
 
-    /** Reads of one connection in one turn, so that a busy connection does not keep the others waiting. */
+    /** Reads of one connection in one turn; limited so that a busy connection does not delay the others. */
     private static final int MAX_READS_PER_TURN = 4;
 
     private static final int END_OF_STREAM = -1;
@@ -45,15 +45,15 @@
     private final Handler handler;
     private final ArrayDeque<ByteBuffer> output = new ArrayDeque<>();
     private int pendingBytes;
-    /** How many reads have returned bytes so far. */
+    /** Number of reads that have returned bytes. */
     private long successfulReads;
-    /** Our output ends behind what is pending. */
+    /** Whether to shut down the output once no output is pending. */
     private boolean endsOutputWhenFlushed;
 
     private boolean reset;
     private boolean closed;
 
-    /** Takes the connection over; nothing is read until {@link #resumeReads}. */
+    /** Takes ownership of the connection; nothing is read until {@link #resumeReads}. */
     public SocketStream(EventLoop loop, StreamConnection connection, Handler handler) {
         this.loop = loop;
         this.connection = connection;
@@ -64,9 +64,9 @@
         sink.setWriteListener(channel -> runGuarded(this::onWritable));
     }
 
-    /** Runs a task of this connection; an exception ends the connection, and is logged. */
+    /** Runs a task of this connection; an exception is logged and closes the connection. */
     private void runGuarded(Runnable task) {
-        loop.pollWatchEventsIfDue(); // Which may close this very connection.
+        loop.pollWatchEventsIfDue(); // May close this connection.
         if (closed) {
             return;
         }
@@ -81,14 +81,14 @@
 
     // ---- Input. ----
 
-    /** Reads from now on; a separate step, so that the handler may first store the stream. */
+    /** Starts or resumes reading; separate from the constructor so that the handler can store the stream first. */
     public void resumeReads() {
         if (!closed) {
             source.resumeReads();
         }
     }
 
-    /** Reads nothing more for now. */
+    /** Suspends reading. */
     public void suspendReads() {
         if (!closed) {
             source.suspendReads();
@@ -96,9 +96,9 @@
     }
 
     /**
-     * Reads once what has arrived and is still unread, also while reading is suspended.
+     * Reads input that has arrived, for one turn and even if reading is suspended.
      *
-     * @return whether there was anything to read, or the connection has ended
+     * @return whether any input was read, or the connection is closed
      */
     public boolean readNow() {
         long previousReads = successfulReads;
@@ -114,7 +114,7 @@
         read(true);
     }
 
-    /** Reads for one turn, and passes on what was read; stops where the handler suspends reading, or closes. */
+    /** Reads for one turn, and passes the input to the handler until it suspends reading or closes the stream. */
     private void read(boolean evenIfSuspended) {
         long previousReads = successfulReads;
         boolean more = true;
@@ -139,7 +139,7 @@
         }
     }
 
-    /** Returns how many bytes were read, {@link #END_OF_STREAM} where the connection has ended or broken. */
+    /** Returns the number of bytes read, {@link #END_OF_STREAM} if the connection has ended or is broken. */
     private int readInto(ByteBuffer in) {
         try {
             return source.read(in);
@@ -149,7 +149,7 @@
         }
     }
 
-    /** Whether there is nothing to read, and the peer has not ended its output; what is read here is lost. */
+    /** Whether no input is unread and the peer has not ended its output; input that it reads is discarded. */
     public boolean isOpenWithoutInput() {
         try {
             return !closed && source.read(loop.readBuffer()) == 0;
@@ -160,7 +160,7 @@
 
     // ---- Output. ----
 
-    /** Writes what the socket accepts now; the rest is written once the socket is writable. */
+    /** Writes what the socket accepts now; the rest is buffered and written when the socket is writable. */
     public void write(byte[] bytes) {
         if (closed) {
             return;
@@ -173,17 +173,17 @@
         }
     }
 
-    /** How many bytes of the output the socket has not accepted yet. */
+    /** Number of output bytes that the socket has not accepted yet. */
     public int pendingBytes() {
         return pendingBytes;
     }
 
-    /** Whether the socket has accepted all output, or had when the connection was closed. */
+    /** Whether the socket has accepted all output; after the close, whether it had before. */
     public boolean flushed() {
         return output.isEmpty();
     }
 
-    /** Ends our output once the socket has accepted all of it; the peer may still send. */
+    /** Shuts down the output once the socket has accepted all of it; the peer may still send. */
     public void end() {
         endsOutputWhenFlushed = true;
         shutDownIfFlushed();
@@ -208,7 +208,7 @@
         }
     }
 
-    /** Writes what the socket accepts; returns whether that was all. */
+    /** Writes as much pending output as the socket accepts; returns whether none is left. */
     private boolean flush() {
         try {
             while (!output.isEmpty()) {
@@ -232,9 +232,9 @@
         loop.addBufferedBytes(change);
     }
 
-    // ---- The end of the connection. ----
+    // ---- End of the connection. ----
 
-    /** Whether the connection broke, so that its last bytes may be missing; known once {@link Handler#ended} runs. */
+    /** Whether the connection broke, so that its last bytes may be missing; set before {@link Handler#ended} runs. */
     public boolean wasReset() {
         return reset;
     }
@@ -246,12 +246,12 @@
         }
     }
 
-    /** Closes once the current call is over, as a caller that writes may be in the middle of a change of its state. */
+    /** Closes after the current call has returned, as a caller of write may be in the middle of a state change. */
     private void closeAndNotifyLater() {
         loop.thread().execute(() -> runGuarded(this::closeAndNotify));
     }
 
-    /** Closes the connection; the handler is not called any more. */
+    /** Closes the connection; the handler is not called afterwards. */
     public void close() {
         if (!closed) {
             closed = true;
--- a/pooler/src/main/java/frostreel/net/WatchEventPoll.java
+++ b/pooler/src/main/java/frostreel/net/WatchEventPoll.java
@@ -3,16 +3,16 @@
 import frostreel.time.Clock;
 
 /**
- * Polls for discovery's watch events before anything else from outside is handled, once in each interval. Used on the
+ * Polls for watch events of discovery before other external events are handled, at most once per interval. Used on the
  * I/O thread.
  *
- * <p>A process that was paused, had no core, or is busy with one long task, finds much on its sockets at once. The
- * watch events among it must be known before the rest is acted upon, in whichever order it arrived.
+ * <p>After the process was paused, got no CPU time or ran a long task, input is pending on many sockets at once. Watch
+ * events among it have to be handled before the rest, in whatever order the input arrived.
  */
 final class WatchEventPoll {
     /**
-     * Polls in the time within which sends to a draining server have to stop. The rest of that time is for a pause
-     * between a poll and a send. Polling more often costs too much.
+     * Number of polls in the time within which sends to a draining server have to stop. After one interval the rest of
+     * that time remains for a pause between a poll and a send. Polling more often costs too much CPU time.
      */
     private static final int POLLS_PER_STOP_TIME = 5;
 
@@ -28,17 +28,17 @@
         lastPollUs = clock.now();
     }
 
-    /** Sets what reads the watch events that have arrived and are still unread. */
+    /** Sets the task that reads the unread watch events. */
     void setPoll(Runnable poll) {
         this.poll = poll;
     }
 
-    /** Sets the interval by the time within which sends to a draining server have to stop. */
+    /** Derives the interval from the time within which sends to a draining server have to stop. */
     void setStopSendingUs(long stopSendingUs) {
         intervalUs = Math.max(MIN_INTERVAL_US, stopSendingUs / POLLS_PER_STOP_TIME);
     }
 
-    /** Polls, unless the last poll is less than an interval ago. */
+    /** Polls if more than one interval has passed since the last poll. */
     void runIfDue() {
         long now = clock.now();
         if (now - lastPollUs > intervalUs) {
--- a/pooler/src/main/java/org/xnio/nio/AcceptBackOff.java
+++ b/pooler/src/main/java/org/xnio/nio/AcceptBackOff.java
@@ -5,24 +5,24 @@
 import org.xnio.channels.AcceptingChannel;
 
 /**
- * XNIO's backoff after a failed accept. XNIO then accepts nothing for 250 ms, and for four times as long after each
- * further failure, up to 30 s. It has no public way to observe or end that backoff; the methods used here are
+ * Access to XNIO's backoff after a failed accept: XNIO accepts nothing for 250 ms, and for four times as long after
+ * each further failure, up to 30 s. XNIO has no public API to observe or end that backoff; the methods used here are
  * package-private in XNIO, and have to be checked at each update of XNIO. Called on the accept thread.
  */
 public final class AcceptBackOff {
     private AcceptBackOff() {}
 
-    /** The thread on which the channel accepts; from any thread. */
+    /** The thread on which the channel accepts; called on any thread. */
     public static XnioIoThread acceptThread(AcceptingChannel<StreamConnection> channel) {
         return handle(channel).getWorkerThread();
     }
 
-    /** Whether the last accept failed, so that nothing is accepted until {@link #end} or until the backoff is over. */
+    /** Whether the last accept failed, so that nothing is accepted until {@link #end} or the end of the backoff. */
     public static boolean isActive(AcceptingChannel<StreamConnection> channel) {
         return handle(channel).getBackOffTime() > 0;
     }
 
-    /** Ends the backoff: accepts again unless accepting is suspended, and resets the count of failures. */
+    /** Ends the backoff: resumes accepting unless it is suspended, and resets the backoff time. */
     public static void end(AcceptingChannel<StreamConnection> channel) {
         NioTcpServerHandle handle = handle(channel);
         handle.resetBackOff();
--- a/pooler/src/main/java/org/xnio/nio/TcpServers.java
+++ b/pooler/src/main/java/org/xnio/nio/TcpServers.java
@@ -12,11 +12,12 @@
 import org.xnio.channels.AcceptingChannel;
 
 /**
- * Opens XNIO servers on listening sockets of our own, whose listener runs on XNIO's accept thread.
+ * Creates XNIO servers on listening sockets that are opened here or inherited; their listeners run on XNIO's accept
+ * thread.
  *
- * <p>XNIO has no public way to use a socket that is already open, and its own server passes connections through a queue
- * that hides what {@link AcceptBackOff} has to observe. The constructor used here is package-private in XNIO, and has
- * to be checked at each update of XNIO.
+ * <p>XNIO has no public API to use a socket that is already open, and the server that its API creates passes
+ * connections through a queue, which hides the backoff that {@link AcceptBackOff} has to observe. The constructor used
+ * here is package-private in XNIO, and has to be checked at each update of XNIO.
  */
 public final class TcpServers {
     private static final int DEFAULT_BACKLOG = 1024;
@@ -26,7 +27,7 @@
     /**
      * Binds a socket and listens on it.
      *
-     * @throws IOException where the address is taken or not ours, or the system gives no socket
+     * @throws IOException if the address is in use or not local, or if no socket can be opened
      */
     public static AcceptingChannel<StreamConnection> bind(
             XnioWorker worker,
@@ -46,17 +47,17 @@
     }
 
     /**
-     * Listens on the socket that this process inherited as descriptor 0. The channel must only be suspended, never
-     * closed: on its close the JDK redirects descriptors 0 to 2 to {@code /dev/null}, and the last log lines are lost.
+     * Listens on the socket that this process inherited as descriptor 0. The channel may be suspended but must not be
+     * closed, as the JDK then redirects descriptors 0 to 2 to {@code /dev/null}, and the last log lines are lost.
      *
-     * @throws IOException if descriptor 0 is no listening socket
+     * @throws IOException if descriptor 0 is not a listening socket
      */
     public static AcceptingChannel<StreamConnection> inherit(
             XnioWorker worker, ChannelListener<? super AcceptingChannel<StreamConnection>> listener, OptionMap options)
             throws IOException {
         Channel inherited = System.inheritedChannel();
         if (!(inherited instanceof ServerSocketChannel channel)) {
-            throw new IOException("descriptor 0 is no listening socket");
+            throw new IOException("descriptor 0 is not a listening socket");
         }
         return createServer(worker, channel, listener, options);
     }
