--- a/pooler/src/main/java/frostreel/backend/ServerConnection.java
+++ b/pooler/src/main/java/frostreel/backend/ServerConnection.java
@@ -168,7 +168,7 @@
         reader.feed(in);
         try {
             if (acceptMessages()) {
-                onResponseCompleted();
+                onResponseEnded();
             }
         } catch (PgException e) {
             loop.counters().malformedMessages++;
@@ -224,7 +224,7 @@
     }
 
     /** Handles the end of the response; the connection is not reused if further bytes follow the response. */
-    private void onResponseCompleted() {
+    private void onResponseEnded() {
         boolean hasExcessBytes = reader.buffered() > 0;
         if (response.ready() && hasExcessBytes) {
             loop.counters().serverConnectionsOutOfSync++;
--- a/pooler/src/test/java/frostreel/LateConnectionsTest.java
+++ b/pooler/src/test/java/frostreel/LateConnectionsTest.java
@@ -21,13 +21,13 @@
     @Test
     void sendsNoRetryWhoseConnectionOpensAfterTheIdempotencyWindow() throws Exception {
         long windowMs = 2_000;
-        BlockingQueue<WireConnection> served = new LinkedBlockingQueue<>();
+        BlockingQueue<WireConnection> usedLinks = new LinkedBlockingQueue<>();
         harness.settings = PoolerHarness.SETTINGS
                 .replace("\"repeatWindowS\":3", "\"repeatWindowS\":2")
                 .replace("\"probes\":true", "\"probes\":false"); // Health checks would wait for connections, too.
         primary.script = (text, link) -> {
             primary.script = (next, connection) -> {
-                served.add(connection);
+                usedLinks.add(connection);
                 connection.send(row("second", "primary"), TestMessages.READY);
             };
             primary.handshake = (none, next) -> handshakes.add(next);
@@ -46,7 +46,7 @@
             assertThat(primary.next()).contains("id=2,");
             // The late connection serves the next request. The loop may read that request before the handshake, and
             // open one more connection for it; that one gets no handshake and can serve nothing.
-            assertThat(served).containsExactly(late);
+            assertThat(usedLinks).containsExactly(late);
         }
     }
 
--- a/pooler/src/test/java/frostreel/net/EventLoopTest.java
+++ b/pooler/src/test/java/frostreel/net/EventLoopTest.java
@@ -37,28 +37,28 @@
     }
 
     /** Checks how often the loop polls, and how long it pauses, in a second in which it is never idle. */
-    private void assertPollsInABusySecond(int maxPolls, long maxPauseUs) {
+    private void assertPollsInBusySecond(int maxPolls, long maxIntervalUs) {
         polls = 0;
         lastPollUs = nowUs;
         for (int i = 0; i < SECOND_US / STEP_US; i++) {
             pollsAfter(STEP_US);
-            assertThat(nowUs - lastPollUs).isLessThanOrEqualTo(maxPauseUs + STEP_US);
+            assertThat(nowUs - lastPollUs).isLessThanOrEqualTo(maxIntervalUs + STEP_US);
         }
         assertThat(polls).isBetween(1, maxPolls);
     }
 
     @Test
-    void pollsFiveTimesInTheStopTimeWhileBusy() {
+    void pollsFiveTimesWithinStopSendingTimeWhileBusy() {
         loop.setStopSendingUs(SECOND_US);
-        assertPollsInABusySecond(5, 200_000);
+        assertPollsInBusySecond(5, 200_000);
         loop.setStopSendingUs(250_000);
-        assertPollsInABusySecond(20, 50_000);
+        assertPollsInBusySecond(20, 50_000);
         loop.setStopSendingUs(0);
-        assertPollsInABusySecond(100, 10_000);
+        assertPollsInBusySecond(100, 10_000);
     }
 
     @Test
-    void pollsFirstAfterAPauseOfMoreThanAnInterval() {
+    void pollsAfterPauseOfMoreThanOneInterval() {
         loop.setStopSendingUs(250_000);
         assertThat(pollsAfter(50_000)).isFalse();
         assertThat(pollsAfter(1)).isTrue();
@@ -69,7 +69,7 @@
     }
 
     @Test
-    void pollDoesNotRecurse() {
+    void doesNotPollRecursively() {
         loop.setStopSendingUs(0);
         loop.onWatchEventPoll(() -> {
             polls++;
--- a/pooler/src/test/java/frostreel/net/EventLoopTimersTest.java
+++ b/pooler/src/test/java/frostreel/net/EventLoopTimersTest.java
@@ -25,11 +25,11 @@
     private EventLoop loop;
     private boolean read;
 
-    private void setTimers(int left) {
-        if (read || left == 0) {
+    private void scheduleTimers(int remaining) {
+        if (read || remaining == 0) {
             readInTime.complete(read);
         } else {
-            loop.deadlines().after(TIMER_US, () -> setTimers(left - 1));
+            loop.deadlines().after(TIMER_US, () -> scheduleTimers(remaining - 1));
         }
     }
 
@@ -48,7 +48,7 @@
                 }
             });
             stream.resumeReads(); // The byte was sent before.
-            setTimers(TIMER_COUNT);
+            scheduleTimers(TIMER_COUNT);
         } catch (IOException e) {
             readInTime.completeExceptionally(e);
         }
@@ -56,7 +56,7 @@
 
     @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
     @Test
-    void shortTimersOneAfterAnotherDoNotDelaySockets() throws Exception {
+    void consecutiveShortTimersDoNotDelaySockets() throws Exception {
         loop = new EventLoop();
         AcceptingChannel<StreamConnection> server = loop.worker()
                 .createStreamConnectionServer(
