--- a/pooler/src/test/java/frostreel/LateConnectionsTest.java
+++ b/pooler/src/test/java/frostreel/LateConnectionsTest.java
@@ -13,18 +13,18 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import org.junit.jupiter.api.Test;
 
-/** Connections to servers that open when the request that waited for them may no longer be sent. */
+/** Server connections that open after the request that waited for them may no longer be sent. */
 class LateConnectionsTest extends AbstractPoolerTest {
     private final BlockingQueue<WireConnection> handshakes = new LinkedBlockingQueue<>();
 
-    /** The router decides on the retry in time, but its connection opens after the idempotency window. */
+    /** The router decides on the retry within the idempotency window, but the retry's connection opens after it. */
     @Test
     void sendsNoRetryWhoseConnectionOpensAfterTheIdempotencyWindow() throws Exception {
         long windowMs = 2_000;
         BlockingQueue<WireConnection> usedLinks = new LinkedBlockingQueue<>();
         harness.settings = PoolerHarness.SETTINGS
                 .replace("\"repeatWindowS\":3", "\"repeatWindowS\":2")
-                .replace("\"probes\":true", "\"probes\":false"); // Health checks would wait for connections, too.
+                .replace("\"probes\":true", "\"probes\":false"); // Health checks would also wait for connections.
         primary.script = (text, link) -> {
             primary.script = (next, connection) -> {
                 usedLinks.add(connection);
@@ -44,8 +44,8 @@
             assertThat(client.readResponse()).singleElement().asString().contains("|C08007|");
             assertThat(value(client.execute(writeSql("2", 9000)))).isEqualTo("second");
             assertThat(primary.next()).contains("id=2,");
-            // The late connection serves the next request. The loop may read that request before the handshake, and
-            // open one more connection for it; that one gets no handshake and can serve nothing.
+            // The late connection serves the next request. If the loop reads that request before the handshake, it
+            // opens another connection, which cannot serve a request as its handshake is never completed.
             assertThat(usedLinks).containsExactly(late);
         }
     }
@@ -74,7 +74,7 @@
         }
     }
 
-    /** The connection to the old address becomes idle while a request waits for one to the new address. */
+    /** The connection to the old address becomes free while a request waits for a connection to the new address. */
     @Test
     void sendsNoRequestToTheOldAddressOfServerThatMoved() throws Exception {
         ScriptedPeer moved = harness.server(rows("from-moved", "replica"));
@@ -101,7 +101,7 @@
         }
     }
 
-    /** The handshake takes part of the time until the client's deadline. */
+    /** The handshake takes up part of the time until the request's deadline. */
     @Test
     void sendsTheRemainingTimeAsOfWhenTheAttemptIsSent() throws Exception {
         replica.handshake = (text, link) -> handshakes.add(link);
--- a/pooler/src/test/java/frostreel/ServerConnectionsTest.java
+++ b/pooler/src/test/java/frostreel/ServerConnectionsTest.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
 
-/** Connections to servers: their limit, their eviction, and their end. */
+/** Limit, eviction and closing of server connections. */
 class ServerConnectionsTest extends AbstractPoolerTest {
     @Test
     void closesServerConnectionWhenItsClientDisconnects() throws Exception {
@@ -27,10 +27,10 @@
         assertThat(replica.closedConnections.take()).isEqualTo("closed");
     }
 
-    /** Evicting always the same server's connections would cost that server a handshake for each request. */
+    /** Always evicting connections to the same server would cost that server a handshake for each request. */
     @Test
     void evictsTheLongestIdleConnectionAtTheLimit() throws Exception {
-        List<String> order = List.of("d", "c", "b", "a", "e"); // Neither alphabetical nor by hash.
+        List<String> order = List.of("d", "c", "b", "a", "e"); // Not the order of names or hashes.
         Map<String, ScriptedPeer> servers = new HashMap<>();
         List<String> hosts = new ArrayList<>();
         int requestsPerServer = PoolerHarness.MAX_SERVERS / 4;
--- a/pooler/src/test/java/frostreel/net/EventLoopTest.java
+++ b/pooler/src/test/java/frostreel/net/EventLoopTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** How often the loop polls for watch events, on a clock that tests move. */
+/** Interval of the event loop's polls for watch events, tested on a manual clock. */
 class EventLoopTest {
     private static final long SECOND_US = 1_000_000;
     private static final long STEP_US = 1_000;
@@ -36,7 +36,7 @@
         return polls > before;
     }
 
-    /** Checks how often the loop polls, and how long it pauses, in a second in which it is never idle. */
+    /** Asserts the number of polls, and the longest time between two, in a second in which the loop is never idle. */
     private void assertPollsInBusySecond(int maxPolls, long maxIntervalUs) {
         polls = 0;
         lastPollUs = nowUs;
--- a/pooler/src/test/java/frostreel/net/EventLoopTimersTest.java
+++ b/pooler/src/test/java/frostreel/net/EventLoopTimersTest.java
@@ -14,11 +14,14 @@
 import org.xnio.StreamConnection;
 import org.xnio.channels.AcceptingChannel;
 
-/** Timers and sockets share one thread. */
+/**
+ * Guards against timers that starve the sockets of the event loop: XNIO runs a timer that is due in less than a
+ * millisecond at once, so such a timer that finds its deadline not yet due is set again and again.
+ */
 class EventLoopTimersTest {
-    /** How many timers are set one after another, each due in less than a millisecond. */
+    /** Number of timers, each of which sets the next. */
     private static final int TIMER_COUNT = 2_000;
-
+    /** Less than XNIO's resolution of one millisecond. */
     private static final long TIMER_US = 500;
 
     private final CompletableFuture<Boolean> readInTime = new CompletableFuture<>();
@@ -47,7 +50,7 @@
                     readInTime.completeExceptionally(new IOException("the connection ended"));
                 }
             });
-            stream.resumeReads(); // The byte was sent before.
+            stream.resumeReads(); // The client has sent its byte already.
             scheduleTimers(TIMER_COUNT);
         } catch (IOException e) {
             readInTime.completeExceptionally(e);
