--- a/pooler/src/main/java/frostreel/Pooler.java
+++ b/pooler/src/main/java/frostreel/Pooler.java
@@ -197,7 +197,7 @@
     }
 
     private void start() {
-        loop.begin();
+        loop.start();
         commands.start(readiness::commandsRestored);
         endpoints.start();
         sockets.open();
@@ -231,7 +231,7 @@
 
     /** Stops the event loop and closes all sockets; with an inherited listener, standard output and error too. */
     public void close() throws InterruptedException {
-        loop.end();
+        loop.shutDown();
     }
 
     /** Returns the counters of {@code SHOW stats} on one line; from any thread. */
--- a/pooler/src/main/java/frostreel/backend/ServerConnection.java
+++ b/pooler/src/main/java/frostreel/backend/ServerConnection.java
@@ -20,8 +20,8 @@
 import org.xnio.StreamConnection;
 
 /**
- * One connection to a server, with at most one attempt on it. It opens, is idle and busy in turn, and is closed at the
- * first byte that it cannot assign to an attempt. Used on the I/O thread.
+ * One connection to a server, which runs at most one attempt at a time. Once open, it alternates between idle and busy;
+ * it is closed at the first byte that belongs to no attempt. Used on the I/O thread.
  */
 final class ServerConnection implements SocketStream.Handler, BackEnd.ResponseSource {
     private enum Phase {
@@ -33,9 +33,10 @@
     }
 
     private static final OptionMap OPTIONS = OptionMap.create(Options.TCP_NODELAY, true);
+
     final Server server;
     final InetSocketAddress address;
-    /** Its slot in the pool's table of connections. */
+    /** Handle of its slot in the pool's table of connections. */
     long handle;
 
     private final EventLoop loop;
@@ -45,12 +46,12 @@
     private Phase phase = Phase.CONNECTING;
     private IoFuture<StreamConnection> connecting;
     private SocketStream stream;
-    private ServerResponse reply = ServerResponse.toStartup();
-    /** The attempt that it is busy with, null for none. */
+    private ServerResponse response = ServerResponse.toStartup();
+    /** The attempt that runs on it, null for none. */
     private Attempt attempt;
-    /** When it has to be open while it opens, and when it is closed while it is idle. */
+    /** The connect timeout while it opens, and the idle timeout while it is idle. */
     private Deadlines.Deadline deadline;
-    /** Whether the reader of a long response has suspended the reads. */
+    /** Whether the receiver of a long response has paused reading. */
     private boolean paused;
 
     ServerConnection(EventLoop loop, ServerPool pool, Server server) {
@@ -61,9 +62,9 @@
         longRow = new LongRowForwarder(loop.deadlines(), () -> end(BackEnd.Result.of(Outcome.RESET)));
     }
 
-    // ---- Opening. ----
+    // ---- Connect and startup. ----
 
-    /** Connects; where that takes too long, or fails, the pool is notified. */
+    /** Connects and sends the startup message; the pool is notified when this succeeds, fails or times out. */
     void open(long timeoutUs) {
         deadline = loop.deadlines()
                 .after(
@@ -71,7 +72,7 @@
                         () -> onConnectFailed("not open within " + timeoutUs / 1000 + " ms, in phase " + phase));
         try {
             connecting = loop.thread().openStreamConnection(address, null, OPTIONS);
-        } catch (RuntimeException e) { // For an address of a family that this process does not speak.
+        } catch (RuntimeException e) { // The address family is not supported.
             connecting = new FailedIoFuture<>(new IOException(e));
         }
         connecting.addNotifier(
@@ -96,7 +97,7 @@
 
     private void onConnected(StreamConnection connection) {
         stream = new SocketStream(loop, connection, this);
-        if (phase == Phase.CLOSED) { // By the timeout, while the socket was connecting.
+        if (phase == Phase.CLOSED) { // The timeout closed it while the socket was connecting.
             stream.close();
             return;
         }
@@ -105,13 +106,13 @@
         stream.resumeReads();
     }
 
-    private void onStartupReply(boolean clean) {
-        if (clean && reply.errorCode() == null) {
+    private void onStartupResponse(boolean clean) {
+        if (clean && response.errorCode() == null) {
             loop.deadlines().cancel(deadline);
             phase = Phase.IDLE;
             pool.onOpened(this);
         } else {
-            boolean rejected = reply.result().outcome() == Outcome.REJECTED;
+            boolean rejected = response.result().outcome() == Outcome.REJECTED;
             failOpening(rejected ? Outcome.REJECTED : Outcome.CONNECT_FAILED);
         }
     }
@@ -126,11 +127,13 @@
     // ---- Attempts. ----
 
     /**
-     * Runs an attempt if the connection is clean, and closes it otherwise: a byte that came since the end of the last
-     * reply belongs to no request, and would be read as the beginning of this one's reply.
+     * Runs an attempt if the connection has no unread input, and closes the connection otherwise: bytes that arrived
+     * after the end of the last response belong to no request, and would be read as the start of the next response.
+     *
+     * @return whether the attempt was started
      */
     boolean tryRun(Attempt newAttempt) {
-        if (!stream.isQuiet()) {
+        if (!stream.isOpenWithoutInput()) {
             closeOutOfSync();
             return false;
         }
@@ -138,17 +141,17 @@
         phase = Phase.BUSY;
         attempt = newAttempt;
         newAttempt.connection = this;
-        reply = ServerResponse.toQuery();
+        response = ServerResponse.toQuery();
         stream.write(newAttempt.query(loop.clock().now()));
         return true;
     }
 
-    /** The connection is idle, and is closed after this time. */
+    /** Starts the idle timeout, after which the connection is closed. */
     void onIdle(long idleCloseUs) {
         deadline = loop.deadlines().after(idleCloseUs, this::close);
     }
 
-    /** Whether the last byte of the attempt was written. */
+    /** Whether the last byte of the attempt has been written. */
     boolean hasWrittenAll() {
         return stream.flushed();
     }
@@ -165,7 +168,7 @@
         reader.feed(in);
         try {
             if (acceptMessages()) {
-                onReplyEnded();
+                onResponseEnded();
             }
         } catch (PgException e) {
             loop.counters().malformedMessages++;
@@ -173,19 +176,19 @@
         }
     }
 
-    /** Accepts what is buffered of the reply; true where the reply has ended with it. */
+    /** Processes the buffered messages of the response; returns whether the response is complete. */
     private boolean acceptMessages() throws PgException {
-        while (!forwardsLongRow() && reader.next()) {
-            reply.accept(reader);
-            if (reply.ended()) {
+        while (!continueOrBeginLongRow() && reader.next()) {
+            response.accept(reader);
+            if (response.ended()) {
                 return true;
             }
         }
         return false;
     }
 
-    /** Whether the next bytes belong to a long row; forwarding begins here where such a row is next. */
-    private boolean forwardsLongRow() throws PgException {
+    /** Begins to forward a long row if one is next; returns whether message processing has to stop for a long row. */
+    private boolean continueOrBeginLongRow() throws PgException {
         if (!longRow.isActive()) {
             int length = reader.longRowLength(ServerResponse.MAX_BUFFERED_ROW_BYTES);
             if (length > 0 && !beginLongRow(length + MessageReader.HEADER_BYTES)) {
@@ -195,10 +198,10 @@
         return longRow.isActive();
     }
 
-    /** False where nobody wants the row any more, and the connection was closed for it. */
+    /** Returns false if the row is no longer wanted; the connection has been closed then. */
     private boolean beginLongRow(int rowBytes) throws PgException {
         boolean forRequest = attempt != null && !attempt.isHealthCheck();
-        byte[] head = reply.beginLongRow(forRequest && reader.rowHoldsOneValue());
+        byte[] head = response.beginLongRow(forRequest && reader.rowHoldsOneValue());
         BackEnd.ResponseStream target = attempt.listener.longResponseBegins(this);
         if (target == null) {
             end(BackEnd.Result.of(Outcome.CANCELLED));
@@ -220,53 +223,53 @@
         stream.resumeReads();
     }
 
-    /** The reply is complete; where more bytes came behind it, the connection is not used again. */
-    private void onReplyEnded() {
-        boolean surplus = reader.buffered() > 0;
-        if (reply.ready() && surplus) {
+    /** Handles the end of the response; the connection is not reused if further bytes follow the response. */
+    private void onResponseEnded() {
+        boolean hasExcessBytes = reader.buffered() > 0;
+        if (response.ready() && hasExcessBytes) {
             loop.counters().serverConnectionsOutOfSync++;
         }
-        boolean clean = reply.ready() && !surplus;
+        boolean clean = response.ready() && !hasExcessBytes;
         if (phase == Phase.STARTUP) {
-            onStartupReply(clean);
+            onStartupResponse(clean);
         } else {
-            onQueryReply(clean);
+            onQueryResponse(clean);
         }
     }
 
-    private void onQueryReply(boolean clean) {
-        Attempt done = attempt;
-        BackEnd.Result result = done.isHealthCheck() ? reply.healthCheckResult() : reply.result();
-        loop.counters().malformedLoadReports += reply.malformedReports();
+    private void onQueryResponse(boolean clean) {
+        Attempt endedAttempt = attempt;
+        BackEnd.Result result = endedAttempt.isHealthCheck() ? response.healthCheckResult() : response.result();
+        loop.counters().malformedLoadReports += response.malformedReports();
         if (!clean) {
             end(result);
             return;
         }
         if (paused) {
-            resume(); // Whoever paused a long response with its last piece does not resume it: it is complete.
+            resume(); // The receiver does not resume a response that it paused at its last piece.
         }
         attempt = null;
         phase = Phase.IDLE;
         pool.onFree(this);
-        pool.finish(done, result);
+        pool.finish(endedAttempt, result);
     }
 
-    // ---- The end of the connection. ----
+    // ---- End of the connection. ----
 
     @Override
     public void ended() {
         if (phase == Phase.STARTUP) {
             failOpening(Outcome.CONNECT_FAILED);
         } else if (phase == Phase.BUSY) {
-            end(brokenResult());
+            end(resultOfBrokenConnection());
         } else {
             close();
         }
     }
 
-    /** A request of which the last byte was not written was not executed. */
-    private BackEnd.Result brokenResult() {
-        BackEnd.Result result = reply.result();
+    /** Result of an attempt whose connection broke; a request that was not written in full was not executed. */
+    private BackEnd.Result resultOfBrokenConnection() {
+        BackEnd.Result result = response.result();
         boolean notSent = result.outcome() == Outcome.RESET && !hasWrittenAll();
         return notSent ? BackEnd.Result.of(Outcome.CONNECT_FAILED) : result;
     }
@@ -276,20 +279,20 @@
         close();
     }
 
-    /** Ends the connection with its attempt. */
+    /** Closes the connection, and finishes its attempt with this result. */
     private void end(BackEnd.Result result) {
         if (phase == Phase.STARTUP) {
             failOpening(Outcome.CONNECT_FAILED);
             return;
         }
-        Attempt done = attempt;
+        Attempt endedAttempt = attempt;
         close();
-        if (done != null) {
-            pool.finish(done, result);
+        if (endedAttempt != null) {
+            pool.finish(endedAttempt, result);
         }
     }
 
-    /** Closes the connection; the end of an attempt on it is not reported from here. */
+    /** Closes the connection without finishing its attempt. */
     void close() {
         if (phase == Phase.CLOSED) {
             return;
--- a/pooler/src/test/java/frostreel/ManualLoop.java
+++ b/pooler/src/test/java/frostreel/ManualLoop.java
@@ -33,6 +33,6 @@
 
     /** Stops the loop and its thread. */
     void end() throws InterruptedException {
-        loop.end();
+        loop.shutDown();
     }
 }
--- a/pooler/src/test/java/frostreel/net/EventLoopTimersTest.java
+++ b/pooler/src/test/java/frostreel/net/EventLoopTimersTest.java
@@ -14,22 +14,25 @@
 import org.xnio.StreamConnection;
 import org.xnio.channels.AcceptingChannel;
 
-/** Timers and sockets share one thread. */
+/**
+ * Guards against timers that starve the sockets of the event loop: XNIO runs a timer that is due in less than a
+ * millisecond at once, so such a timer that finds its deadline not yet due is set again and again.
+ */
 class EventLoopTimersTest {
-    /** How many timers are set one after another, each due in less than a millisecond. */
+    /** Number of timers, each of which sets the next. */
     private static final int TIMER_COUNT = 2_000;
-
+    /** Less than XNIO's resolution of one millisecond. */
     private static final long TIMER_US = 500;
 
     private final CompletableFuture<Boolean> readInTime = new CompletableFuture<>();
     private EventLoop loop;
     private boolean read;
 
-    private void setTimers(int left) {
-        if (read || left == 0) {
+    private void scheduleTimers(int remaining) {
+        if (read || remaining == 0) {
             readInTime.complete(read);
         } else {
-            loop.deadlines().after(TIMER_US, () -> setTimers(left - 1));
+            loop.deadlines().after(TIMER_US, () -> scheduleTimers(remaining - 1));
         }
     }
 
@@ -47,8 +50,8 @@
                     readInTime.completeExceptionally(new IOException("the connection ended"));
                 }
             });
-            stream.resumeReads(); // The byte was sent before.
-            setTimers(TIMER_COUNT);
+            stream.resumeReads(); // The client has sent its byte already.
+            scheduleTimers(TIMER_COUNT);
         } catch (IOException e) {
             readInTime.completeExceptionally(e);
         }
@@ -56,7 +59,7 @@
 
     @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
     @Test
-    void shortTimersOneAfterAnotherDoNotDelaySockets() throws Exception {
+    void consecutiveShortTimersDoNotDelaySockets() throws Exception {
         loop = new EventLoop();
         AcceptingChannel<StreamConnection> server = loop.worker()
                 .createStreamConnectionServer(
@@ -67,7 +70,7 @@
             server.resumeAccepts();
             assertThat(readInTime.get()).isTrue();
         } finally {
-            loop.end();
+            loop.shutDown();
         }
     }
 }
