--- a/pooler/src/main/java/frostreel/frontend/ArrivalTimes.java
+++ b/pooler/src/main/java/frostreel/frontend/ArrivalTimes.java
@@ -17,7 +17,7 @@
     public static final int MAX_ARRIVALS = 256;
 
     private static final int INITIAL_ARRIVALS = 4;
-    private static final long INITIAL_GRAIN_US = 1000;
+    private static final long INITIAL_RESOLUTION_US = 1000;
 
     /** The offset behind the last byte of each arrival; in use from {@code first} to {@code next}, as its time is. */
     private long[] ends = new long[INITIAL_ARRIVALS];
@@ -26,14 +26,14 @@
     private int first;
     private int next;
     private long arrivedBytes;
-    private long grainUs = INITIAL_GRAIN_US;
+    private long resolutionUs = INITIAL_RESOLUTION_US;
 
     /** Adds bytes that arrived at this time. */
     public void add(int bytes, long atUs) {
         arrivedBytes += bytes;
         if (first == next) {
             reset();
-        } else if (atUs - timesUs[next - 1] <= grainUs) {
+        } else if (atUs - timesUs[next - 1] <= resolutionUs) {
             ends[next - 1] = arrivedBytes;
             timesUs[next - 1] = Math.min(timesUs[next - 1], atUs);
             return;
@@ -66,7 +66,7 @@
     private void reset() {
         first = 0;
         next = 0;
-        grainUs = INITIAL_GRAIN_US;
+        resolutionUs = INITIAL_RESOLUTION_US;
         if (ends.length > INITIAL_ARRIVALS) {
             ends = new long[INITIAL_ARRIVALS]; // A long wait must not leave long arrays behind on every connection.
             timesUs = new long[INITIAL_ARRIVALS];
@@ -84,7 +84,7 @@
             timesUs = Arrays.copyOf(timesUs, 2 * next);
         } else {
             while (next == MAX_ARRIVALS) {
-                grainUs *= 2;
+                resolutionUs *= 2;
                 merge();
             }
         }
@@ -93,7 +93,7 @@
     private void merge() {
         int into = 0;
         for (int i = 1; i < next; i++) {
-            if (timesUs[i] - timesUs[into] > grainUs) {
+            if (timesUs[i] - timesUs[into] > resolutionUs) {
                 timesUs[++into] = timesUs[i];
             }
             ends[into] = ends[i];
--- a/pooler/src/main/java/frostreel/frontend/ClientConnection.java
+++ b/pooler/src/main/java/frostreel/frontend/ClientConnection.java
@@ -29,7 +29,7 @@
     private final IdleTimer idleTimer;
     private final ClientInput input;
     private final ClientRequest request;
-    private final Lingering lingering;
+    private final LingeringClose lingering;
     private final int secret;
 
     private long slot;
@@ -43,7 +43,7 @@
         this.secret = secret;
         stream = new SocketStream(loop, connection, this);
         idleTimer = new IdleTimer(loop.clock(), loop.deadlines(), stream::pendingBytes, this);
-        lingering = new Lingering(loop.deadlines(), this::close);
+        lingering = new LingeringClose(loop.deadlines(), this::close);
         input = new ClientInput(frontEnd, stream, this);
         request = new ClientRequest(frontEnd, stream, this);
     }
@@ -88,7 +88,7 @@
     public void received(ByteBuffer in) {
         if (phase != Phase.LINGERING && !input.isOverrun()) {
             input.add(in);
-        } else if (lingering.dropsTooMuch(in.remaining())) {
+        } else if (lingering.exceedsDropLimit(in.remaining())) {
             if (phase == Phase.LINGERING) {
                 close();
             } else {
@@ -188,13 +188,13 @@
     }
 
     /** Writes an answer, and behind it that the client may send its next query. */
-    void answer(byte[] message) {
-        stream.write(Answers.withReadyForQuery(message));
+    void respond(byte[] message) {
+        stream.write(FrontEndResponses.withReadyForQuery(message));
     }
 
     /** The active request has its answer, and the next may be taken. */
-    void onRequestEnded(byte[] answer) {
-        answer(answer);
+    void onRequestEnded(byte[] response) {
+        respond(response);
         input.takeMessages();
     }
 
@@ -211,7 +211,7 @@
     /** Sends an error that ends the connection, and closes our side behind it. */
     void closeWithError(String code, String text) {
         loop.events().record(EventLog.Kind.CLIENT_CLOSED, () -> "in " + phase + ": " + text);
-        stream.write(Answers.fatal(code, text));
+        stream.write(FrontEndResponses.fatal(code, text));
         linger();
     }
 
--- a/pooler/src/main/java/frostreel/frontend/ClientRequest.java
+++ b/pooler/src/main/java/frostreel/frontend/ClientRequest.java
@@ -83,16 +83,16 @@
         }
     }
 
-    private void end(byte[] answer) {
+    private void end(byte[] response) {
         active = false;
         responseSource = null;
         handle = SlotTable.NONE;
-        connection.onRequestEnded(answer);
+        connection.onRequestEnded(response);
     }
 
     @Override
-    public void served(byte[] answer) {
-        end(answer);
+    public void served(byte[] response) {
+        end(response);
     }
 
     @Override
@@ -113,17 +113,17 @@
 
     @Override
     public void rejected(long retryAfterUs) {
-        end(Answers.rejected(retryAfterUs));
+        end(FrontEndResponses.rejected(retryAfterUs));
     }
 
     @Override
     public void cancelled() {
-        end(Answers.cancelled());
+        end(FrontEndResponses.cancelled());
     }
 
     @Override
     public void failed() {
-        end(Answers.failed());
+        end(FrontEndResponses.failed());
     }
 
     @Override
--- a/pooler/src/main/java/frostreel/frontend/Answers.java
+++ b/pooler/src/main/java/frostreel/frontend/FrontEndResponses.java
@@ -5,19 +5,19 @@
 import frostreel.pg.SqlState;
 
 /** The responses to clients that the front end makes itself. */
-final class Answers {
+final class FrontEndResponses {
     private static final String NO_DETAIL = null;
     private static final long US_PER_MS = 1_000;
 
-    private Answers() {}
+    private FrontEndResponses() {}
 
     /** The message followed by ReadyForQuery. */
     static byte[] withReadyForQuery(byte[] message) {
         byte[] ready = Messages.readyForQuery();
-        byte[] answer = new byte[message.length + ready.length];
-        System.arraycopy(message, 0, answer, 0, message.length);
-        System.arraycopy(ready, 0, answer, message.length, ready.length);
-        return answer;
+        byte[] response = new byte[message.length + ready.length];
+        System.arraycopy(message, 0, response, 0, message.length);
+        System.arraycopy(ready, 0, response, message.length, ready.length);
+        return response;
     }
 
     /** The response to the empty query: whether this process accepts clients. */
--- a/pooler/src/main/java/frostreel/frontend/Lingering.java
+++ b/pooler/src/main/java/frostreel/frontend/LingeringClose.java
@@ -6,7 +6,7 @@
  * Bounds how long, and for how many bytes, a client is still read from whose input is only dropped. Used on the I/O
  * thread.
  */
-final class Lingering {
+final class LingeringClose {
     /** The most that is read only to be dropped, as reading it costs time that other clients need. */
     static final int MAX_DROPPED_BYTES = 1 << 20;
 
@@ -16,7 +16,7 @@
     private int droppedBytes;
 
     /** {@code close}: called if the client has not closed its side in time. */
-    Lingering(Deadlines deadlines, Runnable close) {
+    LingeringClose(Deadlines deadlines, Runnable close) {
         this.deadlines = deadlines;
         this.close = close;
     }
@@ -28,7 +28,7 @@
     }
 
     /** Counts dropped bytes; returns whether there were too many to continue reading. */
-    boolean dropsTooMuch(int bytes) {
+    boolean exceedsDropLimit(int bytes) {
         droppedBytes += bytes;
         return droppedBytes > MAX_DROPPED_BYTES;
     }
--- a/pooler/src/main/java/frostreel/frontend/QueryHandler.java
+++ b/pooler/src/main/java/frostreel/frontend/QueryHandler.java
@@ -63,7 +63,7 @@
     private void onExtendedQuery() {
         if (!skippingToSync) {
             loop.counters().malformedMessages++;
-            stream.write(Answers.error(SqlState.FEATURE_NOT_SUPPORTED, "only simple queries"));
+            stream.write(FrontEndResponses.error(SqlState.FEATURE_NOT_SUPPORTED, "only simple queries"));
         }
         skippingToSync = true;
     }
@@ -71,13 +71,13 @@
     private void onQuery(byte[] body) throws PgException {
         if (Statement.isEmpty(body)) {
             hasSentQuery = true;
-            connection.answer(Answers.readiness(frontEnd.lifecycle().status()));
+            connection.respond(FrontEndResponses.readiness(frontEnd.lifecycle().status()));
             return;
         }
         Supplier<String> page = frontEnd.pages().find(body);
         if (page != null) {
             hasSentQuery = true;
-            connection.answer(Messages.row("page", page.get()));
+            connection.respond(Messages.row("page", page.get()));
             return;
         }
         onStatement(body);
@@ -111,7 +111,7 @@
     private void onInvalidQuery(String text) {
         loop.counters().malformedMessages++;
         if (++invalidInARow < MAX_INVALID_IN_A_ROW) {
-            connection.answer(Answers.error(SqlState.INVALID_PARAMETER_VALUE, text));
+            connection.respond(FrontEndResponses.error(SqlState.INVALID_PARAMETER_VALUE, text));
         } else {
             connection.closeWithError(SqlState.INVALID_PARAMETER_VALUE, text);
         }
@@ -122,7 +122,7 @@
         invalidInARow = 0;
         if (frontEnd.limits().rejectsRequests()) {
             loop.counters().requestsRejectedForOverload++;
-            connection.answer(Answers.rejected(frontEnd.broker().retryAfterUs(OVERLOADED_RETRY_AFTER_US)));
+            connection.respond(FrontEndResponses.rejected(frontEnd.broker().retryAfterUs(OVERLOADED_RETRY_AFTER_US)));
         } else {
             connection.submit(statement, requestClass);
         }
--- a/pooler/src/main/java/frostreel/frontend/package-info.java
+++ b/pooler/src/main/java/frostreel/frontend/package-info.java
@@ -11,6 +11,6 @@
  * messages from a {@link frostreel.frontend.ClientBacklog} and hands them to a
  * {@link frostreel.frontend.StartupHandler}, later to a {@link frostreel.frontend.QueryHandler}; a
  * {@link frostreel.frontend.ClientRequest} for the active request; an {@link frostreel.frontend.IdleTimer}; and a
- * {@link frostreel.frontend.Lingering} for an orderly close.
+ * {@link frostreel.frontend.LingeringClose} for an orderly close.
  */
 package frostreel.frontend;
--- a/pooler/src/test/java/frostreel/ClientCapacityTest.java
+++ b/pooler/src/test/java/frostreel/ClientCapacityTest.java
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void answersIdleClientWithUnreadRequestInsteadOfClosingIt() throws Exception {
+    void servesIdleClientWithUnreadRequestInsteadOfClosingIt() throws Exception {
         primary.script = (text, link) -> {
             if (!text.startsWith("QINSERT")) {
                 link.send(row("from-primary", "primary"), TestMessages.READY);
@@ -90,7 +90,7 @@
     }
 
     @Test
-    void notifiesAndClosesSilentClientsThatThereforeBlockNobody() throws Exception {
+    void notifiesAndClosesSilentClientsSoThatOthersAreServed() throws Exception {
         start();
         List<WireConnection> silent = new ArrayList<>();
         for (int i = 0; i < 2 * PoolerHarness.MAX_CLIENTS; i++) {
--- a/pooler/src/test/java/frostreel/ConnectionCloseTest.java
+++ b/pooler/src/test/java/frostreel/ConnectionCloseTest.java
@@ -66,7 +66,7 @@
      * thread was blocked.
      */
     @Test
-    void clientInBacklogWhenAcceptingEndsIsAnswered() throws Exception {
+    void clientInBacklogWhenAcceptingEndsReceivesAResponse() throws Exception {
         harness.startSilent(host("a", primary, "primary", "Ready"));
         harness.discovery.next(); // A request that the pooler gives up after 1.5 s, which it logs.
         harness.awaitReady();
@@ -102,7 +102,7 @@
 
     /** The slow reader is still served after two message timeouts, one after the other. */
     @Test
-    void slowReaderIsNotTakenForASilentClient() throws Exception {
+    void slowReaderIsNotClosedAsASilentClient() throws Exception {
         String large = "x".repeat(60_000);
         replica.script = rows(large, "replica");
         start();
--- a/pooler/src/test/java/frostreel/DisconnectedClientsTest.java
+++ b/pooler/src/test/java/frostreel/DisconnectedClientsTest.java
@@ -24,7 +24,7 @@
     private final BlockingQueue<WireConnection> handshakes = new LinkedBlockingQueue<>();
 
     /** Lets the test complete the handshakes of new connections to the replica. */
-    private void holdHandshakes() {
+    private void deferHandshakes() {
         replica.handshake = (text, link) -> handshakes.add(link);
     }
 
@@ -46,7 +46,7 @@
     /** A client disconnects while its request waits for a connection, with {@code pipelined} bytes behind that. */
     private void disconnectBehind(byte[] pipelined) throws Exception {
         disableCancellation();
-        holdHandshakes();
+        deferHandshakes();
         start();
         WireConnection client = harness.client();
         client.send(query(readSql("gone", 9000)));
@@ -73,25 +73,25 @@
      * clients' disconnects are still unread then, in all but one of some thousand orders.
      */
     @Test
-    void queuedRequestIsNotSentInTheTurnThatFindsItsClientGone() throws Exception {
-        BlockingQueue<WireConnection> held = new LinkedBlockingQueue<>();
-        replica.script = (text, link) -> held.add(link);
+    void queuedRequestIsNotSentInTheTurnThatDetectsItsDisconnect() throws Exception {
+        BlockingQueue<WireConnection> serversAwaitingResponse = new LinkedBlockingQueue<>();
+        replica.script = (text, link) -> serversAwaitingResponse.add(link);
         primary.script = replica.script;
         start();
         Map<String, WireConnection> clients = new HashMap<>();
-        int all = PoolerHarness.MAX_WAITING_REQUESTS;
-        for (int i = 0; i < all; i++) {
+        int requests = PoolerHarness.MAX_WAITING_REQUESTS;
+        for (int i = 0; i < requests; i++) {
             WireConnection client = harness.client();
             clients.put("q" + i, client);
             client.send(query(readSql("q" + i, 9000)));
         }
-        harness.awaitCounter("requests=" + all);
+        harness.awaitCounter("requests=" + requests);
         int sent = (int) harness.counter("attempts");
-        assertThat(sent).isBetween(1, all / 2); // The others wait for capacity.
+        assertThat(sent).isBetween(1, requests / 2); // The others wait for capacity.
         List<String> inFlight = new ArrayList<>();
         List<WireConnection> servers = new ArrayList<>();
         for (int i = 0; i < sent; i++) {
-            servers.add(held.take());
+            servers.add(serversAwaitingResponse.take());
         }
         for (ScriptedPeer peer : List.of(primary, replica)) {
             for (String text : peer.received) {
@@ -108,14 +108,14 @@
                 server.send(row("late", "replica"), TestMessages.READY);
             }
         });
-        harness.awaitCounter("clients_gone=" + (all - sent));
+        harness.awaitCounter("clients_gone=" + (requests - sent));
         assertThat(harness.pooler.counters()).contains(" attempts=" + sent + " ");
     }
 
     @Test
     void cancelledRequestWaitingForConnectionIsNeverSent() throws Exception {
         disableCancellation();
-        holdHandshakes();
+        deferHandshakes();
         start();
         try (CancellableClient client = new CancellableClient()) {
             client.link.send(query(readSql("gone", 9000)));
--- a/pooler/src/test/java/frostreel/LongValuesTest.java
+++ b/pooler/src/test/java/frostreel/LongValuesTest.java
@@ -53,7 +53,7 @@
         return out.toByteArray();
     }
 
-    private static ScriptedPeer.Script whole(byte[] value) {
+    private static ScriptedPeer.Script completeResponse(byte[] value) {
         return (text, link) -> link.send(head(value.length, value.length), value, TAIL);
     }
 
@@ -73,10 +73,10 @@
 
     @Test
     void longValueIsStreamedAndItsConnectionReused() throws Exception {
-        CountDownLatch first = new CountDownLatch(1);
+        CountDownLatch headRead = new CountDownLatch(1);
         replica.script = (text, link) -> {
             link.send(head(LONG, LONG), Arrays.copyOf(VALUE, 100));
-            PoolerHarness.await(first);
+            PoolerHarness.await(headRead);
             link.send(Arrays.copyOfRange(VALUE, 100, LONG));
             for (byte tailByte : TAIL) {
                 link.out.write(tailByte);
@@ -86,11 +86,11 @@
             client.send(TestMessages.query(readSql("1", 9000)), TestMessages.query(writeSql("2", 9000)));
             readHead(client, LONG);
             assertThat(client.in.readNBytes(100)).isEqualTo(Arrays.copyOf(VALUE, 100));
-            first.countDown();
+            headRead.countDown();
             assertThat(client.in.readNBytes(LONG - 100)).isEqualTo(Arrays.copyOfRange(VALUE, 100, LONG));
             readTail(client);
             assertThat(client.readResponse().get(1)).endsWith("from-primary");
-            replica.script = whole(VALUE);
+            replica.script = completeResponse(VALUE);
             client.send(TestMessages.query(readSql("3", 9000)));
             readHead(client, LONG);
             assertThat(client.in.readNBytes(LONG)).isEqualTo(VALUE);
@@ -133,16 +133,16 @@
 
     @Test
     void clientDisconnectWithinLongValueStopsTheServer() throws Exception {
-        CountDownLatch first = new CountDownLatch(1);
+        CountDownLatch headRead = new CountDownLatch(1);
         replica.script = (text, link) -> {
             link.send(head(LONG, LONG), Arrays.copyOf(VALUE, LONG / 2));
-            PoolerHarness.await(first);
+            PoolerHarness.await(headRead);
         };
         try (WireConnection client = harness.client()) {
             client.send(TestMessages.query(readSql("1", 9000)));
             readHead(client, LONG);
         }
-        first.countDown();
+        headRead.countDown();
         replica.closedConnections.take();
         try (WireConnection client = harness.client()) {
             assertThat(client.execute(writeSql("2", 9000)).get(1)).endsWith("from-primary");
@@ -160,17 +160,17 @@
     /** Neither a slow reader nor a server that sends byte by byte delays the others. */
     @Test
     void slowPeersDoNotDelayOthers() throws Exception {
-        CountDownLatch dripOn = new CountDownLatch(1);
+        CountDownLatch mayContinueDripping = new CountDownLatch(1);
         replica.script = (text, link) -> {
             if (text.contains("id=drip,")) {
                 link.send(head(LONG, LONG), Arrays.copyOf(VALUE, 1));
-                PoolerHarness.await(dripOn);
+                PoolerHarness.await(mayContinueDripping);
                 for (int i = 1; i < 40; i++) {
                     link.out.write(VALUE[i]);
                 }
                 link.send(Arrays.copyOfRange(VALUE, 40, LONG), TAIL);
             } else {
-                whole(VALUE).respond(text, link);
+                completeResponse(VALUE).respond(text, link);
             }
         };
         try (WireConnection slow = harness.client();
@@ -187,7 +187,7 @@
                 readTail(quick);
                 assertThat(slow.in.readNBytes(1000)).isEqualTo(Arrays.copyOfRange(VALUE, 1000 * i, 1000 * i + 1000));
             }
-            dripOn.countDown();
+            mayContinueDripping.countDown();
             assertThat(drip.in.readNBytes(LONG)).isEqualTo(VALUE);
             readTail(drip);
             assertThat(slow.in.readNBytes(LONG - 5000)).isEqualTo(Arrays.copyOfRange(VALUE, 5000, LONG));
@@ -197,7 +197,7 @@
 
     /** Twenty rows of 15 MiB that nobody reads until all have begun would take 300 MB if they were buffered. */
     @Test
-    void valuesBeyondMemoryWaitAtTheirServers() throws Exception {
+    void valuesExceedingTheHeapAreReadFromServersAsClientsRead() throws Exception {
         byte[] part = Arrays.copyOf(VALUE, 3 << 20);
         int parts = 5;
         int clients = 20;
--- a/pooler/src/test/java/frostreel/PausedResponseTest.java
+++ b/pooler/src/test/java/frostreel/PausedResponseTest.java
@@ -55,7 +55,7 @@
         });
         ServerPool pool = pool(server);
 
-        start(pool, new Listener(allButLastPieceRead));
+        start(pool, new PausingListener(allButLastPieceRead));
         assertThat(results.poll(PoolerHarness.TIMEOUT_S, TimeUnit.SECONDS).outcome())
                 .isEqualTo(Outcome.OK);
         server.script = PoolerHarness.rows("next", "replica");
@@ -84,11 +84,11 @@
     }
 
     /** Counts the bytes of a long response, and pauses its source with the last of them. */
-    private final class Listener implements BackEnd.AttemptListener {
+    private final class PausingListener implements BackEnd.AttemptListener {
         private final CountDownLatch allButLastPieceRead;
         private int missingBytes = LongValuesTest.head(VALUE.length, VALUE.length).length + VALUE.length;
 
-        Listener(CountDownLatch allButLastPieceRead) {
+        PausingListener(CountDownLatch allButLastPieceRead) {
             this.allButLastPieceRead = allButLastPieceRead;
         }
 
--- a/pooler/src/test/java/frostreel/PipelineTest.java
+++ b/pooler/src/test/java/frostreel/PipelineTest.java
@@ -19,16 +19,16 @@
     private static final int SHORT_DEADLINE_MS = 300;
     private static final int LONG_DEADLINE_MS = 9000;
     private static final int PIPELINED = 200;
-    private final BlockingQueue<WireConnection> held = new LinkedBlockingQueue<>();
+    private final BlockingQueue<WireConnection> serversOfFirstRequest = new LinkedBlockingQueue<>();
 
     /** Starts the pooler; the test itself sends the response to the first request. */
-    private void holdFirst() throws Exception {
-        ScriptedPeer.Script usual = rows("from-primary", "primary");
+    private void startWithFirstResponseDeferred() throws Exception {
+        ScriptedPeer.Script defaultScript = rows("from-primary", "primary");
         primary.script = (text, link) -> {
             if (text.contains("id=first,")) {
-                held.add(link);
+                serversOfFirstRequest.add(link);
             } else {
-                usual.respond(text, link);
+                defaultScript.respond(text, link);
             }
         };
         start();
@@ -39,8 +39,8 @@
     }
 
     /** Waits until all requests were read and the short deadline has passed, and returns the server's connection. */
-    private WireConnection awaitFirstSentAndShortDeadlineOver() throws Exception {
-        WireConnection link = held.take();
+    private WireConnection awaitFirstSentAndShortDeadlinePassed() throws Exception {
+        WireConnection link = serversOfFirstRequest.take();
         try (WireConnection other = harness.client()) { // Read no earlier than in the same turn.
             other.execute("");
             other.execute("");
@@ -49,7 +49,7 @@
         return link;
     }
 
-    private static void answerFirst(WireConnection link) throws Exception {
+    private static void respondToFirst(WireConnection link) throws Exception {
         link.send(row("of-first", "primary"), TestMessages.READY);
     }
 
@@ -68,11 +68,11 @@
 
     @Test
     void countsTimeInThePipelineAgainstTheDeadline() throws Exception {
-        holdFirst();
+        startWithFirstResponseDeferred();
         try (WireConnection client = harness.client()) {
             client.send(
                     first(), query(readSql("expired", SHORT_DEADLINE_MS)), query(readSql("open", LONG_DEADLINE_MS)));
-            answerFirst(awaitFirstSentAndShortDeadlineOver());
+            respondToFirst(awaitFirstSentAndShortDeadlinePassed());
             assertThat(value(client.readResponse())).isEqualTo("of-first");
             assertRejected(client.readResponse());
             assertThat(value(client.readResponse())).isEqualTo("from-replica");
@@ -85,11 +85,11 @@
 
     @Test
     void keepsDeadlinesOfRequestsBehindCancelledOne() throws Exception {
-        holdFirst();
+        startWithFirstResponseDeferred();
         try (CancellableClient client = new CancellableClient()) {
             client.link.send(
                     first(), query(readSql("expired", SHORT_DEADLINE_MS)), query(readSql("open", LONG_DEADLINE_MS)));
-            awaitFirstSentAndShortDeadlineOver();
+            awaitFirstSentAndShortDeadlinePassed();
             client.cancelAndAwaitError();
             assertRejected(client.link.readResponse());
             assertThat(value(client.link.readResponse())).isEqualTo("from-replica");
@@ -98,14 +98,14 @@
     }
 
     @Test
-    void answersPipelinedRequestsInOrderAtShutdown() throws Exception {
-        holdFirst();
+    void respondsToPipelinedRequestsInOrderAtShutdown() throws Exception {
+        startWithFirstResponseDeferred();
         try (WireConnection client = harness.client()) {
             client.send(
                     first(), query(readSql("expired", SHORT_DEADLINE_MS)), query(readSql("open", LONG_DEADLINE_MS)));
-            WireConnection link = awaitFirstSentAndShortDeadlineOver();
+            WireConnection link = awaitFirstSentAndShortDeadlinePassed();
             stopPooler();
-            answerFirst(link);
+            respondToFirst(link);
             assertThat(value(client.readResponse())).isEqualTo("of-first");
             assertRejected(client.readResponse());
             assertThat(value(client.readResponse())).isEqualTo("from-replica");
@@ -115,9 +115,9 @@
     }
 
     @Test
-    void answersEachPipelinedMessageOnceAndInOrder() throws Exception {
+    void respondsToEachPipelinedMessageOnceAndInOrder() throws Exception {
         replica.script = (text, link) -> link.send(row(TestMessages.requestId(text), "replica"), TestMessages.READY);
-        holdFirst();
+        startWithFirstResponseDeferred();
         ByteArrayOutputStream all = new ByteArrayOutputStream();
         all.writeBytes(first());
         for (int i = 1; i < PIPELINED; i++) {
@@ -131,7 +131,7 @@
         }
         try (WireConnection client = harness.client()) {
             client.send(all.toByteArray());
-            answerFirst(awaitFirstSentAndShortDeadlineOver());
+            respondToFirst(awaitFirstSentAndShortDeadlinePassed());
             assertThat(value(client.readResponse())).isEqualTo("of-first");
             for (int i = 1; i < PIPELINED; i++) {
                 List<String> response = client.readResponse();
--- a/pooler/src/test/java/frostreel/frontend/LingeringTest.java
+++ b/pooler/src/test/java/frostreel/frontend/LingeringCloseTest.java
@@ -6,12 +6,12 @@
 import org.junit.jupiter.api.Test;
 
 /** How long, and for how many bytes, a closed client is still read from, on a clock that tests move. */
-class LingeringTest {
+class LingeringCloseTest {
     private static final long LINGER_US = 300_000;
     private long nowUs;
     private int closes;
     private final Deadlines deadlines = new Deadlines(() -> nowUs, delayUs -> {});
-    private final Lingering lingering = new Lingering(deadlines, () -> closes++);
+    private final LingeringClose lingering = new LingeringClose(deadlines, () -> closes++);
 
     private void advance(long byUs) {
         nowUs += byUs;
@@ -36,11 +36,11 @@
     }
 
     @Test
-    void boundsTheDroppedBytesAndCountsThemAnewFromItsBegin() {
-        assertThat(lingering.dropsTooMuch(Lingering.MAX_DROPPED_BYTES)).isFalse();
-        assertThat(lingering.dropsTooMuch(1)).isTrue();
+    void limitsDroppedBytesAndRestartsTheirCountWhenLingeringBegins() {
+        assertThat(lingering.exceedsDropLimit(LingeringClose.MAX_DROPPED_BYTES)).isFalse();
+        assertThat(lingering.exceedsDropLimit(1)).isTrue();
         lingering.begin(LINGER_US);
-        assertThat(lingering.dropsTooMuch(Lingering.MAX_DROPPED_BYTES)).isFalse();
-        assertThat(lingering.dropsTooMuch(1)).isTrue();
+        assertThat(lingering.exceedsDropLimit(LingeringClose.MAX_DROPPED_BYTES)).isFalse();
+        assertThat(lingering.exceedsDropLimit(1)).isTrue();
     }
 }
