--- a/pooler/src/main/java/frostreel/frontend/ArrivalTimes.java
+++ b/pooler/src/main/java/frostreel/frontend/ArrivalTimes.java
@@ -3,23 +3,23 @@
 import java.util.Arrays;
 
 /**
- * The arrival times of the bytes of a stream that are still waiting to be taken. The timeout of a request starts with
- * the arrival of its last byte, also while it waits behind another request; so each arrival is stored with its offset.
+ * The arrival times of the unprocessed bytes of a stream. The timeout of a request starts with the arrival of its last
+ * byte, also while it waits behind another request, so each arrival is stored with its offset.
  *
- * <p>At most {@link #MAX_ARRIVALS} are stored, in 4 KiB, and only two short arrays are kept while no byte waits.
- * Arrivals within one grain of each other are merged, with the earlier time, so that no request seems to have more time
- * left than it has. The grain is a millisecond, and doubles when more arrivals would have to be stored: a time is too
- * early by a millisecond at most, or by a sixtieth of the longest time that any byte has waited since the stream was
- * last empty. Times are microseconds. Owned by the connection, on the I/O thread.
+ * <p>At most {@link #MAX_ARRIVALS} are stored, in 4 KiB; the arrays shrink again once the stream is empty. Arrivals
+ * within the resolution of each other are merged with the earlier time, so that no request appears to have more time
+ * left than it has. The resolution is a millisecond, and doubles when the limit would be exceeded: a time is too early
+ * by at most a millisecond, or by a sixtieth of the longest time that any byte has waited since the stream was last
+ * empty. Times are microseconds. Owned by the connection, on the I/O thread.
  */
 public final class ArrivalTimes {
-    /** The most arrivals that are stored. */
+    /** The maximum number of stored arrivals. */
     public static final int MAX_ARRIVALS = 256;
 
     private static final int INITIAL_ARRIVALS = 4;
     private static final long INITIAL_RESOLUTION_US = 1000;
 
-    /** The offset behind the last byte of each arrival; in use from {@code first} to {@code next}, as its time is. */
+    /** The end offset of each arrival; {@code ends} and {@code timesUs} are in use from {@code first} to {@code next}. */
     private long[] ends = new long[INITIAL_ARRIVALS];
 
     private long[] timesUs = new long[INITIAL_ARRIVALS];
@@ -46,9 +46,9 @@
     }
 
     /**
-     * Returns the arrival time of the last byte of the message that was just taken; called once a message, in order.
+     * Returns the arrival time of the last byte of the message that was just taken; called once per message, in order.
      *
-     * @param waitingBytes how many bytes behind that message are still waiting
+     * @param waitingBytes the number of unprocessed bytes behind that message
      */
     public long take(int waitingBytes) {
         long end = arrivedBytes - waitingBytes;
@@ -58,7 +58,7 @@
         return ends[first] == end ? timesUs[first++] : timesUs[first];
     }
 
-    /** How many bytes of memory the times occupy. */
+    /** The memory in use, in bytes. */
     public int memoryBytes() {
         return 2 * Long.BYTES * ends.length;
     }
@@ -68,7 +68,7 @@
         next = 0;
         resolutionUs = INITIAL_RESOLUTION_US;
         if (ends.length > INITIAL_ARRIVALS) {
-            ends = new long[INITIAL_ARRIVALS]; // A long wait must not leave long arrays behind on every connection.
+            ends = new long[INITIAL_ARRIVALS]; // Frees the memory that a long wait needed, on each connection.
             timesUs = new long[INITIAL_ARRIVALS];
         }
     }
--- a/pooler/src/main/java/frostreel/frontend/ClientBacklog.java
+++ b/pooler/src/main/java/frostreel/frontend/ClientBacklog.java
@@ -6,15 +6,15 @@
 import java.nio.ByteBuffer;
 
 /**
- * The input of a client that waits behind an active request or an unread response. Owns the limit on its size, counts
- * its memory, and knows when each of its messages arrived. Used on the I/O thread.
+ * Unprocessed input of one client, such as messages behind an active request or an unread response. Limits its size,
+ * accounts for its memory, and tracks when each message arrived. Used on the I/O thread.
  */
 final class ClientBacklog {
-    /** The longest query: a value of 64 KiB as hexadecimal text, which is twice as long, and the text around it. */
+    /** Fits a query with a value of 64 KiB, whose hexadecimal text is twice as long, and the text around it. */
     private static final int MAX_MESSAGE_BYTES = (1 << 17) + (1 << 12);
 
     private static final int MAX_BYTES = 1 << 20;
-    /** The limit while the buffers of all connections together take more than their part of the memory. */
+    /** The limit while the buffers of all connections together exceed their share of the memory. */
     private static final int MAX_BYTES_WHEN_BUFFERS_ARE_FULL = 1 << 16;
 
     private static final String CLIENT_MESSAGE_TYPES = "QPBEDCFSHX";
@@ -23,9 +23,9 @@
     private final EventLoop loop;
     private final MessageReader reader = new MessageReader(ClientBacklog::maxLength);
     private final ArrivalTimes arrivals = new ArrivalTimes();
-    /** How much of its memory is counted with the buffers of the loop. */
+    /** The memory of this backlog that is included in the buffered bytes of the event loop. */
     private int countedBytes;
-    /** When the socket was last read until it was empty. */
+    /** The end of the previous read of the socket. */
     private long caughtUpUs;
 
     private long arrivedUs;
@@ -39,18 +39,18 @@
         return CLIENT_MESSAGE_TYPES.indexOf(type) >= 0 ? MAX_MESSAGE_BYTES : NOT_ACCEPTED;
     }
 
-    /** Adds what was read; it arrived after the socket was last empty. */
+    /** Adds what was read; its arrival time is never before the end of the previous read. */
     void add(ByteBuffer in) {
         arrivals.add(in.remaining(), Math.max(loop.earliestArrivalUs(), caughtUpUs));
         reader.feed(in);
     }
 
-    /** The socket was read until it was empty. */
+    /** Records the end of a read of the socket. */
     void onCaughtUp() {
         caughtUpUs = loop.clock().now();
     }
 
-    /** Moves to the next message; false where none is complete. */
+    /** Moves to the next message; returns false if none is complete. */
     boolean next(boolean startup) throws PgException {
         if (startup ? !reader.nextStartup() : !reader.next()) {
             return false;
@@ -74,8 +74,9 @@
     }
 
     /**
-     * Checks the size against its limit, and remembers an overrun. Further input is then dropped, and the connection
-     * ends behind its last response: leaving the input unread instead would hide that the client has disconnected.
+     * Checks the size against its limit, and stores the result. After an overrun, further input is dropped and the
+     * connection is closed after its last response. Not reading the socket instead would hide that the
+     * client disconnects.
      */
     boolean checkOverrun() {
         overrun = reader.buffered() > (loop.buffersAreFull() ? MAX_BYTES_WHEN_BUFFERS_ARE_FULL : MAX_BYTES);
@@ -87,12 +88,12 @@
         return overrun;
     }
 
-    /** Counts its memory with the buffers of the loop. */
+    /** Updates the buffered bytes of the event loop to the current memory of this backlog. */
     void countMemory() {
         count(reader.memoryBytes() + arrivals.memoryBytes());
     }
 
-    /** The backlog is no longer needed, and its memory no longer counted. */
+    /** Removes the memory of this backlog, which is no longer used, from the buffered bytes of the event loop. */
     void release() {
         count(0);
     }
--- a/pooler/src/main/java/frostreel/frontend/ClientConnection.java
+++ b/pooler/src/main/java/frostreel/frontend/ClientConnection.java
@@ -10,14 +10,15 @@
 import org.xnio.StreamConnection;
 
 /**
- * One client's connection: takes its messages one after another, and writes the answers in their order. A client that
- * owes a message for too long is notified and closed, as it uses a connection that others need. Used on the I/O thread.
+ * One client's connection: processes its messages one after another, and writes the responses in their order. A client
+ * that does not complete a message in time gets an error and is closed, as it occupies a connection that others need.
+ * Used on the I/O thread.
  */
 final class ClientConnection implements SocketStream.Handler, IdleTimer.Handler {
     private enum Phase {
         STARTUP,
         RUNNING,
-        /** Our side is closed, and the client has not closed its own yet. */
+        /** This process has closed its side, and the client has not closed its own yet. */
         LINGERING,
         CLOSED
     }
@@ -48,7 +49,7 @@
         request = new ClientRequest(frontEnd, stream, this);
     }
 
-    /** The handle of this connection in the table of clients. */
+    /** The handle of this connection in the client table. */
     long slot() {
         return slot;
     }
@@ -58,13 +59,13 @@
         cancelKey = CancelKey.ofSlot(slot, secret);
     }
 
-    /** Reads from now on; the client owes its startup message. */
+    /** Starts reading, and the timeout for the startup message. */
     void begin() {
         awaitMessage();
         stream.resumeReads();
     }
 
-    /** Since when it has been idle, or has owed a complete message. */
+    /** The time since which the client has been idle, or has had to complete a message. */
     long sinceUs() {
         return idleTimer.sinceUs();
     }
@@ -77,7 +78,7 @@
         return phase == Phase.STARTUP || phase == Phase.RUNNING;
     }
 
-    /** Whether the client has no request and no unread answer, and owes no message; false once the connection ends. */
+    /** Whether the client has no request, no unread response and no incomplete message; false once the connection ends. */
     boolean isIdle() {
         return phase == Phase.RUNNING && !request.isActive() && stream.flushed() && input.isEmpty();
     }
@@ -108,7 +109,7 @@
         input.takeMessages();
     }
 
-    /** Whether the next message has to wait for the active request, or for the client to read its answer. */
+    /** Whether the next message has to wait for the active request, or for the client to read its response. */
     boolean mustWait() {
         return isOpen() && (request.isActive() || !stream.flushed());
     }
@@ -117,7 +118,7 @@
         return isOpen() && !mustWait();
     }
 
-    /** All complete messages are taken: reads on, unless a request among them is active. */
+    /** Called when messages were processed: resumes reading and starts the next timeout unless a request is active. */
     void onMessagesTaken() {
         if (isOpen() && !request.isActive()) {
             stream.resumeReads();
@@ -125,20 +126,20 @@
         }
     }
 
-    /** The startup message was accepted. */
+    /** Completes the startup, as the startup message was accepted. */
     void onStarted() {
         phase = Phase.RUNNING;
         stream.write(Messages.welcome(cancelKey.process(), cancelKey.secret()));
     }
 
-    /** Cancels the active request, if the key is that of this client. */
+    /** Cancels the active request if the key is that of this client. */
     void cancel(CancelKey key) {
         if (phase == Phase.RUNNING && key.equals(cancelKey)) {
             request.cancel();
         }
     }
 
-    // ---- What the client has to do next. ----
+    // ---- Timeouts. ----
 
     private void awaitNext() {
         if (!stream.flushed()) {
@@ -163,7 +164,7 @@
         closeWithError(SqlState.IDLE_SESSION_TIMEOUT, "nothing whole came in time");
     }
 
-    /** The client owes nothing, but has to read its answer. */
+    /** Starts the timeout for the client to read its response. */
     private void awaitReader() {
         clients.markBusy(this);
         idleTimer.awaitReader();
@@ -178,7 +179,7 @@
         close();
     }
 
-    // ---- Requests and answers. ----
+    // ---- Requests and responses. ----
 
     /** Submits the request of the current message. */
     void submit(Statement statement, int requestClass) {
@@ -187,18 +188,18 @@
         request.submit(statement, requestClass, input.arrivedUs());
     }
 
-    /** Writes an answer, and behind it that the client may send its next query. */
+    /** Writes a response followed by ReadyForQuery. */
     void respond(byte[] message) {
         stream.write(FrontEndResponses.withReadyForQuery(message));
     }
 
-    /** The active request has its answer, and the next may be taken. */
+    /** Writes the response to the active request, and processes the messages behind it. */
     void onRequestEnded(byte[] response) {
         respond(response);
         input.takeMessages();
     }
 
-    /** Whether the client is still connected, as far as a read of its socket shows now. */
+    /** Whether the client is still connected; reads its socket first unless that was just done. */
     boolean isClientConnected() {
         if (!input.wasReadJustNow()) {
             stream.readNow();
@@ -206,9 +207,9 @@
         return phase != Phase.CLOSED;
     }
 
-    // ---- The end of the connection. ----
+    // ---- Close. ----
 
-    /** Sends an error that ends the connection, and closes our side behind it. */
+    /** Sends a fatal error, and begins an orderly close behind it. */
     void closeWithError(String code, String text) {
         loop.events().record(EventLog.Kind.CLIENT_CLOSED, () -> "in " + phase + ": " + text);
         stream.write(FrontEndResponses.fatal(code, text));
@@ -216,9 +217,9 @@
     }
 
     /**
-     * Begins an orderly close: closes our side behind all that was written, and reads and drops what arrives after
-     * that, until the client has closed its own side. Closing with unread bytes would reset the connection, and the
-     * last answer might be lost with it.
+     * Begins an orderly close: ends the output behind all that was written, and reads and drops further input until the
+     * client has closed its side. Closing the socket with unread input would reset the connection, and the client might
+     * lose its last response.
      */
     private void linger() {
         if (isOpen()) {
@@ -232,9 +233,8 @@
     }
 
     /**
-     * Begins an orderly close unless a request has arrived meanwhile. Many requests are still unread while the I/O
-     * thread is busy; closing before such a request is read would cost its client a retry or, the second time, the
-     * answer.
+     * Begins an orderly close unless an unread request is found. Many requests are still unread while the I/O thread is
+     * busy; closing without reading them would cost their clients a retry, or the response if it happens twice.
      *
      * @return whether the connection was closed
      */
@@ -244,7 +244,7 @@
             return false;
         }
         if (received && isIdle()) {
-            return false; // It has had a request answered, and is no longer the longest idle.
+            return false; // A request was read and answered, so the client is no longer the longest idle.
         }
         linger();
         return true;
--- a/pooler/src/main/java/frostreel/frontend/ClientDrainer.java
+++ b/pooler/src/main/java/frostreel/frontend/ClientDrainer.java
@@ -4,8 +4,8 @@
 import frostreel.time.Clock;
 
 /**
- * Closes the connections of clients between requests while the lifecycle asks clients to leave: when draining, at a
- * handover and at shutdown. Used on the I/O thread.
+ * Closes client connections between requests while the lifecycle requires it: when draining, at a handover and at
+ * shutdown. Used on the I/O thread.
  */
 final class ClientDrainer {
     private final Clock clock;
@@ -20,13 +20,13 @@
         this.limits = limits;
     }
 
-    /** If the client is idle, closes its connection where clients are to leave, or else keeps it, within the limits. */
+    /** Closes the connection of an idle client if the lifecycle requires it, or else limits the number of idle clients. */
     void onIdle(ClientConnection client) {
         if (!client.isIdle()) {
             return;
         }
         if (lifecycle.closesAfterResponse(clock.now())) {
-            clients.markBusy(client); // No candidate for an eviction, as it is being closed.
+            clients.markBusy(client); // It is being closed, and must not be selected for eviction.
             client.closeUnlessRequestPending();
         } else {
             clients.markIdle(client);
@@ -34,12 +34,12 @@
         }
     }
 
-    /** Whether even clients are closed that have not sent a query yet. */
+    /** Whether to close also clients that have not sent a query yet. */
     boolean closesUnused() {
         return lifecycle.closesUnused(clock.now());
     }
 
-    /** Closes idle clients, and at last unused ones, once the lifecycle says so. */
+    /** Closes idle clients, and later also unused ones, once the lifecycle requires it. */
     void closeIfDue(long nowUs) {
         if (nowUs < lifecycle.closeIdleAtUs()) {
             return;
--- a/pooler/src/main/java/frostreel/frontend/ClientInput.java
+++ b/pooler/src/main/java/frostreel/frontend/ClientInput.java
@@ -7,8 +7,8 @@
 import java.nio.ByteBuffer;
 
 /**
- * The input of one client: takes its messages one after another, each once the one before it is answered. Used on the
- * I/O thread.
+ * Processes the input of one client message by message, each after the response to the one before it. Used on the I/O
+ * thread.
  */
 final class ClientInput {
     private final EventLoop loop;
@@ -17,7 +17,7 @@
     private final StartupHandler startup;
     private final QueryHandler queries;
     private boolean takingMessages;
-    /** The socket was read until empty within this very call, so that it need not be read again. */
+    /** Whether {@link #onCaughtUp} is running, so that the socket has just been read and need not be read again. */
     private boolean readJustNow;
 
     ClientInput(FrontEnd frontEnd, SocketStream stream, ClientConnection connection) {
@@ -28,12 +28,12 @@
         queries = new QueryHandler(frontEnd, stream, connection);
     }
 
-    /** Adds what was read; messages are only taken once the socket was read until empty. */
+    /** Adds what was read; its messages are processed in {@link #onCaughtUp}. */
     void add(ByteBuffer in) {
         backlog.add(in);
     }
 
-    /** Takes messages, as the socket was read until empty and the client has not disconnected behind them. */
+    /** Processes messages after a read of the socket that did not find the client disconnected. */
     void onCaughtUp() {
         backlog.onCaughtUp();
         boolean readBefore = readJustNow;
@@ -45,7 +45,7 @@
         }
     }
 
-    /** Takes the messages that have arrived, up to the first request that has to be waited for. */
+    /** Processes the messages that have arrived, up to the first request that does not end at once. */
     void takeMessages() {
         if (takingMessages) {
             return;
@@ -70,7 +70,7 @@
         connection.onMessagesTaken();
     }
 
-    /** Takes the next message; false where none is complete. */
+    /** Processes the next message; returns false if none is complete. */
     private boolean takeMessage() throws PgException {
         boolean starting = connection.isStarting();
         if (!backlog.next(starting)) {
@@ -87,7 +87,7 @@
         return true;
     }
 
-    /** The client disconnected during its startup. */
+    /** Handles the disconnect of a client during its startup. */
     void onEndedAtStartup() {
         try {
             startup.onEnded(backlog.message());
@@ -101,7 +101,7 @@
         return backlog.arrivedUs();
     }
 
-    /** Whether the client has sent a valid query before. */
+    /** Whether the client has sent a valid query. */
     boolean hasSentQuery() {
         return queries.hasSentQuery();
     }
@@ -114,12 +114,12 @@
         return backlog.isEmpty();
     }
 
-    /** Whether more is waiting than may, so that further input is dropped. */
+    /** Whether the unprocessed input exceeds its limit, so that further input is dropped. */
     boolean isOverrun() {
         return backlog.isOverrun();
     }
 
-    /** The input is no longer needed. */
+    /** Releases the memory of input that is no longer needed. */
     void release() {
         backlog.release();
     }
--- a/pooler/src/main/java/frostreel/frontend/ClientLimits.java
+++ b/pooler/src/main/java/frostreel/frontend/ClientLimits.java
@@ -3,38 +3,38 @@
 import frostreel.net.EventLoop;
 
 /**
- * The limits on the connections of clients. Near a limit, clients without a request are evicted to make room; if that
+ * Enforces the limits on client connections. Near a limit, clients without a request are evicted to make room; if that
  * is not enough, new requests are rejected. Used on the I/O thread.
  */
 final class ClientLimits {
-    /** The connections below the limit that are kept free by closing clients that have no request. */
+    /** Connections below the limit that are kept free by evicting clients without a request. */
     private static final int RESERVED_CONNECTIONS = 16;
-    /** With so few left, lingering clients are closed at once. */
+    /** Connections below the limit that are kept free by closing lingering clients at once. */
     private static final int RESERVED_FROM_LINGERING = 4;
-    /** How long a client that has had a request is idle before it may be evicted. */
+    /** The time that a client has to be idle before it may be evicted. */
     private static final long MIN_IDLE_US = 2_000_000;
-    /** How often evictions are retried while too many clients are connected. */
+    /** The interval at which evictions are retried while too many clients are connected. */
     private static final long EVICTION_INTERVAL_US = 50_000;
-    /** How long a client owes a message before it is evicted in preference to any idle one. */
+    /** The time after which a client with an incomplete message is evicted before any idle client. */
     private static final long MIN_AWAITING_US = 300_000;
 
     private final EventLoop loop;
     private final ClientTable clients;
     private final int maxClients;
-    /** While at most this many clients are connected and may have requests, no idle one is closed. */
+    /** {@link #closeExcessIdle} closes no client while at most this many are idle or busy. */
     private final int activeLimit;
-    /** While at most this many clients are idle, none of them is closed by {@link #closeExcessIdle}. */
+    /** {@link #closeExcessIdle} closes no client while at most this many are idle. */
     private final int idleLimit;
-    /** A further attempt at evictions is scheduled. */
+    /** Whether the next attempt at evictions is scheduled. */
     private boolean evictionScheduled;
-    /** {@link #closeExcessIdle} is running, and is not entered again. */
+    /** Whether {@link #closeExcessIdle} is running; guards against recursion. */
     private boolean closingIdle;
 
     /**
-     * Limits on the connections of this table.
+     * Creates the limits on the connections of a table.
      *
      * @param maxClients the limit on open connections
-     * @param usualClients how many clients are expected; up to three quarters of them stay connected however many are
+     * @param usualClients the expected number of clients; up to three quarters of it, no client is closed for being
      *     idle
      */
     ClientLimits(EventLoop loop, ClientTable clients, int maxClients, int usualClients) {
@@ -48,13 +48,13 @@
     /**
      * Closes the longest idle clients while too many are idle and most connections are in use.
      *
-     * <p>Clients that send one request and keep their connection use up the connections that clients may have to us,
-     * long before our own limit is near: clients that connect later would find none, and would never be served. At low
-     * load all of them stay connected.
+     * <p>Clients that send one request and keep their connection can exhaust the connections that clients may open to
+     * this process long before its own limit is reached; later clients could then not connect at all. At low load, all
+     * idle clients stay connected.
      */
     void closeExcessIdle() {
         if (closingIdle) {
-            return; // Called for a client whose unread request was found by the check before its close.
+            return; // Called again for a client whose unread request was read and answered before its close.
         }
         closingIdle = true;
         for (int candidates = clients.idleCount(); candidates > 0 && hasExcessIdle(); candidates--) {
@@ -71,9 +71,9 @@
     }
 
     /**
-     * Evicts clients without a request while the limit is near: the client that has owed a message for longest, or the
-     * one idle for longest. A request on a connection that waits to be accepted counts as accepted, so accepting must
-     * not pause while such clients hold descriptors.
+     * Evicts clients without a request while the limit is near: the client whose message has been incomplete for
+     * longest, or the one that has been idle for longest. A connection in the accept queue counts as accepted for its
+     * client, so accepting must not pause while clients without a request occupy descriptors.
      */
     void evictIfOverloaded() {
         for (ClientConnection client = evictionCandidate();
@@ -84,7 +84,7 @@
             }
         }
         while (clients.size() > maxClients - RESERVED_FROM_LINGERING && clients.lingeringCount() > 0) {
-            clients.longestLingering().close(); // The next client needs the descriptor itself.
+            clients.longestLingering().close(); // Lingering clients do not count as load, but occupy a descriptor.
         }
         if (isOverloaded() && !evictionScheduled) {
             evictionScheduled = true;
@@ -110,8 +110,8 @@
     }
 
     /**
-     * Whether clients with active requests hold nearly all connections. A request that waited for a connection,
-     * unaccepted, could not be answered in time; so a request on one of the last connections is rejected at once.
+     * Whether to reject new requests because busy clients occupy nearly all connections. A client that waits in the
+     * accept queue would get no response in time; rejecting requests on the last connections leaves room to accept it.
      */
     boolean rejectsRequests() {
         return clients.size() - clients.idleCount() - clients.awaitingMessageCount() - clients.lingeringCount()
--- a/pooler/src/main/java/frostreel/frontend/ClientRequest.java
+++ b/pooler/src/main/java/frostreel/frontend/ClientRequest.java
@@ -11,13 +11,13 @@
 import frostreel.util.SlotTable;
 
 /**
- * The active request of one client's connection, of which there is at most one: submits it to the broker, and handles
- * its response. Used for one request after another, on the I/O thread.
+ * The active request of one client's connection: submits it to the broker, and handles its response. An instance serves
+ * all requests of its connection, one at a time, on the I/O thread.
  */
 final class ClientRequest implements ResponseHandler {
-    /** While more bytes of a long response wait for their reader, the server is not read from. */
+    /** Unsent bytes of a long response above which reading from the server is paused. */
     private static final int MAX_PENDING_BYTES = 1 << 17;
-    /** The time from the client, whose timeout starts when it sends, to us and back again. */
+    /** Round trip between client and pooler, deducted from the timeout, which the client starts when it sends. */
     private static final long TRANSIT_US = 4_000;
 
     private static final long US_PER_MS = 1000;
@@ -29,7 +29,7 @@
     private final ClientConnection connection;
     private boolean active;
     private long handle = SlotTable.NONE;
-    /** The source of the long response that is being passed on, null for none. */
+    /** The source of the long response that is being streamed, or null. */
     private BackEnd.ResponseSource responseSource;
 
     ClientRequest(FrontEnd frontEnd, SocketStream stream, ClientConnection connection) {
@@ -40,15 +40,15 @@
         this.connection = connection;
     }
 
-    /** Whether a request was submitted and is not answered. */
+    /** Whether a request was submitted and has no response yet. */
     boolean isActive() {
         return active;
     }
 
-    /** Submits a request; it may be answered before this returns. */
+    /** Submits a request; its response may be written before this returns. */
     void submit(Statement statement, int requestClass, long arrivedUs) {
         long now = loop.clock().now();
-        // Relative to now, when the router receives the request, however long that has waited here.
+        // Relative to the submission to the router, not to the request's arrival.
         long sinceWriteUs = statement.afterMs() == 0 ? 0 : Math.max(1, now - statement.afterMs() * US_PER_MS);
         long timeoutAtUs = arrivedUs + statement.timeoutMs() * US_PER_MS - TRANSIT_US;
         RequestAttributes attributes = new RequestAttributes(
@@ -66,17 +66,17 @@
         }
     }
 
-    /** The client cancels its request; nothing is done where none is active. */
+    /** Cancels the request for the client; does nothing if none is active. */
     void cancel() {
         broker.onClientCancelled(handle);
     }
 
-    /** The client has disconnected; nothing is done where no request is active. */
+    /** Reports to the broker that the client has disconnected; does nothing if no request is active. */
     void onClientDisconnected() {
         broker.onClientDisconnected(handle);
     }
 
-    /** The client has read all that was written of a long response. */
+    /** Resumes a paused long response, as the socket has accepted all output. */
     void onDrained() {
         if (responseSource != null) {
             responseSource.resume();
--- a/pooler/src/main/java/frostreel/frontend/ClientTable.java
+++ b/pooler/src/main/java/frostreel/frontend/ClientTable.java
@@ -9,55 +9,55 @@
 import java.util.function.Consumer;
 
 /**
- * The open connections of clients, by what each is doing: idle between requests, awaiting a complete message from the
- * client, lingering after we closed our side, or else busy. Used on the I/O thread.
+ * The open client connections by state: idle between requests, awaiting a complete message from the client, lingering
+ * after this process has closed its side, or busy. Used on the I/O thread.
  */
 final class ClientTable {
     private final SlotTable<ClientConnection> clients;
-    /** In each set, the client that has been in it for longest comes first. */
+    /** The idle clients; like the sets below, in the order in which they entered this state. */
     private final Set<ClientConnection> idle = new LinkedHashSet<>();
 
     private final Set<ClientConnection> awaitingMessage = new LinkedHashSet<>();
     private final Set<ClientConnection> lingering = new LinkedHashSet<>();
 
-    /** A table of at most {@code capacity} connections. */
+    /** Creates a table for at most {@code capacity} connections. */
     ClientTable(int capacity) {
         clients = new SlotTable<>(capacity);
     }
 
-    /** Adds a connection and gives it its slot; false where the table is full. */
+    /** Adds a connection and sets its slot; returns false if the table is full. */
     boolean add(ClientConnection client) {
         long slot = clients.add(client);
         client.setSlot(slot);
         return slot != SlotTable.NONE;
     }
 
-    /** The client has no request, and owes no message. */
+    /** Marks a client as idle: it has no request, and has not begun to send one. */
     void markIdle(ClientConnection client) {
         awaitingMessage.remove(client);
-        idle.remove(client); // It has had a request since, and is now the last to have become idle.
+        idle.remove(client); // Moves it to the end, as it has had a request since.
         idle.add(client);
     }
 
-    /** The client owes a complete message. */
+    /** Marks a client that has to complete a message within a time limit. */
     void markAwaitingMessage(ClientConnection client) {
         idle.remove(client);
         awaitingMessage.add(client);
     }
 
-    /** The client has an active request, or an answer that it has not read yet. */
+    /** Marks a client as busy: it has an active request, or a response that it has not read yet. */
     void markBusy(ClientConnection client) {
         idle.remove(client);
         awaitingMessage.remove(client);
     }
 
-    /** We have closed our side of the connection, and the client has not closed its own yet. */
+    /** Marks a connection as lingering: this process has closed its side, and the client has not closed its own yet. */
     void markLingering(ClientConnection client) {
         markBusy(client);
         lingering.add(client);
     }
 
-    /** The connection is closed. */
+    /** Removes a closed connection. */
     void remove(ClientConnection client) {
         markBusy(client);
         lingering.remove(client);
@@ -69,42 +69,42 @@
         clients.forEach(visitor);
     }
 
-    /** A copy of the idle clients, so that they may change state while it is iterated. */
+    /** Returns a copy of the idle clients, so that they may change state during iteration. */
     List<ClientConnection> idleClients() {
         return new ArrayList<>(idle);
     }
 
-    /** How many connections are open. */
+    /** The number of open connections. */
     int size() {
         return clients.size();
     }
 
-    /** How many of the clients are idle. */
+    /** The number of idle clients. */
     int idleCount() {
         return idle.size();
     }
 
-    /** How many of the clients owe a complete message. */
+    /** The number of clients that have to complete a message. */
     int awaitingMessageCount() {
         return awaitingMessage.size();
     }
 
-    /** How many of the connections wait for their client to close its side. */
+    /** The number of connections whose client has yet to close its side. */
     int lingeringCount() {
         return lingering.size();
     }
 
-    /** The client that has been idle for longest, null where none is. */
+    /** The client that has been idle for longest, or null. */
     ClientConnection longestIdle() {
         return first(idle);
     }
 
-    /** The client that has owed a complete message for longest, null where none does. */
+    /** The client that has been awaiting the completion of its message for longest, or null. */
     ClientConnection longestAwaitingMessage() {
         return first(awaitingMessage);
     }
 
-    /** The connection that has been lingering for longest, null where none is. */
+    /** The connection that has been lingering for longest, or null. */
     ClientConnection longestLingering() {
         return first(lingering);
     }
--- a/pooler/src/main/java/frostreel/frontend/FrontEnd.java
+++ b/pooler/src/main/java/frostreel/frontend/FrontEnd.java
@@ -5,7 +5,7 @@
 import frostreel.operation.RequestClassRegistry;
 import frostreel.operation.ServingLifecycle;
 
-/** What the connections of all clients share. */
+/** The objects that all client connections share. */
 record FrontEnd(
         EventLoop loop,
         Broker broker,
--- a/pooler/src/main/java/frostreel/frontend/FrontEndResponses.java
+++ b/pooler/src/main/java/frostreel/frontend/FrontEndResponses.java
@@ -4,14 +4,14 @@
 import frostreel.pg.Messages;
 import frostreel.pg.SqlState;
 
-/** The responses to clients that the front end makes itself. */
+/** Creates the responses that the front end sends to clients without a server: errors and readiness. */
 final class FrontEndResponses {
     private static final String NO_DETAIL = null;
     private static final long US_PER_MS = 1_000;
 
     private FrontEndResponses() {}
 
-    /** The message followed by ReadyForQuery. */
+    /** Returns the message followed by ReadyForQuery. */
     static byte[] withReadyForQuery(byte[] message) {
         byte[] ready = Messages.readyForQuery();
         byte[] response = new byte[message.length + ready.length];
@@ -20,7 +20,7 @@
         return response;
     }
 
-    /** The response to the empty query: whether this process accepts clients. */
+    /** Returns the response to an empty query, which clients send as a readiness check. */
     static byte[] readiness(ReadinessStatus status) {
         if (status == ReadinessStatus.READY) {
             return Messages.emptyQueryResponse();
@@ -28,7 +28,7 @@
         return error(SqlState.CANNOT_CONNECT_NOW, "takes no clients: " + status.wireName());
     }
 
-    /** The request was rejected; {@code retryAfterUs} is its Retry-After, 0 for none. */
+    /** Returns the error for a rejected request; {@code retryAfterUs} is its Retry-After, 0 for none. */
     static byte[] rejected(long retryAfterUs) {
         return Messages.error(
                 false,
@@ -49,12 +49,12 @@
         return error(SqlState.TRANSACTION_RESOLUTION_UNKNOWN, "failed: whether it took effect is not known");
     }
 
-    /** An error after which the connection stays open. */
+    /** Returns an error after which the connection stays open. */
     static byte[] error(String code, String text) {
         return Messages.error(false, code, text, NO_DETAIL);
     }
 
-    /** An error that ends the connection. */
+    /** Returns an error after which the connection is closed. */
     static byte[] fatal(String code, String text) {
         return Messages.error(true, code, text, NO_DETAIL);
     }
--- a/pooler/src/main/java/frostreel/frontend/IdleTimer.java
+++ b/pooler/src/main/java/frostreel/frontend/IdleTimer.java
@@ -5,34 +5,34 @@
 import java.util.function.IntSupplier;
 
 /**
- * The timeouts of a client that has no active request: for the complete message that it owes, or for reading its
- * response. At most one of them runs. Used on the I/O thread.
+ * The timeouts of a client without an active request: one for sending a complete message, one for reading its response.
+ * At most one of them runs. Used on the I/O thread.
  */
 final class IdleTimer {
-    /** What is done when a timeout expires. */
+    /** Handles the expiry of a timeout. */
     interface Handler {
-        /** The client has sent no complete message in time. */
+        /** Called when the client has not sent a complete message in time. */
         void onMessageTimeout();
 
-        /** The client has read nothing for too long, while {@code pendingBytes} of its response are unread. */
+        /** Called when the client has read nothing for too long, with {@code pendingBytes} of its response unread. */
         void onReaderStalled(int pendingBytes);
     }
 
-    /** After connecting, or after the first byte of a message, a complete one must arrive within this time. */
+    /** The time for a complete message to arrive after connecting, or after the first byte of the message. */
     static final long MESSAGE_TIMEOUT_US = 2_300_000;
-    /** A client that reads nothing of its response for this time occupies its connection for nothing. */
+    /** The time without progress after which a client counts as no longer reading its response. */
     static final long READER_TIMEOUT_US = 30_000_000;
 
     private final Clock clock;
     private final Deadlines deadlines;
     private final IntSupplier pendingBytes;
     private final Handler handler;
-    /** The timeout that is running, null for none. */
+    /** The deadline of the running timeout, or null. */
     private Deadlines.Deadline deadline;
 
     private long sinceUs;
 
-    /** {@code pendingBytes}: how many bytes of its response the client has not read yet. */
+    /** Creates a timer; {@code pendingBytes} supplies the number of bytes of its response that the client has not read. */
     IdleTimer(Clock clock, Deadlines deadlines, IntSupplier pendingBytes, Handler handler) {
         this.clock = clock;
         this.deadlines = deadlines;
@@ -40,12 +40,12 @@
         this.handler = handler;
     }
 
-    /** Since when the client has been idle, or has owed a complete message. */
+    /** The time since which the client has been idle, or has had to complete a message. */
     long sinceUs() {
         return sinceUs;
     }
 
-    /** Starts the timeout for a complete message; false, with nothing changed, if a timeout is running. */
+    /** Starts the timeout for a complete message; returns false, without an effect, if a timeout is running. */
     boolean awaitMessage() {
         if (deadline != null) {
             return false;
@@ -55,7 +55,7 @@
         return true;
     }
 
-    /** Starts the timeout for the client to read some of its response, in place of any other. */
+    /** Starts the timeout for the client to read some of its response, and cancels any other. */
     void awaitReader() {
         cancel();
         int pendingAtStart = pendingBytes.getAsInt();
@@ -71,13 +71,13 @@
         }
     }
 
-    /** The client is idle from now on, without a timeout. */
+    /** Cancels any timeout, as the client is idle from now on. */
     void onIdle() {
         cancel();
         sinceUs = clock.now();
     }
 
-    /** Stops the timeout that is running, if any. */
+    /** Cancels the running timeout, if any. */
     void cancel() {
         deadlines.cancel(deadline);
         deadline = null;
--- a/pooler/src/main/java/frostreel/frontend/LingeringClose.java
+++ b/pooler/src/main/java/frostreel/frontend/LingeringClose.java
@@ -3,11 +3,10 @@
 import frostreel.time.Deadlines;
 
 /**
- * Bounds how long, and for how many bytes, a client is still read from whose input is only dropped. Used on the I/O
- * thread.
+ * Limits the time and the bytes for which a client is still read whose input is dropped. Used on the I/O thread.
  */
 final class LingeringClose {
-    /** The most that is read only to be dropped, as reading it costs time that other clients need. */
+    /** Limits the input that is read and dropped, as reading it delays other clients. */
     static final int MAX_DROPPED_BYTES = 1 << 20;
 
     private final Deadlines deadlines;
@@ -15,25 +14,25 @@
     private Deadlines.Deadline deadline;
     private int droppedBytes;
 
-    /** {@code close}: called if the client has not closed its side in time. */
+    /** Creates the limits of one connection; {@code close} is called if the client does not close its side in time. */
     LingeringClose(Deadlines deadlines, Runnable close) {
         this.deadlines = deadlines;
         this.close = close;
     }
 
-    /** Gives the client this time to close its side. */
+    /** Starts the time limit for the client to close its side, and restarts the count of dropped bytes. */
     void begin(long lingerUs) {
         droppedBytes = 0;
         deadline = deadlines.after(lingerUs, close);
     }
 
-    /** Counts dropped bytes; returns whether there were too many to continue reading. */
+    /** Counts dropped bytes; returns whether they exceed {@link #MAX_DROPPED_BYTES}. */
     boolean exceedsDropLimit(int bytes) {
         droppedBytes += bytes;
         return droppedBytes > MAX_DROPPED_BYTES;
     }
 
-    /** The connection is closed. */
+    /** Stops the time limit, as the connection is closed. */
     void cancel() {
         deadlines.cancel(deadline);
     }
--- a/pooler/src/main/java/frostreel/frontend/Listener.java
+++ b/pooler/src/main/java/frostreel/frontend/Listener.java
@@ -14,8 +14,8 @@
 import org.xnio.StreamConnection;
 
 /**
- * The front end as the rest of the program sees it: accepts the connections of clients while the lifecycle allows it,
- * and owns what they share. Used on the I/O thread.
+ * The entry point of the front end: accepts client connections while the lifecycle allows it, and owns the objects that
+ * they share. Used on the I/O thread.
  */
 public final class Listener {
     private static final int BACKLOG = 1024;
@@ -29,18 +29,18 @@
     private final ClientDrainer drainer;
     private final FrontEnd frontEnd;
     private final Acceptor acceptor;
-    /** The secret halves of the keys by which clients cancel their requests. */
+    /** Generates the secrets of the cancel keys. */
     private final SplittableRandom secrets;
 
     private boolean inherited;
 
     /**
-     * Makes a listener that does not listen yet.
+     * Creates a listener; {@link #open} starts it.
      *
      * @param maxClients the limit on open connections
-     * @param usualClients how many clients are expected; up to three quarters of them stay connected however many are
+     * @param usualClients the expected number of clients; up to three quarters of it, no client is closed for being
      *     idle
-     * @param seed for the keys by which clients cancel
+     * @param seed the seed of the secrets of the cancel keys
      */
     public Listener(
             EventLoop loop,
@@ -62,11 +62,11 @@
     }
 
     /**
-     * Listens; beyond the limit of connections no more are accepted until some have closed.
+     * Starts listening; at the limit, accepting pauses until a connection has closed.
      *
-     * @param inherited whether the socket is descriptor 0: another process listens on it as well, so nothing is
-     *     accepted until the lifecycle lets {@link #applyLifecycle} do so
-     * @throws IOException where the address is taken or not ours, or the system gives no socket
+     * @param inherited whether the socket is descriptor 0: another process listens on it as well, so connections are
+     *     accepted only while the lifecycle allows it, see {@link #applyLifecycle}
+     * @throws IOException if the address is in use or not local, or no socket can be created
      */
     public void open(InetSocketAddress address, boolean inherited) throws IOException {
         OptionMap options = OptionMap.builder()
@@ -83,7 +83,7 @@
         }
     }
 
-    /** Where it listens. */
+    /** The address that it listens on. */
     public InetSocketAddress address() {
         return acceptor.address();
     }
@@ -99,25 +99,25 @@
         client.begin();
     }
 
-    /** Adds a page that is the answer to {@code SHOW} with its name. */
+    /** Adds a page that is the response to {@code SHOW name}. */
     public void addPage(String name, Supplier<String> text) {
         pages.add(name, text);
     }
 
-    /** Accepts or stops accepting, and closes idle clients, as the lifecycle asks for now. */
+    /** Resumes or stops accepting, and closes idle clients, according to the current state of the lifecycle. */
     public void applyLifecycle() {
         long nowUs = loop.clock().now();
         if (lifecycle.accepts(nowUs)) {
             acceptor.resume();
         } else if (inherited) {
-            acceptor.suspend(); // What waits in the backlog is left to the other process.
+            acceptor.suspend(); // The other process accepts the connections in the accept queue.
         } else {
             acceptor.close();
         }
         drainer.closeIfDue(nowUs);
     }
 
-    /** How many clients are connected. */
+    /** The number of connected clients. */
     public int openClients() {
         return clients.size();
     }
--- a/pooler/src/main/java/frostreel/frontend/QueryHandler.java
+++ b/pooler/src/main/java/frostreel/frontend/QueryHandler.java
@@ -11,8 +11,8 @@
 import java.util.function.Supplier;
 
 /**
- * The messages of one client after its startup: responds itself to readiness checks, status pages and invalid queries,
- * and has the connection submit requests. Used on the I/O thread.
+ * Handles the messages of one client after its startup: responds to readiness checks, status pages and invalid queries,
+ * and passes requests on to the connection, which submits them. Used on the I/O thread.
  */
 final class QueryHandler {
     private static final byte QUERY = 'Q';
@@ -20,9 +20,9 @@
     private static final byte FLUSH = 'H';
     private static final byte TERMINATE = 'X';
 
-    /** The connection ends at this number of invalid queries in a row, as responding to them is work, too. */
+    /** Consecutive invalid queries after which the connection is closed, as responding to each costs time. */
     private static final int MAX_INVALID_IN_A_ROW = 16;
-    /** The Retry-After where too many clients are connected, as far as the settings allow so much. */
+    /** The Retry-After of requests that are rejected near the connection limit, unless the settings allow only less. */
     private static final long OVERLOADED_RETRY_AFTER_US = 200_000;
 
     private final FrontEnd frontEnd;
@@ -40,7 +40,7 @@
         this.connection = connection;
     }
 
-    /** Whether the client has sent a valid query before. */
+    /** Whether the client has sent a valid query. */
     boolean hasSentQuery() {
         return hasSentQuery;
     }
@@ -54,12 +54,12 @@
                 skippingToSync = false;
                 stream.write(Messages.readyForQuery());
             }
-            case FLUSH -> {} // All output is written at once anyway.
+            case FLUSH -> {} // No output is buffered until a Flush.
             default -> onExtendedQuery();
         }
     }
 
-    /** The extended query protocol is declined by one error, and its messages are skipped up to the next Sync. */
+    /** Rejects the extended query protocol with one error, and skips its messages up to the next Sync. */
     private void onExtendedQuery() {
         if (!skippingToSync) {
             loop.counters().malformedMessages++;
@@ -101,13 +101,13 @@
         }
     }
 
-    /** The number of a statement's class, {@link RequestClassRegistry#NO_CLASS} if it fits none of that name. */
+    /** Returns the number of a statement's class, {@link RequestClassRegistry#NO_CLASS} if none of that name fits. */
     private int requestClass(Statement statement) {
         return frontEnd.classes()
                 .classNumber(loop.clock().now(), statement.requestClass(), statement.write(), statement.keyed());
     }
 
-    /** An invalid query is answered by an error, and the next may be valid; too many in a row end the connection. */
+    /** Responds to an invalid query with an error; closes the connection after too many in a row. */
     private void onInvalidQuery(String text) {
         loop.counters().malformedMessages++;
         if (++invalidInARow < MAX_INVALID_IN_A_ROW) {
--- a/pooler/src/main/java/frostreel/frontend/StartupHandler.java
+++ b/pooler/src/main/java/frostreel/frontend/StartupHandler.java
@@ -7,8 +7,8 @@
 import frostreel.pg.StartupCode;
 
 /**
- * The startup phase of one client's connection: requests for encryption, which are declined, cancel requests, and the
- * startup message. Used on the I/O thread.
+ * Handles the startup phase of one client's connection: declines encryption, carries out cancel requests, and accepts
+ * the startup message. Used on the I/O thread.
  */
 final class StartupHandler {
     private final FrontEnd frontEnd;
@@ -21,7 +21,7 @@
         this.connection = connection;
     }
 
-    /** Handles one message of the startup phase; each begins with a code in place of a type. */
+    /** Handles one message of the startup phase, which begins with a code instead of a type byte. */
     void onMessage(MessageReader message) throws PgException {
         int code = message.bodyInt(0);
         if (StartupCode.requestsEncryption(code)) {
@@ -37,14 +37,14 @@
         }
     }
 
-    /** The client closed its side: a client that sends a cancel request need not wait for an answer. */
+    /** Carries out a cancel request whose client has closed its side already, as it need not wait for a response. */
     void onEnded(MessageReader message) throws PgException {
         if (message.nextStartup() && message.bodyInt(0) == StartupCode.CANCEL_REQUEST) {
             cancel(CancelKey.in(message));
         }
     }
 
-    /** Cancels the active request of the client that has this key; another key does nothing. */
+    /** Cancels the active request of the client that has this key; does nothing if there is none. */
     private void cancel(CancelKey key) {
         frontEnd.clients().forEach(client -> client.cancel(key));
     }
--- a/pooler/src/main/java/frostreel/frontend/package-info.java
+++ b/pooler/src/main/java/frostreel/frontend/package-info.java
@@ -1,11 +1,11 @@
 /**
- * The side of the clients: accepts their connections, submits their requests to the broker, and writes the responses.
+ * The client side of the pooler: accepts client connections, submits requests to the broker, and writes the responses.
  * All of it runs on the I/O thread.
  *
- * <p>{@link frostreel.frontend.Listener} accepts. {@link frostreel.frontend.ClientTable} holds the connections,
+ * <p>{@link frostreel.frontend.Listener} accepts connections. {@link frostreel.frontend.ClientTable} stores them,
  * {@link frostreel.frontend.ClientLimits} evicts and rejects near the limits, and
  * {@link frostreel.frontend.ClientDrainer} closes idle connections when the process drains; a
- * {@link frostreel.frontend.FrontEnd} is what all connections share.
+ * {@link frostreel.frontend.FrontEnd} holds the objects that all connections share.
  *
  * <p>Each {@link frostreel.frontend.ClientConnection} has a {@link frostreel.frontend.ClientInput}, which takes
  * messages from a {@link frostreel.frontend.ClientBacklog} and hands them to a
--- a/pooler/src/main/java/frostreel/util/SlotTable.java
+++ b/pooler/src/main/java/frostreel/util/SlotTable.java
@@ -4,8 +4,8 @@
 import java.util.function.Consumer;
 
 /**
- * A table of numbered slots. A handle consists of a slot's number and generation, so that a stale handle, kept after
- * its slot was freed or reused, finds nothing.
+ * A table of numbered slots. A handle consists of a slot's number and generation, so that a stale handle, whose slot was
+ * freed or reused, finds nothing.
  */
 public final class SlotTable<T> {
     /** A handle that refers to no slot. */
@@ -21,12 +21,12 @@
     private int freeCount;
     private int usedCount;
 
-    /** A table for at most {@code capacity} items. */
+    /** Creates a table for at most {@code capacity} items. */
     public SlotTable(int capacity) {
         this.capacity = Math.min(capacity, NUMBER_MASK);
     }
 
-    /** Adds an item, and returns its handle, or {@link #NONE} when the table is full. */
+    /** Adds an item; returns its handle, or {@link #NONE} if the table is full. */
     public long add(T item) {
         int number;
         if (freeCount > 0) {
@@ -45,7 +45,7 @@
         return generations[number] << NUMBER_BITS | number;
     }
 
-    /** The item, or null where the handle is stale. */
+    /** Returns the item, or null if the handle is stale. */
     @SuppressWarnings("unchecked")
     public T get(long handle) {
         int number = (int) (handle & NUMBER_MASK);
@@ -53,7 +53,7 @@
         return stale ? null : (T) items[number];
     }
 
-    /** Frees the slot, and returns its item, or null where the handle is stale. */
+    /** Frees the slot; returns its item, or null if the handle is stale. */
     public T remove(long handle) {
         T item = get(handle);
         if (item != null) {
@@ -65,12 +65,12 @@
         return item;
     }
 
-    /** How many items it holds. */
+    /** The number of items. */
     public int size() {
         return usedCount - freeCount;
     }
 
-    /** Whether it holds as many items as it may. */
+    /** Whether the number of items has reached the capacity. */
     public boolean full() {
         return size() == capacity;
     }
--- a/pooler/src/main/java/frostreel/util/package-info.java
+++ b/pooler/src/main/java/frostreel/util/package-info.java
@@ -1,2 +1,2 @@
-/** Data structures shared by several packages, none of which it depends on. */
+/** Data structures without dependencies on other packages of the pooler. */
 package frostreel.util;
--- a/pooler/src/test/java/frostreel/ClientCapacityTest.java
+++ b/pooler/src/test/java/frostreel/ClientCapacityTest.java
@@ -13,12 +13,12 @@
 
 /** The limits on client connections: which clients are closed to make room, and which requests are rejected. */
 class ClientCapacityTest extends AbstractPoolerTest {
-    /** Idle clients beyond this number are closed while most connections are in use. */
+    /** Number of idle clients above which idle clients are closed while most connections are in use. */
     private static final int IDLE_LIMIT = PoolerHarness.USUAL_CLIENTS / 3;
-    /** Up to this number of clients, none is closed however many are idle. */
+    /** Number of clients up to which none is closed for being idle. */
     private static final int ACTIVE_LIMIT = PoolerHarness.USUAL_CLIENTS * 3 / 4;
 
-    /** A client that ends its connection; it must not count as an idle one afterwards. */
+    /** Connects a client that terminates its connection, and must not count as idle afterwards. */
     private void connectAndTerminate() throws Exception {
         try (WireConnection client = harness.client()) {
             client.send(TestMessages.bytes('X', ""));
@@ -34,17 +34,17 @@
         List<WireConnection> idle = idleClients(IDLE_LIMIT - 1);
         leaveRequestsUnanswered();
         busyClients(PoolerHarness.BUSY_LIMIT - idle.size());
-        try (WireConnection late = harness.client()) { // Admitted once the first has been idle for long enough.
+        try (WireConnection late = harness.client()) { // Accepted once the first client has been idle for long enough.
             assertThat(late.execute("")).containsExactly("I");
             assertThat(idle.get(0).closedByPeer()).isTrue();
         }
-        harness.awaitCounter("clients_evicted=1 clients_spared=0"); // The close is counted after it was sent.
+        harness.awaitCounter("clients_evicted=1 clients_spared=0"); // The counter is updated after the close is sent.
     }
 
     @Test
     void closesLongestIdleClientsOnlyAboveTheUsualCount() throws Exception {
         start();
-        connectAndTerminate(); // The client that awaited readiness has gone as well.
+        connectAndTerminate(); // The client that awaited readiness has disconnected as well.
         List<WireConnection> clients = new ArrayList<>(idleClients(ACTIVE_LIMIT));
         assertThat(harness.pooler.counters()).contains(" clients_spared=0 ");
         int excess = PoolerHarness.USUAL_CLIENTS - ACTIVE_LIMIT;
@@ -67,12 +67,12 @@
         };
         start();
         List<WireConnection> idle = idleClients(IDLE_LIMIT);
-        for (int i = idle.size(); i < ACTIVE_LIMIT - 1; i++) { // Busy ones.
+        for (int i = idle.size(); i < ACTIVE_LIMIT - 1; i++) { // Busy clients.
             harness.client().send(query(writeSql("write" + i, 9000)));
         }
         List<WireConnection> late = List.of(harness.client(), harness.client());
-        List<WireConnection> longestIdle = idle.subList(0, late.size() + 2); // More than might be closed.
-        // While the I/O thread is blocked all of them send; those of the late clients are answered at once.
+        List<WireConnection> longestIdle = idle.subList(0, late.size() + 2); // More than could be closed.
+        // All requests are sent while the I/O thread is blocked; the pooler itself responds to the late clients.
         harness.whileLoopIsBlocked(() -> {
             for (WireConnection client : late) {
                 client.send(query(""));
--- a/pooler/src/test/java/frostreel/ClientProtocolTest.java
+++ b/pooler/src/test/java/frostreel/ClientProtocolTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The client protocol: fragmented, malformed and unknown input, and responses that are read slowly. */
+/** The client protocol: fragmented, malformed and unsupported input, and slowly read responses. */
 class ClientProtocolTest extends AbstractPoolerTest {
     @Test
     void acceptsStartupAndQueriesOneByteAtATime() throws Exception {
--- a/pooler/src/test/java/frostreel/ConnectionCloseTest.java
+++ b/pooler/src/test/java/frostreel/ConnectionCloseTest.java
@@ -14,17 +14,17 @@
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
 
-/** The close of client connections: accepted requests are answered, and bytes in transit reset nothing. */
+/** Closing client connections: accepted requests get a response, and bytes in transit cause no reset. */
 class ConnectionCloseTest extends AbstractPoolerTest {
-    /** The first replica group whose replica truncates its responses; one group a byte. */
+    /** The first replica group whose replica truncates its responses; there is one group per byte. */
     private static final int FIRST_GROUP = 100;
 
-    /** Makes the pooler wait without limit for a closed client to close its side. */
+    /** Makes the pooler wait indefinitely for a closed client to close its side. */
     private void lingerWithoutLimit() {
         harness.lingerUs = Long.MAX_VALUE / 2;
     }
 
-    /** The client sends after it saw the close: a socket that was closed in both directions would be reset by that. */
+    /** Sends requests after the close was seen; a socket closed in both directions would be reset by them. */
     private void assertBytesAfterCloseAreDroppedWithoutReset(WireConnection client) throws Exception {
         assertThat(client.closedByPeer()).isTrue();
         long before = harness.counter("requests");
@@ -61,14 +61,14 @@
     }
 
     /**
-     * A connection in the kernel's backlog counts as accepted. It arrives while one timer runs, and the timer
-     * that ends accepting is due in the same turn, before sockets are looked at: both fell due while the I/O
-     * thread was blocked.
+     * Guards against resetting connections that are in the accept queue when accepting ends. They arrive while one
+     * timer runs, and the timer that ends accepting runs in the same turn of the event loop, before sockets are polled:
+     * both timers became due while the I/O thread was blocked.
      */
     @Test
     void clientInBacklogWhenAcceptingEndsReceivesAResponse() throws Exception {
         harness.startSilent(host("a", primary, "primary", "Ready"));
-        harness.discovery.next(); // A request that the pooler gives up after 1.5 s, which it logs.
+        harness.discovery.next(); // A request that times out after 1.5 s, which the pooler logs.
         harness.awaitReady();
         List<WireConnection> backlogged = new ArrayList<>();
         List<Thread> stopThreads = new ArrayList<>();
@@ -79,7 +79,7 @@
                     harness.whileLoopIsBlocked(() -> PoolerHarness.awaitElapsed(System.nanoTime(), 3_500));
                 },
                 () -> {
-                    for (int i = 0; i < 3; i++) { // Even after accepting had ended, the first would be accepted.
+                    for (int i = 0; i < 3; i++) { // The first would be accepted even after accepting ended.
                         WireConnection client = harness.connectWithoutStartup();
                         client.send(TestMessages.startup(), query(readSql("late" + i, 300)));
                         backlogged.add(client);
@@ -93,14 +93,14 @@
         stopThreads.get(0).join();
     }
 
-    /** Connects a client that sends nothing, and waits until it is closed: as long as a message may be incomplete. */
+    /** Waits for the message timeout, by connecting a client that sends nothing and is closed after it. */
     private void awaitMessageTimeout() throws Exception {
         try (WireConnection silent = harness.connectWithoutStartup()) {
             assertClosedWithError(silent, "57P05");
         }
     }
 
-    /** The slow reader is still served after two message timeouts, one after the other. */
+    /** A slow reader is still served after two message timeouts, which apply to incomplete messages only. */
     @Test
     void slowReaderIsNotClosedAsASilentClient() throws Exception {
         String large = "x".repeat(60_000);
@@ -115,7 +115,7 @@
         }
     }
 
-    /** Bytes behind a request in flight are limited, also while its response waits for its reader. */
+    /** The bytes behind a request in flight are limited, also until its response has been read. */
     @Test
     void excessivePipeliningClosesClientAfterItsLastResponse() throws Exception {
         CountDownLatch mayRespond = new CountDownLatch(1);
@@ -125,9 +125,9 @@
         };
         start();
         try (WireConnection client = harness.client()) {
-            // A write, as a read would be retried on another member and end too soon.
+            // A write, as a read would be retried on another member and end early.
             client.send(query(writeSql("1", 9000)));
-            byte[] excess = query("x".repeat(100_000)); // Of unknown form: an error each.
+            byte[] excess = query("x".repeat(100_000)); // An invalid query, which gets an error.
             for (int i = 0; i < 14; i++) {
                 client.send(excess);
             }
@@ -144,7 +144,7 @@
         }
     }
 
-    /** Adds a server that sends the first bytes of its response, and then closes or resets the connection. */
+    /** Adds a server that sends the first {@code length} bytes of a response, and then closes or resets the connection. */
     private ScriptedPeer truncatingServer(byte[] response, int length, boolean reset) throws Exception {
         return harness.server((text, link) -> {
             link.send(Arrays.copyOf(response, length));
@@ -155,11 +155,11 @@
         });
     }
 
-    /** A response is complete or not served, wherever its connection is closed or reset. */
+    /** A response is served complete or not at all, at whichever byte its connection is closed or reset. */
     @Test
     void responseTruncatedAtAnyByteIsNeverServed() throws Exception {
         byte[] complete = TestMessages.row("cut", "replica");
-        int successes = 5; // Each success earns a fifth of a retry.
+        int successes = 5; // Each success permits a fifth of a retry.
         List<String> hosts = new ArrayList<>(
                 List.of(host("a", primary, "primary", "Ready"), host("b", replica, "replica", "Ready")));
         for (int cut = 0; cut < complete.length; cut++) {
--- a/pooler/src/test/java/frostreel/DisconnectedClientsTest.java
+++ b/pooler/src/test/java/frostreel/DisconnectedClientsTest.java
@@ -19,11 +19,11 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** After a client disconnected or cancelled its request, no attempt is sent for it any more. */
+/** No attempt is sent for a request whose client has disconnected or cancelled it. */
 class DisconnectedClientsTest extends AbstractPoolerTest {
     private final BlockingQueue<WireConnection> handshakes = new LinkedBlockingQueue<>();
 
-    /** Lets the test complete the handshakes of new connections to the replica. */
+    /** Defers the handshakes of new connections to the replica until the test completes them. */
     private void deferHandshakes() {
         replica.handshake = (text, link) -> handshakes.add(link);
     }
@@ -32,7 +32,7 @@
         harness.settings = PoolerHarness.SETTINGS.replace("\"cancel\":true", "\"cancel\":false");
     }
 
-    /** Checks that the next request is the first that the replica receives, on the connection that was pending. */
+    /** Checks that the replica receives nothing before the next request, which uses the pending connection. */
     private void assertNothingIsSentBeforeTheNextRequest(WireConnection pending) throws Exception {
         pending.completeHandshake();
         try (WireConnection client = harness.client()) {
@@ -43,7 +43,7 @@
         assertThat(replica.connections.get()).isEqualTo(1);
     }
 
-    /** A client disconnects while its request waits for a connection, with {@code pipelined} bytes behind that. */
+    /** Disconnects a client whose request waits for a server connection, with {@code pipelined} bytes behind it. */
     private void disconnectBehind(byte[] pipelined) throws Exception {
         disableCancellation();
         deferHandshakes();
@@ -62,15 +62,16 @@
         disconnectBehind(new byte[0]);
     }
 
-    /** The bytes exceed the connection's buffers, so that its end arrives after all of them. */
+    /** The bytes exceed the connection's buffers, so the disconnect is only found once they have been read. */
     @Test
     void disconnectIsDetectedBehindPipelinedBytes() throws Exception {
         disconnectBehind(new byte[1_500_000]);
     }
 
     /**
-     * Responses and disconnects are found in one turn. Each response frees capacity for queued requests, whose
-     * clients' disconnects are still unread then, in all but one of some thousand orders.
+     * Guards against sending queued requests whose clients' disconnects arrive in the same turn of the event loop as the
+     * responses that free capacity for them. In all but one of some thousand orders in which the sockets are read, a
+     * response precedes a disconnect.
      */
     @Test
     void queuedRequestIsNotSentInTheTurnThatDetectsItsDisconnect() throws Exception {
@@ -128,8 +129,8 @@
 
     @Test
     void cancelledQueuedWriteIsNotSentOnceThereIsAPrimary() throws Exception {
-        // Without health checks the primary is searched for by writes.
-        // However many attempts are made before this test sees the second, the write stays queued.
+        // Without health checks, only writes find the primary. The limit on attempts is high enough for the write to
+        // stay queued, however many are made before this test sees the second.
         harness.settings = PoolerHarness.SETTINGS
                 .replace("\"probes\":true", "\"probes\":false")
                 .replace("\"maxAttempts\":4", "\"maxAttempts\":1000");
@@ -139,7 +140,7 @@
         try (CancellableClient client = new CancellableClient()) {
             client.link.send(query(writeSql("gone", 9000)));
             while (wrongRoleOutcomes() < 2) {
-                Thread.onSpinWait(); // Until both members were tried, and the write is queued.
+                Thread.onSpinWait(); // Until both members have rejected the write, and it is queued.
             }
             client.cancelAndAwaitError();
             long attemptsBeforeCancel = harness.counter("attempts");
@@ -173,7 +174,7 @@
             client.cancelAndAwaitError();
             assertThat(replica.closedConnections.take()).isEqualTo("closed");
             assertThat(value(client.link.execute(writeSql("2", 9000)))).isEqualTo("from-primary");
-            client.cancel(client.secret); // The request has ended already.
+            client.cancel(client.secret); // Has no effect, as the request has ended.
             assertThat(value(client.link.execute(writeSql("3", 9000)))).isEqualTo("from-primary");
             assertThat(harness.pooler.counters())
                     .contains(" clients_cancelled=1 ")
--- a/pooler/src/test/java/frostreel/LongValuesTest.java
+++ b/pooler/src/test/java/frostreel/LongValuesTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Values too long to be buffered are streamed. */
+/** Streaming of values that are too long to be buffered. */
 class LongValuesTest extends AbstractPoolerTest {
     private static final int LONG = 4 << 20;
     private static final byte[] VALUE = new byte[LONG];
@@ -96,7 +96,7 @@
             assertThat(client.in.readNBytes(LONG)).isEqualTo(VALUE);
             readTail(client);
             assertThat(replica.connections.get())
-                    .as("the server's connection stayed clean")
+                    .as("the server's connection was reused")
                     .isEqualTo(1);
             assertThat(harness.pooler.counters()).contains("long_answers=2 long_broken=0");
         }
@@ -114,7 +114,7 @@
             assertThat(client.in.readNBytes(LONG).length).isLessThanOrEqualTo(LONG / 2);
             assertThat(client.closedByPeer()).isTrue();
         } catch (SocketException reset) {
-            assertThat(reset).hasMessageContaining("reset"); // A reset tells the client as well.
+            assertThat(reset).hasMessageContaining("reset"); // A reset also reports the truncation to the client.
         }
         assertThat(primary.received).isEmpty();
     }
@@ -157,7 +157,7 @@
         }
     }
 
-    /** Neither a slow reader nor a server that sends byte by byte delays the others. */
+    /** Neither a slow reader nor a server that sends byte by byte delays other clients. */
     @Test
     void slowPeersDoNotDelayOthers() throws Exception {
         CountDownLatch mayContinueDripping = new CountDownLatch(1);
@@ -195,7 +195,7 @@
         }
     }
 
-    /** Twenty rows of 15 MiB that nobody reads until all have begun would take 300 MB if they were buffered. */
+    /** No row is read before all have begun: buffering the twenty rows of 15 MiB would need 300 MiB of a 32 MiB heap. */
     @Test
     void valuesExceedingTheHeapAreReadFromServersAsClientsRead() throws Exception {
         byte[] part = Arrays.copyOf(VALUE, 3 << 20);
@@ -208,7 +208,7 @@
             }
             link.send(TAIL);
         };
-        primary.script = replica.script; // It takes reads while the replica is at its limit.
+        primary.script = replica.script; // It serves reads while the replica is at its concurrency limit.
         String configuration = configuration().replace("\"sockets\":128", "\"sockets\":512");
         List<WireConnection> all = new ArrayList<>();
         try (ServeProcess process = ServeProcess.startWithJvmOptions(
--- a/pooler/src/test/java/frostreel/PausedResponseTest.java
+++ b/pooler/src/test/java/frostreel/PausedResponseTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Connections to servers whose reader paused them in the middle of a long response. */
+/** Server connections that the consumer of a long response has paused. */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class PausedResponseTest {
     private static final byte[] VALUE = new byte[1 << 17];
@@ -43,7 +43,7 @@
         harness.close();
     }
 
-    /** Its reader pauses the source with the last piece, and does not resume it: the response is complete. */
+    /** The source is paused with the last piece, and not resumed, as the response is complete. */
     @Test
     void connectionPausedAtTheEndOfALongResponseServesTheNextAttempt() throws Exception {
         CountDownLatch allButLastPieceRead = new CountDownLatch(1);
@@ -62,7 +62,7 @@
         start(pool, results::add);
 
         assertThat(results.poll(PoolerHarness.TIMEOUT_S, TimeUnit.SECONDS))
-                .as("the answer to the next attempt")
+                .as("the result of the next attempt")
                 .isNotNull()
                 .extracting(Result::outcome)
                 .isEqualTo(Outcome.OK);
@@ -83,7 +83,7 @@
                         "a", timeoutUs -> TestMessages.query("SELECT v FROM records"), ATTEMPT_TIMEOUT_US, listener));
     }
 
-    /** Counts the bytes of a long response, and pauses its source with the last of them. */
+    /** Counts the bytes of a long response, and pauses its source at the last of them. */
     private final class PausingListener implements BackEnd.AttemptListener {
         private final CountDownLatch allButLastPieceRead;
         private int missingBytes = LongValuesTest.head(VALUE.length, VALUE.length).length + VALUE.length;
--- a/pooler/src/test/java/frostreel/PipelineTest.java
+++ b/pooler/src/test/java/frostreel/PipelineTest.java
@@ -14,14 +14,14 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import org.junit.jupiter.api.Test;
 
-/** Pipelined requests: each has its deadline from its own arrival, and responses keep their order. */
+/** Pipelined requests: the deadline of each counts from its own arrival, and responses keep their order. */
 class PipelineTest extends AbstractPoolerTest {
     private static final int SHORT_DEADLINE_MS = 300;
     private static final int LONG_DEADLINE_MS = 9000;
     private static final int PIPELINED = 200;
     private final BlockingQueue<WireConnection> serversOfFirstRequest = new LinkedBlockingQueue<>();
 
-    /** Starts the pooler; the test itself sends the response to the first request. */
+    /** Starts a pooler whose primary leaves the response to the first request to the test. */
     private void startWithFirstResponseDeferred() throws Exception {
         ScriptedPeer.Script defaultScript = rows("from-primary", "primary");
         primary.script = (text, link) -> {
@@ -38,10 +38,10 @@
         return query(writeSql("first", LONG_DEADLINE_MS));
     }
 
-    /** Waits until all requests were read and the short deadline has passed, and returns the server's connection. */
+    /** Waits until all requests have been read and the short deadline has passed; returns the server's connection. */
     private WireConnection awaitFirstSentAndShortDeadlinePassed() throws Exception {
         WireConnection link = serversOfFirstRequest.take();
-        try (WireConnection other = harness.client()) { // Read no earlier than in the same turn.
+        try (WireConnection other = harness.client()) { // Not read in an earlier turn than the requests.
             other.execute("");
             other.execute("");
         }
@@ -163,8 +163,8 @@
         assertThat(times.take(15)).isEqualTo(100_000);
         assertThat(times.take(14)).isEqualTo(200_000);
         assertThat(times.take(0)).isEqualTo(300_000);
-        times.add(3, 300_001); // Nothing is pending, so that this starts anew.
-        times.add(3, 300_900); // Within the grain of the times, so that the earlier one counts.
+        times.add(3, 300_001); // Nothing is pending, so the resolution is reset.
+        times.add(3, 300_900); // Within the resolution, so it is merged with the earlier time.
         assertThat(times.take(0)).isEqualTo(300_001);
     }
 
--- a/pooler/src/test/java/frostreel/frontend/ClientBacklogTest.java
+++ b/pooler/src/test/java/frostreel/frontend/ClientBacklogTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** How much may wait behind a request, and the arrival time of each message, on a clock that tests move. */
+/** The size limits and the arrival times of a client's backlog, with a manual clock. */
 class ClientBacklogTest {
     private static final int MIB = 1 << 20;
     private static final int KIB = 1 << 10;
--- a/pooler/src/test/java/frostreel/frontend/IdleTimerTest.java
+++ b/pooler/src/test/java/frostreel/frontend/IdleTimerTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The timeouts of a client without an active request, on a clock that tests move. */
+/** The timeouts of a client without an active request, with a manual clock. */
 class IdleTimerTest {
     private long nowUs = 1_000_000;
     private int pendingBytes;
--- a/pooler/src/test/java/frostreel/frontend/LingeringCloseTest.java
+++ b/pooler/src/test/java/frostreel/frontend/LingeringCloseTest.java
@@ -5,7 +5,7 @@
 import frostreel.time.Deadlines;
 import org.junit.jupiter.api.Test;
 
-/** How long, and for how many bytes, a closed client is still read from, on a clock that tests move. */
+/** The time limit and the byte limit of a lingering close, with a manual clock. */
 class LingeringCloseTest {
     private static final long LINGER_US = 300_000;
     private long nowUs;
--- a/pooler/src/test/java/frostreel/util/SlotTableTest.java
+++ b/pooler/src/test/java/frostreel/util/SlotTableTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Handles of slots that were freed and reused. */
+/** Stale handles, whose slots were freed or reused. */
 class SlotTableTest {
     @Test
     void findsNothingByStaleHandle() {
