--- a/pooler/src/test/java/frostreel/LongValuesTest.java
+++ b/pooler/src/test/java/frostreel/LongValuesTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Values too long to be buffered are streamed. */
+/** Streaming of values that are too long to be buffered. */
 class LongValuesTest extends AbstractPoolerTest {
     private static final int LONG = 4 << 20;
     private static final byte[] VALUE = new byte[LONG];
@@ -53,7 +53,7 @@
         return out.toByteArray();
     }
 
-    private static ScriptedPeer.Script whole(byte[] value) {
+    private static ScriptedPeer.Script completeResponse(byte[] value) {
         return (text, link) -> link.send(head(value.length, value.length), value, TAIL);
     }
 
@@ -73,10 +73,10 @@
 
     @Test
     void longValueIsStreamedAndItsConnectionReused() throws Exception {
-        CountDownLatch first = new CountDownLatch(1);
+        CountDownLatch headRead = new CountDownLatch(1);
         replica.script = (text, link) -> {
             link.send(head(LONG, LONG), Arrays.copyOf(VALUE, 100));
-            PoolerHarness.await(first);
+            PoolerHarness.await(headRead);
             link.send(Arrays.copyOfRange(VALUE, 100, LONG));
             for (byte tailByte : TAIL) {
                 link.out.write(tailByte);
@@ -86,17 +86,17 @@
             client.send(TestMessages.query(readSql("1", 9000)), TestMessages.query(writeSql("2", 9000)));
             readHead(client, LONG);
             assertThat(client.in.readNBytes(100)).isEqualTo(Arrays.copyOf(VALUE, 100));
-            first.countDown();
+            headRead.countDown();
             assertThat(client.in.readNBytes(LONG - 100)).isEqualTo(Arrays.copyOfRange(VALUE, 100, LONG));
             readTail(client);
             assertThat(client.readResponse().get(1)).endsWith("from-primary");
-            replica.script = whole(VALUE);
+            replica.script = completeResponse(VALUE);
             client.send(TestMessages.query(readSql("3", 9000)));
             readHead(client, LONG);
             assertThat(client.in.readNBytes(LONG)).isEqualTo(VALUE);
             readTail(client);
             assertThat(replica.connections.get())
-                    .as("the server's connection stayed clean")
+                    .as("the server's connection was reused")
                     .isEqualTo(1);
             assertThat(harness.pooler.counters()).contains("long_answers=2 long_broken=0");
         }
@@ -114,7 +114,7 @@
             assertThat(client.in.readNBytes(LONG).length).isLessThanOrEqualTo(LONG / 2);
             assertThat(client.closedByPeer()).isTrue();
         } catch (SocketException reset) {
-            assertThat(reset).hasMessageContaining("reset"); // A reset tells the client as well.
+            assertThat(reset).hasMessageContaining("reset"); // A reset also reports the truncation to the client.
         }
         assertThat(primary.received).isEmpty();
     }
@@ -133,16 +133,16 @@
 
     @Test
     void clientDisconnectWithinLongValueStopsTheServer() throws Exception {
-        CountDownLatch first = new CountDownLatch(1);
+        CountDownLatch headRead = new CountDownLatch(1);
         replica.script = (text, link) -> {
             link.send(head(LONG, LONG), Arrays.copyOf(VALUE, LONG / 2));
-            PoolerHarness.await(first);
+            PoolerHarness.await(headRead);
         };
         try (WireConnection client = harness.client()) {
             client.send(TestMessages.query(readSql("1", 9000)));
             readHead(client, LONG);
         }
-        first.countDown();
+        headRead.countDown();
         replica.closedConnections.take();
         try (WireConnection client = harness.client()) {
             assertThat(client.execute(writeSql("2", 9000)).get(1)).endsWith("from-primary");
@@ -157,20 +157,20 @@
         }
     }
 
-    /** Neither a slow reader nor a server that sends byte by byte delays the others. */
+    /** Neither a slow reader nor a server that sends byte by byte delays other clients. */
     @Test
     void slowPeersDoNotDelayOthers() throws Exception {
-        CountDownLatch dripOn = new CountDownLatch(1);
+        CountDownLatch mayContinueDripping = new CountDownLatch(1);
         replica.script = (text, link) -> {
             if (text.contains("id=drip,")) {
                 link.send(head(LONG, LONG), Arrays.copyOf(VALUE, 1));
-                PoolerHarness.await(dripOn);
+                PoolerHarness.await(mayContinueDripping);
                 for (int i = 1; i < 40; i++) {
                     link.out.write(VALUE[i]);
                 }
                 link.send(Arrays.copyOfRange(VALUE, 40, LONG), TAIL);
             } else {
-                whole(VALUE).respond(text, link);
+                completeResponse(VALUE).respond(text, link);
             }
         };
         try (WireConnection slow = harness.client();
@@ -187,7 +187,7 @@
                 readTail(quick);
                 assertThat(slow.in.readNBytes(1000)).isEqualTo(Arrays.copyOfRange(VALUE, 1000 * i, 1000 * i + 1000));
             }
-            dripOn.countDown();
+            mayContinueDripping.countDown();
             assertThat(drip.in.readNBytes(LONG)).isEqualTo(VALUE);
             readTail(drip);
             assertThat(slow.in.readNBytes(LONG - 5000)).isEqualTo(Arrays.copyOfRange(VALUE, 5000, LONG));
@@ -195,9 +195,9 @@
         }
     }
 
-    /** Twenty rows of 15 MiB that nobody reads until all have begun would take 300 MB if they were buffered. */
+    /** No row is read before all have begun: buffering the twenty rows of 15 MiB would need 300 MiB of a 32 MiB heap. */
     @Test
-    void valuesBeyondMemoryWaitAtTheirServers() throws Exception {
+    void valuesExceedingTheHeapAreReadFromServersAsClientsRead() throws Exception {
         byte[] part = Arrays.copyOf(VALUE, 3 << 20);
         int parts = 5;
         int clients = 20;
@@ -208,7 +208,7 @@
             }
             link.send(TAIL);
         };
-        primary.script = replica.script; // It takes reads while the replica is at its limit.
+        primary.script = replica.script; // It serves reads while the replica is at its concurrency limit.
         String configuration = configuration().replace("\"sockets\":128", "\"sockets\":512");
         List<WireConnection> all = new ArrayList<>();
         try (ServeProcess process = ServeProcess.startWithJvmOptions(
--- a/pooler/src/test/java/frostreel/PipelineTest.java
+++ b/pooler/src/test/java/frostreel/PipelineTest.java
@@ -14,21 +14,21 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import org.junit.jupiter.api.Test;
 
-/** Pipelined requests: each has its deadline from its own arrival, and responses keep their order. */
+/** Pipelined requests: the deadline of each counts from its own arrival, and responses keep their order. */
 class PipelineTest extends AbstractPoolerTest {
     private static final int SHORT_DEADLINE_MS = 300;
     private static final int LONG_DEADLINE_MS = 9000;
     private static final int PIPELINED = 200;
-    private final BlockingQueue<WireConnection> held = new LinkedBlockingQueue<>();
+    private final BlockingQueue<WireConnection> serversOfFirstRequest = new LinkedBlockingQueue<>();
 
-    /** Starts the pooler; the test itself sends the response to the first request. */
-    private void holdFirst() throws Exception {
-        ScriptedPeer.Script usual = rows("from-primary", "primary");
+    /** Starts a pooler whose primary leaves the response to the first request to the test. */
+    private void startWithFirstResponseDeferred() throws Exception {
+        ScriptedPeer.Script defaultScript = rows("from-primary", "primary");
         primary.script = (text, link) -> {
             if (text.contains("id=first,")) {
-                held.add(link);
+                serversOfFirstRequest.add(link);
             } else {
-                usual.respond(text, link);
+                defaultScript.respond(text, link);
             }
         };
         start();
@@ -38,10 +38,10 @@
         return query(writeSql("first", LONG_DEADLINE_MS));
     }
 
-    /** Waits until all requests were read and the short deadline has passed, and returns the server's connection. */
-    private WireConnection awaitFirstSentAndShortDeadlineOver() throws Exception {
-        WireConnection link = held.take();
-        try (WireConnection other = harness.client()) { // Read no earlier than in the same turn.
+    /** Waits until all requests have been read and the short deadline has passed; returns the server's connection. */
+    private WireConnection awaitFirstSentAndShortDeadlinePassed() throws Exception {
+        WireConnection link = serversOfFirstRequest.take();
+        try (WireConnection other = harness.client()) { // Not read in an earlier turn than the requests.
             other.execute("");
             other.execute("");
         }
@@ -49,7 +49,7 @@
         return link;
     }
 
-    private static void answerFirst(WireConnection link) throws Exception {
+    private static void respondToFirst(WireConnection link) throws Exception {
         link.send(row("of-first", "primary"), TestMessages.READY);
     }
 
@@ -68,11 +68,11 @@
 
     @Test
     void countsTimeInThePipelineAgainstTheDeadline() throws Exception {
-        holdFirst();
+        startWithFirstResponseDeferred();
         try (WireConnection client = harness.client()) {
             client.send(
                     first(), query(readSql("expired", SHORT_DEADLINE_MS)), query(readSql("open", LONG_DEADLINE_MS)));
-            answerFirst(awaitFirstSentAndShortDeadlineOver());
+            respondToFirst(awaitFirstSentAndShortDeadlinePassed());
             assertThat(value(client.readResponse())).isEqualTo("of-first");
             assertRejected(client.readResponse());
             assertThat(value(client.readResponse())).isEqualTo("from-replica");
@@ -85,11 +85,11 @@
 
     @Test
     void keepsDeadlinesOfRequestsBehindCancelledOne() throws Exception {
-        holdFirst();
+        startWithFirstResponseDeferred();
         try (CancellableClient client = new CancellableClient()) {
             client.link.send(
                     first(), query(readSql("expired", SHORT_DEADLINE_MS)), query(readSql("open", LONG_DEADLINE_MS)));
-            awaitFirstSentAndShortDeadlineOver();
+            awaitFirstSentAndShortDeadlinePassed();
             client.cancelAndAwaitError();
             assertRejected(client.link.readResponse());
             assertThat(value(client.link.readResponse())).isEqualTo("from-replica");
@@ -98,14 +98,14 @@
     }
 
     @Test
-    void answersPipelinedRequestsInOrderAtShutdown() throws Exception {
-        holdFirst();
+    void respondsToPipelinedRequestsInOrderAtShutdown() throws Exception {
+        startWithFirstResponseDeferred();
         try (WireConnection client = harness.client()) {
             client.send(
                     first(), query(readSql("expired", SHORT_DEADLINE_MS)), query(readSql("open", LONG_DEADLINE_MS)));
-            WireConnection link = awaitFirstSentAndShortDeadlineOver();
+            WireConnection link = awaitFirstSentAndShortDeadlinePassed();
             stopPooler();
-            answerFirst(link);
+            respondToFirst(link);
             assertThat(value(client.readResponse())).isEqualTo("of-first");
             assertRejected(client.readResponse());
             assertThat(value(client.readResponse())).isEqualTo("from-replica");
@@ -115,9 +115,9 @@
     }
 
     @Test
-    void answersEachPipelinedMessageOnceAndInOrder() throws Exception {
+    void respondsToEachPipelinedMessageOnceAndInOrder() throws Exception {
         replica.script = (text, link) -> link.send(row(TestMessages.requestId(text), "replica"), TestMessages.READY);
-        holdFirst();
+        startWithFirstResponseDeferred();
         ByteArrayOutputStream all = new ByteArrayOutputStream();
         all.writeBytes(first());
         for (int i = 1; i < PIPELINED; i++) {
@@ -131,7 +131,7 @@
         }
         try (WireConnection client = harness.client()) {
             client.send(all.toByteArray());
-            answerFirst(awaitFirstSentAndShortDeadlineOver());
+            respondToFirst(awaitFirstSentAndShortDeadlinePassed());
             assertThat(value(client.readResponse())).isEqualTo("of-first");
             for (int i = 1; i < PIPELINED; i++) {
                 List<String> response = client.readResponse();
@@ -163,8 +163,8 @@
         assertThat(times.take(15)).isEqualTo(100_000);
         assertThat(times.take(14)).isEqualTo(200_000);
         assertThat(times.take(0)).isEqualTo(300_000);
-        times.add(3, 300_001); // Nothing is pending, so that this starts anew.
-        times.add(3, 300_900); // Within the grain of the times, so that the earlier one counts.
+        times.add(3, 300_001); // Nothing is pending, so the resolution is reset.
+        times.add(3, 300_900); // Within the resolution, so it is merged with the earlier time.
         assertThat(times.take(0)).isEqualTo(300_001);
     }
 
