--- a/pooler/src/main/java/frostreel/control/AdminListener.java
+++ b/pooler/src/main/java/frostreel/control/AdminListener.java
@@ -13,7 +13,7 @@
 /**
  * The admin endpoint: owns the listening socket for operators, and their connections. These have a separate limit
  * and use descriptors reserved for the program itself, so that neither clients nor idle admin connections can lock
- * an operator out. Confined to the event loop.
+ * an operator out. Confined to the I/O thread.
  */
 public final class AdminListener {
     /** Maximum number of open connections; accepting another one closes the oldest. */
--- a/pooler/src/main/java/frostreel/control/AdminRequest.java
+++ b/pooler/src/main/java/frostreel/control/AdminRequest.java
@@ -9,9 +9,9 @@
     enum Verb {
         /** Queries whether this process is ready for clients. */
         STATUS,
-        /** Drains the clients of this pooler. */
+        /** Drains the processes of this pooler: clients are sent away until {@link #RESUME}. */
         PAUSE,
-        /** Ends a pause, so that clients are served again. */
+        /** Ends a pause: clients are served again. */
         RESUME,
         /** Takes a server out of service. */
         SUSPEND,
--- a/pooler/src/main/java/frostreel/control/AdminResponse.java
+++ b/pooler/src/main/java/frostreel/control/AdminResponse.java
@@ -22,7 +22,7 @@
         this.line = line;
     }
 
-    /** Whether the request was executed. */
+    /** Whether the response reports success: the command was executed or, for STATUS, the process is ready. */
     boolean isSuccess() {
         return success;
     }
--- a/pooler/src/main/java/frostreel/control/CommandExecutor.java
+++ b/pooler/src/main/java/frostreel/control/CommandExecutor.java
@@ -18,8 +18,8 @@
 
 /**
  * Executes operators' commands, whether sent to this process or replicated from another one: applies them to the
- * serving lifecycle and to the endpoints. A command takes effect before the response is sent. Confined to the event
- * loop.
+ * serving lifecycle and to the endpoints. A command takes effect before the response is sent. Confined to the I/O
+ * thread.
  */
 public final class CommandExecutor {
     private static final Logger LOG = Logger.getLogger(CommandExecutor.class.getName());
--- a/pooler/src/main/java/frostreel/control/CommandReplicator.java
+++ b/pooler/src/main/java/frostreel/control/CommandReplicator.java
@@ -6,8 +6,8 @@
 import java.util.function.Consumer;
 
 /**
- * Exchanges operators' commands with the earlier, concurrent and later processes of this pooler. Called on the event
- * loop, which it does not block; callbacks run there.
+ * Exchanges operators' commands with the earlier, concurrent and later processes of this pooler. Called on the I/O
+ * thread, which it does not block; callbacks run there.
  */
 interface CommandReplicator {
     /** Receives commands that other processes have stored. */
--- a/pooler/src/main/java/frostreel/control/EndpointPublisher.java
+++ b/pooler/src/main/java/frostreel/control/EndpointPublisher.java
@@ -9,8 +9,8 @@
 import java.util.List;
 
 /**
- * Publishes endpoint lists to the server pool and the router, with the operators' commands applied to the servers.
- * Every endpoint list is published here. Confined to the event loop.
+ * Publishes endpoint lists to the server pool and, through the broker, to the router, with the operators' commands
+ * applied to the servers. Every endpoint list is published here. Confined to the I/O thread.
  */
 final class EndpointPublisher {
     private final MaintenanceOverlay overlay;
@@ -34,6 +34,7 @@
         pool.closeUnwanted();
     }
 
+    /** Pairs each member with the address at the same index; the overlay keeps the order and number of members. */
     private static List<EndpointList.Endpoint> withAddressesOf(EndpointList list, List<Router.Member> members) {
         List<EndpointList.Endpoint> endpoints = new ArrayList<>(members.size());
         for (int i = 0; i < members.size(); i++) {
--- a/pooler/src/main/java/frostreel/control/FileCommandReplicator.java
+++ b/pooler/src/main/java/frostreel/control/FileCommandReplicator.java
@@ -13,8 +13,8 @@
 
 /**
  * Replicates commands through files: each process writes its commands to a {@link CommandStore} and polls it for
- * commands of the others. The store is confined to the worker's single task thread; results are passed to the event
- * loop.
+ * commands of the others. The store is confined to the worker's single task thread; results are passed to the I/O
+ * thread.
  */
 final class FileCommandReplicator implements CommandReplicator {
     /** A fraction of the 1 s within which a command must be in force in all processes. */
@@ -30,9 +30,14 @@
     private final CommandStore store;
     /** Whether the last read failed, so that an outage is logged once; confined to the task thread. */
     private boolean readFailing;
-    /** The commands published last, null once they are written; confined to the event loop. */
+    /** The commands published last, null once they are written; confined to the I/O thread. */
     private Map<CommandTarget, CommandState> unwritten;
 
+    /**
+     * Creates a replicator; nothing is read or written yet.
+     *
+     * @param incarnation identifier of this process, unique among all processes that use the folder
+     */
     FileCommandReplicator(EventLoop loop, Path folder, String incarnation) {
         this.loop = loop;
         store = new CommandStore(folder, incarnation);
@@ -105,7 +110,7 @@
         });
     }
 
-    /** Runs a task that may block on the task thread, and passes its result to the event loop. */
+    /** Runs a task, which may block, on the task thread, and passes its result to the I/O thread. */
     private <T> void runTask(Supplier<T> task, Consumer<T> onResult) {
         try {
             loop.worker().execute(() -> {
@@ -121,6 +126,7 @@
         }
     }
 
+    /** Deletes files that no process needs any more, see {@link CommandStore#removeStale}. */
     private void removeStale() {
         try {
             store.removeStale();
--- a/pooler/src/main/java/frostreel/log/EventLog.java
+++ b/pooler/src/main/java/frostreel/log/EventLog.java
@@ -16,9 +16,9 @@
     public enum Kind {
         /** A request was rejected without a server's response. */
         REQUEST_REJECTED,
-        /** A request failed at a server. */
+        /** The router failed a request, which may or may not have been executed. */
         REQUEST_FAILED,
-        /** The router did not complete a request before its deadline. */
+        /** The router left a request open for too long past its deadline, so the broker failed it. */
         REQUEST_OVERDUE,
         /** The client cancelled its request or disconnected. */
         REQUEST_CANCELLED,
@@ -73,7 +73,10 @@
         }
     }
 
-    /** Returns a log that writes nothing, for requests in virtual time. */
+    /**
+     * Returns a log that writes nothing, for brokers in virtual time: its clock stands still, so the limit of each
+     * kind stays reached.
+     */
     public static EventLog silent() {
         EventLog log = new EventLog(() -> 0);
         log.windows.values().forEach(window -> window.lines = MAX_LINES_PER_SECOND);
--- a/pooler/src/main/java/frostreel/stats/Counters.java
+++ b/pooler/src/main/java/frostreel/stats/Counters.java
@@ -32,7 +32,7 @@
     public long requestsAbandoned;
     /** Requests that were cancelled by CancelRequest. */
     public long requestsCancelled;
-    /** Requests that the router had not completed at their deadlines. */
+    /** Requests that the router left open for too long past their deadlines, so the broker failed them. */
     public long requestsOverdue;
     /** Requests rejected because requests in flight occupied nearly all client connections. */
     public long requestsRejectedForOverload;
--- a/pooler/src/test/java/frostreel/DiscoveryTest.java
+++ b/pooler/src/test/java/frostreel/DiscoveryTest.java
@@ -38,8 +38,9 @@
 
     private void startWatch() throws Exception {
         harness.discovery.script = inTurn(responses);
-        responses.add(respondWith(list(1, false)));
+        responses.add(respondWith(list(1, false))); // An update without changed servers.
         harness.startSilent(host("a", primary, "primary", "Ready"), host("b", replica, "replica", "Ready"));
+        // wait=1 (ms) asks the agent to respond at once; later polls are long.
         assertThat(harness.discovery.next()).contains("index=0&wait=1 ");
         assertThat(harness.discovery.next()).contains("index=1&").doesNotContain("wait=1 ");
     }
@@ -107,9 +108,9 @@
         assertThat(harness.pooler.counters()).contains(" discovery_failures=1 ");
     }
 
-    /** A cancelled connect must not complete or be retried later as a second watch. */
+    /** A watch that is replaced while it waits to reconnect must not connect later, in addition to its successor. */
     @Test
-    void watchStoppedWhileConnectingMakesNoFurtherConnection() throws Exception {
+    void watchReplacedWhileWaitingToReconnectMakesNoFurtherConnection() throws Exception {
         startWatch();
         ScriptedPeer unreachableAgent = harness.agent(SILENCE);
         unreachableAgent.close(); // The connect is refused and retried after a backoff.
@@ -172,8 +173,11 @@
     private static final String SHORT_DRAIN_LIMIT =
             PoolerHarness.SETTINGS.replace("\"stopSendingWithinS\":1", "\"stopSendingWithinS\":0.25");
 
-    /** The event loop finds the clients' requests and the endpoint list update in one turn, in arbitrary order. */
-    private void assertWatchEventsAreAppliedFirstAfterAShortPause() throws Exception {
+    /**
+     * After the event loop was blocked briefly, it finds the clients' requests and an endpoint list update in one
+     * turn. It must apply the update first, so that no request is sent to the draining replica.
+     */
+    private void assertWatchEventsAreAppliedFirstAfterTheLoopWasBlockedBriefly() throws Exception {
         CountDownLatch written = new CountDownLatch(1);
         List<WireConnection> clients = new ArrayList<>();
         for (int i = 0; i < PoolerHarness.MAX_WAITING_REQUESTS; i++) {
@@ -191,7 +195,7 @@
                 written.countDown();
             });
             written.await();
-            PoolerHarness.awaitElapsed(since, 100); // Two fifths of the limit on sends to a draining server.
+            PoolerHarness.awaitElapsed(since, 100); // Two fifths of SHORT_DRAIN_LIMIT; polls are due after one fifth.
         });
         for (WireConnection client : clients) {
             assertThat(value(client.readResponse())).isEqualTo("from-primary");
@@ -201,22 +205,25 @@
     }
 
     @Test
-    void watchEventsAreAppliedFirstAfterAShortPause() throws Exception {
+    void watchEventsAreAppliedFirstAfterTheLoopWasBlockedBriefly() throws Exception {
         harness.settings = SHORT_DRAIN_LIMIT;
         startWatch();
-        assertWatchEventsAreAppliedFirstAfterAShortPause();
+        assertWatchEventsAreAppliedFirstAfterTheLoopWasBlockedBriefly();
     }
 
     @Test
-    void reloadChangesWhatCountsAsAPause() throws Exception {
+    void reloadChangesTheIntervalOfWatchEventPolls() throws Exception {
         startWatch();
         harness.settings = SHORT_DRAIN_LIMIT;
         harness.reload(harness.discovery);
         harness.awaitCounter("reloads=1");
-        assertWatchEventsAreAppliedFirstAfterAShortPause();
+        assertWatchEventsAreAppliedFirstAfterTheLoopWasBlockedBriefly();
     }
 
-    /** An agent that always exceeds the timeout must still be able to deliver updates. */
+    /**
+     * A poll that times out stays open while a second one is sent, so that an agent that is always late can still
+     * deliver updates.
+     */
     @Test
     void lateResponseIsAppliedAndTheSecondPollCancelled() throws Exception {
         startWatch();
@@ -225,7 +232,7 @@
         assertThat(harness.discovery.next()).contains("index=1&wait=1 ");
         assertThat(harness.discovery.closedConnections.take()).isEqualTo("closed");
         responses.add((text, link) -> late.add(link));
-        WireConnection first = late.take();
+        WireConnection first = late.take(); // Gets no response yet, so its poll times out.
         assertThat(harness.discovery.next()).as("in addition to the late one").contains("index=1&wait=1 ");
         responses.add(SILENCE);
         first.send(http(changes(2, "Terminating")));
--- a/pooler/src/test/java/frostreel/control/AdminRequestParserTest.java
+++ b/pooler/src/test/java/frostreel/control/AdminRequestParserTest.java
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void skipsSurroundingAndRepeatedSpaces() {
+    void skipsSurroundingWhiteSpaceAndRepeatedSpaces() {
         assertThat(AdminRequestParser.parse("  STATUS \r")).isEqualTo(new AdminRequest(Verb.STATUS, ""));
         assertThat(AdminRequestParser.parse("SUSPEND    a")).isEqualTo(new AdminRequest(Verb.SUSPEND, "a"));
     }
