--- a/pooler/src/main/java/frostreel/frontend/ArrivalTimes.java
+++ b/pooler/src/main/java/frostreel/frontend/ArrivalTimes.java
@@ -19,7 +19,7 @@
     private static final int INITIAL_ARRIVALS = 4;
     private static final long INITIAL_RESOLUTION_US = 1000;
 
-    /** The end offset of each arrival; {@code ends} and {@code timesUs} are in use from {@code first} to {@code next}. */
+    /** The end offset of each arrival; like {@code timesUs}, in use from {@code first} to {@code next}. */
     private long[] ends = new long[INITIAL_ARRIVALS];
 
     private long[] timesUs = new long[INITIAL_ARRIVALS];
--- a/pooler/src/main/java/frostreel/frontend/ClientConnection.java
+++ b/pooler/src/main/java/frostreel/frontend/ClientConnection.java
@@ -78,7 +78,7 @@
         return phase == Phase.STARTUP || phase == Phase.RUNNING;
     }
 
-    /** Whether the client has no request, no unread response and no incomplete message; false once the connection ends. */
+    /** Whether the client has no request, unread response or incomplete message; false once the connection ends. */
     boolean isIdle() {
         return phase == Phase.RUNNING && !request.isActive() && stream.flushed() && input.isEmpty();
     }
--- a/pooler/src/main/java/frostreel/frontend/ClientDrainer.java
+++ b/pooler/src/main/java/frostreel/frontend/ClientDrainer.java
@@ -20,7 +20,7 @@
         this.limits = limits;
     }
 
-    /** Closes the connection of an idle client if the lifecycle requires it, or else limits the number of idle clients. */
+    /** Closes an idle client if the lifecycle requires it, or else limits the number of idle clients. */
     void onIdle(ClientConnection client) {
         if (!client.isIdle()) {
             return;
--- a/pooler/src/main/java/frostreel/frontend/IdleTimer.java
+++ b/pooler/src/main/java/frostreel/frontend/IdleTimer.java
@@ -32,7 +32,7 @@
 
     private long sinceUs;
 
-    /** Creates a timer; {@code pendingBytes} supplies the number of bytes of its response that the client has not read. */
+    /** Creates a timer; {@code pendingBytes} supplies the unread bytes of the client's response. */
     IdleTimer(Clock clock, Deadlines deadlines, IntSupplier pendingBytes, Handler handler) {
         this.clock = clock;
         this.deadlines = deadlines;
--- a/pooler/src/main/java/frostreel/util/SlotTable.java
+++ b/pooler/src/main/java/frostreel/util/SlotTable.java
@@ -4,8 +4,8 @@
 import java.util.function.Consumer;
 
 /**
- * A table of numbered slots. A handle consists of a slot's number and generation, so that a stale handle, whose slot was
- * freed or reused, finds nothing.
+ * A table of numbered slots. A handle consists of a slot's number and generation, so that a stale handle, whose slot
+ * was freed or reused, finds nothing.
  */
 public final class SlotTable<T> {
     /** A handle that refers to no slot. */
--- a/pooler/src/test/java/frostreel/ConnectionCloseTest.java
+++ b/pooler/src/test/java/frostreel/ConnectionCloseTest.java
@@ -144,7 +144,7 @@
         }
     }
 
-    /** Adds a server that sends the first {@code length} bytes of a response, and then closes or resets the connection. */
+    /** Adds a server that sends {@code length} bytes of a response, and then closes or resets the connection. */
     private ScriptedPeer truncatingServer(byte[] response, int length, boolean reset) throws Exception {
         return harness.server((text, link) -> {
             link.send(Arrays.copyOf(response, length));
--- a/pooler/src/test/java/frostreel/DisconnectedClientsTest.java
+++ b/pooler/src/test/java/frostreel/DisconnectedClientsTest.java
@@ -69,9 +69,9 @@
     }
 
     /**
-     * Guards against sending queued requests whose clients' disconnects arrive in the same turn of the event loop as the
-     * responses that free capacity for them. In all but one of some thousand orders in which the sockets are read, a
-     * response precedes a disconnect.
+     * Guards against sending queued requests whose clients' disconnects arrive in the same turn of the event loop as
+     * the responses that free capacity for them. In all but one of some thousand orders in which the sockets are read,
+     * a response precedes a disconnect.
      */
     @Test
     void queuedRequestIsNotSentInTheTurnThatDetectsItsDisconnect() throws Exception {
--- a/pooler/src/test/java/frostreel/LongValuesTest.java
+++ b/pooler/src/test/java/frostreel/LongValuesTest.java
@@ -195,7 +195,7 @@
         }
     }
 
-    /** No row is read before all have begun: buffering the twenty rows of 15 MiB would need 300 MiB of a 32 MiB heap. */
+    /** No row is read until all have begun: buffering 20 rows of 15 MiB would need 300 MiB of a 32 MiB heap. */
     @Test
     void valuesExceedingTheHeapAreReadFromServersAsClientsRead() throws Exception {
         byte[] part = Arrays.copyOf(VALUE, 3 << 20);
