--- a/pooler/src/main/java/frostreel/backend/Attempt.java
+++ b/pooler/src/main/java/frostreel/backend/Attempt.java
@@ -6,7 +6,7 @@
 import frostreel.time.Deadlines;
 import java.nio.charset.StandardCharsets;
 
-/** An attempt or a health check, either running on a connection or waiting for one. */
+/** An attempt of a request, or a health check, that runs on a connection or waits for one. */
 final class Attempt {
     private static final byte[] HEALTH_CHECK_QUERY = Messages.query("SHOW load\0".getBytes(StandardCharsets.US_ASCII));
 
@@ -23,7 +23,7 @@
     long handle;
     /** The connection on which it runs, null while it waits for one. */
     ServerConnection connection;
-    /** Timeout of a health check; null for an attempt, whose timeout is kept by its sender. */
+    /** Timeout of a health check; null for an attempt of a request, whose timeout is kept by its sender. */
     Deadlines.Deadline timeout;
 
     private Attempt(Server server, Payload payload, long timeoutAtUs, BackEnd.AttemptListener listener) {
--- a/pooler/src/main/java/frostreel/backend/Server.java
+++ b/pooler/src/main/java/frostreel/backend/Server.java
@@ -30,7 +30,7 @@
         this.address = address;
     }
 
-    /** {@code goneServersUsable}: whether a server that is gone stays usable unless it has been draining before. */
+    /** Applies a state: UP is usable; GONE is if {@code goneServersUsable} and the server has never been draining. */
     void setState(Router.State state, boolean goneServersUsable) {
         wasDraining |= state == Router.State.DRAINING;
         usable = state == Router.State.UP || (state == Router.State.GONE && goneServersUsable && !wasDraining);
--- a/pooler/src/main/java/frostreel/backend/ServerConnection.java
+++ b/pooler/src/main/java/frostreel/backend/ServerConnection.java
@@ -21,7 +21,8 @@
 
 /**
  * One connection to a server, which runs at most one attempt at a time. Once open, it alternates between idle and busy;
- * it is closed at the first byte that belongs to no attempt. Used on the I/O thread.
+ * it is closed if bytes arrive that belong neither to the startup nor to the response of its attempt. Used on the I/O
+ * thread.
  */
 final class ServerConnection implements SocketStream.Handler, BackEnd.ResponseSource {
     private enum Phase {
@@ -201,6 +202,7 @@
     /** Returns false if the row is no longer wanted; the connection has been closed then. */
     private boolean beginLongRow(int rowBytes) throws PgException {
         boolean forRequest = attempt != null && !attempt.isHealthCheck();
+        // Throws for a health check, and during startup, when there is no attempt.
         byte[] head = response.beginLongRow(forRequest && reader.rowHoldsOneValue());
         BackEnd.ResponseStream target = attempt.listener.longResponseBegins(this);
         if (target == null) {
@@ -279,7 +281,7 @@
         close();
     }
 
-    /** Closes the connection, and finishes its attempt with this result. */
+    /** Closes the connection and finishes its attempt, if any, with this result; during startup, fails the opening. */
     private void end(BackEnd.Result result) {
         if (phase == Phase.STARTUP) {
             failOpening(Outcome.CONNECT_FAILED);
--- a/pooler/src/main/java/frostreel/backend/ServerPool.java
+++ b/pooler/src/main/java/frostreel/backend/ServerPool.java
@@ -142,8 +142,8 @@
 
     /**
      * Closes the longest idle connection to any server, as that one is the least likely to be needed again soon.
-     * Evicting connections that are needed at once costs the server a handshake each time; if many poolers do so to the
-     * same server, the handshakes take most of its capacity.
+     * Evicting a connection that is needed again soon costs its server a handshake; if many poolers do so to the same
+     * server, the handshakes take most of its capacity.
      */
     private void evictLongestIdle() {
         ServerConnection longestIdle = connections.longestIdle();
--- a/pooler/src/test/java/frostreel/ServerConnectionsTest.java
+++ b/pooler/src/test/java/frostreel/ServerConnectionsTest.java
@@ -58,6 +58,7 @@
             }
         }
         assertThat(servers.get("d").closedConnections.take()).isEqualTo("closed");
+        // Opened in total: one more than the limit, as one was evicted.
         assertThat(harness.pooler.counters())
                 .contains("server_connections=" + (PoolerHarness.MAX_SERVERS + 1) + " ")
                 .contains("server_connections_evicted=1 ");
--- a/pooler/src/test/java/frostreel/net/EventLoopTimersTest.java
+++ b/pooler/src/test/java/frostreel/net/EventLoopTimersTest.java
@@ -15,8 +15,9 @@
 import org.xnio.channels.AcceptingChannel;
 
 /**
- * Guards against timers that starve the sockets of the event loop: XNIO runs a timer that is due in less than a
- * millisecond at once, so such a timer that finds its deadline not yet due is set again and again.
+ * Guards against timers that starve the sockets of the event loop. XNIO runs a timer that is due in less than a
+ * millisecond at once. Its deadline is not reached then, so the timer is set again and runs at once again, and the
+ * sockets are not read meanwhile.
  */
 class EventLoopTimersTest {
     /** Number of timers, each of which sets the next. */
