--- a/pooler/src/main/java/frostreel/frontend/ClientBacklog.java
+++ b/pooler/src/main/java/frostreel/frontend/ClientBacklog.java
@@ -26,7 +26,7 @@
     /** The memory of this backlog that is included in the buffered bytes of the event loop. */
     private int countedBytes;
     /** The end of the previous read of the socket. */
-    private long caughtUpUs;
+    private long readCompletedUs;
 
     private long arrivedUs;
     private boolean overrun;
@@ -41,13 +41,13 @@
 
     /** Adds what was read; its arrival time is never before the end of the previous read. */
     void add(ByteBuffer in) {
-        arrivals.add(in.remaining(), Math.max(loop.earliestArrivalUs(), caughtUpUs));
+        arrivals.add(in.remaining(), Math.max(loop.earliestArrivalUs(), readCompletedUs));
         reader.feed(in);
     }
 
     /** Records the end of a read of the socket. */
-    void onCaughtUp() {
-        caughtUpUs = loop.clock().now();
+    void onReadCompleted() {
+        readCompletedUs = loop.clock().now();
     }
 
     /** Moves to the next message; returns false if none is complete. */
--- a/pooler/src/main/java/frostreel/frontend/ClientConnection.java
+++ b/pooler/src/main/java/frostreel/frontend/ClientConnection.java
@@ -14,7 +14,7 @@
  * that does not complete a message in time gets an error and is closed, as it occupies a connection that others need.
  * Used on the I/O thread.
  */
-final class ClientConnection implements SocketStream.Handler, IdleTimer.Handler {
+final class ClientConnection implements SocketStream.Handler, ClientTimeouts.Handler {
     private enum Phase {
         STARTUP,
         RUNNING,
@@ -27,7 +27,7 @@
     private final EventLoop loop;
     private final ClientTable clients;
     private final SocketStream stream;
-    private final IdleTimer idleTimer;
+    private final ClientTimeouts timeouts;
     private final ClientInput input;
     private final ClientRequest request;
     private final LingeringClose lingering;
@@ -43,7 +43,7 @@
         clients = frontEnd.clients();
         this.secret = secret;
         stream = new SocketStream(loop, connection, this);
-        idleTimer = new IdleTimer(loop.clock(), loop.deadlines(), stream::pendingBytes, this);
+        timeouts = new ClientTimeouts(loop.clock(), loop.deadlines(), stream::pendingBytes, this);
         lingering = new LingeringClose(loop.deadlines(), this::close);
         input = new ClientInput(frontEnd, stream, this);
         request = new ClientRequest(frontEnd, stream, this);
@@ -67,7 +67,7 @@
 
     /** The time since which the client has been idle, or has had to complete a message. */
     long sinceUs() {
-        return idleTimer.sinceUs();
+        return timeouts.sinceUs();
     }
 
     boolean isStarting() {
@@ -100,7 +100,7 @@
 
     @Override
     public void caughtUp() {
-        input.onCaughtUp();
+        input.onReadCompleted();
     }
 
     @Override
@@ -147,13 +147,13 @@
         } else if (!isIdle() || (!input.hasSentQuery() && !frontEnd.drainer().closesUnused())) {
             awaitMessage();
         } else {
-            idleTimer.onIdle();
+            timeouts.onIdle();
             frontEnd.drainer().onIdle(this);
         }
     }
 
     private void awaitMessage() {
-        if (idleTimer.awaitMessage()) {
+        if (timeouts.awaitMessage()) {
             clients.markAwaitingMessage(this);
         }
     }
@@ -167,7 +167,7 @@
     /** Starts the timeout for the client to read its response. */
     private void awaitReader() {
         clients.markBusy(this);
-        idleTimer.awaitReader();
+        timeouts.awaitReader();
     }
 
     @Override
@@ -183,7 +183,7 @@
 
     /** Submits the request of the current message. */
     void submit(Statement statement, int requestClass) {
-        idleTimer.cancel();
+        timeouts.cancel();
         clients.markBusy(this);
         request.submit(statement, requestClass, input.arrivedUs());
     }
@@ -224,7 +224,7 @@
     private void linger() {
         if (isOpen()) {
             phase = Phase.LINGERING;
-            idleTimer.cancel();
+            timeouts.cancel();
             lingering.begin(frontEnd.lifecycle().lingerUs());
             clients.markLingering(this);
             stream.end();
@@ -264,7 +264,7 @@
             return;
         }
         phase = Phase.CLOSED;
-        idleTimer.cancel();
+        timeouts.cancel();
         lingering.cancel();
         input.release();
         loop.counters().clientsClosed++;
--- a/pooler/src/main/java/frostreel/frontend/ClientInput.java
+++ b/pooler/src/main/java/frostreel/frontend/ClientInput.java
@@ -17,7 +17,7 @@
     private final StartupHandler startup;
     private final QueryHandler queries;
     private boolean takingMessages;
-    /** Whether {@link #onCaughtUp} is running, so that the socket has just been read and need not be read again. */
+    /** Whether {@link #onReadCompleted} is running, so that the socket has just been read and need not be read again. */
     private boolean readJustNow;
 
     ClientInput(FrontEnd frontEnd, SocketStream stream, ClientConnection connection) {
@@ -28,14 +28,14 @@
         queries = new QueryHandler(frontEnd, stream, connection);
     }
 
-    /** Adds what was read; its messages are processed in {@link #onCaughtUp}. */
+    /** Adds what was read; its messages are processed in {@link #onReadCompleted}. */
     void add(ByteBuffer in) {
         backlog.add(in);
     }
 
     /** Processes messages after a read of the socket that did not find the client disconnected. */
-    void onCaughtUp() {
-        backlog.onCaughtUp();
+    void onReadCompleted() {
+        backlog.onReadCompleted();
         boolean readBefore = readJustNow;
         readJustNow = true;
         takeMessages();
--- a/pooler/src/main/java/frostreel/frontend/IdleTimer.java
+++ b/pooler/src/main/java/frostreel/frontend/ClientTimeouts.java
@@ -8,7 +8,7 @@
  * The timeouts of a client without an active request: one for sending a complete message, one for reading its response.
  * At most one of them runs. Used on the I/O thread.
  */
-final class IdleTimer {
+final class ClientTimeouts {
     /** Handles the expiry of a timeout. */
     interface Handler {
         /** Called when the client has not sent a complete message in time. */
@@ -33,7 +33,7 @@
     private long sinceUs;
 
     /** Creates a timer; {@code pendingBytes} supplies the unread bytes of the client's response. */
-    IdleTimer(Clock clock, Deadlines deadlines, IntSupplier pendingBytes, Handler handler) {
+    ClientTimeouts(Clock clock, Deadlines deadlines, IntSupplier pendingBytes, Handler handler) {
         this.clock = clock;
         this.deadlines = deadlines;
         this.pendingBytes = pendingBytes;
--- a/pooler/src/main/java/frostreel/frontend/package-info.java
+++ b/pooler/src/main/java/frostreel/frontend/package-info.java
@@ -10,7 +10,7 @@
  * <p>Each {@link frostreel.frontend.ClientConnection} has a {@link frostreel.frontend.ClientInput}, which takes
  * messages from a {@link frostreel.frontend.ClientBacklog} and hands them to a
  * {@link frostreel.frontend.StartupHandler}, later to a {@link frostreel.frontend.QueryHandler}; a
- * {@link frostreel.frontend.ClientRequest} for the active request; an {@link frostreel.frontend.IdleTimer}; and a
+ * {@link frostreel.frontend.ClientRequest} for the active request; a {@link frostreel.frontend.ClientTimeouts}; and a
  * {@link frostreel.frontend.LingeringClose} for an orderly close.
  */
 package frostreel.frontend;
--- a/pooler/src/test/java/frostreel/ClientCapacityTest.java
+++ b/pooler/src/test/java/frostreel/ClientCapacityTest.java
@@ -16,7 +16,7 @@
     /** Number of idle clients above which idle clients are closed while most connections are in use. */
     private static final int IDLE_LIMIT = PoolerHarness.USUAL_CLIENTS / 3;
     /** Number of clients up to which none is closed for being idle. */
-    private static final int ACTIVE_LIMIT = PoolerHarness.USUAL_CLIENTS * 3 / 4;
+    private static final int MAX_CLIENTS_WITHOUT_CLOSE = PoolerHarness.USUAL_CLIENTS * 3 / 4;
 
     /** Connects a client that terminates its connection, and must not count as idle afterwards. */
     private void connectAndTerminate() throws Exception {
@@ -42,12 +42,12 @@
     }
 
     @Test
-    void closesLongestIdleClientsOnlyAboveTheUsualCount() throws Exception {
+    void closesLongestIdleClientsOnlyAboveThreeQuartersOfTheExpectedCount() throws Exception {
         start();
         connectAndTerminate(); // The client that awaited readiness has disconnected as well.
-        List<WireConnection> clients = new ArrayList<>(idleClients(ACTIVE_LIMIT));
+        List<WireConnection> clients = new ArrayList<>(idleClients(MAX_CLIENTS_WITHOUT_CLOSE));
         assertThat(harness.pooler.counters()).contains(" clients_spared=0 ");
-        int excess = PoolerHarness.USUAL_CLIENTS - ACTIVE_LIMIT;
+        int excess = PoolerHarness.USUAL_CLIENTS - MAX_CLIENTS_WITHOUT_CLOSE;
         clients.addAll(idleClients(excess));
         harness.awaitCounter("clients_spared=" + excess); // The last response is sent before the next client is closed.
         for (WireConnection longestIdle : clients.subList(0, excess)) {
@@ -67,7 +67,7 @@
         };
         start();
         List<WireConnection> idle = idleClients(IDLE_LIMIT);
-        for (int i = idle.size(); i < ACTIVE_LIMIT - 1; i++) { // Busy clients.
+        for (int i = idle.size(); i < MAX_CLIENTS_WITHOUT_CLOSE - 1; i++) { // Busy clients.
             harness.client().send(query(writeSql("write" + i, 9000)));
         }
         List<WireConnection> late = List.of(harness.client(), harness.client());
--- a/pooler/src/test/java/frostreel/DisconnectedClientsTest.java
+++ b/pooler/src/test/java/frostreel/DisconnectedClientsTest.java
@@ -143,10 +143,10 @@
                 Thread.onSpinWait(); // Until both members have rejected the write, and it is queued.
             }
             client.cancelAndAwaitError();
-            long attemptsBeforeCancel = harness.counter("attempts");
+            long attemptsAtCancel = harness.counter("attempts");
             primary.script = rows("from-primary", "primary");
             assertThat(value(client.link.execute(writeSql("next", 9000)))).isEqualTo("from-primary");
-            assertThat(timesReceived("gone")).isBetween(2L, attemptsBeforeCancel);
+            assertThat(timesReceived("gone")).isBetween(2L, attemptsAtCancel);
         }
     }
 
--- a/pooler/src/test/java/frostreel/frontend/ClientBacklogTest.java
+++ b/pooler/src/test/java/frostreel/frontend/ClientBacklogTest.java
@@ -37,7 +37,7 @@
 
     private void read(byte[] bytes) {
         backlog.add(ByteBuffer.wrap(bytes));
-        backlog.onCaughtUp();
+        backlog.onReadCompleted();
     }
 
     @Test
--- a/pooler/src/test/java/frostreel/frontend/IdleTimerTest.java
+++ b/pooler/src/test/java/frostreel/frontend/ClientTimeoutsTest.java
@@ -8,22 +8,23 @@
 import org.junit.jupiter.api.Test;
 
 /** The timeouts of a client without an active request, with a manual clock. */
-class IdleTimerTest {
+class ClientTimeoutsTest {
     private long nowUs = 1_000_000;
     private int pendingBytes;
     private final List<String> expired = new ArrayList<>();
     private final Deadlines deadlines = new Deadlines(() -> nowUs, delayUs -> {});
-    private final IdleTimer timer = new IdleTimer(() -> nowUs, deadlines, () -> pendingBytes, new IdleTimer.Handler() {
-        @Override
-        public void onMessageTimeout() {
-            expired.add("message");
-        }
+    private final ClientTimeouts timeouts =
+            new ClientTimeouts(() -> nowUs, deadlines, () -> pendingBytes, new ClientTimeouts.Handler() {
+                @Override
+                public void onMessageTimeout() {
+                    expired.add("message");
+                }
 
-        @Override
-        public void onReaderStalled(int unreadBytes) {
-            expired.add("reader " + unreadBytes);
-        }
-    });
+                @Override
+                public void onReaderStalled(int unreadBytes) {
+                    expired.add("reader " + unreadBytes);
+                }
+            });
 
     private void advance(long byUs) {
         nowUs += byUs;
@@ -32,8 +33,8 @@
 
     @Test
     void messageTimeoutExpiresAfterItsTime() {
-        assertThat(timer.awaitMessage()).isTrue();
-        advance(IdleTimer.MESSAGE_TIMEOUT_US - 1);
+        assertThat(timeouts.awaitMessage()).isTrue();
+        advance(ClientTimeouts.MESSAGE_TIMEOUT_US - 1);
         assertThat(expired).isEmpty();
         advance(1);
         assertThat(expired).containsExactly("message");
@@ -41,33 +42,33 @@
 
     @Test
     void runningMessageTimeoutIsNotExtended() {
-        timer.awaitMessage();
-        advance(IdleTimer.MESSAGE_TIMEOUT_US - 1);
-        assertThat(timer.awaitMessage()).isFalse();
-        assertThat(timer.sinceUs()).isEqualTo(1_000_000);
+        timeouts.awaitMessage();
+        advance(ClientTimeouts.MESSAGE_TIMEOUT_US - 1);
+        assertThat(timeouts.awaitMessage()).isFalse();
+        assertThat(timeouts.sinceUs()).isEqualTo(1_000_000);
         advance(1);
         assertThat(expired).containsExactly("message");
     }
 
     @Test
     void idleClientHasNoTimeout() {
-        timer.awaitMessage();
+        timeouts.awaitMessage();
         advance(1_000);
-        timer.onIdle();
-        advance(IdleTimer.READER_TIMEOUT_US);
+        timeouts.onIdle();
+        advance(ClientTimeouts.READER_TIMEOUT_US);
         assertThat(expired).isEmpty();
-        assertThat(timer.sinceUs()).isEqualTo(1_001_000);
+        assertThat(timeouts.sinceUs()).isEqualTo(1_001_000);
     }
 
     @Test
     void readerTimeoutReplacesMessageTimeoutAndRestartsWithProgress() {
         pendingBytes = 10;
-        timer.awaitMessage();
-        timer.awaitReader();
+        timeouts.awaitMessage();
+        timeouts.awaitReader();
         pendingBytes = 4;
-        advance(IdleTimer.READER_TIMEOUT_US);
+        advance(ClientTimeouts.READER_TIMEOUT_US);
         assertThat(expired).isEmpty();
-        advance(IdleTimer.READER_TIMEOUT_US - 1);
+        advance(ClientTimeouts.READER_TIMEOUT_US - 1);
         assertThat(expired).isEmpty();
         advance(1);
         assertThat(expired).containsExactly("reader 4");
@@ -75,10 +76,10 @@
 
     @Test
     void cancelledTimeoutDoesNotExpireAndMayBeStartedAgain() {
-        timer.awaitMessage();
-        timer.cancel();
-        advance(IdleTimer.MESSAGE_TIMEOUT_US);
+        timeouts.awaitMessage();
+        timeouts.cancel();
+        advance(ClientTimeouts.MESSAGE_TIMEOUT_US);
         assertThat(expired).isEmpty();
-        assertThat(timer.awaitMessage()).isTrue();
+        assertThat(timeouts.awaitMessage()).isTrue();
     }
 }
