--- a/pooler/src/main/java/frostreel/frontend/ClientBacklog.java
+++ b/pooler/src/main/java/frostreel/frontend/ClientBacklog.java
@@ -75,8 +75,8 @@
 
     /**
      * Checks the size against its limit, and stores the result. After an overrun, further input is dropped and the
-     * connection is closed after its last response. Not reading the socket instead would hide that the
-     * client disconnects.
+     * connection is closed after its last response. The socket is still read up to
+     * {@link LingeringClose#MAX_DROPPED_BYTES}, so that a disconnect is detected; beyond that, reading is suspended.
      */
     boolean checkOverrun() {
         overrun = reader.buffered() > (loop.buffersAreFull() ? MAX_BYTES_WHEN_BUFFERS_ARE_FULL : MAX_BYTES);
--- a/pooler/src/main/java/frostreel/frontend/ClientConnection.java
+++ b/pooler/src/main/java/frostreel/frontend/ClientConnection.java
@@ -59,13 +59,13 @@
         cancelKey = CancelKey.ofSlot(slot, secret);
     }
 
-    /** Starts reading, and the timeout for the startup message. */
+    /** Starts reading, and the timeout for the startup message and the first query. */
     void begin() {
         awaitMessage();
         stream.resumeReads();
     }
 
-    /** The time since which the client has been idle, or has had to complete a message. */
+    /** When the client last became idle, or was last awaited for a message. */
     long sinceUs() {
         return timeouts.sinceUs();
     }
@@ -234,9 +234,10 @@
 
     /**
      * Begins an orderly close unless an unread request is found. Many requests are still unread while the I/O thread is
-     * busy; closing without reading them would cost their clients a retry, or the response if it happens twice.
+     * busy; closing without reading them would make their clients retry, and a client that is closed a second time may
+     * get no response.
      *
-     * @return whether the connection was closed
+     * @return whether this call began an orderly close; false also if the read ended the connection
      */
     boolean closeUnlessRequestPending() {
         boolean received = stream.readNow();
--- a/pooler/src/main/java/frostreel/frontend/ClientTimeouts.java
+++ b/pooler/src/main/java/frostreel/frontend/ClientTimeouts.java
@@ -18,7 +18,10 @@
         void onReaderStalled(int pendingBytes);
     }
 
-    /** The time for a complete message to arrive after connecting, or after the first byte of the message. */
+    /**
+     * The time for the startup message and the first query together, or for the rest of a later message from when it is
+     * awaited.
+     */
     static final long MESSAGE_TIMEOUT_US = 2_300_000;
     /** The time without progress after which a client counts as no longer reading its response. */
     static final long READER_TIMEOUT_US = 30_000_000;
@@ -32,7 +35,7 @@
 
     private long sinceUs;
 
-    /** Creates a timer; {@code pendingBytes} supplies the unread bytes of the client's response. */
+    /** Creates the timeouts of one client; {@code pendingBytes} supplies the unread bytes of the client's response. */
     ClientTimeouts(Clock clock, Deadlines deadlines, IntSupplier pendingBytes, Handler handler) {
         this.clock = clock;
         this.deadlines = deadlines;
@@ -40,7 +43,7 @@
         this.handler = handler;
     }
 
-    /** The time since which the client has been idle, or has had to complete a message. */
+    /** When the client last became idle, or was last awaited for a message; unchanged while it reads a response. */
     long sinceUs() {
         return sinceUs;
     }
--- a/pooler/src/main/java/frostreel/frontend/LingeringClose.java
+++ b/pooler/src/main/java/frostreel/frontend/LingeringClose.java
@@ -3,7 +3,8 @@
 import frostreel.time.Deadlines;
 
 /**
- * Limits the time and the bytes for which a client is still read whose input is dropped. Used on the I/O thread.
+ * Limits how much input of a client is read and dropped, after an overrun or during an orderly close, and how long the
+ * orderly close lasts. Used on the I/O thread.
  */
 final class LingeringClose {
     /** Limits the input that is read and dropped, as reading it delays other clients. */
--- a/pooler/src/test/java/frostreel/DisconnectedClientsTest.java
+++ b/pooler/src/test/java/frostreel/DisconnectedClientsTest.java
@@ -143,6 +143,7 @@
                 Thread.onSpinWait(); // Until both members have rejected the write, and it is queued.
             }
             client.cancelAndAwaitError();
+            // Read after the response to the cancel, behind which no attempt may follow.
             long attemptsAtCancel = harness.counter("attempts");
             primary.script = rows("from-primary", "primary");
             assertThat(value(client.link.execute(writeSql("next", 9000)))).isEqualTo("from-primary");
