--- a/pooler/src/main/java/frostreel/frontend/ClientInput.java
+++ b/pooler/src/main/java/frostreel/frontend/ClientInput.java
@@ -17,7 +17,7 @@
     private final StartupHandler startup;
     private final QueryHandler queries;
     private boolean takingMessages;
-    /** Whether {@link #onReadCompleted} is running, so that the socket has just been read and need not be read again. */
+    /** Whether {@link #onReadCompleted} is running, so the socket was just read and need not be read again. */
     private boolean readJustNow;
 
     ClientInput(FrontEnd frontEnd, SocketStream stream, ClientConnection connection) {
--- a/pooler/src/test/java/frostreel/ClientCapacityTest.java
+++ b/pooler/src/test/java/frostreel/ClientCapacityTest.java
@@ -49,7 +49,7 @@
         assertThat(harness.pooler.counters()).contains(" clients_spared=0 ");
         int excess = PoolerHarness.USUAL_CLIENTS - MAX_CLIENTS_WITHOUT_CLOSE;
         clients.addAll(idleClients(excess));
-        // clients_spared counts the idle clients closed to spare connections.
+        // clients_spared counts the clients closed because too many are idle.
         harness.awaitCounter("clients_spared=" + excess); // The last response is sent before the next client is closed.
         for (WireConnection longestIdle : clients.subList(0, excess)) {
             assertThat(longestIdle.closedByPeer()).isTrue();
